--- a/blind_test.go
+++ b/blind_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// A job that waits at a region until its aim is lost is answered then, and called back: its
+// A job that waits at a worker until its aim is lost is answered then, and called back: its
 // slot goes to the one behind it. What has begun is left to end.
 func TestJobThatWaitsPastItsAimIsGivenUp(t *testing.T) {
 	s := testSettings()
@@ -151,10 +151,10 @@
 	b.want(late, Cancel, 0)
 }
 
-// A region fails many jobs, and each dispatcher of 80 meets it every few seconds. Its report
+// A worker fails many jobs, and each dispatcher of 80 meets it every few seconds. Its report
 // tells what the others met there: one error is enough, for a class that may be repeated, too,
 // and a job that went well there by luck says nothing.
-func TestBlindDispatcherBelievesARegionsErrors(t *testing.T) {
+func TestBlindDispatcherBelievesAWorkersErrors(t *testing.T) {
 	for name, o := range map[string]Outcome{"an error": Failed, "luck": OK} {
 		b := member(t, 80, 3, fleetList(60), 0, func(s *Settings) {
 			blind(s)
@@ -187,7 +187,7 @@
 }
 
 // A job that is withdrawn before it began never says how long it would have waited; its
-// region is as full as one where a job began late, and must not look free.
+// worker is as full as one where a job began late, and must not look free.
 func TestBlindDispatcherLearnsFromAJobThatNeverBegan(t *testing.T) {
 	b := member(t, 80, 3, fleetList(60), 0, blind)
 	w := b.d.workers[find(b.arrive(1, 2), Send)[0].Worker]
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -85,15 +85,15 @@
 }
 
 // What is known may be of any age. If it makes no sense, the start goes on without it.
-func TestAnOddTableEndsNoStart(t *testing.T) {
+func TestAnOddListEndsNoStart(t *testing.T) {
 	const whole = `{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"ready"}`
 	for targets, want := range map[string]int{
 		`[]`: 0, `[` + whole + `]`: 1, `[{"state":"odd"},` + whole + `]`: 1, `[3,` + whole + `]`: 1, `3`: 0,
 	} {
 		cfg, err := parse([]byte(strings.Replace(good, `"targets":[]`, `"targets":`+targets, 1)))
 		if odd := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
-			(cfg.Odd != nil) != odd || len(cfg.Known.Regions) != want {
-			t.Errorf("%s: %v, odd %v, %d regions", targets, err, cfg.Odd, len(cfg.Known.Regions))
+			(cfg.Odd != nil) != odd || len(cfg.Known.Workers) != want {
+			t.Errorf("%s: %v, odd %v, %d workers", targets, err, cfg.Odd, len(cfg.Known.Workers))
 		}
 	}
 }
--- a/cmd/dahlialab/desks.go
+++ b/cmd/dahlialab/desks.go
@@ -18,12 +18,12 @@
 
 // The drill of the client library: 200 desks of each of three kinds, each kind at six
 // schedulers of its own, which shrink to two and come back while the desks work; and desks
-// of the library once more at a fleet whose regions do wrong what they may.
+// of the library once more at a fleet whose workers do wrong what they may.
 const (
 	deskCount      = 200
 	deskSchedulers = 6
 	deskLeft       = 2  // of the schedulers
-	deskRegions    = 12 // of each scheduler
+	deskWorkers    = 12 // of each scheduler
 	deskRate       = 4. // jobs a second of each desk
 	deskGrace      = 50 * time.Millisecond
 	deskSlot       = 100 * time.Millisecond // of the figures over time
@@ -256,7 +256,7 @@
 		if err := os.Mkdir(own, 0o777); err != nil {
 			return nil, err
 		}
-		f, err := rig.StartFleet(bin, own, deskSchedulers, deskRegions, seed, k == 3)
+		f, err := rig.StartFleet(bin, own, deskSchedulers, deskWorkers, seed, k == 3)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/dahlialab/explore.go
+++ b/cmd/dahlialab/explore.go
@@ -25,9 +25,9 @@
 	Replay   string        `help:"Play a trace again, step by step." placeholder:"TRACE" type:"path"`
 	Walk     bool          `help:"Walk a larger world at random, thousands of steps deep."`
 	Requests int           `help:"So many requests instead of the world's own." default:"0"`
-	Regions  int           `help:"So many regions instead of the world's own." default:"0"`
+	Workers  int           `help:"So many workers instead of the world's own." default:"0"`
 	Faults   int           `help:"So many faults in all instead of the world's own." default:"-1"`
-	Workers  int           `help:"How many goroutines search; 0: one for each core." default:"0"`
+	Parallel int           `help:"How many goroutines search; 0: one for each core." default:"0"`
 	Engine   string        `help:"The way states are made." enum:"copy,replay" default:"copy"`
 	Coverage bool          `help:"Print the table of events by stages of an attempt."`
 }
@@ -58,8 +58,8 @@
 		return replay(os.Stdout, c.Replay)
 	case c.Budget == 0 || c.Budget < -1:
 		return misuse("--budget must be longer than nothing")
-	case c.Workers < 0:
-		return misuse("--workers must not be negative")
+	case c.Parallel < 0:
+		return misuse("--parallel must not be negative")
 	}
 	// States are many and short-lived: the collector may let them pile up.
 	debug.SetGCPercent(600)
@@ -70,7 +70,7 @@
 	}
 	defer cancel()
 	began := time.Now()
-	opt := explore.Options{Workers: c.Workers, Replay: c.Engine == "replay"}
+	opt := explore.Options{Parallel: c.Parallel, Replay: c.Engine == "replay"}
 	tty := isatty.IsTerminal(os.Stderr.Fd())
 	if tty {
 		opt.Seen = func(states, steps int64) {
@@ -88,7 +88,7 @@
 		if cfg, err = explore.ByName(c.World); err != nil {
 			return misuse("%v", err)
 		}
-		if cfg, err = cfg.With(c.Requests, c.Regions, c.Faults); err != nil {
+		if cfg, err = cfg.With(c.Requests, c.Workers, c.Faults); err != nil {
 			return misuse("%v", err)
 		}
 		r, err = explore.Search(ctx, cfg, opt)
--- a/cmd/dahlialab/main_test.go
+++ b/cmd/dahlialab/main_test.go
@@ -45,7 +45,7 @@
 		{"explore --world nowhere", `unknown world "nowhere": there are attempt, keyed`},
 		{"explore --budget 0s", "--budget must be longer than nothing"},
 		{"explore --budget soon", "--budget"},
-		{"explore --workers=-1", "--workers must not be negative"},
+		{"explore --parallel=-1", "--parallel must not be negative"},
 		{"explore --replay " + foreign, "not a trace"},
 		{"explore --replay /no/such/file", "no such file"},
 		{"drill nothing", `unknown drill "nothing"`},
--- a/desk/desk.go
+++ b/desk/desk.go
@@ -79,7 +79,7 @@
 
 // Result is a job's result.
 type Result struct {
-	Body  []byte // as the region made it
+	Body  []byte // as the worker made it
 	Tries int    // how many it took
 }
 
--- a/desk/desk_test.go
+++ b/desk/desk_test.go
@@ -306,7 +306,7 @@
 	}
 }
 
-// Desks against the real program: what is served is what the region made, nothing that must
+// Desks against the real program: what is served is what the worker made, nothing that must
 // not run twice does, and every call returns once.
 func TestAgainstTheRealProgram(t *testing.T) {
 	bin, err := program()
@@ -317,7 +317,7 @@
 	runs := map[string]int{}
 	var addr atomic.Value
 	addr.Store("127.0.0.1:1")
-	region, err := standin.NewRegion("s-1", "127.0.0.1:0", func() string { return addr.Load().(string) },
+	worker, err := standin.NewWorker("s-1", "127.0.0.1:0", func() string { return addr.Load().(string) },
 		func(j standin.Job) standin.Plan {
 			mu.Lock()
 			defer mu.Unlock()
@@ -330,8 +330,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer region.Close()
-	discovery, err := standin.NewDiscovery("127.0.0.1:0", standin.Line{UID: "s-1", Endpoint: region.Addr(),
+	defer worker.Close()
+	discovery, err := standin.NewDiscovery("127.0.0.1:0", standin.Line{UID: "s-1", Endpoint: worker.Addr(),
 		Zone: "north", Model: "m1", State: "ready"})
 	if err != nil {
 		t.Fatal(err)
@@ -367,7 +367,7 @@
 	done.Wait()
 	for body, n := range runs {
 		if n > 1 {
-			t.Errorf("%s came to the region %d times", body, n)
+			t.Errorf("%s came to the worker %d times", body, n)
 		}
 	}
 	if ends["served"] == 0 {
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -1,5 +1,5 @@
 // Command toyserver stands in for all that a scheduler needs around it: discovery and
-// one region, which runs a job by sleeping. It is for trying dahliaford by hand.
+// one worker, which runs a job by sleeping. It is for trying dahliaford by hand.
 package main
 
 import (
@@ -13,14 +13,14 @@
 
 func main() {
 	discovery := flag.String("discovery", "127.0.0.1:8500", "where discovery listens")
-	region := flag.String("region", "127.0.0.1:9001", "where the region listens")
-	scheduler := flag.String("scheduler", "127.0.0.1:8443", "where the region tells of its jobs")
+	worker := flag.String("worker", "127.0.0.1:9001", "where the worker listens")
+	scheduler := flag.String("scheduler", "127.0.0.1:8443", "where the worker tells of its jobs")
 	run := flag.Duration("run", 300*time.Millisecond, "how long a job runs")
 	flag.Parse()
 	const uid = "s-00000001"
 	plan := func(standin.Job) standin.Plan { return standin.Plan{Run: *run} }
-	said := func(e record.Event) { log.Print("region: ", e.Kind, " ", e.ID) }
-	r, err := standin.NewRegion(uid, *region, func() string { return *scheduler }, plan, said)
+	said := func(e record.Event) { log.Print("worker: ", e.Kind, " ", e.ID) }
+	r, err := standin.NewWorker(uid, *worker, func() string { return *scheduler }, plan, said)
 	if err != nil {
 		log.Fatal(err)
 	}
@@ -29,6 +29,6 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	log.Print("discovery on ", d.Addr(), ", a region on ", r.Addr())
+	log.Print("discovery on ", d.Addr(), ", a worker on ", r.Addr())
 	select {} // until it is interrupted
 }
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -29,7 +29,7 @@
 type Store struct {
 	store.Config
 	Keep time.Duration // how long an answer can be read
-	Ask  time.Duration // how long regions may call back after a start
+	Ask  time.Duration // how long workers may call back after a start
 	End  bool          // the program ends when the disk fails, instead of serving on
 }
 
--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -11,7 +11,7 @@
 // Kind is a kind of step that the world can take.
 type Kind uint8
 
-// The kinds of steps. A is the number of a request, region, route, job, call or
+// The kinds of steps. A is the number of a request, worker, route, job, call or
 // withdrawal; B picks among ways.
 const (
 	Submit Kind = iota
@@ -25,7 +25,7 @@
 	BreakRoute
 	HearBroken
 	HearAnswer
-	CloseArrives // B: 0 in time, 1 after the region's 202
+	CloseArrives // B: 0 in time, 1 after the worker's 202
 	Begin
 	Finish
 	FailJob
@@ -56,7 +56,7 @@
 	kinds
 )
 
-// The ways in which a request ends up at a region, and a connection breaks.
+// The ways in which a request ends up at a worker, and a connection breaks.
 const (
 	accept uint8 = iota
 	turnAway
@@ -67,8 +67,8 @@
 const (
 	breakLost   uint8 = iota // the request never came
 	breakRan                 // it came and ran, and ended with the connection
-	breakAnswer              // the region's answer is lost
-	breakIdle                // the region had accepted
+	breakAnswer              // the worker's answer is lost
+	breakIdle                // the worker had accepted
 )
 
 var kindNames = [kinds]string{"submit", "submit-again", "renew", "client-leaves", "refuse-route", "write",
@@ -166,7 +166,7 @@
 		}
 	}
 	for i := range w.calls {
-		if w.regions[w.calls[i].region].silent {
+		if w.workers[w.calls[i].worker].silent {
 			continue
 		}
 		add(Tell, i, 0)
@@ -182,15 +182,15 @@
 		switch {
 		case wd.phase == replied:
 			add(WithdrawAnswered, i, 0)
-		case !w.regions[wd.region].silent && (w.cfg.DeleteOvertakes || !w.onItsWay(wd)):
+		case !w.workers[wd.worker].silent && (w.cfg.DeleteOvertakes || !w.onItsWay(wd)):
 			add(WithdrawArrives, i, 0)
 		}
 		if wd.phase != replied && w.can(Break) {
 			add(WithdrawBreaks, i, 0)
 		}
 	}
-	for i := range w.regions {
-		r := &w.regions[i]
+	for i := range w.workers {
+		r := &w.workers[i]
 		switch {
 		case r.down:
 			add(ProcessStarts, i, 0)
@@ -282,7 +282,7 @@
 // onItsWay tells whether a request that a withdrawal is about is still on its way there.
 func (w *World) onItsWay(wd *withdraw) bool {
 	for i := range w.routes {
-		if r := &w.routes[i]; r.task == wd.task && r.phase == closing {
+		if r := &w.routes[i]; r.attempt == wd.attempt && r.phase == closing {
 			return true
 		}
 	}
@@ -291,7 +291,7 @@
 
 func (w *World) routeSteps(i int, out []Action) []Action {
 	r := &w.routes[i]
-	to := &w.regions[r.region]
+	to := &w.workers[r.worker]
 	add := func(k Kind, b uint8) { out = append(out, Action{k, uint8(i), b}) }
 	if r.unheard {
 		add(HearWritten, 0)
@@ -355,8 +355,8 @@
 
 // fair appends the step that a fair world takes next, or nothing once it is at rest.
 func (w *World) fair(out []Action) []Action {
-	for i := range w.regions {
-		r := &w.regions[i]
+	for i := range w.workers {
+		r := &w.workers[i]
 		if r.silent {
 			return append(out, Action{MachineBack, uint8(i), 0})
 		}
@@ -388,7 +388,7 @@
 }
 
 // mostRest is how long a fair world goes on after the last answer: longer than anything is
-// kept, and than a region that may hold a given-up task is called.
+// kept, and than a worker that may hold a given-up attempt is called.
 const mostRest = 20 * second
 
 // apply takes one step. A step that is not enabled must not be passed.
@@ -420,11 +420,11 @@
 	case WithdrawArrives, WithdrawAnswered, WithdrawBreaks:
 		w.applyWithdraw(a, i)
 	case ProcessDies, ProcessStarts, MachineSilent, MachineBack, SayDraining, SayGone, SayReady:
-		w.applyRegion(a, i)
+		w.applyWorker(a, i)
 	case WatchLost:
 		w.spend(LoseWatch)
 		w.watching = false
-		w.step(scheduler.TableLost{})
+		w.step(scheduler.ListLost{})
 	case WatchAnswered:
 		w.answerWatch()
 	case WatchAnew:
@@ -450,11 +450,11 @@
 	w.inTime()
 }
 
-// letIdleGo drops connections whose task is over: nothing that happens to them counts.
+// letIdleGo drops connections whose attempt is over: nothing that happens to them counts.
 func (w *World) letIdleGo() {
 	for i := len(w.routes) - 1; i >= 0; i-- {
 		r := &w.routes[i]
-		if q := &w.requests[r.id]; r.phase == idle && (q.last != r.task || q.stage >= stageGivenUp ||
+		if q := &w.requests[r.id]; r.phase == idle && (q.last != r.attempt || q.stage >= stageGivenUp ||
 			!w.can(Break)) {
 			w.dropRoute(i)
 		}
@@ -482,7 +482,7 @@
 	case HearWritten:
 		w.hearWritten(i)
 	case RefuseRoute:
-		if !w.regions[r.region].down {
+		if !w.workers[r.worker].down {
 			w.spend(Refuse)
 		}
 		_, e := r.link.Wrote(true, true)
@@ -498,7 +498,7 @@
 		}
 		if a.B == breakRan {
 			w.arrives(r)
-			w.runs(r.id, r.region, r.sent)
+			w.runs(r.id, r.worker, r.sent)
 		}
 		r.phase = broken
 	case HearBroken:
@@ -517,10 +517,10 @@
 		}
 		w.endRoute(i, e)
 	case CloseArrives:
-		id, region, sent, task := r.id, r.region, r.sent, r.task
-		if a.B == 1 && !w.regions[region].down {
+		id, worker, sent, attempt := r.id, r.worker, r.sent, r.attempt
+		if a.B == 1 && !w.workers[worker].down {
 			w.arrives(r)
-			w.jobs = append(w.jobs, job{id: id, region: region, task: task, sent: sent})
+			w.jobs = append(w.jobs, job{id: id, worker: worker, attempt: attempt, sent: sent})
 		}
 		w.dropRoute(i)
 	}
@@ -529,7 +529,7 @@
 func (w *World) hearWritten(i int) {
 	r := &w.routes[i]
 	r.unheard = false
-	if q := &w.requests[r.id]; q.last == r.task && q.stage == stageConnecting {
+	if q := &w.requests[r.id]; q.last == r.attempt && q.stage == stageConnecting {
 		q.stage = stageWritten
 	}
 	if _, e := r.link.Wrote(false, false); e != nil {
@@ -552,9 +552,9 @@
 	case accept:
 		w.arrives(r)
 		r.status = 202
-		w.jobs = append(w.jobs, job{id: r.id, region: r.region, task: r.task, sent: r.sent})
+		w.jobs = append(w.jobs, job{id: r.id, worker: r.worker, attempt: r.attempt, sent: r.sent})
 	case turnAway:
-		if w.regions[r.region].status == dahliaford.Ready {
+		if w.workers[r.worker].status == dahliaford.Ready {
 			w.spend(TurnAway)
 		}
 		w.arrives(r)
@@ -562,7 +562,7 @@
 	case replyError:
 		w.spend(Err)
 		w.arrives(r)
-		w.runs(r.id, r.region, r.sent)
+		w.runs(r.id, r.worker, r.sent)
 		r.status = 500
 	case replyReject:
 		w.spend(Reject)
@@ -572,15 +572,15 @@
 
 func (w *World) applyJob(a Action, i int) {
 	j := w.jobs[i]
-	say := func(n scheduler.News) { w.calls = append(w.calls, call{j.id, j.region, n}) }
+	say := func(n scheduler.News) { w.calls = append(w.calls, call{j.id, j.worker, n}) }
 	switch a.Kind {
 	case Begin:
 		w.jobs[i].running = true
-		w.runs(j.id, j.region, j.sent)
+		w.runs(j.id, j.worker, j.sent)
 		say(scheduler.NewsStarted)
 		return
 	case Finish:
-		w.requests[j.id].made |= 1 << j.region
+		w.requests[j.id].made |= 1 << j.worker
 		say(scheduler.NewsDone)
 	case FailJob:
 		w.spend(Fail)
@@ -591,7 +591,7 @@
 	case KillJob:
 		w.spend(Kill)
 		if !j.running { // nobody can say that it did not run
-			w.runs(j.id, j.region, j.sent)
+			w.runs(j.id, j.worker, j.sent)
 		}
 		say(scheduler.NewsLost)
 	}
@@ -610,9 +610,9 @@
 	case Tell:
 		w.dropCall(i)
 	}
-	told := scheduler.Told{ID: w.txn(c.id), From: uid(int(c.region)), News: c.news}
+	told := scheduler.Told{ID: w.txn(c.id), From: uid(int(c.worker)), News: c.news}
 	if c.news == scheduler.NewsDone {
-		told.Result = []byte(w.txn(c.id) + " by " + uid(int(c.region)))
+		told.Result = []byte(w.txn(c.id) + " by " + uid(int(c.worker)))
 	}
 	w.step(told)
 }
@@ -622,11 +622,11 @@
 	var e scheduler.Event
 	switch a.Kind {
 	case WithdrawArrives:
-		if w.regions[wd.region].down {
+		if w.workers[wd.worker].down {
 			_, e = wd.link.Wrote(true, true)
 			break
 		}
-		if j := w.jobOf(wd.id, wd.region); j >= 0 {
+		if j := w.jobOf(wd.id, wd.worker); j >= 0 {
 			w.dropJob(j)
 		}
 		wd.phase = replied
@@ -643,20 +643,20 @@
 	w.step(e)
 }
 
-func (w *World) applyRegion(a Action, i int) {
-	r := &w.regions[i]
+func (w *World) applyWorker(a Action, i int) {
+	r := &w.workers[i]
 	switch a.Kind {
 	case ProcessDies:
 		w.spend(Die)
 		r.down = true
 		for n := len(w.jobs) - 1; n >= 0; n-- {
-			if j := w.jobs[n]; int(j.region) == i {
-				w.calls = append(w.calls, call{j.id, j.region, scheduler.NewsLost})
+			if j := w.jobs[n]; int(j.worker) == i {
+				w.calls = append(w.calls, call{j.id, j.worker, scheduler.NewsLost})
 				w.dropJob(n)
 			}
 		}
 		for n := len(w.routes) - 1; n >= 0; n-- {
-			if t := &w.routes[n]; int(t.region) == i {
+			if t := &w.routes[n]; int(t.worker) == i {
 				switch t.phase {
 				case written:
 					t.phase = broken
@@ -689,7 +689,7 @@
 	w.rev++
 	if w.watching {
 		w.told()
-		w.step(scheduler.TableRead{Table: w.table(false, i)})
+		w.step(scheduler.ListRead{List: w.list(false, i)})
 	}
 }
 
@@ -741,32 +741,32 @@
 				"arrives and gets a 500", "arrives and gets a 400"}[a.B]
 		case BreakRoute:
 			what = [...]string{"connection breaks, nothing arrived", "arrives and runs until its connection breaks",
-				"connection breaks, the region's answer is lost", "connection ends after the 202"}[a.B]
+				"connection breaks, the worker's answer is lost", "connection ends after the 202"}[a.B]
 		case CloseArrives:
 			what = [...]string{"our close arrives before its 202",
-				"our close crosses its 202: the region holds it"}[a.B]
+				"our close crosses its 202: the worker holds it"}[a.B]
 		}
-		return fmt.Sprintf("task %d (%s at %s): %s", r.task, w.txn(r.id), uid(int(r.region)), what)
+		return fmt.Sprintf("attempt %d (%s at %s): %s", r.attempt, w.txn(r.id), uid(int(r.worker)), what)
 	case Begin, Finish, FailJob, HandBackJob, KillJob:
 		j := &w.jobs[i]
 		what := map[Kind]string{Begin: "begins to run", Finish: "is done", FailJob: "fails",
 			HandBackJob: "hands back unstarted", KillJob: "loses"}[a.Kind]
 		if a.Kind == HandBackJob || a.Kind == KillJob {
-			return fmt.Sprintf("%s %s %s", uid(int(j.region)), what, w.txn(j.id))
+			return fmt.Sprintf("%s %s %s", uid(int(j.worker)), what, w.txn(j.id))
 		}
-		return fmt.Sprintf("%s at %s %s", w.txn(j.id), uid(int(j.region)), what)
+		return fmt.Sprintf("%s at %s %s", w.txn(j.id), uid(int(j.worker)), what)
 	case Tell, TellAndKeep, LoseCall:
 		c := &w.calls[i]
 		news := map[scheduler.News]string{scheduler.NewsStarted: "started", scheduler.NewsDone: "done",
 			scheduler.NewsFailed: "failed", scheduler.NewsReturned: "returned", scheduler.NewsLost: "lost"}[c.news]
 		end := map[Kind]string{Tell: "", TellAndKeep: " (and will again)",
 			LoseCall: ", which never gets through"}[a.Kind]
-		return fmt.Sprintf("%s calls back: %s %s%s", uid(int(c.region)), w.txn(c.id), news, end)
+		return fmt.Sprintf("%s calls back: %s %s%s", uid(int(c.worker)), w.txn(c.id), news, end)
 	case WithdrawArrives, WithdrawAnswered, WithdrawBreaks:
 		wd := &w.withdraws[i]
 		what := map[Kind]string{WithdrawArrives: "comes", WithdrawAnswered: "is answered",
 			WithdrawBreaks: "breaks off"}
-		return fmt.Sprintf("DELETE of %s to %s %s", w.txn(wd.id), uid(int(wd.region)), what[a.Kind])
+		return fmt.Sprintf("DELETE of %s to %s %s", w.txn(wd.id), uid(int(wd.worker)), what[a.Kind])
 	case ProcessDies, ProcessStarts, MachineSilent, MachineBack, SayDraining, SayGone, SayReady:
 		what := map[Kind]string{ProcessDies: "its process dies", ProcessStarts: "its process starts again",
 			MachineSilent: "its machine falls silent", MachineBack: "its machine is back",
@@ -775,8 +775,8 @@
 	case Tick:
 		return fmt.Sprintf("%v pass", span(max(w.due()-w.now, 0)))
 	}
-	return map[Kind]string{WatchLost: "the watch of the service table is lost",
-		WatchAnswered: "discovery answers the watch", WatchAnew: "discovery answers, its table started anew",
+	return map[Kind]string{WatchLost: "the watch of the worker list is lost",
+		WatchAnswered: "discovery answers the watch", WatchAnew: "discovery answers, its list started anew",
 		ReloadConfig: "a new configuration holds", SigTerm: "SIGTERM",
 		ModuleBreaks: "the module is about to break down",
 		JustBefore:   "time passes until just before the next due point",
--- a/internal/explore/config.go
+++ b/internal/explore/config.go
@@ -16,20 +16,20 @@
 const (
 	Refuse    Fault = iota // a connection does not come up
 	Break                  // a connection breaks after the last byte
-	TurnAway               // a region turns a task away
-	Err                    // a region answers 500
-	Reject                 // a region answers 400
+	TurnAway               // a worker turns an attempt away
+	Err                    // a worker answers 500
+	Reject                 // a worker answers 400
 	Repeat                 // a callback comes once more, at any later time
 	Lose                   // a callback never gets through
 	Fail                   // a job fails
-	HandBack               // a region hands a job back unstarted
-	Kill                   // a region loses a job
-	Die                    // a region's process dies; it may start again
-	Silence                // a region's machine falls silent; it may come back
-	Drain                  // a region is said to drain, to be gone, or to be ready again
+	HandBack               // a worker hands a job back unstarted
+	Kill                   // a worker loses a job
+	Die                    // a worker's process dies; it may start again
+	Silence                // a worker's machine falls silent; it may come back
+	Drain                  // a worker is said to drain, to be gone, or to be ready again
 	Leave                  // a client leaves
 	SameID                 // the same id is submitted again
-	LoseWatch              // the watch of the service table is lost, or starts anew
+	LoseWatch              // the watch of the worker list is lost, or starts anew
 	Reload                 // a new configuration holds
 	Stop                   // SIGTERM
 	Panic                  // the module breaks down at the next event that it gets
@@ -61,12 +61,12 @@
 	About string
 	// Requests are the classes of those that the client sends, in this order.
 	Requests []Class
-	// Racks has the rack of each region.
+	// Racks has the rack of each worker.
 	Racks []int
 	// Faults has how often each may happen, Most how many in all.
 	Faults [faults]uint8
 	Most   uint8
-	// Overtake lets a region's answer reach the loop before the writer's word.
+	// Overtake lets a worker's answer reach the loop before the writer's word.
 	Overtake bool
 	// DeleteOvertakes lets a DELETE overtake the request that it is about. No scheduler
 	// can do anything about that: see docs/design.md.
@@ -109,16 +109,16 @@
 	return deadlineOfBatch
 }
 
-// With is the world with another number of requests (of alternating classes), of regions
+// With is the world with another number of requests (of alternating classes), of workers
 // (in the first one's rack) and of faults in all; 0, 0 and -1 leave them as they are.
-func (c *Config) With(requests, regions, most int) (*Config, error) {
+func (c *Config) With(requests, workers, most int) (*Config, error) {
 	n := *c
 	n.Requests, n.Racks = slices.Clone(c.Requests), slices.Clone(c.Racks)
 	switch {
 	case requests < 0 || requests > mostRequests:
 		return nil, fmt.Errorf("0 to %d requests", mostRequests)
-	case regions < 0 || regions > mostRegions:
-		return nil, fmt.Errorf("0 to %d regions", mostRegions)
+	case workers < 0 || workers > mostWorkers:
+		return nil, fmt.Errorf("0 to %d workers", mostWorkers)
 	case most < -1 || most > 255:
 		return nil, fmt.Errorf("0 to 255 faults")
 	}
@@ -129,9 +129,9 @@
 		}
 		n.Requests = append(n.Requests, 1-n.Requests[len(n.Requests)-1])
 	}
-	for regions > 0 && len(n.Racks) != regions {
-		if len(n.Racks) > regions {
-			n.Racks = n.Racks[:regions]
+	for workers > 0 && len(n.Racks) != workers {
+		if len(n.Racks) > workers {
+			n.Racks = n.Racks[:workers]
 			continue
 		}
 		n.Racks = append(n.Racks, n.Racks[0])
@@ -147,8 +147,8 @@
 		return nil
 	}
 	if len(c.Requests) == 0 || len(c.Requests) > mostRequests || len(c.Racks) == 0 ||
-		len(c.Racks) > mostRegions {
-		return fmt.Errorf("world %q: 1 to %d requests and 1 to %d regions", c.Name, mostRequests, mostRegions)
+		len(c.Racks) > mostWorkers {
+		return fmt.Errorf("world %q: 1 to %d requests and 1 to %d workers", c.Name, mostRequests, mostWorkers)
 	}
 	var err error
 	c.settings, err = settings.Parse([]byte(worldSettings))
@@ -157,7 +157,7 @@
 
 const (
 	mostRequests = 8
-	mostRegions  = 8
+	mostWorkers  = 8
 )
 
 type budget map[Fault]uint8
@@ -178,19 +178,19 @@
 		all[f] = 1
 	}
 	list := []*Config{
-		world("attempt", "one post-reading, two regions, the network and the regions at fault up to 3 times", 3,
+		world("attempt", "one post-reading, two workers, the network and the workers at fault up to 3 times", 3,
 			[]Class{Post}, []int{0, 0}, merge(network, callbacks, budget{Leave: 1, Jitter: 1})),
-		world("keyed", "one district-batch, two regions in a rack and one outside, up to 2 faults", 2,
+		world("keyed", "one district-batch, two workers in a rack and one outside, up to 2 faults", 2,
 			[]Class{Batch}, []int{0, 0, 1}, merge(network, callbacks, budget{Leave: 1, Die: 1})),
-		world("link", "one post-reading, one region, answers overtake the writer's word", 3,
+		world("link", "one post-reading, one worker, answers overtake the writer's word", 3,
 			[]Class{Post}, []int{0}, merge(network, budget{Leave: 1, Jitter: 1, SameID: 1, Repeat: 1})),
-		world("table", "one request, two regions, the table changes under it, up to 3 times", 3,
+		world("list", "one request, two workers, the list changes under it, up to 3 times", 3,
 			[]Class{Batch}, []int{0, 0}, budget{Drain: 3, LoseWatch: 1, Reload: 1, TurnAway: 1, Die: 1, Refuse: 1}),
 		world("crash", "one request, processes die, machines fall silent, the module breaks down", 2,
 			[]Class{Batch}, []int{0, 0}, budget{Die: 2, Silence: 1, Panic: 1, Stop: 1, Break: 1, Leave: 1}),
-		world("small", "one post-reading, two regions, any two faults of all kinds", 2,
+		world("small", "one post-reading, two workers, any two faults of all kinds", 2,
 			[]Class{Post}, []int{0, 0}, all),
-		world("pair", "a post-reading and a district-batch, one region, no fault (--faults 1: any one)", 0,
+		world("pair", "a post-reading and a district-batch, one worker, no fault (--faults 1: any one)", 0,
 			[]Class{Post, Batch}, []int{0}, all),
 	}
 	list[slices.IndexFunc(list, func(c *Config) bool { return c.Name == "link" })].Overtake = true
@@ -198,13 +198,13 @@
 	list = append(list,
 		world("late", "one district-batch, its connection ends at any time", 2,
 			[]Class{Batch}, []int{0, 0}, budget{Break: 2}),
-		world("drains", "one district-batch, one region comes and goes", 3,
+		world("drains", "one district-batch, one worker comes and goes", 3,
 			[]Class{Batch}, []int{0, 0}, budget{Drain: 3, TurnAway: 1}),
 		world("turned", "one district-batch, turned away again and again", 5,
 			[]Class{Batch}, []int{0, 0}, budget{TurnAway: 5, Refuse: 2}),
-		world("cold", "two requests, a region starts again", 2,
+		world("cold", "two requests, a worker starts again", 2,
 			[]Class{Post, Batch}, []int{0}, budget{Die: 1, TurnAway: 1}))
-	hole := world("hole", "one post-reading, one region, and a DELETE may overtake its request: known to break",
+	hole := world("hole", "one post-reading, one worker, and a DELETE may overtake its request: known to break",
 		1, []Class{Post}, []int{0}, budget{Leave: 1})
 	hole.DeleteOvertakes = true
 	list = append(list, hole)
--- a/internal/explore/coverage.go
+++ b/internal/explore/coverage.go
@@ -45,8 +45,8 @@
 	evLost
 	evWithdrawn
 	evNotWithdrawn
-	evTable
-	evTableLost
+	evList
+	evListLost
 	evReloaded
 	evWoke
 	evStopping
@@ -72,13 +72,13 @@
 
 // impossible are the pairs that no world can have, and why. All others should be met.
 func impossible(e eventKind, s stage) string {
-	about := e >= evAccepted && e <= evRejected // of a task on its connection
+	about := e >= evAccepted && e <= evRejected // of an attempt on its connection
 	told := e >= evStarted && e <= evLost
 	switch {
-	case s == stageEarlier && (e == evSubmitted || e == evLeft || e >= evTable):
-		return "concerns no task of its own"
+	case s == stageEarlier && (e == evSubmitted || e == evLeft || e >= evList):
+		return "concerns no attempt of its own"
 	case (about || told || e == evWithdrawn || e == evNotWithdrawn) && s == stageNone:
-		return "needs a task"
+		return "needs an attempt"
 	case about && e != evConnectFailed && s == stageConnecting:
 		return "needs the last byte"
 	case about && (s == stageAccepted || s == stageStarted) && e != evAccepted:
@@ -100,7 +100,7 @@
 	case (e == evWithdrawn || e == evNotWithdrawn) && s == stageEnded:
 		return "what is withdrawn counts as given up"
 	case (e == evWithdrawn || e == evNotWithdrawn) && s == stageEarlier:
-		return "no further task goes out before it is heard"
+		return "no further attempt goes out before it is heard"
 	case e == evReturned && s == stageStarted:
 		return "what has begun is not handed back"
 	}
@@ -146,7 +146,7 @@
 
 // see counts an event before it is passed on, and notes what the scheduler hears by it.
 func (w *World) see(e scheduler.Event) {
-	task := func(kind eventKind, t scheduler.Task, to stage) {
+	attempt := func(kind eventKind, t scheduler.Attempt, to stage) {
 		for i := range w.requests {
 			if q := &w.requests[i]; q.last == t && t != 0 {
 				w.cover[kind][q.stage]++
@@ -175,28 +175,28 @@
 			}
 		}
 	case scheduler.Accepted:
-		task(evAccepted, e.Task, stageAccepted)
+		attempt(evAccepted, e.Attempt, stageAccepted)
 	case scheduler.Ended:
-		task(endKinds[e.Outcome], e.Task, stageEnded)
+		attempt(endKinds[e.Outcome], e.Attempt, stageEnded)
 	case scheduler.Rejected:
-		task(evRejected, e.Task, stageEnded)
+		attempt(evRejected, e.Attempt, stageEnded)
 	case scheduler.Withdrawn:
-		task(map[bool]eventKind{true: evWithdrawn, false: evNotWithdrawn}[e.Reached], e.Task, stageNone)
+		attempt(map[bool]eventKind{true: evWithdrawn, false: evNotWithdrawn}[e.Reached], e.Attempt, stageNone)
 	case scheduler.Told:
 		to := stageEnded
 		if e.News == scheduler.NewsStarted {
 			to = stageStarted
 		}
 		q := &w.requests[idOf(e.ID)]
-		if q.at != regionOf(e.From) {
+		if q.at != workerOf(e.From) {
 			w.cover[newsKinds[e.News]][stageEarlier]++
 			break
 		}
-		task(newsKinds[e.News], q.last, to)
-	case scheduler.TableRead:
-		all(evTable)
-	case scheduler.TableLost:
-		all(evTableLost)
+		attempt(newsKinds[e.News], q.last, to)
+	case scheduler.ListRead:
+		all(evList)
+	case scheduler.ListLost:
+		all(evListLost)
 	case scheduler.Reloaded:
 		all(evReloaded)
 	case scheduler.Woke:
--- a/internal/explore/explore_bench_test.go
+++ b/internal/explore/explore_bench_test.go
@@ -11,8 +11,8 @@
 // on one, as the first version did.
 func BenchmarkSearch(b *testing.B) {
 	defer debug.SetGCPercent(debug.SetGCPercent(600)) // as the laboratory does
-	for name, opt := range map[string]Options{"copy": {}, "copy-one": {Workers: 1},
-		"replay-one": {Workers: 1, Replay: true}} {
+	for name, opt := range map[string]Options{"copy": {}, "copy-one": {Parallel: 1},
+		"replay-one": {Parallel: 1, Replay: true}} {
 		b.Run(name, func(b *testing.B) {
 			cfg, err := ByName("attempt")
 			if err != nil {
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -29,7 +29,7 @@
 // The part of the worlds that CI explores, to the end: with so many faults at most.
 func TestWorlds(t *testing.T) {
 	all := &Coverage{}
-	for name, most := range map[string]uint8{"attempt": 2, "keyed": 1, "link": 1, "table": 1, "crash": 1,
+	for name, most := range map[string]uint8{"attempt": 2, "keyed": 1, "link": 1, "list": 1, "crash": 1,
 		"late":   1,
 		"drains": 1, "turned": 5} {
 		if raceOn && name != "late" {
@@ -75,7 +75,7 @@
 	for _, name := range []string{"turned"} {
 		cfg := bounded(t, name, 1)
 		var got [][]any
-		for _, opt := range []Options{{}, {Workers: 1}, {Workers: 2, Replay: true}} {
+		for _, opt := range []Options{{}, {Parallel: 1}, {Parallel: 2, Replay: true}} {
 			r, err := Search(t.Context(), cfg, opt)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/explore/planted/planted.go
+++ b/internal/explore/planted/planted.go
@@ -41,13 +41,13 @@
 				" called-back",
 			File: reducer,
 			Edits: []string{
-				"if k.ended || k.region.UID != e.From {",
+				"if k.ended || k.worker.UID != e.From {",
 				"if k.ended {",
 			},
 		},
 		{
 			Name: "returned-is-full", World: "attempt",
-			About: "a job handed back may go to the same region, which may say so again",
+			About: "a job handed back may go to the same worker, which may say so again",
 			Want: "honest-answers" +
 				" one-attempt-outstanding" +
 				" runs-as-allowed" +
@@ -64,10 +64,10 @@
 			Want:  "called-back",
 			File:  reducer,
 			Edits: []string{
-				"\t\ts.emit(Abandon{Task: k.number})\n" +
+				"\t\ts.emit(Abandon{Attempt: k.number})\n" +
 					"\t}\n" +
 					"\ts.recall(k)\n",
-				"\t\ts.emit(Abandon{Task: k.number})\n" +
+				"\t\ts.emit(Abandon{Attempt: k.number})\n" +
 					"\t}\n",
 			},
 		},
@@ -113,14 +113,14 @@
 			File:  reducer,
 			Edits: []string{
 				"\tif s.recalling(t) {\n" +
-					"\t\t// A region",
+					"\t\t// A worker",
 				"\tif false {\n" +
-					"\t\t// A region",
+					"\t\t// A worker",
 			},
 		},
 		{
 			Name: "drain-overlooked", World: "drains",
-			About: "a region that drains counts as ready",
+			About: "a worker that drains counts as ready",
 			Want:  "drains-kept",
 			File:  reducer,
 			Edits: []string{
@@ -139,15 +139,15 @@
 			},
 		},
 		{
-			Name: "task-kept", World: "attempt",
-			About: "a task that ended stays in the books",
+			Name: "attempt-kept", World: "attempt",
+			About: "an attempt that ended stays in the books",
 			Want: "nothing-leaks" +
 				" one-final-answer" +
 				" called-back" +
 				" honest-answers",
 			File: reducer,
 			Edits: []string{
-				"\tdelete(s.byTask, k.number)\n",
+				"\tdelete(s.byAttempt, k.number)\n",
 				"",
 			},
 		},
@@ -168,7 +168,7 @@
 		},
 		{
 			Name: "recovery-forgets", World: "crash",
-			About: "a panic leaves jobs at regions that nobody calls back",
+			About: "a panic leaves jobs at workers that nobody calls back",
 			Want:  "called-back",
 			File:  reducer,
 			Edits: []string{
@@ -188,9 +188,9 @@
 				" called-back",
 			File: reducer,
 			Edits: []string{
-				"if k := s.byTask[e.Task]; k != nil && !k.accepted {\n" +
+				"if k := s.byAttempt[e.Attempt]; k != nil && !k.accepted {\n" +
 					"\t\t\tif e.Outcome == dahliaford.Reset {",
-				"if k := s.byTask[e.Task]; k != nil {\n" +
+				"if k := s.byAttempt[e.Attempt]; k != nil {\n" +
 					"\t\t\tif e.Outcome == dahliaford.Reset && !k.accepted {",
 			},
 			And: &Fault{File: links, Edits: []string{
@@ -217,13 +217,13 @@
 		},
 		{
 			Name: "error-never-ran", World: "attempt",
-			About: "a region's 500 counts as turned away",
+			About: "a worker's 500 counts as turned away",
 			Want: "runs-as-allowed" +
 				" honest-answers",
 			File: links,
 			Edits: []string{
-				"scheduler.Ended{Task: l.Task, Outcome: dahliaford.Failed,",
-				"scheduler.Ended{Task: l.Task, Outcome: dahliaford.Full,",
+				"scheduler.Ended{Attempt: l.Attempt, Outcome: dahliaford.Failed,",
+				"scheduler.Ended{Attempt: l.Attempt, Outcome: dahliaford.Full,",
 			},
 		},
 		{
@@ -233,8 +233,8 @@
 				" one-attempt-outstanding",
 			File: links,
 			Edits: []string{
-				"scheduler.Withdrawn{Task: l.Task, Reached: gone}",
-				"scheduler.Withdrawn{Task: l.Task, Reached: true}",
+				"scheduler.Withdrawn{Attempt: l.Attempt, Reached: gone}",
+				"scheduler.Withdrawn{Attempt: l.Attempt, Reached: true}",
 			},
 		},
 		{
@@ -275,7 +275,7 @@
 		},
 		{
 			Name: "cold-pushed", World: "cold",
-			About: "a cold region gets whatever comes",
+			About: "a cold worker gets whatever comes",
 			Want:  "cold-spared",
 			File:  module,
 			Edits: []string{
--- a/internal/explore/properties.go
+++ b/internal/explore/properties.go
@@ -15,12 +15,12 @@
 // The properties.
 const (
 	Answered      Property = iota + 1 // 1: one final answer before the client gives up; none to one that left
-	OneAttempt                        // 2: one attempt outstanding, as the regions see it
+	OneAttempt                        // 2: one attempt outstanding, as the workers see it
 	FourAttempts                      // 3: four attempts at most
 	RunsAsAllowed                     // 4: nothing runs twice, but a batch in its rack and window
 	DrainsKept                        // 5: nothing new over 500 ms after a drain or an end was told
-	HonestAnswers                     // 6: a refusal only where it is harmless; a result as a region made it
-	ColdSpared                        // 7: a cold region gets no more than its budget
+	HonestAnswers                     // 6: a refusal only where it is harmless; a result as a worker made it
+	ColdSpared                        // 7: a cold worker gets no more than its budget
 	NothingLeaks                      // 8: when all is quiet, nothing is kept beyond its time
 	CalledBack                        // 9: whoever may hold a given-up attempt is told, once it can be reached
 	Ends                              // 10: time alone ends all requests
@@ -89,9 +89,9 @@
 	first := &w.requests[q.id]
 	switch a.Verdict {
 	case scheduler.Served:
-		region, ok := strings.CutPrefix(string(a.Body), w.txn(q.id)+" by ")
-		if !ok || first.made&(1<<regionOf(region)) == 0 {
-			w.fail(HonestAnswers, "%s is served %q, which no region made for it", w.txn(q.id), a.Body)
+		worker, ok := strings.CutPrefix(string(a.Body), w.txn(q.id)+" by ")
+		if !ok || first.made&(1<<workerOf(worker)) == 0 {
+			w.fail(HonestAnswers, "%s is served %q, which no worker made for it", w.txn(q.id), a.Body)
 		}
 	case scheduler.Refused:
 		if first.ran != 0 {
@@ -99,34 +99,34 @@
 		}
 		for _, j := range w.jobs {
 			if j.id == q.id {
-				w.fail(HonestAnswers, "%s is refused while %s holds it", w.txn(q.id), uid(int(j.region)))
+				w.fail(HonestAnswers, "%s is refused while %s holds it", w.txn(q.id), uid(int(j.worker)))
 			}
 		}
 		for _, r := range w.routes {
 			if r.id == q.id && r.phase == written {
-				w.fail(HonestAnswers, "%s is refused while it is on its way to %s", w.txn(q.id), uid(int(r.region)))
+				w.fail(HonestAnswers, "%s is refused while it is on its way to %s", w.txn(q.id), uid(int(r.worker)))
 			}
 		}
 	}
 }
 
-// arrives checks properties 2, 3, 4 and 7 when an attempt's last byte comes to a region.
+// arrives checks properties 2, 3, 4 and 7 when an attempt's last byte comes to a worker.
 func (w *World) arrives(r *route) {
 	q := &w.requests[r.id]
 	if q.attempts++; q.attempts > mostAttempts {
-		w.fail(FourAttempts, "attempt %d of %s comes to %s", q.attempts, w.txn(r.id), uid(int(r.region)))
+		w.fail(FourAttempts, "attempt %d of %s comes to %s", q.attempts, w.txn(r.id), uid(int(r.worker)))
 	}
 	for _, j := range w.jobs {
 		if j.id == r.id {
 			w.fail(OneAttempt, "an attempt of %s comes to %s while %s holds one that nobody has called back there",
-				w.txn(r.id), uid(int(r.region)), uid(int(j.region)))
+				w.txn(r.id), uid(int(r.worker)), uid(int(j.worker)))
 		}
 	}
 	if q.class == Batch && q.ran != 0 {
-		for i := range w.regions {
-			if q.ran&(1<<i) != 0 && w.cfg.Racks[i] != w.cfg.Racks[r.region] {
+		for i := range w.workers {
+			if q.ran&(1<<i) != 0 && w.cfg.Racks[i] != w.cfg.Racks[r.worker] {
 				w.fail(RunsAsAllowed, "%s may have run at %s and comes to %s, in another rack", w.txn(r.id), uid(i),
-					uid(int(r.region)))
+					uid(int(r.worker)))
 			}
 		}
 		if r.sent-q.firstRan > window {
@@ -137,27 +137,27 @@
 	w.coldArrives(r)
 }
 
-// coldArrives is property 7. In these worlds the budget of a cold region is under one
+// coldArrives is property 7. In these worlds the budget of a cold worker is under one
 // job, so of those that know that it is cold one job may come within the window.
 func (w *World) coldArrives(r *route) {
-	to := &w.regions[r.region]
+	to := &w.workers[r.worker]
 	if !r.cold {
 		return
 	}
 	for _, at := range to.fresh {
 		if gap := max(r.sent-at, at-r.sent); gap < fall {
-			w.fail(ColdSpared, "two jobs are sent to the cold %s within %v", uid(int(r.region)), span(gap))
+			w.fail(ColdSpared, "two jobs are sent to the cold %s within %v", uid(int(r.worker)), span(gap))
 		}
 	}
 	to.fresh = append(to.fresh, r.sent)
 }
 
-// writes checks property 5 when a task's first byte goes out.
+// writes checks property 5 when an attempt's first byte goes out.
 func (w *World) writes(r *route) {
-	to := &w.regions[r.region]
+	to := &w.workers[r.worker]
 	r.cold = to.begun != 0 && to.known == to.begun && w.now-to.begun < coldFor && to.status == dahliaford.Ready
 	if told := to.told; told != 0 && w.now-told > drainGrace {
-		w.fail(DrainsKept, "%s is written to %s, told %v ago to leave", w.txn(r.id), uid(int(r.region)),
+		w.fail(DrainsKept, "%s is written to %s, told %v ago to leave", w.txn(r.id), uid(int(r.worker)),
 			span(w.now-told))
 	}
 }
@@ -213,7 +213,7 @@
 }
 
 // settle plays a fair end on a copy: no further fault, all that is on its way arrives, no
-// region ends a job by itself, and time passes. It checks properties 8, 9 and 10.
+// worker ends a job by itself, and time passes. It checks properties 8, 9 and 10.
 func (w *World) settle() *Broken {
 	if w.broke != nil {
 		return w.broke
@@ -244,14 +244,14 @@
 		if c.gaveUp {
 			continue // nobody could reach it in the time that a program has for its end
 		}
-		c.fail(CalledBack, "%s holds %s, which nobody waits for, and is never told", uid(int(j.region)),
+		c.fail(CalledBack, "%s holds %s, which nobody waits for, and is never told", uid(int(j.worker)),
 			w.txn(j.id))
 	}
 	if c.exited {
 		return c.broke
 	}
 	c.now = max(c.now, c.rest)
-	c.step(scheduler.TableRead{}) // a heartbeat, as one comes every 2 s
+	c.step(scheduler.ListRead{}) // a heartbeat, as one comes every 2 s
 	if kept := c.s.Kept(); kept != (scheduler.Kept{}) {
 		c.fail(NothingLeaks, "long after the last answer the scheduler keeps %+v", kept)
 	}
@@ -267,12 +267,12 @@
 // About says what a property asks for.
 func (p Property) About() string {
 	return [...]string{"", "one final answer for each item, before the client gives up; none to one that left",
-		"only one attempt outstanding at a time, as the regions see it",
+		"only one attempt outstanding at a time, as the workers see it",
 		"no request gets more than 4 attempts",
 		"a post-reading never runs twice; a district-batch that may have run stays in its rack and window",
-		"nothing new goes to a region more than 500 ms after it was said to drain or to be gone",
-		"a refusal only where a repeat is harmless; a result that a region made for that very request",
-		"a cold region is not sent more than its budget",
+		"nothing new goes to a worker more than 500 ms after it was said to drain or to be gone",
+		"a refusal only where a repeat is harmless; a result that a worker made for that very request",
+		"a cold worker is not sent more than its budget",
 		"when all is answered and quiet, nothing is kept beyond its time",
 		"whoever may hold a given-up attempt is told so, once it can be reached",
 		"from every state time alone leads to all requests answered"}[p]
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -14,7 +14,7 @@
 
 // Options say how a world is searched.
 type Options struct {
-	Workers int // goroutines; 0: one for each core
+	Parallel int // goroutines; 0: one for each core
 	// Replay makes each state anew from the root, as the first version did. It is kept as
 	// the yardstick for copied states, and must find the same number of them.
 	Replay bool
@@ -99,10 +99,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if opt.Workers <= 0 {
-		opt.Workers = runtime.GOMAXPROCS(0)
+	if opt.Parallel <= 0 {
+		opt.Parallel = runtime.GOMAXPROCS(0)
 	}
-	s := &search{cfg: cfg, opt: opt, ctx: ctx, working: opt.Workers}
+	s := &search{cfg: cfg, opt: opt, ctx: ctx, working: opt.Parallel}
 	s.more.L = &s.mu
 	for i := range s.visited {
 		s.visited[i].seen = map[xxh3.Uint128]struct{}{}
@@ -110,7 +110,7 @@
 	s.visited.add(xxh3.Hash128(root.appendState(nil)))
 	s.states.Add(1)
 	s.pool = []state{{root, &node{}}}
-	covers := make([]Coverage, opt.Workers)
+	covers := make([]Coverage, opt.Parallel)
 	var done sync.WaitGroup
 	for i := range covers {
 		done.Go(func() { s.work(&covers[i]) })
@@ -272,7 +272,7 @@
 		s.more.Wait()
 	}
 	s.working++
-	n := max(1, len(s.pool)/s.opt.Workers)
+	n := max(1, len(s.pool)/s.opt.Parallel)
 	own = append(own[:0], s.pool[len(s.pool)-n:]...)
 	s.pool = s.pool[:len(s.pool)-n]
 	return own
@@ -371,8 +371,8 @@
 			q.at, byte(q.stage))
 		f.Num(int64(q.caller), int64(q.deadline), int64(q.firstRan), int64(q.last), int64(q.gen))
 	}
-	for i := range w.regions {
-		r := &w.regions[i]
+	for i := range w.workers {
+		r := &w.workers[i]
 		f.Flag(r.down, r.silent)
 		f.Num(int64(r.status), int64(r.begun), int64(r.known), int64(r.told), int64(len(r.fresh)))
 		for _, at := range r.fresh {
@@ -383,26 +383,26 @@
 		int64(len(w.unsent)))
 	for i := range w.routes {
 		r := &w.routes[i]
-		f = append(f, r.id, r.region, byte(r.phase))
+		f = append(f, r.id, r.worker, byte(r.phase))
 		f.Flag(r.cold, r.unheard, r.link.Busy, r.link.Written, r.link.Broken, r.link.Dead)
-		f.Num(int64(r.task), int64(r.status), int64(r.writeBy), int64(r.sent))
+		f.Num(int64(r.attempt), int64(r.status), int64(r.writeBy), int64(r.sent))
 	}
 	for i := range w.jobs {
 		j := &w.jobs[i]
-		f = append(f, j.id, j.region)
+		f = append(f, j.id, j.worker)
 		f.Flag(j.running)
-		f.Num(int64(j.task), int64(j.sent))
+		f.Num(int64(j.attempt), int64(j.sent))
 	}
 	for _, c := range w.calls {
-		f = append(f, c.id, c.region, byte(c.news))
+		f = append(f, c.id, c.worker, byte(c.news))
 	}
 	for i := range w.withdraws {
 		wd := &w.withdraws[i]
-		f = append(f, wd.id, wd.region, byte(wd.phase))
-		f.Num(int64(wd.task), int64(wd.deadline))
+		f = append(f, wd.id, wd.worker, byte(wd.phase))
+		f.Num(int64(wd.attempt), int64(wd.deadline))
 	}
-	for _, task := range w.unsent {
-		f.Num(int64(task))
+	for _, attempt := range w.unsent {
+		f.Num(int64(attempt))
 	}
 	return w.s.AppendState(f)
 }
--- a/internal/explore/trace.go
+++ b/internal/explore/trace.go
@@ -16,7 +16,7 @@
 	Format   int    `json:"format"`
 	World    string `json:"world"`
 	Requests int    `json:"requests,omitempty"` // 0: as the world has them
-	Regions  int    `json:"regions,omitempty"`  // 0: as the world has them
+	Workers  int    `json:"workers,omitempty"`  // 0: as the world has them
 	Faults   *int   `json:"faults,omitempty"`   // null: as the world has them
 	Property string `json:"property"`
 	Text     string `json:"text"` // how it broke
@@ -33,7 +33,7 @@
 // NewTrace makes a trace of what a search or a walk found.
 func NewTrace(cfg *Config, path []Action, broke *Broken) *Trace {
 	most := int(cfg.Most)
-	t := &Trace{Format: traceFormat, World: cfg.Name, Requests: len(cfg.Requests), Regions: len(cfg.Racks),
+	t := &Trace{Format: traceFormat, World: cfg.Name, Requests: len(cfg.Requests), Workers: len(cfg.Racks),
 		Faults: &most, Property: broke.Property.String(), Text: broke.Text}
 	w, err := newWorld(cfg)
 	if err != nil {
@@ -85,7 +85,7 @@
 	if t.Faults != nil {
 		most = *t.Faults
 	}
-	return cfg.With(t.Requests, t.Regions, most)
+	return cfg.With(t.Requests, t.Workers, most)
 }
 
 func (t *Trace) path() ([]Action, error) {
@@ -176,16 +176,17 @@
 	for _, r := range w.routes {
 		state := [...]string{"connecting", "written", "its answer on its way", "its end on its way",
 			"half heard", "accepted", "our close on its way"}[r.phase]
-		all = append(all, fmt.Sprintf("task %d (%s to %s, %s)", r.task, w.txn(r.id), uid(int(r.region)), state))
+		all = append(all,
+			fmt.Sprintf("attempt %d (%s to %s, %s)", r.attempt, w.txn(r.id), uid(int(r.worker)), state))
 	}
 	for _, j := range w.jobs {
-		all = append(all, fmt.Sprintf("%s at %s, running %v", w.txn(j.id), uid(int(j.region)), j.running))
+		all = append(all, fmt.Sprintf("%s at %s, running %v", w.txn(j.id), uid(int(j.worker)), j.running))
 	}
 	for _, c := range w.calls {
-		all = append(all, fmt.Sprintf("callback of %s about %s", uid(int(c.region)), w.txn(c.id)))
+		all = append(all, fmt.Sprintf("callback of %s about %s", uid(int(c.worker)), w.txn(c.id)))
 	}
 	for _, wd := range w.withdraws {
-		all = append(all, fmt.Sprintf("DELETE of %s to %s", w.txn(wd.id), uid(int(wd.region))))
+		all = append(all, fmt.Sprintf("DELETE of %s to %s", w.txn(wd.id), uid(int(wd.worker))))
 	}
 	if len(all) == 0 {
 		return "nothing"
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -7,7 +7,7 @@
 
 // Large is a world that is too large to be explored to its end: it is walked at random.
 func Large() *Config {
-	c := world("large", "six requests, four regions, all faults many times; walked at random, not to its end",
+	c := world("large", "six requests, four workers, all faults many times; walked at random, not to its end",
 		250, []Class{Post, Batch, Batch, Post, Batch, Post}, []int{0, 0, 1, 1}, nil)
 	for f := range faults {
 		c.Faults[f] = 200
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -18,12 +18,12 @@
 	breaks bool   // the module breaks down at the next event that it gets
 
 	requests  []request
-	regions   []region
+	workers   []worker
 	routes    []route
 	jobs      []job
 	calls     []call
 	withdraws []withdraw
-	unsent    []scheduler.Task // given up before a byte was out
+	unsent    []scheduler.Attempt // given up before a byte was out
 
 	watching bool // discovery tells of changes at once
 	asked    bool // a watch has been asked for, and not been answered yet
@@ -34,7 +34,7 @@
 	stopped bool // SIGTERM came
 	stopAt  Micros
 	exited  bool
-	gaveUp  bool   // it ended though not all regions could be reached
+	gaveUp  bool   // it ended though not all workers could be reached
 	quiet   bool   // the rest is settled: no more faults
 	rest    Micros // until when
 
@@ -53,7 +53,7 @@
 	gone // its client left
 )
 
-// request is a submission of the client, and what the regions saw of its id.
+// request is a submission of the client, and what the workers saw of its id.
 type request struct {
 	class    Class
 	id       uint8  // of the request that first had this id
@@ -66,15 +66,15 @@
 	// Of the id, kept with the first request that had it.
 	attempts uint8
 	starts   uint8
-	ran      uint8  // regions, as bits, at which an attempt may have run
+	ran      uint8  // workers, as bits, at which an attempt may have run
 	firstRan Micros // when the first attempt that may have run was sent
-	made     uint8  // regions, as bits, that made a result
-	last     scheduler.Task
-	at       uint8 // the region of the last task
-	stage    stage // of the last task, as far as the scheduler has heard
+	made     uint8  // workers, as bits, that made a result
+	last     scheduler.Attempt
+	at       uint8 // the worker of the last attempt
+	stage    stage // of the last attempt, as far as the scheduler has heard
 }
 
-type region struct {
+type worker struct {
 	down   bool // its process is dead
 	silent bool // its machine is cut off
 	status dahliaford.Status
@@ -92,49 +92,49 @@
 	replied          // an answer is on its way
 	broken           // the connection's end is on its way
 	halfHeard        // the loop has heard of the end, and not of the writing
-	idle             // the region has accepted, and its connection is still there
+	idle             // the worker has accepted, and its connection is still there
 	closing          // our close follows the request
 )
 
-// route is a routed task on its connection.
+// route is an attempt on its connection.
 type route struct {
-	task    scheduler.Task
+	attempt scheduler.Attempt
 	id      uint8
-	region  uint8
+	worker  uint8
 	phase   phase
 	unheard bool // the writer's word has not reached the loop
-	cold    bool // it was written to a region that the scheduler knew to be cold
+	cold    bool // it was written to a worker that the scheduler knew to be cold
 	status  int
 	writeBy Micros
 	sent    Micros
 	link    link.Link
 }
 
-// job is an attempt that a region holds.
+// job is an attempt that a worker holds.
 type job struct {
-	id, region uint8
-	task       scheduler.Task
+	id, worker uint8
+	attempt    scheduler.Attempt
 	sent       Micros
 	running    bool
 }
 
 // call is a callback on its way.
 type call struct {
-	id, region uint8
+	id, worker uint8
 	news       scheduler.News
 }
 
-// withdraw is the withdrawal of a task on its connection.
+// withdraw is the withdrawal of an attempt on its connection.
 type withdraw struct {
-	task     scheduler.Task
+	attempt  scheduler.Attempt
 	id       uint8
-	region   uint8
+	worker   uint8
 	phase    phase
 	deadline Micros
 	link     link.Link
 }
 
-// newWorld starts a world: the scheduler has begun, knows the table and watches it.
+// newWorld starts a world: the scheduler has begun, knows the list and watches it.
 func newWorld(cfg *Config) (*World, error) {
 	if err := cfg.prepare(); err != nil {
 		return nil, err
@@ -148,14 +148,14 @@
 		w.requests = append(w.requests, request{class: class, id: uint8(i)})
 	}
 	for range cfg.Racks {
-		w.regions = append(w.regions, region{status: dahliaford.Ready})
+		w.workers = append(w.workers, worker{status: dahliaford.Ready})
 	}
-	w.step(scheduler.Began{Discovery: "discovery", Known: w.table(true)})
+	w.step(scheduler.Began{Discovery: "discovery", Known: w.list(true)})
 	w.answerWatch()
 	return w, nil
 }
 
-func uid(region int) string { return "R" + string(rune('0'+region)) }
+func uid(worker int) string { return "R" + string(rune('0'+worker)) }
 
 // txn is the id of a request's present generation.
 func (w *World) txn(id uint8) string {
@@ -166,34 +166,34 @@
 	return name
 }
 
-func regionOf(uid string) uint8 { return uid[1] - '0' }
+func workerOf(uid string) uint8 { return uid[1] - '0' }
 func idOf(txn string) uint8     { return txn[1] - '0' }
 
-func (w *World) line(i int) scheduler.Region {
-	r := &w.regions[i]
-	return scheduler.Region{UID: uid(i), Addr: uid(i), Zone: "north", Kind: "m1", Cell: w.cfg.Racks[i],
+func (w *World) line(i int) scheduler.Worker {
+	r := &w.workers[i]
+	return scheduler.Worker{UID: uid(i), Addr: uid(i), Zone: "north", Kind: "m1", Cell: w.cfg.Racks[i],
 		Status: r.status, Started: r.begun}
 }
 
-func (w *World) table(all bool, which ...int) scheduler.Table {
-	t := scheduler.Table{Rev: w.rev, All: all}
+func (w *World) list(all bool, which ...int) scheduler.WorkerList {
+	t := scheduler.WorkerList{Rev: w.rev, All: all}
 	if all {
-		for i := range w.regions {
-			if w.regions[i].status != dahliaford.Gone {
-				t.Regions = append(t.Regions, w.line(i))
+		for i := range w.workers {
+			if w.workers[i].status != dahliaford.Gone {
+				t.Workers = append(t.Workers, w.line(i))
 			}
 		}
 	}
 	for _, i := range which {
-		t.Regions = append(t.Regions, w.line(i))
+		t.Workers = append(t.Workers, w.line(i))
 	}
 	return t
 }
 
-// told marks what of the table the scheduler has now been told.
+// told marks what of the list the scheduler has now been told.
 func (w *World) told() {
-	for i := range w.regions {
-		r := &w.regions[i]
+	for i := range w.workers {
+		r := &w.workers[i]
 		r.known = r.begun
 		switch {
 		case r.status == dahliaford.Ready:
@@ -207,7 +207,7 @@
 func (w *World) answerWatch() {
 	w.asked, w.watching = false, true
 	w.told()
-	w.step(scheduler.TableRead{Table: w.table(true)})
+	w.step(scheduler.ListRead{List: w.list(true)})
 }
 
 // ---- The scheduler and what it asks for
@@ -252,21 +252,21 @@
 	switch e := e.(type) {
 	case scheduler.Route:
 		w.note("scheduler routes %s to %s, to be written within %v", e.ID, e.UID, span(e.WriteBy-w.now))
-		r := route{task: e.Task, id: idOf(e.ID), region: regionOf(e.UID), writeBy: e.WriteBy}
-		r.link.Take(e.Task, false)
+		r := route{attempt: e.Attempt, id: idOf(e.ID), worker: workerOf(e.UID), writeBy: e.WriteBy}
+		r.link.Take(e.Attempt, false)
 		w.routes = append(w.routes, r)
 		q := &w.requests[r.id]
-		q.last, q.at, q.stage = e.Task, r.region, stageConnecting
+		q.last, q.at, q.stage = e.Attempt, r.worker, stageConnecting
 	case scheduler.Abandon:
-		w.note("scheduler closes the connection of its task at a region")
-		w.abandon(e.Task)
+		w.note("scheduler closes the connection of its attempt at a worker")
+		w.abandon(e.Attempt)
 	case scheduler.Withdraw:
 		w.note("scheduler tells %s to drop %s", e.Addr, e.ID)
-		w.give(e.Task)
-		wd := withdraw{task: e.Task, id: idOf(e.ID), region: regionOf(e.Addr), deadline: e.Deadline}
-		wd.link.Take(e.Task, true)
-		for _, task := range w.unsent {
-			if task == e.Task {
+		w.give(e.Attempt)
+		wd := withdraw{attempt: e.Attempt, id: idOf(e.ID), worker: workerOf(e.Addr), deadline: e.Deadline}
+		wd.link.Take(e.Attempt, true)
+		for _, attempt := range w.unsent {
+			if attempt == e.Attempt {
 				wd.phase = replied // nothing was ever out: the node need not ask
 			}
 		}
@@ -276,7 +276,7 @@
 	case scheduler.Wake:
 		w.wake = e.At
 	case scheduler.Watch:
-		w.note("scheduler opens a watch of the service table")
+		w.note("scheduler opens a watch of the worker list")
 		w.asked, w.watching = true, false
 	case scheduler.Exit:
 		w.note("scheduler ends")
@@ -286,32 +286,32 @@
 	}
 }
 
-func (w *World) give(task scheduler.Task) {
+func (w *World) give(attempt scheduler.Attempt) {
 	for i := range w.requests {
-		if q := &w.requests[i]; q.last == task && task != 0 {
+		if q := &w.requests[i]; q.last == attempt && attempt != 0 {
 			q.stage = stageGivenUp
 		}
 	}
 }
 
-// abandon closes the connection of a task. What was written may still be on its way.
-func (w *World) abandon(task scheduler.Task) {
+// abandon closes the connection of an attempt. What was written may still be on its way.
+func (w *World) abandon(attempt scheduler.Attempt) {
 	for i := range w.withdraws {
-		if w.withdraws[i].task == task {
+		if w.withdraws[i].attempt == attempt {
 			w.dropWithdraw(i)
 			return
 		}
 	}
-	w.give(task)
+	w.give(attempt)
 	for i := range w.routes {
 		r := &w.routes[i]
-		if r.task != task || r.link.Dead {
+		if r.attempt != attempt || r.link.Dead {
 			continue
 		}
 		r.link.LetGo()
 		switch r.phase {
 		case connecting:
-			w.unsent = append(w.unsent, task)
+			w.unsent = append(w.unsent, attempt)
 			w.dropRoute(i)
 		case written:
 			r.phase = closing
@@ -327,9 +327,9 @@
 func (w *World) dropCall(i int)     { w.calls = append(w.calls[:i:i], w.calls[i+1:]...) }
 func (w *World) dropWithdraw(i int) { w.withdraws = append(w.withdraws[:i:i], w.withdraws[i+1:]...) }
 
-func (w *World) jobOf(id, region uint8) int {
+func (w *World) jobOf(id, worker uint8) int {
 	for i := range w.jobs {
-		if w.jobs[i].id == id && w.jobs[i].region == region {
+		if w.jobs[i].id == id && w.jobs[i].worker == worker {
 			return i
 		}
 	}
@@ -348,14 +348,14 @@
 	c := *w
 	c.s = w.s.Clone()
 	c.requests = append([]request(nil), w.requests...)
-	c.regions = append([]region(nil), w.regions...)
+	c.workers = append([]worker(nil), w.workers...)
 	c.routes = append([]route(nil), w.routes...)
 	c.jobs = append([]job(nil), w.jobs...)
 	c.calls = append([]call(nil), w.calls...)
 	c.withdraws = append([]withdraw(nil), w.withdraws...)
-	c.unsent = append([]scheduler.Task(nil), w.unsent...)
-	for i := range c.regions {
-		c.regions[i].fresh = append([]Micros(nil), w.regions[i].fresh...)
+	c.unsent = append([]scheduler.Attempt(nil), w.unsent...)
+	for i := range c.workers {
+		c.workers[i].fresh = append([]Micros(nil), w.workers[i].fresh...)
 	}
 	return &c
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -210,7 +210,7 @@
 	return body, err
 }
 
-// plain tells whether a word of the request line is whole and printable. What a region
+// plain tells whether a word of the request line is whole and printable. What a worker
 // cannot read makes it close the connection.
 func plain(word string) bool {
 	for i := range len(word) {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,4 +1,4 @@
-// Package link says what the life of a connection to a region means for the routed task
+// Package link says what the life of a connection to a worker means for the attempt
 // on it. It is a state machine: what the connection showed goes in, the event that the
 // reducer is to hear and what to do with the connection come out. It does no reading or
 // writing and has no clock; package node carries it on sockets, package explore in the
@@ -10,16 +10,16 @@
 	"dahliaford/internal/scheduler"
 )
 
-// Link is one connection to a region. It carries an errand at a time: a routed task, or
+// Link is one connection to a worker. It carries an errand at a time: an attempt, or
 // the withdrawal of one. The zero Link idles.
 type Link struct {
-	Task     scheduler.Task // of the errand
-	Withdraw bool           // the errand takes the task back
-	Busy     bool           // an errand is on it
-	Used     bool           // it carried another one before
-	Written  bool           // the errand's last byte is out
-	Broken   bool           // nothing more can be read from it
-	Dead     bool           // let go: nothing that it says counts any more
+	Attempt  scheduler.Attempt // of the errand
+	Withdraw bool              // the errand takes the attempt back
+	Busy     bool              // an errand is on it
+	Used     bool              // it carried another one before
+	Written  bool              // the errand's last byte is out
+	Broken   bool              // nothing more can be read from it
+	Dead     bool              // let go: nothing that it says counts any more
 }
 
 // Next is what is to become of the connection.
@@ -32,7 +32,7 @@
 	Drop      // it is to be closed
 )
 
-// Answer is what a region said to an errand.
+// Answer is what a worker said to an errand.
 type Answer struct {
 	Status     int
 	TurnedAway bool // it says that it did not begin
@@ -41,16 +41,16 @@
 }
 
 // Take puts an errand on a connection that idles.
-func (l *Link) Take(task scheduler.Task, withdraw bool) {
-	l.Used = l.Task != 0
-	l.Task, l.Withdraw, l.Busy, l.Written = task, withdraw, true, false
+func (l *Link) Take(attempt scheduler.Attempt, withdraw bool) {
+	l.Used = l.Attempt != 0
+	l.Attempt, l.Withdraw, l.Busy, l.Written = attempt, withdraw, true, false
 }
 
 // LetGo gives the connection up, whatever it is on.
 func (l *Link) LetGo() { l.Dead = true }
 
 // Wrote tells how the errand's writing ended: all of it is out, or its last byte is not.
-// refused says that nobody listens at the region's address: its process is gone.
+// refused says that nobody listens at the worker's address: its process is gone.
 func (l *Link) Wrote(failed, refused bool) (Next, scheduler.Event) {
 	switch {
 	case l.Dead:
@@ -85,14 +85,14 @@
 func (l *Link) lose(o dahliaford.Outcome, gone bool) (Next, scheduler.Event) {
 	l.Dead, l.Busy = true, false
 	if l.Withdraw {
-		return Drop, scheduler.Withdrawn{Task: l.Task, Reached: gone}
+		return Drop, scheduler.Withdrawn{Attempt: l.Attempt, Reached: gone}
 	}
-	return Drop, scheduler.Ended{Task: l.Task, Outcome: o}
+	return Drop, scheduler.Ended{Attempt: l.Attempt, Outcome: o}
 }
 
-// Answered takes a region's answer to the errand. An answer may come twice, the second time late, and
-// nothing tells which errand it is for. So only an accepted task leaves a connection that is used
-// again, and there only a 202 is believed: a "turned away" that is none of this task's would set it
+// Answered takes a worker's answer to the errand. An answer may come twice, the second time late, and
+// nothing tells which errand it is for. So only an accepted attempt leaves a connection that is used
+// again, and there only a 202 is believed: a "turned away" that is none of this attempt's would set it
 // free while it runs. Who is told a 202 too many waits for callbacks, as always.
 func (l *Link) Answered(a Answer) (Next, scheduler.Event) {
 	switch {
@@ -111,13 +111,13 @@
 	}
 	switch {
 	case l.Withdraw:
-		return next, scheduler.Withdrawn{Task: l.Task, Reached: true}
+		return next, scheduler.Withdrawn{Attempt: l.Attempt, Reached: true}
 	case a.Status == 202:
-		return next, scheduler.Accepted{Task: l.Task}
+		return next, scheduler.Accepted{Attempt: l.Attempt}
 	case (a.Status == 503 || a.Status == 504) && a.TurnedAway:
-		return next, scheduler.Ended{Task: l.Task, Outcome: dahliaford.Full, Report: a.Report}
+		return next, scheduler.Ended{Attempt: l.Attempt, Outcome: dahliaford.Full, Report: a.Report}
 	case a.Status >= 400 && a.Status < 500 && a.Status != 429:
-		return next, scheduler.Rejected{Task: l.Task}
+		return next, scheduler.Rejected{Attempt: l.Attempt}
 	}
-	return next, scheduler.Ended{Task: l.Task, Outcome: dahliaford.Failed, Report: a.Report}
+	return next, scheduler.Ended{Attempt: l.Attempt, Outcome: dahliaford.Failed, Report: a.Report}
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -13,49 +13,50 @@
 // What a connection shows, in words, and what that must mean. Each line is one life; its
 // last word says what comes of it.
 func TestLives(t *testing.T) {
-	reached := func(ok bool) scheduler.Event { return scheduler.Withdrawn{Task: 7, Reached: ok} }
-	ended := func(o dahliaford.Outcome) scheduler.Event { return scheduler.Ended{Task: 7, Outcome: o} }
+	reached := func(ok bool) scheduler.Event { return scheduler.Withdrawn{Attempt: 7, Reached: ok} }
+	ended := func(o dahliaford.Outcome) scheduler.Event { return scheduler.Ended{Attempt: 7, Outcome: o} }
 	for _, c := range []struct {
 		life string
 		next Next
 		want scheduler.Event
 	}{
-		{"task unwritten", Drop, ended(dahliaford.ConnectFailed)},
-		{"task refused", Drop, ended(dahliaford.ConnectFailed)},
-		{"task broke", Stay, nil}, // whether it was written is still to come
-		{"task broke unwritten", Drop, ended(dahliaford.ConnectFailed)},
-		{"task broke written", Drop, ended(dahliaford.Reset)},
-		{"task written broke", Drop, ended(dahliaford.Reset)},
-		{"task written 202", Idle, scheduler.Accepted{Task: 7}},
-		{"task written 202close", Drop, scheduler.Accepted{Task: 7}},
-		{"task 202", Drop, scheduler.Accepted{Task: 7}}, // the answer overtakes the writer's word, or the last byte
-		{"task 503away", Drop, ended(dahliaford.Full)},
-		{"task written 202 broke", Drop, nil},
-		{"task written 202 503", Drop, nil}, // an answer to nothing
+		{"attempt unwritten", Drop, ended(dahliaford.ConnectFailed)},
+		{"attempt refused", Drop, ended(dahliaford.ConnectFailed)},
+		{"attempt broke", Stay, nil}, // whether it was written is still to come
+		{"attempt broke unwritten", Drop, ended(dahliaford.ConnectFailed)},
+		{"attempt broke written", Drop, ended(dahliaford.Reset)},
+		{"attempt written broke", Drop, ended(dahliaford.Reset)},
+		{"attempt written 202", Idle, scheduler.Accepted{Attempt: 7}},
+		{"attempt written 202close", Drop, scheduler.Accepted{Attempt: 7}},
+		// the answer overtakes the writer's word, or the last byte
+		{"attempt 202", Drop, scheduler.Accepted{Attempt: 7}},
+		{"attempt 503away", Drop, ended(dahliaford.Full)},
+		{"attempt written 202 broke", Drop, nil},
+		{"attempt written 202 503", Drop, nil}, // an answer to nothing
 		{"202", Drop, nil},
-		{"task written broke 202", Stay, nil},
-		{"task written 503", Drop, ended(dahliaford.Failed)},
-		{"task written 503away", Drop, ended(dahliaford.Full)},
-		{"task written 504away", Drop, ended(dahliaford.Full)},
-		{"task written 500away", Drop, ended(dahliaford.Failed)},
-		{"task written 500", Drop, ended(dahliaford.Failed)},
-		{"task written 429", Drop, ended(dahliaford.Failed)},
-		{"task written 404", Drop, scheduler.Rejected{Task: 7}},
-		{"task written 301", Drop, ended(dahliaford.Failed)},
-		{"task letgo written", Stay, nil},
-		{"task letgo broke", Stay, nil},
-		{"task letgo 202", Stay, nil},
+		{"attempt written broke 202", Stay, nil},
+		{"attempt written 503", Drop, ended(dahliaford.Failed)},
+		{"attempt written 503away", Drop, ended(dahliaford.Full)},
+		{"attempt written 504away", Drop, ended(dahliaford.Full)},
+		{"attempt written 500away", Drop, ended(dahliaford.Failed)},
+		{"attempt written 500", Drop, ended(dahliaford.Failed)},
+		{"attempt written 429", Drop, ended(dahliaford.Failed)},
+		{"attempt written 404", Drop, scheduler.Rejected{Attempt: 7}},
+		{"attempt written 301", Drop, ended(dahliaford.Failed)},
+		{"attempt letgo written", Stay, nil},
+		{"attempt letgo broke", Stay, nil},
+		{"attempt letgo 202", Stay, nil},
 		{"withdrawal written 200", Drop, reached(true)},
 		{"withdrawal written 404", Drop, reached(true)},
 		{"withdrawal unwritten", Drop, reached(false)},
 		{"withdrawal refused", Drop, reached(true)},
 		{"withdrawal written broke", Drop, reached(false)},
-		{"task written 202 task written 202", Idle, scheduler.Accepted{Task: 7}},
-		{"task written 202 task written 202 202", Drop, nil},
-		{"task written 202 task written 503away", Drop, ended(dahliaford.Reset)}, // whose is it?
-		{"task written 202 task written 500", Drop, ended(dahliaford.Reset)},
-		{"task written 202 task written 404", Drop, ended(dahliaford.Reset)},
-		{"task written 202 task 202", Drop, ended(dahliaford.Reset)},
+		{"attempt written 202 attempt written 202", Idle, scheduler.Accepted{Attempt: 7}},
+		{"attempt written 202 attempt written 202 202", Drop, nil},
+		{"attempt written 202 attempt written 503away", Drop, ended(dahliaford.Reset)}, // whose is it?
+		{"attempt written 202 attempt written 500", Drop, ended(dahliaford.Reset)},
+		{"attempt written 202 attempt written 404", Drop, ended(dahliaford.Reset)},
+		{"attempt written 202 attempt 202", Drop, ended(dahliaford.Reset)},
 		{"broke", Drop, nil},
 	} {
 		var l Link
@@ -63,7 +64,7 @@
 		var got scheduler.Event
 		for _, word := range strings.Fields(c.life) {
 			switch word {
-			case "task", "withdrawal":
+			case "attempt", "withdrawal":
 				l.Take(7, word == "withdrawal")
 			case "written", "unwritten", "refused":
 				next, got = l.Wrote(word != "written", word == "refused")
@@ -83,7 +84,7 @@
 			t.Errorf("%s: %s", c.life, diff)
 		}
 		if dead := next == Drop; l.Dead != (dead || strings.Contains(c.life, "letgo") ||
-			c.life == "task written broke 202") {
+			c.life == "attempt written broke 202") {
 			t.Errorf("%s: dead is %v", c.life, l.Dead)
 		}
 	}
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -52,7 +52,7 @@
 	crowded struct{}
 )
 
-// payload is what of a client's request goes on to a region, unchanged.
+// payload is what of a client's request goes on to a worker, unchanged.
 type payload struct {
 	method, target, key string
 	body                []byte
@@ -211,7 +211,7 @@
 			break
 		}
 		c.rank.Store(customer)
-		// The answer waits for nothing: the region needs none of what follows.
+		// The answer waits for nothing: the worker needs none of what follows.
 		goOn = c.write(at, 204, r.Close, "", nil)
 		n.post(told)
 	default:
@@ -229,7 +229,7 @@
 	return c.write(at, status, r.Close, "", []byte(why+"\n"))
 }
 
-// submit hands a transaction over and waits for its answer or the client's leave.
+// submit hands a request over and waits for its answer or the client's leave.
 func (c *client) submit(at scheduler.Micros, r *http1.Request) (next <-chan error, goOn bool) {
 	n := c.node
 	id, left := r.Header.Get("X-Txn"), r.Header.Get("X-Remaining-Ms")
@@ -237,7 +237,7 @@
 	slots, why := slotsOf(r.Header.Get("X-Labels")), ""
 	for _, name := range single {
 		if len(r.Header[name]) > 1 {
-			why = "repeated " + name // which of them counts, the region may see otherwise
+			why = "repeated " + name // which of them counts, the worker may see otherwise
 		}
 	}
 	switch {
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -12,10 +12,10 @@
 
 // What the peers of the program say in JSON, read once into what it uses.
 
-// DecodeTable reads the service table, or a change to it, in discovery's form. An entry that
+// DecodeList reads the worker list, or a change to it, in discovery's form. An entry that
 // makes no sense costs the others nothing: odd tells of the first such. With an error nothing of
-// the table is known.
-func DecodeTable(line []byte) (t scheduler.Table, odd, err error) {
+// the list is known.
+func DecodeList(line []byte) (t scheduler.WorkerList, odd, err error) {
 	in := jlexer.Lexer{Data: line}
 	Fields(&in, func(key string) {
 		switch key {
@@ -26,12 +26,12 @@
 		case "targets":
 			in.Delim('[')
 			for !in.IsDelim(']') && in.Error() == nil {
-				r, why := decodeRegion(in.Raw())
+				r, why := decodeWorker(in.Raw())
 				if why != nil && odd == nil {
 					odd = why
 				}
 				if r.UID != "" {
-					t.Regions = append(t.Regions, r)
+					t.Workers = append(t.Workers, r)
 				}
 				in.WantComma()
 			}
@@ -48,10 +48,10 @@
 	"ready": dahliaford.Ready, "draining": dahliaford.Draining, "gone": dahliaford.Gone,
 }
 
-// decodeRegion reads an entry. One that cannot be used takes its region out of use, if it
-// names it: whatever it was to say, nothing shows that the region is ready.
-func decodeRegion(raw []byte) (scheduler.Region, error) {
-	var r scheduler.Region
+// decodeWorker reads an entry. One that cannot be used takes its worker out of use, if it
+// names it: whatever it was to say, nothing shows that the worker is ready.
+func decodeWorker(raw []byte) (scheduler.Worker, error) {
+	var r scheduler.Worker
 	state := ""
 	in := jlexer.Lexer{Data: raw}
 	Fields(&in, func(key string) {
@@ -79,11 +79,11 @@
 	switch {
 	case err != nil:
 	case r.UID == "":
-		err = errors.New("a region without a name")
+		err = errors.New("a worker without a name")
 	case !known:
-		err = fmt.Errorf("region %q: unknown state %q", r.UID, state)
+		err = fmt.Errorf("worker %q: unknown state %q", r.UID, state)
 	case r.Addr == "" && status != dahliaford.Gone:
-		err = fmt.Errorf("region %q has no address", r.UID)
+		err = fmt.Errorf("worker %q has no address", r.UID)
 	}
 	if r.Status = status; err != nil {
 		r.Status = dahliaford.Draining
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A region whose answer never ends, and that tells by callback how its job ended, keeps no
+// A worker whose answer never ends, and that tells by callback how its job ended, keeps no
 // connection: with one for each job nothing could be sent before long.
 func TestAnAnswerThatNeverEndsKeepsNoConnection(t *testing.T) {
 	w := newWorld(t, leastSockets, "r1")
@@ -27,24 +27,24 @@
 	var got string
 	if !eventually(func() bool {
 		w.node.do(func() {
-			got = fmt.Sprintf("open %d, tasks %d, calls %d", w.node.open, len(w.node.tasks), w.node.calls)
+			got = fmt.Sprintf("open %d, attempts %d, calls %d", w.node.open, len(w.node.attempts), w.node.calls)
 		})
-		return got == "open 0, tasks 0, calls 0"
+		return got == "open 0, attempts 0, calls 0"
 	}) {
 		t.Error(got)
 	}
 }
 
-// fleet is a world in which connections to regions are used again, however long they idled.
-func fleet(t *testing.T, sockets int, regions ...string) *world {
+// fleet is a world in which connections to workers are used again, however long they idled.
+func fleet(t *testing.T, sockets int, workers ...string) *world {
 	set := parsed(t)
 	set.Module.Balancers = 80
-	w := newWorldOf(t, set, sockets, regions...)
+	w := newWorldOf(t, set, sockets, workers...)
 	w.node.do(func() { w.node.keptFor = 3600 * second })
 	return w
 }
 
-// idles waits until so many connections to regions idle.
+// idles waits until so many connections to workers idle.
 func (n *Node) idles(t *testing.T, want int) {
 	t.Helper()
 	got := -1
@@ -68,8 +68,8 @@
 	back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 	back expect 204`
 
-// A region answers twice, and the second time comes when the connection is on its next errand. That
-// task runs: it must not be taken for turned away and sent again.
+// A worker answers twice, and the second time comes when the connection is on its next errand. That
+// attempt runs: it must not be taken for turned away and sent again.
 func TestASecondAnswerIsNotTheNextErrands(t *testing.T) {
 	w := fleet(t, 0, "r1")
 	play(t, w, accepted)
@@ -83,7 +83,7 @@
 	`)
 }
 
-// An answer that comes while nobody asks ends the connection: the next task has one of its own.
+// An answer that comes while nobody asks ends the connection: the next attempt has one of its own.
 func TestAnAnswerToNothingEndsTheConnection(t *testing.T) {
 	w := fleet(t, 0, "r1")
 	play(t, w, accepted)
@@ -99,9 +99,9 @@
 	`)
 }
 
-// An answer that is read before anything of its task has left is none of its: the task never ran, and
+// An answer that is read before anything of its attempt has left is none of its: the attempt never ran, and
 // never will by this connection.
-func TestAnAnswerBeforeItsTaskLeft(t *testing.T) {
+func TestAnAnswerBeforeItsAttemptLeft(t *testing.T) {
 	w := fleet(t, 0, "r1")
 	play(t, w, accepted)
 	w.node.idles(t, 1)
@@ -113,12 +113,12 @@
 	play(t, w, "r1 expect POST /post/7?a=b txn=a2 key=k body=two") // by a connection of its own
 }
 
-// An answer that is read before the loop knows that its task was written waits for that: the region
+// An answer that is read before the loop knows that its attempt was written waits for that: the worker
 // was just quick, and its connection is as good as any.
-func TestAnAnswerDoesNotOvertakeItsTask(t *testing.T) {
+func TestAnAnswerDoesNotOvertakeItsAttempt(t *testing.T) {
 	ours, theirs := pair(t)
 	n := &Node{inbox: make(chan any, 2), ctx: t.Context()}
-	c := &regionConn{node: n}
+	c := &workerConn{node: n}
 	if !c.begin() { // the writer has its first byte in hand
 		t.Fatal("shut")
 	}
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -50,7 +50,7 @@
 		r1 expect POST /batch/7?a=b txn=b1 key=k body=next
 	`)
 	if n := len(w.parties["r1"].heard); n != 0 {
-		t.Errorf("%d more reached the region: jobs of a client that had left", n)
+		t.Errorf("%d more reached the worker: jobs of a client that had left", n)
 	}
 }
 
@@ -96,7 +96,7 @@
 	})
 }
 
-// A task that has not left when its client leaves never does, whether or not what has left may be
+// An attempt that has not left when its client leaves never does, whether or not what has left may be
 // called off: not sending is not cancelling. It is connected here, and waits for a word of discovery.
 func TestWhatHasNotLeftNeverLeaves(t *testing.T) {
 	for _, may := range []bool{false, true} {
@@ -110,7 +110,7 @@
 		play(t, w, "c1 send job batch a1 || work\nwait open 1\nc1 close\nwait open 0")
 		n.do(func() {
 			n.told.apply(n.now())
-			if k := n.sched.Kept(); k.Tasks != 0 && len(n.tasks) != 0 {
+			if k := n.sched.Kept(); k.Attempts != 0 && len(n.attempts) != 0 {
 				t.Errorf("may cancel %v: still on its way: %+v", may, k)
 			}
 		})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
 // Package node carries out the effects that the scheduler asks for, on sockets: it
-// owns the client listener, the connections to regions, the discovery watch and the
+// owns the client listener, the connections to workers, the discovery watch and the
 // timer, and runs the one loop that feeds the scheduler.
 package node
 
@@ -32,7 +32,7 @@
 	Seed      uint64
 	Sockets   int // descriptors that the process may hold; 0: not told
 	MemoryMB  int // memory that it may take; 0: not told
-	Known     scheduler.Table
+	Known     scheduler.WorkerList
 	Odd       error // of what is known, what cannot be used
 	Settings  settings.Settings
 }
@@ -40,7 +40,7 @@
 // How the descriptors are dealt out.
 const (
 	spareSockets   = 32 // standard streams, poller, listener, discovery, log
-	regionPart     = 4  // one in so many is for connections to regions
+	workerPart     = 4  // one in so many is for connections to workers
 	callbackPart   = 8  // one in so many of the rest is kept from those who submit
 	leastSockets   = 64
 	defaultSockets = 1024
@@ -48,7 +48,7 @@
 
 const (
 	inboxSize  = 1024
-	sweepEvery = time.Second // looks for region connections that have idled too long
+	sweepEvery = time.Second // looks for worker connections that have idled too long
 	// readyWithin is the longest from the start until health says that clients may come.
 	readyWithin = 10 * time.Second
 	lastWords   = time.Second // for clients to part, after an end that nobody asked for
@@ -75,10 +75,10 @@
 	before   *watch // the one before, until the present one says something
 	clients  map[*client]bool
 	callers  map[scheduler.Caller]*client
-	links    map[string][]*regionConn // by address; idle ones are used latest first
-	tasks    map[scheduler.Task]*regionConn
-	unsent   scheduler.Task // the last one that was given up before anything got out
-	open     int            // links
+	links    map[string][]*workerConn // by address; idle ones are used latest first
+	attempts map[scheduler.Attempt]*workerConn
+	unsent   scheduler.Attempt // the last one that was given up before anything got out
+	open     int               // links
 	mostOpen int
 	keptFor  scheduler.Micros // that an idle link is used again
 	slots    chan struct{}    // one taken for each client connection
@@ -87,7 +87,7 @@
 	panics   int
 	parting  atomic.Bool     // the acceptor ends with its queue
 	lag      lag             // how late the program is
-	draining atomic.Bool     // no new transactions are taken: health says so
+	draining atomic.Bool     // no new requests are taken: health says so
 	heard    atomic.Bool     // discovery has been heard
 	calls    int             // withdrawals under way
 	leave    <-chan struct{} // set once nothing is owed; closed when it is over at the latest
@@ -115,7 +115,8 @@
 	n := &Node{cfg: cfg, log: log, listener: listener.(*net.TCPListener),
 		inbox: make(chan any, inboxSize), start: time.Now(), sched: sched,
 		clients: map[*client]bool{}, callers: map[scheduler.Caller]*client{},
-		links: map[string][]*regionConn{}, tasks: map[scheduler.Task]*regionConn{}, mostOpen: usable / regionPart}
+		links: map[string][]*workerConn{}, attempts: map[scheduler.Attempt]*workerConn{},
+		mostOpen: usable / workerPart}
 	n.told = newTold(cfg.Settings.DrainGrace, cfg.Settings.Module.ToldWithin)
 	n.told.pushed, n.told.ask = pushed, cfg.Settings.Module.AskWithin
 	n.keptFor = kept(&cfg.Settings)
@@ -126,7 +127,7 @@
 	return n, nil
 }
 
-// Addr is the address that clients and regions reach.
+// Addr is the address that clients and workers reach.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
 // now is the time on the scheduler's clock: the Unix time, but it never jumps.
@@ -162,9 +163,9 @@
 	defer n.close()
 	err := n.step(scheduler.Began{Discovery: n.cfg.Discovery, Known: n.cfg.Known})
 	n.log.Info("serving", "name", n.cfg.Name, "listen", n.Addr().String(), "discovery", n.cfg.Discovery,
-		"regions", len(n.cfg.Known.Regions))
+		"workers", len(n.cfg.Known.Workers))
 	if n.cfg.Odd != nil {
-		n.log.Warn("the known service table is no use in part", "why", n.cfg.Odd)
+		n.log.Warn("the known worker list is no use in part", "why", n.cfg.Odd)
 	}
 	n.serving.Add(1) // the acceptor counts as one, so that none is added behind the last
 	n.spawn(n.accept)
@@ -270,7 +271,7 @@
 		return n.linkBroke(m.conn)
 	case ended:
 		n.open--
-	case tableWord:
+	case listWord:
 		return n.watchSaid(m)
 	case scheduler.CallerLeft:
 		delete(n.callers, m.Caller) // no answer follows that would
@@ -306,7 +307,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			broken = true
-			n.log.Error("the decision module broke down: open transactions fail", "panic", fmt.Sprint(cause),
+			n.log.Error("the decision module broke down: open requests fail", "panic", fmt.Sprint(cause),
 				"event", fmt.Sprintf("%T", e), "open", n.sched.Open(), "stack", string(debug.Stack()))
 		}
 	}()
@@ -321,9 +322,9 @@
 	case scheduler.Route:
 		n.route(e)
 	case scheduler.Abandon:
-		n.abandon(e.Task)
+		n.abandon(e.Attempt)
 	case scheduler.Unsend:
-		n.unsend(e.Task)
+		n.unsend(e.Attempt)
 	case scheduler.Withdraw:
 		n.withdraw(e)
 	case scheduler.Answer:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -36,8 +36,8 @@
 
 const patience = 20 * time.Second // before a test that waits in vain fails
 
-// world is a node with parties on loopback sockets. Clients are c1, c2, ...; regions
-// r1, r2, ...; rdown is a region that nobody listens for.
+// world is a node with parties on loopback sockets. Clients are c1, c2, ...; workers
+// r1, r2, ...; rdown is a worker that nobody listens for.
 type world struct {
 	node    *Node
 	done    chan error
@@ -68,20 +68,20 @@
 	return set
 }
 
-func newWorld(t *testing.T, sockets int, regions ...string) *world {
+func newWorld(t *testing.T, sockets int, workers ...string) *world {
 	t.Helper()
-	return newWorldOf(t, parsed(t), sockets, regions...)
+	return newWorldOf(t, parsed(t), sockets, workers...)
 }
 
 // newWorldOf is a world with settings of its own.
-func newWorldOf(t *testing.T, set settings.Settings, sockets int, regions ...string) *world {
+func newWorldOf(t *testing.T, set settings.Settings, sockets int, workers ...string) *world {
 	t.Helper()
 	w := &world{done: make(chan error, 1), parties: map[string]*party{}}
 	var lines []string
-	for _, name := range regions {
-		lines = append(lines, regionLine(name, w.serve(t, name).Addr().String()))
+	for _, name := range workers {
+		lines = append(lines, workerLine(name, w.serve(t, name).Addr().String()))
 	}
-	known, _, err := DecodeTable([]byte(`{"rev":4,"all":true,"targets":[` + strings.Join(lines, ",") + `]}`))
+	known, _, err := DecodeList([]byte(`{"rev":4,"all":true,"targets":[` + strings.Join(lines, ",") + `]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,23 +133,23 @@
 	return false
 }
 
-// knows lets what a node knows of the table hold, as if discovery had just said so.
+// knows lets what a node knows of the list hold, as if discovery had just said so.
 func (n *Node) knows(span time.Duration) {
 	n.wordIsPosted()
 	until := n.now() + scheduler.Micros(span.Microseconds())
-	n.watchSaid(tableWord{watch: n.watch, event: scheduler.TableRead{At: until}})
+	n.watchSaid(listWord{watch: n.watch, event: scheduler.ListRead{At: until}})
 }
 
-// deaf lets nothing that a node knows of the table hold.
+// deaf lets nothing that a node knows of the list hold.
 func (n *Node) deaf() {
-	n.watchSaid(tableWord{watch: n.watch, event: scheduler.TableLost{Unread: true}})
+	n.watchSaid(listWord{watch: n.watch, event: scheduler.ListLost{Unread: true}})
 }
 
-func regionLine(name, addr string) string {
+func workerLine(name, addr string) string {
 	return `{"uid":"` + name + `","endpoint":"` + addr + `","az":"north","model":"m1","state":"ready"}`
 }
 
-// serve opens the listener of a region or of discovery.
+// serve opens the listener of a worker or of discovery.
 func (w *world) serve(t *testing.T, name string) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -374,10 +374,10 @@
 }
 
 func TestScenarios(t *testing.T) {
-	const atRegion = `
+	const atWorker = `
 		r1 expect POST /post/7?a=b txn=a1 key=k body=work`
 	const sent = `
-		c1 send job post a1 || work` + atRegion
+		c1 send job post a1 || work` + atWorker
 	const done = `
 		back send POST /callback || {"id":"a1","from":"r1","state":"done","result":"it \"ran\""}
 		back expect 204
@@ -400,21 +400,21 @@
 			back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 			back expect 204
 			r1 close` + done,
-		"a reset before the 202 is no short-on-capacity reply": sent + `
+		"a reset before the 202 is no refusal": sent + `
 			r1 close reset
 			c1 expect 500`,
 		"nor is an error": sent + `
 			r1 send 500 Broken
 			c1 expect 500`,
-		"a region's refusal is passed on to nobody": sent + `
+		"a worker's refusal is passed on to nobody": sent + `
 			r1 send 503 Full | X-Turned-Away: 1
 			r1 expect POST /post/7?a=b txn=a1 key=k body=work
 			r1 send 202 OK` + done,
-		"what a region rejects is the client's fault, and goes nowhere else": `
+		"what a worker rejects is the client's fault, and goes nowhere else": `
 			c1 send job batch a1 || work
 			r1 expect POST /batch/7?a=b txn=a1 key=k body=work
 			r1 send 400 Bad
-			c1 expect 400 the region cannot use it
+			c1 expect 400 the worker cannot use it
 			c1 send job batch a2 || work
 			r1 expect POST /batch/7?a=b txn=a2 key=k body=work`,
 		"a refusal without the mark may have run": sent + `
@@ -450,7 +450,7 @@
 			c1 expect 200`,
 		"the class may stand in the path alone": `
 			c1 send POST /post/7?a=b | X-Txn: a1 | X-Org: sahel | X-Remaining-Ms: 30000 | Idempotency-Key: k || work` +
-			atRegion,
+			atWorker,
 		"callbacks that concern nobody": `
 			back send POST /callback || {"id":"zz","from":"r1","state":"done","result":""}
 			back expect 204
@@ -487,7 +487,7 @@
 			c1 send POST /post/7 | X-Txn: a1 | Content-Length: 65537
 			c1 expect 413 close body over 65536 bytes
 			c1 expect end`,
-		"the table changes, however its objects are split": `
+		"the list changes, however its objects are split": `
 			discovery expect GET /catalog/members?watch=1&from=4
 			discovery send head
 			discovery send {"rev":5,"all":false,"tar
@@ -528,10 +528,10 @@
 	}
 }
 
-// A region that nobody reaches never ran the job: it goes elsewhere.
-func TestUnreachedRegion(t *testing.T) {
+// A worker that nobody reaches never ran the job: it goes elsewhere.
+func TestUnreachedWorker(t *testing.T) {
 	w := newWorld(t, 0, "rdown")
-	line := regionLine("r2", w.serve(t, "r2").Addr().String())
+	line := workerLine("r2", w.serve(t, "r2").Addr().String())
 	play(t, w, `
 		discovery expect GET /catalog/members?watch=1&from=4
 		discovery send head
@@ -557,23 +557,23 @@
 		discovery2 expect GET /catalog/members?watch=1&from=0
 		discovery2 send head
 		discovery2 send /n
-		discovery send {"rev":5,"targets":[`+strings.Replace(regionLine("r1", addr), "ready", "draining", 1)+`]}/n
+		discovery send {"rev":5,"targets":[`+strings.Replace(workerLine("r1", addr), "ready", "draining", 1)+`]}/n
 		c1 send job post a1 || work
 		r2 expect POST /post/7?a=b txn=a1 key=k body=work
-		discovery2 send {"rev":1,"all":true,"targets":[`+regionLine("r1", addr)+`]}/n
+		discovery2 send {"rev":1,"all":true,"targets":[`+workerLine("r1", addr)+`]}/n
 		discovery expect end
 		c2 send job post a2 || work
 		wait open 2`)
 	w.node.do(func() {
 		if got := w.node.told.may("r1", w.node.now()); got != errLeaves {
-			t.Errorf("an address that knows less brings a region back: %v", got)
+			t.Errorf("an address that knows less brings a worker back: %v", got)
 		}
 	})
 }
 
 // Before the first object a watch says nothing of what there is.
 func TestEmptyLinesAreNoList(t *testing.T) {
-	told := make(chan scheduler.TableRead, 10)
+	told := make(chan scheduler.ListRead, 10)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -591,12 +591,12 @@
 			conn.Close()
 		}
 	}()
-	say := func(e scheduler.TableRead, _ *tap) { told <- e }
+	say := func(e scheduler.ListRead, _ *tap) { told <- e }
 	err = n.follow(n.ctx, scheduler.Watch{Addr: l.Addr().String()}, say)
-	if err == nil || errors.Is(err, errNoTable) {
+	if err == nil || errors.Is(err, errNoList) {
 		t.Errorf("an object that is cut off is none, not one that cannot be read: %v", err)
 	}
-	if close(told); len(told) != 2 || (<-told).Table.Rev != 3 {
+	if close(told); len(told) != 2 || (<-told).List.Rev != 3 {
 		t.Errorf("%d words were told, want the object and the empty line behind it", len(told))
 	}
 }
@@ -784,8 +784,8 @@
 	}
 }
 
-// Clients are not dealt to a node that knows no table it may use, unless that lasts.
-func TestHealthWaitsForTheTable(t *testing.T) {
+// Clients are not dealt to a node that knows no list it may use, unless that lasts.
+func TestHealthWaitsForTheList(t *testing.T) {
 	n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: parsed(t)}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -795,13 +795,13 @@
 		t.Error("ready before discovery was heard")
 	}
 	n.timer, n.watch = time.NewTimer(time.Hour), &watch{}
-	n.handle(tableWord{watch: n.watch, event: scheduler.TableLost{}})
+	n.handle(listWord{watch: n.watch, event: scheduler.ListLost{}})
 	if n.ready() {
 		t.Error("ready though discovery did not answer")
 	}
 	n.knows(0)
 	if !n.ready() {
-		t.Error("not ready with a table that was heard")
+		t.Error("not ready with a list that was heard")
 	}
 	n.heard.Store(false)
 	if n.start = n.start.Add(-2 * readyWithin); !n.ready() {
@@ -868,16 +868,16 @@
 	}
 }
 
-// Connections to regions stay within their part of the descriptors: idle ones go
+// Connections to workers stay within their part of the descriptors: idle ones go
 // first, and then nothing is sent, which is no crash.
-func TestRegionConnectionsAreBounded(t *testing.T) {
-	n := &Node{start: time.Now(), links: map[string][]*regionConn{}, mostOpen: 8, ctx: t.Context(),
+func TestWorkerConnectionsAreBounded(t *testing.T) {
+	n := &Node{start: time.Now(), links: map[string][]*workerConn{}, mostOpen: 8, ctx: t.Context(),
 		inbox: make(chan any, 100)}
 	dropped := 0
 	for i := range 7 {
 		n.open++
 		since := n.now() + second + scheduler.Micros(i)
-		l := &regionConn{addr: "old", since: since, release: func() { dropped++ }}
+		l := &workerConn{addr: "old", since: since, release: func() { dropped++ }}
 		n.links["old"] = append(n.links["old"], l)
 	}
 	var got []bool
@@ -890,29 +890,29 @@
 	}
 }
 
-// A connect that is turned down while another connection to the region stands is lack of
-// room; without one, or when it just never comes up, the region is taken to be gone.
-func TestLackOfRoomIsNotTheEndOfARegion(t *testing.T) {
+// A connect that is turned down while another connection to the worker stands is lack of
+// room; without one, or when it just never comes up, the worker is taken to be gone.
+func TestLackOfRoomIsNotTheEndOfAWorker(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	slow := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
-	idle, other := &regionConn{addr: "r1"}, &regionConn{addr: "r2"}
-	working := &regionConn{addr: "r1"}
+	idle, other := &workerConn{addr: "r1"}, &workerConn{addr: "r2"}
+	working := &workerConn{addr: "r1"}
 	working.Written = true
 	for name, c := range map[string]struct {
-		links map[string][]*regionConn
-		tasks map[scheduler.Task]*regionConn
-		err   error
-		want  bool
+		links    map[string][]*workerConn
+		attempts map[scheduler.Attempt]*workerConn
+		err      error
+		want     bool
 	}{
-		"one idles":              {links: map[string][]*regionConn{"r1": {idle}}, err: refused, want: true},
-		"one works":              {tasks: map[scheduler.Task]*regionConn{1: working}, err: refused, want: true},
+		"one idles":              {links: map[string][]*workerConn{"r1": {idle}}, err: refused, want: true},
+		"one works":              {attempts: map[scheduler.Attempt]*workerConn{1: working}, err: refused, want: true},
 		"none":                   {err: refused},
-		"one to another":         {links: map[string][]*regionConn{"r2": {other}}, err: refused},
-		"one that dials":         {tasks: map[scheduler.Task]*regionConn{1: idle}, err: refused},
-		"one idles, but silence": {links: map[string][]*regionConn{"r1": {idle}}, err: slow},
+		"one to another":         {links: map[string][]*workerConn{"r2": {other}}, err: refused},
+		"one that dials":         {attempts: map[scheduler.Attempt]*workerConn{1: idle}, err: refused},
+		"one idles, but silence": {links: map[string][]*workerConn{"r1": {idle}}, err: slow},
 	} {
-		n := &Node{links: c.links, tasks: c.tasks}
-		if got := n.noRoom(&regionConn{addr: "r1"}, c.err); got != c.want {
+		n := &Node{links: c.links, attempts: c.attempts}
+		if got := n.noRoom(&workerConn{addr: "r1"}, c.err); got != c.want {
 			t.Errorf("%s: lack of room is %v", name, got)
 		}
 	}
@@ -931,7 +931,7 @@
 	}
 }
 
-// In a large fleet a connection is kept until the scheduler is likely back at its region, or
+// In a large fleet a connection is kept until the scheduler is likely back at its worker, or
 // each job would open one.
 func TestIdleConnectionsAreKeptByTheFleet(t *testing.T) {
 	for balancers, want := range map[int]int{3: 0, 80: 1} {
@@ -944,7 +944,7 @@
 		defer n.listener.Close()
 		n.start = n.start.Add(-time.Minute)
 		for _, ago := range []scheduler.Micros{3 * second, second} {
-			n.links["r"] = append(n.links["r"], &regionConn{since: n.now() - ago, release: func() {}})
+			n.links["r"] = append(n.links["r"], &workerConn{since: n.now() - ago, release: func() {}})
 		}
 		n.retireIdle()
 		if got := len(n.links["r"]); got != want {
@@ -953,7 +953,7 @@
 	}
 }
 
-// A connection that has idled is let go, long before the region's limit: it may have
+// A connection that has idled is let go, long before the worker's limit: it may have
 // been closed without a word, and a job written to it would be lost.
 func TestIdleConnectionsAreRetired(t *testing.T) {
 	for _, c := range []struct {
@@ -969,27 +969,27 @@
 	}
 }
 
-func TestLinesOfARealTable(t *testing.T) {
-	got, odd, err := DecodeTable([]byte(`{"rev":41,"all":true,"new":[1],"targets":[{"uid":"s-1","endpoint":"h:1",
+func TestLinesOfARealList(t *testing.T) {
+	got, odd, err := DecodeList([]byte(`{"rev":41,"all":true,"new":[1],"targets":[{"uid":"s-1","endpoint":"h:1",
 		"az":"a","model":"m2","pod_group":3,"state":"gone","capacity_hint":1.0,"boot_ms":1700000000123}]}`))
 	if err != nil || odd != nil {
 		t.Fatal(odd, err)
 	}
-	r := got.Regions[0]
-	want := scheduler.Region{UID: "s-1", Addr: "h:1", Zone: "a", Kind: "m2", Cell: 3,
+	r := got.Workers[0]
+	want := scheduler.Worker{UID: "s-1", Addr: "h:1", Zone: "a", Kind: "m2", Cell: 3,
 		Status: dahliaford.Gone, Started: 1700000000123000}
 	if diff := cmp.Diff(want, r); diff != "" {
 		t.Error(diff)
 	}
 	for _, bad := range []string{`{"rev":"x"}`, `{"targets":3}`, `{`, `[]`} {
-		if _, _, err := DecodeTable([]byte(bad)); err == nil {
+		if _, _, err := DecodeList([]byte(bad)); err == nil {
 			t.Errorf("%s: taken", bad)
 		}
 	}
 }
 
-// An entry that makes no sense costs the others nothing, and takes its own region out of use.
-func TestOddEntriesOfATable(t *testing.T) {
+// An entry that makes no sense costs the others nothing, and takes its own worker out of use.
+func TestOddEntriesOfAList(t *testing.T) {
 	const good = `{"uid":"s-2","endpoint":"h:2","state":"draining"}`
 	for odd, want := range map[string]string{
 		`{"state":"ready","endpoint":"h:1"}`:                                "s-2=2",
@@ -1004,9 +1004,9 @@
 		`[{}]`:                                                              "s-2=2",
 		`{}`:                                                                "s-2=2",
 	} {
-		got, why, err := DecodeTable([]byte(`{"rev":4,"targets":[` + odd + `,` + good + `]}`))
+		got, why, err := DecodeList([]byte(`{"rev":4,"targets":[` + odd + `,` + good + `]}`))
 		var lines []string
-		for _, r := range got.Regions {
+		for _, r := range got.Workers {
 			lines = append(lines, fmt.Sprintf("%s=%d", r.UID, r.Status))
 		}
 		if diff := cmp.Diff(want, strings.Join(lines, " ")); diff != "" || why == nil || err != nil {
--- a/internal/node/quiet_test.go
+++ b/internal/node/quiet_test.go
@@ -28,7 +28,7 @@
 	n := w.node
 	was := n.heardAt()
 	play(t, w, `discovery send {"rev":5,"all":true,"targets":[`+
-		regionLine("r1", w.parties["r1"].listener.Addr().String())+`]}/n`)
+		workerLine("r1", w.parties["r1"].listener.Addr().String())+`]}/n`)
 	if !eventually(func() bool { return n.heardAt() != was }) {
 		t.Fatal("the word is not taken in")
 	}
@@ -72,7 +72,7 @@
 		t.Errorf("the last look: %v", got)
 	}
 	w.node.do(func() { // the module holds the job rather than have it turned back
-		if k := w.node.sched.Kept(); k.Tasks != 0 || k.ModuleJobs != 1 || len(w.node.tasks) != 0 {
+		if k := w.node.sched.Kept(); k.Attempts != 0 || k.ModuleJobs != 1 || len(w.node.attempts) != 0 {
 			t.Errorf("kept %+v", k)
 		}
 	})
@@ -111,7 +111,7 @@
 	until := n.holds(t, 4*second)
 	n.do(func() { // an empty line of the address before: its word comes after the reload
 		n.wordIsPosted()
-		n.watchSaid(tableWord{watch: n.before, event: scheduler.TableRead{At: n.now()}})
+		n.watchSaid(listWord{watch: n.before, event: scheduler.ListRead{At: n.now()}})
 	})
 	if again := n.holds(t, 4*second); again > until {
 		t.Errorf("it holds until %d, not %d", again, until)
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -25,8 +25,8 @@
 		}
 		k := n.sched.Kept()
 		k.Used, k.Dues = 0, 0 // these go by time alone
-		text = fmt.Sprintf("clients %d, callers %d, links %d in %d, open %d, tasks %d, calls %d, slots %d, %+v",
-			len(n.clients), len(n.callers), links, len(n.links), n.open, len(n.tasks), n.calls, len(n.slots), k)
+		text = fmt.Sprintf("clients %d, callers %d, links %d in %d, open %d, attempts %d, calls %d, slots %d, %+v",
+			len(n.clients), len(n.callers), links, len(n.links), n.open, len(n.attempts), n.calls, len(n.slots), k)
 	})
 	files, _ := os.ReadDir("/proc/self/fd")
 	return fmt.Sprintf("%s, goroutines %d, descriptors %d", text, runtime.NumGoroutine(), len(files))
@@ -36,17 +36,17 @@
 func TestStormsLeaveNothing(t *testing.T) {
 	w := newWorld(t, 0)
 	n := w.node
-	region, err := standin.NewRegion("r1", "127.0.0.1:0", func() string { return n.Addr().String() },
+	worker, err := standin.NewWorker("r1", "127.0.0.1:0", func() string { return n.Addr().String() },
 		func(standin.Job) standin.Plan { return standin.Plan{Run: 20 * time.Millisecond} }, func(record.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(region.Close)
+	t.Cleanup(worker.Close)
 	n.do(func() {
 		n.wordIsPosted()
-		n.watchSaid(tableWord{watch: n.watch, event: scheduler.TableRead{At: n.now() + 3600*second,
-			Table: scheduler.Table{Rev: 5, All: true, Regions: []scheduler.Region{
-				{UID: "r1", Addr: region.Addr(), Zone: "north", Kind: "m1", Status: 1}}}}})
+		n.watchSaid(listWord{watch: n.watch, event: scheduler.ListRead{At: n.now() + 3600*second,
+			List: scheduler.WorkerList{Rev: 5, All: true, Workers: []scheduler.Worker{
+				{UID: "r1", Addr: worker.Addr(), Zone: "north", Kind: "m1", Status: 1}}}}})
 	})
 	const job = "POST /%[1]s/7 HTTP/1.1\r\nX-Txn: %[2]s\r\nX-Lane: %[1]s\r\nX-Org: sahel\r\n" +
 		"X-Remaining-Ms: 30000\r\nContent-Length: 0\r\n\r\n"
--- a/internal/node/told.go
+++ b/internal/node/told.go
@@ -11,19 +11,19 @@
 	"dahliaford/internal/scheduler"
 )
 
-// told is what discovery has told, for the last look before a task leaves. The loop decides on
+// told is what discovery has told, for the last look before an attempt leaves. The loop decides on
 // what it has read by then; but a change counts as told once discovery has written it, and it
-// may lie in the socket, with the reader or in the inbox while a task waits for its connection
+// may lie in the socket, with the reader or in the inbox while an attempt waits for its connection
 // or for the processor. So the writer asks here with its first byte in hand.
 type told struct {
-	grace  scheduler.Micros // after which nothing more may leave for a region that was told off
+	grace  scheduler.Micros // after which nothing more may leave for a worker that was told off
 	within scheduler.Micros // after which a change counts as told unheard; 0: never
 	pushed bool             // without a watch a change counts as told at once
 	ask    scheduler.Micros // without a watch it does so after this; 0: not stated
 
 	mu      sync.Mutex
 	taps    map[*tap]bool
-	left    map[string]bool  // regions that are to get nothing new
+	left    map[string]bool  // workers that are to get nothing new
 	posted  uint64           // words that readers have passed on
 	applied uint64           // those of them that the loop has dealt with
 	heard   scheduler.Micros // what there was to tell by then has been told
@@ -36,14 +36,14 @@
 		changed: make(chan struct{})}
 }
 
-// Why a task may not leave.
+// Why an attempt may not leave.
 var (
 	errUnread  = errors.New("a word of discovery is not taken in yet") // it is soon
-	errLeaves  = errors.New("the region leaves")
+	errLeaves  = errors.New("the worker leaves")
 	errUnheard = errors.New("discovery has not been heard for too long")
 )
 
-// may tells whether a task may leave for a region now. All that discovery has written by then
+// may tells whether an attempt may leave for a worker now. All that discovery has written by then
 // has been applied, so what it writes next leaves the whole grace for the first byte.
 func (t *told) may(uid string, now scheduler.Micros) error {
 	t.mu.Lock()
@@ -101,7 +101,7 @@
 // lost is called when the present watch has ended, and tells until when what is known holds, as
 // nobody tells of changes any more. sure is when nothing was left to read of it; 0: it never spoke,
 // so that nothing hung on it. unread says that nobody could read its last word, which may have told
-// off any region.
+// off any worker.
 func (t *told) lost(sure scheduler.Micros, unread bool) (until scheduler.Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// A task is on its way, connected and all, as the word comes that its region leaves. It goes to
-// the other one, and the region is not set aside as if it had failed.
-func TestATaskOnItsWayTurnsBackFromALeavingRegion(t *testing.T) {
+// An attempt is on its way, connected and all, as the word comes that its worker leaves. It goes to
+// the other one, and the worker is not set aside as if it had failed.
+func TestAnAttemptOnItsWayTurnsBackFromALeavingWorker(t *testing.T) {
 	w := newWorld(t, 0, "r1", "r2")
 	n := w.node
 	n.do(func() {
@@ -140,7 +140,7 @@
 	var first string
 	for end := time.Now().Add(patience); first == "" && time.Now().Before(end); {
 		n.do(func() {
-			for _, c := range n.tasks {
+			for _, c := range n.attempts {
 				first = map[string]string{w.parties["r1"].listener.Addr().String(): "r1",
 					w.parties["r2"].listener.Addr().String(): "r2"}[c.addr]
 			}
@@ -148,14 +148,14 @@
 	}
 	other := map[string]string{"r1": "r2", "r2": "r1"}[first]
 	n.do(func() {
-		leaves := scheduler.Region{UID: first, Addr: w.parties[first].listener.Addr().String(), Zone: "north",
+		leaves := scheduler.Worker{UID: first, Addr: w.parties[first].listener.Addr().String(), Zone: "north",
 			Kind: "m1", Status: dahliaford.Draining}
-		n.watchSaid(tableWord{watch: n.watch, event: scheduler.TableRead{Table: scheduler.Table{Rev: 5,
-			Regions: []scheduler.Region{leaves}}, At: n.now() + 3600*second}})
+		n.watchSaid(listWord{watch: n.watch, event: scheduler.ListRead{List: scheduler.WorkerList{Rev: 5,
+			Workers: []scheduler.Worker{leaves}}, At: n.now() + 3600*second}})
 	})
 	play(t, w, other+" expect POST /post/7?a=b txn=a1 key=k body=work")
 	heard := w.parties[first].heard
 	if n := len(heard); n > 1 || n == 1 && (<-heard).text != "end" {
-		t.Error("the leaving region got the task")
+		t.Error("the leaving worker got the attempt")
 	}
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -31,15 +31,15 @@
 	longestLine = 4 << 20 // bytes of one object
 )
 
-// tableWord is what a watch says.
-type tableWord struct {
+// listWord is what a watch says.
+type listWord struct {
 	watch *watch
 	event scheduler.Event
 	read  scheduler.Micros // when; 0: nothing was
 	sure  scheduler.Micros // with its end: when nothing was left to read; 0: it never spoke
 }
 
-// watch is one watch of the service table.
+// watch is one watch of the worker list.
 type watch struct {
 	release context.CancelFunc
 	ended   bool
@@ -63,27 +63,27 @@
 	n.spawn(func() {
 		defer release()
 		var spoke *tap
-		err := n.follow(ctx, w, func(e scheduler.TableRead, t *tap) {
+		err := n.follow(ctx, w, func(e scheduler.ListRead, t *tap) {
 			spoke = t
 			e.At = n.told.post(t, n.now())
-			n.post(tableWord{watch: own, event: e, read: n.now()})
+			n.post(listWord{watch: own, event: e, read: n.now()})
 		})
-		lost := scheduler.TableLost{}
+		lost := scheduler.ListLost{}
 		if ctx.Err() == nil { // else it was let go
-			n.log.Warn("watch of the service table lost", "error", err)
-			lost.Unread = errors.Is(err, errNoTable)
+			n.log.Warn("watch of the worker list lost", "error", err)
+			lost.Unread = errors.Is(err, errNoList)
 		}
-		n.post(tableWord{watch: own, event: lost, sure: spoke.sure()})
+		n.post(listWord{watch: own, event: lost, sure: spoke.sure()})
 	})
 }
 
 // watchSaid takes a word of a watch.
-func (n *Node) watchSaid(m tableWord) (err error) {
+func (n *Node) watchSaid(m listWord) (err error) {
 	switch e := m.event.(type) {
-	case scheduler.TableRead:
+	case scheduler.ListRead:
 		heard := e.At
 		if late := n.now() - m.read; m.read != 0 && late > n.told.grace/2 && n.told.grace > 0 {
-			n.log.Warn("a word of discovery is taken in late", "rev", e.Table.Rev, "ms", late/millisecond)
+			n.log.Warn("a word of discovery is taken in late", "rev", e.List.Rev, "ms", late/millisecond)
 		}
 		if m.watch == n.watch {
 			n.heard.Store(true)
@@ -96,7 +96,7 @@
 		}
 		err = n.step(e)
 		n.told.apply(heard) // only now: those who leave are known
-	case scheduler.TableLost:
+	case scheduler.ListLost:
 		if m.watch.ended = true; m.watch != n.watch {
 			m.sure = 0 // nothing hangs on it any more
 		}
@@ -111,11 +111,11 @@
 	return err
 }
 
-// errNoTable is the error of a word that cannot be read. What it has told is unknown.
-var errNoTable = errors.New("no table")
+// errNoList is the error of a word that cannot be read. What it has told is unknown.
+var errNoList = errors.New("no list")
 
 // follow reads one watch until it ends.
-func (n *Node) follow(ctx context.Context, w scheduler.Watch, say func(scheduler.TableRead, *tap)) error {
+func (n *Node) follow(ctx context.Context, w scheduler.Watch, say func(scheduler.ListRead, *tap)) error {
 	dialer := net.Dialer{Deadline: time.Now().Add(answerWithin), KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", w.Addr)
 	if err != nil {
@@ -142,7 +142,7 @@
 	if head.Status != 200 || head.Header.Get("Transfer-Encoding") != "chunked" {
 		return fmt.Errorf("discovery answered %d", head.Status)
 	}
-	n.log.Info("watch of the service table open", "discovery", w.Addr, "from", w.Rev)
+	n.log.Info("watch of the worker list open", "discovery", w.Addr, "from", w.Rev)
 	lines := bufio.NewScanner(read.Chunks())
 	lines.Buffer(nil, longestLine)
 	lines.Split(wholeLines)
@@ -150,23 +150,23 @@
 		if ctx.Err() == nil { // else the end of what has come is near
 			conn.SetReadDeadline(time.Now().Add(silentFor))
 		}
-		var t scheduler.Table
+		var t scheduler.WorkerList
 		if line := bytes.TrimSpace(lines.Bytes()); len(line) > 0 {
 			var odd error
-			if t, odd, err = DecodeTable(line); err != nil {
-				return fmt.Errorf("%w: %w", errNoTable, err)
+			if t, odd, err = DecodeList(line); err != nil {
+				return fmt.Errorf("%w: %w", errNoList, err)
 			} else if odd != nil {
-				n.log.Warn("an entry of the service table is no use", "rev", t.Rev, "why", odd)
+				n.log.Warn("an entry of the worker list is no use", "rev", t.Rev, "why", odd)
 			}
 			begun = true
 		}
 		if begun { // before the first object an empty line says nothing of what there is
-			say(scheduler.TableRead{Table: t}, tap)
+			say(scheduler.ListRead{List: t}, tap)
 		}
 	}
 	switch err := lines.Err(); {
 	case errors.Is(err, bufio.ErrTooLong):
-		return fmt.Errorf("%w: %w", errNoTable, err)
+		return fmt.Errorf("%w: %w", errNoList, err)
 	case err != nil:
 		return err
 	}
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -46,7 +46,7 @@
 	return b.String()
 }
 
-// Whatever discovery does wrong, the last good table holds, the log has one line for it,
+// Whatever discovery does wrong, the last good list holds, the log has one line for it,
 // and discovery is asked again.
 func TestDiscoveryGoesWrong(t *testing.T) {
 	gone := `{"rev":9,"all":true,"targets":[{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"gone"}`
@@ -54,7 +54,7 @@
 		"answers 503":           "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"resets":                "",
 		"answers no HTTP":       "hello\r\n\r\n",
-		"malformed table":       watchHead + chunk(gone+"]\n"),
+		"malformed list":        watchHead + chunk(gone+"]\n"),
 		"cut off in an object":  watchHead + chunk(gone),
 		"cut off in a chunk":    watchHead + "ffff\r\n" + gone,
 		"no list in an object":  watchHead + chunk(`{"rev":9,"targets":{"uid":"s-1","state":"gone"}}`+"\n"),
@@ -97,8 +97,8 @@
 				}
 			}()
 			set := parsed(t)
-			line := regionLine("s-1", "127.0.0.1:1")
-			known, _, err := DecodeTable([]byte(`{"rev":4,"all":true,"targets":[` + line + `]}`))
+			line := workerLine("s-1", "127.0.0.1:1")
+			known, _, err := DecodeList([]byte(`{"rev":4,"all":true,"targets":[` + line + `]}`))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -120,7 +120,7 @@
 					t.Fatal("discovery is not asked again")
 				}
 			}
-			if got := log.count("watch of the service table lost"); got != 1 {
+			if got := log.count("watch of the worker list lost"); got != 1 {
 				t.Errorf("%d lines in the log for one watch", got)
 			}
 			n.Stop()
@@ -131,28 +131,28 @@
 	}
 }
 
-// A table of thousands of regions is taken, in a fraction of a second.
-func TestHugeTable(t *testing.T) {
+// A list of thousands of workers is taken, in a fraction of a second.
+func TestHugeList(t *testing.T) {
 	var all []string
 	for len(all) < 20_000 {
-		all = append(all, regionLine(fmt.Sprint("s-", len(all)), "127.0.0.1:1"))
+		all = append(all, workerLine(fmt.Sprint("s-", len(all)), "127.0.0.1:1"))
 	}
 	line := `{"rev":5,"all":true,"targets":[` + strings.Join(all, ",") + `]}`
 	if len(line) > longestLine {
-		t.Fatalf("%d bytes are no table that is read", len(line))
+		t.Fatalf("%d bytes are no list that is read", len(line))
 	}
-	table, _, err := DecodeTable([]byte(line))
-	if err != nil || len(table.Regions) != 20_000 {
-		t.Fatalf("%d regions, %v", len(table.Regions), err)
+	list, _, err := DecodeList([]byte(line))
+	if err != nil || len(list.Workers) != 20_000 {
+		t.Fatalf("%d workers, %v", len(list.Workers), err)
 	}
 	set := parsed(t)
 	s, err := scheduler.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(1, scheduler.Began{Known: table}, nil)
+	s.Step(1, scheduler.Began{Known: list}, nil)
 	began := time.Now()
-	s.Step(2, scheduler.TableRead{Table: table}, nil) // told twice: no harm
+	s.Step(2, scheduler.ListRead{List: list}, nil) // told twice: no harm
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("took %v", took)
 	}
--- a/internal/node/region.go
+++ b/internal/node/worker.go
@@ -22,31 +22,31 @@
 	"dahliaford/internal/settings"
 )
 
-// Messages of connections to regions to the loop.
+// Messages of connections to workers to the loop.
 type (
 	wrote struct { // exactly one for each errand, unless the connection was let go
-		conn *regionConn
+		conn *workerConn
 		err  error
 	}
 	response struct {
-		conn *regionConn
+		conn *workerConn
 		link.Answer
 	}
-	broke struct{ conn *regionConn } // nothing more can be read from it
-	ended struct{ conn *regionConn } // its descriptor is given back
+	broke struct{ conn *workerConn } // nothing more can be read from it
+	ended struct{ conn *workerConn } // its descriptor is given back
 )
 
-// How long a connection that idles is used again. The regions' machines may close it at
+// How long a connection that idles is used again. The workers' machines may close it at
 // any time, and not all say so: the next request then ends as a reset, and a job that must
 // not run twice is lost. A new connection costs little against a job, but may come up late. In a
-// large fleet a scheduler has few regions and comes back to each within seconds; there all
+// large fleet a scheduler has few workers and comes back to each within seconds; there all
 // schedulers together would open a connection for each job, and a crossing waits for it.
 const (
 	keptFor     = 50 * millisecond
 	keptInFleet = 2000 * millisecond
 )
 
-// kept is how long a connection that idles is used again, at most half of what its region's machine
+// kept is how long a connection that idles is used again, at most half of what its worker's machine
 // allows it.
 func kept(set *settings.Settings) scheduler.Micros {
 	most := keptFor
@@ -58,18 +58,18 @@
 
 const millisecond scheduler.Micros = 1000
 
-// errand is one request to write: a routed task, or the withdrawal of one.
+// errand is one request to write: an attempt, or the withdrawal of one.
 type errand struct {
-	task     scheduler.Task
+	attempt  scheduler.Attempt
 	id, uid  string
 	writeBy  scheduler.Micros
 	deadline scheduler.Micros
 	payload  *payload // nil: a withdrawal
 }
 
-// regionConn is a connection to a region. Its goroutine, run, dials, writes and closes; a
+// workerConn is a connection to a worker. Its goroutine, run, dials, writes and closes; a
 // second one reads. What is below ctx belongs to the loop.
-type regionConn struct {
+type workerConn struct {
 	node    *Node
 	addr    string
 	errands chan errand
@@ -93,9 +93,9 @@
 	gateShut // nothing of the errand got out, nor will
 )
 
-// assign gives an errand to an idle connection to a region, or to a new one. It
+// assign gives an errand to an idle connection to a worker, or to a new one. It
 // fails when there is no room for another connection.
-func (n *Node) assign(addr string, e errand) (*regionConn, bool) {
+func (n *Node) assign(addr string, e errand) (*workerConn, bool) {
 	n.retireIdle()
 	if idle := n.links[addr]; len(idle) > 0 && e.payload != nil {
 		c := idle[len(idle)-1]
@@ -109,7 +109,7 @@
 	if n.open >= n.mostOpen {
 		return nil, false
 	}
-	c := &regionConn{node: n, addr: addr, errands: make(chan errand, 1)}
+	c := &workerConn{node: n, addr: addr, errands: make(chan errand, 1)}
 	c.ctx, c.release = context.WithCancel(n.ctx)
 	n.open++
 	c.take(e)
@@ -117,22 +117,22 @@
 	return c, true
 }
 
-func (c *regionConn) take(e errand) {
-	c.Take(e.task, e.payload == nil)
+func (c *workerConn) take(e errand) {
+	c.Take(e.attempt, e.payload == nil)
 	c.id = e.id
 	c.gate.Store(gateOpen)
 	c.errands <- e // it has room: a connection has one errand at a time
 }
 
 // drop lets a connection go.
-func (n *Node) drop(c *regionConn) {
+func (n *Node) drop(c *workerConn) {
 	c.LetGo()
 	c.release()
 }
 
 // dropOldest makes room by closing the connection that has idled longest.
 func (n *Node) dropOldest() {
-	var oldest *regionConn
+	var oldest *workerConn
 	for _, idle := range n.links {
 		if len(idle) > 0 && (oldest == nil || idle[0].since < oldest.since) {
 			oldest = idle[0]
@@ -157,7 +157,7 @@
 	}
 }
 
-// retire closes the idle connections to a region.
+// retire closes the idle connections to a worker.
 func (n *Node) retire(addr string) {
 	for _, l := range n.links[addr] {
 		n.drop(l)
@@ -166,84 +166,84 @@
 }
 
 func (n *Node) route(r scheduler.Route) {
-	l, ok := n.assign(r.Addr, errand{task: r.Task, id: r.ID, uid: r.UID, writeBy: r.WriteBy,
+	l, ok := n.assign(r.Addr, errand{attempt: r.Attempt, id: r.ID, uid: r.UID, writeBy: r.WriteBy,
 		deadline: r.Deadline, payload: r.Payload.(*payload)})
 	if !ok {
-		n.log.Warn("short on connections: a routed task is not sent", "txn", r.ID, "region", r.UID)
-		n.later(scheduler.Ended{Task: r.Task, Outcome: dahliaford.ConnectFailed})
+		n.log.Warn("short on connections: an attempt is not sent", "txn", r.ID, "worker", r.UID)
+		n.later(scheduler.Ended{Attempt: r.Attempt, Outcome: dahliaford.ConnectFailed})
 		return
 	}
-	n.tasks[r.Task] = l
+	n.attempts[r.Attempt] = l
 }
 
 // later posts from within the loop, which must not wait for itself.
 func (n *Node) later(e scheduler.Event) { n.spawn(func() { n.post(e) }) }
 
-func (n *Node) abandon(task scheduler.Task) {
-	c := n.tasks[task]
+func (n *Node) abandon(attempt scheduler.Attempt) {
+	c := n.attempts[attempt]
 	if c == nil {
 		return
 	}
-	delete(n.tasks, task)
+	delete(n.attempts, attempt)
 	if c.Withdraw {
 		n.calls--
 	} else if c.gate.CompareAndSwap(gateOpen, gateShut) {
-		n.unsent = task // the withdrawal that follows has nobody to tell
+		n.unsent = attempt // the withdrawal that follows has nobody to tell
 	}
 	c.cut.Store(true)
 	n.drop(c)
 }
 
-// unsend keeps back a task of which nothing has left yet.
-func (n *Node) unsend(task scheduler.Task) {
-	if c := n.tasks[task]; c != nil && c.gate.CompareAndSwap(gateOpen, gateShut) {
-		delete(n.tasks, task)
+// unsend keeps back an attempt of which nothing has left yet.
+func (n *Node) unsend(attempt scheduler.Attempt) {
+	if c := n.attempts[attempt]; c != nil && c.gate.CompareAndSwap(gateOpen, gateShut) {
+		delete(n.attempts, attempt)
 		n.drop(c)
-		n.later(scheduler.Ended{Task: task, Outcome: dahliaford.Moot})
+		n.later(scheduler.Ended{Attempt: attempt, Outcome: dahliaford.Moot})
 	}
 }
 
 func (n *Node) withdraw(w scheduler.Withdraw) {
-	if n.unsent == w.Task {
-		n.later(scheduler.Withdrawn{Task: w.Task, Reached: true})
+	if n.unsent == w.Attempt {
+		n.later(scheduler.Withdrawn{Attempt: w.Attempt, Reached: true})
 		return
 	}
-	c, ok := n.assign(w.Addr, errand{task: w.Task, id: w.ID, writeBy: w.Deadline, deadline: w.Deadline})
+	c, ok := n.assign(w.Addr, errand{attempt: w.Attempt, id: w.ID, writeBy: w.Deadline, deadline: w.Deadline})
 	if !ok {
 		n.log.Warn("short on connections: a job is not withdrawn", "txn", w.ID)
-		n.later(scheduler.Withdrawn{Task: w.Task})
+		n.later(scheduler.Withdrawn{Attempt: w.Attempt})
 		return
 	}
-	n.tasks[w.Task] = c
+	n.attempts[w.Attempt] = c
 	n.calls++
 }
 
 func (n *Node) linkWrote(m wrote) error {
 	next, e := m.conn.Wrote(m.err != nil, errors.Is(m.err, syscall.ECONNREFUSED))
 	if end, is := e.(scheduler.Ended); is && (m.err == errLeaves || m.err == errUnheard) {
-		n.log.Info("a routed task turned back", "txn", m.conn.id, "region", m.conn.addr, "why", m.err)
-		end.Outcome = dahliaford.Moot // the region is not at fault
+		n.log.Info("an attempt turned back", "txn", m.conn.id, "worker", m.conn.addr, "why", m.err)
+		end.Outcome = dahliaford.Moot // the worker is not at fault
 		e = end
 	}
 	if end, is := e.(scheduler.Ended); is && end.Outcome == dahliaford.ConnectFailed && n.noRoom(m.conn, m.err) {
-		n.log.Info("a region has no room for another connection", "region", m.conn.addr, "txn", m.conn.id)
+		n.log.Info("a worker has no room for another connection", "worker", m.conn.addr, "txn", m.conn.id)
 		end.Outcome = dahliaford.Full
 		e = end
 	}
 	return n.linkNext(m.conn, next, e, m.err)
 }
 
-// noRoom tells whether a region lacks room for a connection: it turns one down at once while
+// noRoom tells whether a worker lacks room for a connection: it turns one down at once while
 // others of ours stand. A process that is gone would have reset those, and a machine that is
-// gone turns nothing down. Lack of room is no sickness: the region is not set aside for it.
-func (n *Node) noRoom(c *regionConn, cause error) bool {
+// gone turns nothing down. Lack of room is no sickness: the worker is not set aside for it.
+func (n *Node) noRoom(c *workerConn, cause error) bool {
 	if !errors.Is(cause, syscall.ECONNREFUSED) && !errors.Is(cause, syscall.ECONNRESET) {
 		return false
 	}
 	if len(n.links[c.addr]) > 0 {
 		return true
 	}
-	for _, o := range n.tasks {
+	for _, o := range n.attempts {
 		if o != c && o.addr == c.addr && o.Written {
 			return true
 		}
@@ -251,7 +251,7 @@
 	return false
 }
 
-func (n *Node) linkBroke(c *regionConn) error {
+func (n *Node) linkBroke(c *workerConn) error {
 	next, e := c.Broke()
 	if next == link.Drop && e == nil { // it idled
 		n.unlist(c)
@@ -260,31 +260,31 @@
 }
 
 // unlist takes a connection from those that idle.
-func (n *Node) unlist(c *regionConn) {
-	n.links[c.addr] = slices.DeleteFunc(n.links[c.addr], func(o *regionConn) bool { return o == c })
+func (n *Node) unlist(c *workerConn) {
+	n.links[c.addr] = slices.DeleteFunc(n.links[c.addr], func(o *workerConn) bool { return o == c })
 }
 
 func (n *Node) linkAnswered(m response) error {
 	c := m.conn
 	idled, unsent := !c.Busy, c.Busy && !c.Dead && !c.Withdraw && c.gate.CompareAndSwap(gateOpen, gateShut)
 	next, e := c.Answered(m.Answer)
-	if unsent { // it came before anything of the task had left, and now nothing will
-		e = scheduler.Ended{Task: c.Task, Outcome: dahliaford.Moot}
+	if unsent { // it came before anything of the attempt had left, and now nothing will
+		e = scheduler.Ended{Attempt: c.Attempt, Outcome: dahliaford.Moot}
 	}
 	if next == link.Drop && (idled || unsent) {
-		n.log.Warn("an answer that nobody asked for", "region", c.addr, "status", m.Status)
+		n.log.Warn("an answer that nobody asked for", "worker", c.addr, "status", m.Status)
 		n.unlist(c) // where it idled
 	}
 	switch e := e.(type) {
 	case scheduler.Withdrawn:
 		if m.Status >= 300 && m.Status != 404 {
-			n.log.Warn("withdrawal not taken", "region", c.addr, "txn", c.id, "status", m.Status)
+			n.log.Warn("withdrawal not taken", "worker", c.addr, "txn", c.id, "status", m.Status)
 		}
 	case scheduler.Rejected:
-		n.log.Info("a region rejects a transaction", "region", c.addr, "txn", c.id, "status", m.Status)
+		n.log.Info("a worker rejects a request", "worker", c.addr, "txn", c.id, "status", m.Status)
 	case scheduler.Ended:
 		if e.Outcome == dahliaford.Failed && m.Status != 500 {
-			n.log.Warn("unexpected answer of a region", "region", c.addr, "txn", c.id, "status", m.Status)
+			n.log.Warn("unexpected answer of a worker", "worker", c.addr, "txn", c.id, "status", m.Status)
 		}
 	}
 	if next == link.Idle && n.keptFor == 0 {
@@ -299,28 +299,28 @@
 
 // linkNext does with a connection what its state machine says, and passes on what that
 // means for its errand.
-func (n *Node) linkNext(c *regionConn, next link.Next, e scheduler.Event, cause error) error {
+func (n *Node) linkNext(c *workerConn, next link.Next, e scheduler.Event, cause error) error {
 	if e == nil {
 		if next == link.Drop {
 			n.drop(c)
 		}
 		return nil
 	}
-	delete(n.tasks, c.Task)
+	delete(n.attempts, c.Attempt)
 	if c.Withdraw {
 		n.calls--
 	}
 	if next == link.Drop {
 		n.drop(c)
 		if !answered(e) {
-			n.log.Info("connection to a region failed", "region", c.addr, "txn", c.id, "sent", c.Written, "error",
+			n.log.Info("connection to a worker failed", "worker", c.addr, "txn", c.id, "sent", c.Written, "error",
 				cause)
 		}
 	}
 	return n.step(e)
 }
 
-// answered tells whether an event came of a region's answer and not of its
+// answered tells whether an event came of a worker's answer and not of its
 // connection's end.
 func answered(e scheduler.Event) bool {
 	switch e := e.(type) {
@@ -333,7 +333,7 @@
 }
 
 // run is the life of a connection.
-func (c *regionConn) run() {
+func (c *workerConn) run() {
 	n := c.node
 	defer n.post(ended{c})
 	defer c.release()
@@ -380,10 +380,10 @@
 
 var errGivenUp = errors.New("given up before anything got out")
 
-// write sends an errand. For a routed task the last look at what discovery has told comes with
+// write sends an errand. For an attempt the last look at what discovery has told comes with
 // the first byte in hand, and again for as long as none has left; a word that is not taken in
 // yet is waited for.
-func (c *regionConn) write(conn net.Conn, e *errand) error {
+func (c *workerConn) write(conn net.Conn, e *errand) error {
 	n := c.node
 	conn.SetWriteDeadline(n.at(e.writeBy))
 	if e.payload == nil {
@@ -440,7 +440,7 @@
 }
 
 // begin passes the gate with an errand's first byte in hand.
-func (c *regionConn) begin() bool {
+func (c *workerConn) begin() bool {
 	c.order.Lock()
 	if c.ordered = c.gate.CompareAndSwap(gateOpen, gateWriting); !c.ordered {
 		c.order.Unlock()
@@ -449,7 +449,7 @@
 }
 
 // wordIsIn lets answers pass: the writer's word is in the inbox, or none will come.
-func (c *regionConn) wordIsIn() {
+func (c *workerConn) wordIsIn() {
 	if c.ordered {
 		c.ordered = false
 		c.order.Unlock()
@@ -466,7 +466,7 @@
 }
 
 // listen reads answers, and so also sees the end of a connection that idles.
-func (c *regionConn) listen(conn net.Conn) {
+func (c *workerConn) listen(conn net.Conn) {
 	read := http1.NewReader(conn)
 	for {
 		r, err := read.Response()
@@ -481,7 +481,7 @@
 				report = dahliaford.Report{}
 			}
 		}
-		c.order.Lock() // an answer must not overtake the word that its task was written
+		c.order.Lock() // an answer must not overtake the word that its attempt was written
 		c.order.Unlock()
 		c.node.post(response{c, link.Answer{Status: r.Status, TurnedAway: r.Header.Get("X-Turned-Away") == "1",
 			Close: r.Close, Report: report}})
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,4 +1,4 @@
-// Package record checks the history of what clients and regions saw of a real scheduler
+// Package record checks the history of what clients and workers saw of a real scheduler
 // against the properties that package explore checks in the small. It has no I/O and no
 // clock: events come with their times, all read from one clock.
 package record
@@ -18,13 +18,13 @@
 	Left                   // the client left
 	Answered               // it has its answer: Status, Result
 	Unanswered             // its connection ended, or its time, without one
-	Arrived                // a request's last byte came to a region
+	Arrived                // a request's last byte came to a worker
 	Started                // it runs there
 	Ended                  // the attempt is over there; Ran: it may have run
-	Lost                   // the region's process died with it
+	Lost                   // the worker's process died with it
 	Closed                 // the connection ended before the 202: it is given up there
 	Withdrawn              // a DELETE came; Status 200: the job was there
-	Told                   // discovery wrote a change about a region (Who): it drains or is gone
+	Told                   // discovery wrote a change about a worker (Who): it drains or is gone
 	Back                   // and that it is ready again
 )
 
@@ -34,12 +34,12 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Event is one thing that a client, a region or discovery saw.
+// Event is one thing that a client, a worker or discovery saw.
 type Event struct {
 	At     time.Time
 	Kind   Kind
 	ID     string // of the request
-	Who    string // the region, or client
+	Who    string // the worker, or client
 	Class  string // with Sent
 	Until  time.Time
 	Status int
@@ -51,12 +51,12 @@
 // that is busy makes events late.
 type Rules struct {
 	Once         map[string]bool   // classes of which nothing may run twice
-	Rack         map[string]string // of each region
+	Rack         map[string]string // of each worker
 	Window       time.Duration     // in which a repeat is dropped within a rack
 	DrainGrace   time.Duration
 	MostAttempts int
 	Slack        time.Duration
-	// Watched is how long a region may hold a job for nobody. After the history's end
+	// Watched is how long a worker may hold a job for nobody. After the history's end
 	// nothing is expected any more.
 	Watched time.Duration
 }
@@ -77,8 +77,8 @@
 	answers  int
 	attempts int
 	runs     int
-	ran      map[string]time.Time // regions where it may have run, and when it had come there
-	held     map[string]time.Time // regions that hold it now, since when
+	ran      map[string]time.Time // workers where it may have run, and when it had come there
+	held     map[string]time.Time // workers that hold it now, since when
 	results  map[string]bool
 }
 
@@ -174,7 +174,7 @@
 	switch e.Status {
 	case 200:
 		if !l.results[e.Result] {
-			c.fail("honest-answers", e.ID, "it is served %q, which no region made", e.Result)
+			c.fail("honest-answers", e.ID, "it is served %q, which no worker made", e.Result)
 		}
 	case 429, 503:
 		if len(l.ran) > 0 {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// history reads events, one a line: milliseconds, kind, region or client, and what else
+// history reads events, one a line: milliseconds, kind, worker or client, and what else
 // counts for it. All are of the request t, handed in at 0 for 2 s.
 func history(t *testing.T, class, text string) []Event {
 	t.Helper()
--- a/internal/rig/attempt.go
+++ b/internal/rig/attempt.go
@@ -34,11 +34,11 @@
 }
 
 const (
-	regions = 4
+	workers = 4
 	rested  = 8 * time.Second // after the last job, for what is still to be called back
 )
 
-// RunAttempts hands jobs in to the real program, whose four regions in two racks do wrong
+// RunAttempts hands jobs in to the real program, whose four workers in two racks do wrong
 // whatever the protocol allows: they turn away, fail, break, fall silent, call back early,
 // again and out of time, run on for ever, crash and drain. It checks what all saw.
 func RunAttempts(ctx context.Context, a Attempts) (*Outcome, error) {
@@ -61,7 +61,7 @@
 		Window: 10 * time.Second, DrainGrace: 550 * time.Millisecond,
 		MostAttempts: 4, Slack: a.Slack, Watched: 3 * time.Second}
 	var lines []standin.Line
-	for i := range regions {
+	for i := range workers {
 		line := standin.Line{UID: fmt.Sprintf("s-%08x", i+1), Group: i / 2}
 		lines = append(lines, line)
 		rules.Rack[line.UID] = strconv.Itoa(line.Group)
@@ -118,10 +118,10 @@
 	}
 }
 
-// mischief plans what a region does with each job.
-func mischief(seed uint64, region int) func(standin.Job) standin.Plan {
+// mischief plans what a worker does with each job.
+func mischief(seed uint64, worker int) func(standin.Job) standin.Plan {
 	var mu sync.Mutex
-	random := rand.New(rand.NewPCG(seed, uint64(100+region)))
+	random := rand.New(rand.NewPCG(seed, uint64(100+worker)))
 	ms := func(n int) time.Duration { return time.Duration(random.IntN(n)) * time.Millisecond }
 	return func(standin.Job) standin.Plan {
 		mu.Lock()
@@ -167,17 +167,17 @@
 	}
 }
 
-// trouble crashes regions, lets them drain, and breaks the watch, one after another.
+// trouble crashes workers, lets them drain, and breaks the watch, one after another.
 func trouble(ctx context.Context, seed uint64, out *Outcome, at *site, rec standin.Recorder) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	rest := func(d time.Duration) bool { return Rest(ctx, d) }
 	for rest(400*time.Millisecond + time.Duration(random.IntN(600))*time.Millisecond) {
-		i := random.IntN(len(at.regions))
+		i := random.IntN(len(at.workers))
 		line := at.lines[i]
 		switch random.IntN(4) {
 		case 0:
 			out.Crashes++
-			at.regions[i].Crash()
+			at.workers[i].Crash()
 			line.BootMs = time.Now().UnixMilli()
 			at.lines[i] = line
 			at.discovery.Set(line)
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -13,14 +13,14 @@
 	"dahliaford/internal/standin"
 )
 
-// Fleet is several schedulers over regions. Each scheduler has region doors of its own, as
+// Fleet is several schedulers over workers. Each scheduler has worker doors of its own, as
 // callbacks go to whoever sent the job.
 type Fleet struct {
 	sites []*site
 
 	mu    sync.Mutex
-	job   map[string]job  // of each id that came to a region
-	ran   map[string]bool // by id and region: an attempt that may have run
+	job   map[string]job  // of each id that came to a worker
+	ran   map[string]bool // by id and worker: an attempt that may have run
 	posts map[string]int  // of post-readings, how often each may have run
 	racks map[string]string
 	twice int
@@ -35,8 +35,8 @@
 	post bool
 }
 
-// StartFleet starts n schedulers with so many regions each, every one a rack of its own.
-// With faults the regions do wrong whatever the protocol allows; without, they run jobs.
+// StartFleet starts n schedulers with so many workers each, every one a rack of its own.
+// With faults the workers do wrong whatever the protocol allows; without, they run jobs.
 func StartFleet(bin, folder string, n, each int, seed uint64, faults bool) (f *Fleet, err error) {
 	f = &Fleet{job: map[string]job{}, ran: map[string]bool{}, posts: map[string]int{},
 		racks: map[string]string{},
@@ -79,11 +79,11 @@
 	return f, nil
 }
 
-// honest plans what a region does that runs all jobs: a few hundredths of a second, and now
+// honest plans what a worker does that runs all jobs: a few hundredths of a second, and now
 // and then far longer.
-func honest(seed uint64, region int) func(standin.Job) standin.Plan {
+func honest(seed uint64, worker int) func(standin.Job) standin.Plan {
 	var mu sync.Mutex
-	random := rand.New(rand.NewPCG(seed, uint64(100+region)))
+	random := rand.New(rand.NewPCG(seed, uint64(100+worker)))
 	return func(standin.Job) standin.Plan {
 		mu.Lock()
 		defer mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// saw counts what may have run. A region is a rack of its own.
+// saw counts what may have run. A worker is a rack of its own.
 func (f *Fleet) saw(e record.Event) {
 	if e.Kind != record.Started && !(e.Kind == record.Ended && e.Ran) {
 		return
@@ -132,7 +132,7 @@
 // taken for repeats of ours.
 func (f *Fleet) Mark() string { return f.mark }
 
-// Runs is what the regions of a fleet saw.
+// Runs is what the workers of a fleet saw.
 type Runs struct {
 	Alien   int // attempts at jobs without the fleet's mark: somebody else's came here
 	All     int // attempts that may have run
@@ -140,7 +140,7 @@
 	Crossed int // keys that may have run in more than one rack
 }
 
-// Runs tells what its regions saw.
+// Runs tells what its workers saw.
 func (f *Fleet) Runs() Runs {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -24,7 +24,7 @@
 	return bin
 }
 
-// The real program keeps the properties while its regions do wrong whatever they may.
+// The real program keeps the properties while its workers do wrong whatever they may.
 func TestAttemptsOfTheRealProgram(t *testing.T) {
 	o, err := RunAttempts(t.Context(), Attempts{Bin: program(t), For: 4 * time.Second, Seed: 7, Rate: 50,
 		Slack: 2 * time.Second}) // the machine may be busy with other tests
--- a/internal/rig/site.go
+++ b/internal/rig/site.go
@@ -8,17 +8,17 @@
 	"dahliaford/internal/standin"
 )
 
-// site is one scheduler with its discovery and its regions, which call it back.
+// site is one scheduler with its discovery and its workers, which call it back.
 type site struct {
 	*Process
 	bin, folder, name string
-	regions           []*standin.Region
-	lines             []standin.Line // of the regions, ready
+	workers           []*standin.Worker
+	lines             []standin.Line // of the workers, ready
 	discovery         *standin.Discovery
 }
 
-// startSite starts a site with a region for each line: UID and Group are told, the rest is
-// filled in. plan gives what the k-th region does.
+// startSite starts a site with a worker for each line: UID and Group are told, the rest is
+// filled in. plan gives what the k-th worker does.
 func startSite(bin, folder, name string, lines []standin.Line,
 	plan func(k int) func(standin.Job) standin.Plan,
 	rec standin.Recorder) (s *site, err error) {
@@ -28,15 +28,15 @@
 			s.close()
 		}
 	}()
-	var addr atomic.Value // of the scheduler, which starts after its regions
+	var addr atomic.Value // of the scheduler, which starts after its workers
 	addr.Store("127.0.0.1:1")
 	for k, line := range lines {
-		r, err := standin.NewRegion(line.UID, "127.0.0.1:0", func() string { return addr.Load().(string) },
+		r, err := standin.NewWorker(line.UID, "127.0.0.1:0", func() string { return addr.Load().(string) },
 			plan(k), rec)
 		if err != nil {
 			return s, err
 		}
-		s.regions = append(s.regions, r)
+		s.workers = append(s.workers, r)
 		line.Endpoint, line.Zone, line.Model, line.State = r.Addr(), "north", "m1", "ready"
 		s.lines = append(s.lines, line)
 	}
@@ -70,7 +70,7 @@
 	if s.Process != nil {
 		s.Kill()
 	}
-	for _, r := range s.regions {
+	for _, r := range s.workers {
 		r.Close()
 	}
 	if s.discovery != nil {
--- a/internal/rig/size_test.go
+++ b/internal/rig/size_test.go
@@ -10,13 +10,13 @@
 	"dahliaford/internal/standin"
 )
 
-// regionsOf starts so many regions, named by their batch.
-func regionsOf(t *testing.T, batch string, n int, scheduler func() string) []standin.Line {
+// workersOf starts so many workers, named by their batch.
+func workersOf(t *testing.T, batch string, n int, scheduler func() string) []standin.Line {
 	t.Helper()
 	lines := make([]standin.Line, n)
 	for i := range lines {
 		uid := fmt.Sprintf("s-%s-%d", batch, i)
-		r, err := standin.NewRegion(uid, "127.0.0.1:0", scheduler, honest(1, i), func(record.Event) {})
+		r, err := standin.NewWorker(uid, "127.0.0.1:0", scheduler, honest(1, i), func(record.Event) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -26,15 +26,15 @@
 	return lines
 }
 
-// The program starts with 1,024 regions known and 1,024 schedulers in its settings, serves within
-// 32 MB and 256 descriptors, and goes on while all regions are replaced.
+// The program starts with 1,024 workers known and 1,024 schedulers in its settings, serves within
+// 32 MB and 256 descriptors, and goes on while all workers are replaced.
 func TestTheLargestFleet(t *testing.T) {
 	bin, addr := program(t), atomic.Value{}
 	addr.Store("127.0.0.1:1")
 	for _, size := range []int{10, 200, 1024} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			at := func() string { return addr.Load().(string) }
-			old := regionsOf(t, fmt.Sprint("old-", size), size, at)
+			old := workersOf(t, fmt.Sprint("old-", size), size, at)
 			discovery, err := standin.NewDiscovery("127.0.0.1:0", old...)
 			if err != nil {
 				t.Fatal(err)
@@ -72,7 +72,7 @@
 			if got := served("old", 40); got < 36 {
 				t.Errorf("%d of 40 jobs served", got)
 			}
-			for i, line := range regionsOf(t, fmt.Sprint("new-", size), size, at) {
+			for i, line := range workersOf(t, fmt.Sprint("new-", size), size, at) {
 				line.BootMs = time.Now().Add(-time.Minute).UnixMilli()
 				discovery.Set(line)
 				left := old[i]
@@ -81,7 +81,7 @@
 			}
 			wait("a job after the replacement", func() bool { return served("second", 1) == 1 })
 			if got := served("new", 40); got < 36 {
-				t.Errorf("%d of 40 jobs served after all regions were replaced", got)
+				t.Errorf("%d of 40 jobs served after all workers were replaced", got)
 			}
 			use, err := p.Use()
 			if err != nil || use.MostMB > 32 || use.Descriptors > 256 {
--- a/internal/scheduler/copy.go
+++ b/internal/scheduler/copy.go
@@ -18,19 +18,19 @@
 	if s.module != nil {
 		c.module = s.module.Clone()
 	}
-	c.regions = make(map[string]*region, len(s.regions))
-	c.byNumber = make(map[dahliaford.WorkerID]*region, len(s.byNumber))
-	for uid, r := range s.regions {
+	c.workers = make(map[string]*worker, len(s.workers))
+	c.byNumber = make(map[dahliaford.WorkerID]*worker, len(s.byNumber))
+	for uid, r := range s.workers {
 		copied := *r
-		c.regions[uid], c.byNumber[r.number] = &copied, &copied
+		c.workers[uid], c.byNumber[r.number] = &copied, &copied
 	}
-	c.byCaller = make(map[Caller]*transaction, len(s.byCaller))
-	c.byID = make(map[string]*transaction, len(s.byID))
-	c.byJob = make(map[dahliaford.JobID]*transaction, len(s.byJob))
-	c.byTask = make(map[Task]*task, len(s.byTask))
-	type pair struct{ was, is *transaction }
+	c.byCaller = make(map[Caller]*request, len(s.byCaller))
+	c.byID = make(map[string]*request, len(s.byID))
+	c.byJob = make(map[dahliaford.JobID]*request, len(s.byJob))
+	c.byAttempt = make(map[Attempt]*attempt, len(s.byAttempt))
+	type pair struct{ was, is *request }
 	var copies []pair // few: a map would cost more than it saves
-	of := func(t *transaction) *transaction {
+	of := func(t *request) *request {
 		for _, p := range copies {
 			if p.was == t {
 				return p.is
@@ -39,11 +39,11 @@
 		copied := *t
 		n := &copied
 		copies = append(copies, pair{t, n})
-		n.tasks = make([]*task, len(t.tasks))
-		for i, k := range t.tasks {
+		n.attempts = make([]*attempt, len(t.attempts))
+		for i, k := range t.attempts {
 			copied := *k
-			copied.of, copied.region = n, c.byNumber[k.region.number]
-			n.tasks[i] = &copied
+			copied.of, copied.worker = n, c.byNumber[k.worker.number]
+			n.attempts[i] = &copied
 		}
 		return n
 	}
@@ -56,13 +56,13 @@
 	for id, t := range s.byID {
 		c.byID[id] = of(t)
 	}
-	for n, k := range s.byTask {
-		c.byTask[n] = of(k.of).tasks[slices.Index(k.of.tasks, k)]
+	for n, k := range s.byAttempt {
+		c.byAttempt[n] = of(k.of).attempts[slices.Index(k.of.attempts, k)]
 	}
-	c.recalls = make(map[Task]*recall, len(s.recalls))
+	c.recalls = make(map[Attempt]*recall, len(s.recalls))
 	for n, r := range s.recalls {
 		copied := *r
-		copied.task = of(r.task.of).tasks[slices.Index(r.task.of.tasks, r.task)]
+		copied.attempt = of(r.attempt.of).attempts[slices.Index(r.attempt.of.attempts, r.attempt)]
 		c.recalls[n] = &copied
 	}
 	c.recalled = maps.Clone(s.recalled)
@@ -76,28 +76,29 @@
 // states if they act alike from here on. Payloads are left out.
 func (s *Scheduler) AppendState(b []byte) []byte {
 	f := form.Form(b)
-	f.Num(int64(s.now), int64(s.lastJob), int64(s.lastTask), s.rev, int64(s.count), int64(s.knownAt),
+	f.Num(int64(s.now), int64(s.lastJob), int64(s.lastAttempt), s.rev, int64(s.count), int64(s.knownAt),
 		int64(s.wake), int64(s.stopAt), int64(s.endBy),
 		int64(s.longest),
-		int64(s.used.since), int64(len(s.byCaller)), int64(len(s.byID)), int64(len(s.byTask)), int64(len(s.byJob)))
+		int64(s.used.since), int64(len(s.byCaller)), int64(len(s.byID)),
+		int64(len(s.byAttempt)), int64(len(s.byJob)))
 	f.Flag(s.watching, s.stopped, s.module == nil)
 	f.Text(s.discovery)
 	for _, t := range sorted(s.byJob) {
-		f.Num(int64(t.caller), int64(t.job), int64(t.deadline), int64(len(t.tasks)))
+		f.Num(int64(t.caller), int64(t.job), int64(t.deadline), int64(len(t.attempts)))
 		f.Text(t.id)
 		f.Flag(t.answered, s.byCaller[t.caller] == t, s.byID[t.id] == t)
-		for _, k := range t.tasks {
-			f.Num(int64(k.number), int64(k.attempt), int64(k.region.number), int64(k.deadline))
+		for _, k := range t.attempts {
+			f.Num(int64(k.number), int64(k.ordinal), int64(k.worker.number), int64(k.deadline))
 			f.Num(int64(k.parked))
 			f.Text(k.addr)
 			f.Flag(k.accepted, k.ended)
 		}
 	}
 	for _, c := range sorted(s.recalls) {
-		f.Num(int64(c.task.number), int64(c.at), int64(c.tries), int64(c.until))
-		f.Text(c.task.of.id)
-		f.Text(c.task.addr)
-		f.Flag(c.trying, s.byJob[c.task.of.job] != nil)
+		f.Num(int64(c.attempt.number), int64(c.at), int64(c.tries), int64(c.until))
+		f.Text(c.attempt.of.id)
+		f.Text(c.attempt.addr)
+		f.Flag(c.trying, s.byJob[c.attempt.of.job] != nil)
 	}
 	for _, set := range []map[string]bool{s.used.now, s.used.before} {
 		ids := slices.Sorted(maps.Keys(set))
@@ -106,7 +107,7 @@
 			f.Text(id)
 		}
 	}
-	for _, r := range sorted(s.regions) {
+	for _, r := range sorted(s.workers) {
 		f.Num(int64(r.number), int64(r.Cell), int64(r.Status), int64(r.Started))
 		f.Text(r.UID)
 		f.Text(r.Addr)
@@ -120,12 +121,12 @@
 	}
 	dues := slices.Clone(s.due)
 	slices.SortFunc(dues, func(a, b due) int {
-		return int(slices.Compare([]int64{int64(a.at), int64(a.token), int64(a.task), int64(a.caller),
+		return int(slices.Compare([]int64{int64(a.at), int64(a.token), int64(a.attempt), int64(a.caller),
 			int64(a.recall)},
-			[]int64{int64(b.at), int64(b.token), int64(b.task), int64(b.caller), int64(b.recall)}))
+			[]int64{int64(b.at), int64(b.token), int64(b.attempt), int64(b.caller), int64(b.recall)}))
 	})
 	for _, d := range dues {
-		f.Num(int64(d.at), int64(d.token), int64(d.task), int64(d.caller), int64(d.recall))
+		f.Num(int64(d.at), int64(d.token), int64(d.attempt), int64(d.caller), int64(d.recall))
 		f.Flag(d.timer, d.parked)
 	}
 	for _, name := range append(slices.Clone(s.zones), s.kinds...) {
@@ -140,18 +141,18 @@
 // Break makes the module break down at the next event that it gets.
 func (s *Scheduler) Break() { s.module = nil }
 
-// Kept counts what is held on behalf of transactions, now or in the past.
+// Kept counts what is held on behalf of requests, now or in the past.
 type Kept struct {
-	Callers, IDs, Jobs, Tasks int // of transactions and routed tasks
-	Recalls                   int // withdrawals that are still to be heard
-	Used                      int // ids that may not come again
-	Dues                      int // things to come due other than the module's timers
-	ModuleJobs                int
+	Callers, IDs, Jobs, Attempts int // of requests and attempts
+	Recalls                      int // withdrawals that are still to be heard
+	Used                         int // ids that may not come again
+	Dues                         int // things to come due other than the module's timers
+	ModuleJobs                   int
 }
 
 // Kept tells what is held after all that has come due is dealt with.
 func (s *Scheduler) Kept() Kept {
-	k := Kept{Callers: len(s.byCaller), IDs: len(s.byID), Jobs: len(s.byJob), Tasks: len(s.byTask),
+	k := Kept{Callers: len(s.byCaller), IDs: len(s.byID), Jobs: len(s.byJob), Attempts: len(s.byAttempt),
 		Recalls: len(s.recalls),
 		Used:    len(s.used.now) + len(s.used.before)}
 	if s.module != nil {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -1,20 +1,20 @@
-// Package scheduler keeps the transactions, the routed tasks and the service table,
+// Package scheduler keeps the requests, the attempts and the worker list,
 // and drives the decision module. It is one reducer: an event at a time goes in,
 // effects come out. It holds no lock and no clock and does no reading or writing, and
-// knows nothing of the protocol that a transaction came by.
+// knows nothing of the protocol that a request came by.
 package scheduler
 
 import "dahliaford"
 
 // Micros is a time on the module's clock. Here it counts from the Unix epoch, so a
-// region's start as discovery tells it needs no mapping beyond its unit.
+// worker's start as discovery tells it needs no mapping beyond its unit.
 type Micros = dahliaford.Micros
 
-// Caller numbers a wait for one answer; whoever submits a transaction picks it.
+// Caller numbers a wait for one answer; whoever submits a request picks it.
 type Caller uint64
 
-// Task numbers a routed task.
-type Task uint64
+// Attempt numbers an attempt.
+type Attempt uint64
 
 // Event is one thing that happened.
 type Event interface{ event() }
@@ -24,34 +24,34 @@
 	// Began comes once, before all others.
 	Began struct {
 		Discovery string // its address
-		Known     Table
+		Known     WorkerList
 	}
 	// Reloaded says that a new configuration holds. Of it, discovery's address counts.
 	Reloaded struct{ Discovery string }
-	// Submitted is a new transaction.
+	// Submitted is a new request.
 	Submitted struct {
 		Caller        Caller
-		ID            string // by which the regions know it
+		ID            string // by which the workers know it
 		Class, Tenant string
 		Deadline      Micros // the caller waits until then
 		Slots         float64
 		Repeat        bool // the caller says that it tried before
-		Payload       any  // handed back with each routed task, unread
+		Payload       any  // handed back with each attempt, unread
 	}
 	// CallerLeft says that nobody waits for the answer any more.
 	CallerLeft struct{ Caller Caller }
-	// Accepted says that a region has taken a routed task.
-	Accepted struct{ Task Task }
-	// Ended says how a routed task ended, by what its connection showed.
+	// Accepted says that a worker has taken an attempt.
+	Accepted struct{ Attempt Attempt }
+	// Ended says how an attempt ended, by what its connection showed.
 	Ended struct {
-		Task    Task
+		Attempt Attempt
 		Outcome dahliaford.Outcome
 		Report  dahliaford.Report
 	}
-	// Rejected says that a region can make nothing of a routed task: not the region
+	// Rejected says that a worker can make nothing of an attempt: not the worker
 	// is at fault but the submission.
-	Rejected struct{ Task Task }
-	// Told is what a region says of a transaction on its own account. It may come
+	Rejected struct{ Attempt Attempt }
+	// Told is what a worker says of a request on its own account. It may come
 	// early, late, or again.
 	Told struct {
 		ID, From string
@@ -60,21 +60,21 @@
 		Result   []byte
 		Report   dahliaford.Report
 	}
-	// Withdrawn tells how a Withdraw went: Reached says that the region has heard it, or
-	// that the process that had the task is gone.
+	// Withdrawn tells how a Withdraw went: Reached says that the worker has heard it, or
+	// that the process that had the attempt is gone.
 	Withdrawn struct {
-		Task    Task
+		Attempt Attempt
 		Reached bool
 	}
-	// TableRead is a word from discovery; one without regions is a heartbeat.
-	TableRead struct {
-		Table Table
-		At    Micros // all that there was to tell by then has been told; 0: by now
-		Old   bool   // of the discovery before the present one: it tells only who leaves
+	// ListRead is a word from discovery; one without workers is a heartbeat.
+	ListRead struct {
+		List WorkerList
+		At   Micros // all that there was to tell by then has been told; 0: by now
+		Old  bool   // of the discovery before the present one: it tells only who leaves
 	}
-	// TableLost says that the watch could not be opened, or ended.
-	TableLost struct {
-		Unread bool   // with a word that nobody can read: any region may have been told to leave
+	// ListLost says that the watch could not be opened, or ended.
+	ListLost struct {
+		Unread bool   // with a word that nobody can read: any worker may have been told to leave
 		Until  Micros // what is known holds no longer than that; 0, if it was read: it holds as it did
 	}
 	// Woke says that the time of the last Wake has come.
@@ -92,15 +92,15 @@
 func (Rejected) event()   {}
 func (Told) event()       {}
 func (Withdrawn) event()  {}
-func (TableRead) event()  {}
-func (TableLost) event()  {}
+func (ListRead) event()   {}
+func (ListLost) event()   {}
 func (Woke) event()       {}
 func (Stopping) event()   {}
 
-// News is what a region tells.
+// News is what a worker tells.
 type News uint8
 
-// The news a region can tell.
+// The news a worker can tell.
 const (
 	NewsUnknown News = iota
 	NewsStarted
@@ -111,15 +111,15 @@
 	NewsLost
 )
 
-// Table is the service table or a change to it.
-type Table struct {
+// WorkerList is the worker list or a change to it.
+type WorkerList struct {
 	Rev     int64
-	All     bool // the whole table; what it lacks is gone
-	Regions []Region
+	All     bool // the whole list; what it lacks is gone
+	Workers []Worker
 }
 
-// Region is one line of the service table.
-type Region struct {
+// Worker is one line of the worker list.
+type Worker struct {
 	UID, Addr, Zone, Kind string
 	Cell                  int
 	Status                dahliaford.Status
@@ -131,25 +131,25 @@
 
 // The effects.
 type (
-	// Route sends a routed task to a region.
+	// Route sends an attempt to a worker.
 	Route struct {
-		Task     Task
+		Attempt  Attempt
 		ID       string
 		UID      string
 		Addr     string
 		WriteBy  Micros // its last byte must be out by then, or it does not go
-		Deadline Micros // the region may work on it until then
+		Deadline Micros // the worker may work on it until then
 		Payload  any
 	}
-	// Abandon breaks the connection that a routed task, or its withdrawal, is on.
-	Abandon struct{ Task Task }
-	// Unsend keeps back a routed task that nobody waits for, if nothing of it has left yet; then
+	// Abandon breaks the connection that an attempt, or its withdrawal, is on.
+	Abandon struct{ Attempt Attempt }
+	// Unsend keeps back an attempt that nobody waits for, if nothing of it has left yet; then
 	// Ended follows. It is no withdrawal: what has left goes on.
-	Unsend struct{ Task Task }
-	// Withdraw tells a region to drop a task that it may hold. Withdrawn must follow. If
-	// it comes with Abandon and nothing of the task ever got out, nobody need be told.
+	Unsend struct{ Attempt Attempt }
+	// Withdraw tells a worker to drop an attempt that it may hold. Withdrawn must follow. If
+	// it comes with Abandon and nothing of the attempt ever got out, nobody need be told.
 	Withdraw struct {
-		Task     Task
+		Attempt  Attempt
 		ID       string
 		Addr     string
 		Deadline Micros // no use after that
@@ -164,16 +164,16 @@
 	}
 	// Wake asks for Woke at a time. The latest one counts.
 	Wake struct{ At Micros }
-	// Watch opens a watch of the service table; an older one is dropped.
+	// Watch opens a watch of the worker list; an older one is dropped.
 	Watch struct {
 		Addr string
-		Rev  int64 // what changed after it is asked for; 0: the whole table
+		Rev  int64 // what changed after it is asked for; 0: the whole list
 		// Until, unless 0, is until when what is known holds, if Addr has not answered by then.
 		Until Micros
 	}
-	// Retire says that nothing new may go to a region, and closes idle connections to it.
+	// Retire says that nothing new may go to a worker, and closes idle connections to it.
 	Retire struct{ UID, Addr string }
-	// Admit takes a Retire back: the region is there again, or forgotten.
+	// Admit takes a Retire back: the worker is there again, or forgotten.
 	Admit struct{ UID string }
 	// Close lets callers go that have nothing submitted.
 	Close struct{}
@@ -206,8 +206,8 @@
 // The verdicts.
 const (
 	Served  Verdict = iota
-	Refused         // a short-on-capacity reply: trying again is harmless
+	Refused         // a refusal: trying again is harmless
 	Failed
 	Invalid  // the submission makes no sense; Body says why
-	Conflict // a transaction of that id is open, or was a moment ago
+	Conflict // a request of that id is open, or was a moment ago
 )
--- a/internal/scheduler/table_test.go
+++ b/internal/scheduler/list_test.go
@@ -6,15 +6,15 @@
 	"dahliaford"
 )
 
-// A region that was told to leave does not come back by a word that may be older than that one.
-func TestNoOlderWordBringsALeavingRegionBack(t *testing.T) {
+// A worker that was told to leave does not come back by a word that may be older than that one.
+func TestNoOlderWordBringsALeavingWorkerBack(t *testing.T) {
 	ready, leaves := line("r1", dahliaford.Ready), line("r1", dahliaford.Draining)
 	gone := line("r1", dahliaford.Gone)
 	restarted, other := ready, line("r2", dahliaford.Ready)
 	restarted.Started = 5 * second
-	word := func(rev int64, all bool, r ...Region) Event { return TableRead{Table: Table{rev, all, r}} }
+	word := func(rev int64, all bool, r ...Worker) Event { return ListRead{List: WorkerList{rev, all, r}} }
 	moved, left := Reloaded{Discovery: "d2"}, word(9, false, leaves)
-	old := TableRead{Table: Table{9, false, []Region{leaves}}, Old: true}
+	old := ListRead{List: WorkerList{9, false, []Worker{leaves}}, Old: true}
 	for name, c := range map[string]struct {
 		words []Event
 		back  bool // at once
@@ -44,11 +44,11 @@
 				when string
 				want bool
 			}{{"at once", c.back}, {"after a while", c.later}} {
-				if got := w.s.regions["r1"].Status == dahliaford.Ready; got != at.want {
+				if got := w.s.workers["r1"].Status == dahliaford.Ready; got != at.want {
 					t.Errorf("back %s: %v, want %v", at.when, got, at.want)
 				}
 				w.now += 6 * second
-				w.step(TableRead{})
+				w.step(ListRead{})
 			}
 		})
 	}
@@ -58,12 +58,12 @@
 // that asks whether the list is alive.
 func TestAnOldWordDoesNotPassForNew(t *testing.T) {
 	w := newWorld(t)
-	w.step(TableRead{At: w.now - second})
+	w.step(ListRead{At: w.now - second})
 	if w.s.knownAt != w.now-second {
 		t.Errorf("known at %d, want %d", w.s.knownAt, w.now-second)
 	}
 	w.now += second
-	w.step(TableRead{})
+	w.step(ListRead{})
 	if w.s.knownAt != w.now {
 		t.Errorf("known at %d, want %d", w.s.knownAt, w.now)
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -14,7 +14,7 @@
 	millisecond = 1000
 	second      = 1000 * millisecond
 
-	// serveOn is how long a stopping scheduler takes new transactions: the front
+	// serveOn is how long a stopping scheduler takes new requests: the front
 	// goes on dealing it connections for a part of that.
 	serveOn = 600 * millisecond
 	// killedAfter is the least time from the request to end to the kill, beyond the longest
@@ -27,14 +27,14 @@
 	parting     = 200 * millisecond
 	// movedWithin is how long after a new configuration the discovery that it names counts.
 	movedWithin = 4 * second
-	// answerWithin is how long a region may take to answer a withdrawal.
+	// answerWithin is how long a worker may take to answer a withdrawal.
 	answerWithin = second
 	// recallAgain is the first wait before a withdrawal that did not get through is tried
 	// again; it doubles, up to recallMost.
 	recallAgain = 250 * millisecond
 	recallMost  = 2 * second
-	// recallFor is how long it is tried at all. Then the region has what it was told when
-	// it got the task: how long anybody would wait.
+	// recallFor is how long it is tried at all. Then the worker has what it was told when
+	// it got the attempt: how long anybody would wait.
 	recallFor = 15 * second
 	// recallOn is how long a stopping scheduler that owes no answer goes on for that, if it may. Its
 	// clients send on as long as it is there, so never until the kill.
@@ -49,19 +49,19 @@
 	now    Micros
 	out    []Effect
 
-	byCaller map[Caller]*transaction
-	byID     map[string]*transaction // open ones, and finished ones with a live task
-	used     recent                  // ids that were taken
-	longest  Micros                  // that a class waits
-	byJob    map[dahliaford.JobID]*transaction
-	byTask   map[Task]*task
-	recalls  map[Task]*recall // what regions are still to be told to drop
-	recalled map[string]int   // how many of them concern an id
-	lastJob  dahliaford.JobID
-	lastTask Task
-
-	regions   map[string]*region
-	byNumber  map[dahliaford.WorkerID]*region
+	byCaller    map[Caller]*request
+	byID        map[string]*request // open ones, and finished ones with a live attempt
+	used        recent              // ids that were taken
+	longest     Micros              // that a class waits
+	byJob       map[dahliaford.JobID]*request
+	byAttempt   map[Attempt]*attempt
+	recalls     map[Attempt]*recall // what workers are still to be told to drop
+	recalled    map[string]int      // how many of them concern an id
+	lastJob     dahliaford.JobID
+	lastAttempt Attempt
+
+	workers   map[string]*worker
+	byNumber  map[dahliaford.WorkerID]*worker
 	zones     numbering
 	kinds     numbering
 	discovery string
@@ -72,46 +72,46 @@
 
 	due      dues
 	wake     Micros // what the last Wake asked for; 0: nothing
-	stopAt   Micros // no new transactions from then on; 0: not stopping
+	stopAt   Micros // no new requests from then on; 0: not stopping
 	endBy    Micros // with it: who waits is answered by then
 	stopped  bool
 	feedback []dahliaford.Event // for the module, from what its own actions led to
 	stepping bool
 }
 
-// transaction is a caller's request from its arrival to its answer.
-type transaction struct {
+// request is a caller's request from its arrival to its answer.
+type request struct {
 	caller   Caller
 	id       string
 	job      dahliaford.JobID
 	deadline Micros
 	payload  any
 	answered bool
-	tasks    []*task // all attempts, in order; at most the last one is live
+	attempts []*attempt // all attempts, in order; at most the last one is live
 }
 
-// task is a routed task: one attempt of a transaction at a region.
-type task struct {
-	number   Task
-	of       *transaction
-	attempt  int
-	region   *region
-	addr     string // the region's, when the task was made
+// attempt is one try of a request at a worker.
+type attempt struct {
+	number   Attempt
+	of       *request
+	ordinal  int // the module's number of it, from 0 for each request
+	worker   *worker
+	addr     string // the worker's, when the attempt was made
 	deadline Micros
 	accepted bool
 	ended    bool
 	parked   Micros // not sent before an earlier one is recalled, nor after this; 0: sent
 }
 
-// recall is the withdrawal of a task that its region may hold. It is tried until the
-// region has heard it, as a job that nobody waits for takes a slot, and one that may be
-// repeated must not run at two regions at once.
+// recall is the withdrawal of an attempt that its worker may hold. It is tried until the
+// worker has heard it, as a job that nobody waits for takes a slot, and one that may be
+// repeated must not run at two workers at once.
 type recall struct {
-	task   *task
-	trying bool   // an answer is awaited
-	at     Micros // when that takes too long, or the next try begins
-	tries  int
-	until  Micros
+	attempt *attempt
+	trying  bool   // an answer is awaited
+	at      Micros // when that takes too long, or the next try begins
+	tries   int
+	until   Micros
 }
 
 // recent holds the ids of the last while, for as long as a class waits at most and no
@@ -146,13 +146,13 @@
 	delete(r.before, id)
 }
 
-type region struct {
-	Region
+type worker struct {
+	Worker
 	number dahliaford.WorkerID
 	at     version // of the word that says so
 	left   Micros  // since when it has been told to leave; 0: it has not
 	gone   Micros  // since when it is gone; 0: it is not
-	offer  *Region // how a word describes it as ready that may be older than the one it left by
+	offer  *Worker // how a word describes it as ready that may be older than the one it left by
 }
 
 // version says how new a word of discovery is. Versions of one count can be compared.
@@ -178,14 +178,14 @@
 
 // New returns a scheduler that has not begun.
 func New(set settings.Settings, seed uint64) (*Scheduler, error) {
-	s := &Scheduler{set: set, seed: seed, byCaller: map[Caller]*transaction{}, byID: map[string]*transaction{},
-		byJob: map[dahliaford.JobID]*transaction{}, byTask: map[Task]*task{},
-		recalls: map[Task]*recall{}, recalled: map[string]int{}, regions: map[string]*region{},
-		byNumber: map[dahliaford.WorkerID]*region{}, zones: slices.Clone(set.Zones), kinds: slices.Clone(set.Kinds)}
+	s := &Scheduler{set: set, seed: seed, byCaller: map[Caller]*request{}, byID: map[string]*request{},
+		byJob: map[dahliaford.JobID]*request{}, byAttempt: map[Attempt]*attempt{},
+		recalls: map[Attempt]*recall{}, recalled: map[string]int{}, workers: map[string]*worker{},
+		byNumber: map[dahliaford.WorkerID]*worker{}, zones: slices.Clone(set.Zones), kinds: slices.Clone(set.Kinds)}
 	for _, c := range set.Module.Classes {
 		s.longest = max(s.longest, c.Deadline)
 	}
-	// One task of a transaction is out at a time here, whatever the settings allow: the module must
+	// One attempt of a request is out at a time here, whatever the settings allow: the module must
 	// not ask for copies, which would use up a job's attempts for nothing.
 	s.set.Module.MayDuplicate = false
 	var err error
@@ -193,7 +193,7 @@
 	return s, err
 }
 
-// Open is the number of transactions that wait for their answer.
+// Open is the number of requests that wait for their answer.
 func (s *Scheduler) Open() int { return len(s.byCaller) }
 
 // Step takes one event at its time and appends the effects that it calls for.
@@ -214,21 +214,21 @@
 			s.tell(dahliaford.Event{Kind: dahliaford.ClientGone, Job: t.job})
 		}
 	case Accepted:
-		if k := s.byTask[e.Task]; k != nil {
+		if k := s.byAttempt[e.Attempt]; k != nil {
 			k.accepted = true
 		}
 	case Ended:
-		// After the region has accepted, only its own word or the time ends a task.
-		if k := s.byTask[e.Task]; k != nil && !k.accepted {
+		// After the worker has accepted, only its own word or the time ends an attempt.
+		if k := s.byAttempt[e.Attempt]; k != nil && !k.accepted {
 			if e.Outcome == dahliaford.Reset {
-				// Its 202 may have crossed the connection's end: the region may hold it.
+				// Its 202 may have crossed the connection's end: the worker may hold it.
 				s.recall(k)
 			}
 			s.end(k, e.Outcome, e.Report)
 		}
 	case Rejected:
-		if k := s.byTask[e.Task]; k != nil && !k.accepted {
-			s.answer(k.of, Answer{Verdict: Invalid, Body: []byte("the region cannot use it")})
+		if k := s.byAttempt[e.Attempt]; k != nil && !k.accepted {
+			s.answer(k.of, Answer{Verdict: Invalid, Body: []byte("the worker cannot use it")})
 			s.end(k, dahliaford.Cancelled, dahliaford.Report{})
 			s.used.drop(k.of.id) // an impostor may have come before the one whose id it is
 		}
@@ -236,9 +236,9 @@
 		s.told(&e)
 	case Withdrawn:
 		s.withdrawn(&e)
-	case TableRead:
-		s.tableRead(&e)
-	case TableLost:
+	case ListRead:
+		s.listRead(&e)
+	case ListLost:
 		s.watching = false
 		lost := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListFailed}
 		if e.Unread || e.Until != 0 {
@@ -269,7 +269,7 @@
 	for _, t := range sorted(s.byCaller) {
 		s.answer(t, Answer{Verdict: Failed})
 	}
-	for _, k := range sorted(s.byTask) {
+	for _, k := range sorted(s.byAttempt) {
 		s.callBack(k)
 		s.forget(k)
 	}
@@ -281,9 +281,9 @@
 	}
 	s.due = slices.DeleteFunc(s.due, func(d due) bool { return d.recall == 0 && !d.look() })
 	heap.Init(&s.due)
-	known := Table{Rev: s.rev, All: true}
-	for _, r := range sorted(s.regions) {
-		known.Regions = append(known.Regions, r.Region)
+	known := WorkerList{Rev: s.rev, All: true}
+	for _, r := range sorted(s.workers) {
+		known.Workers = append(known.Workers, r.Worker)
 	}
 	s.watching = false
 	s.begin(known)
@@ -292,15 +292,15 @@
 	return s.out, nil
 }
 
-// begin starts the module. It asks for the table before it has been told the known
+// begin starts the module. It asks for the list before it has been told the known
 // one, so the version must be there first: from 0 on, discovery would send it all.
-func (s *Scheduler) begin(known Table) {
+func (s *Scheduler) begin(known WorkerList) {
 	s.rev = max(s.rev, known.Rev)
 	s.tell(dahliaford.Event{Kind: dahliaford.Began})
 	s.apply(known, dahliaford.ListCached, s.now)
 }
 
-// ---- Transactions
+// ---- Requests
 
 func (s *Scheduler) submitted(e *Submitted) {
 	class := slices.Index(s.set.Classes, e.Class)
@@ -315,13 +315,13 @@
 	case tenant < 0:
 		answer.Body = fmt.Appendf(nil, "unknown tenant %q", e.Tenant)
 	case e.ID == "":
-		answer.Body = []byte("no transaction id")
+		answer.Body = []byte("no request id")
 	case s.byID[e.ID] != nil:
-		// Callbacks name a transaction by its id alone: two of one id would mix.
-		answer.Verdict, answer.Body = Conflict, []byte("a transaction of that id is open")
+		// Callbacks name a request by its id alone: two of one id would mix.
+		answer.Verdict, answer.Body = Conflict, []byte("a request of that id is open")
 	case s.used.has(e.ID), s.recalled[e.ID] > 0:
-		// Each transaction has an id of its own. Sent on, this one would be a second
-		// attempt of the first, or be turned away, which looks like a failing region.
+		// Each request has an id of its own. Sent on, this one would be a second
+		// attempt of the first, or be turned away, which looks like a failing worker.
 		answer.Verdict, answer.Body = Conflict, []byte("that id has been used")
 	case s.stopping():
 		s.emit(Answer{Caller: e.Caller, Verdict: Refused, Last: true})
@@ -330,8 +330,8 @@
 		s.lastJob++
 		s.used.add(e.ID)
 		// No class waits longer than its deadline, whatever a client says: the module gives
-		// up by then, and what is kept for a transaction must have an end.
-		t := &transaction{caller: e.Caller, id: e.ID, job: s.lastJob, payload: e.Payload,
+		// up by then, and what is kept for a request must have an end.
+		t := &request{caller: e.Caller, id: e.ID, job: s.lastJob, payload: e.Payload,
 			deadline: min(e.Deadline, s.now+s.set.Module.Classes[class].Deadline)}
 		s.byCaller[e.Caller], s.byID[e.ID], s.byJob[t.job] = t, t, t
 		heap.Push(&s.due, due{at: t.deadline, caller: t.caller})
@@ -343,8 +343,8 @@
 	s.warn("submission not taken", "txn", e.ID, "why", string(answer.Body))
 }
 
-// answer gives a transaction its one answer; any further one is dropped here.
-func (s *Scheduler) answer(t *transaction, a Answer) {
+// answer gives a request its one answer; any further one is dropped here.
+func (s *Scheduler) answer(t *request, a Answer) {
 	if t.answered {
 		return
 	}
@@ -353,43 +353,43 @@
 	s.settle(t)
 }
 
-// settle marks that a transaction owes no answer. Its id is kept while a task of it
+// settle marks that a request owes no answer. Its id is kept while an attempt of it
 // is out, so that its news finds it.
-func (s *Scheduler) settle(t *transaction) {
+func (s *Scheduler) settle(t *request) {
 	t.answered = true
 	delete(s.byCaller, t.caller)
-	n := len(t.tasks)
-	if n == 0 || t.tasks[n-1].ended {
+	n := len(t.attempts)
+	if n == 0 || t.attempts[n-1].ended {
 		s.release(t)
 	} else if !s.set.Module.MayCancel { // else the module calls it off
-		s.emit(Unsend{Task: t.tasks[n-1].number}) // of a parked one, heard sees that nobody waits
+		s.emit(Unsend{Attempt: t.attempts[n-1].number}) // of a parked one, heard sees that nobody waits
 	}
 }
 
-func (s *Scheduler) release(t *transaction) {
+func (s *Scheduler) release(t *request) {
 	delete(s.byJob, t.job)
 	if s.byID[t.id] == t {
 		delete(s.byID, t.id)
 	}
 }
 
-// ---- Routed tasks
+// ---- Attempts
 
 func (s *Scheduler) told(e *Told) {
 	t := s.byID[e.ID]
-	if t == nil || len(t.tasks) == 0 {
-		return // late, or a repeat: its task is over
+	if t == nil || len(t.attempts) == 0 {
+		return // late, or a repeat: its attempt is over
 	}
-	k := t.tasks[len(t.tasks)-1]
+	k := t.attempts[len(t.attempts)-1]
 	if k.parked != 0 {
 		s.toldBefore(t, e)
 		return
 	}
-	if k.ended || k.region.UID != e.From {
+	if k.ended || k.worker.UID != e.From {
 		return
 	}
-	note := dahliaford.Event{Kind: dahliaford.AttemptNote, Job: t.job, Attempt: k.attempt,
-		Worker: k.region.number, Note: dahliaford.NoteStarted}
+	note := dahliaford.Event{Kind: dahliaford.AttemptNote, Job: t.job, Attempt: k.ordinal,
+		Worker: k.worker.number, Note: dahliaford.NoteStarted}
 	switch e.News {
 	case NewsStarted:
 		s.tell(note)
@@ -408,85 +408,85 @@
 	}
 }
 
-// endTold closes a routed task by its region's own word. Its connection may still wait for an
+// endTold closes an attempt by its worker's own word. Its connection may still wait for an
 // answer that never comes, or never ends, and from here on nothing times it.
-func (s *Scheduler) endTold(k *task, o dahliaford.Outcome, r dahliaford.Report) {
+func (s *Scheduler) endTold(k *attempt, o dahliaford.Outcome, r dahliaford.Report) {
 	if !k.accepted {
-		s.emit(Abandon{Task: k.number})
+		s.emit(Abandon{Attempt: k.number})
 	}
 	s.end(k, o, r)
 }
 
-// end closes a routed task and tells the module how it went.
-func (s *Scheduler) end(k *task, o dahliaford.Outcome, r dahliaford.Report) {
+// end closes an attempt and tells the module how it went.
+func (s *Scheduler) end(k *attempt, o dahliaford.Outcome, r dahliaford.Report) {
 	s.forget(k)
 	if k.of.answered {
 		s.release(k.of)
 	}
-	s.tell(dahliaford.Event{Kind: dahliaford.AttemptEnded, Job: k.of.job, Attempt: k.attempt,
-		Worker: k.region.number, Outcome: o, Final: k.of.answered, Report: r})
+	s.tell(dahliaford.Event{Kind: dahliaford.AttemptEnded, Job: k.of.job, Attempt: k.ordinal,
+		Worker: k.worker.number, Outcome: o, Final: k.of.answered, Report: r})
 }
 
-func (s *Scheduler) forget(k *task) {
+func (s *Scheduler) forget(k *attempt) {
 	k.ended = true
-	delete(s.byTask, k.number)
+	delete(s.byAttempt, k.number)
 }
 
-// toldBefore takes what a region tells of an earlier task while the next one waits for
+// toldBefore takes what a worker tells of an earlier attempt while the next one waits for
 // that to be recalled. Its end is as good as a recall, and its result as any.
-func (s *Scheduler) toldBefore(t *transaction, e *Told) {
-	for _, k := range t.tasks {
+func (s *Scheduler) toldBefore(t *request, e *Told) {
+	for _, k := range t.attempts {
 		c := s.recalls[k.number]
-		if c == nil || k.region.UID != e.From || e.News == NewsStarted || e.News == NewsRunning {
+		if c == nil || k.worker.UID != e.From || e.News == NewsStarted || e.News == NewsRunning {
 			continue
 		}
 		if e.News == NewsDone {
 			s.answer(t, Answer{Verdict: Served, Body: e.Result})
 		}
 		if c.trying {
-			s.emit(Abandon{Task: k.number}) // nobody times the withdrawal's connection any more
+			s.emit(Abandon{Attempt: k.number}) // nobody times the withdrawal's connection any more
 		}
 		s.heard(c)
 	}
 }
 
-// callBack gives up a routed task: by its connection before the region accepted it, and
-// by a word to the region in any case. Its 202 may cross the end of the connection, and
+// callBack gives up an attempt: by its connection before the worker accepted it, and
+// by a word to the worker in any case. Its 202 may cross the end of the connection, and
 // then that alone gives nothing up.
-func (s *Scheduler) callBack(k *task) {
+func (s *Scheduler) callBack(k *attempt) {
 	if k.parked != 0 {
 		return // it never left
 	}
 	if !k.accepted {
-		s.emit(Abandon{Task: k.number})
+		s.emit(Abandon{Attempt: k.number})
 	}
 	s.recall(k)
 }
 
-func (s *Scheduler) recall(k *task) {
-	c := &recall{task: k, until: s.now + recallFor}
+func (s *Scheduler) recall(k *attempt) {
+	c := &recall{attempt: k, until: s.now + recallFor}
 	s.recalls[k.number] = c
 	s.recalled[k.of.id]++
 	s.tryRecall(c)
 }
 
 func (s *Scheduler) dropRecall(c *recall) {
-	delete(s.recalls, c.task.number)
-	if s.recalled[c.task.of.id]--; s.recalled[c.task.of.id] == 0 {
-		delete(s.recalled, c.task.of.id)
+	delete(s.recalls, c.attempt.number)
+	if s.recalled[c.attempt.of.id]--; s.recalled[c.attempt.of.id] == 0 {
+		delete(s.recalled, c.attempt.of.id)
 	}
 }
 
 func (s *Scheduler) tryRecall(c *recall) {
 	c.trying, c.at = true, s.now+answerWithin
 	c.tries++
-	s.emit(Withdraw{Task: c.task.number, ID: c.task.of.id, Addr: c.task.addr, Deadline: c.at})
-	heap.Push(&s.due, due{at: c.at, recall: c.task.number})
+	s.emit(Withdraw{Attempt: c.attempt.number, ID: c.attempt.of.id, Addr: c.attempt.addr, Deadline: c.at})
+	heap.Push(&s.due, due{at: c.at, recall: c.attempt.number})
 }
 
 // withdrawn takes the end of a try.
 func (s *Scheduler) withdrawn(e *Withdrawn) {
-	c := s.recalls[e.Task]
+	c := s.recalls[e.Attempt]
 	switch {
 	case c == nil || !c.trying:
 	case e.Reached:
@@ -499,24 +499,24 @@
 func (s *Scheduler) recallLater(c *recall) {
 	wait := Micros(min(recallAgain<<min(c.tries-1, 6), recallMost))
 	if s.now+wait >= c.until {
-		s.warn("a job could not be withdrawn: its region may run it for nobody", "txn", c.task.of.id,
-			"region", c.task.region.UID)
+		s.warn("a job could not be withdrawn: its worker may run it for nobody", "txn", c.attempt.of.id,
+			"worker", c.attempt.worker.UID)
 		s.dropRecall(c)
 		return
 	}
 	c.trying, c.at = false, s.now+wait
-	heap.Push(&s.due, due{at: c.at, recall: c.task.number})
+	heap.Push(&s.due, due{at: c.at, recall: c.attempt.number})
 }
 
-// heard ends a recall. A task that waited for it goes out, if it still may.
+// heard ends a recall. An attempt that waited for it goes out, if it still may.
 func (s *Scheduler) heard(c *recall) {
 	s.dropRecall(c)
-	t := c.task.of
-	k := t.tasks[len(t.tasks)-1]
+	t := c.attempt.of
+	k := t.attempts[len(t.attempts)-1]
 	if k.parked == 0 || s.recalling(t) {
 		return
 	}
-	if t.answered || k.region.Status != dahliaford.Ready || s.now >= k.parked {
+	if t.answered || k.worker.Status != dahliaford.Ready || s.now >= k.parked {
 		s.end(k, dahliaford.Moot, dahliaford.Report{})
 		return
 	}
@@ -525,9 +525,9 @@
 	s.send(k, by)
 }
 
-// recalling tells whether a region may still hold an earlier task of a transaction.
-func (s *Scheduler) recalling(t *transaction) bool {
-	for _, k := range t.tasks {
+// recalling tells whether a worker may still hold an earlier attempt of a request.
+func (s *Scheduler) recalling(t *request) bool {
+	for _, k := range t.attempts {
 		if s.recalls[k.number] != nil {
 			return true
 		}
@@ -537,22 +537,23 @@
 
 func (s *Scheduler) route(a *dahliaford.Action) {
 	t, r := s.byJob[a.Job], s.byNumber[a.Worker]
-	if t == nil || r == nil || t.answered || len(t.tasks) > 0 && !t.tasks[len(t.tasks)-1].ended {
+	if t == nil || r == nil || t.answered || len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended {
 		// The module never asks for this. If it did, a send would break a rule.
 		s.feed(dahliaford.Event{Kind: dahliaford.AttemptEnded, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker,
 			Outcome: dahliaford.Moot, Final: t == nil || t.answered})
 		s.warn("send suppressed", "job", a.Job, "worker", a.Worker)
 		return
 	}
-	s.lastTask++
-	k := &task{number: s.lastTask, of: t, attempt: a.Attempt, region: r, addr: r.Addr, deadline: t.deadline}
+	s.lastAttempt++
+	k := &attempt{number: s.lastAttempt, of: t, ordinal: a.Attempt, worker: r, addr: r.Addr,
+		deadline: t.deadline}
 	if a.At > 0 {
 		k.deadline = min(k.deadline, a.At)
 	}
-	t.tasks = append(t.tasks, k)
-	s.byTask[k.number] = k
-	heap.Push(&s.due, due{at: k.deadline, task: k.number})
-	// A region may be told to drain the moment after this. A send counts from its
+	t.attempts = append(t.attempts, k)
+	s.byAttempt[k.number] = k
+	heap.Push(&s.due, due{at: k.deadline, attempt: k.number})
+	// A worker may be told to drain the moment after this. A send counts from its
 	// first byte, so a slow connect must not carry it past the grace.
 	by := s.now + s.set.Module.ConnectTimeout
 	if s.set.DrainGrace > 0 {
@@ -560,25 +561,25 @@
 	}
 	by = min(by, k.deadline)
 	if s.recalling(t) {
-		// A region may hold an earlier task. Until it has heard that this is given up,
+		// A worker may hold an earlier attempt. Until it has heard that this is given up,
 		// another one would be a second copy.
 		k.parked = by
-		heap.Push(&s.due, due{at: by, task: k.number, parked: true})
+		heap.Push(&s.due, due{at: by, attempt: k.number, parked: true})
 		return
 	}
 	s.send(k, by)
 }
 
-func (s *Scheduler) send(k *task, by Micros) {
-	s.emit(Route{Task: k.number, ID: k.of.id, UID: k.region.UID, Addr: k.addr, WriteBy: by, Deadline: k.deadline,
-		Payload: k.of.payload})
+func (s *Scheduler) send(k *attempt, by Micros) {
+	s.emit(Route{Attempt: k.number, ID: k.of.id, UID: k.worker.UID, Addr: k.addr, WriteBy: by,
+		Deadline: k.deadline, Payload: k.of.payload})
 }
 
-// ---- The service table
+// ---- The worker list
 
-func (s *Scheduler) tableRead(e *TableRead) {
+func (s *Scheduler) listRead(e *ListRead) {
 	if e.Old {
-		s.warned(e.Table)
+		s.warned(e.List)
 		return
 	}
 	at := e.At
@@ -587,16 +588,16 @@
 	}
 	s.watching, s.knownAt = true, at
 	scope := dahliaford.ListDelta
-	if e.Table.All {
+	if e.List.All {
 		scope = dahliaford.ListFull
 	}
-	s.apply(e.Table, scope, at)
+	s.apply(e.List, scope, at)
 }
 
 // reloaded goes over to the discovery that a new configuration names, at once and
 // unasked by the module: what it has to tell counts as told soon after, and the old
 // one ends. Another service may count its versions otherwise, so the old version
-// means nothing to it. The table that is known holds until it answers.
+// means nothing to it. The list that is known holds until it answers.
 func (s *Scheduler) reloaded(discovery string) {
 	s.discovery, s.rev, s.watching = discovery, 0, false
 	s.count++
@@ -609,22 +610,22 @@
 func (s *Scheduler) ageAt(until Micros) Micros { return s.now - until + s.set.Module.ToldWithin }
 
 // warned takes from a discovery that is no longer the present one who leaves.
-func (s *Scheduler) warned(t Table) {
+func (s *Scheduler) warned(t WorkerList) {
 	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListWarned}
-	for _, line := range t.Regions {
-		if r := s.regions[line.UID]; r != nil && r.left == 0 && line.Status != dahliaford.Ready {
+	for _, line := range t.Workers {
+		if r := s.workers[line.UID]; r != nil && r.left == 0 && line.Status != dahliaford.Ready {
 			r.Status, r.at = line.Status, version{count: -1}
 			e.Workers = append(e.Workers, s.entry(r))
 		}
 	}
 	if len(e.Workers) > 0 {
-		s.mark(sorted(s.regions))
+		s.mark(sorted(s.workers))
 		s.tell(e)
 	}
 }
 
-// apply takes a word of the present discovery, or the table that a start knows.
-func (s *Scheduler) apply(t Table, scope dahliaford.ListScope, at Micros) {
+// apply takes a word of the present discovery, or the list that a start knows.
+func (s *Scheduler) apply(t WorkerList, scope dahliaford.ListScope, at Micros) {
 	if t.All && t.Rev < s.rev {
 		s.count++ // discovery has started anew, or another one answers: it counts from below
 	}
@@ -634,24 +635,24 @@
 	now := version{s.count, t.Rev}
 	named := map[string]bool{}
 	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: scope, Age: s.now - at}
-	for _, line := range t.Regions {
+	for _, line := range t.Workers {
 		named[line.UID] = true
-		r := s.regions[line.UID]
+		r := s.workers[line.UID]
 		if r == nil {
-			r = &region{Region: line, at: now, number: s.numberOf(line.UID)}
-			s.regions[line.UID], s.byNumber[r.number] = r, r
+			r = &worker{Worker: line, at: now, number: s.numberOf(line.UID)}
+			s.workers[line.UID], s.byNumber[r.number] = r, r
 		} else {
 			s.take(r, line, now)
 		}
 		e.Workers = append(e.Workers, s.entry(r)) // as it now is known
 	}
-	all := sorted(s.regions)
+	all := sorted(s.workers)
 	for _, r := range all {
 		switch {
 		case t.All && !named[r.UID] && r.Status != dahliaford.Gone:
 			r.Status, r.at, r.offer = dahliaford.Gone, now, nil
 		case r.offer != nil && s.now-r.left >= s.set.Module.ToldWithin:
-			r.Region, r.offer = *r.offer, nil
+			r.Worker, r.offer = *r.offer, nil
 		default:
 			continue
 		}
@@ -661,12 +662,12 @@
 	s.tell(e)
 }
 
-// take takes what a word says of a region, if it is newer than what is known. A region that was
+// take takes what a word says of a worker, if it is newer than what is known. A worker that was
 // told to leave does not come back by a word that may be older than that one: an address that
 // knows less than the one before, a service that counts anew, a change said again. It comes back
 // once it has started since, or its word is newer for certain, or has been there for so long
 // that its leave would be known there.
-func (s *Scheduler) take(r *region, line Region, at version) {
+func (s *Scheduler) take(r *worker, line Worker, at version) {
 	back := line.Status == dahliaford.Ready
 	switch {
 	case back && r.at.newer(at):
@@ -674,18 +675,18 @@
 		s.now-r.left < s.set.Module.ToldWithin:
 		r.offer = &line
 	default:
-		r.Region, r.at, r.offer = line, at, nil
+		r.Worker, r.at, r.offer = line, at, nil
 	}
 }
 
-func (s *Scheduler) entry(r *region) dahliaford.WorkerEntry {
+func (s *Scheduler) entry(r *worker) dahliaford.WorkerEntry {
 	return dahliaford.WorkerEntry{Worker: r.number, Zone: s.zones.of(r.Zone), Cell: r.Cell,
 		Kind: s.kinds.of(r.Kind), Status: r.Status, Started: r.Started}
 }
 
-// mark notes since when regions are leaving or gone, says so, and forgets those that have been
+// mark notes since when workers are leaving or gone, says so, and forgets those that have been
 // gone for long.
-func (s *Scheduler) mark(all []*region) {
+func (s *Scheduler) mark(all []*worker) {
 	long := s.set.Module.GoneFor()
 	for _, r := range all {
 		switch {
@@ -702,15 +703,15 @@
 		case r.gone == 0:
 			r.gone = max(s.now, 1)
 		case s.now-r.gone >= long:
-			delete(s.regions, r.UID)
+			delete(s.workers, r.UID)
 			delete(s.byNumber, r.number)
 			s.emit(Admit{UID: r.UID})
 		}
 	}
 }
 
-// numberOf gives a region its number from its name. Schedulers that share nothing
-// must reckon the same owner of a cold region, and the module does so by number.
+// numberOf gives a worker its number from its name. Schedulers that share nothing
+// must reckon the same owner of a cold worker, and the module does so by number.
 func (s *Scheduler) numberOf(uid string) dahliaford.WorkerID {
 	sum := fnv.New32a()
 	sum.Write([]byte(uid))
@@ -762,9 +763,9 @@
 			break
 		}
 		// By its number: an attempt that was suppressed has none here.
-		i := slices.IndexFunc(t.tasks, func(k *task) bool { return k.attempt == a.Attempt && !k.ended })
+		i := slices.IndexFunc(t.attempts, func(k *attempt) bool { return k.ordinal == a.Attempt && !k.ended })
 		if i >= 0 {
-			k := t.tasks[i]
+			k := t.attempts[i]
 			s.callBack(k)
 			s.end(k, dahliaford.Cancelled, dahliaford.Report{})
 		}
@@ -785,20 +786,20 @@
 
 // ---- Time
 
-// due is something that comes due: a timer of the module, the end of a routed task,
-// of a transaction, or (with neither) just a look.
+// due is something that comes due: a timer of the module, the end of an attempt,
+// of a request, or (with neither) just a look.
 type due struct {
-	at     Micros
-	timer  bool
-	token  uint64
-	task   Task
-	parked bool // the task may not wait any longer to be sent
-	recall Task // a withdrawal takes too long, or is tried again
-	caller Caller
+	at      Micros
+	timer   bool
+	token   uint64
+	attempt Attempt
+	parked  bool    // the attempt may not wait any longer to be sent
+	recall  Attempt // a withdrawal takes too long, or is tried again
+	caller  Caller
 }
 
 // look tells whether it is just a look: at the time to stop, or to end.
-func (d due) look() bool { return !d.timer && d.task == 0 && d.recall == 0 && d.caller == 0 }
+func (d due) look() bool { return !d.timer && d.attempt == 0 && d.recall == 0 && d.caller == 0 }
 
 type dues []due
 
@@ -823,11 +824,11 @@
 		case d.recall != 0:
 			s.recallDue(d)
 		case d.parked:
-			if k := s.byTask[d.task]; k != nil && k.parked == d.at {
+			if k := s.byAttempt[d.attempt]; k != nil && k.parked == d.at {
 				s.end(k, dahliaford.Moot, dahliaford.Report{})
 			}
-		case d.task != 0:
-			if k := s.byTask[d.task]; k != nil {
+		case d.attempt != 0:
+			if k := s.byAttempt[d.attempt]; k != nil {
 				s.callBack(k)
 				s.end(k, dahliaford.TimedOut, dahliaford.Report{})
 			}
@@ -848,7 +849,7 @@
 	switch {
 	case c == nil || c.at != d.at:
 	case c.trying:
-		s.emit(Abandon{Task: d.recall}) // of the withdrawal's own connection
+		s.emit(Abandon{Attempt: d.recall}) // of the withdrawal's own connection
 		s.recallLater(c)
 	default:
 		s.tryRecall(c)
@@ -864,12 +865,12 @@
 	if !s.stopped {
 		s.stopped = true
 		s.emit(Close{})
-		s.log("no new transactions from now on", "open", len(s.byCaller))
+		s.log("no new requests from now on", "open", len(s.byCaller))
 	}
 	if s.now >= s.endBy {
 		for _, t := range sorted(s.byCaller) {
 			verdict := Failed
-			if len(t.tasks) == 0 {
+			if len(t.attempts) == 0 {
 				verdict = Refused // nothing of it ever left
 			}
 			s.warn("the end comes before the deadline", "txn", t.id)
@@ -882,7 +883,7 @@
 	}
 }
 
-// recallEnd is until when a stopping scheduler waits for its regions to hear withdrawals.
+// recallEnd is until when a stopping scheduler waits for its workers to hear withdrawals.
 func (s *Scheduler) recallEnd() Micros { return min(s.stopAt+recallOn, s.endBy) }
 
 // arm asks to be woken for what comes due next. What no longer counts is left out.
@@ -890,7 +891,7 @@
 	for len(s.due) > 0 {
 		d := s.due[0]
 		if c := s.recalls[d.recall]; d.recall != 0 && (c == nil || c.at != d.at) ||
-			d.task != 0 && s.byTask[d.task] == nil || d.caller != 0 && s.byCaller[d.caller] == nil {
+			d.attempt != 0 && s.byAttempt[d.attempt] == nil || d.caller != 0 && s.byCaller[d.caller] == nil {
 			heap.Pop(&s.due)
 			continue
 		}
