--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -28,14 +28,14 @@
 // world plays a scheduler on a clock of its own. Effects become lines, queued for
 // the party that they reach.
 type world struct {
-	s       *Scheduler
-	now     Micros
-	wake    Micros
-	exit    Micros // when it is to be over; 0: not yet asked for
-	seen    map[string][]string
-	tasks   map[string]Task   // the last one, by transaction id
-	regions map[Task]string   // where it went
-	callers map[Caller]string // names
+	s        *Scheduler
+	now      Micros
+	wake     Micros
+	exit     Micros // when it is to be over; 0: not yet asked for
+	seen     map[string][]string
+	attempts map[string]Attempt // the last one, by request id
+	workers  map[Attempt]string // where it went
+	callers  map[Caller]string  // names
 }
 
 func parsed(t *testing.T, text string) settings.Settings {
@@ -59,14 +59,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{s: s, now: 1000 * second, seen: map[string][]string{}, tasks: map[string]Task{},
-		regions: map[Task]string{}, callers: map[Caller]string{}}
-	w.step(Began{Discovery: "d1", Known: Table{Rev: 1, All: true, Regions: []Region{line("r1", 1)}}})
+	w := &world{s: s, now: 1000 * second, seen: map[string][]string{}, attempts: map[string]Attempt{},
+		workers: map[Attempt]string{}, callers: map[Caller]string{}}
+	w.step(Began{Discovery: "d1", Known: WorkerList{Rev: 1, All: true, Workers: []Worker{line("r1", 1)}}})
 	return w
 }
 
-func line(uid string, status dahliaford.Status) Region {
-	return Region{UID: uid, Addr: uid, Zone: "north", Kind: "m1", Status: status}
+func line(uid string, status dahliaford.Status) Worker {
+	return Worker{UID: uid, Addr: uid, Zone: "north", Kind: "m1", Status: status}
 }
 
 func (w *world) step(e Event) { w.see(w.s.Step(w.now, e, nil)) }
@@ -78,10 +78,10 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Route:
-			w.tasks[e.ID], w.regions[e.Task] = e.Task, e.UID
+			w.attempts[e.ID], w.workers[e.Attempt] = e.Attempt, e.UID
 			say(e.UID, "%s %v written in %v done in %v", e.ID, e.Payload, w.in(e.WriteBy), w.in(e.Deadline))
 		case Abandon:
-			say(w.regions[e.Task], "abandoned")
+			say(w.workers[e.Attempt], "abandoned")
 		case Withdraw:
 			say(e.Addr, "withdrawn %s", e.ID)
 		case Answer:
@@ -147,9 +147,9 @@
 func (p party) Close(text string) error {
 	switch {
 	case p.name == "discovery":
-		p.step(TableLost{})
+		p.step(ListLost{})
 	case p.name[0] == 'r': // the connection broke after the request was out
-		p.step(Ended{Task: p.tasks[text], Outcome: dahliaford.Reset})
+		p.step(Ended{Attempt: p.attempts[text], Outcome: dahliaford.Reset})
 	default:
 		for c, name := range p.callers {
 			if name == p.name {
@@ -173,15 +173,15 @@
 	case p.name == "discovery" && strings.HasPrefix(text, "reload "):
 		p.step(Reloaded{Discovery: words[1]})
 	case p.name == "discovery":
-		t := Table{Rev: 2}
+		t := WorkerList{Rev: 2}
 		for _, word := range words {
 			uid, state, _ := strings.Cut(word, "=")
 			status := map[string]dahliaford.Status{"ready": 1, "draining": 2}[state]
-			t.Regions = append(t.Regions, line(uid, status))
+			t.Workers = append(t.Workers, line(uid, status))
 		}
-		p.step(TableRead{Table: t})
+		p.step(ListRead{List: t})
 	case p.name[0] == 'r':
-		p.region(words[0], words[1])
+		p.worker(words[0], words[1])
 	default:
 		c := Caller(len(p.callers) + 1)
 		p.callers[c] = p.name
@@ -200,20 +200,20 @@
 		effects, _ := p.s.Recover(p.now)
 		p.see(effects)
 	}()
-	p.step(TableLost{})
+	p.step(ListLost{})
 }
 
-func (p party) region(word, id string) {
+func (p party) worker(word, id string) {
 	ends := map[string]dahliaford.Outcome{"error": dahliaford.Failed, "turned-away": dahliaford.Full,
 		"unreached": dahliaford.ConnectFailed}
 	if outcome, ok := ends[word]; ok {
-		p.step(Ended{Task: p.tasks[id], Outcome: outcome})
+		p.step(Ended{Attempt: p.attempts[id], Outcome: outcome})
 	} else if word == "rejected" {
-		p.step(Rejected{Task: p.tasks[id]})
+		p.step(Rejected{Attempt: p.attempts[id]})
 	} else if word == "dropped" || word == "unheard" {
-		p.step(Withdrawn{Task: p.tasks[id], Reached: word == "dropped"})
+		p.step(Withdrawn{Attempt: p.attempts[id], Reached: word == "dropped"})
 	} else if word == "accepted" {
-		p.step(Accepted{Task: p.tasks[id]})
+		p.step(Accepted{Attempt: p.attempts[id]})
 	} else {
 		news := map[string]News{"started": NewsStarted, "done": NewsDone, "failed": NewsFailed,
 			"returned": NewsReturned, "lost": NewsLost}[word]
@@ -233,7 +233,7 @@
 		discovery send r2=ready`
 	const again = "\nr2 expect a1 payload written in 250ms done in 19.996s"
 	for name, script := range map[string]string{
-		"a transaction is served once": submit + begun + `
+		"a request is served once": submit + begun + `
 			r1 send done a1
 			c1 expect served result
 			r1 send done a1
@@ -246,7 +246,7 @@
 			r1 send accepted a1
 			r1 expect abandoned
 			r1 expect nothing`,
-		"only the region that has the task is heard": submit + begun + `
+		"only the worker that has the attempt is heard": submit + begun + `
 			r9 send done a1
 			c1 expect nothing
 			r1 send done a1
@@ -256,10 +256,10 @@
 			c1 expect nothing
 			r1 send done a1
 			c1 expect served result`,
-		"one that ends before it may have run: no short-on-capacity reply": submit + `
+		"one that ends before it may have run: no refusal": submit + `
 			r1 close a1
 			c1 expect failed`,
-		"an error may have run: no short-on-capacity reply": submit + `
+		"an error may have run: no refusal": submit + `
 			r1 send error a1
 			c1 expect failed`,
 		"a lost job may have run": submit + begun + `
@@ -271,7 +271,7 @@
 		"so does one that was handed back": batch + `
 			r1 send accepted a1
 			r1 send returned a1` + again,
-		"so does one whose region was not reached": batch + `
+		"so does one whose worker was not reached": batch + `
 			r1 send unreached a1` + again,
 		"what the module gives up is answered at once": `
 			discovery send r1=draining
@@ -304,13 +304,13 @@
 			r1 send dropped a1
 			wait 30s
 			r1 expect nothing`,
-		"a repeat waits until the region that may hold the first is told": batch + `
+		"a repeat waits until the worker that may hold the first is told": batch + `
 			r1 close a1
 			r1 expect withdrawn a1
 			r2 expect nothing
 			r1 send dropped a1
 			r2 expect a1 payload written in 250ms done in 19.996s`,
-		"or until that region says how it ended": batch + `
+		"or until that worker says how it ended": batch + `
 			r1 close a1
 			r1 expect withdrawn a1
 			r1 send done a1
@@ -337,12 +337,12 @@
 			r1 expect withdrawn a1
 			r1 send done a1
 			c1 expect nothing`,
-		"a start told before the acceptance: the region may have taken it": submit + `
+		"a start told before the acceptance: the worker may have taken it": submit + `
 			r1 send started a1
 			c1 close
 			r1 expect abandoned
 			r1 expect withdrawn a1`,
-		"a region that says nothing": submit + begun + `
+		"a worker that says nothing": submit + begun + `
 			wait 4.9s
 			c1 expect nothing
 			wait 97ms
@@ -350,30 +350,30 @@
 			c1 expect failed
 			wait 1s
 			c1 expect nothing`,
-		"two transactions of one id would mix their news": submit + `
+		"two requests of one id would mix their news": submit + `
 			c2 send a1 post sahel 5s
-			c2 expect conflict a transaction of that id is open
+			c2 expect conflict a request of that id is open
 			r1 send done a1
 			c1 expect served result`,
-		"an id is not taken again once its transaction is over": submit + begun + `
+		"an id is not taken again once its request is over": submit + begun + `
 			r1 send done a1
 			c1 expect served result
 			c2 send a1 batch sahel 20s
 			c2 expect conflict that id has been used
 			r1 expect nothing`,
-		"a rejected transaction is at fault, not its region": `
+		"a rejected request is at fault, not its worker": `
 			c1 send b1 batch sahel 20s
 			r1 expect b1 payload written in 250ms done in 19.996s
 			r1 send rejected b1
-			c1 expect invalid the region cannot use it
+			c1 expect invalid the worker cannot use it
 			c1 send b2 batch sahel 20s
 			r1 expect b2 payload written in 250ms done in 19.996s
 			r1 send rejected b2
-			c1 expect invalid the region cannot use it
+			c1 expect invalid the worker cannot use it
 			c1 send b3 batch sahel 20s
 			r1 expect b3 payload written in 250ms done in 19.996s
 			r1 send rejected b3
-			c1 expect invalid the region cannot use it
+			c1 expect invalid the worker cannot use it
 			c1 send b3 batch sahel 20s
 			r1 expect b3 payload written in 250ms done in 19.996s`,
 		"what makes no sense": `
@@ -381,7 +381,7 @@
 			c1 expect invalid unknown class "nothing"
 			c2 send a2 post nobody 5s
 			c2 expect invalid unknown tenant "nobody"`,
-		"a drained region gets nothing new, one that is gone is let go": `
+		"a drained worker gets nothing new, one that is gone is let go": `
 			discovery send r1=draining r2=ready
 			c1 send a1 post sahel 5s
 			r1 expect retired
@@ -413,7 +413,7 @@
 			discovery send
 			wait 60s
 			discovery expect nothing`,
-		"a reload asks another discovery for the whole table at once, and again": submit + begun + `
+		"a reload asks another discovery for the whole list at once, and again": submit + begun + `
 			discovery expect watch d1 from 1
 			discovery send r2=ready
 			discovery send reload d2
@@ -456,8 +456,8 @@
 	}
 }
 
-// Where settings allow a second copy, the module would have one of a job whose region falls silent.
-// One task is out at a time here, so it must not ask: each time would use up an attempt.
+// Where settings allow a second copy, the module would have one of a job whose worker falls silent.
+// One attempt is out at a time here, so it must not ask: each time would use up an attempt.
 func TestSecondCopiesAreNotAskedFor(t *testing.T) {
 	set := parsed(t, strings.Replace(testSettings, `"cancel":true`, `"cancel":true,"may_duplicate":true`, 1))
 	scenario.Run(t, newWorldOf(t, set), `
@@ -473,7 +473,7 @@
 }
 
 // A stopping scheduler is gone before the kill, whatever its deadlines are and whether or not its
-// regions hear withdrawals. Until it is gone, clients send on.
+// workers hear withdrawals. Until it is gone, clients send on.
 func TestTheEndComesBeforeTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{200 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second,
 		20 * time.Second} {
@@ -505,23 +505,23 @@
 // A module that never answers must not cost the caller its answer.
 func TestDeadlineHoldsWithoutADecision(t *testing.T) {
 	w := newWorld(t)
-	w.step(TableRead{Table: Table{Regions: []Region{line("r1", 2)}}})
+	w.step(ListRead{List: WorkerList{Workers: []Worker{line("r1", 2)}}})
 	w.callers[7] = "c1"
-	late := &transaction{caller: 7, id: "x", job: 99, deadline: w.now + second}
+	late := &request{caller: 7, id: "x", job: 99, deadline: w.now + second}
 	w.s.byCaller[7], w.s.byID["x"], w.s.byJob[99] = late, late, late
 	heap.Push(&w.s.due, due{at: late.deadline, caller: 7})
-	w.step(TableRead{})
+	w.step(ListRead{})
 	scenario.Run(t, w, "wait 1s\nc1 expect failed", func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// Schedulers share nothing, yet must give a region the same number, whatever order
+// Schedulers share nothing, yet must give a worker the same number, whatever order
 // they met it in: the module reckons the owner of a cold one by it.
 func TestNumbersHangOnNamesAlone(t *testing.T) {
 	a, b := newWorld(t).s, newWorld(t).s
-	a.apply(Table{Regions: []Region{line("s-1", 1), line("s-2", 1)}}, dahliaford.ListDelta, 1)
-	b.apply(Table{Regions: []Region{line("s-2", 1), line("s-1", 1)}}, dahliaford.ListDelta, 1)
+	a.apply(WorkerList{Workers: []Worker{line("s-1", 1), line("s-2", 1)}}, dahliaford.ListDelta, 1)
+	b.apply(WorkerList{Workers: []Worker{line("s-2", 1), line("s-1", 1)}}, dahliaford.ListDelta, 1)
 	for _, uid := range []string{"s-1", "s-2"} {
-		if diff := cmp.Diff(a.regions[uid].number, b.regions[uid].number); diff != "" {
+		if diff := cmp.Diff(a.workers[uid].number, b.workers[uid].number); diff != "" {
 			t.Errorf("%s: %s", uid, diff)
 		}
 	}
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -11,7 +11,7 @@
 )
 
 // fleetOf starts a scheduler of a fleet.
-func fleetOf(t testing.TB, schedulers, regions int) *Scheduler {
+func fleetOf(t testing.TB, schedulers, workers int) *Scheduler {
 	t.Helper()
 	set, err := settings.Parse([]byte(testSettings))
 	if err != nil {
@@ -22,13 +22,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := Table{Rev: 1, All: true}
-	for i := range regions {
+	list := WorkerList{Rev: 1, All: true}
+	for i := range workers {
 		r := line(fmt.Sprintf("r%d", i), dahliaford.Ready)
 		r.Kind = fmt.Sprintf("m%d", i%2)
-		table.Regions = append(table.Regions, r)
+		list.Workers = append(list.Workers, r)
 	}
-	s.Step(1000*second, Began{Discovery: "d1", Known: table}, nil)
+	s.Step(1000*second, Began{Discovery: "d1", Known: list}, nil)
 	return s
 }
 
@@ -45,7 +45,7 @@
 			t.Fatalf("%s is not sent: %v", id, out)
 		}
 		r := out[i].(Route)
-		s.Step(now+1000, Accepted{Task: r.Task}, nil)
+		s.Step(now+1000, Accepted{Attempt: r.Attempt}, nil)
 		s.Step(now+2000, Told{ID: id, From: r.UID, News: NewsStarted}, nil)
 		s.Step(now+100_000, Woke{}, nil)
 		s.Step(now+200_000, Told{ID: id, From: r.UID, News: NewsDone}, nil)
@@ -54,10 +54,10 @@
 
 // The cost of a job does not grow with the fleet: a scheduler of 80 has its part of it.
 func TestCostOfAJobAtSize(t *testing.T) {
-	took := func(schedulers, regions int) time.Duration {
+	took := func(schedulers, workers int) time.Duration {
 		least := time.Hour
 		for range 7 { // the least is what the work takes, whatever else the machine does
-			s := fleetOf(t, schedulers, regions)
+			s := fleetOf(t, schedulers, workers)
 			began := time.Now()
 			jobs(t, s, 400)
 			least = min(least, time.Since(began))
@@ -67,7 +67,7 @@
 	small := took(3, 10)
 	for _, size := range [][2]int{{80, 60}, {300, 200}} {
 		if large := took(size[0], size[1]); large > 4*small {
-			t.Errorf("400 jobs take %v of one of 3 with 10 regions, and %v of one of %d with %d", small, large,
+			t.Errorf("400 jobs take %v of one of 3 with 10 workers, and %v of one of %d with %d", small, large,
 				size[0], size[1])
 		}
 	}
@@ -75,7 +75,7 @@
 
 func BenchmarkJob(b *testing.B) {
 	for _, size := range [][2]int{{3, 10}, {80, 60}, {300, 200}} {
-		b.Run(fmt.Sprintf("%d schedulers, %d regions", size[0], size[1]), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d schedulers, %d workers", size[0], size[1]), func(b *testing.B) {
 			s := fleetOf(b, size[0], size[1])
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -84,20 +84,21 @@
 	}
 }
 
-// A fleet whose regions are replaced for good does not fill the books: those that went long
+// A fleet whose workers are replaced for good does not fill the books: those that went long
 // ago are forgotten, and one that comes back is as new.
-func TestRegionsThatWentAreForgotten(t *testing.T) {
+func TestWorkersThatWentAreForgotten(t *testing.T) {
 	s := fleetOf(t, 80, 10)
 	for i := range 200 { // one is replaced a minute
 		old, next := line(fmt.Sprintf("r%d", i), dahliaford.Gone), line(fmt.Sprintf("r%d", i+10), dahliaford.Ready)
-		s.Step(s.now+60*second, TableRead{Table: Table{Rev: int64(i + 2), Regions: []Region{old, next}}}, nil)
+		s.Step(s.now+60*second, ListRead{List: WorkerList{Rev: int64(i + 2), Workers: []Worker{old, next}}}, nil)
 	}
-	if n := len(s.regions); n > 25 || n < 10 || len(s.byNumber) != n {
-		t.Errorf("%d regions and %d numbers in the books, 10 in the table", n, len(s.byNumber))
+	if n := len(s.workers); n > 25 || n < 10 || len(s.byNumber) != n {
+		t.Errorf("%d workers and %d numbers in the books, 10 in the list", n, len(s.byNumber))
 	}
-	before := len(s.regions)
-	s.Step(s.now+second, TableRead{Table: Table{Rev: 999, Regions: []Region{line("r0", dahliaford.Ready)}}}, nil)
-	if r := s.regions["r0"]; r == nil || r.Status != dahliaford.Ready || len(s.regions) != before+1 {
+	before := len(s.workers)
+	left := WorkerList{Rev: 999, Workers: []Worker{line("r0", dahliaford.Ready)}}
+	s.Step(s.now+second, ListRead{List: left}, nil)
+	if r := s.workers["r0"]; r == nil || r.Status != dahliaford.Ready || len(s.workers) != before+1 {
 		t.Errorf("one that came back is %+v", r)
 	}
 	jobs(t, s, 10)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,8 +18,8 @@
 	Tenants    []string
 	Zones      []string
 	Kinds      []string
-	DrainGrace dahliaford.Micros // sends to a region told to drain must have begun by then
-	ConnIdle   dahliaford.Micros // a region's machine closes a connection that has idled so long
+	DrainGrace dahliaford.Micros // sends to a worker told to drain must have begun by then
+	ConnIdle   dahliaford.Micros // a worker's machine closes a connection that has idled so long
 }
 
 // object is the settings object. Pointers mark what is optional and has a default
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -11,7 +11,7 @@
 	"dahliaford/internal/http1"
 )
 
-// Line is one line of the service table.
+// Line is one line of the worker list.
 type Line struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`
@@ -22,28 +22,28 @@
 	BootMs   int64  `json:"boot_ms"`
 }
 
-type table struct {
+type list struct {
 	Rev     int64  `json:"rev"`
 	All     bool   `json:"all"`
 	Targets []Line `json:"targets"`
 }
 
-// Discovery serves the service table. Changes go out to open watches at once.
+// Discovery serves the worker list. Changes go out to open watches at once.
 type Discovery struct {
 	server
-	table   sync.Mutex
+	list    sync.Mutex
 	rev     int64
 	lines   []Line
-	watches map[chan table]bool
+	watches map[chan list]bool
 	over    chan struct{}
 }
 
 // heartbeat is the time between two blank lines of a watch on which nothing changes.
 const heartbeat = 2 * time.Second
 
-// NewDiscovery opens a discovery that lists some regions.
+// NewDiscovery opens a discovery that lists some workers.
 func NewDiscovery(addr string, lines ...Line) (*Discovery, error) {
-	d := &Discovery{rev: 1, lines: lines, watches: map[chan table]bool{}, over: make(chan struct{})}
+	d := &Discovery{rev: 1, lines: lines, watches: map[chan list]bool{}, over: make(chan struct{})}
 	return d, d.listen(addr, d.serve)
 }
 
@@ -59,10 +59,10 @@
 // Break ends all watches; they can be opened again at once.
 func (d *Discovery) Break() { d.reset() }
 
-// Set changes one line, or adds it. With the state gone it is taken off the table.
+// Set changes one line, or adds it. With the state gone it is taken off the list.
 func (d *Discovery) Set(line Line) {
-	d.table.Lock()
-	defer d.table.Unlock()
+	d.list.Lock()
+	defer d.list.Unlock()
 	d.rev++
 	kept := d.lines[:0:0]
 	for _, l := range d.lines {
@@ -76,16 +76,16 @@
 	d.lines = kept
 	for w := range d.watches {
 		select {
-		case w <- table{Rev: d.rev, Targets: []Line{line}}:
-		default: // it does not read: its watch ends, and the next one has the whole table
+		case w <- list{Rev: d.rev, Targets: []Line{line}}:
+		default: // it does not read: its watch ends, and the next one has the whole list
 			delete(d.watches, w)
 			close(w)
 		}
 	}
 }
 
-func (d *Discovery) whole() table {
-	return table{Rev: d.rev, All: true, Targets: append([]Line{}, d.lines...)}
+func (d *Discovery) whole() list {
+	return list{Rev: d.rev, All: true, Targets: append([]Line{}, d.lines...)}
 }
 
 func (d *Discovery) serve(conn net.Conn) {
@@ -93,14 +93,14 @@
 	if err != nil {
 		return
 	}
-	d.table.Lock()
+	d.list.Lock()
 	first := d.whole()
-	changes := make(chan table, 64)
+	changes := make(chan list, 64)
 	watch := strings.Contains(m.Target, "watch=1")
 	if watch {
 		d.watches[changes] = true
 	}
-	d.table.Unlock()
+	d.list.Unlock()
 	if !watch {
 		raw, err := json.Marshal(first)
 		if err == nil {
@@ -109,14 +109,14 @@
 		return
 	}
 	defer func() {
-		d.table.Lock()
+		d.list.Lock()
 		delete(d.watches, changes)
-		d.table.Unlock()
+		d.list.Unlock()
 	}()
 	if _, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	say := func(t table) bool {
+	say := func(t list) bool {
 		raw, err := json.Marshal(t)
 		if err != nil {
 			return false
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
 // Package standin has what a scheduler needs around it, for tests, drills and trying by
-// hand: scripted regions, discovery, and clients. They speak the protocol as real ones do,
+// hand: scripted workers, discovery, and clients. They speak the protocol as real ones do,
 // do wrong what their script says, and tell a recorder what they saw. Loopback only.
 package standin
 
--- a/internal/standin/region.go
+++ b/internal/standin/worker.go
@@ -11,7 +11,7 @@
 	"dahliaford/internal/record"
 )
 
-// Plan is what a region does with one job. The zero Plan accepts it, runs it at once and
+// Plan is what a worker does with one job. The zero Plan accepts it, runs it at once and
 // is done.
 type Plan struct {
 	Status     int           // the answer; 0: 202
@@ -27,15 +27,15 @@
 	Result     string        // with done; "": the body in capitals
 }
 
-// Job is a request that came to a region.
+// Job is a request that came to a worker.
 type Job struct {
 	ID, Method, Target, Key string
 	Body                    []byte
 	Left                    string // X-Remaining-Ms, as it came
 }
 
-// Region is a scripted job worker.
-type Region struct {
+// Worker is a scripted job worker.
+type Worker struct {
 	UID       string
 	scheduler func() string
 	plan      func(Job) Plan
@@ -46,19 +46,19 @@
 	again sync.WaitGroup
 }
 
-// NewRegion opens a region. scheduler says where its callbacks go at the time of each;
+// NewWorker opens a worker. scheduler says where its callbacks go at the time of each;
 // plan must be safe for many goroutines.
-func NewRegion(uid, addr string, scheduler func() string, plan func(Job) Plan,
-	rec Recorder) (*Region, error) {
-	r := &Region{UID: uid, scheduler: scheduler, plan: plan, record: rec, jobs: map[string]chan struct{}{}}
+func NewWorker(uid, addr string, scheduler func() string, plan func(Job) Plan,
+	rec Recorder) (*Worker, error) {
+	r := &Worker{UID: uid, scheduler: scheduler, plan: plan, record: rec, jobs: map[string]chan struct{}{}}
 	return r, r.listen(addr, r.serve)
 }
 
 // Addr is where it listens.
-func (r *Region) Addr() string { return r.addr() }
+func (r *Worker) Addr() string { return r.addr() }
 
-// Close ends the region: its jobs are lost, its connections reset.
-func (r *Region) Close() {
+// Close ends the worker: its jobs are lost, its connections reset.
+func (r *Worker) Close() {
 	r.Crash()
 	r.close()
 	r.again.Wait()
@@ -66,7 +66,7 @@
 
 // Crash does as a process that dies and is there again at once: connections are reset, its
 // jobs are lost, and the machine's agent says so.
-func (r *Region) Crash() {
+func (r *Worker) Crash() {
 	r.reset()
 	r.life.Lock()
 	lost := r.jobs
@@ -79,7 +79,7 @@
 	}
 }
 
-func (r *Region) serve(conn net.Conn) {
+func (r *Worker) serve(conn net.Conn) {
 	read := http1.NewReader(conn)
 	for {
 		m, err := read.Request()
@@ -104,7 +104,7 @@
 }
 
 // job takes one job. It tells whether the connection goes on.
-func (r *Region) job(conn net.Conn, m *http1.Request) bool {
+func (r *Worker) job(conn net.Conn, m *http1.Request) bool {
 	j := Job{ID: m.Header.Get("X-Txn"), Method: m.Method, Target: m.Target, Key: m.Header.Get("Idempotency-Key"),
 		Body: m.Body, Left: m.Header.Get("X-Remaining-Ms")}
 	if j.ID == "" {
@@ -159,7 +159,7 @@
 }
 
 // closes waits for the other side's close, while nothing else is read.
-func (r *Region) closes(conn net.Conn) chan struct{} {
+func (r *Worker) closes(conn net.Conn) chan struct{} {
 	over := make(chan struct{})
 	go func() {
 		conn.Read(make([]byte, 1))
@@ -169,7 +169,7 @@
 }
 
 // giveUp drops a job whose connection ended before its 202.
-func (r *Region) giveUp(id string, gone chan struct{}) {
+func (r *Worker) giveUp(id string, gone chan struct{}) {
 	r.life.Lock()
 	mine := r.jobs[id] == gone
 	if mine {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (r *Region) withdraw(id string) bool {
+func (r *Worker) withdraw(id string) bool {
 	r.life.Lock()
 	defer r.life.Unlock()
 	gone, held := r.jobs[id]
@@ -193,9 +193,9 @@
 	return held
 }
 
-// end takes a job off the region, unless it has been withdrawn or lost. What it tells is
+// end takes a job off the worker, unless it has been withdrawn or lost. What it tells is
 // recorded before, as others may act on it at once.
-func (r *Region) end(id string, gone chan struct{}, e record.Event) bool {
+func (r *Worker) end(id string, gone chan struct{}, e record.Event) bool {
 	r.life.Lock()
 	defer r.life.Unlock()
 	if r.jobs[id] != gone {
@@ -206,7 +206,7 @@
 	return true
 }
 
-func (r *Region) run(j Job, p Plan, gone chan struct{}) {
+func (r *Worker) run(j Job, p Plan, gone chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-gone:
@@ -250,7 +250,7 @@
 
 // tell calls the scheduler back until it has an answer, ten times at most, and then so
 // often again as the script says.
-func (r *Region) tell(id, state, result string, repeat int) {
+func (r *Worker) tell(id, state, result string, repeat int) {
 	news := map[string]string{"id": id, "from": r.UID, "state": state}
 	if state == "done" {
 		news["result"] = result
