--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -49,18 +49,21 @@
 	t.Helper()
 	got := -1
 	if !eventually(func() bool {
-		n.do(func() {
-			got = 0
-			for _, idle := range n.links {
-				got += len(idle)
-			}
-		})
+		n.do(func() { got = n.resting() })
 		return got == want
 	}) {
 		t.Fatalf("%d connections idle, want %d", got, want)
 	}
 }
 
+// resting counts the connections to workers that idle.
+func (n *Node) resting() (count int) {
+	for _, idle := range n.links {
+		count += len(idle)
+	}
+	return count
+}
+
 const accepted = `
 	c1 send job post a1 || one
 	r1 expect POST /post/7?a=b txn=a1 key=k body=one
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -239,8 +239,11 @@
 	if text, is := strings.CutPrefix(text, "open "); is {
 		return w.waitOpen(text)
 	}
+	if text, is := strings.CutPrefix(text, "accepted "); is {
+		return w.waitAccepted(text)
+	}
 	if text != "end" {
-		return errors.New("here only the end and open jobs are waited for")
+		return errors.New("here only the end, open jobs and accepted ones are waited for")
 	}
 	select {
 	case err := <-w.done:
@@ -262,6 +265,18 @@
 	return errors.New("the jobs did not all come")
 }
 
+// waitAccepted waits until so many connections rest after a 202. A callback that is read before the
+// 202 of its attempt ends the connection.
+func (w *world) waitAccepted(want string) error {
+	if eventually(func() (so bool) {
+		w.node.do(func() { so = fmt.Sprint(w.node.resting()) == want })
+		return so
+	}) {
+		return nil
+	}
+	return errors.New("no such number of connections rests")
+}
+
 // Send writes a message: " | " parts its lines, and a body follows " || ".
 func (p *party) Send(text string) error {
 	if p.conn == nil && p.listener == nil {
@@ -397,6 +412,7 @@
 			c1 expect 200`,
 		"a kept connection may end after the 202": sent + `
 			r1 send 202 OK
+			wait accepted 1
 			back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 			back expect 204
 			r1 close` + done,
@@ -421,7 +437,8 @@
 			r1 send 503 Full
 			c1 expect 500`,
 		"nothing is sent again on a kept connection that ended": sent + `
-			r1 send 202 OK` + done + `
+			r1 send 202 OK
+			wait accepted 1` + done + `
 			r1 close
 			r1 expect end
 			c1 send job post a2 || more
