--- a/api.go
+++ b/api.go
@@ -203,7 +203,7 @@
 
 // The kinds of actions, with the fields that each uses.
 const (
-	Send      ActionKind = iota // Job, Attempt (its number), Worker, At (abandon it then)
+	Send      ActionKind = iota // Job, Attempt (its number), Worker, At (abandon it then), By (leave by then)
 	Refuse                      // Job, Wait (advice to the client)
 	Fail                        // Job
 	Cancel                      // Job, Attempt
@@ -220,6 +220,7 @@
 	Worker  WorkerID
 	Attempt int
 	At      Micros
+	By      Micros // of a Send: nothing may leave from then on, or it would come outside its class's Window
 	Wait    Micros
 	Token   uint64
 	Peer    int
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -554,10 +554,8 @@
 	if j.finished || j.streaming || d.now >= j.giveUp-d.guard() || len(j.attempts) >= d.set.MaxAttempts {
 		return false
 	}
-	if !d.mayRepeat(j, w) {
-		return false
-	}
-	if w.entry.Status != Ready || d.outdated() {
+	by := d.repeatBy(j, w)
+	if d.now >= by || w.entry.Status != Ready || d.outdated() {
 		return false
 	}
 	if !d.coldAllows(j, w) {
@@ -583,32 +581,30 @@
 	// The attempt ends before the client gives up, so its time-out can still be
 	// answered in time.
 	end := j.giveUp - 2*d.set.Granularity
-	d.emit(Action{Kind: Send, Job: j.id, Attempt: a.n, Worker: w.entry.Worker, At: end})
+	d.emit(Action{Kind: Send, Job: j.id, Attempt: a.n, Worker: w.entry.Worker, At: end, By: by})
 	return true
 }
 
-// mayRepeat is rule 2 for sends.
-func (d *Dispatcher) mayRepeat(j *job, w *worker) bool {
+// repeatBy is rule 2 for sends: until when an attempt may leave for a worker; 0: it may not.
+func (d *Dispatcher) repeatBy(j *job, w *worker) Micros {
 	if j.live > 0 && !d.set.MayDuplicate {
-		return false
+		return 0
 	}
-	c := &d.set.Classes[j.class]
+	by, c := j.giveUp, &d.set.Classes[j.class]
 	for _, a := range j.attempts {
-		if !a.live && !a.ran {
-			continue // it provably never ran
+		if !a.live && !a.ran || c.Effect == Safe {
+			continue // it provably never ran, or may run again
 		}
-		switch c.Effect {
-		case Unsafe:
-			return false
-		case Keyed:
-			if d.now-a.sent >= c.Window-d.guard() || !sameGroup(c.Group, &a.worker.entry, &w.entry) {
-				return false
-			}
+		if c.Effect == Unsafe || !sameGroup(c.Group, &a.worker.entry, &w.entry) {
+			return 0
 		}
+		by = min(by, a.sent+c.Window-d.guard())
 	}
-	return true
+	return by
 }
 
+func (d *Dispatcher) mayRepeat(j *job, w *worker) bool { return d.now < d.repeatBy(j, w) }
+
 // finish is the only way to a final answer of our own: one for each job (rule
 // 1), and a refusal only where trying again is harmless (rule 2).
 func (d *Dispatcher) finish(j *job, refuse bool) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -559,7 +559,8 @@
 	if s.set.DrainGrace > 0 {
 		by = min(by, s.now+s.set.DrainGrace)
 	}
-	by = min(by, k.deadline)
+	// A repeat must come within its class's window, however late its connection comes up.
+	by = min(by, k.deadline, a.By)
 	if s.recalling(t) {
 		// A worker may hold an earlier attempt. Until it has heard that this is given up,
 		// another one would be a second copy.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -526,3 +526,45 @@
 		}
 	}
 }
+
+// A connection may come up late. A repeat that leaves after its class's window has passed would run
+// again beside the first, so it must be out by then, the time for which it waits for a recall included.
+func TestARepeatLeavesWithinItsWindow(t *testing.T) {
+	const short = `"memory_span":1000000`
+	for name, script := range map[string]string{
+		"early": `
+			wait 100ms
+			r1 close a1
+			r1 expect withdrawn a1
+			r1 send dropped a1
+			r2 expect a1 payload written in 250ms done in 19.896s`,
+		"shortly before its end": `
+			wait 900ms
+			r1 close a1
+			r1 expect withdrawn a1
+			r1 send dropped a1
+			r2 expect a1 payload written in 88ms done in 19.096s`,
+		"the recall is heard late": `
+			wait 900ms
+			r1 close a1
+			r1 expect withdrawn a1
+			wait 60ms
+			r1 send dropped a1
+			r2 expect a1 payload written in 28ms done in 19.036s`,
+		"the recall is heard after the window": `
+			wait 900ms
+			r1 close a1
+			r1 expect withdrawn a1
+			wait 95ms
+			r1 send dropped a1
+			r2 expect nothing`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			w := newWorldOf(t, parsed(t, strings.Replace(testSettings, `"memory_span":30000000`, short, 1)))
+			scenario.Run(t, w, `
+				c1 send a1 batch sahel 20s
+				r1 expect a1 payload written in 250ms done in 19.996s
+				discovery send r2=ready`+script, func(want, got string) string { return cmp.Diff(want, got) })
+		})
+	}
+}
--- a/property_test.go
+++ b/property_test.go
@@ -178,6 +178,8 @@
 		w.failf("job %d sent too often", a.Job)
 	case to.entry.Status != Ready:
 		w.failf("job %d sent to worker %d, told %d ago that it drains or is gone", a.Job, a.Worker, w.now-to.since)
+	case a.By > j.giveUp || a.By <= w.now:
+		w.failf("job %d to leave by %d, given up at %d", a.Job, a.By, j.giveUp)
 	case a.At > j.giveUp || a.At <= w.now:
 		w.failf("job %d to be abandoned at %d, given up at %d", a.Job, a.At, j.giveUp)
 	}
@@ -193,7 +195,7 @@
 		case Unsafe:
 			w.failf("unsafe job %d sent again though it may have run", a.Job)
 		case Keyed:
-			if w.now-p.sent > c.Window || !sameGroup(c.Group, &p.worker, &to.entry) {
+			if a.By-p.sent > c.Window || !sameGroup(c.Group, &p.worker, &to.entry) {
 				w.failf("keyed job %d sent out of its group or window", a.Job)
 			}
 		}
