--- a/copy.go
+++ b/copy.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"dahliaford/internal/form"
+	"dahliaford/internal/roster"
 )
 
 // What a checker needs of the module: to copy a state and to compare two. Nothing here
@@ -40,7 +41,7 @@
 			fits := *w.fits
 			n.fits = &fits
 		}
-		n.peers, n.live = slices.Clone(w.peers), nil
+		n.peers, n.live, n.among = slices.Clone(w.peers), nil, nil
 		c.workers[id] = n
 	}
 	workers := func(list []*worker) []*worker {
@@ -51,6 +52,14 @@
 		return copied
 	}
 	c.order, c.part, c.busy, c.touched = workers(d.order), workers(d.part), workers(d.busy), workers(d.touched)
+	c.outside, c.named, c.gone = workers(d.outside), nil, nil
+	for _, g := range d.gone {
+		if n := c.workers[g.worker.entry.Worker]; n != nil && d.workers[n.entry.Worker] == g.worker {
+			c.gone = append(c.gone, departed{n, g.since})
+		}
+	}
+	c.ready = d.ready.Clone(func(w *worker) *worker { return c.workers[w.entry.Worker] },
+		func(w *worker, among *roster.Crowd[*worker]) { w.among = among })
 	c.jobs = make(map[JobID]*job, len(d.jobs))
 	for id, j := range d.jobs {
 		copied := *j
@@ -153,7 +162,7 @@
 			int64(w.sign),
 			int64(w.trial), int64(w.fails), int64(w.erredAt), int64(w.downUntil), int64(w.cold), int64(w.budgetAt),
 			int64(w.told.used), int64(w.told.waiting), int64(len(w.live)))
-		f.Real(w.used, w.cap, w.slots, w.pace.work, w.pace.time, w.errors, w.budget, w.place, w.tilt,
+		f.Real(w.used, w.cap, w.slots, w.pace.work, w.pace.time, w.errors, w.budget, d.placeOf(w), w.tilt,
 			w.wait.sum, w.wait.n)
 		f.Num(int64(w.wait.at))
 		f.Flag(w.suspect, w.lost, w.touched, w.kind != nil, w.fits != nil)
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -8,7 +8,6 @@
 // slots. docs/design.md says what departs from the paper, when and why.
 
 import (
-	"cmp"
 	"encoding/binary"
 	"math"
 	"slices"
@@ -887,8 +886,14 @@
 	if d.blind() {
 		return d.gap(d.here, w) < d.reach*d.owners(w)/d.sharing()
 	}
+	return d.claims(w)
+}
+
+// claims tells whether this dispatcher is the owner of a worker by its number alone, wherever that
+// stands. Many blind ones go by the place instead: who owns it there covers it.
+func (d *Dispatcher) claims(w *worker) bool {
 	source := random(w.entry.Worker)
-	return int(source.chance()*float64(d.set.Balancers)) == d.set.Me
+	return !d.blind() && int(source.chance()*float64(d.set.Balancers)) == d.set.Me
 }
 
 // coldBudget brings the budget of a cold worker up to date and returns its most.
@@ -1039,25 +1044,30 @@
 		d.askFails, d.listedAt = 0, d.now-e.Age
 		d.askAt = d.now + Micros(renewAfter*float64(d.set.AskWithin))
 	}
-	if e.Scope == ListFull || e.Scope == ListCached {
-		for _, w := range d.order {
-			w.entry.Status = Gone
-		}
-	}
+	named, whole := d.named[:0], e.Scope == ListFull || e.Scope == ListCached
+	d.lists++
 	for _, entry := range e.Workers {
 		w := d.workers[entry.Worker]
 		if w == nil {
 			w = &worker{cap: 1, tilt: d.random.chance() * 0.05}
 			d.workers[entry.Worker] = w
-			d.order = append(d.order, w)
 		}
 		if entry.Started > w.entry.Started { // known to be back: no need to find out
 			w.lost, w.fails, w.downUntil, w.budgetAt, w.budget = false, 0, 0, 0, -d.underWay(w)
 		}
-		w.entry, w.kind, w.crowd = entry, nil, nil
+		w.entry, w.kind, w.crowd, w.list = entry, nil, nil, d.lists
+		named = append(named, w)
+	}
+	for i := 0; whole && i < len(d.order); i++ {
+		if w := d.order[i]; w.list != d.lists && w.entry.Status != Gone {
+			w.entry.Status = Gone
+			named = append(named, w)
+		}
 	}
-	d.forget()
-	d.settle()
+	d.forget(named)
+	d.settle(named)
+	clear(named)
+	d.named = named[:0]
 }
 
 // settle picks the part of the fleet that is this dispatcher's own. Hundreds of
@@ -1065,42 +1075,20 @@
 // speed or health, and a word to all peers for each job is more than all can take.
 // So both stand on a circle, and those that are near share workers, of all zones and
 // kinds alike. A few have the whole fleet; a cold worker is in its owner's part, too.
-func (d *Dispatcher) settle() {
-	slices.SortFunc(d.order, func(a, b *worker) int {
-		x, y := &a.entry, &b.entry
-		return cmp.Or(cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Worker, y.Worker))
-	})
-	ready := d.order[:0:0]
-	zones := 0.0
-	for _, w := range d.order {
-		if w.entry.Status == Ready {
-			if len(ready) == 0 || ready[len(ready)-1].entry.Zone != w.entry.Zone {
-				zones++
+func (d *Dispatcher) settle(named []*worker) {
+	d.reseat(named)
+	reach := min(1, float64(d.ready.Zones())*d.share(d.ready.Len()))
+	if reach != d.reach {
+		d.reach, d.near = reach, d.near[:0]
+		for p := range d.peers {
+			if gap := math.Abs(d.peers[p].place - d.here); min(gap, 1-gap) < d.reach {
+				d.near = append(d.near, p)
 			}
-			ready = append(ready, w)
-		}
-	}
-	d.reach = min(1, zones*d.share(len(ready)))
-	d.near = d.near[:0]
-	for p := range d.peers {
-		if gap := math.Abs(d.peers[p].place - d.here); min(gap, 1-gap) < d.reach {
-			d.near = append(d.near, p)
 		}
 	}
-	d.part = d.part[:0]
-	for from := 0; from < len(ready); {
-		to := from
-		for to < len(ready) && ready[to].entry.Zone == ready[from].entry.Zone &&
-			ready[to].entry.Kind == ready[from].entry.Kind {
-			to++
-		}
-		for i, w := range ready[from:to] {
-			w.place = (float64(i) + 0.5) / float64(to-from)
-			if d.covers(d.here, w) || d.coldAt(w) != 0 && d.owns(w) {
-				d.part = append(d.part, w)
-			}
-		}
-		from = to
+	d.ready.Cover(d.here, d.reach, d.cover)
+	for _, w := range d.outside {
+		d.admit(w, d.coldAt(w) != 0)
 	}
 }
 
--- a/estimates.go
+++ b/estimates.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"slices"
+
+	"dahliaford/internal/roster"
 )
 
 // The estimates that the module decides by: speeds, run times, works and quotas,
@@ -413,11 +415,7 @@
 
 // gap is how far on the circle a worker comes behind a place.
 func (d *Dispatcher) gap(place float64, w *worker) float64 {
-	gap := w.place - place
-	if gap < 0 {
-		gap++
-	}
-	return gap
+	return roster.Gap(place, d.placeOf(w))
 }
 
 // MostSlots is the most that a job can say it takes: far beyond any machine, and within
--- a/internal/scheduler/copy.go
+++ b/internal/scheduler/copy.go
@@ -24,6 +24,17 @@
 		copied := *r
 		c.workers[uid], c.byNumber[r.number] = &copied, &copied
 	}
+	c.offered, c.departed = nil, nil
+	for _, r := range s.offered {
+		if s.workers[r.UID] == r {
+			c.offered = append(c.offered, c.workers[r.UID])
+		}
+	}
+	for _, went := range s.departed {
+		if r := went.worker; s.workers[r.UID] == r {
+			c.departed = append(c.departed, departed{c.workers[r.UID], went.since})
+		}
+	}
 	c.byCaller = make(map[Caller]*request, len(s.byCaller))
 	c.byID = make(map[string]*request, len(s.byID))
 	c.byJob = make(map[dahliaford.JobID]*request, len(s.byJob))
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"cmp"
 	"container/heap"
 	"fmt"
 	"hash/fnv"
@@ -66,9 +67,12 @@
 	kinds     numbering
 	discovery string
 	rev       int64
-	count     int    // numbers the counts of versions
-	knownAt   Micros // what there was to tell by then has been told
-	watching  bool   // discovery has answered the watch and not ended it
+	count     int        // numbers the counts of versions
+	word      uint64     // of the list, so far
+	offered   []*worker  // those with an offer, and perhaps some that had one
+	departed  []departed // those that went, in order of time
+	knownAt   Micros     // what there was to tell by then has been told
+	watching  bool       // discovery has answered the watch and not ended it
 
 	due      dues
 	wake     Micros // what the last Wake asked for; 0: nothing
@@ -153,6 +157,13 @@
 	left   Micros  // since when it has been told to leave; 0: it has not
 	gone   Micros  // since when it is gone; 0: it is not
 	offer  *Worker // how a word describes it as ready that may be older than the one it left by
+	word   uint64  // that named it last
+}
+
+// departed is a worker that is gone since then, if it still is.
+type departed struct {
+	worker *worker
+	since  Micros
 }
 
 // version says how new a word of discovery is. Versions of one count can be compared.
@@ -613,14 +624,15 @@
 // warned takes from a discovery that is no longer the present one who leaves.
 func (s *Scheduler) warned(t WorkerList) {
 	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListWarned}
+	var changed []*worker
 	for _, line := range t.Workers {
 		if r := s.workers[line.UID]; r != nil && r.left == 0 && line.Status != dahliaford.Ready {
 			r.Status, r.at = line.Status, version{count: -1}
-			e.Workers = append(e.Workers, s.entry(r))
+			e.Workers, changed = append(e.Workers, s.entry(r)), append(changed, r)
 		}
 	}
 	if len(e.Workers) > 0 {
-		s.mark(sorted(s.workers))
+		s.mark(changed)
 		s.tell(e)
 	}
 }
@@ -634,10 +646,11 @@
 		s.rev = t.Rev
 	}
 	now := version{s.count, t.Rev}
-	named := map[string]bool{}
-	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: scope, Age: s.now - at}
+	s.word++
+	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: scope, Age: s.now - at,
+		Workers: make([]dahliaford.WorkerEntry, 0, len(t.Workers))}
+	changed := make([]*worker, 0, len(t.Workers))
 	for _, line := range t.Workers {
-		named[line.UID] = true
 		r := s.workers[line.UID]
 		if r == nil {
 			r = &worker{Worker: line, at: now, number: s.numberOf(line.UID)}
@@ -645,24 +658,44 @@
 		} else {
 			s.take(r, line, now)
 		}
-		e.Workers = append(e.Workers, s.entry(r)) // as it now is known
+		r.word = s.word
+		e.Workers, changed = append(e.Workers, s.entry(r)), append(changed, r) // as it now is known
 	}
-	all := sorted(s.workers)
-	for _, r := range all {
-		switch {
-		case t.All && !named[r.UID] && r.Status != dahliaford.Gone:
-			r.Status, r.at, r.offer = dahliaford.Gone, now, nil
-		case r.offer != nil && s.now-r.left >= s.set.Module.ToldWithin:
-			r.Worker, r.offer = *r.offer, nil
-		default:
-			continue
-		}
-		e.Workers = append(e.Workers, s.entry(r))
+	for _, r := range s.unsaid(t.All, now) {
+		e.Workers, changed = append(e.Workers, s.entry(r)), append(changed, r)
 	}
-	s.mark(all)
+	s.mark(changed)
 	s.tell(e)
 }
 
+// unsaid changes the workers that a word says something of without naming them, and lists them by
+// name: a whole list lacks them, or they were offered and have been told to leave for long enough.
+func (s *Scheduler) unsaid(whole bool, now version) (changed []*worker) {
+	if whole {
+		for _, r := range s.workers {
+			if r.word != s.word && r.Status != dahliaford.Gone {
+				r.Status, r.at, r.offer = dahliaford.Gone, now, nil
+				changed = append(changed, r)
+			}
+		}
+	}
+	s.offered = slices.DeleteFunc(s.offered, func(r *worker) bool {
+		if r.offer == nil || s.workers[r.UID] != r {
+			return true
+		}
+		if s.now-r.left < s.set.Module.ToldWithin {
+			return false
+		}
+		r.Worker, r.offer = *r.offer, nil
+		changed = append(changed, r)
+		return true
+	})
+	slices.SortFunc(changed, byUID)
+	return changed
+}
+
+func byUID(a, b *worker) int { return cmp.Compare(a.UID, b.UID) }
+
 // take takes what a word says of a worker, if it is newer than what is known. A worker that was
 // told to leave does not come back by a word that may be older than that one: an address that
 // knows less than the one before, a service that counts anew, a change said again. It comes back
@@ -674,6 +707,9 @@
 	case back && r.at.newer(at):
 	case back && r.left != 0 && line.Started <= r.Started && !at.newer(r.at) &&
 		s.now-r.left < s.set.Module.ToldWithin:
+		if r.offer == nil {
+			s.offered = append(s.offered, r)
+		}
 		r.offer = &line
 	default:
 		r.Worker, r.at, r.offer = line, at, nil
@@ -685,11 +721,22 @@
 		Kind: s.kinds.of(r.Kind), Status: r.Status, Started: r.Started}
 }
 
-// mark notes since when workers are leaving or gone, says so, and forgets those that have been
-// gone for long.
-func (s *Scheduler) mark(all []*worker) {
+// mark notes since when workers that may have changed are leaving or gone, says so, and forgets
+// those that have been gone for long.
+func (s *Scheduler) mark(changed []*worker) {
 	long := s.set.Module.GoneFor()
-	for _, r := range all {
+	changed = slices.DeleteFunc(changed, func(r *worker) bool {
+		return (r.Status == dahliaford.Ready) == (r.left == 0) && (r.Status == dahliaford.Gone) == (r.gone != 0)
+	})
+	old := 0
+	for ; old < len(s.departed) && s.now-s.departed[old].since >= long; old++ {
+		if went := s.departed[old]; went.worker.gone == went.since && s.workers[went.worker.UID] == went.worker {
+			changed = append(changed, went.worker)
+		}
+	}
+	s.departed = slices.Delete(s.departed, 0, old)
+	slices.SortFunc(changed, byUID)
+	for _, r := range slices.Compact(changed) {
 		switch {
 		case r.Status != dahliaford.Ready && r.left == 0:
 			r.left = max(s.now, 1)
@@ -703,6 +750,7 @@
 			r.gone = 0
 		case r.gone == 0:
 			r.gone = max(s.now, 1)
+			s.departed = append(s.departed, departed{r, r.gone})
 		case s.now-r.gone >= long:
 			delete(s.workers, r.UID)
 			delete(s.byNumber, r.number)
--- a/state.go
+++ b/state.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"math"
 	"slices"
+
+	"dahliaford/internal/roster"
 )
 
 // The records that the module keeps, and their bookkeeping. Nothing here decides.
@@ -19,14 +21,19 @@
 	jobs    map[JobID]*job
 	held    []*job // on time by due, then the late by give-up
 	workers map[WorkerID]*worker
-	order   []*worker
-	part    []*worker // those that are this dispatcher's own, see settle
-	busy    []*worker // those with live attempts
-	touched []*worker // those of which peers may have to be told
-	reach   float64   // the part of the circle that a dispatcher covers
-	near    []int     // peers whose parts touch this one
-	here    float64   // its place on the circle
-	peers   []peer    // the dispatchers, by number
+	order   []*worker // by seat, those that are gone among them
+	part    []*worker // those that are this dispatcher's own, by seat, see settle
+	ready   roster.Roster[*worker]
+	outside []*worker  // ready ones that it claims and the interval lacks, by seat
+	gone    []departed // in order of time
+	named   []*worker  // by the present word: kept for its memory
+	lists   uint64     // words of the list so far
+	busy    []*worker  // those with live attempts
+	touched []*worker  // those of which peers may have to be told
+	reach   float64    // the part of the circle that a dispatcher covers
+	near    []int      // peers whose parts touch this one
+	here    float64    // its place on the circle
+	peers   []peer     // the dispatchers, by number
 	classes []classState
 	kinds   map[int]*kind
 	crowds  map[crowdKey]*crowd
@@ -145,14 +152,21 @@
 	erredAt   Micros
 	lost      bool // the last try could not connect: cold when it is back
 	downUntil Micros
-	cold      Micros    // start of its warming, as far as known; 0: warm
-	budget    float64   // work that may go there now, while it is cold
-	budgetAt  Micros    // when that was so; 0: never reckoned
-	peers     []peerUse // what other dispatchers say that they have there
-	told      use       // what they were told last
-	touched   bool      // they may have to be told something
-	place     float64   // on the circle, see settle
-	tilt      float64   // small own preference, so that dispatchers spread
+	cold      Micros                 // start of its warming, as far as known; 0: warm
+	budget    float64                // work that may go there now, while it is cold
+	budgetAt  Micros                 // when that was so; 0: never reckoned
+	peers     []peerUse              // what other dispatchers say that they have there
+	told      use                    // what they were told last
+	touched   bool                   // they may have to be told something
+	seat      seat                   // as of the last settle
+	listed    bool                   // in the order
+	covered   bool                   // by the interval of the circle that is this dispatcher's
+	ours      bool                   // in its part
+	list      uint64                 // the last word that named it
+	place     float64                // on the circle, see placeOf
+	placedAt  uint64                 // the shifts of those it is among when that was reckoned; 0: never
+	among     *roster.Crowd[*worker] // the ready ones of its zone and kind; nil: it is not ready
+	tilt      float64                // small own preference, so that dispatchers spread
 }
 
 // use is what a dispatcher has at a worker: slots taken and slots of jobs that wait.
@@ -211,24 +225,6 @@
 	j.held = false
 }
 
-// forget drops workers that have been gone for long.
-func (d *Dispatcher) forget() {
-	long := d.set.GoneFor()
-	d.order = slices.DeleteFunc(d.order, func(w *worker) bool {
-		switch {
-		case w.entry.Status != Gone:
-			w.gone = 0
-		case w.gone == 0:
-			w.gone = max(d.now, 1)
-		}
-		old := w.gone != 0 && d.now-w.gone >= long && len(w.live) == 0 && !w.touched
-		if old {
-			delete(d.workers, w.entry.Worker)
-		}
-		return old
-	})
-}
-
 // attempt finds the live attempt that an event is about, or nil.
 func (d *Dispatcher) attempt(e *Event) *attempt {
 	j := d.jobs[e.Job]
