--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -9,7 +9,7 @@
 )
 
 // program builds the scheduler once for the tests of this package.
-func program(t *testing.T, args ...string) string {
+func program(t testing.TB, args ...string) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "dahliaford")
 	root, err := filepath.Abs("../..")
--- /dev/null
+++ b/internal/rig/zone_bench_test.go
@@ -0,0 +1,133 @@
+package rig
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"dahliaford/internal/standin"
+)
+
+// teller is a discovery that says what it is told to say, to the one watch that is open.
+type teller struct {
+	net.Listener
+	watch net.Conn
+	rev   int64
+}
+
+func newTeller(tb testing.TB) *teller {
+	tb.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { l.Close() })
+	return &teller{Listener: l}
+}
+
+// accept waits for the watch and gives it the whole list.
+func (d *teller) accept(tb testing.TB, lines []standin.Line) {
+	tb.Helper()
+	conn, err := d.Accept()
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { conn.Close() })
+	for head := bufio.NewScanner(conn); head.Scan() && head.Text() != ""; {
+	}
+	d.watch = conn
+	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	d.say(tb, true, lines)
+}
+
+func (d *teller) say(tb testing.TB, all bool, lines []standin.Line) {
+	tb.Helper()
+	d.rev++
+	raw, err := json.Marshal(map[string]any{"rev": d.rev, "all": all, "targets": lines})
+	if err == nil {
+		_, err = fmt.Fprintf(d.watch, "%x\r\n%s\n\r\n", len(raw)+1, raw)
+	}
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// processor is the processor time that a process has taken.
+func processor(tb testing.TB, p *Process) time.Duration {
+	tb.Helper()
+	var at unix.Timespec
+	if err := unix.ClockGettime(int32(^p.cmd.Process.Pid<<3|2), &at); err != nil {
+		tb.Fatal(err)
+	}
+	return time.Duration(at.Nano())
+}
+
+// rests waits until a process has nothing to do, and tells what it has taken by then. Its watch is
+// kept alive meanwhile.
+func (d *teller) rests(tb testing.TB, p *Process) time.Duration {
+	tb.Helper()
+	for before := processor(tb, p); ; {
+		if _, err := fmt.Fprint(d.watch, "1\r\n\n\r\n"); err != nil {
+			tb.Fatal(err)
+		}
+		time.Sleep(200 * time.Millisecond)
+		now := processor(tb, p)
+		if now-before < 2*time.Millisecond {
+			return now
+		}
+		before = now
+	}
+}
+
+// BenchmarkZoneLost is the processor time that the real program takes for a zone that goes, a line
+// for each worker.
+func BenchmarkZoneLost(b *testing.B) {
+	const zones = 14
+	bin := program(b)
+	for _, n := range []int{720, 1440, 2880, 4320, 7200} {
+		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
+			lines := make([]standin.Line, n)
+			for i := range lines {
+				lines[i] = standin.Line{UID: fmt.Sprintf("worker-%05d", i), Endpoint: fmt.Sprintf("127.0.0.1:%d", 10000+i),
+					Zone: fmt.Sprint("zone-", i%zones), Model: fmt.Sprint("m", i/zones%4), Group: i / 40, State: "ready"}
+			}
+			discovery := newTeller(b)
+			p, err := StartSetup(bin, b.TempDir(), Setup{Name: "n0", Listen: "127.0.0.1:0",
+				Discovery: discovery.Addr().String(), Schedulers: 300, MemoryMB: 64, Sockets: 512,
+				Known: []standin.Line{}})
+			if err != nil {
+				b.Fatal(err)
+			}
+			defer p.Kill()
+			discovery.accept(b, lines)
+			whole, lost, told := discovery.rests(b, p), time.Duration(0), 0
+			b.ReportMetric(whole.Seconds()*1000, "ms/start")
+			for range b.N {
+				for _, state := range []string{"gone", "ready"} {
+					before := processor(b, p)
+					for i := 0; i < n; i += zones {
+						line := lines[i]
+						line.State = state
+						discovery.say(b, false, []standin.Line{line})
+					}
+					if took := discovery.rests(b, p) - before; state == "gone" {
+						lost, told = lost+took, told+(n+zones-1)/zones
+					}
+				}
+			}
+			use, err := p.Use()
+			if err != nil {
+				b.Fatal(err)
+			}
+			b.ReportMetric(lost.Seconds()*1000/float64(b.N), "cpu-ms/zone")
+			b.ReportMetric(lost.Seconds()*1e6/float64(told), "cpu-us/line")
+			b.ReportMetric(use.MostMB, "MB")
+			b.ReportMetric(0, "ns/op")
+		})
+	}
+}
--- /dev/null
+++ b/internal/scheduler/index_test.go
@@ -0,0 +1,188 @@
+package scheduler
+
+import (
+	"bytes"
+	"fmt"
+	"reflect"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"dahliaford"
+	"dahliaford/internal/settings"
+)
+
+// The worker list by its meaning: all workers are walked at each word. It is held against the
+// reducer, which looks at those that a word changes.
+
+// stepByWalk takes a word, or the loss of the watch, like Step.
+func (s *Scheduler) stepByWalk(now Micros, e Event) []Effect {
+	s.now, s.out = now, nil
+	s.used.pass(now, s.longest)
+	switch e := e.(type) {
+	case ListRead:
+		if e.Old {
+			s.warnedByWalk(e.List)
+			break
+		}
+		s.watching, s.knownAt = true, now
+		scope := dahliaford.ListDelta
+		if e.List.All {
+			scope = dahliaford.ListFull
+		}
+		s.applyByWalk(e.List, scope)
+	default:
+		return s.Step(now, e, nil)
+	}
+	s.expire()
+	s.arm()
+	return s.out
+}
+
+func (s *Scheduler) warnedByWalk(t WorkerList) {
+	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListWarned}
+	for _, line := range t.Workers {
+		if r := s.workers[line.UID]; r != nil && r.left == 0 && line.Status != dahliaford.Ready {
+			r.Status, r.at = line.Status, version{count: -1}
+			e.Workers = append(e.Workers, s.entry(r))
+		}
+	}
+	if len(e.Workers) > 0 {
+		s.markByWalk()
+		s.tell(e)
+	}
+}
+
+func (s *Scheduler) applyByWalk(t WorkerList, scope dahliaford.ListScope) {
+	if t.All && t.Rev < s.rev {
+		s.count++
+	}
+	if s.rev = max(s.rev, t.Rev); t.All {
+		s.rev = t.Rev
+	}
+	now := version{s.count, t.Rev}
+	named := map[string]bool{}
+	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: scope}
+	for _, line := range t.Workers {
+		named[line.UID] = true
+		r := s.workers[line.UID]
+		if r == nil {
+			r = &worker{Worker: line, at: now, number: s.numberOf(line.UID)}
+			s.workers[line.UID], s.byNumber[r.number] = r, r
+		} else {
+			s.take(r, line, now)
+		}
+		e.Workers = append(e.Workers, s.entry(r))
+	}
+	for _, r := range sorted(s.workers) {
+		switch {
+		case t.All && !named[r.UID] && r.Status != dahliaford.Gone:
+			r.Status, r.at, r.offer = dahliaford.Gone, now, nil
+		case r.offer != nil && s.now-r.left >= s.set.Module.ToldWithin:
+			r.Worker, r.offer = *r.offer, nil
+		default:
+			continue
+		}
+		e.Workers = append(e.Workers, s.entry(r))
+	}
+	s.markByWalk()
+	s.tell(e)
+}
+
+func (s *Scheduler) markByWalk() {
+	long := s.set.Module.GoneFor()
+	for _, r := range sorted(s.workers) {
+		switch {
+		case r.Status != dahliaford.Ready && r.left == 0:
+			r.left = max(s.now, 1)
+			s.emit(Retire{UID: r.UID, Addr: r.Addr})
+		case r.Status == dahliaford.Ready && r.left != 0:
+			r.left = 0
+			s.emit(Admit{UID: r.UID})
+		}
+		switch {
+		case r.Status != dahliaford.Gone:
+			r.gone = 0
+		case r.gone == 0:
+			r.gone = max(s.now, 1)
+		case s.now-r.gone >= long:
+			delete(s.workers, r.UID)
+			delete(s.byNumber, r.number)
+			s.emit(Admit{UID: r.UID})
+		}
+	}
+}
+
+// Any sequence of words, whole tables, words of the discovery before and moves to another one, with
+// versions that repeat and go back and workers of one address, has the effects and leaves the state
+// that a walk over all workers has.
+func TestWordsActAsAWalkOverAll(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		w, walk := fleetForWords(), fleetForWords()
+		now, rev := w.now, int64(1)
+		most := rapid.SampledFrom([]int{2, 10, 40}).Draw(t, "workers")
+		worker := rapid.Custom(func(t *rapid.T) Worker {
+			i := rapid.IntRange(0, most-1).Draw(t, "worker")
+			r := line(fmt.Sprint("r", i), rapid.SampledFrom([]dahliaford.Status{dahliaford.Ready, dahliaford.Ready,
+				dahliaford.Ready, dahliaford.Draining, dahliaford.Gone}).Draw(t, "status"))
+			r.Kind, r.Zone = fmt.Sprint("m", i%2), fmt.Sprint("z", i%3)
+			r.Addr = fmt.Sprint("a", i/2) // two have one address
+			if r.Status == dahliaford.Gone && rapid.Bool().Draw(t, "bare") {
+				r = Worker{UID: r.UID} // a word that it is gone may say no more
+			}
+			if rapid.IntRange(0, 3).Draw(t, "cold") == 0 {
+				r.Started = max(0, now-Micros(rapid.Int64Range(0, 60*second).Draw(t, "age")))
+			}
+			return r
+		})
+		var trace []string
+		for range rapid.IntRange(1, 20).Draw(t, "events") {
+			now += rapid.SampledFrom([]Micros{0, second / 10, 2 * second, 6 * second, 300 * second,
+				600 * second}).Draw(t, "passed")
+			var e Event
+			switch rapid.IntRange(0, 12).Draw(t, "event") {
+			case 0:
+				e = Reloaded{Discovery: "d2"}
+			case 1:
+				e = ListLost{}
+			default:
+				rev += rapid.SampledFrom([]int64{1, 1, 1, 1, 0, -1, -3}).Draw(t, "rev")
+				n := rapid.SampledFrom([]int{0, 1, 1, 1, 2, most}).Draw(t, "lines")
+				e = ListRead{List: WorkerList{Rev: rev, All: rapid.IntRange(0, 3).Draw(t, "all") == 0,
+					Workers: rapid.SliceOfN(worker, n, n).Draw(t, "list")},
+					Old: rapid.IntRange(0, 6).Draw(t, "old") == 0}
+			}
+			trace = append(trace, fmt.Sprintf("%d %T%+v", now, e, e))
+			got, want := w.Step(now, e, nil), walk.stepByWalk(now, e)
+			if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
+				t.Fatalf("after %v\neffects %+v\nby a walk %+v", trace, got, want)
+			}
+			same(t, w, walk, trace)
+			same(t, w.Clone(), walk, trace)
+			if rapid.IntRange(0, 4).Draw(t, "copied") == 0 {
+				w = w.Clone() // and goes on from there
+			}
+		}
+	})
+}
+
+func same(t *rapid.T, a, b *Scheduler, trace []string) {
+	if !bytes.Equal(a.AppendState(nil), b.AppendState(nil)) {
+		t.Fatalf("after %v\nthe states differ", trace)
+	}
+}
+
+func fleetForWords() *Scheduler {
+	set, err := settings.Parse([]byte(testSettings))
+	if err != nil {
+		panic(err)
+	}
+	set.Module.Balancers, set.Module.ToldWithin = 17, 6*second
+	s, err := New(set, 1)
+	if err != nil {
+		panic(err)
+	}
+	s.Step(1000*second, Began{Discovery: "d1"}, nil)
+	return s
+}
