--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"reflect"
+	"runtime"
 	"slices"
 	"testing"
 
@@ -186,3 +187,97 @@
 	s.Step(1000*second, Began{Discovery: "d1"}, nil)
 	return s
 }
+
+// A zone goes in a word a worker, in one, and in both at once while it comes back cold.
+func TestZoneGoesInWords(t *testing.T) {
+	const zones, each = 14, 20
+	of := func(zone int, status dahliaford.Status, started Micros) (lines []Worker) {
+		for i := range each {
+			r := line(fmt.Sprintf("r%d-%d", zone, i), status)
+			r.Zone, r.Started = fmt.Sprint("z", zone), started
+			lines = append(lines, r)
+		}
+		return lines
+	}
+	var all []Worker
+	for zone := range zones {
+		all = append(all, of(zone, dahliaford.Ready, 0)...)
+	}
+	gone, cold := of(3, dahliaford.Gone, 0), of(3, dahliaford.Ready, 1002*second)
+	draining := of(3, dahliaford.Draining, 0)
+	word := func(lines ...Worker) WorkerList { return WorkerList{Workers: lines} }
+	singly := func(lines []Worker) (words []WorkerList) {
+		for _, r := range lines {
+			words = append(words, word(r))
+		}
+		return words
+	}
+	var mixed []WorkerList
+	for i := range gone {
+		mixed = append(mixed, word(gone[i]), word(cold[i/2]))
+	}
+	known := slices.Clone(all)
+	known[17].Status = dahliaford.Draining
+	for name, words := range map[string][]WorkerList{
+		"a word each":              singly(gone),
+		"draining first":           append(singly(draining), singly(gone)...),
+		"one word":                 {word(gone...)},
+		"missing from the whole":   {{All: true, Workers: slices.Concat(all[:3*each], all[4*each:])}},
+		"both at once":             append(singly(gone), word(gone...), word(cold...)),
+		"both mixed, back cold":    append(mixed, word(gone...), WorkerList{All: true, Workers: all}, word(cold...)),
+		"known but for one":        {{All: true, Workers: known}},
+		"known, and by an old one": {{All: true, Workers: all}, {All: true, Rev: -5, Workers: known}},
+		"the whole fleet":          {{All: true}, {All: true, Workers: all}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, walk := fleetForWords(), fleetForWords()
+			now, rev := Micros(1001*second), int64(10)
+			say := func(list WorkerList) {
+				now += second / 100
+				rev++
+				list.Rev += rev
+				e := ListRead{List: list}
+				got, want := s.Step(now, e, nil), walk.stepByWalk(now, e)
+				if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
+					t.Fatalf("effects %+v\nby a walk %+v", got, want)
+				}
+				if !bytes.Equal(s.AppendState(nil), walk.AppendState(nil)) {
+					t.Fatal("the states differ")
+				}
+			}
+			say(WorkerList{All: true, Workers: all})
+			for _, w := range words {
+				say(w)
+			}
+			now += 600 * second
+			say(WorkerList{}) // those that are gone are forgotten
+			say(WorkerList{All: true, Workers: all})
+		})
+	}
+}
+
+// What a word allocates does not grow with the fleet: all that looked at the whole of it made a list
+// of it first. The time is BenchmarkWord's.
+func TestWordDoesNotGrowWithTheFleet(t *testing.T) {
+	took := func(schedulers, workers int) (bytes uint64) {
+		s, words := fleetOf(t, schedulers, workers), newWords(workers)
+		for range 200 { // what is kept for its memory has grown
+			words.say(s)
+		}
+		const n = 400
+		var before, after runtime.MemStats
+		runtime.ReadMemStats(&before)
+		for range n {
+			words.say(s)
+		}
+		runtime.ReadMemStats(&after)
+		return (after.TotalAlloc - before.TotalAlloc) / n
+	}
+	small := took(300, 200)
+	for _, size := range [][2]int{{300, 800}, {300, 2400}, {300, 7200}, {30, 7200}, {17, 7200}, {7200, 7200}} {
+		if large := took(size[0], size[1]); large > 2*small {
+			t.Errorf("a word takes %d bytes of 300 schedulers with 200 workers, %d of %d with %d", small, large,
+				size[0], size[1])
+		}
+	}
+}
