--- a/internal/explore/planted/planted.go
+++ b/internal/explore/planted/planted.go
@@ -244,9 +244,8 @@
 				" one-attempt-outstanding",
 			File: module,
 			Edits: []string{
-				"\t\tcase Unsafe:\n" +
-					"\t\t\treturn false\n",
-				"\t\tcase Unsafe:\n",
+				"c.Effect == Safe {",
+				"c.Effect != Keyed {",
 			},
 		},
 		{
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -921,8 +921,9 @@
 		err      error
 		want     bool
 	}{
-		"one idles":              {links: map[string][]*workerConn{"r1": {idle}}, err: refused, want: true},
-		"one works":              {attempts: map[scheduler.Attempt]*workerConn{1: working}, err: refused, want: true},
+		"one idles": {links: map[string][]*workerConn{"r1": {idle}}, err: refused, want: true},
+		"one works": {err: refused, want: true,
+			attempts: map[scheduler.Attempt]*workerConn{1: working}},
 		"none":                   {err: refused},
 		"one to another":         {links: map[string][]*workerConn{"r2": {other}}, err: refused},
 		"one that dials":         {attempts: map[scheduler.Attempt]*workerConn{1: idle}, err: refused},
--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -219,12 +219,13 @@
 	known := slices.Clone(all)
 	known[17].Status = dahliaford.Draining
 	for name, words := range map[string][]WorkerList{
-		"a word each":              singly(gone),
-		"draining first":           append(singly(draining), singly(gone)...),
-		"one word":                 {word(gone...)},
-		"missing from the whole":   {{All: true, Workers: slices.Concat(all[:3*each], all[4*each:])}},
-		"both at once":             append(singly(gone), word(gone...), word(cold...)),
-		"both mixed, back cold":    append(mixed, word(gone...), WorkerList{All: true, Workers: all}, word(cold...)),
+		"a word each":            singly(gone),
+		"draining first":         append(singly(draining), singly(gone)...),
+		"one word":               {word(gone...)},
+		"missing from the whole": {{All: true, Workers: slices.Concat(all[:3*each], all[4*each:])}},
+		"both at once":           append(singly(gone), word(gone...), word(cold...)),
+		"both mixed, back cold": append(mixed,
+			word(gone...), WorkerList{All: true, Workers: all}, word(cold...)),
 		"known but for one":        {{All: true, Workers: known}},
 		"known, and by an old one": {{All: true, Workers: all}, {All: true, Rev: -5, Workers: known}},
 		"the whole fleet":          {{All: true}, {All: true, Workers: all}},
