--- a/dispatcher.go
+++ b/dispatcher.go
@@ -936,8 +936,8 @@
 	if !d.blind() {
 		return 1
 	}
-	whole := 2 * d.coldRate(w) * d.set.ColdFrom * float64(d.set.Fall)
-	return max(1, min(d.sharing(), whole/max(d.slots.value, float64(d.set.Classes[0].Aim))))
+	whole := 1.5 * d.coldRate(w) * d.set.ColdFrom * float64(d.set.Fall)
+	return max(1, min(d.sharing(), whole/max(d.slots.value, d.typicalWork())))
 }
 
 // housekeep looks at what no event tells: overdue starts and silent workers.
--- a/estimates.go
+++ b/estimates.go
@@ -117,11 +117,27 @@
 func (d *Dispatcher) coldWork(j *job) float64 {
 	work := j.work
 	if !j.hinted {
-		work = d.classes[j.class].mean(float64(d.set.Classes[j.class].Aim))
+		work = d.classes[j.class].mean(unseen * float64(d.set.Classes[j.class].Aim))
 	}
 	return work + float64(d.set.Granularity) // a handshake may come with it
 }
 
+// unseen is what a class is taken to need that nobody saw run, in its aims: cold workers teach
+// nothing, and all would send there by the same guess.
+const unseen = 2.0
+
+// typicalWork is the work that a unit of what arrives here comes in: a few long jobs bring most
+// of it. Before a class was seen to run, twice its aim stands for it.
+func (d *Dispatcher) typicalWork() float64 {
+	sum, squares := 0.0, 0.0
+	for k := range d.classes {
+		st := &d.classes[k]
+		work := st.mean(unseen * float64(d.set.Classes[k].Aim))
+		sum, squares = sum+(1+st.arrived)*work, squares+(1+st.arrived)*work*work
+	}
+	return squares / max(1, sum)
+}
+
 // underWay is the work of jobs that left for a worker and are not known to have begun:
 // if it starts anew now, they come to it cold.
 func (d *Dispatcher) underWay(w *worker) float64 {
