--- a/cold_test.go
+++ b/cold_test.go
@@ -404,7 +404,7 @@
 				t.Parallel()
 				for i := range seeds * len(plays) {
 					c := plays[i%len(plays)]
-					c.site, c.dispatchers, c.workers, c.seed = site, size[0], size[1], uint64(i+1)
+					c.site, c.dispatchers, c.workers, c.seed = site, size[0], size[1], c.seed+uint64(i+1)
 					c.balancers *= size[0]
 					seen := c.play(t)
 					if seen.told > 1 || seen.all > 1 {
@@ -439,6 +439,10 @@
 
 // The same while three in ten dispatchers restart: their budgets begin anew.
 func TestColdFleetKeepsItsLimitWhileDispatchersRestart(t *testing.T) {
-	sums(t, 2, []coldCase{{cold: -1, load: 1.2, again: 0.3}}, [2]int{3, 10}, [2]int{9, 16},
+	sums(t, 1, []coldCase{
+		{cold: -1, load: 1.2, again: 0.3},
+		{cold: -1, load: 1.2, again: 0.3, seed: 12},
+		{cold: -1, load: 1.2, again: 0.3, seed: 21},
+	}, [2]int{3, 10}, [2]int{9, 16},
 		[2]int{20, 16}, [2]int{30, 16}, [2]int{30, 60}, [2]int{300, 100})
 }
