--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -56,6 +56,7 @@
 type payload struct {
 	method, target, key string
 	body                []byte
+	gone                atomic.Bool // its client has left: no attempt may begin any more
 }
 
 var lastCaller atomic.Uint64
@@ -262,10 +263,10 @@
 	}
 	const mostMs = 1 << 40          // keeps the sum from running over
 	early := 2 * n.lag.now(n.now()) // it lay unread for that long, and its answer is as late
+	p := &payload{method: r.Method, target: r.Target, key: r.Header.Get("Idempotency-Key"), body: r.Body}
 	s := scheduler.Submitted{Caller: scheduler.Caller(lastCaller.Add(1)), ID: id, Class: class(r),
 		Tenant: r.Header.Get("X-Org"), Deadline: at + scheduler.Micros(min(ms, mostMs))*1000 - early,
-		Slots: slots, Repeat: r.Header.Get("X-Resent") == "1", Payload: &payload{method: r.Method,
-			target: r.Target, key: r.Header.Get("Idempotency-Key"), body: r.Body}}
+		Slots: slots, Repeat: r.Header.Get("X-Resent") == "1", Payload: p}
 	n.post(submission{c, n.now(), s})
 	next = c.begin()
 	var answer scheduler.Answer
@@ -276,6 +277,7 @@
 			answered = true
 		case err := <-leave:
 			if err != nil {
+				p.gone.Store(true) // the loop may be far behind
 				n.post(scheduler.CallerLeft{Caller: s.Caller})
 				return nil, c.over(at, err)
 			}
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"net"
 	"strings"
 	"testing"
 	"time"
@@ -134,3 +135,254 @@
 			c1 expect `+want)
 	}
 }
+
+// halted stops a node's loop until resume is called. What is posted meanwhile lies in the inbox.
+func (n *Node) halted() (resume func()) {
+	holds, gate := make(chan struct{}), make(chan struct{})
+	n.post(func() {
+		close(holds)
+		<-gate
+	})
+	<-holds
+	return func() { close(gate) }
+}
+
+// looked waits, from when it is made, until a writer has had its last look at what discovery has told.
+func (n *Node) looked(t *testing.T) func() {
+	t.Helper()
+	ours, _ := pair(t)
+	tap, err := n.told.tapped(ours, n.now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	begun := tap.emptyAt
+	return func() {
+		t.Helper()
+		defer tap.close()
+		if !eventually(func() bool { return tap.sure() > begun }) {
+			t.Fatal("no writer looks")
+		}
+	}
+}
+
+// leaves ends a client's connection: in order, by a reset, or with half of another request sent before.
+func (p *party) leaves(t *testing.T, way string) {
+	t.Helper()
+	conn := p.conn.(*net.TCPConn)
+	switch way {
+	case "reset":
+		conn.SetLinger(0)
+	case "half a request":
+		if _, err := io.WriteString(conn, "POST /batch/8 HTTP/1.1\r\nX-Txn: b"); err != nil {
+			t.Fatal(err)
+		}
+	case "two more requests":
+		for _, id := range []string{"a8", "a9"} {
+			if err := p.Send("job batch " + id + " || more"); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	conn.Close()
+}
+
+var waysToLeave = []string{"in order", "reset", "half a request", "two more requests"}
+
+// mayCancel runs a test where what has left may be called off, and where it may not.
+func mayCancel(t *testing.T, test func(t *testing.T, w *world), workers ...string) {
+	for _, may := range []bool{true, false} {
+		t.Run(fmt.Sprintf("may cancel %v", may), func(t *testing.T) {
+			t.Parallel()
+			set := parsed(t)
+			set.Module.MayCancel = may
+			test(t, newWorldOf(t, set, 0, workers...))
+		})
+	}
+}
+
+// A leave counts from when it is read, however far behind the loop is: a connect that comes up then
+// finds nobody to send for.
+func TestALeaveCountsBeforeTheLoopHasIt(t *testing.T) {
+	mayCancel(t, func(t *testing.T, w *world) {
+		n := w.node
+		for i, way := range waysToLeave {
+			n.do(func() { n.wordIsPosted() })
+			play(t, w, fmt.Sprintf("c%[1]d send job batch a%[1]d || work\nwait open 1", i))
+			resume := n.halted()
+			w.parties[fmt.Sprint("c", i)].leaves(t, way)
+			if !eventually(func() bool { return len(n.inbox) > 0 }) { // CallerLeft
+				t.Fatal("the leave is not read")
+			}
+			looked := n.looked(t)
+			n.told.apply(n.now()) // now nothing of discovery holds the writer back
+			looked()
+			resume()
+			play(t, w, fmt.Sprintf(`
+				wait open 0
+				d%[1]d send job batch d%[1]d || next
+				r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
+				r1 send 202 OK
+				back%[1]d send POST /callback || {"id":"d%[1]d","from":"r1","state":"done"}
+				back%[1]d expect 204
+				d%[1]d expect 200
+			`, i))
+		}
+	}, "r1")
+}
+
+// A request that is half written when its client leaves, or when it is given up, stays half: what a
+// worker has read of it by then is no attempt, and the rest would make it one.
+func TestHalfARequestOfOneWhoLeftStaysHalf(t *testing.T) {
+	for name, end := range map[string]func(*workerConn, *payload){
+		"its client leaves": func(_ *workerConn, p *payload) { p.gone.Store(true) },
+		"it is given up":    func(c *workerConn, _ *payload) { c.cut.Store(true) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			n := newWorld(t, 0, "r1").node
+			ours, theirs := pair(t)
+			p := &payload{method: "POST", target: "/batch/7", body: make([]byte, 32<<20)} // past all buffers
+			e := &errand{uid: "r1", id: "a1", payload: p, writeBy: n.now() + 3600*second}
+			c := &workerConn{node: n, addr: "r1", ctx: t.Context()}
+			done := make(chan error, 1)
+			go func() {
+				err := c.write(ours, e)
+				c.wordIsIn()
+				ours.Close()
+				done <- err
+			}()
+			if _, err := io.ReadFull(theirs, make([]byte, 100)); err != nil { // it has begun
+				t.Fatal(err)
+			}
+			end(c, p)
+			all, _ := io.Copy(io.Discard, theirs)
+			if err := <-done; err != errNobody || all >= int64(len(p.body)) {
+				t.Errorf("%v, and %d more bytes of %d came", err, all, len(p.body))
+			}
+		})
+	}
+}
+
+// Nothing is submitted of a request whose client leaves while its connection waits for a slot.
+func TestALeaveInTheQueueIsSeenFirst(t *testing.T) {
+	w := newWorld(t, leastSockets, "r1")
+	n := w.node
+	play(t, w, "c1 send GET /_health\nc1 expect 200") // the acceptor is behind its next slot after this
+	taken := 0
+	for full := false; !full; {
+		select {
+		case n.slots <- struct{}{}:
+			taken++
+		default:
+			full = true
+		}
+	}
+	first, err := net.Dial("tcp", n.Addr().String()) // takes the acceptor's slot
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer first.Close()
+	for i, way := range waysToLeave {
+		name := fmt.Sprint("q", i)
+		play(t, w, name+" send job batch "+name+" || work")
+		w.parties[name].leaves(t, way)
+	}
+	for range taken {
+		<-n.slots
+	}
+	play(t, w, `
+		c2 send job batch b1 || next
+		r1 expect POST /batch/7?a=b txn=b1 key=k body=next
+	`)
+	n.do(func() {
+		if k := n.sched.Kept(); k.Used != 1 {
+			t.Errorf("%d were submitted", k.Used)
+		}
+	})
+}
+
+// A job whose next attempt waits for its worker to hear of the withdrawal of the one before is not
+// sent when that is heard: its client has left meanwhile.
+func TestALeaveDuringAParkedAttempt(t *testing.T) {
+	mayCancel(t, func(t *testing.T, w *world) {
+		for i, way := range waysToLeave {
+			play(t, w, fmt.Sprintf(`
+				c%[1]d send job batch a%[1]d || work
+				r1 expect POST /batch/7?a=b txn=a%[1]d key=k body=work
+				r1 close reset
+				r1 expect end
+				r1 expect DELETE /jobs/a%[1]d
+			`, i))
+			w.parties[fmt.Sprint("c", i)].leaves(t, way)
+			play(t, w, fmt.Sprintf(`
+				wait open 0
+				r1 send 200 OK
+				r1 expect end
+				d%[1]d send job batch d%[1]d || next
+				r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
+				r1 send 202 OK
+				back%[1]d send POST /callback || {"id":"d%[1]d","from":"r1","state":"done"}
+				back%[1]d expect 204
+				d%[1]d expect 200
+			`, i))
+		}
+	}, "r1")
+}
+
+// A worker turns a job away just as its client leaves: the loop hears of both, in either order, and no
+// further attempt begins.
+func TestALeaveAsARetryIsDecided(t *testing.T) {
+	for _, leaveFirst := range []bool{true, false} {
+		mayCancel(t, func(t *testing.T, w *world) {
+			n := w.node
+			n.do(func() { n.keptFor = 0 }) // on a connection that is used again no refusal is believed
+			for i, way := range waysToLeave {
+				play(t, w, fmt.Sprintf(`
+					c%[1]d send job batch a%[1]d || work
+					r1 expect POST /batch/7?a=b txn=a%[1]d key=k body=work
+				`, i))
+				written := func() (so bool) { // the writer's word is in
+					n.do(func() {
+						for _, c := range n.attempts {
+							so = so || c.Written
+						}
+					})
+					return so
+				}
+				if !eventually(written) {
+					t.Fatal("it is not written")
+				}
+				resume := n.halted()
+				posted := len(n.inbox)
+				arrives := func(step func()) {
+					step()
+					posted++
+					if !eventually(func() bool { return len(n.inbox) >= posted }) {
+						t.Fatal("it does not come")
+					}
+				}
+				leave := func() { w.parties[fmt.Sprint("c", i)].leaves(t, way) }
+				refuse := func() { play(t, w, "r1 send 503 Full | X-Turned-Away: 1") }
+				if leaveFirst {
+					arrives(leave)
+					arrives(refuse)
+				} else {
+					arrives(refuse)
+					arrives(leave)
+				}
+				resume()
+				if leaveFirst && n.cfg.Settings.Module.MayCancel { // what has left is called off
+					play(t, w, fmt.Sprintf("r1 expect DELETE /jobs/a%d\nr1 send 200 OK\nr1 expect end", i))
+				}
+				play(t, w, fmt.Sprintf(`
+					wait open 0
+					d%[1]d send job batch d%[1]d || next
+					r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
+					r1 send 202 OK
+					back%[1]d send POST /callback || {"id":"d%[1]d","from":"r1","state":"done"}
+					back%[1]d expect 204
+					d%[1]d expect 200
+				`, i))
+			}
+		}, "r1")
+	}
+}
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -220,7 +220,7 @@
 
 func (n *Node) linkWrote(m wrote) error {
 	next, e := m.conn.Wrote(m.err != nil, errors.Is(m.err, syscall.ECONNREFUSED))
-	if end, is := e.(scheduler.Ended); is && (m.err == errLeaves || m.err == errUnheard) {
+	if end, is := e.(scheduler.Ended); is && (m.err == errLeaves || m.err == errUnheard || m.err == errNobody) {
 		n.log.Info("an attempt turned back", "txn", m.conn.id, "worker", m.conn.addr, "why", m.err)
 		end.Outcome = dahliaford.Moot // the worker is not at fault
 		e = end
@@ -378,7 +378,10 @@
 	}
 }
 
-var errGivenUp = errors.New("given up before anything got out")
+var (
+	errGivenUp = errors.New("given up before anything got out")
+	errNobody  = errors.New("its client has left")
+)
 
 // write sends an errand. For an attempt the last look at what discovery has told comes with
 // the first byte in hand, and again for as long as none has left; a word that is not taken in
@@ -406,12 +409,15 @@
 				if held = n.told.may(e.uid, now); held == nil && now > e.writeBy {
 					held = os.ErrDeadlineExceeded
 				}
-				if held == nil && !c.ordered && !c.begin() {
-					held = errGivenUp
-				}
-				if held != nil {
-					return true
-				}
+			}
+			switch { // until the last byte is out nothing has begun
+			case held == nil && (e.payload.gone.Load() || c.cut.Load()):
+				held = errNobody
+			case held == nil && !c.ordered && !c.begin():
+				held = errGivenUp
+			}
+			if held != nil {
+				return true
 			}
 			var sent int
 			if sent, err = send(fd, text[out:]); err == syscall.EAGAIN {
@@ -421,7 +427,10 @@
 			return err != nil || out == len(text)
 		})
 		switch {
-		case held == errUnread:
+		case held == errNobody && out > 0:
+			c.cut.Store(true) // and what has left goes with the connection
+			return held
+		case held == errUnread || held == errNobody: // the loop is about to hear the same, and gives it up
 		case held != nil:
 			return held
 		case wait != nil:
@@ -434,7 +443,10 @@
 		case <-c.ctx.Done():
 			return errGivenUp
 		case <-time.After(time.Until(n.at(e.writeBy))):
-			return os.ErrDeadlineExceeded
+			if held != errNobody {
+				held = os.ErrDeadlineExceeded
+			}
+			return held
 		}
 	}
 }
