--- a/cmd/dahliaford/serve.go
+++ b/cmd/dahliaford/serve.go
@@ -28,12 +28,10 @@
 func (serveCmd) Run() error {
 	runtime.GOMAXPROCS(1) // one core is all that a scheduler gets
 	// Each has its channel: a burst of SIGHUP must not crowd out the SIGTERM behind it.
-	// They are caught before all else, as either would end the program.
+	// They are caught before all else, and until the process is gone, as either would kill it.
 	ends, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
-	defer signal.Stop(ends)
-	defer signal.Stop(reloads)
 	cfg, err := configuration(os.Getenv, false)
 	if err != nil {
 		return err
--- /dev/null
+++ b/cmd/dahliaford/signal_test.go
@@ -0,0 +1,48 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+)
+
+// A signal that comes between the end of serving and the end of the process does not kill it: by its
+// status that would look like a crash.
+func TestSignalsBehindTheEnd(t *testing.T) {
+	if os.Getenv("BEHIND_THE_END") != "" { // the process of its own
+		err := (serveCmd{}).Run()
+		syscall.Kill(os.Getpid(), syscall.SIGHUP)
+		syscall.Kill(os.Getpid(), syscall.SIGTERM)
+		fmt.Println("ended:", err)
+		os.Exit(0)
+	}
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	child := exec.Command(os.Args[0], "-test.run=^TestSignalsBehindTheEnd$")
+	child.Env = append(os.Environ(), "BEHIND_THE_END=1", "BALANCER_CONFIG="+path)
+	out := &strings.Builder{}
+	child.Stdout = out
+	log, err := child.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := child.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer child.Process.Kill()
+	for lines := bufio.NewScanner(log); lines.Scan(); {
+		if strings.Contains(lines.Text(), "msg=serving") {
+			child.Process.Signal(syscall.SIGTERM)
+		}
+	}
+	if err := child.Wait(); err != nil || !strings.Contains(out.String(), "ended: <nil>") {
+		t.Errorf("%v, %q", err, out)
+	}
+}
