--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -169,3 +169,170 @@
 		}
 	}
 }
+
+// reaches waits until something is so in the loop of a node.
+func (n *Node) reaches(t *testing.T, what string, so func() bool) {
+	t.Helper()
+	if !eventually(func() (is bool) {
+		n.do(func() { is = so() })
+		return is
+	}) {
+		t.Fatal("never " + what)
+	}
+}
+
+// refuses waits until a node that stops refuses new jobs, and owes something still.
+func (n *Node) refuses(t *testing.T) {
+	t.Helper()
+	n.reaches(t, "refusing", func() bool { return n.draining.Load() && n.leave == nil })
+}
+
+// says has a client that the node knows send something as it is.
+func (w *world) says(t *testing.T, client, text string) {
+	t.Helper()
+	if _, err := io.WriteString(w.parties[client].conn, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+const (
+	running = `
+		c1 send job batch a1 || one
+		r1 expect POST /batch/7?a=b txn=a1 key=k body=one
+		r1 send 202 OK
+		node send stop`
+	ran = `
+		back2 send POST /callback || {"id":"a1","from":"r1","state":"done","result":"it"}
+		back2 expect 204
+		c1 expect 200 close it
+		wait end`
+	stale = `{"id":"a0","from":"r1","state":"done"}` // of a job that nobody knows
+)
+
+// stage is one of a node's end: how it is reached, and how the node ends from there.
+type stage struct {
+	name   string
+	reach  func(t *testing.T, w *world)
+	finish func(t *testing.T, w *world)
+}
+
+var stages = []stage{
+	{"serving on", func(t *testing.T, w *world) {
+		play(t, w, running)
+	}, func(t *testing.T, w *world) {
+		w.node.refuses(t)
+		play(t, w, ran)
+	}},
+	{"refusing", func(t *testing.T, w *world) {
+		play(t, w, running)
+		w.node.refuses(t)
+	}, func(t *testing.T, w *world) {
+		play(t, w, ran)
+	}},
+	{"waiting for withdrawals", func(t *testing.T, w *world) {
+		play(t, w, `
+			c1 send job batch a1 || one
+			r1 expect POST /batch/7?a=b txn=a1 key=k body=one
+			c1 close
+			r1 expect DELETE /jobs/a1
+			node send stop`)
+		w.node.refuses(t)
+	}, func(t *testing.T, w *world) {
+		play(t, w, "r1 send 200 OK\nwait end")
+	}},
+	// Clients that are half through a request hold it there.
+	{"closing", func(t *testing.T, w *world) {
+		play(t, w, "c3 send GET /_health\nc3 expect 200\nback3 send GET /_health\nback3 expect 200")
+		w.says(t, "c3", "POST /batch/7 HTTP/1.1\r\nX-Lane: batch\r\n")
+		w.says(t, "back3", "POST /callback HTTP/1.1\r\n")
+		play(t, w, "node send stop")
+		w.node.reaches(t, "closing", func() bool { return w.node.leave != nil })
+	}, func(t *testing.T, w *world) {
+		w.says(t, "c3", "X-Org: sahel\r\nX-Txn: z1\r\nX-Remaining-Ms: 900\r\nContent-Length: 0\r\n\r\n")
+		w.says(t, "back3", fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(stale), stale))
+		play(t, w, "c3 expect 503 after 0 close\nback3 expect 204\nwait end")
+	}},
+}
+
+// Whatever comes in whichever stage of the end: nobody is left without an answer, and the end comes when
+// what is owed has been paid, as if nothing had come.
+func TestWhatComesInEachStageOfTheEnd(t *testing.T) {
+	for _, s := range stages {
+		for event, happen := range map[string]string{
+			"a second SIGTERM": "node send stop\nnode send stop",
+			"a SIGHUP": `
+				node send reload discovery2
+				discovery2 expect GET /catalog/members?watch=1&from=0
+				node send reload discovery3
+				discovery3 expect GET /catalog/members?watch=1&from=0`,
+			"a callback": `
+				back send POST /callback || {"id":"a1","from":"r1","state":"running","share":0.5}
+				back expect 204
+				back send POST /callback || ` + stale + `
+				back expect 204`,
+			"a late client": `
+				c2 send job batch z1 || late
+				c2 expect 503 after 0 close
+				c2 expect end`,
+		} {
+			switch {
+			case s.name == "closing" && (event == "a callback" || event == "a late client"):
+				continue // there both have begun before, as the listener may be closed by now
+			case s.name == "serving on" && event == "a late client":
+				continue // it is served: the next test
+			}
+			t.Run(s.name+", "+event, func(t *testing.T) {
+				t.Parallel()
+				w := newWorld(t, 0, "r1")
+				w.serve(t, "discovery2")
+				w.serve(t, "discovery3")
+				s.reach(t, w)
+				play(t, w, happen)
+				s.finish(t, w)
+				w.node.Stop() // what comes after the end is not waited for
+				w.node.Reload(Config{})
+			})
+		}
+	}
+}
+
+// A late client is served in the time in which a stopping node serves on: its front may not have heard
+// yet. A try that takes longer than that shows nothing, and is made again.
+func TestALateClientIsServedWhileTheFrontLearns(t *testing.T) {
+	for end := time.Now().Add(patience); ; {
+		w := newWorld(t, 0, "r1")
+		began := time.Now()
+		play(t, w, "node send stop\nc1 send job batch a1 || one")
+		select {
+		case m := <-w.parties["r1"].heard:
+			w.parties["r1"].conn = m.conn
+			play(t, w, "r1 send 202 OK")
+			w.node.refuses(t)
+			play(t, w, ran)
+			return
+		case m := <-w.parties["c1"].heard:
+			if took := time.Since(began); took < 600*time.Millisecond || time.Now().After(end) {
+				t.Fatalf("after %v it got %q", took, m.text)
+			}
+		}
+	}
+}
+
+// A job that waits for discovery when its node is told to stop is still sent, by the word of a discovery
+// that only a reload names then.
+func TestAReloadDuringTheEndStillServesWhoWaits(t *testing.T) {
+	w := newWorld(t, 0, "r1")
+	w.serve(t, "discovery2")
+	n := w.node
+	n.do(n.deaf)
+	play(t, w, "c1 send job batch a1 || one\nwait open 1\nnode send stop")
+	n.refuses(t)
+	play(t, w, `
+		node send reload discovery2
+		discovery2 expect GET /catalog/members?watch=1&from=0
+		discovery2 send head
+		discovery2 send {"rev":9,"all":true,"targets":[`+
+		workerLine("r1", w.parties["r1"].listener.Addr().String())+`]}/n
+		r1 expect POST /batch/7?a=b txn=a1 key=k body=one
+		r1 send 202 OK`+ran)
+}
