--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -386,3 +387,50 @@
 		}, "r1")
 	}
 }
+
+// halting is a connection that can be held between what it has read and whoever reads it.
+type halting struct {
+	net.Conn
+	halt      atomic.Bool
+	got, goOn chan struct{}
+}
+
+func (h *halting) Read(b []byte) (int, error) {
+	n, err := h.Conn.Read(b)
+	if n > 0 && h.halt.CompareAndSwap(true, false) {
+		h.got <- struct{}{}
+		<-h.goOn
+	}
+	return n, err
+}
+
+// A client leaves between the first byte that it sends ahead and the reading on that this begins.
+func TestALeaveBetweenAByteAheadAndReadingOn(t *testing.T) {
+	for _, way := range []string{"in order", "reset"} {
+		w := newWorld(t, 0, "r1")
+		n := w.node
+		n.do(n.deaf) // no job can go anywhere yet
+		ours, theirs := pair(t)
+		h := &halting{Conn: ours, got: make(chan struct{}), goOn: make(chan struct{})}
+		n.slots <- struct{}{}
+		n.serving.Add(1)
+		go newClient(n, h).serve()
+		const job = "POST /batch/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: batch\r\nX-Org: sahel\r\n" +
+			"X-Remaining-Ms: 30000\r\nContent-Length: 0\r\n\r\n"
+		if _, err := io.WriteString(theirs, job); err != nil {
+			t.Fatal(err)
+		}
+		play(t, w, "wait open 1")
+		h.halt.Store(true)
+		if _, err := io.WriteString(theirs, "P"); err != nil {
+			t.Fatal(err)
+		}
+		<-h.got
+		if way == "reset" {
+			theirs.(*net.TCPConn).SetLinger(0)
+		}
+		theirs.Close()
+		h.goOn <- struct{}{}
+		play(t, w, "wait open 0")
+	}
+}
--- a/internal/node/told.go
+++ b/internal/node/told.go
@@ -170,7 +170,10 @@
 // deadline and the word together.
 func (p *tap) Read(b []byte) (n int, err error) {
 	p.told.mu.Lock()
-	p.raw = false
+	if p.raw { // its words may have been dealt with by now: who waits may look again
+		p.raw = false
+		p.told.signal()
+	}
 	p.told.mu.Unlock()
 	ready := false
 	take := func(fd uintptr) bool {
