--- a/internal/rig/zone_bench_test.go
+++ b/internal/rig/zone_bench_test.go
@@ -94,7 +94,8 @@
 			lines := make([]standin.Line, n)
 			for i := range lines {
 				lines[i] = standin.Line{UID: fmt.Sprintf("worker-%05d", i),
-					Endpoint: fmt.Sprintf("127.0.0.1:%d", 10000+i), Zone: fmt.Sprint("zone-", i%zones), Model: fmt.Sprint("m", i/zones%4), Group: i / 40, State: "ready"}
+					Endpoint: fmt.Sprintf("127.0.0.1:%d", 10000+i), Zone: fmt.Sprint("zone-", i%zones),
+					Model: fmt.Sprint("m", i/zones%4), Group: i / 40, State: "ready"}
 			}
 			discovery := newTeller(b)
 			p, err := StartSetup(bin, b.TempDir(), Setup{Name: "n0", Listen: "127.0.0.1:0",
