--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -730,8 +730,8 @@
 	})
 	old := 0
 	for ; old < len(s.departed) && s.now-s.departed[old].since >= long; old++ {
-		if went := s.departed[old]; went.worker.gone == went.since && s.workers[went.worker.UID] == went.worker {
-			changed = append(changed, went.worker)
+		if r := s.departed[old].worker; s.workers[r.UID] == r { // it may have been back since: see below
+			changed = append(changed, r)
 		}
 	}
 	s.departed = slices.Delete(s.departed, 0, old)
--- a/list_test.go
+++ b/list_test.go
@@ -109,13 +109,13 @@
 	}
 	f.m.word(d)
 	f.compare()
-	for _, w := range f.m.known { // what is told once is to hold on a copy, too
-		if w != nil {
-			c := *f
-			c.d = d.Clone()
-			c.compare()
-			break
-		}
+}
+
+// goOn goes on with a copy.
+func (f *fed) goOn() {
+	f.d = f.d.Clone()
+	for id := range f.m.known {
+		f.m.known[id] = f.d.workers[id]
 	}
 }
 
@@ -141,6 +141,7 @@
 	if len(d.workers) != len(m.order) {
 		f.t.Fatalf("%d workers in the books, %d in order", len(d.workers), len(m.order))
 	}
+	d = d.Clone() // to ask for a place is to reckon it
 	for _, id := range m.order {
 		if got := d.placeOf(d.workers[id]); got != m.places[id] {
 			f.t.Fatalf("worker %d at %v, built from nothing at %v", id, got, m.places[id])
@@ -162,14 +163,11 @@
 		f := newFed(t, s)
 		now, most := 100*Micros(second), rapid.SampledFrom([]int{3, 40, 300}).Draw(t, "workers")
 		entry := rapid.Custom(func(t *rapid.T) WorkerEntry {
-			id := rapid.IntRange(0, most-1).Draw(t, "id")
-			source := random(id) // most stay where they are
-			zone, kind := int(source.chance()*3), int(source.chance()*2)
+			e := usual(rapid.IntRange(0, most-1).Draw(t, "id"), most)
 			if rapid.IntRange(0, 20).Draw(t, "moves") == 0 {
-				zone, kind = rapid.IntRange(0, 3).Draw(t, "zone"), rapid.IntRange(0, 2).Draw(t, "kind")
+				e.Zone, e.Kind = rapid.IntRange(0, 3).Draw(t, "zone"), rapid.IntRange(0, 2).Draw(t, "kind")
 			}
-			e := WorkerEntry{Worker: WorkerID(source.chance() * (1 << 32)), Zone: zone, Kind: kind,
-				Status: rapid.SampledFrom([]Status{Ready, Ready, Ready, Ready, Draining, Gone}).Draw(t, "status")}
+			e.Status = rapid.SampledFrom([]Status{Ready, Ready, Ready, Ready, Draining, Gone}).Draw(t, "status")
 			if rapid.IntRange(0, 3).Draw(t, "cold") == 0 {
 				e.Started = max(1, now-Micros(rapid.Int64Range(0, int64(2*s.Cold)).Draw(t, "age")))
 			}
@@ -180,8 +178,15 @@
 				s.GoneFor()}).Draw(t, "passed")
 			scope := rapid.SampledFrom([]ListScope{ListDelta, ListDelta, ListDelta, ListFull, ListCached,
 				ListWarned}).Draw(t, "scope")
-			n := rapid.SampledFrom([]int{0, 1, 1, 2, most}).Draw(t, "entries")
-			f.say(now, scope, rapid.SliceOfN(entry, n, n).Draw(t, "list")...)
+			n := rapid.SampledFrom([]int{0, 1, 1, 2, 5, -1}).Draw(t, "entries")
+			if n < 0 { // most of the fleet, by chance
+				f.say(now, scope, byChance(rapid.Uint64().Draw(t, "fleet"), most, now)...)
+			} else {
+				f.say(now, scope, rapid.SliceOfN(entry, n, n).Draw(t, "list")...)
+			}
+			if rapid.IntRange(0, 3).Draw(t, "copied") == 0 {
+				f.goOn()
+			}
 			for _, w := range f.d.part { // what no word tells, and the next one brings to light
 				if rapid.IntRange(0, 30).Draw(t, "lost") == 0 {
 					w.lost = !w.lost
@@ -191,6 +196,32 @@
 	})
 }
 
+// usual is a worker where it mostly is: larger fleets have fewer zones, so that parts are parts.
+func usual(i, most int) WorkerEntry {
+	source := random(i)
+	return WorkerEntry{Worker: WorkerID(source.chance() * (1 << 32)), Zone: int(source.chance() * 60 / float64(most+20)),
+		Kind: int(source.chance() * 2), Status: Ready}
+}
+
+// byChance lists most of a fleet, some of it cold.
+func byChance(seed uint64, most int, now Micros) (list []WorkerEntry) {
+	source := random(seed)
+	share, cold := source.chance(), source.chance()
+	for i := range most {
+		e := usual(i, most)
+		switch {
+		case source.chance() < cold:
+			e.Started = now - Micros(source.chance()*10*second)
+		case source.chance() < 0.1:
+			e.Status = Status(source.chance() * 3)
+		}
+		if source.chance() < share {
+			list = append(list, e)
+		}
+	}
+	return list
+}
+
 // zoned lists n workers in so many zones.
 func zoned(n, zones int) []WorkerEntry {
 	list := make([]WorkerEntry, n)
@@ -330,3 +361,47 @@
 		})
 	}
 }
+
+// A cold worker is in the part of its owner, wherever that stands, until time alone makes it warm.
+func TestColdWorkerIsInItsOwnersPart(t *testing.T) {
+	list := zoned(200, 1)
+	for i := range list {
+		list[i].Started = 100 * second
+	}
+	outside := 0
+	for me := range 80 {
+		f := newFed(t, listSettings(80, me, true))
+		f.say(101*second, ListFull, list...)
+		covered := 0
+		for _, w := range f.d.part {
+			if w.covered {
+				covered++
+			} else if !f.d.owns(w) {
+				t.Errorf("dispatcher %d has %d, which it neither covers nor owns", me, w.entry.Worker)
+			}
+		}
+		outside += len(f.d.part) - covered
+		f.goOn()
+		f.say(100*second+f.d.set.Cold, ListDelta)
+		if len(f.d.part) != covered {
+			t.Errorf("dispatcher %d has %d of a warm fleet, and covers %d", me, len(f.d.part), covered)
+		}
+	}
+	if outside < 100 {
+		t.Errorf("%d of 200 cold workers are in the part of an owner that does not cover them", outside)
+	}
+}
+
+// One that has long been gone is forgotten also by a word that names it, and elsewhere at that.
+func TestForgottenByAWordThatNamesIt(t *testing.T) {
+	f := newFed(t, listSettings(3, 0, false))
+	list := zoned(4, 2)
+	f.say(100*second, ListFull, list...)
+	e := list[1]
+	e.Status = Gone
+	f.say(101*second, ListDelta, e)
+	e.Zone, e.Kind = 7, 3
+	f.say(101*second+f.d.set.GoneFor(), ListDelta, e)
+	e.Status = Ready
+	f.say(102*second+f.d.set.GoneFor(), ListDelta, e)
+}
