--- a/list_test.go
+++ b/list_test.go
@@ -199,8 +199,8 @@
 // usual is a worker where it mostly is: larger fleets have fewer zones, so that parts are parts.
 func usual(i, most int) WorkerEntry {
 	source := random(i)
-	return WorkerEntry{Worker: WorkerID(source.chance() * (1 << 32)), Zone: int(source.chance() * 60 / float64(most+20)),
-		Kind: int(source.chance() * 2), Status: Ready}
+	return WorkerEntry{Worker: WorkerID(source.chance() * (1 << 32)),
+		Zone: int(source.chance() * 60 / float64(most+20)), Kind: int(source.chance() * 2), Status: Ready}
 }
 
 // byChance lists most of a fleet, some of it cold.
