--- a/internal/rig/zone_bench_test.go
+++ b/internal/rig/zone_bench_test.go
@@ -99,7 +99,8 @@
 			}
 			discovery := newTeller(b)
 			p, err := StartSetup(bin, b.TempDir(), Setup{Name: "n0", Listen: "127.0.0.1:0",
-				Discovery: discovery.Addr().String(), Schedulers: 300, MemoryMB: 64, Sockets: 512,
+				Discovery:  discovery.Addr().String(),
+				Schedulers: 300, MemoryMB: 64, Sockets: 512,
 				Known: []standin.Line{}})
 			if err != nil {
 				b.Fatal(err)
