--- a/internal/rig/zone_bench_test.go
+++ b/internal/rig/zone_bench_test.go
@@ -85,7 +85,7 @@
 }
 
 // BenchmarkZoneLost is the processor time that the real program takes for a zone that goes, a line
-// for each worker.
+// for each worker, and then for one change a second.
 func BenchmarkZoneLost(b *testing.B) {
 	const zones = 14
 	bin := program(b)
@@ -126,6 +126,16 @@
 			if err != nil {
 				b.Fatal(err)
 			}
+			const seconds = 6
+			before, began := processor(b, p), time.Now()
+			for i := range seconds {
+				line := lines[i*7919%n]
+				line.State = "draining"
+				discovery.say(b, false, []standin.Line{line})
+				time.Sleep(time.Second)
+			}
+			share := (processor(b, p) - before).Seconds() / time.Since(began).Seconds()
+			b.ReportMetric(share*100, "%core/change/s")
 			b.ReportMetric(lost.Seconds()*1000/float64(b.N), "cpu-ms/zone")
 			b.ReportMetric(lost.Seconds()*1e6/float64(told), "cpu-us/line")
 			b.ReportMetric(use.MostMB, "MB")
