--- a/internal/scheduler/list_test.go
+++ b/internal/scheduler/list_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"slices"
 	"testing"
 
 	"dahliaford"
@@ -68,3 +69,30 @@
 		t.Errorf("known at %d, want %d", w.s.knownAt, w.now)
 	}
 }
+
+// Two workers of one address, as after a replacement in place: each comes and goes by its own name.
+func TestTwoWorkersOfOneAddress(t *testing.T) {
+	for _, whole := range []bool{false, true} {
+		w := newWorld(t)
+		r1, r2 := line("r1", dahliaford.Ready), line("r2", dahliaford.Ready)
+		r2.Addr = r1.Addr
+		w.step(ListRead{List: WorkerList{2, true, []Worker{r1, r2}}})
+		if r1.Status = dahliaford.Gone; whole {
+			w.now += second
+			w.step(ListRead{List: WorkerList{3, true, []Worker{r2}}})
+		} else {
+			w.now += second
+			w.step(ListRead{List: WorkerList{3, false, []Worker{r1}}})
+		}
+		got := w.s.Step(w.now, Submitted{Caller: 9, ID: "a9", Class: "post", Tenant: "sahel",
+			Deadline: w.now + 5*second}, nil)
+		i := slices.IndexFunc(got, func(e Effect) bool { _, is := e.(Route); return is })
+		if i < 0 || got[i].(Route).UID != "r2" || got[i].(Route).Addr != r2.Addr {
+			t.Errorf("by a whole list %v: %+v, want a9 sent to r2", whole, got)
+		}
+		one, two := w.s.workers["r1"].Status, w.s.workers["r2"].Status
+		if one != dahliaford.Gone || two != dahliaford.Ready {
+			t.Errorf("by a whole list %v: r1 is %d, r2 is %d", whole, one, two)
+		}
+	}
+}
