--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -79,6 +79,8 @@
 	attempts map[scheduler.Attempt]*workerConn
 	unsent   scheduler.Attempt // the last one that was given up before anything got out
 	open     int               // links
+	second   atomic.Int32      // connects that stand beside another one
+	dial     dialer            // nil, but in tests
 	mostOpen int
 	keptFor  scheduler.Micros // that an idle link is used again
 	slots    chan struct{}    // one taken for each client connection
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -338,8 +338,7 @@
 	defer n.post(ended{c})
 	defer c.release()
 	first := <-c.errands
-	dialer := net.Dialer{Deadline: n.at(first.writeBy), KeepAlive: -1}
-	conn, err := dialer.DialContext(c.ctx, "tcp", c.addr)
+	conn, err := c.connect(n.at(first.writeBy))
 	if err != nil {
 		n.post(wrote{c, err})
 		return
@@ -378,6 +377,71 @@
 	}
 }
 
+const (
+	// secondAfter is the part of the time for a connect after which a second one is begun beside it.
+	secondAfter = 4
+	// mostSecond is how many second connects may stand at once: their descriptors are among the spare ones.
+	mostSecond = 8
+)
+
+// connect opens a connection by a time. Single connects come up late on some networks; a second one
+// beside such a one mostly does not. Whichever is up first is taken: nothing is sent on the other.
+func (c *workerConn) connect(by time.Time) (net.Conn, error) {
+	type end struct {
+		conn net.Conn
+		err  error
+	}
+	n := c.node
+	ctx, release := context.WithCancel(c.ctx)
+	defer release()
+	open := dial
+	if n.dial != nil {
+		open = n.dial
+	}
+	ends, begun := make(chan end, 2), 1
+	begin := func(ended func()) {
+		n.spawn(func() {
+			defer ended()
+			conn, err := open(ctx, c.addr, by)
+			ends <- end{conn, err}
+		})
+	}
+	begin(func() {})
+	second := time.NewTimer(time.Until(by) / secondAfter)
+	defer second.Stop()
+	for {
+		select {
+		case <-second.C:
+			if n.second.Add(1) > mostSecond {
+				n.second.Add(-1)
+			} else {
+				begun++
+				begin(func() { n.second.Add(-1) })
+			}
+		case e := <-ends:
+			if begun--; begun > 0 && os.IsTimeout(e.err) {
+				continue // the other one may be up
+			}
+			if begun > 0 {
+				n.spawn(func() {
+					if late := <-ends; late.conn != nil {
+						late.conn.Close()
+					}
+				})
+			}
+			return e.conn, e.err
+		}
+	}
+}
+
+// dialer opens a connection by a time.
+type dialer func(ctx context.Context, addr string, by time.Time) (net.Conn, error)
+
+func dial(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
+	d := net.Dialer{Deadline: by, KeepAlive: -1}
+	return d.DialContext(ctx, "tcp", addr)
+}
+
 var (
 	errGivenUp = errors.New("given up before anything got out")
 	errNobody  = errors.New("its client has left")
