--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,8 +49,10 @@
 const (
 	inboxSize  = 1024
 	sweepEvery = time.Second // looks for worker connections that have idled too long
-	// readyWithin is the longest from the start until health says that clients may come.
-	readyWithin = 10 * time.Second
+	// readyWithin is the longest from the start until health says that clients may come. The call for
+	// the list is made within 2 s and takes some tenths of a second; nine in ten have to be ready after
+	// 6 s at the latest, and the front looks only now and then.
+	readyWithin = 3 * time.Second
 	lastWords   = time.Second // for clients to part, after an end that nobody asked for
 )
 
@@ -62,6 +64,7 @@
 	inbox    chan any // scheduler.Event or a message of this package
 	start    time.Time
 	epoch    scheduler.Micros
+	unready  time.Duration // from the start, while discovery has not been heard
 
 	ctx      context.Context // ends with the loop
 	end      context.CancelFunc
@@ -121,7 +124,7 @@
 		mostOpen: usable / workerPart}
 	n.told = newTold(cfg.Settings.DrainGrace, cfg.Settings.Module.ToldWithin)
 	n.told.pushed, n.told.ask = pushed, cfg.Settings.Module.AskWithin
-	n.keptFor = kept(&cfg.Settings)
+	n.keptFor, n.unready = kept(&cfg.Settings), unreadyFor(&cfg.Settings)
 	n.epoch = scheduler.Micros(n.start.UnixMicro())
 	most := usable - n.mostOpen
 	n.slots, n.reserve = make(chan struct{}, most), most/callbackPart
@@ -193,7 +196,18 @@
 
 // ready tells whether the front should deal clients here. Nothing is sent before discovery has
 // been heard, so they are better off elsewhere; but not for long, as discovery may be down.
-func (n *Node) ready() bool { return n.heard.Load() || time.Since(n.start) > readyWithin }
+func (n *Node) ready() bool { return n.heard.Load() || time.Since(n.start) > n.unready }
+
+// unreadyFor is how long a start without a list keeps clients away: as long as the one who waits least
+// would wait here in vain, readyWithin at the most. By then others lack the list, too, and a client that
+// is held or refused at once with a word when to come again is better off than one that finds nobody.
+func unreadyFor(set *settings.Settings) time.Duration {
+	least := readyWithin
+	for _, c := range set.Module.Classes {
+		least = min(least, time.Duration(c.Deadline)*time.Microsecond)
+	}
+	return least
+}
 
 // spawn runs a goroutine that ends with the node. A panic in it costs what that
 // goroutine serves, not the process.
--- /dev/null
+++ b/internal/node/ready_test.go
@@ -0,0 +1,107 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"testing"
+	"time"
+
+	"dahliaford/internal/http1"
+	"dahliaford/internal/scheduler"
+)
+
+// mostUnready is when nine in ten that start have to be ready on a day that ends soon, less what the
+// front may need to see it.
+const mostUnready = 4 * time.Second
+
+// A start whose discovery refuses, fails or swallows its calls says on real connections that clients may
+// come, as soon as the one who waits least would have waited in vain: not before, and well within 6 s.
+func TestReadyThoughDiscoveryIsNotThere(t *testing.T) {
+	for _, way := range []string{"refuses", "answers 503", "resets", "is silent"} {
+		for _, deadline := range []time.Duration{time.Second, 30 * time.Second} {
+			t.Run(fmt.Sprint(way, ", a client waits ", deadline), func(t *testing.T) {
+				t.Parallel()
+				set := parsed(t)
+				set.Module.Balancers = 300
+				for i := range set.Module.Classes {
+					c := &set.Module.Classes[i]
+					c.Deadline = scheduler.Micros(deadline.Microseconds())
+					c.Aim = min(c.Aim, c.Deadline/2)
+				}
+				n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: set, Discovery: absent(t, way)},
+					slog.New(slog.DiscardHandler))
+				if err != nil {
+					t.Fatal(err)
+				}
+				done := make(chan error, 1)
+				go func() { done <- n.Run() }()
+				conn, err := net.Dial("tcp", n.Addr().String())
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer conn.Close()
+				conn.SetDeadline(time.Now().Add(2 * patience))
+				read := http1.NewReader(conn)
+				for refused := 0; ; refused++ {
+					asked := time.Since(n.start)
+					if _, err := io.WriteString(conn, "GET /_health HTTP/1.1\r\n\r\n"); err != nil {
+						t.Fatal(err)
+					}
+					r, err := read.Response()
+					if err != nil {
+						t.Fatal(err)
+					}
+					if answered := time.Since(n.start); r.Status == 200 {
+						if answered < min(deadline, readyWithin) {
+							t.Errorf("ready after %v", answered)
+						}
+						break
+					} else if asked > mostUnready {
+						t.Fatalf("not ready after %v", asked)
+					}
+					time.Sleep(10 * time.Millisecond) // as a front that looks now and then
+				}
+				n.Stop()
+				if err := <-done; err != nil {
+					t.Error(err)
+				}
+			})
+		}
+	}
+}
+
+// absent is the address of a discovery that does not work, in one of the ways in which it may not.
+func absent(t *testing.T, way string) string {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if way == "refuses" {
+		l.Close()
+		return l.Addr().String()
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				c.Read(make([]byte, 1<<12))
+				switch way {
+				case "answers 503":
+					io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+				case "resets":
+					c.(*net.TCPConn).SetLinger(0)
+				default:
+					c.Read(make([]byte, 1)) // until the other side has enough
+				}
+			}()
+		}
+	}()
+	return l.Addr().String()
+}
