--- a/api.go
+++ b/api.go
@@ -68,6 +68,7 @@
 	AskForList bool   // the worker list must be asked for
 	AskWithin  Micros // longest time without asking, where it must be asked for
 	ToldWithin Micros // what there is to tell counts as told this long after, heard or not; 0: once heard
+	FreeCalls  bool   // calls for the list cost nobody anything, so none is spread or put off
 
 	Granularity Micros // least time between two batches of events
 
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -1032,10 +1032,8 @@
 	}
 	if e.Scope == ListFailed {
 		if d.set.AskForList {
-			wait := Micros(float64(second) / 2 * (1 + d.random.chance()))
-			wait = min(wait<<min(d.askFails, 6), d.set.AskWithin/3)
+			d.askAt = d.now + d.nextCall()
 			d.askFails++
-			d.askAt = d.now + wait + d.turn()
 			d.log("the worker list does not answer: the last one is used")
 		}
 		return
--- a/estimates.go
+++ b/estimates.go
@@ -381,7 +381,7 @@
 // wait too long there fail, and cost it as much. While what was heard last holds there is time
 // until then, less what a call may take. Otherwise nothing can be sent, and it is short.
 func (d *Dispatcher) turn() Micros {
-	if !d.set.LargeFleet() {
+	if !d.set.LargeFleet() || d.set.FreeCalls {
 		return 0
 	}
 	left := float64(d.listedAt + d.set.ToldWithin - d.now - second)
@@ -389,6 +389,29 @@
 	return Micros(d.random.chance() * longest)
 }
 
+// nextCall is the wait from a call that failed, or a watch that ended, to the next call. The first one
+// has the time for which what was heard last holds. While the service is down the next ones cost it
+// nothing, and as it is back nobody waits there: what counts is how soon each calls then. Only after
+// several failures in a row may it be that there are more calls than it can work through.
+func (d *Dispatcher) nextCall() Micros {
+	base := float64(second) / 2 * (1 + d.random.chance())
+	switch {
+	case d.set.FreeCalls && d.askFails == 0:
+		return d.set.Granularity
+	case d.set.FreeCalls:
+		return Micros(base * 2 / 5)
+	}
+	if d.askFails == 0 {
+		return Micros(min(base, float64(d.set.AskWithin)/3)) + d.turn()
+	}
+	longest := float64(d.set.AskWithin) / 5
+	if d.set.LargeFleet() {
+		longest = min(callTime*float64(d.set.Balancers), longest)
+		base = d.random.chance() * longest
+	}
+	return Micros(min(base, longest) * min(math.Pow(callGrowth, float64(max(d.askFails-soonCalls, 0))), 2))
+}
+
 // outdated tells whether any worker may have been told to drain unheard (rule 3). What there
 // is to tell counts as told ToldWithin later, so what was heard last holds so long, and the list
 // that a start knew not at all. That a worker takes jobs proves nothing: one that drains may.
@@ -397,8 +420,11 @@
 		(d.listedAt == 0 || d.now-d.listedAt > d.set.ToldWithin)
 }
 
-// callTime is what a call costs the list's service, about.
-const callTime = 50 * second / 1000
+const (
+	callTime   = 50 * second / 1000 // what a call costs the list's service, about
+	soonCalls  = 3                  // failed ones in a row after which the wait grows
+	callGrowth = 1.5                // by how much, each time, to twice its length at the most
+)
 
 // share is the part of a zone's workers that is a dispatcher's own.
 func (d *Dispatcher) share(ready int) float64 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -106,7 +106,7 @@
 func Listen(cfg Config, log *slog.Logger) (*Node, error) {
 	// On sockets a list that is pushed comes over a watch, too, which somebody has to open.
 	pushed := !cfg.Settings.Module.AskForList
-	cfg.Settings.Module.AskForList = true
+	cfg.Settings.Module.AskForList, cfg.Settings.Module.FreeCalls = true, pushed
 	if cfg.Settings.Module.ToldWithin == 0 { // only tests set it
 		cfg.Settings.Module.ToldWithin = scheduler.Micros(toldWithin / time.Microsecond)
 	}
@@ -129,7 +129,9 @@
 		mostOpen: usable / workerPart}
 	n.told = newTold(cfg.Settings.DrainGrace, cfg.Settings.Module.ToldWithin)
 	n.told.pushed, n.told.ask = pushed, cfg.Settings.Module.AskWithin
-	n.answerWithin, n.silentFor = answerWithin, silentFor
+	if n.answerWithin, n.silentFor = answerWithin, silentFor; pushed {
+		n.answerWithin = agentWithin
+	}
 	n.keptFor, n.unready = kept(&cfg.Settings), unreadyFor(&cfg.Settings)
 	n.epoch = scheduler.Micros(n.start.UnixMicro())
 	most := usable - n.mostOpen
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -20,6 +20,9 @@
 	// answerWithin is the longest that discovery may take to open a watch: a call
 	// that waits longer there fails.
 	answerWithin = 4 * time.Second
+	// agentWithin is the same where lists are pushed: the agent answers at once, or not before
+	// discovery is back. Then another call is better than to wait on with this one.
+	agentWithin = time.Second
 	// silentFor is the longest between two lines of a watch. One comes every 2 s, and
 	// what it has to tell counts as told 6 s later whether it arrives or not, so a
 	// dead watch must be found out, and a new one opened, well within these.
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -199,3 +199,42 @@
 		t.Error(err)
 	}
 }
+
+// An agent that pushes lists is silent while discovery is down, and answers at once when it is not: a
+// call that it swallows is given up soon, and the next one follows, however many schedulers there are.
+func TestASilentAgentIsCalledAgainSoon(t *testing.T) {
+	set, err := settings.Parse([]byte(strings.Replace(testSettings, "on_request", "pushed", 1)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	set.Module.Balancers = 300
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: set, Discovery: l.Addr().String()},
+		slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan error, 1)
+	go func() { done <- n.Run() }()
+	const calls = 5
+	began := time.Now()
+	for range calls {
+		l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+		conn, err := l.Accept()
+		if err != nil {
+			t.Fatal("the agent is not called: ", err)
+		}
+		defer conn.Close() // it says nothing until then
+	}
+	if took := time.Since(began); took > calls*2*time.Second {
+		t.Errorf("%d calls in %v", calls, took)
+	}
+	n.Stop()
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+}
--- a/size_test.go
+++ b/size_test.go
@@ -219,6 +219,63 @@
 	}
 }
 
+// While the list's service is down calls cost it nothing, and as it is back nobody waits there. So after
+// a failed call the next one comes soon, spread over all, and only several failures in a row, which
+// may mean that it cannot keep up, make the wait longer.
+func TestCallsComeSoonAfterAFailedOne(t *testing.T) {
+	const failures = 8
+	var sum [failures]float64
+	at := map[Micros]int{}
+	all := tier(t, 260, fleetList(20), alternating, func(s *Settings) { s.AskForList = true })
+	for _, b := range all {
+		b.do(Event{Kind: ListChanged, Scope: ListFailed}) // the watch ends
+		b.now += 10 * second                              // what was heard holds no longer
+		for i := range failures {
+			b.do(Event{Kind: ListChanged, Scope: ListFailed})
+			wait := b.d.askAt - b.now
+			if most := b.d.set.AskWithin / 5; wait > 2*most || i < soonCalls && wait > most {
+				t.Errorf("failure %d: the next call comes after %d us", i+1, wait)
+			}
+			sum[i] += float64(wait) / float64(len(all)) / second
+			if i == 0 {
+				at[wait/(second/10)]++
+			}
+		}
+	}
+	for when, n := range at {
+		if n > 26 {
+			t.Errorf("%d of %d call in the same tenth of a second, at %d", n, len(all), when)
+		}
+	}
+	if sum[0] > 1.2 || sum[failures-1] < 1.5*sum[0] {
+		t.Errorf("mean waits after each failure: %.2f s", sum)
+	}
+}
+
+// An agent of our own answers at once and at no cost: no call waits, and hundreds of failures leave
+// less than half a second between two.
+func TestFreeCallsDoNotWait(t *testing.T) {
+	for _, balancers := range []int{1, 300} {
+		s := testSettings()
+		s.Balancers, s.AskForList, s.FreeCalls, s.ToldWithin = balancers, true, true, 6*second
+		d, err := New(s, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b := &bench{t: t, d: d, now: 100 * second}
+		b.want(b.do(Event{Kind: Began}), WatchList, 1)
+		b.do(Event{Kind: ListChanged, Scope: ListFull, Workers: []WorkerEntry{ready(1, 0)}})
+		b.do(Event{Kind: ListChanged, Scope: ListFailed})
+		b.want(b.pass(2*s.Granularity), WatchList, 1)
+		for i := range 300 {
+			b.do(Event{Kind: ListChanged, Scope: ListFailed})
+			if wait := b.d.askAt - b.now; wait < second/10 || wait > second/2 {
+				t.Fatalf("failure %d: the next call comes after %d us", i, wait)
+			}
+		}
+	}
+}
+
 // Hundreds that start at once do not call in step: each call that waits too long at discovery
 // fails, and has cost it as much as one that was answered. Yet none waits long, however many
 // they are, as nothing may be sent before the list has been heard.
