--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -194,6 +194,7 @@
 			err = n.handle(m)
 		case <-sweep.C:
 			n.retireIdle()
+			n.told.look(n.now())
 		case <-n.timer.C:
 			n.lag.note(n.now(), n.wakeAt)
 			err = n.step(scheduler.Woke{})
--- a/internal/node/told.go
+++ b/internal/node/told.go
@@ -65,6 +65,18 @@
 	return nil
 }
 
+// look notes where nothing waits to be read, as every leave of an attempt does: who sends little would
+// otherwise take the next word for older than it is, and lose its trust sooner.
+func (t *told) look(now scheduler.Micros) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for tap := range t.taps {
+		if !tap.raw && tap.empty() {
+			tap.emptyAt = now
+		}
+	}
+}
+
 // next is closed when a word has been dealt with.
 func (t *told) next() <-chan struct{} {
 	t.mu.Lock()
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -128,6 +128,40 @@
 	}
 }
 
+// A scheduler that sends nothing looks at its watch now and then all the same, so a word that comes
+// after a while is not taken for as old as the last leave of an attempt; but never past what lies unread.
+func TestAnIdleSchedulerLooksAtItsWatch(t *testing.T) {
+	w := quietWorld(t, false, 10*second)
+	n, tap := w.node, (*tap)(nil)
+	n.told.mu.Lock()
+	for tap = range n.told.taps {
+	}
+	began := tap.emptyAt
+	n.told.mu.Unlock()
+	if !eventually(func() bool { return tap.sure() >= began+2*second }) {
+		t.Error("nobody looks")
+	}
+	told := newTold(graceOfTests, 6*second)
+	ours, theirs := pair(t)
+	tap, err := told.tapped(ours, func() scheduler.Micros { return 100 * second })
+	if err != nil {
+		t.Fatal(err)
+	}
+	told.look(101 * second)
+	if got := told.post(tap, 102*second); got != 101*second+graceOfTests/2 {
+		t.Errorf("a word is taken for %d", got)
+	}
+	if _, err := io.WriteString(theirs, "leaves r1\n"); err != nil {
+		t.Fatal(err)
+	}
+	if !eventually(func() bool { return !tap.empty() }) {
+		t.Fatal("nothing comes")
+	}
+	if told.look(103 * second); tap.sure() != 101*second {
+		t.Error("what lies unread is looked past")
+	}
+}
+
 // An attempt is on its way, connected and all, as the word comes that its worker leaves. It goes to
 // the other one, and the worker is not set aside as if it had failed.
 func TestAnAttemptOnItsWayTurnsBackFromALeavingWorker(t *testing.T) {
