--- a/cmd/dahlialab/planting.go
+++ b/cmd/dahlialab/planting.go
@@ -8,6 +8,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"time"
 
@@ -26,20 +27,23 @@
 		return nil, errors.New("the drill runs in the root of the repository")
 	}
 	r := &report{ok: true, table: [][]string{{"fault", "in", "what", "world", "property", "steps", "states",
-		"seconds"}}}
+		"seconds", "elsewhere"}}}
 	found, all := 0, planted.Faults()
 	for _, f := range all {
 		say("%s ...", f.Name)
-		s, steps, err := plant(ctx, root, f)
+		s, steps, others, err := plant(ctx, root, f)
 		if err != nil {
 			return nil, err
 		}
 		line := []string{f.Name, f.File, f.About, f.World, "not found", "", fmt.Sprint(s.States),
-			fmt.Sprintf("%.2f", s.Seconds)}
+			fmt.Sprintf("%.2f", s.Seconds), ""}
 		if s.Violations > 0 {
 			line[4], line[5] = s.Property, fmt.Sprint(steps)
 		}
-		if s.Violations > 0 && strings.Contains(f.Want, s.Property) {
+		if f.Only {
+			line[8] = others.String()
+		}
+		if s.Violations > 0 && strings.Contains(f.Want, s.Property) && len(others.found) == 0 {
 			found++
 		} else {
 			r.ok = false
@@ -53,47 +57,100 @@
 // eachFor is how long a planted fault is looked for.
 const eachFor = 60 * time.Second
 
+// elsewhereFor is how long a fault that must show in its own world only is looked for in each of
+// those with the usual settings, with elsewhereFaults faults of the world at most.
+const (
+	elsewhereFor    = 2 * time.Second
+	elsewhereFaults = 2
+)
+
+// elsewhere is what became of a fault in the worlds with the usual settings.
+type elsewhere struct {
+	worlds int
+	states int64
+	found  []string // the worlds that found it all the same
+}
+
+func (e elsewhere) String() string {
+	if len(e.found) > 0 {
+		return "found in " + strings.Join(e.found, ", ")
+	}
+	return fmt.Sprintf("in none of %d worlds, %d states", e.worlds, e.states)
+}
+
 // plant looks for one fault, and has its trace replayed by the build that has the fault.
-func plant(ctx context.Context, root string, f planted.Fault) (s summary, steps int, err error) {
+func plant(ctx context.Context, root string, f planted.Fault) (s summary, steps int, o elsewhere, err error) {
 	folder, err := os.MkdirTemp("", "planted")
 	if err != nil {
-		return s, 0, err
+		return s, 0, o, err
 	}
 	defer os.RemoveAll(folder)
 	overlay, err := f.Overlay(root, folder)
 	if err != nil {
-		return s, 0, err
+		return s, 0, o, err
 	}
 	bin := filepath.Join(folder, "lab")
 	build := exec.CommandContext(ctx, "go", "build", "-overlay", overlay, "-o", bin, "./cmd/dahlialab")
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
-		return s, 0, fmt.Errorf("planted fault %s: %w: %s", f.Name, err, out)
+		return s, 0, o, fmt.Errorf("planted fault %s: %w: %s", f.Name, err, out)
 	}
-	out, err := exec.CommandContext(ctx, bin, "explore", "--world", f.World, "--out", folder, "--budget",
-		eachFor.String()).Output()
-	var ended *exec.ExitError
-	if err != nil && (!errors.As(err, &ended) || ended.ExitCode() != broken) {
-		return s, 0, fmt.Errorf("planted fault %s: %w", f.Name, err)
+	if s, err = look(ctx, bin, folder, f.World, eachFor); err != nil {
+		return s, 0, o, fmt.Errorf("planted fault %s: %w", f.Name, err)
 	}
-	lines := strings.Split(strings.TrimSpace(string(out)), "\n")
-	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &s); err != nil {
-		return s, 0, err
+	if f.Only {
+		if o, err = lookElsewhere(ctx, bin, folder); err != nil {
+			return s, 0, o, fmt.Errorf("planted fault %s: %w", f.Name, err)
+		}
 	}
 	if s.Violations == 0 {
-		return s, 0, nil
+		return s, 0, o, nil
 	}
 	raw, err := os.ReadFile(s.Trace)
 	if err != nil {
-		return s, 0, err
+		return s, 0, o, err
 	}
 	trace, err := explore.ReadTrace(raw)
 	if err != nil {
-		return s, 0, err
+		return s, 0, o, err
 	}
+	var ended *exec.ExitError
 	err = exec.CommandContext(ctx, bin, "explore", "--replay", s.Trace).Run()
 	if !errors.As(err, &ended) || ended.ExitCode() != broken {
-		return s, 0, fmt.Errorf("planted fault %s: its trace does not break the property again", f.Name)
+		return s, 0, o, fmt.Errorf("planted fault %s: its trace does not break the property again", f.Name)
+	}
+	return s, len(trace.Steps), o, nil
+}
+
+// look explores one world with a build that has a fault.
+func look(ctx context.Context, bin, folder, world string, most time.Duration, more ...string) (s summary,
+	err error) {
+	args := append([]string{"explore", "--world", world, "--out", folder, "--budget", most.String()}, more...)
+	out, err := exec.CommandContext(ctx, bin, args...).Output()
+	var ended *exec.ExitError
+	if err != nil && (!errors.As(err, &ended) || ended.ExitCode() != broken) {
+		return s, err
+	}
+	lines := strings.Split(strings.TrimSpace(string(out)), "\n")
+	return s, json.Unmarshal([]byte(lines[len(lines)-1]), &s)
+}
+
+// lookElsewhere explores all worlds that have the usual settings.
+func lookElsewhere(ctx context.Context, bin, folder string) (o elsewhere, err error) {
+	for _, c := range explore.Worlds() {
+		if c.Rules != (explore.Rules{}) || c.DeleteOvertakes { // the hole is known to break
+			continue
+		}
+		faults := strconv.Itoa(min(elsewhereFaults, int(c.Most)))
+		s, err := look(ctx, bin, folder, c.Name, elsewhereFor, "--faults", faults)
+		if err != nil {
+			return o, err
+		}
+		o.worlds++
+		o.states += s.States
+		if s.Violations > 0 {
+			o.found = append(o.found, c.Name)
+		}
 	}
-	return s, len(trace.Steps), nil
+	return o, nil
 }
--- a/internal/explore/actions.go
+++ b/internal/explore/actions.go
@@ -53,6 +53,7 @@
 	Tick
 	JustBefore
 	JustAfter
+	HearKept
 	kinds
 )
 
@@ -77,7 +78,7 @@
 	"hand-back-job", "kill-job", "tell", "tell-and-keep", "lose-call", "withdraw-arrives", "withdraw-answered",
 	"withdraw-breaks", "process-dies", "process-starts", "machine-silent", "machine-back", "say-draining",
 	"say-gone", "say-ready", "watch-lost", "watch-answered", "watch-anew", "reload", "sigterm", "module-breaks",
-	"tick", "just-before", "just-after"}
+	"tick", "just-before", "just-after", "hear-kept"}
 
 func (k Kind) String() string { return kindNames[k] }
 
@@ -115,7 +116,15 @@
 
 // busy tells whether time matters: somebody waits, or something is still to be done.
 func (w *World) busy() bool {
-	return !w.over() || len(w.withdraws) > 0 || w.stopped
+	if !w.over() || len(w.withdraws) > 0 || w.stopped {
+		return true
+	}
+	for i := range w.routes {
+		if w.routes[i].phase == connecting {
+			return true // it may leave late, for nobody
+		}
+	}
+	return false
 }
 
 // enabled appends the steps that the world can take now.
@@ -349,6 +358,8 @@
 			add(CloseArrives, 0)
 			add(CloseArrives, 1)
 		}
+	case kept:
+		add(HearKept, 0)
 	}
 	return out
 }
@@ -411,7 +422,7 @@
 	case ClientLeaves:
 		w.spend(Leave)
 		q := &w.requests[i]
-		q.state = gone
+		q.state, q.leftAt = gone, w.now
 		w.step(scheduler.CallerLeft{Caller: q.caller})
 	case Tell, TellAndKeep, LoseCall:
 		w.applyCall(a, i)
@@ -423,8 +434,7 @@
 		w.applyWorker(a, i)
 	case WatchLost:
 		w.spend(LoseWatch)
-		w.watching = false
-		w.step(scheduler.ListLost{})
+		w.step(scheduler.ListLost{Until: w.lost()})
 	case WatchAnswered:
 		w.answerWatch()
 	case WatchAnew:
@@ -470,6 +480,10 @@
 
 func (w *World) applyRoute(a Action, i int) {
 	r := &w.routes[i]
+	if a.Kind == Write && w.outdated() { // the node's last look, with the first byte in hand
+		r.phase = kept
+		return
+	}
 	if a.Kind == Write {
 		w.writes(r)
 		r.phase, r.unheard, r.sent = written, true, w.now
@@ -481,6 +495,8 @@
 	switch a.Kind {
 	case HearWritten:
 		w.hearWritten(i)
+	case HearKept:
+		w.endRoute(i, scheduler.Ended{Attempt: r.attempt, Outcome: dahliaford.Moot})
 	case RefuseRoute:
 		if !w.workers[r.worker].down {
 			w.spend(Refuse)
@@ -686,6 +702,12 @@
 		w.spend(Drain)
 		r.status = dahliaford.Ready
 	}
+	switch {
+	case r.status == dahliaford.Ready:
+		r.made = 0
+	case r.made == 0:
+		r.made = w.now
+	}
 	w.rev++
 	if w.watching {
 		w.told()
@@ -730,10 +752,11 @@
 		return fmt.Sprintf("%s is over; another request takes its place", w.txn(uint8(i)))
 	case ClientLeaves:
 		return fmt.Sprintf("client of %s leaves", w.txn(w.requests[i].id))
-	case RefuseRoute, Write, HearWritten, Arrive, BreakRoute, HearBroken, HearAnswer, CloseArrives:
+	case RefuseRoute, Write, HearWritten, Arrive, BreakRoute, HearBroken, HearAnswer, CloseArrives, HearKept:
 		r := &w.routes[i]
 		what := map[Kind]string{RefuseRoute: "its connection does not come up", Write: "is written out",
 			HearWritten: "loop hears that it is written", HearBroken: "loop hears that its connection ended",
+			HearKept:   "loop hears that nothing of it has left",
 			HearAnswer: fmt.Sprintf("loop hears the answer %d", r.status)}[a.Kind]
 		switch a.Kind {
 		case Arrive:
--- a/internal/explore/config.go
+++ b/internal/explore/config.go
@@ -75,9 +75,56 @@
 	// another id: a walk has no end then.
 	Renew bool
 
+	// Rules are the settings in which it differs from the others.
+	Rules Rules
+
 	settings settings.Settings
 }
 
+// Rules are the settings that worlds may vary. The zero Rules are what most worlds have:
+// cancelling allowed, lists asked for, four attempts, no second copies.
+type Rules struct {
+	NoCancel     bool   // an attempt that is out may not be cancelled
+	MayDuplicate bool   // second copies are allowed
+	MaxAttempts  int    // 0: four
+	Pushed       bool   // lists are pushed
+	AskWithin    Micros // without a watch a change counts as told after that; 0: 10 s
+	Progress     Micros // workers tell of progress so often; 0: never
+	// Trust ends what a list is good for, as on sockets: ToldWithin is set, and a lost watch says
+	// until when. Without it a list never gets old.
+	Trust bool
+}
+
+func (r *Rules) maxAttempts() int {
+	if r.MaxAttempts == 0 {
+		return mostAttempts
+	}
+	return r.MaxAttempts
+}
+
+func (r *Rules) askWithin() Micros {
+	if r.AskWithin == 0 {
+		return askWithin
+	}
+	return r.AskWithin
+}
+
+// parse reads the settings of a world with these rules.
+func (r *Rules) parse() (settings.Settings, error) {
+	discovery := "on_request"
+	if r.Pushed {
+		discovery = "pushed"
+	}
+	set, err := settings.Parse(fmt.Appendf(nil, worldSettings, r.Progress, discovery, r.maxAttempts(),
+		!r.NoCancel, r.MayDuplicate, r.askWithin()))
+	// The node does the same: a list that is pushed comes over a watch, too.
+	set.Module.AskForList = true
+	if r.Trust {
+		set.Module.ToldWithin = toldWithin
+	}
+	return set, err
+}
+
 // The times of the tiny world. They are longer against the granularity than those of a
 // real one, so that few due points lie within a request's life.
 const worldSettings = `{"balancers":1,"me":0,"granularity":50000,"azs":["north"],"kinds":["m1"],
@@ -86,9 +133,9 @@
 	{"name":"district-batch","semantics":"deduplicated","dedup_scope":"cell","memory_span":1500000,
 	 "slo":800000,"deadline":1400000,"worth":3}],
 	"customers":[{"name":"sahel"}],
-	"family_info":{"class_stretch":[0,0],"tells_start":true},"discovery":"on_request",
-	"limits":{"attempts_cap":4,"cancel":true,"connect_timeout":150000,"max_retry_after":2000000},
-	"guarantees":{"cold":2000000,"cold_from":0.3,"fall":400000,"overload_factor":1,"ask_within":10000000,
+	"family_info":{"class_stretch":[0,0],"tells_start":true,"progress":%d},"discovery":%q,
+	"limits":{"attempts_cap":%d,"cancel":%t,"may_duplicate":%t,"connect_timeout":150000,"max_retry_after":2000000},
+	"guarantees":{"cold":2000000,"cold_from":0.3,"fall":400000,"overload_factor":1,"ask_within":%d,
 	 "drain_grace":500000}}`
 
 const (
@@ -99,6 +146,9 @@
 	fall            = 400 * millisecond
 	coldFor         = 2 * second
 	mostAttempts    = 4
+	askWithin       = 10 * second
+	toldWithin      = 6 * second        // a change counts as told then, heard or not
+	leaveGrace      = 100 * millisecond // an attempt may begin so long after its client left
 	start           = 1000 * second
 )
 
@@ -151,7 +201,7 @@
 		return fmt.Errorf("world %q: 1 to %d requests and 1 to %d workers", c.Name, mostRequests, mostWorkers)
 	}
 	var err error
-	c.settings, err = settings.Parse([]byte(worldSettings))
+	c.settings, err = c.Rules.parse()
 	return err
 }
 
@@ -170,6 +220,11 @@
 	return c
 }
 
+func (c *Config) under(r Rules) *Config {
+	c.Rules = r
+	return c
+}
+
 var worlds = func() []*Config {
 	network := budget{Refuse: 2, Break: 2, TurnAway: 2, Err: 2, Reject: 1}
 	callbacks := budget{Repeat: 2, Lose: 1, Fail: 1, HandBack: 2, Kill: 1, TurnAway: 1}
@@ -204,6 +259,27 @@
 			[]Class{Batch}, []int{0, 0}, budget{TurnAway: 5, Refuse: 2}),
 		world("cold", "two requests, a worker starts again", 2,
 			[]Class{Post, Batch}, []int{0}, budget{Die: 1, TurnAway: 1}))
+	// Those of other settings.
+	list = append(list,
+		world("forbidden", "one district-batch, cancelling is forbidden", 3,
+			[]Class{Batch}, []int{0, 0}, budget{Leave: 1, Break: 2, TurnAway: 1, HandBack: 1, Lose: 1, Die: 1,
+				Jitter: 1}).under(Rules{NoCancel: true}),
+		world("leaves", "one post-reading, its client leaves while nothing has left yet; cancelling is forbidden", 4,
+			[]Class{Post}, []int{0}, budget{Leave: 1, Jitter: 2, Refuse: 1, TurnAway: 1, HandBack: 1,
+				LoseWatch: 1, SameID: 1}).
+			under(Rules{NoCancel: true, Pushed: true, Trust: true}),
+		world("pushed", "one district-batch, lists are pushed, the watch is lost, workers drain", 3,
+			[]Class{Batch}, []int{0, 0}, budget{LoseWatch: 2, Drain: 2, TurnAway: 1, Break: 1, Jitter: 1}).
+			under(Rules{Pushed: true, Trust: true}),
+		world("asked", "one post-reading, ask_within is 0.4 s, the watch is lost, workers drain", 3,
+			[]Class{Post}, []int{0, 0}, budget{LoseWatch: 2, Drain: 2, TurnAway: 1, Break: 1, Jitter: 1}).
+			under(Rules{AskWithin: 400 * millisecond, Trust: true}),
+		world("copies", "one district-batch, second copies are allowed, workers tell of progress", 3,
+			[]Class{Batch}, []int{0, 0}, budget{Break: 2, Leave: 1, Silence: 1, HandBack: 1, Repeat: 1, Lose: 1}).
+			under(Rules{MayDuplicate: true, Progress: 100 * millisecond}),
+		world("two", "one district-batch, two attempts at most", 4,
+			[]Class{Batch}, []int{0, 0}, budget{TurnAway: 4, Refuse: 2, HandBack: 2, Break: 1, Leave: 1}).
+			under(Rules{MaxAttempts: 2}))
 	hole := world("hole", "one post-reading, one worker, and a DELETE may overtake its request: known to break",
 		1, []Class{Post}, []int{0}, budget{Leave: 1})
 	hole.DeleteOvertakes = true
--- a/internal/explore/coverage.go
+++ b/internal/explore/coverage.go
@@ -45,6 +45,7 @@
 	evLost
 	evWithdrawn
 	evNotWithdrawn
+	evKept
 	evList
 	evListLost
 	evReloaded
@@ -57,7 +58,7 @@
 var eventNames = [evKinds]string{"submitted", "caller left", "accepted", "connect failed", "reset",
 	"turned away",
 	"error", "rejected", "told started", "told done", "told failed", "told returned", "told lost", "withdrawn",
-	"not withdrawn", "table read", "table lost", "reloaded", "woke", "stopping", "breakdown"}
+	"not withdrawn", "kept back", "table read", "table lost", "reloaded", "woke", "stopping", "breakdown"}
 
 // Coverage counts, for each kind of event, in which stages of an attempt it was met.
 type Coverage [evKinds][stages]uint64
@@ -101,6 +102,8 @@
 		return "what is withdrawn counts as given up"
 	case (e == evWithdrawn || e == evNotWithdrawn) && s == stageEarlier:
 		return "no further attempt goes out before it is heard"
+	case e == evKept && s != stageConnecting:
+		return "only that of which nothing left is kept back"
 	case e == evReturned && s == stageStarted:
 		return "what has begun is not handed back"
 	}
@@ -142,7 +145,7 @@
 
 var endKinds = map[dahliaford.Outcome]eventKind{dahliaford.ConnectFailed: evConnectFailed,
 	dahliaford.Reset: evReset,
-	dahliaford.Full:  evTurnedAway, dahliaford.Failed: evError}
+	dahliaford.Full:  evTurnedAway, dahliaford.Failed: evError, dahliaford.Moot: evKept}
 
 // see counts an event before it is passed on, and notes what the scheduler hears by it.
 func (w *World) see(e scheduler.Event) {
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -26,17 +26,29 @@
 	return cfg
 }
 
-// The part of the worlds that CI explores, to the end: with so many faults at most.
+// The part of the worlds that CI explores, to the end: with so many faults at most. Of those of other
+// settings it leaves out what costs most and is seen under the usual ones.
 func TestWorlds(t *testing.T) {
 	all := &Coverage{}
-	for name, most := range map[string]uint8{"attempt": 2, "keyed": 1, "link": 1, "list": 1, "crash": 1,
-		"late":   1,
-		"drains": 1, "turned": 5} {
-		if raceOn && name != "late" {
+	for _, part := range []struct {
+		name    string
+		most    uint8
+		without []Fault
+	}{
+		{"attempt", 2, nil}, {"keyed", 1, nil}, {"link", 1, nil}, {"list", 1, nil}, {"crash", 1, nil},
+		{"late", 1, nil}, {"drains", 1, nil}, {"turned", 5, nil},
+		{"forbidden", 1, []Fault{Die}}, {"leaves", 2, []Fault{SameID, HandBack}},
+		{"pushed", 1, []Fault{Break, Drain}}, {"asked", 1, []Fault{Break, Drain}},
+		{"copies", 1, []Fault{Break}}, {"two", 2, nil},
+	} {
+		if raceOn && part.name != "late" {
 			continue
 		}
-		t.Run(name, func(t *testing.T) {
-			cfg := bounded(t, name, most)
+		t.Run(part.name, func(t *testing.T) {
+			cfg := bounded(t, part.name, part.most)
+			for _, f := range part.without {
+				cfg.Faults[f] = 0
+			}
 			r, err := Search(t.Context(), cfg, Options{})
 			if err != nil {
 				t.Fatal(err)
@@ -72,8 +84,8 @@
 	if raceOn {
 		t.Skip("one goroutine against another is what the worlds test")
 	}
-	for _, name := range []string{"turned"} {
-		cfg := bounded(t, name, 1)
+	for name, most := range map[string]uint8{"turned": 1, "leaves": 0, "asked": 0, "copies": 0} {
+		cfg := bounded(t, name, most)
 		var got [][]any
 		for _, opt := range []Options{{}, {Parallel: 1}, {Parallel: 2, Replay: true}} {
 			r, err := Search(t.Context(), cfg, opt)
@@ -92,9 +104,15 @@
 
 // A copy acts as its original, and neither sees what the other does.
 func TestCopiesActAlike(t *testing.T) {
+	worlds := []*Config{Large()}
+	for _, c := range Worlds() {
+		if c.Rules != (Rules{}) {
+			worlds = append(worlds, c)
+		}
+	}
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Large()
-		w, err := newWorld(cfg)
+		copied := *rapid.SampledFrom(worlds).Draw(t, "world")
+		w, err := newWorld(&copied)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -271,6 +289,34 @@
 	}
 }
 
+// What a world says of its settings is what the program gets.
+func TestRulesReachTheSettings(t *testing.T) {
+	type got struct {
+		cancel, copies                 bool
+		most                           int
+		ask, told, progress, connected Micros
+	}
+	for name, want := range map[string]got{
+		"attempt":   {true, false, 4, askWithin, 0, 0, 150 * millisecond},
+		"forbidden": {false, false, 4, askWithin, 0, 0, 150 * millisecond},
+		"leaves":    {false, false, 4, askWithin, toldWithin, 0, 150 * millisecond},
+		"pushed":    {true, false, 4, askWithin, toldWithin, 0, 150 * millisecond},
+		"asked":     {true, false, 4, 400 * millisecond, toldWithin, 0, 150 * millisecond},
+		"copies":    {true, true, 4, askWithin, 0, 100 * millisecond, 150 * millisecond},
+		"two":       {true, false, 2, askWithin, 0, 0, 150 * millisecond},
+	} {
+		cfg := bounded(t, name, 0)
+		if err := cfg.prepare(); err != nil {
+			t.Fatal(err)
+		}
+		s := &cfg.settings.Module
+		if is := (got{s.MayCancel, s.MayDuplicate, s.MaxAttempts, s.AskWithin, s.ToldWithin, s.Progress,
+			s.ConnectTimeout}); is != want || !s.AskForList {
+			t.Errorf("%s: %+v, want %+v", name, is, want)
+		}
+	}
+}
+
 func TestSearchStopsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/explore/planted/planted.go
+++ b/internal/explore/planted/planted.go
@@ -21,6 +21,7 @@
 	World string   // in which it must show
 	Want  string   // the properties that may break by it
 	And   *Fault   // in another file, where two guard against the same
+	Only  bool     // it shows under other settings only: in no world that has the usual ones
 }
 
 const (
@@ -86,7 +87,7 @@
 			About: "an id is forgotten too early",
 			Want: "one-attempt-outstanding" +
 				" runs-as-allowed" +
-				" four-attempts" +
+				" attempts-capped" +
 				" honest-answers",
 			File: reducer,
 			Edits: []string{
@@ -261,7 +262,7 @@
 		{
 			Name: "fifth-attempt", World: "turned",
 			About: "a request gets more attempts than allowed",
-			Want:  "four-attempts",
+			Want:  "attempts-capped",
 			File:  module,
 			Edits: []string{
 				"|| len(j.attempts) >= d.set.MaxAttempts {\n" +
@@ -282,6 +283,86 @@
 				"\treturn most >= 0",
 			},
 		},
+		{
+			Name: "cancels-anyway", World: "forbidden", Only: true,
+			About: "an attempt is cancelled where that is forbidden",
+			Want:  "cancels-as-allowed",
+			File:  module,
+			Edits: []string{
+				"\tif d.set.MayCancel && !j.streaming {",
+				"\tif !j.streaming {",
+			},
+		},
+		{
+			Name: "time-out-untold", World: "forbidden", Only: true,
+			About: "an attempt that timed out is not called back where cancelling is forbidden",
+			Want:  "called-back",
+			File:  reducer,
+			Edits: []string{
+				"\t\t\t\ts.callBack(k)\n" +
+					"\t\t\t\ts.end(k, dahliaford.TimedOut",
+				"\t\t\t\tif s.set.Module.MayCancel {\n" +
+					"\t\t\t\t\ts.callBack(k)\n" +
+					"\t\t\t\t}\n" +
+					"\t\t\t\ts.end(k, dahliaford.TimedOut",
+			},
+		},
+		{
+			Name: "sent-for-nobody", World: "leaves", Only: true,
+			About: "an attempt leaves though its client left before, where cancelling is forbidden",
+			Want:  "leavers-spared",
+			File:  reducer,
+			Edits: []string{
+				"\t\ts.emit(Unsend{Attempt: t.attempts[n-1].number})",
+				"\t\t_ = n",
+			},
+		},
+		{
+			Name: "pushed-as-asked", World: "pushed", Only: true,
+			About: "a pushed list is trusted without a watch as long as one that is asked for",
+			Want:  "list-trusted",
+			File:  reducer,
+			Edits: []string{
+				"lost.Age = s.ageAt(e.Until)",
+				"lost.Age = s.ageAt(max(e.Until, s.knownAt+s.set.Module.AskWithin))",
+			},
+		},
+		{
+			Name: "asked-as-pushed", World: "asked", Only: true,
+			About: "a list is trusted for the drain grace after its watch is lost, past a short ask_within",
+			Want:  "list-trusted",
+			File:  reducer,
+			Edits: []string{
+				"lost.Age = s.ageAt(e.Until)",
+				"lost.Age = s.ageAt(max(e.Until, s.now+s.set.DrainGrace))",
+			},
+		},
+		{
+			Name: "second-copy", World: "copies", Only: true,
+			About: "a second copy leaves while the first is out, where the settings allow copies",
+			Want:  "one-attempt-outstanding",
+			File:  reducer,
+			Edits: []string{
+				"\ts.set.Module.MayDuplicate = false\n",
+				"",
+				" || len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended {",
+				" {",
+			},
+		},
+		{
+			Name: "third-attempt", World: "two", Only: true,
+			About: "a request gets four attempts where the settings allow two",
+			Want:  "attempts-capped",
+			File:  module,
+			Edits: []string{
+				"|| len(j.attempts) >= d.set.MaxAttempts {\n" +
+					"\t\treturn false",
+				"|| len(j.attempts) >= max(d.set.MaxAttempts, 4) {\n" +
+					"\t\treturn false",
+				"len(j.attempts) < d.set.MaxAttempts && d.anyAllowed(j)",
+				"len(j.attempts) < max(d.set.MaxAttempts, 4) && d.anyAllowed(j)",
+			},
+		},
 		{
 			Name: "dishonest", World: "attempt",
 			About: "what may have run is refused",
--- a/internal/explore/properties.go
+++ b/internal/explore/properties.go
@@ -14,27 +14,31 @@
 
 // The properties.
 const (
-	Answered      Property = iota + 1 // 1: one final answer before the client gives up; none to one that left
-	OneAttempt                        // 2: one attempt outstanding, as the workers see it
-	FourAttempts                      // 3: four attempts at most
-	RunsAsAllowed                     // 4: nothing runs twice, but a batch in its rack and window
-	DrainsKept                        // 5: nothing new over 500 ms after a drain or an end was told
-	HonestAnswers                     // 6: a refusal only where it is harmless; a result as a worker made it
-	ColdSpared                        // 7: a cold worker gets no more than its budget
-	NothingLeaks                      // 8: when all is quiet, nothing is kept beyond its time
-	CalledBack                        // 9: whoever may hold a given-up attempt is told, once it can be reached
-	Ends                              // 10: time alone ends all requests
+	Answered         Property = iota + 1 // 1: one final answer before the client gives up; none to one that left
+	OneAttempt                           // 2: one attempt outstanding, as the workers see it
+	AttemptsCapped                       // 3: as many attempts as the settings allow at most
+	RunsAsAllowed                        // 4: nothing runs twice, but a batch in its rack and window
+	DrainsKept                           // 5: nothing new over 500 ms after a drain or an end was told
+	HonestAnswers                        // 6: a refusal only where it is harmless; a result as a worker made it
+	ColdSpared                           // 7: a cold worker gets no more than its budget
+	NothingLeaks                         // 8: when all is quiet, nothing is kept beyond its time
+	CalledBack                           // 9: whoever may hold a given-up attempt is told, once it can be reached
+	Ends                                 // 10: time alone ends all requests
+	CancelsAsAllowed                     // 11: where cancelling is forbidden, only what timed out is given up
+	LeaversSpared                        // 12: nothing new for a client that left
+	ListTrusted                          // 13: nothing is routed by a list past the time for which it holds
 )
 
-var propertyNames = [...]string{"", "one-final-answer", "one-attempt-outstanding", "four-attempts",
-	"runs-as-allowed", "drains-kept", "honest-answers", "cold-spared", "nothing-leaks", "called-back", "ends"}
+var propertyNames = [...]string{"", "one-final-answer", "one-attempt-outstanding", "attempts-capped",
+	"runs-as-allowed", "drains-kept", "honest-answers", "cold-spared", "nothing-leaks", "called-back", "ends",
+	"cancels-as-allowed", "leavers-spared", "list-trusted"}
 
 func (p Property) String() string { return propertyNames[p] }
 
 // Properties are all of them.
 func Properties() []Property {
-	return []Property{Answered, OneAttempt, FourAttempts, RunsAsAllowed, DrainsKept, HonestAnswers, ColdSpared,
-		NothingLeaks, CalledBack, Ends}
+	return []Property{Answered, OneAttempt, AttemptsCapped, RunsAsAllowed, DrainsKept, HonestAnswers, ColdSpared,
+		NothingLeaks, CalledBack, Ends, CancelsAsAllowed, LeaversSpared, ListTrusted}
 }
 
 // Broken says which property broke, and how.
@@ -113,8 +117,8 @@
 // arrives checks properties 2, 3, 4 and 7 when an attempt's last byte comes to a worker.
 func (w *World) arrives(r *route) {
 	q := &w.requests[r.id]
-	if q.attempts++; q.attempts > mostAttempts {
-		w.fail(FourAttempts, "attempt %d of %s comes to %s", q.attempts, w.txn(r.id), uid(int(r.worker)))
+	if q.attempts++; int(q.attempts) > w.cfg.Rules.maxAttempts() {
+		w.fail(AttemptsCapped, "attempt %d of %s comes to %s", q.attempts, w.txn(r.id), uid(int(r.worker)))
 	}
 	for _, j := range w.jobs {
 		if j.id == r.id {
@@ -152,16 +156,50 @@
 	to.fresh = append(to.fresh, r.sent)
 }
 
-// writes checks property 5 when an attempt's first byte goes out.
+// writes checks properties 5 and 12 when an attempt's first byte goes out.
 func (w *World) writes(r *route) {
 	to := &w.workers[r.worker]
 	r.cold = to.begun != 0 && to.known == to.begun && w.now-to.begun < coldFor && to.status == dahliaford.Ready
-	if told := to.told; told != 0 && w.now-told > drainGrace {
+	w.leaver(r)
+	if told := w.leaves(to); told != 0 && w.now-told > drainGrace {
 		w.fail(DrainsKept, "%s is written to %s, told %v ago to leave", w.txn(r.id), uid(int(r.worker)),
 			span(w.now-told))
 	}
 }
 
+// leaver is property 12: of those who handed this id in, somebody is there or was a moment ago.
+func (w *World) leaver(r *route) {
+	since := Micros(-1)
+	for i := range w.requests {
+		q := &w.requests[i]
+		switch {
+		case q.id != r.id:
+		case q.state == open:
+			return
+		case q.state == gone:
+			since = max(since, q.leftAt)
+		}
+	}
+	if since >= 0 && w.now-since > leaveGrace {
+		w.fail(LeaversSpared, "%s is written to %s %v after its client left", w.txn(r.id), uid(int(r.worker)),
+			span(w.now-since))
+	}
+}
+
+// cancels checks property 11 when an attempt is given up. What its worker or its connection has ended,
+// and what its time has ended, is out no more.
+func (w *World) cancels(attempt scheduler.Attempt) {
+	if !w.cfg.Rules.NoCancel {
+		return
+	}
+	for i := range w.requests {
+		if q := &w.requests[i]; q.last == attempt && q.stage < stageGivenUp && w.now < q.lastBy {
+			w.fail(CancelsAsAllowed, "an attempt of %s at %s is given up %v before its time", w.txn(q.id),
+				uid(int(q.at)), span(q.lastBy-w.now))
+		}
+	}
+}
+
 // runs checks property 4 when a job may begin to run.
 func (w *World) runs(id, at uint8, sent Micros) {
 	q := &w.requests[id]
@@ -268,12 +306,15 @@
 func (p Property) About() string {
 	return [...]string{"", "one final answer for each item, before the client gives up; none to one that left",
 		"only one attempt outstanding at a time, as the workers see it",
-		"no request gets more than 4 attempts",
+		"no request gets more attempts than the settings allow: 4 in most worlds",
 		"a post-reading never runs twice; a district-batch that may have run stays in its rack and window",
 		"nothing new goes to a worker more than 500 ms after it was said to drain or to be gone",
 		"a refusal only where a repeat is harmless; a result that a worker made for that very request",
 		"a cold worker is not sent more than its budget",
 		"when all is answered and quiet, nothing is kept beyond its time",
 		"whoever may hold a given-up attempt is told so, once it can be reached",
-		"from every state time alone leads to all requests answered"}[p]
+		"from every state time alone leads to all requests answered",
+		"where cancelling is forbidden, no attempt is given up before it has ended or its time is up",
+		"nothing is sent on more than 100 ms after its client left",
+		"nothing is routed by a list past the time for which it may be relied on"}[p]
 }
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -364,17 +364,25 @@
 	f := form.Form(b)
 	f.Num(int64(w.now), int64(w.wake), w.rev, int64(w.most), int64(w.caller), int64(w.stopAt))
 	f = append(f, w.left[:]...)
+	f.Num(int64(w.heard), int64(w.until))
 	f.Flag(w.breaks, w.watching, w.asked, w.stopped, w.exited, w.gaveUp)
 	for i := range w.requests {
 		q := &w.requests[i]
 		f = append(f, byte(q.class), q.id, byte(q.state), byte(q.verdict), q.attempts, q.starts, q.ran, q.made,
 			q.at, byte(q.stage))
-		f.Num(int64(q.caller), int64(q.deadline), int64(q.firstRan), int64(q.last), int64(q.gen))
+		f.Num(int64(q.caller), int64(q.deadline), int64(q.firstRan), int64(q.last), int64(q.gen),
+			int64(q.lastBy))
+		if q.state == gone { // later than the grace it is all the same
+			f.Num(int64(min(w.now-q.leftAt, leaveGrace+1)))
+		}
 	}
 	for i := range w.workers {
 		r := &w.workers[i]
 		f.Flag(r.down, r.silent)
 		f.Num(int64(r.status), int64(r.begun), int64(r.known), int64(r.told), int64(len(r.fresh)))
+		if w.cfg.Rules.Trust {
+			f.Num(int64(r.made))
+		}
 		for _, at := range r.fresh {
 			f.Num(int64(at))
 		}
--- a/internal/explore/trace.go
+++ b/internal/explore/trace.go
@@ -175,7 +175,7 @@
 	var all []string
 	for _, r := range w.routes {
 		state := [...]string{"connecting", "written", "its answer on its way", "its end on its way",
-			"half heard", "accepted", "our close on its way"}[r.phase]
+			"half heard", "accepted", "our close on its way", "kept back"}[r.phase]
 		all = append(all,
 			fmt.Sprintf("attempt %d (%s to %s, %s)", r.attempt, w.txn(r.id), uid(int(r.worker)), state))
 	}
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -28,6 +28,8 @@
 	watching bool // discovery tells of changes at once
 	asked    bool // a watch has been asked for, and not been answered yet
 	rev      int64
+	heard    Micros // with Trust: the last word of discovery
+	until    Micros // with Trust: what is known holds until then
 	left     [faults]uint8
 	most     uint8
 
@@ -62,6 +64,7 @@
 	caller   scheduler.Caller
 	deadline Micros
 	verdict  scheduler.Verdict
+	leftAt   Micros // its client left then
 
 	// Of the id, kept with the first request that had it.
 	attempts uint8
@@ -70,8 +73,9 @@
 	firstRan Micros // when the first attempt that may have run was sent
 	made     uint8  // workers, as bits, that made a result
 	last     scheduler.Attempt
-	at       uint8 // the worker of the last attempt
-	stage    stage // of the last attempt, as far as the scheduler has heard
+	lastBy   Micros // it is given up then
+	at       uint8  // the worker of the last attempt
+	stage    stage  // of the last attempt, as far as the scheduler has heard
 }
 
 type worker struct {
@@ -81,6 +85,7 @@
 	begun  Micros // its start; 0: long ago
 	known  Micros // its start as the scheduler was told
 	told   Micros // when it was last told to drain or to be gone; 0: it is ready
+	made   Micros // since when discovery has it so; 0: it is ready
 	fresh  []Micros
 }
 
@@ -94,6 +99,7 @@
 	halfHeard        // the loop has heard of the end, and not of the writing
 	idle             // the worker has accepted, and its connection is still there
 	closing          // our close follows the request
+	kept             // nothing of it left, and the loop is still to hear so
 )
 
 // route is an attempt on its connection.
@@ -192,6 +198,9 @@
 
 // told marks what of the list the scheduler has now been told.
 func (w *World) told() {
+	if w.cfg.Rules.Trust {
+		w.heard, w.until = w.now, w.now+toldWithin
+	}
 	for i := range w.workers {
 		r := &w.workers[i]
 		r.known = r.begun
@@ -204,6 +213,45 @@
 	}
 }
 
+// lost is what the node makes of a lost watch (told.lost there), which the sockets keep from being
+// run here: until when what is known holds.
+func (w *World) lost() (until Micros) {
+	if w.watching { // else nothing hung on it
+		if w.cfg.Rules.Pushed {
+			w.until = min(w.until, w.now+drainGrace)
+		} else {
+			w.until = min(w.until, w.heard+w.cfg.Rules.askWithin())
+		}
+	}
+	w.watching = false
+	return w.until
+}
+
+// outdated tells whether what is known holds no more. Then the node lets nothing leave.
+func (w *World) outdated() bool { return w.cfg.Rules.Trust && w.now > w.until }
+
+// leaves is since when a worker counts as told to leave; 0: it does not.
+func (w *World) leaves(r *worker) Micros {
+	at := r.told
+	if r.made == 0 || !w.cfg.Rules.Trust {
+		return at
+	}
+	counts := r.made + toldWithin
+	switch {
+	case w.cfg.Rules.Pushed: // what the agent has counts at once
+		counts = r.made
+	case !w.watching:
+		counts = min(counts, r.made+w.cfg.Rules.askWithin())
+	}
+	if at == 0 || counts < at {
+		at = counts
+	}
+	if at > w.now {
+		return 0
+	}
+	return at
+}
+
 func (w *World) answerWatch() {
 	w.asked, w.watching = false, true
 	w.told()
@@ -252,16 +300,24 @@
 	switch e := e.(type) {
 	case scheduler.Route:
 		w.note("scheduler routes %s to %s, to be written within %v", e.ID, e.UID, span(e.WriteBy-w.now))
+		if w.outdated() {
+			w.fail(ListTrusted, "%s is routed to %s by a list that held until %v ago", e.ID, e.UID,
+				span(w.now-w.until))
+		}
 		r := route{attempt: e.Attempt, id: idOf(e.ID), worker: workerOf(e.UID), writeBy: e.WriteBy}
 		r.link.Take(e.Attempt, false)
 		w.routes = append(w.routes, r)
 		q := &w.requests[r.id]
-		q.last, q.at, q.stage = e.Attempt, r.worker, stageConnecting
+		q.last, q.lastBy, q.at, q.stage = e.Attempt, e.Deadline, r.worker, stageConnecting
 	case scheduler.Abandon:
 		w.note("scheduler closes the connection of its attempt at a worker")
 		w.abandon(e.Attempt)
+	case scheduler.Unsend:
+		w.note("scheduler keeps its attempt back, if nothing of it has left")
+		w.keepBack(e.Attempt)
 	case scheduler.Withdraw:
 		w.note("scheduler tells %s to drop %s", e.Addr, e.ID)
+		w.cancels(e.Attempt)
 		w.give(e.Attempt)
 		wd := withdraw{attempt: e.Attempt, id: idOf(e.ID), worker: workerOf(e.Addr), deadline: e.Deadline}
 		wd.link.Take(e.Attempt, true)
@@ -302,6 +358,7 @@
 			return
 		}
 	}
+	w.cancels(attempt)
 	w.give(attempt)
 	for i := range w.routes {
 		r := &w.routes[i]
@@ -322,6 +379,15 @@
 	}
 }
 
+// keepBack keeps an attempt of which nothing has left from leaving.
+func (w *World) keepBack(attempt scheduler.Attempt) {
+	for i := range w.routes {
+		if r := &w.routes[i]; r.attempt == attempt && r.phase == connecting {
+			r.phase = kept
+		}
+	}
+}
+
 func (w *World) dropRoute(i int)    { w.routes = append(w.routes[:i:i], w.routes[i+1:]...) }
 func (w *World) dropJob(i int)      { w.jobs = append(w.jobs[:i:i], w.jobs[i+1:]...) }
 func (w *World) dropCall(i int)     { w.calls = append(w.calls[:i:i], w.calls[i+1:]...) }
