--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -281,16 +281,22 @@
 		s.answer(t, Answer{Verdict: Failed})
 	}
 	for _, k := range sorted(s.byAttempt) {
+		if !s.set.Module.MayCancel && k.parked == 0 {
+			continue // it is out, and must not be cancelled: its connection or its time ends it
+		}
 		s.callBack(k)
 		s.forget(k)
 	}
 	clear(s.byID)
 	clear(s.byJob)
+	for _, k := range s.byAttempt {
+		s.byID[k.of.id] = k.of // its worker's news finds it
+	}
 	var err error
 	if s.module, err = dahliaford.New(s.set.Module, s.seed); err != nil {
 		return s.out, err
 	}
-	s.due = slices.DeleteFunc(s.due, func(d due) bool { return d.recall == 0 && !d.look() })
+	s.due = slices.DeleteFunc(s.due, func(d due) bool { return d.recall == 0 && !d.look() && s.byAttempt[d.attempt] == nil })
 	heap.Init(&s.due)
 	known := WorkerList{Rev: s.rev, All: true}
 	for _, r := range sorted(s.workers) {
@@ -626,7 +632,11 @@
 	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListWarned}
 	var changed []*worker
 	for _, line := range t.Workers {
-		if r := s.workers[line.UID]; r != nil && r.left == 0 && line.Status != dahliaford.Ready {
+		r := s.workers[line.UID]
+		if r == nil || line.Status == dahliaford.Ready {
+			continue
+		}
+		if r.offer = nil; r.left == 0 {
 			r.Status, r.at = line.Status, version{count: -1}
 			e.Workers, changed = append(e.Workers, s.entry(r)), append(changed, r)
 		}
@@ -673,7 +683,7 @@
 func (s *Scheduler) unsaid(whole bool, now version) (changed []*worker) {
 	if whole {
 		for _, r := range s.workers {
-			if r.word != s.word && r.Status != dahliaford.Gone {
+			if r.word != s.word && (r.Status != dahliaford.Gone || r.offer != nil) {
 				r.Status, r.at, r.offer = dahliaford.Gone, now, nil
 				changed = append(changed, r)
 			}
