--- a/cmd/dahlialab/explore.go
+++ b/cmd/dahlialab/explore.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"runtime/debug"
+	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -23,7 +24,7 @@
 	Out      string        `help:"Folder for the trace of a counterexample." default:"found" type:"path"`
 	List     bool          `help:"List the worlds and the properties."`
 	Replay   string        `help:"Play a trace again, step by step." placeholder:"TRACE" type:"path"`
-	Walk     bool          `help:"Walk a larger world at random, thousands of steps deep."`
+	Walk     bool          `help:"Walk a larger world at random, thousands of steps deep; with --world large-NAME under the settings of that one."`
 	Requests int           `help:"So many requests instead of the world's own." default:"0"`
 	Workers  int           `help:"So many workers instead of the world's own." default:"0"`
 	Faults   int           `help:"So many faults in all instead of the world's own." default:"-1"`
@@ -82,7 +83,11 @@
 	var err error
 	var cfg *explore.Config
 	if c.Walk {
-		cfg = explore.Large()
+		if cfg = explore.Large(); strings.HasPrefix(c.World, cfg.Name+"-") {
+			if cfg, err = explore.ByName(c.World); err != nil {
+				return misuse("%v", err)
+			}
+		}
 		r, err = explore.Walk(ctx, cfg, c.Seed, opt)
 	} else {
 		if cfg, err = explore.ByName(c.World); err != nil {
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -30,6 +30,7 @@
 	rev      int64
 	heard    Micros // with Trust: the last word of discovery
 	until    Micros // with Trust: what is known holds until then
+	moved    Micros // with Trust: a new configuration came then, and its discovery has not spoken
 	left     [faults]uint8
 	most     uint8
 
@@ -85,7 +86,7 @@
 	begun  Micros // its start; 0: long ago
 	known  Micros // its start as the scheduler was told
 	told   Micros // when it was last told to drain or to be gone; 0: it is ready
-	made   Micros // since when discovery has it so; 0: it is ready
+	made   Micros // since when that counts of which discovery has not told; 0: it is ready
 	fresh  []Micros
 }
 
@@ -199,7 +200,7 @@
 // told marks what of the list the scheduler has now been told.
 func (w *World) told() {
 	if w.cfg.Rules.Trust {
-		w.heard, w.until = w.now, w.now+toldWithin
+		w.heard, w.until, w.moved = w.now, w.now+toldWithin, 0
 	}
 	for i := range w.workers {
 		r := &w.workers[i]
@@ -227,7 +228,10 @@
 	return w.until
 }
 
-// outdated tells whether what is known holds no more. Then the node lets nothing leave.
+// holdsBack is the node's last look, with the first byte in hand (told.may there).
+func (w *World) holdsBack(to *worker) bool { return w.outdated() || w.cfg.Rules.Trust && to.told != 0 }
+
+// outdated tells whether what is known holds no more.
 func (w *World) outdated() bool { return w.cfg.Rules.Trust && w.now > w.until }
 
 // leaves is since when a worker counts as told to leave; 0: it does not.
@@ -300,7 +304,8 @@
 	switch e := e.(type) {
 	case scheduler.Route:
 		w.note("scheduler routes %s to %s, to be written within %v", e.ID, e.UID, span(e.WriteBy-w.now))
-		if w.outdated() {
+		// What waited for a withdrawal was decided before, and the node's last look keeps it back.
+		if w.outdated() && e.WriteBy-connectTimeout > w.until {
 			w.fail(ListTrusted, "%s is routed to %s by a list that held until %v ago", e.ID, e.UID,
 				span(w.now-w.until))
 		}
@@ -333,7 +338,9 @@
 		w.wake = e.At
 	case scheduler.Watch:
 		w.note("scheduler opens a watch of the worker list")
-		w.asked, w.watching = true, false
+		if w.asked, w.watching = true, false; e.Until != 0 && w.cfg.Rules.Trust {
+			w.moved, w.until = w.now, min(w.until, e.Until)
+		}
 	case scheduler.Exit:
 		w.note("scheduler ends")
 		w.exit()
