--- a/cmd/dahlialab/explore.go
+++ b/cmd/dahlialab/explore.go
@@ -24,7 +24,7 @@
 	Out      string        `help:"Folder for the trace of a counterexample." default:"found" type:"path"`
 	List     bool          `help:"List the worlds and the properties."`
 	Replay   string        `help:"Play a trace again, step by step." placeholder:"TRACE" type:"path"`
-	Walk     bool          `help:"Walk a larger world at random, thousands of steps deep; with --world large-NAME under the settings of that one."`
+	Walk     bool          `help:"Walk a larger world deep, at random; --world large-NAME: its rules."`
 	Requests int           `help:"So many requests instead of the world's own." default:"0"`
 	Workers  int           `help:"So many workers instead of the world's own." default:"0"`
 	Faults   int           `help:"So many faults in all instead of the world's own." default:"-1"`
--- a/internal/explore/config.go
+++ b/internal/explore/config.go
@@ -134,7 +134,8 @@
 	 "slo":800000,"deadline":1400000,"worth":3}],
 	"customers":[{"name":"sahel"}],
 	"family_info":{"class_stretch":[0,0],"tells_start":true,"progress":%d},"discovery":%q,
-	"limits":{"attempts_cap":%d,"cancel":%t,"may_duplicate":%t,"connect_timeout":150000,"max_retry_after":2000000},
+	"limits":{"attempts_cap":%d,"cancel":%t,"may_duplicate":%t,
+	 "connect_timeout":150000,"max_retry_after":2000000},
 	"guarantees":{"cold":2000000,"cold_from":0.3,"fall":400000,"overload_factor":1,"ask_within":%d,
 	 "drain_grace":500000}}`
 
@@ -266,7 +267,7 @@
 		world("forbidden", "one district-batch, cancelling is forbidden", 3,
 			[]Class{Batch}, []int{0, 0}, budget{Leave: 1, Break: 2, TurnAway: 1, HandBack: 1, Lose: 1, Die: 1,
 				Jitter: 1, Panic: 1, Stop: 1}).under(Rules{NoCancel: true}),
-		world("leaves", "one post-reading, its client leaves while nothing has left yet; cancelling is forbidden", 4,
+		world("leaves", "one post-reading, its client leaves while nothing has left; cancelling is forbidden", 4,
 			[]Class{Post}, []int{0}, budget{Leave: 1, Jitter: 2, Refuse: 1, TurnAway: 1, HandBack: 1,
 				LoseWatch: 1, SameID: 1}).
 			under(Rules{NoCancel: true, Pushed: true, Trust: true}),
--- a/internal/explore/properties.go
+++ b/internal/explore/properties.go
@@ -22,9 +22,9 @@
 	HonestAnswers                        // 6: a refusal only where it is harmless; a result as a worker made it
 	ColdSpared                           // 7: a cold worker gets no more than its budget
 	NothingLeaks                         // 8: when all is quiet, nothing is kept beyond its time
-	CalledBack                           // 9: whoever may hold a given-up attempt is told, once it can be reached
+	CalledBack                           // 9: who may hold a given-up attempt is told, once it can be reached
 	Ends                                 // 10: time alone ends all requests
-	CancelsAsAllowed                     // 11: where cancelling is forbidden, only what timed out is given up
+	CancelsAsAllowed                     // 11: where that is forbidden, nothing is cancelled in its time
 	LeaversSpared                        // 12: nothing new for a client that left
 	ListTrusted                          // 13: nothing is routed by a list past the time for which it holds
 )
--- a/internal/scheduler/list_test.go
+++ b/internal/scheduler/list_test.go
@@ -33,7 +33,7 @@
 		"the one before knows more":  {[]Event{moved, old, word(12, true, ready)}, false, true},
 		"gone, offered, and gone again": {[]Event{word(9, false, gone), moved, word(12, true, ready, other),
 			word(13, true, other)}, false, false},
-		"offered, and told off by the one that did so": {[]Event{left, moved, word(3, true, ready), moved, old}, false,
+		"offered, and told off there": {[]Event{left, moved, word(3, true, ready), moved, old}, false,
 			false},
 		"a leave that comes late": {[]Event{word(9, false, ready), word(8, false, leaves)}, false, false},
 	} {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -296,7 +296,9 @@
 	if s.module, err = dahliaford.New(s.set.Module, s.seed); err != nil {
 		return s.out, err
 	}
-	s.due = slices.DeleteFunc(s.due, func(d due) bool { return d.recall == 0 && !d.look() && s.byAttempt[d.attempt] == nil })
+	s.due = slices.DeleteFunc(s.due, func(d due) bool {
+		return d.recall == 0 && !d.look() && s.byAttempt[d.attempt] == nil
+	})
 	heap.Init(&s.due)
 	known := WorkerList{Rev: s.rev, All: true}
 	for _, r := range sorted(s.workers) {
