--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -78,7 +78,7 @@
 	}
 	for _, r := range sorted(s.workers) {
 		switch {
-		case t.All && !named[r.UID] && r.Status != dahliaford.Gone:
+		case t.All && !named[r.UID] && (r.Status != dahliaford.Gone || r.offer != nil):
 			r.Status, r.at, r.offer = dahliaford.Gone, now, nil
 		case r.offer != nil && s.now-r.left >= s.set.Module.ToldWithin:
 			r.Worker, r.offer = *r.offer, nil
