--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -44,7 +44,11 @@
 func (s *Scheduler) warnedByWalk(t WorkerList) {
 	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListWarned}
 	for _, line := range t.Workers {
-		if r := s.workers[line.UID]; r != nil && r.left == 0 && line.Status != dahliaford.Ready {
+		r := s.workers[line.UID]
+		if r == nil || line.Status == dahliaford.Ready {
+			continue
+		}
+		if r.offer = nil; r.left == 0 {
 			r.Status, r.at = line.Status, version{count: -1}
 			e.Workers = append(e.Workers, s.entry(r))
 		}
