--- /dev/null
+++ b/cmd/dahlialab/scale.go
@@ -0,0 +1,162 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime/debug"
+	"strings"
+	"time"
+
+	"gonum.org/v1/plot/plotter"
+
+	"dahliaford/internal/emulator"
+)
+
+// scaleCmd runs a fleet at size: hollow in virtual time, or with real schedulers on loopback.
+type scaleCmd struct {
+	Workers    int           `help:"Workers of the fleet." default:"200"`
+	Schedulers int           `help:"Schedulers of the fleet." default:"30"`
+	Rate       float64       `help:"Jobs a second of all clients; 0: 0.6 of what the workers carry." default:"0"`
+	For        time.Duration `help:"How long the load is on, in virtual time." default:"60s"`
+	Seed       uint64        `help:"Seed of all that is left to chance." default:"1"`
+	Day        string        `help:"What befalls the fleet: calm, zone, region, roll, discovery, storm." default:"calm"`
+	Task       time.Duration `help:"Mean run of a job on a standard machine." default:"13s"`
+	Real       int           `help:"So many real schedulers on loopback, instead of hollow ones." default:"0"`
+	JSON       bool          `name:"json" help:"Only the line of JSON."`
+	Keep       string        `help:"Folder to keep the tables and the charts in." type:"path"`
+}
+
+const (
+	scaleMemory = 6 << 30 // bytes of heap, where the collector begins to work harder
+	scaleWithin = time.Hour
+	mostReal    = 64
+)
+
+func (c *scaleCmd) Run() error {
+	opt := emulator.Options{Workers: c.Workers, Schedulers: c.Schedulers, Rate: c.Rate, For: c.For, Seed: c.Seed,
+		Day: c.Day, Task: c.Task}
+	if c.Day == "" {
+		return misuse("unknown day %q: there are %s", c.Day, strings.Join(emulator.Days(), ", "))
+	}
+	if err := opt.Check(); err != nil {
+		return misuse("%v", err)
+	}
+	switch {
+	case c.Real < 0 || c.Real > mostReal:
+		return misuse("--real must be 0 to %d", mostReal)
+	case c.Real > 0:
+		return c.runReal()
+	}
+	defer debug.SetMemoryLimit(debug.SetMemoryLimit(scaleMemory))
+	ctx, cancel := context.WithTimeout(context.Background(), scaleWithin)
+	defer cancel()
+	found, err := emulator.Run(ctx, opt)
+	if err != nil {
+		return err
+	}
+	r := &report{ok: found.OK(), table: scaleTable(found), chart: scaleChart(found)}
+	raw, err := json.Marshal(struct {
+		Scale string `json:"scale"`
+		OK    bool   `json:"ok"`
+		*emulator.Report
+	}{c.Day, r.ok, found})
+	if err != nil {
+		return err
+	}
+	if !c.JSON {
+		printTable(os.Stdout, r.table)
+	}
+	if c.Keep != "" {
+		if err := r.keep(c.Keep, fmt.Sprintf("scale-%s-%dx%d", c.Day, c.Schedulers, c.Workers), raw); err != nil {
+			return err
+		}
+	}
+	fmt.Println(string(raw))
+	if !r.ok {
+		return exit{status: broken}
+	}
+	return nil
+}
+
+// scaleTable shows the figures of a run in lines.
+func scaleTable(r *emulator.Report) [][]string {
+	m, on := &r.Model, &r.Measured
+	f := fmt.Sprintf
+	spread := func(s emulator.Spread) string {
+		return f("%.0f / %.0f / %.0f ms", s.P50, s.P99, s.Max)
+	}
+	t := [][]string{
+		{"day", f("%s: %s", m.Day, emulator.About(m.Day))},
+		{"fleet", f("%d workers, %d schedulers, seed %d", m.Workers, m.Schedulers, m.Seed)},
+		{"load", f("%.0f s of virtual time, %.0f jobs a second, %.1f s a task", m.Seconds, m.RatePerS, m.TaskS)},
+		{"jobs", f("%d, of which %d served, %d failed, %d given up after refusals, %d open at the end", m.Jobs,
+			m.Served, m.Failed, m.GaveUp, m.Open)},
+		{"starts a second", f("%.0f, %d in the busiest", m.StartsPerS, m.PeakStarts)},
+	}
+	for _, class := range emulator.Classes() {
+		s := m.TimeToStart[class]
+		t = append(t, []string{"time to start, " + class, f("%s, %.2f%% in its aim (p50 / p99 / max)", spread(s),
+			100*s.Aim)})
+	}
+	t = append(t, [][]string{
+		{"attempts", f("%d, %d turned away, %d turned back, %d killed, %d withdrawn", m.Attempts, m.TurnedAway,
+			m.TurnedBack, m.Killed, m.Withdrawn)},
+		{"control, a scheduler", f("%.0f B/s, %.0f B/s at the most, %.1f KB in the worst second, %.2f messages/s",
+			m.Control.BytesPerS, m.Control.MostPerS, float64(m.Control.WorstSecond)/1000, m.Control.MessagesPerS)},
+		{"work, a scheduler", f("%.1f KB/s, %.1f KB/s at the most, %.0f messages/s", m.Work.BytesPerS/1000,
+			m.Work.MostPerS/1000, m.Work.MessagesPerS)},
+		{"discovery", f("%d whole lists, %d changes asked for, %d calls refused, %d watches lost, %.2f s busy",
+			m.Discovery.Whole, m.Discovery.Deltas, m.Discovery.Refused, m.Discovery.Lost, m.Discovery.Busy)},
+		{"changes", f("%d words, %d entries; in force %s; applied %s; open %d, unread %d", m.Changes.Words,
+			m.Changes.Entries, spread(m.Changes.InForce), spread(m.Changes.Applied), m.Changes.Open, m.Changes.Unread)},
+		{"rules broken", f("%v", m.Broken)},
+		{"reducer, of a core", f("%.2f%%, %.2f%% at the most; %.3f%% for control; %.1f ms behind at the most",
+			on.Core, on.CoreMost, on.Control, on.Lag)},
+		{"heap", f("%.0f KB a scheduler with its list, %.0f MB the whole run", on.HeapEach, on.HeapMB)},
+		{"took", f("%.1f s on %d cores, %d events", on.Seconds, on.Cores, on.Events)},
+		{},
+		{"kind of event", "count", "mean us", "p50", "p99", "max", "total s"}}...)
+	for _, k := range on.Kinds {
+		t = append(t, []string{k.Kind, f("%d", k.N), f("%.1f", k.MeanUs), f("%.1f", k.P50Us), f("%.1f", k.P99Us),
+			f("%.1f", k.MaxUs), f("%.2f", k.TotalS)})
+	}
+	for _, text := range m.Findings {
+		t = append(t, []string{"broken", text})
+	}
+	return t
+}
+
+// scaleChart draws starts and refusals, and what control took, second by second.
+func scaleChart(r *emulator.Report) chart {
+	return func(path string) error {
+		base := strings.TrimSuffix(path, filepath.Ext(path))
+		title := fmt.Sprintf("%s: %d schedulers, %d workers", r.Model.Day, r.Model.Schedulers, r.Model.Workers)
+		if err := draw(base+"-starts.svg", title, "a second", []line{series("starts", r.Series.Starts),
+			series("refusals", r.Series.Refused)}); err != nil {
+			return err
+		}
+		each := 1 / float64(r.Model.Schedulers)
+		return draw(base+"-control.svg", title, "a scheduler and second", []line{
+			scaled("KB of control", r.Series.ControlKB, each),
+			scaled("ms of processor time", r.Series.CoreSeconds, 1000*each)})
+	}
+}
+
+func series(name string, counts []int) line {
+	values := make([]float64, len(counts))
+	for i, n := range counts {
+		values[i] = float64(n)
+	}
+	return scaled(name, values, 1)
+}
+
+func scaled(name string, values []float64, by float64) line {
+	l := line{name: name}
+	for s, v := range values {
+		l.points = append(l.points, plotter.XY{X: float64(s), Y: v * by})
+	}
+	return l
+}
--- /dev/null
+++ b/cmd/dahlialab/scale_test.go
@@ -0,0 +1,63 @@
+package main
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// Bad arguments are one clear line and status 2.
+func TestScaleMisused(t *testing.T) {
+	for args, want := range map[string]string{
+		"--workers 0":           "workers must be 1 to",
+		"--workers 1000000":     "workers must be 1 to",
+		"--schedulers=-1":       "schedulers must be 1 to",
+		"--rate=-1":             "rate must be 0 to",
+		"--rate NaN":            "rate must be 0 to",
+		"--for 0s":              "the time must be 1s to",
+		"--for long":            "--for",
+		"--task 1us":            "a task must be",
+		"--day doom":            `unknown day "doom": there are calm, discovery`,
+		"--day=":                `unknown day "": there are calm`,
+		"--seed=-1":             "--seed",
+		"--real=-1":             "--real must be 0 to",
+		"--real 1000":           "--real must be 0 to",
+		"--workers 3 --for 99h": "the time must be 1s to",
+	} {
+		status, out, errors := runLab(t, strings.Fields("scale "+args)...)
+		if lines := strings.Split(strings.TrimSpace(errors), "\n"); status != misused || len(lines) != 1 ||
+			!strings.Contains(errors, want) || out != "" {
+			t.Errorf("%s: status %d, %q; want one line with %q", args, status, errors, want)
+		}
+	}
+}
+
+// The last line is JSON, and charts are kept.
+func TestScale(t *testing.T) {
+	folder := t.TempDir()
+	status, out, errors := runLab(t, "scale", "--workers", "100", "--schedulers", "10", "--rate", "40", "--for", "3s",
+		"--task", "1s", "--keep", folder)
+	lines := strings.Split(strings.TrimSpace(out), "\n")
+	var last struct {
+		Scale string
+		OK    bool
+		Model struct{ Starts, Workers int }
+	}
+	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &last); err != nil || status != fine {
+		t.Fatal(status, err, out, errors)
+	}
+	if last.Scale != "calm" || !last.OK || last.Model.Starts < 60 || last.Model.Workers != 100 || len(lines) < 20 {
+		t.Errorf("%+v", last)
+	}
+	for _, name := range []string{".txt", "-starts.svg", "-control.svg"} {
+		if info, err := os.Stat(filepath.Join(folder, "scale-calm-10x100"+name)); err != nil || info.Size() == 0 {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	if status, out, _ = runLab(t, "scale", "--workers", "50", "--schedulers", "2", "--for", "1s", "--json"); status !=
+		fine || strings.Count(out, "\n") != 1 {
+		t.Errorf("status %d: %s", status, out)
+	}
+}
--- /dev/null
+++ b/internal/emulator/bytes.go
@@ -0,0 +1,27 @@
+package emulator
+
+import "dahliaford/internal/scheduler"
+
+// Sizes of messages in bytes, as the wire's HTTP and JSON would have them with the headers that the
+// program writes, without those of TCP and IP. They are estimates from messages written out once.
+const (
+	packetBytes      = 0   // a handshake: nothing above TCP
+	requestBytes     = 420 // a job with its headers and 200 bytes of body
+	answerBytes      = 90  // a status line with two headers
+	emptyAnswerBytes = 27  // 204
+	callbackBytes    = 210 // POST /callback with the object, beside its result
+	reportBytes      = 80  // a load report within it
+	withdrawBytes    = 75
+	watchBytes       = 95  // the call that opens a watch
+	entryBytes       = 139 // of the worker list: 1,000 KB for 7,200
+	lineBytes        = 48  // round them, with the framing of the chunk
+	beatBytes        = 6   // an empty line
+)
+
+// tableBytes is the size of a word of discovery.
+func tableBytes(t scheduler.Table) int {
+	if t.Rev == 0 {
+		return beatBytes
+	}
+	return lineBytes + entryBytes*len(t.Regions)
+}
--- /dev/null
+++ b/internal/emulator/clients.go
@@ -0,0 +1,184 @@
+package emulator
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"dahliaford/internal/record"
+	"dahliaford/internal/scheduler"
+)
+
+const (
+	mostTries  = 3 // of a client, after refusals
+	leastPause = 100 * millisecond
+	leastLeft  = second // a client does not try again with less time than that
+)
+
+// clients hand in jobs, as a Poisson process over all zones alike.
+type clients struct {
+	f       *fleet
+	random  *rand.Rand
+	every   float64 // mean micros between two jobs
+	fronts  [Zones][]*node
+	number  int
+	perTeam []float64
+}
+
+// item is what a client wants done, over all its tries.
+type item struct {
+	class, team int
+	slots, work float64 // work in micros on a standard machine
+	zone        int
+	first       Micros
+	tries       int
+	ran         *request // the first that started
+}
+
+// request is one try.
+type request struct {
+	f        *fleet
+	id       string
+	number   int
+	item     *item
+	zone     int
+	patience Micros
+	until    Micros
+	answered bool
+	open     int // what is still to come of it: its answer, attempts on the way or held
+	history  []record.Event
+}
+
+func newClients(f *fleet) *clients {
+	c := &clients{f: f, random: f.random(3), every: float64(second) / rateOf(f.opt)}
+	sum := 0.0
+	for i := range teams {
+		sum += teamPart(i)
+		c.perTeam = append(c.perTeam, sum)
+	}
+	for _, n := range f.nodes {
+		c.fronts[n.zone] = append(c.fronts[n.zone], n)
+	}
+	for z := range Zones { // a zone without schedulers goes to its region's, or to all
+		if len(c.fronts[z]) > 0 {
+			continue
+		}
+		for _, n := range f.nodes {
+			if region(n.zone) == region(z) {
+				c.fronts[z] = append(c.fronts[z], n)
+			}
+		}
+		if len(c.fronts[z]) == 0 {
+			c.fronts[z] = f.nodes
+		}
+	}
+	return c
+}
+
+// next hands in a job, and asks for the next one.
+func (c *clients) next() {
+	f := c.f
+	i := &item{zone: c.random.IntN(Zones), first: f.now, slots: 1}
+	draw := c.random.Float64()
+	for i.class = 0; i.class < len(classes)-1 && draw >= classes[i.class].part; i.class++ {
+		draw -= classes[i.class].part
+	}
+	draw = c.random.Float64()
+	for i.team = 0; i.team < teams-1 && draw >= c.perTeam[i.team]; i.team++ {
+	}
+	draw = c.random.Float64()
+	for _, g := range gangs {
+		if i.slots = g.slots; draw < g.part {
+			break
+		}
+		draw -= g.part
+	}
+	i.work = float64(f.task) * (0.25 + 0.75*c.random.ExpFloat64())
+	f.tally.model.Jobs++
+	c.submit(i, classes[i.class].patience(f.opt))
+	f.after(Micros(c.random.ExpFloat64()*c.every), c.next)
+}
+
+// submit sends a try to a scheduler that the front picks.
+func (c *clients) submit(i *item, patience Micros) {
+	f := c.f
+	c.number++
+	i.tries++
+	front := c.fronts[i.zone]
+	n := front[c.random.IntN(len(front))]
+	req := &request{f: f, number: c.number, id: fmt.Sprintf("%016x", uint64(c.number)*0x9e3779b97f4a7c15), item: i,
+		zone: i.zone, patience: patience, until: f.now + patience, open: 1}
+	f.requests[req.id] = req
+	f.tally.model.Requests++
+	req.note(record.Event{Kind: record.Sent, ID: req.id, Who: "client", Class: classes[i.class].name,
+		Until: time.UnixMicro(int64(req.until))})
+	f.net.send(i.zone, n.zone, requestBytes, func() { n.submit(req) })
+}
+
+var statuses = [...]int{scheduler.Served: 200, scheduler.Refused: 503, scheduler.Failed: 500,
+	scheduler.Invalid: 400, scheduler.Conflict: 409}
+
+// answered takes the answer of a try.
+func (c *clients) answered(req *request, a scheduler.Answer) {
+	f := c.f
+	req.note(record.Event{Kind: record.Answered, ID: req.id, Who: "client", Status: statuses[a.Verdict],
+		Result: string(a.Body)})
+	if !req.answered {
+		req.answered = true
+		defer req.close()
+	}
+	switch a.Verdict {
+	case scheduler.Served:
+		f.tally.model.Served++
+	case scheduler.Refused:
+		f.tally.model.Refused++
+		f.watch.refused(f)
+		wait := max(a.Wait, leastPause)
+		if left := req.until - f.now - wait; left >= leastLeft && req.item.tries < mostTries {
+			f.after(wait, func() { c.submit(req.item, left) })
+		} else {
+			f.tally.model.GaveUp++
+		}
+	case scheduler.Failed:
+		f.tally.model.Failed++
+	default:
+		f.tally.model.Invalid++
+	}
+}
+
+// started notes that a job begins to run.
+func (c *clients) started(req *request) {
+	f, i := c.f, req.item
+	f.tally.model.Starts++
+	f.watch.started(f)
+	switch {
+	case i.ran == nil:
+		i.ran = req
+		f.tally.starts(i.class, f.now-i.first)
+	case i.ran != req && classes[i.class].once:
+		f.tally.found(record.Finding{Property: "runs-as-allowed", ID: req.id,
+			Text: "its client's earlier try, which was refused, had run"})
+	}
+}
+
+// note keeps what was seen of a request.
+func (r *request) note(e record.Event) {
+	e.At = r.f.time()
+	r.history = append(r.history, e)
+}
+
+// close is called when one thing less is still to come of a request. At the last one its history is
+// checked and let go.
+func (r *request) close() {
+	if r.open--; r.open == 0 {
+		r.check()
+		delete(r.f.requests, r.id)
+	}
+}
+
+func (r *request) check() {
+	r.f.tally.model.Checked++
+	for _, found := range record.Check(r.f.rules, r.history) {
+		r.f.tally.found(found)
+	}
+}
--- /dev/null
+++ b/internal/emulator/days.go
@@ -0,0 +1,161 @@
+package emulator
+
+import (
+	"math"
+
+	"dahliaford"
+)
+
+// The size that the counts of faults are given for; a smaller fleet gets its part of them.
+const (
+	sizeOfDay  = 7200
+	rolled     = 410 // restarted or replaced on an ordinary day
+	failed     = 130 // machines that fail on an ordinary day
+	configured = 296 // changes of configuration in an hour: 7,100 a day
+)
+
+// day is what befalls the fleet while the load is on.
+type day struct {
+	about string
+	play  func(*fleet)
+}
+
+var days map[string]day
+
+func init() {
+	days = map[string]day{
+		"calm":      {"nothing but the load", func(*fleet) {}},
+		"zone":      {"a zone's machines vanish at 1/4 of the time and are back, cold, from 1/2 on", (*fleet).zoneDay},
+		"region":    {"a region is cut off from all others from 1/4 to 3/5 of the time", (*fleet).regionDay},
+		"roll":      {"a day's restarts and replacements (410 of 7,200) in ten steps", (*fleet).rollDay},
+		"discovery": {"discovery restarts at 1/3: all watches end, all ask again", (*fleet).discoveryDay},
+		"storm": {"a day's failures (130 of 7,200), a rack, and an hour's changes of configuration, in bursts",
+			(*fleet).stormDay},
+	}
+}
+
+// About says what befalls the fleet on a day.
+func About(name string) string { return days[name].about }
+
+// on is the time at which a part of the load is over.
+func (f *fleet) on(part float64) Micros {
+	start := began + warmUp
+	return start + Micros(part*float64(f.end-start))
+}
+
+// some is a fleet's part of a count, and least at the least.
+func (f *fleet) some(of, least int) int {
+	return min(max(int(math.Ceil(float64(of)*float64(f.opt.Workers)/sizeOfDay)), least), f.opt.Workers)
+}
+
+func (f *fleet) zoneDay() {
+	const lost = 5
+	random := f.random(4)
+	for _, w := range f.workers {
+		if w.zone == lost {
+			f.at(f.on(0.25)+Micros(random.Int64N(int64(100*millisecond))), w.vanish)
+			f.at(f.on(0.5)+Micros(random.Int64N(int64(2*second))), w.boot)
+		}
+	}
+}
+
+func (f *fleet) regionDay() {
+	const off = 3
+	random := f.random(4)
+	f.at(f.on(0.25), func() {
+		f.net.cut = off
+		for _, w := range f.workers {
+			if region(w.zone) == off {
+				w.unheard()
+			}
+		}
+	})
+	f.at(f.on(0.6), func() {
+		f.net.heal()
+		for _, w := range f.workers {
+			if region(w.zone) == off {
+				f.after(100*millisecond+Micros(random.Int64N(int64(second))), func() {
+					if w.up {
+						f.discovery.status(w, dahliaford.Ready)
+					}
+				})
+			}
+		}
+	})
+}
+
+func (f *fleet) rollDay() {
+	const steps = 10
+	random := f.random(4)
+	which := random.Perm(len(f.workers))[:f.some(rolled, 4)]
+	patience := 10*second + 3*f.task/2
+	for i, at := range which {
+		w := f.workers[at]
+		f.at(f.on(0.1+0.7*float64(i%steps)/steps), func() {
+			f.discovery.status(w, dahliaford.Draining)
+			f.drained(w, f.now+patience, func() {
+				if i%3 == 2 {
+					w.lose(true)
+					f.after(3*second, w.replace)
+					return
+				}
+				w.die()
+				f.after(3*second, w.boot)
+			})
+		})
+	}
+}
+
+// drained waits until a worker holds nothing, or for so long.
+func (f *fleet) drained(w *worker, until Micros, do func()) {
+	if w.idle() || f.now >= until {
+		do()
+		return
+	}
+	f.after(second, func() { f.drained(w, until, do) })
+}
+
+func (f *fleet) discoveryDay() {
+	f.at(f.on(1./3), func() { f.discovery.restart(min(5*second, (f.end-f.now)/4)) })
+}
+
+func (f *fleet) stormDay() {
+	const bursts = 20
+	random := f.random(4)
+	when := func() Micros { return f.on(0.1 + 0.7*float64(random.IntN(bursts))/bursts) }
+	order := random.Perm(len(f.workers))
+	broken := f.some(failed, 4)
+	rack := f.workers[order[0]].rack
+	for i, at := range order[:broken] {
+		w := f.workers[at]
+		switch i % 4 {
+		case 0, 1:
+			f.at(when(), func() { w.die(); f.after(3*second, w.boot) })
+		case 2:
+			f.at(when(), func() { w.vanish(); f.after(10*second, w.boot) })
+		default:
+			f.at(when(), func() { w.vanish(); w.retired = true })
+		}
+	}
+	for _, w := range f.workers {
+		if w.rack == rack {
+			f.at(f.on(0.4), w.vanish)
+			f.at(f.on(0.7)+Micros(random.Int64N(int64(2*second))), w.boot)
+		}
+	}
+	// What the worker list can carry of the configuration: a worker that is taken out of use and given back.
+	for range f.some(configured, 8) / 2 {
+		w := f.workers[order[random.IntN(len(order))]]
+		at := when()
+		f.at(at, func() {
+			if w.up {
+				f.discovery.status(w, dahliaford.Draining)
+			}
+		})
+		f.at(at+f.on(0.1)-f.on(0), func() {
+			if w.up {
+				f.discovery.status(w, dahliaford.Ready)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/emulator/discovery.go
@@ -0,0 +1,231 @@
+package emulator
+
+import (
+	"slices"
+
+	"dahliaford"
+	"dahliaford/internal/scheduler"
+)
+
+const (
+	// batchEvery is how long discovery gathers changes into one word.
+	batchEvery = 250 * millisecond
+	beatEvery  = 2 * second // an empty line, while nothing changes
+	// callTakes is the work of a call beside what it has to send; calls are worked through in turn.
+	callTakes = 5 * millisecond
+	sendRate  = 100.0 // bytes a microsecond that it can make of a list
+	// callWaits is how long a call may wait for its turn.
+	callWaits = 2 * second
+	// unheardFor is how long discovery does not hear a worker before it is gone, less and more by half
+	// a second.
+	unheardFor = 3 * second
+	agentTells = 20 * millisecond  // until the agent of a machine has told that a process died
+	startTells = 200 * millisecond // until a worker that has started is listed
+	logKept    = 4096              // versions for which discovery still knows what changed
+
+	discoveryZone = 0
+)
+
+// discovery is the hollow service of the worker list.
+type discovery struct {
+	f       *fleet
+	down    bool
+	rev     int64
+	list    []scheduler.Region // by number of the worker
+	leftAt  []Micros           // since when it is listed as leaving; 0: it is not
+	log     [][]int            // what changed with each version from logFrom on
+	logFrom int64
+	changed map[int]Micros // not yet told, and since when so
+	open    []*stream      // in the order of their schedulers
+	free    Micros         // when the calls that wait are done
+	random  func() float64
+}
+
+// stream is a watch, seen from both ends.
+type stream struct {
+	n       *node
+	open    bool   // discovery still writes to it
+	ended   bool   // its scheduler has taken its end in
+	let     bool   // its scheduler has let it go
+	written Micros // when the last line was written
+	arrives Micros // when it comes: lines keep their order
+	spoke   bool
+	emptyAt Micros // nothing lay in the socket then
+	lostAt  Micros // it counts as dead then, unless something comes
+}
+
+func newDiscovery(f *fleet) *discovery {
+	return &discovery{f: f, rev: 1, logFrom: 2, changed: map[int]Micros{}, random: f.random(2).Float64}
+}
+
+// whole is the list as discovery holds it, without those that are gone.
+func (d *discovery) whole() scheduler.Table {
+	t := scheduler.Table{Rev: d.rev, All: true}
+	for _, r := range d.list {
+		if r.Status != dahliaford.Gone {
+			t.Regions = append(t.Regions, r)
+		}
+	}
+	return t
+}
+
+func (d *discovery) change(w *worker, change func(*scheduler.Region)) {
+	was := d.list[w.number]
+	change(&d.list[w.number])
+	if was == d.list[w.number] {
+		return
+	}
+	if len(d.changed) == 0 {
+		d.f.after(batchEvery, d.tell)
+	}
+	if _, known := d.changed[w.number]; !known {
+		d.changed[w.number] = d.f.now
+	}
+}
+
+func (d *discovery) status(w *worker, s dahliaford.Status) {
+	d.change(w, func(r *scheduler.Region) {
+		if r.Status = s; s == dahliaford.Ready {
+			r.Started = w.started
+		}
+	})
+}
+
+// tell gives the changes that have come together a version, and writes it to all watches.
+func (d *discovery) tell() {
+	if d.down || len(d.changed) == 0 {
+		return
+	}
+	var which []int
+	since := d.f.now
+	for i, at := range d.changed {
+		which, since = append(which, i), min(since, at)
+		if d.list[i].Status == dahliaford.Ready {
+			d.leftAt[i] = 0
+		} else if d.leftAt[i] == 0 {
+			d.leftAt[i] = at
+		}
+	}
+	slices.Sort(which)
+	clear(d.changed)
+	d.rev++
+	d.log = append(d.log, which)
+	if over := len(d.log) - logKept; over > 0 {
+		d.log, d.logFrom = d.log[over:], d.logFrom+int64(over)
+	}
+	t := d.delta(which)
+	d.f.tally.changed(d.rev, since, len(which))
+	for _, s := range d.open {
+		s.write(t)
+	}
+}
+
+func (d *discovery) delta(which []int) scheduler.Table {
+	t := scheduler.Table{Rev: d.rev}
+	for _, i := range which {
+		t.Regions = append(t.Regions, d.list[i])
+	}
+	return t
+}
+
+// since is what a watch from a version begins with.
+func (d *discovery) since(rev int64) scheduler.Table {
+	if rev == 0 || rev > d.rev || rev+1 < d.logFrom {
+		return d.whole()
+	}
+	var which []int
+	for _, changed := range d.log[rev+1-d.logFrom:] {
+		which = append(which, changed...)
+	}
+	slices.Sort(which)
+	return d.delta(slices.Compact(which))
+}
+
+// call takes the call that opens a watch.
+func (d *discovery) call(s *stream, rev int64) {
+	if d.down {
+		d.f.net.send(discoveryZone, s.n.zone, packetBytes, s.lost) // the connection is refused
+		return
+	}
+	f := d.f
+	from := max(d.free, f.now)
+	if from-f.now > callWaits {
+		f.tally.discovery.Refused++
+		f.at(f.now+callWaits, func() { f.net.send(discoveryZone, s.n.zone, answerBytes, s.lost) })
+		return
+	}
+	t := d.since(rev)
+	if t.All {
+		f.tally.discovery.Whole++
+	} else {
+		f.tally.discovery.Deltas++
+	}
+	d.free = from + callTakes + Micros(float64(tableBytes(t))/sendRate)
+	f.tally.discovery.Busy += float64(d.free-from) / float64(second)
+	f.at(d.free, func() {
+		if d.down {
+			return // its end has been sent by then
+		}
+		d.join(s)
+		s.write(d.since(rev)) // as it is now
+		s.beat()
+	})
+}
+
+func (d *discovery) join(s *stream) {
+	s.open = true
+	i, _ := slices.BinarySearchFunc(d.open, s.n.me, func(o *stream, me int) int { return o.n.me - me })
+	d.open = slices.Insert(d.open, i, s)
+}
+
+func (d *discovery) leave(s *stream) {
+	s.open = false
+	d.open = slices.DeleteFunc(d.open, func(o *stream) bool { return o == s })
+}
+
+// write sends a line. Lines keep their order on the way.
+func (s *stream) write(t scheduler.Table) {
+	f := s.n.f
+	if !s.open {
+		return
+	}
+	s.written = f.now
+	bytes := tableBytes(t)
+	take := func() { s.read(t, bytes) }
+	if f.net.parted(discoveryZone, s.n.zone) {
+		f.net.held = append(f.net.held, held{discoveryZone, s.n.zone, take})
+		return
+	}
+	s.arrives = max(s.arrives, f.now+f.net.delay(discoveryZone, s.n.zone)+Micros(float64(bytes)*perByte))
+	f.at(s.arrives, take)
+}
+
+// beat writes empty lines while nothing changes.
+func (s *stream) beat() {
+	f := s.n.f
+	if !s.open {
+		return
+	}
+	if f.now-s.written >= beatEvery {
+		s.write(scheduler.Table{})
+	}
+	f.at(s.written+beatEvery, s.beat)
+}
+
+// restart takes discovery down for a while. Its watches end; it keeps the list, and no longer knows
+// what changed when.
+func (d *discovery) restart(span Micros) {
+	d.down = true
+	for _, s := range d.open {
+		s.open = false
+		d.f.net.send(discoveryZone, s.n.zone, packetBytes, s.lost)
+	}
+	d.open = nil
+	d.f.after(span, func() {
+		d.down, d.free = false, 0
+		d.rev++ // so that no version from before is the present one
+		d.log, d.logFrom = nil, d.rev+1
+		d.f.tally.changed(d.rev, d.f.now, 0)
+		d.tell()
+	})
+}
--- /dev/null
+++ b/internal/emulator/emulator.go
@@ -0,0 +1,217 @@
+// Package emulator runs a fleet in virtual time: hundreds of hollow schedulers, each the real
+// reducer and decision module, among hollow workers, clients, one discovery and a network that
+// are written here. There is no socket and no sleep: one queue of events, in the order of their
+// times, moves the clock. The same options give the same run, except for what is measured on the
+// machine (see Measured). docs/design-emulator.md says what is left out.
+package emulator
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"runtime"
+	"slices"
+	"strings"
+	"time"
+
+	"dahliaford/internal/record"
+	"dahliaford/internal/scheduler"
+	"dahliaford/internal/settings"
+)
+
+// Micros is a time or a span in microseconds of virtual time.
+type Micros = scheduler.Micros
+
+const (
+	millisecond Micros = 1000
+	second             = 1000 * millisecond
+
+	began  = 1_000_000 * second // when the clock starts
+	warmUp = 3 * second         // from the start of the schedulers to the first job
+)
+
+// The bounds of a run.
+const (
+	MostWorkers    = 20_000
+	MostSchedulers = 2_000
+	MostRate       = 20_000 // jobs a second
+	MostFor        = time.Hour
+	MostTask       = 10 * time.Minute
+)
+
+// Options say what is run. Zero values stand for the defaults that are given.
+type Options struct {
+	Workers    int           // 1 to MostWorkers
+	Schedulers int           // 1 to MostSchedulers
+	Rate       float64       // jobs a second that clients hand in; 0: LoadOf of what the workers carry
+	For        time.Duration // of load, in virtual time
+	Seed       uint64
+	Day        string        // one of Days; "": calm
+	Task       time.Duration // mean run time of a job on a standard machine; 0: DefaultTask
+}
+
+// The defaults.
+const (
+	DefaultTask = 13 * time.Second
+	LoadOf      = 0.6
+)
+
+// Check returns an error in one line if the options make no sense, or go beyond a bound.
+func (o Options) Check() error {
+	switch {
+	case o.Workers < 1 || o.Workers > MostWorkers:
+		return fmt.Errorf("workers must be 1 to %d", MostWorkers)
+	case o.Schedulers < 1 || o.Schedulers > MostSchedulers:
+		return fmt.Errorf("schedulers must be 1 to %d", MostSchedulers)
+	case !(o.Rate >= 0 && o.Rate <= MostRate):
+		return fmt.Errorf("rate must be 0 to %d", MostRate)
+	case o.For < time.Second || o.For > MostFor:
+		return fmt.Errorf("the time must be 1s to %v", MostFor)
+	case o.Task < 0 || o.Task > MostTask || o.Task > 0 && o.Task < 10*time.Millisecond:
+		return fmt.Errorf("a task must be 10ms to %v", MostTask)
+	case o.Day != "" && days[o.Day].play == nil:
+		return fmt.Errorf("unknown day %q: there are %s", o.Day, strings.Join(Days(), ", "))
+	}
+	return nil
+}
+
+// fleet is one run.
+type fleet struct {
+	opt    Options
+	set    settings.Settings
+	task   Micros
+	now    Micros
+	end    Micros
+	events queue
+
+	net       network
+	discovery *discovery
+	nodes     []*node
+	workers   []*worker
+	byUID     map[string]*worker
+	byAddr    map[string]*worker
+	clients   *clients
+	requests  map[string]*request
+	rules     record.Rules
+	tally     tally
+	watch     stopwatch
+}
+
+// at has something done at a time, behind all that was asked for before for the same time.
+func (f *fleet) at(t Micros, do func()) { f.events.push(max(t, f.now), do) }
+
+func (f *fleet) after(d Micros, do func()) { f.events.push(f.now+d, do) }
+
+// random is a source of its own for one part of the world, so that a change in one part does
+// not deal others differently.
+func (f *fleet) random(part uint64) *rand.Rand { return rand.New(rand.NewPCG(f.opt.Seed, part)) }
+
+// Run plays a day. It ends when the day does, or with an error once the context ends.
+func Run(ctx context.Context, opt Options) (*Report, error) {
+	if err := opt.Check(); err != nil {
+		return nil, err
+	}
+	if opt.Day == "" {
+		opt.Day = "calm"
+	}
+	if opt.Task == 0 {
+		opt.Task = DefaultTask
+	}
+	f, err := newFleet(opt)
+	if err != nil {
+		return nil, err
+	}
+	days[opt.Day].play(f)
+	for n := 0; ; n++ {
+		if n%4096 == 0 {
+			if err := ctx.Err(); err != nil {
+				return nil, fmt.Errorf("given up at %.1f s of virtual time: %w", seconds(f.now-began), err)
+			}
+		}
+		e, any := f.events.pop()
+		if !any || e.at > f.end {
+			break
+		}
+		f.now = e.at
+		e.do()
+	}
+	f.now = f.end
+	return f.report(), nil
+}
+
+func newFleet(opt Options) (*fleet, error) {
+	set, err := fleetSettings(opt)
+	if err != nil {
+		return nil, err
+	}
+	f := &fleet{opt: opt, set: set, task: Micros(opt.Task.Microseconds()), now: began,
+		end: began + warmUp + Micros(opt.For.Microseconds()), byUID: map[string]*worker{},
+		byAddr: map[string]*worker{}, requests: map[string]*request{}}
+	f.net = network{f: f, random: f.random(1), cut: -1}
+	f.tally = newTally(f)
+	f.watch.start()
+	f.rules = record.Rules{Once: map[string]bool{}, Rack: map[string]string{}, MostAttempts: set.Module.MaxAttempts,
+		DrainGrace: span(set.DrainGrace), Slack: 50 * time.Millisecond, Watched: 20 * time.Second,
+		Window: span(set.Module.Classes[len(set.Module.Classes)-1].Window)}
+	for _, c := range classes {
+		f.rules.Once[c.name] = c.once
+	}
+	f.discovery = newDiscovery(f)
+	for i := range opt.Workers {
+		f.addWorker(i % Zones)
+	}
+	empty := heap()
+	table := f.discovery.whole()
+	for i := range opt.Schedulers {
+		n, err := newNode(f, i, zoneOf(i, opt.Schedulers))
+		if err != nil {
+			return nil, err
+		}
+		f.nodes = append(f.nodes, n)
+	}
+	for _, n := range f.nodes {
+		f.at(began+Micros(n.random.Int64N(int64(second/2))), func() {
+			n.step(scheduler.Began{Discovery: "discovery", Known: table})
+		})
+	}
+	f.at(began+warmUp, func() {
+		f.watch.listed = float64(heap()-empty) / float64(opt.Schedulers)
+		f.watch.began(f)
+	})
+	f.clients = newClients(f)
+	f.at(began+warmUp, f.clients.next)
+	f.watch.sample(f)
+	return f, nil
+}
+
+// zoneOf deals schedulers out over the zones.
+func zoneOf(i, of int) int {
+	if of >= Zones {
+		return i % Zones
+	}
+	return i * Zones / of
+}
+
+// heap is what is in use, in bytes, after a collection.
+func heap() int64 {
+	runtime.GC()
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	return int64(m.HeapAlloc)
+}
+
+func span(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+
+func seconds(m Micros) float64 { return float64(m) / float64(second) }
+
+func (f *fleet) time() time.Time { return time.UnixMicro(int64(f.now)) }
+
+// Days are the days that can be played.
+func Days() []string {
+	var names []string
+	for name := range days {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
--- /dev/null
+++ b/internal/emulator/report.go
@@ -0,0 +1,436 @@
+package emulator
+
+import (
+	"fmt"
+	"runtime"
+	"runtime/metrics"
+	"slices"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"dahliaford/internal/record"
+	"dahliaford/internal/scheduler"
+)
+
+// Report is what a run found. Model is the same for the same options; Measured is not.
+type Report struct {
+	Model    Model    `json:"model"`
+	Measured Measured `json:"measured"`
+	Series   Series   `json:"-"`
+}
+
+// OK tells whether no rule was broken.
+func (r *Report) OK() bool { return len(r.Model.Broken) == 0 }
+
+// Model is what happened in virtual time, from the first job to the end.
+type Model struct {
+	Day        string  `json:"day"`
+	Workers    int     `json:"workers"`
+	Schedulers int     `json:"schedulers"`
+	Seed       uint64  `json:"seed"`
+	RatePerS   float64 `json:"rate_per_s"` // asked for
+	TaskS      float64 `json:"task_s"`     // mean run of a job on a standard machine
+	Seconds    float64 `json:"seconds"`    // of load
+
+	Jobs     int `json:"jobs"`     // that clients wanted done
+	Requests int `json:"requests"` // their tries
+	Starts   int `json:"starts"`
+	Served   int `json:"served"`
+	Refused  int `json:"refused"` // tries that were refused
+	GaveUp   int `json:"gave_up"` // jobs whose last try was refused
+	Failed   int `json:"failed"`
+	Invalid  int `json:"invalid"` // answers that no client should get: the model would be wrong
+	Open     int `json:"open"`    // at the end
+	Checked  int `json:"checked"` // requests of which nothing more was to come, and whose history was checked
+
+	StartsPerS  float64           `json:"starts_per_s"`
+	PeakStarts  int               `json:"peak_starts_per_s"` // in the busiest second
+	TimeToStart map[string]Spread `json:"time_to_start"`     // by class, from the client's first try
+	Attempts    int               `json:"attempts"`
+	TurnedAway  int               `json:"turned_away"` // by a full worker
+	TurnedBack  int               `json:"turned_back"` // by the last look
+	Killed      int               `json:"killed"`      // with their worker
+	Withdrawn   int               `json:"withdrawn"`
+	PushedOver  int               `json:"pushed_over"` // cold workers that fell over
+
+	CallbacksLost int            `json:"callbacks_lost"`
+	NoConnection  int            `json:"no_connection"` // attempts and withdrawals without one, for want of room
+	Warnings      map[string]int `json:"warnings"`      // lines of the reducer's log
+
+	Control   Traffic   `json:"control"` // between a scheduler and discovery
+	Work      Traffic   `json:"work"`    // between a scheduler, clients and workers
+	Discovery Discovery `json:"discovery"`
+	Changes   Changes   `json:"changes"`
+
+	Broken   map[string]int `json:"broken"` // rules, by how often
+	Findings []string       `json:"findings,omitempty"`
+}
+
+// Spread is a distribution, in milliseconds.
+type Spread struct {
+	N   int64   `json:"n"`
+	P50 float64 `json:"p50_ms"`
+	P99 float64 `json:"p99_ms"`
+	Max float64 `json:"max_ms"`
+	// Aim is the part that began within the class's aim, without its stretch.
+	Aim float64 `json:"in_aim,omitempty"`
+}
+
+// Traffic is what a scheduler receives and sends, bytes as the wire would have them by estimate.
+type Traffic struct {
+	BytesPerS    float64 `json:"bytes_per_s"`      // on the mean of all schedulers
+	MostPerS     float64 `json:"most_bytes_per_s"` // of the scheduler with the most
+	WorstSecond  int64   `json:"worst_second_bytes,omitempty"`
+	MessagesPerS float64 `json:"messages_per_s"`
+}
+
+// Discovery is what discovery did.
+type Discovery struct {
+	Whole   int     `json:"whole_lists"`
+	Deltas  int     `json:"deltas"`
+	Refused int     `json:"refused_calls"`
+	Lost    int     `json:"lost_watches"`
+	Busy    float64 `json:"busy_s"`
+}
+
+// Changes is how long words of discovery took until they were in force everywhere, from when
+// discovery knew the first change in them. A change is in force at a scheduler once it has applied
+// it, or sends nothing because it has not heard discovery for too long.
+type Changes struct {
+	Words   int    `json:"words"`
+	Entries int    `json:"entries"`
+	InForce Spread `json:"in_force"`
+	Applied Spread `json:"applied"` // until the last one has applied it
+	Open    int    `json:"open"`    // not in force everywhere at the end
+	Unread  int    `json:"unread"`  // not applied everywhere at the end
+}
+
+// Measured is what was measured on the machine.
+type Measured struct {
+	Seconds   float64    `json:"seconds"`              // that the run took
+	Events    uint64     `json:"events"`               // of the model
+	Kinds     []KindCost `json:"kinds"`                // processor time of the reducer, by kind of event
+	Core      float64    `json:"core_percent"`         // of a core, by a scheduler's reducer on the mean
+	CoreMost  float64    `json:"core_percent_most"`    // by the scheduler with the most
+	Control   float64    `json:"core_percent_control"` // of the mean, for words of discovery
+	Lag       float64    `json:"lag_ms"`               // most that a reducer is behind, with a core of its own
+	LagAtPart float64    `json:"lag_at_2.9_percent_ms"`
+	HeapEach  float64    `json:"heap_kb_a_scheduler"` // once it has the list
+	HeapMB    float64    `json:"heap_mb"`             // of the whole run, at the most
+	Cores     int        `json:"cores"`               // that the run could use
+}
+
+// KindCost is the processor time of one kind of event.
+type KindCost struct {
+	Kind   string  `json:"kind"`
+	N      int64   `json:"n"`
+	MeanUs float64 `json:"mean_us"`
+	P50Us  float64 `json:"p50_us"`
+	P99Us  float64 `json:"p99_us"`
+	MaxUs  float64 `json:"max_us"`
+	TotalS float64 `json:"total_s"`
+}
+
+// Series are figures by second of the load.
+type Series struct {
+	Starts, Refused []int     // of all schedulers
+	ControlKB       []float64 // of all schedulers
+	CoreSeconds     []float64 // processor time of all reducers
+}
+
+// ---- Counting in virtual time
+
+const mostFindings = 20
+
+type tally struct {
+	f         *fleet
+	model     Model
+	discovery Discovery
+	toStart   []*hdrhistogram.Histogram
+	inAim     []int64
+	changes   []*changeOf // by version from 2 on
+}
+
+// changeOf is a word of discovery on its way into force.
+type changeOf struct {
+	since, written   Micros
+	left             int // schedulers that have not applied it
+	inForce, applied Micros
+}
+
+func newTally(f *fleet) tally {
+	t := tally{f: f, model: Model{Day: f.opt.Day, Workers: f.opt.Workers, Schedulers: f.opt.Schedulers,
+		Seed: f.opt.Seed, RatePerS: rateOf(f.opt), TaskS: f.opt.Task.Seconds(), Seconds: f.opt.For.Seconds(),
+		TimeToStart: map[string]Spread{}, Warnings: map[string]int{}, Broken: map[string]int{}},
+		inAim: make([]int64, len(classes))}
+	for range classes {
+		t.toStart = append(t.toStart, hdrhistogram.New(1, int64(3600*second), 3))
+	}
+	return t
+}
+
+func (t *tally) found(f record.Finding) {
+	t.model.Broken[f.Property]++
+	if len(t.model.Findings) < mostFindings {
+		t.model.Findings = append(t.model.Findings, fmt.Sprintf("%.3f s: %v", seconds(t.f.now-began-warmUp), f))
+	}
+}
+
+func (t *tally) starts(class int, after Micros) {
+	t.toStart[class].RecordValue(max(int64(after), 1))
+	if after <= classes[class].aim {
+		t.inAim[class]++
+	}
+}
+
+// sends checks the rule on drains when a first byte goes out.
+func (t *tally) sends(n *node, w *worker, req *request) {
+	left := t.f.discovery.leftAt[w.number]
+	if left == 0 {
+		return
+	}
+	// Heard words stop a send by themselves, see may. Unheard ones count as told after a while.
+	if over := t.f.now - left - toldWithin - t.f.set.DrainGrace; over > 50*millisecond {
+		t.found(record.Finding{Property: "drains-kept", ID: req.id,
+			Text: fmt.Sprintf("%d writes to %s, which counts as told off since %v before", n.me, w.uid, span(over))})
+	}
+}
+
+// changed notes a word that discovery writes.
+func (t *tally) changed(rev int64, since Micros, entries int) {
+	for int64(len(t.changes)) < rev-1 {
+		t.changes = append(t.changes, &changeOf{since: since, written: t.f.now, left: len(t.f.nodes)})
+	}
+	t.model.Changes.Words++
+	t.model.Changes.Entries += entries
+}
+
+// applied notes that a scheduler has taken in all up to a version; trusted is until when it relied on
+// what it knew before.
+func (t *tally) applied(n *node, rev int64, trusted Micros) {
+	for r := n.rev + 1; r <= rev; r++ {
+		c := t.changes[r-2]
+		c.left--
+		c.applied = t.f.now
+		at := t.f.now
+		if trusted < at {
+			at = max(trusted, c.written)
+		}
+		c.inForce = max(c.inForce, at)
+	}
+	n.rev = max(n.rev, rev)
+}
+
+func spread(h *hdrhistogram.Histogram) Spread {
+	ms := func(v int64) float64 { return float64(v) / 1000 }
+	return Spread{N: h.TotalCount(), P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())}
+}
+
+// report sums up.
+func (f *fleet) report() *Report {
+	m := &f.tally.model
+	for i, c := range classes {
+		s := spread(f.tally.toStart[i])
+		if s.N > 0 {
+			s.Aim = float64(f.tally.inAim[i]) / float64(s.N)
+		}
+		m.TimeToStart[c.name] = s
+	}
+	m.Discovery = f.tally.discovery
+	f.open()
+	inForce, applied := hdrhistogram.New(1, int64(3600*second), 3), hdrhistogram.New(1, int64(3600*second), 3)
+	for i, c := range f.tally.changes {
+		rev, waits := int64(i)+2, false
+		for _, n := range f.nodes {
+			if n.rev >= rev || c.left == 0 {
+				continue
+			}
+			if n.until >= f.now {
+				waits = true
+			} else {
+				c.inForce = max(c.inForce, n.until, c.written)
+			}
+		}
+		if waits {
+			m.Changes.Open++
+		} else {
+			inForce.RecordValue(max(int64(c.inForce-c.since), 1))
+		}
+		if c.left > 0 {
+			m.Changes.Unread++
+		} else {
+			applied.RecordValue(max(int64(c.applied-c.since), 1))
+		}
+	}
+	m.Changes.InForce, m.Changes.Applied = spread(inForce), spread(applied)
+	m.StartsPerS = float64(m.Starts) / m.Seconds
+	for _, n := range f.watch.series.Starts {
+		m.PeakStarts = max(m.PeakStarts, n)
+	}
+	for _, n := range f.nodes {
+		each := float64(len(f.nodes)) * m.Seconds
+		m.Control.BytesPerS += float64(n.use.control) / each
+		m.Control.MessagesPerS += float64(n.use.controlMessages) / each
+		m.Control.MostPerS = max(m.Control.MostPerS, float64(n.use.control)/m.Seconds)
+		m.Control.WorstSecond = max(m.Control.WorstSecond, n.use.worst)
+		m.Work.BytesPerS += float64(n.use.jobs) / each
+		m.Work.MessagesPerS += float64(n.use.jobMessages) / each
+		m.Work.MostPerS = max(m.Work.MostPerS, float64(n.use.jobs)/m.Seconds)
+	}
+	return &Report{Model: *m, Measured: f.watch.measured(f), Series: f.watch.series}
+}
+
+// open checks what is not over at the end.
+func (f *fleet) open() {
+	var all []*request
+	for _, r := range f.requests {
+		all = append(all, r)
+	}
+	slices.SortFunc(all, func(a, b *request) int { return a.number - b.number })
+	for _, r := range all {
+		if !r.answered {
+			f.tally.model.Open++
+			if f.now > r.until+50*millisecond {
+				r.note(record.Event{Kind: record.Unanswered, ID: r.id})
+			}
+		}
+		// An event that says nothing tells how late it is for what is held for nobody.
+		r.note(record.Event{Kind: record.Back})
+		r.check()
+	}
+}
+
+// ---- Measuring on the machine
+
+// coreForControl is the part of a core that a scheduler may take for control.
+const coreForControl = 0.029
+
+type stopwatch struct {
+	from    time.Time
+	kinds   map[string]*kindClock
+	listed  float64 // bytes a scheduler that has the list
+	most    uint64  // heap in use
+	series  Series
+	running bool
+	lag     time.Duration
+	lagPart time.Duration
+}
+
+type kindClock struct {
+	took  *hdrhistogram.Histogram // nanoseconds
+	total time.Duration
+}
+
+func (s *stopwatch) start() { s.from, s.kinds = time.Now(), map[string]*kindClock{} }
+
+// began starts the figures of the schedulers, with the load.
+func (s *stopwatch) began(f *fleet) {
+	s.running = true
+	for _, n := range f.nodes {
+		n.use = use{}
+	}
+}
+
+func kindOfEvent(e scheduler.Event) string {
+	switch e := e.(type) {
+	case scheduler.Began:
+		return "began, list known"
+	case scheduler.Submitted:
+		return "job submitted"
+	case scheduler.Accepted:
+		return "job accepted"
+	case scheduler.Told:
+		if e.News == scheduler.NewsStarted {
+			return "job started"
+		}
+		return "job ended, told"
+	case scheduler.Ended:
+		return "attempt ended, seen"
+	case scheduler.Withdrawn:
+		return "job withdrawn"
+	case scheduler.TableRead:
+		switch {
+		case e.Table.All:
+			return "whole list"
+		case len(e.Table.Regions) == 0:
+			return "word without entries"
+		}
+		return "word with entries"
+	case scheduler.TableLost:
+		return "watch lost"
+	case scheduler.Woke:
+		return "timer"
+	}
+	return "others"
+}
+
+func (s *stopwatch) step(n *node, e scheduler.Event, took time.Duration) {
+	kind := kindOfEvent(e)
+	k := s.kinds[kind]
+	if k == nil {
+		k = &kindClock{took: hdrhistogram.New(1, int64(time.Hour), 2)}
+		s.kinds[kind] = k
+	}
+	k.took.RecordValue(max(int64(took), 1))
+	k.total += took
+	if !s.running {
+		return
+	}
+	n.use.took += took
+	switch e.(type) {
+	case scheduler.TableRead, scheduler.TableLost:
+		n.use.tookControl += took
+	}
+	now := span(n.f.now)
+	n.use.busy = max(n.use.busy, now) + took
+	n.use.busyPart = max(n.use.busyPart, now) + time.Duration(float64(took)/coreForControl)
+	s.lag, s.lagPart = max(s.lag, n.use.busy-now), max(s.lagPart, n.use.busyPart-now)
+	*at(&s.series.CoreSeconds, n.f) += took.Seconds()
+}
+
+// at is the place of the present second in a series.
+func at[T any](series *[]T, f *fleet) *T {
+	i := int((f.now - began - warmUp) / second)
+	for len(*series) <= i {
+		*series = append(*series, *new(T))
+	}
+	return &(*series)[i]
+}
+
+func (s *stopwatch) started(f *fleet) { *at(&s.series.Starts, f)++ }
+func (s *stopwatch) refused(f *fleet) { *at(&s.series.Refused, f)++ }
+
+func (s *stopwatch) bytes(f *fleet, n int) {
+	if s.running {
+		*at(&s.series.ControlKB, f) += float64(n) / 1000
+	}
+}
+
+// sample looks at the heap once a second of virtual time.
+func (s *stopwatch) sample(f *fleet) {
+	one := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
+	metrics.Read(one)
+	s.most = max(s.most, one[0].Value.Uint64())
+	f.after(second, func() { s.sample(f) })
+}
+
+func (s *stopwatch) measured(f *fleet) Measured {
+	m := Measured{Seconds: time.Since(s.from).Seconds(), Events: f.events.seq, HeapEach: s.listed / 1000,
+		HeapMB: float64(s.most) / 1e6, Cores: runtime.GOMAXPROCS(0),
+		Lag: float64(s.lag.Microseconds()) / 1000, LagAtPart: float64(s.lagPart.Microseconds()) / 1000}
+	for kind, k := range s.kinds {
+		us := func(v int64) float64 { return float64(v) / 1000 }
+		m.Kinds = append(m.Kinds, KindCost{Kind: kind, N: k.took.TotalCount(), MeanUs: k.took.Mean() / 1000,
+			P50Us: us(k.took.ValueAtQuantile(50)), P99Us: us(k.took.ValueAtQuantile(99)), MaxUs: us(k.took.Max()),
+			TotalS: k.total.Seconds()})
+	}
+	slices.SortFunc(m.Kinds, func(a, b KindCost) int { return int(b.TotalS*1e9 - a.TotalS*1e9) })
+	load := f.opt.For.Seconds() / 100
+	for _, n := range f.nodes {
+		m.Core += n.use.took.Seconds() / load / float64(len(f.nodes))
+		m.CoreMost = max(m.CoreMost, n.use.took.Seconds()/load)
+		m.Control += n.use.tookControl.Seconds() / load / float64(len(f.nodes))
+	}
+	return m
+}
