--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -28,6 +28,7 @@
 // item is what a client wants done, over all its tries.
 type item struct {
 	class, team int
+	gang        int     // in gangs
 	slots, work float64 // work in micros on a standard machine
 	zone        int
 	first       Micros
@@ -78,7 +79,7 @@
 // next hands in a job, and asks for the next one.
 func (c *clients) next() {
 	f := c.f
-	i := &item{zone: c.random.IntN(Zones), first: f.now, slots: 1}
+	i := &item{zone: c.random.IntN(Zones), first: f.now}
 	draw := c.random.Float64()
 	for i.class = 0; i.class < len(classes)-1 && draw >= classes[i.class].part; i.class++ {
 		draw -= classes[i.class].part
@@ -87,14 +88,12 @@
 	for i.team = 0; i.team < teams-1 && draw >= c.perTeam[i.team]; i.team++ {
 	}
 	draw = c.random.Float64()
-	for _, g := range gangs {
-		if i.slots = g.slots; draw < g.part {
-			break
-		}
-		draw -= g.part
+	for i.gang = 0; i.gang < len(gangs)-1 && draw >= gangs[i.gang].part; i.gang++ {
+		draw -= gangs[i.gang].part
 	}
+	i.slots = gangs[i.gang].slots
 	i.work = float64(f.task) * (0.25 + 0.75*c.random.ExpFloat64())
-	f.tally.model.Jobs++
+	f.tally.handedIn(i)
 	c.submit(i, classes[i.class].patience(f.opt))
 	f.after(Micros(c.random.ExpFloat64()*c.every), c.next)
 }
@@ -106,27 +105,36 @@
 	i.tries++
 	front := c.fronts[i.zone]
 	n := front[c.random.IntN(len(front))]
-	req := &request{f: f, number: c.number, id: fmt.Sprintf("%016x", uint64(c.number)*0x9e3779b97f4a7c15), item: i,
-		zone: i.zone, patience: patience, until: f.now + patience, open: 1}
-	f.requests[req.id] = req
+	req := &request{f: f, number: c.number, id: fmt.Sprintf("%016x", uint64(c.number)*0x9e3779b97f4a7c15),
+		item: i, zone: i.zone, patience: patience, until: f.now + patience, open: 1}
 	f.tally.model.Requests++
-	req.note(record.Event{Kind: record.Sent, ID: req.id, Who: "client", Class: classes[i.class].name,
-		Until: time.UnixMicro(int64(req.until))})
 	f.net.send(i.zone, n.zone, requestBytes, func() { n.submit(req) })
 }
 
 var statuses = [...]int{scheduler.Served: 200, scheduler.Refused: 503, scheduler.Failed: 500,
 	scheduler.Invalid: 400, scheduler.Conflict: 409}
 
+// taken notes that a scheduler has a request's last byte: its time counts from then.
+func (r *request) taken() {
+	r.until = r.f.now + r.patience
+	r.f.requests[r.id] = r
+	r.note(record.Event{Kind: record.Sent, ID: r.id, Who: "client", Class: classes[r.item.class].name,
+		Until: time.UnixMicro(int64(r.until))})
+}
+
+// answer notes an answer as its scheduler writes it.
+func (r *request) answer(a scheduler.Answer) {
+	r.note(record.Event{Kind: record.Answered, ID: r.id, Who: "client", Status: statuses[a.Verdict],
+		Result: string(a.Body)})
+	if !r.answered {
+		r.answered = true
+		r.close()
+	}
+}
+
 // answered takes the answer of a try.
 func (c *clients) answered(req *request, a scheduler.Answer) {
 	f := c.f
-	req.note(record.Event{Kind: record.Answered, ID: req.id, Who: "client", Status: statuses[a.Verdict],
-		Result: string(a.Body)})
-	if !req.answered {
-		req.answered = true
-		defer req.close()
-	}
 	switch a.Verdict {
 	case scheduler.Served:
 		f.tally.model.Served++
@@ -154,7 +162,7 @@
 	switch {
 	case i.ran == nil:
 		i.ran = req
-		f.tally.starts(i.class, f.now-i.first)
+		f.tally.starts(i, f.now-i.first)
 	case i.ran != req && classes[i.class].once:
 		f.tally.found(record.Finding{Property: "runs-as-allowed", ID: req.id,
 			Text: "its client's earlier try, which was refused, had run"})
--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -24,11 +24,13 @@
 
 func init() {
 	days = map[string]day{
-		"calm":      {"nothing but the load", func(*fleet) {}},
-		"zone":      {"a zone's machines vanish at 1/4 of the time and are back, cold, from 1/2 on", (*fleet).zoneDay},
-		"region":    {"a region is cut off from all others from 1/4 to 3/5 of the time", (*fleet).regionDay},
-		"roll":      {"a day's restarts and replacements (410 of 7,200) in ten steps", (*fleet).rollDay},
-		"discovery": {"discovery restarts at 1/3: all watches end, all ask again", (*fleet).discoveryDay},
+		"calm": {"nothing but the load", func(*fleet) {}},
+		"zone": {"a zone's machines vanish at 1/4 of the time and are back, cold, from 1/2 on",
+			(*fleet).zoneDay},
+		"region": {"a region is cut off from all others from 1/4 to 3/5 of the time", (*fleet).regionDay},
+		"roll":   {"a day's restarts and replacements (410 of 7,200) in ten steps", (*fleet).rollDay},
+		"discovery": {"discovery restarts at 1/3 of the time: all watches end, all ask again",
+			(*fleet).discoveryDay},
 		"storm": {"a day's failures (130 of 7,200), a rack, and an hour's changes of configuration, in bursts",
 			(*fleet).stormDay},
 	}
@@ -72,6 +74,9 @@
 	})
 	f.at(f.on(0.6), func() {
 		f.net.heal()
+		for _, s := range f.discovery.open {
+			s.healed()
+		}
 		for _, w := range f.workers {
 			if region(w.zone) == off {
 				f.after(100*millisecond+Micros(random.Int64N(int64(second))), func() {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -37,6 +37,8 @@
 	logFrom int64
 	changed map[int]Micros // not yet told, and since when so
 	open    []*stream      // in the order of their schedulers
+	waiting []*stream      // calls that are not answered yet
+	life    int            // of its process
 	free    Micros         // when the calls that wait are done
 	random  func() float64
 }
@@ -50,8 +52,9 @@
 	written Micros // when the last line was written
 	arrives Micros // when it comes: lines keep their order
 	spoke   bool
-	emptyAt Micros // nothing lay in the socket then
-	lostAt  Micros // it counts as dead then, unless something comes
+	kept    []scheduler.Table // written during a cut
+	emptyAt Micros            // nothing lay in the socket then
+	lostAt  Micros            // it counts as dead then, unless something comes
 }
 
 func newDiscovery(f *fleet) *discovery {
@@ -162,10 +165,13 @@
 	}
 	d.free = from + callTakes + Micros(float64(tableBytes(t))/sendRate)
 	f.tally.discovery.Busy += float64(d.free-from) / float64(second)
+	life := d.life
+	d.waiting = append(d.waiting, s)
 	f.at(d.free, func() {
-		if d.down {
+		if d.life != life {
 			return // its end has been sent by then
 		}
+		d.waiting = slices.DeleteFunc(d.waiting, func(o *stream) bool { return o == s })
 		d.join(s)
 		s.write(d.since(rev)) // as it is now
 		s.beat()
@@ -191,13 +197,21 @@
 	}
 	s.written = f.now
 	bytes := tableBytes(t)
-	take := func() { s.read(t, bytes) }
 	if f.net.parted(discoveryZone, s.n.zone) {
-		f.net.held = append(f.net.held, held{discoveryZone, s.n.zone, take})
+		s.kept = append(s.kept, t)
 		return
 	}
 	s.arrives = max(s.arrives, f.now+f.net.delay(discoveryZone, s.n.zone)+Micros(float64(bytes)*perByte))
-	f.at(s.arrives, take)
+	f.at(s.arrives, func() { s.read(t, bytes) })
+}
+
+// healed sends what a cut has kept back.
+func (s *stream) healed() {
+	kept := s.kept
+	s.kept = nil
+	for _, t := range kept {
+		s.write(t)
+	}
 }
 
 // beat writes empty lines while nothing changes.
@@ -216,11 +230,12 @@
 // what changed when.
 func (d *discovery) restart(span Micros) {
 	d.down = true
-	for _, s := range d.open {
+	d.life++
+	for _, s := range slices.Concat(d.open, d.waiting) {
 		s.open = false
 		d.f.net.send(discoveryZone, s.n.zone, packetBytes, s.lost)
 	}
-	d.open = nil
+	d.open, d.waiting = nil, nil
 	d.f.after(span, func() {
 		d.down, d.free = false, 0
 		d.rev++ // so that no version from before is the present one
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -28,6 +28,7 @@
 
 	began  = 1_000_000 * second // when the clock starts
 	warmUp = 3 * second         // from the start of the schedulers to the first job
+	slack  = 50 * millisecond   // that each time limit grows by on sockets
 )
 
 // The bounds of a run.
@@ -150,9 +151,10 @@
 	f.net = network{f: f, random: f.random(1), cut: -1}
 	f.tally = newTally(f)
 	f.watch.start()
-	f.rules = record.Rules{Once: map[string]bool{}, Rack: map[string]string{}, MostAttempts: set.Module.MaxAttempts,
-		DrainGrace: span(set.DrainGrace), Slack: 50 * time.Millisecond, Watched: 20 * time.Second,
-		Window: span(set.Module.Classes[len(set.Module.Classes)-1].Window)}
+	f.rules = record.Rules{Once: map[string]bool{}, Rack: map[string]string{},
+		MostAttempts: set.Module.MaxAttempts, DrainGrace: span(set.DrainGrace), Slack: span(slack),
+		Watched: 20 * time.Second,
+		Window:  span(set.Module.Classes[len(set.Module.Classes)-1].Window)}
 	for _, c := range classes {
 		f.rules.Once[c.name] = c.once
 	}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -31,6 +31,7 @@
 // held is a message that waits for the end of a cut.
 type held struct {
 	from, to int
+	bytes    int
 	do       func()
 }
 
@@ -58,7 +59,7 @@
 // send has something done once a message of so many bytes has gone from zone to zone.
 func (n *network) send(from, to, bytes int, do func()) {
 	if n.parted(from, to) {
-		n.held = append(n.held, held{from, to, do})
+		n.held = append(n.held, held{from, to, bytes, do})
 		return
 	}
 	n.f.after(n.delay(from, to)+Micros(float64(bytes)*perByte), do)
@@ -70,6 +71,6 @@
 	waiting := n.held
 	n.held = nil
 	for _, h := range waiting {
-		n.send(h.from, h.to, 0, h.do)
+		n.send(h.from, h.to, h.bytes, h.do)
 	}
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -141,6 +141,7 @@
 		if req := n.callers[e.Caller]; req != nil {
 			delete(n.callers, e.Caller)
 			n.job(answerBytes + len(e.Body))
+			req.answer(e)
 			n.f.net.send(n.zone, req.zone, answerBytes, func() { n.f.clients.answered(req, e) })
 		}
 	case scheduler.Wake:
@@ -259,7 +260,7 @@
 	}
 	trusted := n.until
 	for _, r := range t.Regions {
-		if r.Started != 0 && !t.All {
+		if r.Started != 0 {
 			n.starts[r.UID] = r.Started
 		}
 	}
@@ -575,6 +576,7 @@
 func (n *node) submit(req *request) {
 	n.caller++
 	n.callers[n.caller] = req
+	req.taken()
 	n.job(requestBytes)
 	n.step(scheduler.Submitted{Caller: n.caller, ID: req.id, Class: classes[req.item.class].name,
 		Tenant: teamName(req.item.team), Deadline: n.f.now + req.patience/millisecond*millisecond,
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -47,6 +47,7 @@
 	StartsPerS  float64           `json:"starts_per_s"`
 	PeakStarts  int               `json:"peak_starts_per_s"` // in the busiest second
 	TimeToStart map[string]Spread `json:"time_to_start"`     // by class, from the client's first try
+	BySlots     map[string]Spread `json:"by_slots"`          // the same by the slots that a job takes
 	Attempts    int               `json:"attempts"`
 	TurnedAway  int               `json:"turned_away"` // by a full worker
 	TurnedBack  int               `json:"turned_back"` // by the last look
@@ -69,6 +70,7 @@
 
 // Spread is a distribution, in milliseconds.
 type Spread struct {
+	Of  int     `json:"of,omitempty"` // of so many
 	N   int64   `json:"n"`
 	P50 float64 `json:"p50_ms"`
 	P99 float64 `json:"p99_ms"`
@@ -147,8 +149,11 @@
 	f         *fleet
 	model     Model
 	discovery Discovery
-	toStart   []*hdrhistogram.Histogram
+	toStart   []*hdrhistogram.Histogram // by class
 	inAim     []int64
+	jobs      []int
+	bySlots   []*hdrhistogram.Histogram // as in gangs
+	slotJobs  []int
 	changes   []*changeOf // by version from 2 on
 }
 
@@ -162,14 +167,21 @@
 func newTally(f *fleet) tally {
 	t := tally{f: f, model: Model{Day: f.opt.Day, Workers: f.opt.Workers, Schedulers: f.opt.Schedulers,
 		Seed: f.opt.Seed, RatePerS: rateOf(f.opt), TaskS: f.opt.Task.Seconds(), Seconds: f.opt.For.Seconds(),
-		TimeToStart: map[string]Spread{}, Warnings: map[string]int{}, Broken: map[string]int{}},
-		inAim: make([]int64, len(classes))}
+		TimeToStart: map[string]Spread{}, BySlots: map[string]Spread{}, Warnings: map[string]int{},
+		Broken: map[string]int{}}, inAim: make([]int64, len(classes)), jobs: make([]int, len(classes)),
+		slotJobs: make([]int, len(gangs))}
 	for range classes {
-		t.toStart = append(t.toStart, hdrhistogram.New(1, int64(3600*second), 3))
+		t.toStart = append(t.toStart, times())
+	}
+	for range gangs {
+		t.bySlots = append(t.bySlots, times())
 	}
 	return t
 }
 
+// times is a histogram of times up to the longest run.
+func times() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(MostFor.Microseconds()), 3) }
+
 func (t *tally) found(f record.Finding) {
 	t.model.Broken[f.Property]++
 	if len(t.model.Findings) < mostFindings {
@@ -177,10 +189,18 @@
 	}
 }
 
-func (t *tally) starts(class int, after Micros) {
-	t.toStart[class].RecordValue(max(int64(after), 1))
-	if after <= classes[class].aim {
-		t.inAim[class]++
+// handedIn and starts count a job, and its first start.
+func (t *tally) handedIn(i *item) {
+	t.model.Jobs++
+	t.jobs[i.class]++
+	t.slotJobs[i.gang]++
+}
+
+func (t *tally) starts(i *item, after Micros) {
+	t.toStart[i.class].RecordValue(max(int64(after), 1))
+	t.bySlots[i.gang].RecordValue(max(int64(after), 1))
+	if after <= classes[i.class].aim {
+		t.inAim[i.class]++
 	}
 }
 
@@ -191,7 +211,7 @@
 		return
 	}
 	// Heard words stop a send by themselves, see may. Unheard ones count as told after a while.
-	if over := t.f.now - left - toldWithin - t.f.set.DrainGrace; over > 50*millisecond {
+	if over := t.f.now - left - toldWithin - t.f.set.DrainGrace; over > slack {
 		t.found(record.Finding{Property: "drains-kept", ID: req.id,
 			Text: fmt.Sprintf("%d writes to %s, which counts as told off since %v before", n.me, w.uid, span(over))})
 	}
@@ -224,7 +244,8 @@
 
 func spread(h *hdrhistogram.Histogram) Spread {
 	ms := func(v int64) float64 { return float64(v) / 1000 }
-	return Spread{N: h.TotalCount(), P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())}
+	return Spread{N: h.TotalCount(), P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)),
+		Max: ms(h.Max())}
 }
 
 // report sums up.
@@ -232,14 +253,19 @@
 	m := &f.tally.model
 	for i, c := range classes {
 		s := spread(f.tally.toStart[i])
-		if s.N > 0 {
+		if s.Of = f.tally.jobs[i]; s.N > 0 {
 			s.Aim = float64(f.tally.inAim[i]) / float64(s.N)
 		}
 		m.TimeToStart[c.name] = s
 	}
+	for i, g := range gangs {
+		s := spread(f.tally.bySlots[i])
+		s.Of = f.tally.slotJobs[i]
+		m.BySlots[fmt.Sprint(g.slots)] = s
+	}
 	m.Discovery = f.tally.discovery
 	f.open()
-	inForce, applied := hdrhistogram.New(1, int64(3600*second), 3), hdrhistogram.New(1, int64(3600*second), 3)
+	inForce, applied := times(), times()
 	for i, c := range f.tally.changes {
 		rev, waits := int64(i)+2, false
 		for _, n := range f.nodes {
@@ -291,7 +317,7 @@
 	for _, r := range all {
 		if !r.answered {
 			f.tally.model.Open++
-			if f.now > r.until+50*millisecond {
+			if f.now > r.until+slack {
 				r.note(record.Event{Kind: record.Unanswered, ID: r.id})
 			}
 		}
--- a/internal/emulator/setup.go
+++ b/internal/emulator/setup.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"time"
 
 	"dahliaford/internal/settings"
 )
@@ -47,6 +48,16 @@
 	return names
 }
 
+// AimOf is within which a job of a class is to start.
+func AimOf(class string) time.Duration {
+	for _, c := range classes {
+		if c.name == class {
+			return span(c.aim)
+		}
+	}
+	return 0
+}
+
 const (
 	teams      = 54
 	rackSize   = 16
@@ -113,17 +124,19 @@
 		any, stretch = append(any, -1), append(stretch, c.stretch)
 	}
 	for i := range teams {
-		customers = append(customers, object{"name": teamName(i), "quota_per_s": quotaOfAll * rateOf(opt) * teamPart(i)})
+		customers = append(customers, object{"name": teamName(i),
+			"quota_per_s": quotaOfAll * rateOf(opt) * teamPart(i)})
 	}
 	raw, err := json.Marshal(object{"azs": zones, "kinds": kindNames, "balancers": opt.Schedulers, "me": 0,
 		"locality": 0, "granularity": 2000, "discovery": "on_request", "worth_by": "request",
 		"over_share_worth": 0.2, "grades": grades, "customers": customers,
-		"clients":     object{"marks_retry": true},
-		"family_info": object{"class_kind": any, "class_stretch": stretch, "tells_start": true, "report_x0": "free slots"},
+		"clients": object{"marks_retry": true},
+		"family_info": object{"class_kind": any, "class_stretch": stretch, "tells_start": true,
+			"report_x0": "free slots"},
 		"guarantees": object{"ask_within": 10 * second, "cold": coldFor, "cold_from": coldFrom,
 			"drain_grace": 500 * millisecond, "fall": fallWithin, "overload_factor": overloadFactor},
-		"limits": object{"attempts_cap": 4, "cancel": true, "conn_idle": connIdle, "connect_timeout": 250 * millisecond,
-			"max_retry_after": 2 * second, "retry_after": true},
+		"limits": object{"attempts_cap": 4, "cancel": true, "conn_idle": connIdle,
+			"connect_timeout": 250 * millisecond, "max_retry_after": 2 * second, "retry_after": true},
 		"prices": object{"cross_zone": 0.01},
 		"report": object{"how": "inline", "fields": []string{"x0", "errors_per_s", "outstanding"}}})
 	if err != nil {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -67,9 +67,10 @@
 	sum := fnv.New32a()
 	fmt.Fprintf(sum, "worker %d", i)
 	place := i / Zones
-	w := &worker{f: f, number: i, uid: fmt.Sprintf("s-%08x", sum.Sum32()), zone: zone, rack: zone*1000 + place/rackSize,
-		addr: fmt.Sprintf("10.%d.%d.%d:8443", zone, place/250, place%250), kind: &kinds[place%len(kinds)], up: true,
-		held: map[string]*attempt{}, random: f.random(1000 + uint64(i))}
+	w := &worker{f: f, number: i, uid: fmt.Sprintf("s-%08x", sum.Sum32()), zone: zone,
+		rack: zone*1000 + place/rackSize, addr: fmt.Sprintf("10.%d.%d.%d:8443", zone, place/250, place%250),
+		kind: &kinds[place%len(kinds)], up: true, held: map[string]*attempt{},
+		random: f.random(1000 + uint64(i))}
 	for f.byUID[w.uid] != nil {
 		w.uid += "x"
 	}
@@ -142,7 +143,9 @@
 		w.load = nil
 		return
 	}
-	w.load = append(w.load, arrival{f.now, req.item.work * req.item.slots, c.n.starts[w.uid] == w.started})
+	// A start counts as told after a while, heard or not.
+	told := c.n.starts[w.uid] == w.started || f.now-w.started > startTells+batchEvery+toldWithin
+	w.load = append(w.load, arrival{f.now, req.item.work * req.item.slots, told})
 	w.load = slices.DeleteFunc(w.load, func(a arrival) bool { return f.now-a.at > fallWithin })
 	sum, knew := 0.0, 0.0
 	for _, a := range w.load {
