--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -44,6 +44,89 @@
 			if m.Changes.Open > 0 || m.Changes.InForce.Max > 8000 {
 				t.Errorf("changes not in force in time: %+v", m.Changes)
 			}
+			befallen(t, m)
 		})
 	}
 }
+
+// befallen tells whether the day's troubles came about.
+func befallen(t *testing.T, m Model) {
+	t.Helper()
+	inZone := (m.Workers + Zones - 1) / Zones
+	schedulersInRegion := m.Schedulers / Regions
+	happened := map[string]bool{
+		"calm":      m.Changes.Words == 0 && m.Killed == 0 && m.Discovery.Lost == 0,
+		"zone":      m.Changes.Entries >= 2*(inZone-1) && m.Killed > 0,
+		"region":    m.Discovery.Lost >= schedulersInRegion && m.Changes.Entries >= 2*(inZone-1)*ZonesInRegion,
+		"roll":      m.Changes.Entries >= 2*m.Workers*rolled/sizeOfDay,
+		"discovery": m.Discovery.Whole == m.Schedulers && m.Discovery.Lost >= m.Schedulers,
+		"storm":     m.Killed > 0 && m.Changes.Entries >= 2*rackSize,
+	}
+	if !happened[m.Day] {
+		t.Errorf("the day did not befall the fleet: %d killed, %+v, %+v", m.Killed, m.Changes, m.Discovery)
+	}
+}
+
+// Another seed is another run.
+func TestSeeds(t *testing.T) {
+	opt := short("calm")
+	opt.For = 2 * time.Second
+	a := play(t, opt)
+	if opt.Seed = 2; cmp.Equal(a.Model.TimeToStart, play(t, opt).Model.TimeToStart) {
+		t.Error("two seeds give the same run")
+	}
+}
+
+// A run that is no longer wanted ends, and says how far it came.
+func TestGivenUp(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	if _, err := Run(ctx, short("calm")); err == nil || !strings.Contains(err.Error(), "virtual time") {
+		t.Error(err)
+	}
+}
+
+func TestOptions(t *testing.T) {
+	for want, change := range map[string]func(*Options){
+		"workers":    func(o *Options) { o.Workers = 0 },
+		"schedulers": func(o *Options) { o.Schedulers = MostSchedulers + 1 },
+		"rate":       func(o *Options) { o.Rate = -1 },
+		"time":       func(o *Options) { o.For = 0 },
+		"task":       func(o *Options) { o.Task = time.Microsecond },
+		"day":        func(o *Options) { o.Day = "doom" },
+	} {
+		opt := short("calm")
+		change(&opt)
+		if _, err := Run(context.Background(), opt); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v", want, err)
+		}
+	}
+}
+
+// What each scheduler is told of its settings is what is meant.
+func TestSettings(t *testing.T) {
+	set, err := fleetSettings(short("calm"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	quota := 0.0
+	for _, tenant := range set.Module.Tenants {
+		quota += tenant.Quota
+	}
+	if len(set.Module.Tenants) != teams || quota < 1.29*120 || quota > 1.31*120 {
+		t.Errorf("%d teams with %v jobs a second", len(set.Module.Tenants), quota)
+	}
+	if !set.Module.Reports || !set.Module.TellsStart || !set.Module.MayCancel || !set.Module.MarksRepeats {
+		t.Errorf("%+v", set.Module)
+	}
+	part := 0.0
+	for _, c := range classes {
+		part += c.part
+	}
+	for _, g := range gangs {
+		part += g.part
+	}
+	if part < 1.999 || part > 2.001 || len(set.Zones) != Zones {
+		t.Errorf("the parts come to %v", part)
+	}
+}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -538,6 +538,11 @@
 			return true
 		}
 	}
+	for _, o := range n.tasks {
+		if o != c && o.w == c.w && o.Written {
+			return true
+		}
+	}
 	return false
 }
 
