--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -35,14 +35,20 @@
 	leftAt  []Micros           // since when it is listed as leaving; 0: it is not
 	log     [][]int            // what changed with each version from logFrom on
 	logFrom int64
-	changed map[int]Micros // not yet told, and since when so
-	open    []*stream      // in the order of their schedulers
-	waiting []*stream      // calls that are not answered yet
-	life    int            // of its process
-	free    Micros         // when the calls that wait are done
+	changed map[int]*news // not yet told
+	open    []*stream     // in the order of their schedulers
+	waiting []*stream     // calls that are not answered yet
+	life    int           // of its process
+	free    Micros        // when the calls that wait are done
 	random  func() float64
 }
 
+// news is what a worker's entry is to be with the next word, and since when that is known.
+type news struct {
+	to    scheduler.Region
+	since Micros
+}
+
 // stream is a watch, seen from both ends.
 type stream struct {
 	n       *node
@@ -58,7 +64,7 @@
 }
 
 func newDiscovery(f *fleet) *discovery {
-	return &discovery{f: f, rev: 1, logFrom: 2, changed: map[int]Micros{}, random: f.random(2).Float64}
+	return &discovery{f: f, rev: 1, logFrom: 2, changed: map[int]*news{}, random: f.random(2).Float64}
 }
 
 // whole is the list as discovery holds it, without those that are gone.
@@ -72,18 +78,20 @@
 	return t
 }
 
+// change changes a worker's entry with the next word.
 func (d *discovery) change(w *worker, change func(*scheduler.Region)) {
-	was := d.list[w.number]
-	change(&d.list[w.number])
-	if was == d.list[w.number] {
+	n := d.changed[w.number]
+	if n == nil {
+		n = &news{to: d.list[w.number], since: d.f.now}
+	}
+	was := n.to
+	if change(&n.to); was == n.to {
 		return
 	}
 	if len(d.changed) == 0 {
 		d.f.after(batchEvery, d.tell)
 	}
-	if _, known := d.changed[w.number]; !known {
-		d.changed[w.number] = d.f.now
-	}
+	d.changed[w.number] = n
 }
 
 func (d *discovery) status(w *worker, s dahliaford.Status) {
@@ -101,12 +109,12 @@
 	}
 	var which []int
 	since := d.f.now
-	for i, at := range d.changed {
-		which, since = append(which, i), min(since, at)
-		if d.list[i].Status == dahliaford.Ready {
+	for i, n := range d.changed {
+		which, since = append(which, i), min(since, n.since)
+		if d.list[i] = n.to; n.to.Status == dahliaford.Ready {
 			d.leftAt[i] = 0
 		} else if d.leftAt[i] == 0 {
-			d.leftAt[i] = at
+			d.leftAt[i] = n.since
 		}
 	}
 	slices.Sort(which)
