--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -12,6 +12,7 @@
 	rolled     = 410 // restarted or replaced on an ordinary day
 	failed     = 130 // machines that fail on an ordinary day
 	configured = 296 // changes of configuration in an hour: 7,100 a day
+	lateLines  = 0.01
 )
 
 // day is what befalls the fleet while the load is on.
@@ -31,7 +32,7 @@
 		"roll":   {"a day's restarts and replacements (410 of 7,200) in ten steps", (*fleet).rollDay},
 		"discovery": {"discovery restarts at 1/3 of the time: all watches end, all ask again",
 			(*fleet).discoveryDay},
-		"storm": {"a day's failures (130 of 7,200), a rack, and an hour's changes of configuration, in bursts",
+		"storm": {"a day's failures (130 of 7,200), a rack, an hour's changes of configuration, and late lines",
 			(*fleet).stormDay},
 	}
 }
@@ -126,6 +127,7 @@
 
 func (f *fleet) stormDay() {
 	const bursts = 20
+	f.discovery.late = lateLines
 	random := f.random(4)
 	when := func() Micros { return f.on(0.1 + 0.7*float64(random.IntN(bursts))/bursts) }
 	order := random.Perm(len(f.workers))
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -21,6 +21,7 @@
 	unheardFor = 3 * second
 	agentTells = 20 * millisecond  // until the agent of a machine has told that a process died
 	startTells = 200 * millisecond // until a worker that has started is listed
+	lateMost   = 2 * second        // that a late line comes later
 	logKept    = 4096              // versions for which discovery still knows what changed
 
 	discoveryZone = 0
@@ -41,6 +42,7 @@
 	life    int           // of its process
 	free    Micros        // when the calls that wait are done
 	random  func() float64
+	late    float64 // the part of its lines that come late
 }
 
 // news is what a worker's entry is to be with the next word, and since when that is known.
@@ -210,6 +212,9 @@
 		return
 	}
 	s.arrives = max(s.arrives, f.now+f.net.delay(discoveryZone, s.n.zone)+Micros(float64(bytes)*perByte))
+	if d := f.discovery; d.late > 0 && d.random() < d.late {
+		s.arrives += Micros(d.random() * float64(lateMost))
+	}
 	f.at(s.arrives, func() { s.read(t, bytes) })
 }
 
