--- a/cmd/dahlialab/scale.go
+++ b/cmd/dahlialab/scale.go
@@ -94,8 +94,10 @@
 		{"day", f("%s: %s", m.Day, emulator.About(m.Day))},
 		{"fleet", f("%d workers, %d schedulers, seed %d", m.Workers, m.Schedulers, m.Seed)},
 		{"load", f("%.0f s of virtual time, %.0f jobs a second, %.1f s a task", m.Seconds, m.RatePerS, m.TaskS)},
-		{"jobs", f("%d, of which %d served, %d failed, %d given up after refusals, %d open at the end", m.Jobs,
-			m.Served, m.Failed, m.GaveUp, m.Open)},
+		{"jobs", f("%d, of which %d served, %d failed, %d given up after refusals", m.Jobs, m.Served, m.Failed,
+			m.GaveUp)},
+		{"open at the end", f("%d, of which %d not running, %d of these at one scheduler", m.Open, m.Waiting,
+			m.AtOne)},
 		{"starts a second", f("%.0f, %d in the busiest", m.StartsPerS, m.PeakStarts)},
 	}
 	for _, class := range emulator.Classes() {
--- a/cmd/dahlialab/scale_test.go
+++ b/cmd/dahlialab/scale_test.go
@@ -48,7 +48,8 @@
 	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &last); err != nil || status != fine {
 		t.Fatal(status, err, out, errors)
 	}
-	if last.Scale != "calm" || !last.OK || last.Model.Starts < 60 || last.Model.Workers != 100 || len(lines) < 20 {
+	if last.Scale != "calm" || !last.OK || last.Model.Starts < 60 || last.Model.Workers != 100 ||
+		len(lines) < 20 {
 		t.Errorf("%+v", last)
 	}
 	for _, name := range []string{".txt", "-starts.svg", "-control.svg"} {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -39,6 +39,7 @@
 // request is one try.
 type request struct {
 	f        *fleet
+	n        *node
 	id       string
 	number   int
 	item     *item
@@ -105,7 +106,7 @@
 	i.tries++
 	front := c.fronts[i.zone]
 	n := front[c.random.IntN(len(front))]
-	req := &request{f: f, number: c.number, id: fmt.Sprintf("%016x", uint64(c.number)*0x9e3779b97f4a7c15),
+	req := &request{f: f, n: n, number: c.number, id: fmt.Sprintf("%016x", uint64(c.number)*0x9e3779b97f4a7c15),
 		item: i, zone: i.zone, patience: patience, until: f.now + patience, open: 1}
 	f.tally.model.Requests++
 	f.net.send(i.zone, n.zone, requestBytes, func() { n.submit(req) })
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -40,9 +40,11 @@
 	Refused  int `json:"refused"` // tries that were refused
 	GaveUp   int `json:"gave_up"` // jobs whose last try was refused
 	Failed   int `json:"failed"`
-	Invalid  int `json:"invalid"` // answers that no client should get: the model would be wrong
-	Open     int `json:"open"`    // at the end
-	Checked  int `json:"checked"` // requests of which nothing more was to come, and whose history was checked
+	Invalid  int `json:"invalid"`        // answers that no client should get: the model would be wrong
+	Open     int `json:"open"`           // at the end
+	Waiting  int `json:"waiting"`        // of them, not running
+	AtOne    int `json:"waiting_at_one"` // the most of these at one scheduler
+	Checked  int `json:"checked"`        // requests of which nothing more was to come, and whose history was checked
 
 	StartsPerS  float64           `json:"starts_per_s"`
 	PeakStarts  int               `json:"peak_starts_per_s"` // in the busiest second
@@ -314,9 +316,15 @@
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(a, b *request) int { return a.number - b.number })
+	waiting := map[*node]int{}
 	for _, r := range all {
 		if !r.answered {
 			f.tally.model.Open++
+			if r.item.ran != r {
+				f.tally.model.Waiting++
+				waiting[r.n]++
+				f.tally.model.AtOne = max(f.tally.model.AtOne, waiting[r.n])
+			}
 			if f.now > r.until+slack {
 				r.note(record.Event{Kind: record.Unanswered, ID: r.id})
 			}
