--- a/cmd/dahlialab/scale.go
+++ b/cmd/dahlialab/scale.go
@@ -133,6 +133,9 @@
 		t = append(t, []string{k.Kind, f("%d", k.N), f("%.1f", k.MeanUs), f("%.1f", k.P50Us), f("%.1f", k.P99Us),
 			f("%.1f", k.MaxUs), f("%.2f", k.TotalS)})
 	}
+	for _, text := range slices.Sorted(maps.Keys(m.Log)) {
+		t = append(t, []string{"log: " + text, f("%d", m.Log[text])})
+	}
 	for _, text := range m.Findings {
 		t = append(t, []string{"broken", text})
 	}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"strings"
 	"time"
 
 	"dahliaford"
@@ -159,10 +160,19 @@
 	case scheduler.Admit:
 		delete(n.left, e.UID)
 	case scheduler.Log:
-		if e.Warn {
-			n.f.tally.model.Warnings[e.Text]++
+		n.f.tally.model.Log[kindOfLine(e.Text)]++
+	}
+}
+
+// kindOfLine is a line of the log without its numbers.
+func kindOfLine(text string) string {
+	words := strings.Fields(text)
+	for i, w := range words {
+		if strings.Trim(w, "0123456789") == "" {
+			words[i] = "N"
 		}
 	}
+	return strings.Join(words, " ")
 }
 
 // arm sets the timer, unless it rings early enough.
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -59,7 +59,7 @@
 
 	CallbacksLost int            `json:"callbacks_lost"`
 	NoConnection  int            `json:"no_connection"` // attempts and withdrawals without one, for want of room
-	Warnings      map[string]int `json:"warnings"`      // lines of the reducer's log
+	Log           map[string]int `json:"log"`           // lines of the reducer's log, without their numbers
 
 	Control   Traffic   `json:"control"` // between a scheduler and discovery
 	Work      Traffic   `json:"work"`    // between a scheduler, clients and workers
@@ -169,7 +169,7 @@
 func newTally(f *fleet) tally {
 	t := tally{f: f, model: Model{Day: f.opt.Day, Workers: f.opt.Workers, Schedulers: f.opt.Schedulers,
 		Seed: f.opt.Seed, RatePerS: rateOf(f.opt), TaskS: f.opt.Task.Seconds(), Seconds: f.opt.For.Seconds(),
-		TimeToStart: map[string]Spread{}, BySlots: map[string]Spread{}, Warnings: map[string]int{},
+		TimeToStart: map[string]Spread{}, BySlots: map[string]Spread{}, Log: map[string]int{},
 		Broken: map[string]int{}}, inAim: make([]int64, len(classes)), jobs: make([]int, len(classes)),
 		slotJobs: make([]int, len(gangs))}
 	for range classes {
