--- a/cmd/dahlialab/scale_test.go
+++ b/cmd/dahlialab/scale_test.go
@@ -11,20 +11,22 @@
 // Bad arguments are one clear line and status 2.
 func TestScaleMisused(t *testing.T) {
 	for args, want := range map[string]string{
-		"--workers 0":           "workers must be 1 to",
-		"--workers 1000000":     "workers must be 1 to",
-		"--schedulers=-1":       "schedulers must be 1 to",
-		"--rate=-1":             "rate must be 0 to",
-		"--rate NaN":            "rate must be 0 to",
-		"--for 0s":              "the time must be 1s to",
-		"--for long":            "--for",
-		"--task 1us":            "a task must be",
-		"--day doom":            `unknown day "doom": there are calm, discovery`,
-		"--day=":                `unknown day "": there are calm`,
-		"--seed=-1":             "--seed",
-		"--real=-1":             "--real must be 0 to",
-		"--real 1000":           "--real must be 0 to",
-		"--workers 3 --for 99h": "the time must be 1s to",
+		"--workers 0":                      "workers must be 1 to",
+		"--workers 1000000":                "workers must be 1 to",
+		"--schedulers=-1":                  "schedulers must be 1 to",
+		"--rate=-1":                        "rate must be 0 to",
+		"--rate NaN":                       "rate must be 0 to",
+		"--for 0s":                         "the time must be 1s to",
+		"--for long":                       "--for",
+		"--task 1us":                       "a task must be",
+		"--day doom":                       `unknown day "doom": there are calm, discovery`,
+		"--day=":                           `unknown day "": there are calm`,
+		"--seed=-1":                        "--seed",
+		"--real=-1":                        "--real must be 0 to",
+		"--real 1000":                      "--real must be 0 to",
+		"--workers 3 --for 99h":            "the time must be 1s to",
+		"--workers 7200 --schedulers 1000": "schedulers times workers must be",
+		"--rate 9000 --task 1m":            "the rate times the seconds of a task must be",
 	} {
 		status, out, errors := runLab(t, strings.Fields("scale "+args)...)
 		one := strings.Count(strings.TrimSpace(errors), "\n") == 0
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -35,7 +35,9 @@
 const (
 	MostWorkers    = 20_000
 	MostSchedulers = 2_000
-	MostRate       = 20_000 // jobs a second
+	MostRate       = 10_000    // jobs a second
+	MostPairs      = 6_000_000 // schedulers times workers: each takes about a kilobyte
+	MostRunning    = 200_000   // jobs a second times the seconds that one takes
 	MostFor        = time.Hour
 	MostTask       = 10 * time.Minute
 )
@@ -43,7 +45,7 @@
 // Options say what is run. Zero values stand for the defaults that are given.
 type Options struct {
 	Workers    int           // 1 to MostWorkers
-	Schedulers int           // 1 to MostSchedulers
+	Schedulers int           // 1 to MostSchedulers; times Workers at most MostPairs
 	Rate       float64       // jobs a second that clients hand in; 0: LoadOf of what the workers carry
 	For        time.Duration // of load, in virtual time
 	Seed       uint64
@@ -70,12 +72,27 @@
 		return fmt.Errorf("the time must be 1s to %v", MostFor)
 	case o.Task < 0 || o.Task > MostTask || o.Task > 0 && o.Task < 10*time.Millisecond:
 		return fmt.Errorf("a task must be 10ms to %v", MostTask)
+	case o.Workers*o.Schedulers > MostPairs:
+		return fmt.Errorf("schedulers times workers must be %d at the most", MostPairs)
+	case rateOf(o.filled())*o.filled().Task.Seconds() > MostRunning:
+		return fmt.Errorf("the rate times the seconds of a task must be %d at the most", MostRunning)
 	case o.Day != "" && days[o.Day].play == nil:
 		return fmt.Errorf("unknown day %q: there are %s", o.Day, strings.Join(Days(), ", "))
 	}
 	return nil
 }
 
+// filled returns the options with their defaults.
+func (o Options) filled() Options {
+	if o.Day == "" {
+		o.Day = "calm"
+	}
+	if o.Task == 0 {
+		o.Task = DefaultTask
+	}
+	return o
+}
+
 // fleet is one run.
 type fleet struct {
 	opt    Options
@@ -112,12 +129,7 @@
 	if err := opt.Check(); err != nil {
 		return nil, err
 	}
-	if opt.Day == "" {
-		opt.Day = "calm"
-	}
-	if opt.Task == 0 {
-		opt.Task = DefaultTask
-	}
+	opt = opt.filled()
 	f, err := newFleet(opt)
 	if err != nil {
 		return nil, err
