--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -44,7 +44,7 @@
 	Open     int `json:"open"`           // at the end
 	Waiting  int `json:"waiting"`        // of them, not running
 	AtOne    int `json:"waiting_at_one"` // the most of these at one scheduler
-	Checked  int `json:"checked"`        // requests of which nothing more was to come, and whose history was checked
+	Checked  int `json:"checked"`        // requests whose history was checked
 
 	StartsPerS  float64           `json:"starts_per_s"`
 	PeakStarts  int               `json:"peak_starts_per_s"` // in the busiest second
