--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -120,9 +120,13 @@
 	Control   float64    `json:"core_percent_control"` // of the mean, for words of discovery
 	Lag       float64    `json:"lag_ms"`               // most that a reducer is behind, with a core of its own
 	LagAtPart float64    `json:"lag_at_2.9_percent_ms"`
-	HeapEach  float64    `json:"heap_kb_a_scheduler"` // once it has the list
-	HeapMB    float64    `json:"heap_mb"`             // of the whole run, at the most
-	Cores     int        `json:"cores"`               // that the run could use
+	// Change is the longest that a change took to the last scheduler that heard it, with the time of the
+	// reducers, with a core each.
+	Change       float64 `json:"change_ms"`
+	ChangeAtPart float64 `json:"change_at_2.9_percent_ms"`
+	HeapEach     float64 `json:"heap_kb_a_scheduler"` // once it has the list
+	HeapMB       float64 `json:"heap_mb"`             // of the whole run, at the most
+	Cores        int     `json:"cores"`               // that the run could use
 }
 
 // KindCost is the processor time of one kind of event.
@@ -238,6 +242,8 @@
 		at := t.f.now
 		if trusted < at {
 			at = max(trusted, c.written)
+		} else {
+			t.f.watch.change(n, c.since)
 		}
 		c.inForce = max(c.inForce, at)
 	}
@@ -347,8 +353,8 @@
 	most    uint64  // heap in use
 	series  Series
 	running bool
-	lag     time.Duration
-	lagPart time.Duration
+	// The most that a reducer is behind, and until a change is applied, with a core and its part.
+	lag, lagPart, applied, appliedPart time.Duration
 }
 
 type kindClock struct {
@@ -423,6 +429,13 @@
 	*at(&s.series.CoreSeconds, n.f) += took.Seconds()
 }
 
+// change notes when a change, known to discovery since a time, is applied at a scheduler that hears
+// it at once: when its reducer is through with it and all before.
+func (s *stopwatch) change(n *node, since Micros) {
+	s.applied = max(s.applied, n.use.busy-span(since))
+	s.appliedPart = max(s.appliedPart, n.use.busyPart-span(since))
+}
+
 // at is the place of the present second in a series.
 func at[T any](series *[]T, f *fleet) *T {
 	i := int((f.now - began - warmUp) / second)
@@ -449,10 +462,12 @@
 	f.after(second, func() { s.sample(f) })
 }
 
+func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+
 func (s *stopwatch) measured(f *fleet) Measured {
 	m := Measured{Seconds: time.Since(s.from).Seconds(), Events: f.events.seq, HeapEach: s.listed / 1000,
 		HeapMB: float64(s.most) / 1e6, Cores: runtime.GOMAXPROCS(0),
-		Lag: float64(s.lag.Microseconds()) / 1000, LagAtPart: float64(s.lagPart.Microseconds()) / 1000}
+		Lag: ms(s.lag), LagAtPart: ms(s.lagPart), Change: ms(s.applied), ChangeAtPart: ms(s.appliedPart)}
 	for kind, k := range s.kinds {
 		us := func(v int64) float64 { return float64(v) / 1000 }
 		m.Kinds = append(m.Kinds, KindCost{Kind: kind, N: k.took.TotalCount(), MeanUs: k.took.Mean() / 1000,
