--- /dev/null
+++ b/internal/emulator/node_test.go
@@ -0,0 +1,144 @@
+package emulator
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"dahliaford"
+	"dahliaford/internal/record"
+	"dahliaford/internal/scheduler"
+)
+
+// The reducer gets of a job, and of what befalls it, the events that it gets on sockets.
+func TestEventsOfAJob(t *testing.T) {
+	const job = "Submitted Accepted Told/started Told/done"
+	for name, c := range map[string]struct {
+		want   string
+		answer string // status of the answer; "": none by the end
+		befall func(f *fleet, w *worker)
+	}{
+		"all is well": {want: job, answer: "200"},
+		"the process died before": {want: "Submitted Ended/connect-failed", befall: func(f *fleet, w *worker) {
+			w.up = false
+			w.life++
+		}},
+		"it dies with the job": {want: "Submitted Accepted Told/started Told/lost", answer: "500",
+			befall: func(f *fleet, w *worker) { f.after(2*second, w.die) }},
+		"its machine vanishes before": {want: "Submitted Ended/connect-failed", befall: func(f *fleet, w *worker) {
+			w.lose(false)
+			w.gone = true
+		}},
+		"it is full": {want: "Submitted Ended/full", befall: func(f *fleet, w *worker) {
+			for i := range 42 {
+				req := &request{f: f, n: f.nodes[0], id: fmt.Sprint("other", i), number: i, open: 1,
+					item: &item{slots: 1, work: float64(60 * second)}}
+				w.queue = append(w.queue, &attempt{req: req, w: w, n: f.nodes[0]})
+			}
+		}},
+		"it is told off while the connection comes up": {want: "Submitted Ended/moot",
+			befall: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].left[w.uid] = true }) }},
+		"discovery has not been heard for long": {want: "Submitted Ended/moot",
+			befall: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].until = f.now - 1 }) }},
+		"its word comes late over a cut": {want: job, answer: "200", befall: func(f *fleet, w *worker) {
+			w.zone = 7
+			f.after(2*second, func() { f.net.cut = 3 })
+			f.after(4*second, f.net.heal)
+		}},
+	} {
+		f, err := newFleet(Options{Workers: 1, Schedulers: 1, Rate: 1, For: 60 * 1e9, Task: 3 * 1e9, Day: "calm"})
+		if err != nil {
+			t.Fatal(err)
+		}
+		f.events, f.now = queue{}, f.on(0)
+		n, w := f.nodes[0], f.workers[0]
+		var seen []string
+		f.watch.seen = func(e scheduler.Event) { seen = append(seen, nameOf(e)) }
+		n.step(scheduler.Began{Discovery: "discovery", Known: f.discovery.whole()})
+		f.until(f.now + 2*second)
+		seen = nil
+		if c.befall != nil {
+			c.befall(f, w)
+		}
+		req := &request{f: f, n: n, id: "a", open: 1, patience: 20 * second,
+			item: &item{class: 1, slots: 1, work: float64(3 * second)}}
+		n.submit(req)
+		f.until(f.now + 10*second)
+		seen = slices.DeleteFunc(seen, func(s string) bool { return s == "" })
+		got := strings.Join(seen, " ")
+		// The worker sends both at once, and either may come first.
+		got = strings.Replace(got, "Told/started Accepted", "Accepted Told/started", 1)
+		if !strings.HasPrefix(got+" ", c.want+" ") {
+			t.Errorf("%s: %s; want %s", name, got, c.want)
+		}
+		answer := ""
+		for _, e := range req.history {
+			if e.Kind == record.Answered {
+				answer += fmt.Sprint(e.Status)
+			}
+		}
+		if c.answer != "" && answer != c.answer {
+			t.Errorf("%s: answered %q, want %s", name, answer, c.answer)
+		}
+		if len(f.tally.model.Broken) > 0 {
+			t.Errorf("%s: %v", name, f.tally.model.Findings)
+		}
+	}
+}
+
+// nameOf names an event about a job.
+func nameOf(e scheduler.Event) string {
+	switch e := e.(type) {
+	case scheduler.Submitted, scheduler.Accepted, scheduler.Withdrawn:
+		return strings.TrimPrefix(fmt.Sprintf("%T", e), "scheduler.")
+	case scheduler.Told:
+		return "Told/" + map[scheduler.News]string{scheduler.NewsStarted: "started", scheduler.NewsDone: "done",
+			scheduler.NewsLost: "lost", scheduler.NewsFailed: "failed"}[e.News]
+	case scheduler.Ended:
+		return "Ended/" + map[dahliaford.Outcome]string{dahliaford.ConnectFailed: "connect-failed",
+			dahliaford.Full: "full", dahliaford.Moot: "moot", dahliaford.Reset: "reset"}[e.Outcome]
+	}
+	return ""
+}
+
+// A connection that idles is used again, for as long as the program keeps it.
+func TestConnectionsAreUsedAgain(t *testing.T) {
+	f := still(t)
+	n, w := f.nodes[0], f.workers[0]
+	idle := func() *conn {
+		c := &conn{n: n, w: w, connected: true, since: f.now}
+		c.Take(1, false)
+		c.Wrote(false, false)
+		c.Busy = false
+		n.open++
+		n.links[w] = append(n.links[w], c)
+		n.idle = append(n.idle, idling{c, f.now})
+		return c
+	}
+	c := idle()
+	f.now += keptMany - 1
+	if n.assign(w, true) == c {
+		t.Error("a withdrawal takes a connection that idles")
+	}
+	if n.assign(w, false) != c {
+		t.Error("a connection that idles is not used again")
+	}
+	c = idle()
+	f.now += keptMany
+	if n.assign(w, false) == c || !c.Dead {
+		t.Error("a connection that has idled too long is used again")
+	}
+	c = idle()
+	w.die()
+	f.now += second
+	if n.assign(w, false) == c {
+		t.Error("a connection to a dead process is used again")
+	}
+	for range 2 * mostOpen {
+		n.assign(w, false)
+	}
+	if n.open != mostOpen || f.tally.model.NoConnection == 0 {
+		t.Errorf("%d connections, of %d at the most", n.open, mostOpen)
+	}
+}
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -353,6 +353,7 @@
 	most    uint64  // heap in use
 	series  Series
 	running bool
+	seen    func(scheduler.Event) // looks on, for tests; nil: nobody does
 	// The most that a reducer is behind, and until a change is applied, with a core and its part.
 	lag, lagPart, applied, appliedPart time.Duration
 }
@@ -406,6 +407,9 @@
 }
 
 func (s *stopwatch) step(n *node, e scheduler.Event, took time.Duration) {
+	if s.seen != nil {
+		s.seen(e)
+	}
 	kind := kindOfEvent(e)
 	k := s.kinds[kind]
 	if k == nil {
