--- a/cmd/dahlialab/scale.go
+++ b/cmd/dahlialab/scale.go
@@ -124,7 +124,7 @@
 		{"rules broken", f("%v", m.Broken)},
 		{"reducer, of a core", f("%.2f%%, %.2f%% at the most; %.3f%% for control", on.Core, on.CoreMost,
 			on.Control)},
-		{"reducer behind, at the most", f("%.1f ms with a core, %.0f ms with 2.9%% of one", on.Lag, on.LagAtPart)},
+		{"reducer behind, at the most", f("%.1f ms with a core, %.0f ms for control with 2.9%% of one", on.Lag, on.LagAtPart)},
 		{"changes with that time", f("%.0f ms with a core, %.0f ms with 2.9%% of one", on.Change, on.ChangeAtPart)},
 		{"heap", f("%.0f KB a scheduler with its list, %.0f MB the whole run", on.HeapEach, on.HeapMB)},
 		{"took", f("%.1f s on %d cores, %d events", on.Seconds, on.Cores, on.Events)},
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -57,7 +57,7 @@
 	second                       Micros // of control bytes, for the worst one
 	inSecond, worst              int64
 	took, tookControl            time.Duration
-	busy, busyPart               time.Duration // until when the reducer is busy, with a core or its part
+	busy, busyPart               time.Duration // until when the reducer is busy: with a core, and its part for control
 }
 
 type idling struct {
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -120,8 +120,8 @@
 	Control   float64    `json:"core_percent_control"` // of the mean, for words of discovery
 	Lag       float64    `json:"lag_ms"`               // most that a reducer is behind, with a core of its own
 	LagAtPart float64    `json:"lag_at_2.9_percent_ms"`
-	// Change is the longest that a change took to the last scheduler that heard it, with the time of the
-	// reducers, with a core each.
+	// Change is the longest that a change took to the last scheduler that heard it, counting the time
+	// of the reducers.
 	Change       float64 `json:"change_ms"`
 	ChangeAtPart float64 `json:"change_at_2.9_percent_ms"`
 	HeapEach     float64 `json:"heap_kb_a_scheduler"` // once it has the list
@@ -354,7 +354,8 @@
 	series  Series
 	running bool
 	seen    func(scheduler.Event) // looks on, for tests; nil: nobody does
-	// The most that a reducer is behind, and until a change is applied, with a core and its part.
+	// The most that a reducer is behind, and until a change is applied: with a core for all, and with the
+	// part that is for control for that alone.
 	lag, lagPart, applied, appliedPart time.Duration
 }
 
@@ -422,13 +423,13 @@
 		return
 	}
 	n.use.took += took
+	now := span(n.f.now)
 	switch e.(type) {
 	case scheduler.TableRead, scheduler.TableLost:
 		n.use.tookControl += took
+		n.use.busyPart = max(n.use.busyPart, now) + time.Duration(float64(took)/coreForControl)
 	}
-	now := span(n.f.now)
 	n.use.busy = max(n.use.busy, now) + took
-	n.use.busyPart = max(n.use.busyPart, now) + time.Duration(float64(took)/coreForControl)
 	s.lag, s.lagPart = max(s.lag, n.use.busy-now), max(s.lagPart, n.use.busyPart-now)
 	*at(&s.series.CoreSeconds, n.f) += took.Seconds()
 }
