--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -57,7 +57,8 @@
 	second                       Micros // of control bytes, for the worst one
 	inSecond, worst              int64
 	took, tookControl            time.Duration
-	busy, busyPart               time.Duration // until when the reducer is busy: with a core, and its part for control
+	// Until when the reducer is busy: with a core for all, and with its part for control.
+	busy, busyPart time.Duration
 }
 
 type idling struct {
