--- a/cmd/dahlialab/scale_real.go
+++ b/cmd/dahlialab/scale_real.go
@@ -1,6 +1,55 @@
 package main
 
-// runReal runs real schedulers on loopback.
-func (c *scaleCmd) runReal() error {
-	return misuse("--real is not there yet: only hollow schedulers run")
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+
+	"dahliaford/internal/hollow"
+)
+
+// runReal runs real schedulers against hollow workers and one hollow discovery. What it says goes to
+// out, the last line as JSON. Options that cannot be run end it as misused, rules that broke as broken.
+// Without a program the one beside the laboratory is run, or else one is built.
+func runReal(ctx context.Context, out io.Writer, o hollow.Options) error {
+	if err := o.Check(); err != nil {
+		return misuse("%v", err)
+	}
+	if o.Program == "" {
+		folder, err := os.MkdirTemp("", "scale")
+		if err != nil {
+			return err
+		}
+		defer os.RemoveAll(folder)
+		if o.Program, err = scheduler(ctx, folder); err != nil {
+			return err
+		}
+	}
+	r, err := hollow.Run(ctx, o, out)
+	if err != nil {
+		return err
+	}
+	if err := r.Table(out); err != nil {
+		return err
+	}
+	for i, b := range r.Broken {
+		if i == 20 {
+			fmt.Fprintf(out, "... and %d more\n", len(r.Broken)-i)
+			break
+		}
+		fmt.Fprintln(out, "broken:", b)
+	}
+	last, err := json.Marshal(r)
+	if err != nil {
+		return err
+	}
+	if _, err := fmt.Fprintf(out, "%s\n", last); err != nil {
+		return err
+	}
+	if n := len(r.Broken); n > 0 {
+		return exit{broken, fmt.Sprintf("%d properties broke", n)}
+	}
+	return nil
 }
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -5,6 +5,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -31,9 +32,14 @@
 const startWithin = 20 * time.Second
 
 // settings of the deployments that the rig starts: deadlines of seconds, and racks.
-func settings(schedulers int) map[string]any {
+func settings(setup Setup) map[string]any {
+	zones := setup.Zones
+	if len(zones) == 0 {
+		zones = []string{"north"}
+	}
 	return map[string]any{
-		"me": 0, "balancers": schedulers, "locality": 0, "azs": []string{"north"}, "kinds": []string{"m1"},
+		"me": setup.Me, "balancers": setup.Schedulers, "locality": setup.Zone, "azs": zones,
+		"kinds":       []string{"m1"},
 		"granularity": 2000, "discovery": "on_request", "worth_by": "request", "over_share_worth": 0.2,
 		"grades": []map[string]any{
 			{"name": "post-reading", "slo": 1000000, "deadline": 2000000, "worth": 2, "late_worth": 0.5,
@@ -56,7 +62,9 @@
 // Setup is what a scheduler is told that is not the same in all tests.
 type Setup struct {
 	Name, Listen, Discovery string
-	Schedulers              int
+	Schedulers, Me          int      // how many there are, and which of them it is
+	Zones                   []string // none: north
+	Zone                    int      // of the scheduler, among Zones
 	MemoryMB, Sockets       int
 	Known                   []standin.Line
 }
@@ -78,7 +86,7 @@
 		"seed":     "1d",
 		"limits":   map[string]any{"cores": 1, "memory_mb": setup.MemoryMB, "sockets": setup.Sockets},
 		"known":    map[string]any{"rev": 0, "all": true, "targets": setup.Known},
-		"settings": settings(setup.Schedulers)})
+		"settings": settings(setup)})
 	if err != nil {
 		return nil, err
 	}
@@ -154,11 +162,8 @@
 	if err != nil {
 		return u, err
 	}
+	u.MostMB = MostMB(string(status))
 	for line := range strings.Lines(string(status)) {
-		var kB float64
-		if n, _ := fmt.Sscanf(line, "VmHWM: %f kB", &kB); n == 1 {
-			u.MostMB = kB / 1024
-		}
 		fmt.Sscanf(line, "Threads: %d", &u.Threads)
 	}
 	open, err := os.ReadDir(folder + "fd")
@@ -166,6 +171,57 @@
 	return u, err
 }
 
+// MostMB reads the most memory that a process has had resident from its /proc/PID/status.
+func MostMB(status string) float64 {
+	for line := range strings.Lines(status) {
+		var kB float64
+		if n, _ := fmt.Sscanf(line, "VmHWM: %f kB", &kB); n == 1 {
+			return kB / 1024
+		}
+	}
+	return 0
+}
+
+// Processor tells the processor time that its threads have taken, as the system accounts for it:
+// to the nanosecond, and without threads that have ended, of which the Go runtime has hardly any.
+func (p *Process) Processor() (took time.Duration, err error) {
+	of, err := filepath.Glob(fmt.Sprintf("/proc/%d/attempt/*/schedstat", p.cmd.Process.Pid))
+	if err != nil || len(of) == 0 {
+		return 0, fmt.Errorf("no account of processor time: %w", os.ErrNotExist)
+	}
+	for _, path := range of {
+		raw, err := os.ReadFile(path)
+		if errors.Is(err, os.ErrNotExist) {
+			continue // it has just ended
+		}
+		var ns int64
+		if _, err := fmt.Sscan(string(raw), &ns); err != nil {
+			return 0, fmt.Errorf("%s: %w", path, err)
+		}
+		took += time.Duration(ns)
+	}
+	return took, nil
+}
+
+// tick is the unit of /proc/PID/stat.
+const tick = 10 * time.Millisecond
+
+// Ticks tells the same from /proc/PID/stat: in steps of 10 ms, with threads that have ended.
+func (p *Process) Ticks() (time.Duration, error) {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+	if err != nil {
+		return 0, err
+	}
+	_, rest, _ := strings.Cut(string(raw), ") ") // the name before it may hold anything
+	fields := strings.Fields(rest)
+	if len(fields) < 13 {
+		return 0, fmt.Errorf("/proc/PID/stat: %d fields", len(fields))
+	}
+	var user, system time.Duration
+	_, err = fmt.Sscan(fields[11]+" "+fields[12], &user, &system)
+	return (user + system) * tick, err
+}
+
 // Kill ends it at once.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -19,19 +19,27 @@
 
 // Submit hands a job in on a connection of its own and waits for the answer.
 func Submit(addr string, s Submission, rec Recorder) (*http1.Response, error) {
-	until, event := s.Deadline, record.Event{ID: s.ID, Who: "client", Class: s.Class}
-	dialer := net.Dialer{Deadline: until}
+	dialer := net.Dialer{Deadline: s.Deadline}
 	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
+	return SubmitOn(conn, http1.NewReader(conn), s, rec)
+}
+
+// SubmitOn hands a job in on a connection on which nothing is under way, and waits for the
+// answer. After an error the connection is of no use.
+func SubmitOn(conn net.Conn, read *http1.Reader, s Submission,
+	rec Recorder) (*http1.Response, error) {
+	until := s.Deadline
+	event := record.Event{ID: s.ID, Who: "client", Class: s.Class}
 	left := strconv.FormatInt(max(time.Until(s.Deadline).Milliseconds(), 0), 10)
 	event.Kind, event.Until = record.Sent, s.Deadline
 	rec.say(event)
 	if _, err := conn.Write(http1.AppendRequest(nil, "POST", "/"+s.Class+"/"+s.ID, []http1.Field{
-		{Name: "Host", Value: addr}, {Name: "X-Txn", Value: s.ID}, {Name: "X-Lane", Value: s.Class},
-		{Name: "X-Org", Value: s.Tenant}, {Name: "X-Remaining-Ms", Value: left},
+		{Name: "Host", Value: conn.RemoteAddr().String()}, {Name: "X-Txn", Value: s.ID},
+		{Name: "X-Lane", Value: s.Class}, {Name: "X-Org", Value: s.Tenant}, {Name: "X-Remaining-Ms", Value: left},
 		{Name: "Idempotency-Key", Value: s.Key}}, s.Body)); err != nil {
 		event.Kind = record.Unanswered
 		rec.say(event)
@@ -41,7 +49,7 @@
 		until = s.Leave
 	}
 	conn.SetReadDeadline(until.Add(grace(s)))
-	m, err := http1.NewReader(conn).Response()
+	m, err := read.Response()
 	switch {
 	case err == nil:
 		event.Kind, event.Status, event.Result = record.Answered, m.Status, string(m.Body)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -26,6 +26,11 @@
 	if err != nil {
 		return err
 	}
+	s.on(l, serve)
+	return nil
+}
+
+func (s *server) on(l net.Listener, serve func(net.Conn)) {
 	s.listener, s.conns = l, map[net.Conn]bool{}
 	s.running.Go(func() {
 		for {
@@ -43,9 +48,28 @@
 			})
 		}
 	})
-	return nil
 }
 
+// Server runs a stand-in of another package on a listener.
+type Server struct{ server }
+
+// Serve runs serve for each connection that comes to a listener, which the server then owns.
+// A connection is closed when serve returns.
+func Serve(l net.Listener, serve func(net.Conn)) *Server {
+	s := &Server{}
+	s.on(l, serve)
+	return s
+}
+
+// Addr is where it listens.
+func (s *Server) Addr() string { return s.addr() }
+
+// Close stops listening, resets all connections and waits until each serve has returned.
+func (s *Server) Close() { s.close() }
+
+// Reset ends a connection as a dying process does.
+func Reset(conn net.Conn) { broken(conn) }
+
 func (s *server) keep(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
