--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -135,6 +135,8 @@
 	// Processor time of a scheduler within the window, and as a share of a core.
 	Processor Spread  `json:"processor_s"`
 	Core      float64 `json:"core_share"`
+	// Net is the mean without what the jobs at the rate alone, or idling, take in that time.
+	Net float64 `json:"processor_net_s"`
 	// Resume is the time from the last word until a scheduler had got a job served again.
 	Resume   Spread  `json:"resume_s"`
 	MemoryMB float64 `json:"memory_most_mb"` // VmHWM of the largest scheduler up to now
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -2,10 +2,13 @@
 
 import (
 	"bufio"
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 	"net"
+	"os"
 	"os/exec"
 	"path/filepath"
 	"slices"
@@ -193,3 +196,53 @@
 		t.Errorf("%d bytes are booked for one, %d for the other", in, d.traffic[0].in.Load())
 	}
 }
+
+// cancels ends a context at the first line that is logged.
+type cancels struct {
+	logged
+	cancel func()
+}
+
+func (c cancels) Write(b []byte) (int, error) {
+	c.cancel()
+	return c.logged.Write(b)
+}
+
+// A run that is ended early, or whose schedulers do not start, leaves none of them behind.
+func TestNothingIsLeftRunning(t *testing.T) {
+	o := Options{Schedulers: 2, Workers: 20, Zones: 2, For: time.Minute, Day: "calm"}
+	ctx, cancel := context.WithCancel(t.Context())
+	o.Program = program(t)
+	if _, err := Run(ctx, o, cancels{logged{t}, cancel}); !errors.Is(err, context.Canceled) {
+		t.Errorf("ended early: %v", err)
+	}
+	o.Program = "/bin/false"
+	if _, err := Run(t.Context(), o, logged{t}); err == nil || !strings.Contains(err.Error(), "ended at once") {
+		t.Errorf("a program that ends at once: %v", err)
+	}
+	of, err := filepath.Glob("/proc/self/task/*/children")
+	if err != nil || len(of) == 0 {
+		t.Fatal("no list of children: ", err)
+	}
+	for _, path := range of {
+		if raw, err := os.ReadFile(path); err == nil && len(raw) > 0 {
+			t.Errorf("children that run on: %s", raw)
+		}
+	}
+}
+
+// The accounts of the system agree: to the nanosecond by thread, and in ticks.
+func TestAccountsAgree(t *testing.T) {
+	r, err := Run(t.Context(), Options{Program: program(t), Schedulers: 1, Workers: 8, Zones: 2,
+		For: 3 * time.Second, Day: "calm"}, logged{t})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if apart := math.Abs(r.Processor.Mean - r.Ticks.Mean); r.Processor.Mean == 0 || apart > 0.03 {
+		t.Errorf("%.3f s by thread, %.3f s in ticks", r.Processor.Mean, r.Ticks.Mean)
+	}
+	path := r.Find("jobs of 0 s, clients: 128")
+	if path == nil || path.Served == 0 || path.PerJob <= 0 || path.JobBytesIn == 0 || path.JobBytesOut == 0 {
+		t.Errorf("the job path: %+v", path)
+	}
+}
--- a/internal/hollow/run.go
+++ b/internal/hollow/run.go
@@ -48,7 +48,8 @@
 	all     []*rig.Process
 	jobs    traffic // of clients and workers
 	random  *rand.Rand
-	base    float64 // of a core, that a scheduler takes with the jobs alone
+	// Of a core, what a scheduler takes with the jobs alone: the most of them, and the mean.
+	base, meanBase float64
 
 	mu      sync.Mutex
 	history []record.Event
@@ -246,6 +247,7 @@
 	}
 	e.Processor, e.ListBytes, e.AskBytes = spread(took), spread(in), spread(out)
 	e.Core = e.Processor.Mean / e.Window
+	e.Net = e.Processor.Mean - r.meanBase*e.Window
 	e.Wholes, e.Watches = int(now.wholes-m.wholes), int(now.opened-m.opened)
 	e.Jobs, e.Served = int(now.jobs-m.jobs), int(now.served-m.served)
 	e.JobBytesIn, e.JobBytesOut = now.jobIn-m.jobIn, now.jobOut-m.jobOut
@@ -361,6 +363,7 @@
 	}
 	stop()
 	pace.Wait()
+	r.base, r.meanBase = 0, 0 // no jobs at the rate any more
 	return r.path(ctx, span)
 }
 
@@ -368,7 +371,8 @@
 func (r *run) steady(ctx context.Context, span time.Duration) error {
 	err := r.spell(ctx, Event{Name: "jobs at the rate alone"}, func(*Event) { rest(ctx, span) })
 	if err == nil {
-		r.base = r.report.Events[len(r.report.Events)-1].Processor.Most / span.Seconds()
+		e := &r.report.Events[len(r.report.Events)-1]
+		r.base, r.meanBase = e.Processor.Most/e.Window, e.Core
 	}
 	return err
 }
--- a/internal/hollow/table.go
+++ b/internal/hollow/table.go
@@ -10,8 +10,9 @@
 // most of all where they differ.
 func (r *Report) Table(w io.Writer) error {
 	var b strings.Builder
-	b.WriteString("| event | words, entries | processor, s | window, s | of a core | again serving, s |" +
-		" most MB | list, KB | jobs | us a job |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	head := []string{"event", "words, entries", "processor, s", "without the base, s", "window, s", "of a core",
+		"again serving, s", "most MB", "list, KB", "jobs", "us a job"}
+	fmt.Fprintf(&b, "| %s |\n|%s\n", strings.Join(head, " | "), strings.Repeat(" --- |", len(head)))
 	for _, e := range r.Events {
 		told, job := "", ""
 		if e.Words+e.Entries > 0 {
@@ -28,9 +29,9 @@
 		if !e.Settled {
 			name += " (not settled)"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %.1f | %.2f%% | %s | %.1f | %s | %d | %s |\n", name, told,
-			e.Processor.text("%.3f", 1), e.Window, 100*e.Core, resume, e.MemoryMB, e.ListBytes.text("%.1f", 1e-3),
-			e.Jobs, job)
+		fmt.Fprintf(&b, "| %s | %s | %s | %.3f | %.1f | %.2f%% | %s | %.1f | %s | %d | %s |\n", name, told,
+			e.Processor.text("%.3f", 1), e.Net, e.Window, 100*e.Core, resume, e.MemoryMB,
+			e.ListBytes.text("%.1f", 1e-3), e.Jobs, job)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
