--- a/internal/hollow/run.go
+++ b/internal/hollow/run.go
@@ -473,25 +473,24 @@
 // roll restarts 410 workers of 7,200, evenly over the span: each drains, and is back cold.
 func (r *run) roll(ctx context.Context, span time.Duration) error {
 	n := max(min(r.Workers*rolled/rollOf, r.Workers/2), 1)
-	return r.spell(ctx, Event{Name: fmt.Sprintf("roll of %d", n)}, func(e *Event) {
-		began := time.Now()
-		var drained []int
-		for i, place := range r.random.Perm(r.Workers)[:n] {
-			if !rest(ctx, time.Until(began.Add(span*time.Duration(i)/time.Duration(n)))) {
-				return
-			}
-			e.Words += r.state([]int{place}, "draining", 0, record.Told, true)
-			drained = append(drained, place)
-			if late := int(drainedFor * time.Duration(n) / span); len(drained) > late {
-				e.Words += r.back(drained[:1], true)
-				drained = drained[1:]
-			}
-			e.Entries = e.Words
+	m, e := r.mark(), Event{Name: fmt.Sprintf("roll of %d", n)}
+	var drained []int
+	for i, place := range r.random.Perm(r.Workers)[:n] {
+		if !rest(ctx, time.Until(m.at.Add(span*time.Duration(i)/time.Duration(n)))) {
+			return ctx.Err()
 		}
-		rest(ctx, drainedFor)
-		e.Words += r.back(drained, false)
-		e.Entries = e.Words
-	})
+		e.Words += r.state([]int{place}, "draining", 0, record.Told, true)
+		drained = append(drained, place)
+		if late := int(drainedFor * time.Duration(n) / span); len(drained) > late {
+			e.Words += r.back(drained[:1], true)
+			drained = drained[1:]
+		}
+	}
+	rest(ctx, drainedFor)
+	e.Words += r.back(drained, false)
+	e.Entries = e.Words
+	e.Resume = r.resume(ctx)
+	return r.settle(ctx, &e, m)
 }
 
 // path times jobs of no length with two callbacks each, at one scheduler while the others idle.
