--- a/cmd/dahlialab/scale_real.go
+++ b/cmd/dahlialab/scale_real.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"io"
 	"os"
+	"os/signal"
+	"syscall"
 
 	"dahliaford/internal/hollow"
 )
@@ -27,6 +29,8 @@
 			return err
 		}
 	}
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop() // a run that is ended takes its schedulers with it
 	r, err := hollow.Run(ctx, o, out)
 	if err != nil {
 		return err
--- a/internal/hollow/clients.go
+++ b/internal/hollow/clients.go
@@ -31,6 +31,20 @@
 	last    atomic.Int64
 
 	jobs, served, refused, failed, skipped atomic.Int64
+
+	mu     sync.Mutex
+	errors []string // the first of those that ended a job without an answer
+}
+
+const mostErrors = 20
+
+func (c *clients) unanswered(id string, err error) {
+	c.failed.Add(1)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.errors) < mostErrors {
+		c.errors = append(c.errors, id+": "+err.Error())
+	}
 }
 
 func newClients(addrs []string, rec standin.Recorder, t *traffic) *clients {
@@ -63,7 +77,7 @@
 	m, err := c.exchange(k, s, rec)
 	switch {
 	case err != nil:
-		c.failed.Add(1)
+		c.unanswered(s.ID, err)
 	case m.Status == 200:
 		c.served.Add(1)
 		return true
--- a/internal/hollow/hollow.go
+++ b/internal/hollow/hollow.go
@@ -185,7 +185,9 @@
 	Refused   int     `json:"refused"`
 	Failed    int     `json:"failed"`
 	Skipped   int     `json:"skipped"` // not handed in, as too many were open
-	Took      float64 `json:"took_s"`
+	// Errors are the first that ended a client's connection instead of an answer.
+	Errors []string `json:"errors"`
+	Took   float64  `json:"took_s"`
 	// Broken are the properties that broke, by package record; events checked: Checked.
 	Broken  []string `json:"broken"`
 	Checked int      `json:"checked_events"`
--- a/internal/hollow/run.go
+++ b/internal/hollow/run.go
@@ -546,15 +546,23 @@
 	rep.Processor, rep.Ticks, rep.MemoryMB, rep.HollowMB = spread(took), spread(ticks), spread(memory), ownMB()
 	c := r.clients
 	rep.Jobs, rep.Served, rep.Refused = int(c.jobs.Load()), int(c.served.Load()), int(c.refused.Load())
-	rep.Failed, rep.Skipped = int(c.failed.Load()), int(c.skipped.Load())
+	rep.Failed, rep.Skipped, rep.Errors = int(c.failed.Load()), int(c.skipped.Load()), c.errors
 	var ends sync.WaitGroup
 	errs := make([]error, len(r.all))
 	for i, p := range r.all {
 		ends.Go(func() { errs[i] = p.Stop(time.Now().Add(endWithin)) })
 	}
 	ends.Wait()
+	err := errors.Join(append(errs, r.check())...)
+	if len(rep.Broken) > 0 || err != nil {
+		for i, p := range r.all {
+			for _, line := range p.Log() {
+				r.say("scheduler %d: %s", i, line)
+			}
+		}
+	}
 	r.all = nil
-	return errors.Join(append(errs, r.check())...)
+	return err
 }
 
 // check holds what clients and workers saw against the rules.
