--- a/cmd/dahlialab/scale.go
+++ b/cmd/dahlialab/scale.go
@@ -15,6 +15,7 @@
 	"gonum.org/v1/plot/plotter"
 
 	"dahliaford/internal/emulator"
+	"dahliaford/internal/hollow"
 )
 
 // scaleCmd runs a fleet at size: hollow in virtual time, or with real schedulers on loopback.
@@ -35,6 +36,7 @@
 	scaleMemory = 6 << 30 // bytes of heap, where the collector begins to work harder
 	scaleWithin = time.Hour
 	mostReal    = 64
+	realZones   = 14 // that real schedulers are shown, two of them a region
 )
 
 func (c *scaleCmd) Run() error {
@@ -50,7 +52,10 @@
 	case c.Real < 0 || c.Real > mostReal:
 		return misuse("--real must be 0 to %d", mostReal)
 	case c.Real > 0:
-		return c.runReal()
+		ctx, cancel := context.WithTimeout(context.Background(), scaleWithin)
+		defer cancel()
+		return runReal(ctx, os.Stdout, hollow.Options{Schedulers: c.Real, Fleet: max(c.Schedulers, c.Real),
+			Workers: c.Workers, Zones: min(c.Workers, realZones), Rate: c.Rate, For: c.For, Seed: c.Seed, Day: c.Day})
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(scaleMemory))
 	ctx, cancel := context.WithTimeout(context.Background(), scaleWithin)
--- a/internal/emulator/bytes.go
+++ b/internal/emulator/bytes.go
@@ -19,9 +19,9 @@
 )
 
 // tableBytes is the size of a word of discovery.
-func tableBytes(t scheduler.Table) int {
+func tableBytes(t scheduler.WorkerList) int {
 	if t.Rev == 0 {
 		return beatBytes
 	}
-	return lineBytes + entryBytes*len(t.Regions)
+	return lineBytes + entryBytes*len(t.Workers)
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -32,7 +32,7 @@
 	f       *fleet
 	down    bool
 	rev     int64
-	list    []scheduler.Region // by number of the worker
+	list    []scheduler.Worker // by number of the worker
 	leftAt  []Micros           // since when it is listed as leaving; 0: it is not
 	log     [][]int            // what changed with each version from logFrom on
 	logFrom int64
@@ -47,7 +47,7 @@
 
 // news is what a worker's entry is to be with the next word, and since when that is known.
 type news struct {
-	to    scheduler.Region
+	to    scheduler.Worker
 	since Micros
 }
 
@@ -60,9 +60,9 @@
 	written Micros // when the last line was written
 	arrives Micros // when it comes: lines keep their order
 	spoke   bool
-	kept    []scheduler.Table // written during a cut
-	emptyAt Micros            // nothing lay in the socket then
-	lostAt  Micros            // it counts as dead then, unless something comes
+	kept    []scheduler.WorkerList // written during a cut
+	emptyAt Micros                 // nothing lay in the socket then
+	lostAt  Micros                 // it counts as dead then, unless something comes
 }
 
 func newDiscovery(f *fleet) *discovery {
@@ -70,18 +70,18 @@
 }
 
 // whole is the list as discovery holds it, without those that are gone.
-func (d *discovery) whole() scheduler.Table {
-	t := scheduler.Table{Rev: d.rev, All: true}
+func (d *discovery) whole() scheduler.WorkerList {
+	t := scheduler.WorkerList{Rev: d.rev, All: true}
 	for _, r := range d.list {
 		if r.Status != dahliaford.Gone {
-			t.Regions = append(t.Regions, r)
+			t.Workers = append(t.Workers, r)
 		}
 	}
 	return t
 }
 
 // change changes a worker's entry with the next word.
-func (d *discovery) change(w *worker, change func(*scheduler.Region)) {
+func (d *discovery) change(w *worker, change func(*scheduler.Worker)) {
 	n := d.changed[w.number]
 	if n == nil {
 		n = &news{to: d.list[w.number], since: d.f.now}
@@ -97,7 +97,7 @@
 }
 
 func (d *discovery) status(w *worker, s dahliaford.Status) {
-	d.change(w, func(r *scheduler.Region) {
+	d.change(w, func(r *scheduler.Worker) {
 		if r.Status = s; s == dahliaford.Ready {
 			r.Started = w.started
 		}
@@ -133,16 +133,16 @@
 	}
 }
 
-func (d *discovery) delta(which []int) scheduler.Table {
-	t := scheduler.Table{Rev: d.rev}
+func (d *discovery) delta(which []int) scheduler.WorkerList {
+	t := scheduler.WorkerList{Rev: d.rev}
 	for _, i := range which {
-		t.Regions = append(t.Regions, d.list[i])
+		t.Workers = append(t.Workers, d.list[i])
 	}
 	return t
 }
 
 // since is what a watch from a version begins with.
-func (d *discovery) since(rev int64) scheduler.Table {
+func (d *discovery) since(rev int64) scheduler.WorkerList {
 	if rev == 0 || rev > d.rev || rev+1 < d.logFrom {
 		return d.whole()
 	}
@@ -200,7 +200,7 @@
 }
 
 // write sends a line. Lines keep their order on the way.
-func (s *stream) write(t scheduler.Table) {
+func (s *stream) write(t scheduler.WorkerList) {
 	f := s.n.f
 	if !s.open {
 		return
@@ -234,7 +234,7 @@
 		return
 	}
 	if f.now-s.written >= beatEvery {
-		s.write(scheduler.Table{})
+		s.write(scheduler.WorkerList{})
 	}
 	f.at(s.written+beatEvery, s.beat)
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -42,8 +42,8 @@
 	links   map[*worker][]*conn
 	idle    []idling
 	open    int
-	tasks   map[scheduler.Task]*conn
-	unsent  scheduler.Task
+	tasks   map[scheduler.Attempt]*conn
+	unsent  scheduler.Attempt
 	callers map[scheduler.Caller]*request
 	caller  scheduler.Caller
 
@@ -91,7 +91,7 @@
 	}
 	return &node{f: f, me: me, zone: zone, sched: s, random: f.random(1_000_000 + uint64(me)), rev: 1,
 		left: map[string]bool{}, starts: map[string]Micros{}, links: map[*worker][]*conn{},
-		tasks: map[scheduler.Task]*conn{}, callers: map[scheduler.Caller]*request{}}, nil
+		tasks: map[scheduler.Attempt]*conn{}, callers: map[scheduler.Caller]*request{}}, nil
 }
 
 // control and job count a message.
@@ -130,12 +130,12 @@
 	case scheduler.Route:
 		n.route(e)
 	case scheduler.Abandon:
-		n.abandon(e.Task)
+		n.abandon(e.Attempt)
 	case scheduler.Unsend:
-		if c := n.tasks[e.Task]; c != nil && !c.writing {
-			delete(n.tasks, e.Task)
+		if c := n.tasks[e.Attempt]; c != nil && !c.writing {
+			delete(n.tasks, e.Attempt)
 			n.drop(c)
-			n.later(scheduler.Ended{Task: e.Task, Outcome: dahliaford.Moot})
+			n.later(scheduler.Ended{Attempt: e.Attempt, Outcome: dahliaford.Moot})
 		}
 	case scheduler.Withdraw:
 		n.withdraw(e)
@@ -251,14 +251,14 @@
 }
 
 // read takes a line.
-func (s *stream) read(t scheduler.Table, bytes int) {
+func (s *stream) read(t scheduler.WorkerList, bytes int) {
 	n := s.n
 	now := n.f.now
 	if s.ended || s.let {
 		return
 	}
 	n.control(bytes)
-	e := scheduler.TableRead{Table: t, At: min(now, s.emptyAt+n.f.set.DrainGrace/2)}
+	e := scheduler.ListRead{List: t, At: min(now, s.emptyAt+n.f.set.DrainGrace/2)}
 	s.spoke, s.emptyAt, s.lostAt = true, now, now+silentFor
 	heard := e.At
 	if s == n.present {
@@ -270,7 +270,7 @@
 		e.Old, heard = true, 0
 	}
 	trusted := n.until
-	for _, r := range t.Regions {
+	for _, r := range t.Workers {
 		if r.Started != 0 {
 			n.starts[r.UID] = r.Started
 		}
@@ -305,7 +305,7 @@
 	if s.spoke { // the fleet's list is asked for, see told.lost
 		n.until = min(n.until, n.heard+n.f.set.Module.AskWithin)
 	}
-	n.step(scheduler.TableLost{Until: n.until})
+	n.step(scheduler.ListLost{Until: n.until})
 }
 
 // may is the last look before a task leaves.
@@ -396,33 +396,33 @@
 	w, req := n.f.byUID[r.UID], r.Payload.(*request)
 	c := n.assign(w, false)
 	if c == nil {
-		n.later(scheduler.Ended{Task: r.Task, Outcome: dahliaford.ConnectFailed})
+		n.later(scheduler.Ended{Attempt: r.Attempt, Outcome: dahliaford.ConnectFailed})
 		return
 	}
-	c.Take(r.Task, false)
+	c.Take(r.Attempt, false)
 	c.req, c.uid, c.writeBy, c.writing = req, r.UID, r.WriteBy, false
-	n.tasks[r.Task] = c
+	n.tasks[r.Attempt] = c
 	n.f.tally.model.Attempts++
 	c.start()
 }
 
 func (n *node) withdraw(e scheduler.Withdraw) {
-	if n.unsent == e.Task {
-		n.later(scheduler.Withdrawn{Task: e.Task, Reached: true})
+	if n.unsent == e.Attempt {
+		n.later(scheduler.Withdrawn{Attempt: e.Attempt, Reached: true})
 		return
 	}
 	c := n.assign(n.f.byAddr[e.Addr], true)
 	if c == nil {
-		n.later(scheduler.Withdrawn{Task: e.Task})
+		n.later(scheduler.Withdrawn{Attempt: e.Attempt})
 		return
 	}
-	c.Take(e.Task, true)
+	c.Take(e.Attempt, true)
 	c.uid, c.writeBy = e.ID, e.Deadline
-	n.tasks[e.Task] = c
+	n.tasks[e.Attempt] = c
 	c.start()
 }
 
-func (n *node) abandon(task scheduler.Task) {
+func (n *node) abandon(task scheduler.Attempt) {
 	c := n.tasks[task]
 	if c == nil {
 		return
@@ -435,11 +435,11 @@
 }
 
 // on tells whether the connection still carries an errand.
-func (c *conn) on(task scheduler.Task) bool { return !c.Dead && c.Busy && c.Task == task }
+func (c *conn) on(task scheduler.Attempt) bool { return !c.Dead && c.Busy && c.Attempt == task }
 
 // start brings the connection up, if it is not, and writes the errand.
 func (c *conn) start() {
-	f, task := c.n.f, c.Task
+	f, task := c.n.f, c.Attempt
 	if c.connected {
 		f.after(0, func() { c.write(task) })
 		return
@@ -468,7 +468,7 @@
 }
 
 // write sends the errand, after the last look.
-func (c *conn) write(task scheduler.Task) {
+func (c *conn) write(task scheduler.Attempt) {
 	n, f := c.n, c.n.f
 	if !c.on(task) || c.writing {
 		return
@@ -557,7 +557,7 @@
 	return false
 }
 
-func (c *conn) broke(task scheduler.Task) {
+func (c *conn) broke(task scheduler.Attempt) {
 	if !c.on(task) {
 		return
 	}
@@ -584,7 +584,7 @@
 	if e == nil {
 		return
 	}
-	delete(n.tasks, c.Task)
+	delete(n.tasks, c.Attempt)
 	n.step(e)
 }
 
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -113,12 +113,12 @@
 		got := "all"
 		if table := d.since(rev); !table.All {
 			var names []string
-			for _, r := range table.Regions {
+			for _, r := range table.Workers {
 				names = append(names, map[string]string{f.workers[2].uid: "s2", f.workers[4].uid: "s4"}[r.UID])
 			}
 			got = strings.Join(names, " ")
-		} else if len(table.Regions) != len(f.workers) {
-			t.Errorf("%d of %d workers in the whole list", len(table.Regions), len(f.workers))
+		} else if len(table.Workers) != len(f.workers) {
+			t.Errorf("%d of %d workers in the whole list", len(table.Workers), len(f.workers))
 		}
 		if got != want {
 			t.Errorf("since %d: %q, want %q", rev, got, want)
@@ -290,7 +290,7 @@
 			item: &item{slots: 1, work: float64(second)}}
 		req.taken()
 		c := &conn{n: n, w: w}
-		c.Take(scheduler.Task(i+1), false)
+		c.Take(scheduler.Attempt(i+1), false)
 		w.take(c, req)
 	}
 	if w.used != 14 || len(w.queue) != 28 || f.tally.model.TurnedAway != jobs-42 {
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -391,15 +391,15 @@
 		return "attempt ended, seen"
 	case scheduler.Withdrawn:
 		return "job withdrawn"
-	case scheduler.TableRead:
+	case scheduler.ListRead:
 		switch {
-		case e.Table.All:
+		case e.List.All:
 			return "whole list"
-		case len(e.Table.Regions) == 0:
+		case len(e.List.Workers) == 0:
 			return "word without entries"
 		}
 		return "word with entries"
-	case scheduler.TableLost:
+	case scheduler.ListLost:
 		return "watch lost"
 	case scheduler.Woke:
 		return "timer"
@@ -425,7 +425,7 @@
 	n.use.took += took
 	now := span(n.f.now)
 	switch e.(type) {
-	case scheduler.TableRead, scheduler.TableLost:
+	case scheduler.ListRead, scheduler.ListLost:
 		n.use.tookControl += took
 		n.use.busyPart = max(n.use.busyPart, now) + time.Duration(float64(took)/coreForControl)
 	}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -77,7 +77,7 @@
 	f.workers = append(f.workers, w)
 	f.byUID[w.uid], f.byAddr[w.addr] = w, w
 	f.rules.Rack[w.uid] = fmt.Sprint(w.rack)
-	f.discovery.list = append(f.discovery.list, scheduler.Region{UID: w.uid, Addr: w.addr, Zone: zoneName(zone),
+	f.discovery.list = append(f.discovery.list, scheduler.Worker{UID: w.uid, Addr: w.addr, Zone: zoneName(zone),
 		Kind: w.kind.name, Cell: w.rack, Status: dahliaford.Ready})
 	f.discovery.leftAt = append(f.discovery.leftAt, 0)
 	return w
@@ -126,7 +126,7 @@
 }
 
 func (w *worker) answer(c *conn, a link.Answer) {
-	task := c.Task
+	task := c.Attempt
 	w.f.net.send(w.zone, c.n.zone, answerBytes, func() {
 		if c.on(task) {
 			c.n.job(answerBytes)
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -185,7 +185,7 @@
 // Processor tells the processor time that its threads have taken, as the system accounts for it:
 // to the nanosecond, and without threads that have ended, of which the Go runtime has hardly any.
 func (p *Process) Processor() (took time.Duration, err error) {
-	of, err := filepath.Glob(fmt.Sprintf("/proc/%d/attempt/*/schedstat", p.cmd.Process.Pid))
+	of, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
 	if err != nil || len(of) == 0 {
 		return 0, fmt.Errorf("no account of processor time: %w", os.ErrNotExist)
 	}
