--- a/copy.go
+++ b/copy.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 
+	"dahliaford/internal/bucket"
 	"dahliaford/internal/form"
 	"dahliaford/internal/roster"
 )
@@ -34,6 +35,7 @@
 		copied := *w
 		n := &copied
 		n.crowd = nil // looked up anew
+		n.node, n.stirred = bucket.Node[*worker]{}, false
 		if w.kind != nil {
 			n.kind = c.kinds[w.entry.Kind]
 		}
@@ -60,6 +62,8 @@
 	}
 	c.ready = d.ready.Clone(func(w *worker) *worker { return c.workers[w.entry.Worker] },
 		func(w *worker, among *roster.Crowd[*worker]) { w.among = among })
+	c.doubted = workers(d.doubted)
+	c.index, c.fastest, c.groups, c.lateNow = nil, nil, [GroupCell + 1]map[int][]*worker{}, nil // made anew
 	c.jobs = make(map[JobID]*job, len(d.jobs))
 	for id, j := range d.jobs {
 		copied := *j
@@ -77,6 +81,10 @@
 			c.workers[id].live = append(c.workers[id].live, c.jobs[a.job.id].attempts[a.n])
 		}
 	}
+	c.overdue = make([]*attempt, len(d.overdue))
+	for i, a := range d.overdue {
+		c.overdue[i] = c.jobs[a.job.id].attempts[a.n]
+	}
 	c.held = make([]*job, len(d.held))
 	for i, j := range d.held {
 		c.held[i] = c.jobs[j.id]
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -67,9 +67,7 @@
 // Step takes one event at its time and appends the actions that it calls for.
 func (d *Dispatcher) Step(now Micros, e *Event, out []Action) []Action {
 	d.now, d.out, d.best = now, out, 0
-	for _, c := range d.crowds {
-		c.delay = -1
-	}
+	d.turns++
 	switch e.Kind {
 	case Began:
 		d.born = now
@@ -259,8 +257,19 @@
 	if len(d.held) == 0 {
 		return 0
 	}
-	x := d.x()
-	worst := 0.0 // largest left side over right side
+	worst := d.worst(d.x())
+	switch {
+	case worst < margin:
+		return 0
+	case worst < 1:
+		return 1
+	}
+	return 2
+}
+
+// worst is the largest left side of (4) and (6) over its right side.
+func (d *Dispatcher) worst(x float64) float64 {
+	worst := 0.0
 	for a, k := range d.byTarget {
 		tk := d.classes[k].target
 		before := d.later(a, tk)
@@ -279,13 +288,7 @@
 			worst = max(worst, (n+before)*x/float64(tk))
 		}
 	}
-	switch {
-	case worst < margin:
-		return 0
-	case worst < 1:
-		return 1
-	}
-	return 2
+	return worst
 }
 
 // later is (4)'s second term: guaranteed jobs of tighter classes yet to come.
@@ -297,9 +300,11 @@
 	return n
 }
 
-// x is the time in which the slots of this dispatcher clear one job.
+// x is the time in which the slots of this dispatcher clear one job, as far as verdict needs
+// to know it: with fewer slots it is longer, so none are counted past those that pass.
 func (d *Dispatcher) x() float64 {
-	return d.slots.value / max(1, d.slotsOf(func(*worker) bool { return true }))
+	x := func(slots float64) float64 { return d.slots.value / max(1, slots) }
+	return x(d.slotsOf(everyZone, func(slots float64) bool { return d.worst(x(slots)) < margin }))
 }
 
 // refresh computes what changes slowly: T_k, priorities and guaranteed rates.
@@ -433,9 +438,8 @@
 		}
 		return true
 	}
-	feasible := d.inTime(j, d.grant(j))
 	earns := d.now < j.aim || d.set.Classes[j.class].LateWorth > 0
-	if earns && (j.late && d.level == 0 || !j.late && feasible) {
+	if earns && (j.late && d.level == 0 || !j.late && d.inTime(j, d.grant(j))) {
 		return false
 	}
 	d.drop(j)
@@ -455,7 +459,7 @@
 
 // inTime tells whether a part of a job's expected run, started now, fits its aim.
 func (d *Dispatcher) inTime(j *job, part float64) bool {
-	return float64(d.now)+part*j.work/d.bestSpeed() <= float64(j.aim)
+	return d.canAny(func(speed float64) bool { return float64(d.now)+part*j.work/speed <= float64(j.aim) })
 }
 
 // grant is the part of its expected run that a held job must still have. Under
@@ -468,42 +472,38 @@
 	return hopeful
 }
 
-// place picks the worker for a held job, or nil to hold it: the one with the least cost, the
-// run and the wait expected there. One of another zone is taken only when that pays.
+// place picks the worker for a held job, or nil to hold it. A large part is not walked: the
+// index names some that likely cost least. If none of them will do, the walk has the last word.
 func (d *Dispatcher) place(j *job) *worker {
+	from, free := d.candidates(j)
+	own := free && len(from) == len(d.part)
+	if free && d.large() {
+		if own && d.nowhere == d.turns {
+			return nil // the walk for another job found no slot at all
+		}
+		if w := d.pick(j, d.shortlist(j)); w != nil {
+			return w
+		}
+	}
+	d.roomy = false
+	w := d.pick(j, from)
+	if w == nil && own && !d.roomy {
+		d.nowhere = d.turns
+	}
+	return w
+}
+
+// pick takes the one with the least cost, the run and the wait expected there. One of another
+// zone is taken only when that pays.
+func (d *Dispatcher) pick(j *job, from []*worker) *worker {
 	var near, far *worker
 	nearCost, farCost := math.Inf(1), math.Inf(1)
 	left := float64(j.aim - d.now)
-	from := d.part
-	if d.set.Classes[j.class].Effect == Keyed && len(j.attempts) > 0 {
-		from = d.order // its group may have no worker in our part
-	}
 	for _, w := range from {
-		if !d.usable(w) {
-			continue
-		}
-		taken, wait := d.taken(w), 0.0
-		most := d.capacity(w)
-		if over := taken + j.slots - most; over > 0 {
-			if !d.growable(w) {
-				continue
-			}
-			wait = d.slots.value * (1 + over/max(1, most))
-		}
-		if !d.fits(j, w) {
-			continue
-		}
-		run, delay := j.work/d.speed(w), d.delay(w)
-		// The aim is lost there but not everywhere: see expired. A cold worker may
-		// have it all the same where late answers earn, or a new fleet stands idle.
-		earns := d.coldAt(w) != 0 && d.set.Classes[j.class].LateWorth > 0
-		if !j.late && !earns && delay+d.grant(j)*run > left {
+		cost, ok := d.cost(j, w, left)
+		if !ok {
 			continue
 		}
-		if w.fails > 0 {
-			wait += float64(d.set.ConnectTimeout)
-		}
-		cost := wait + delay + run*(1+crowding*taken/max(1, most)+w.tilt) + d.stray(w)
 		if d.set.CrossZonePrice == 0 || w.entry.Zone == d.set.Zone {
 			if cost < nearCost {
 				near, nearCost = w, cost
@@ -521,14 +521,47 @@
 	return far
 }
 
+// cost is what a worker costs a job, the run and the wait expected there; false if it will not do.
+func (d *Dispatcher) cost(j *job, w *worker, left float64) (float64, bool) {
+	d.looked++
+	if !d.usable(w) {
+		return 0, false
+	}
+	taken, wait := d.taken(w), 0.0
+	most := d.capacity(w)
+	d.roomy = d.roomy || taken+1 <= most || d.growable(w)
+	if over := taken + j.slots - most; over > 0 {
+		if !d.growable(w) {
+			return 0, false
+		}
+		wait = d.slots.value * (1 + over/max(1, most))
+	}
+	if !d.fits(j, w) {
+		return 0, false
+	}
+	run, delay := j.work/d.speed(w), d.delay(w)
+	// The aim is lost there but not everywhere: see expired. A cold worker may
+	// have it all the same where late answers earn, or a new fleet stands idle.
+	earns := d.coldAt(w) != 0 && d.set.Classes[j.class].LateWorth > 0
+	if !j.late && !earns && delay+d.grant(j)*run > left {
+		return 0, false
+	}
+	if w.fails > 0 {
+		wait += float64(d.set.ConnectTimeout)
+	}
+	return wait + delay + run*(1+crowding*taken/max(1, most)+w.tilt) + d.stray(w), true
+}
+
 // crossPays weighs the price of leaving the zone against what waiting risks.
 func (d *Dispatcher) crossPays(j *job) bool {
-	local := d.slotsOf(func(w *worker) bool { return w.entry.Zone == d.set.Zone })
-	risk := 1.0
-	if local > 0 && j.due > d.now {
-		risk = min(1, d.reach*d.slots.value/local/float64(j.due-d.now))
+	pays := func(local float64) bool {
+		risk := 1.0
+		if local > 0 && j.due > d.now {
+			risk = min(1, d.reach*d.slots.value/local/float64(j.due-d.now))
+		}
+		return risk*d.value(j)*(1-d.set.Classes[j.class].LateWorth) > d.set.CrossZonePrice*d.worth
 	}
-	return risk*d.value(j)*(1-d.set.Classes[j.class].LateWorth) > d.set.CrossZonePrice*d.worth
+	return pays(d.slotsOf(d.set.Zone, func(local float64) bool { return !pays(local) }))
 }
 
 // fits tells whether the class of a job and its earlier attempts allow a worker.
@@ -675,6 +708,7 @@
 		return
 	}
 	w := a.worker
+	d.notOverdue(a)
 	a.started, a.noted = at, at
 	w.unstarted--
 	d.touch(w)
@@ -772,6 +806,7 @@
 	w.fails++
 	wait := max(d.set.ConnectTimeout, second/4) << min(w.fails, backoffMost)
 	w.downUntil = d.now + Micros(float64(wait)*(0.75+0.5*d.random.chance()))
+	d.doubt(w)
 	w.cap = 1
 	d.log("worker " + strconv.Itoa(int(w.entry.Worker)) + " set aside: attempts fail")
 }
@@ -822,24 +857,6 @@
 	return d.panicking || !w.suspect || d.now >= w.trial && len(w.live) == 0
 }
 
-// capacity is how many slots of a worker may be taken. Where starts are told, it
-// is the largest number at which jobs begin at once rather than wait.
-func (d *Dispatcher) capacity(w *worker) float64 {
-	if !d.set.TellsStart {
-		return w.cap
-	}
-	best := 0
-	for n := 1; n <= d.kind(w).top; n++ {
-		if of := d.fit(w, n); of.prompt > 0 && of.prompt >= of.late {
-			best = n
-		}
-	}
-	if best == d.kind(w).top && best < fitsKept {
-		best++ // nobody had to wait yet
-	}
-	return float64(max(best, 1))
-}
-
 // growable tells whether one job beyond a worker's capacity may be tried. Each that
 // shares the worker tries alike, so the pause grows with their number.
 func (d *Dispatcher) growable(w *worker) bool {
@@ -957,15 +974,9 @@
 			d.watch(w, patience, limit)
 		}
 	}
-	ill := 0
-	for _, w := range d.part {
-		if w.suspect || d.now < w.downUntil {
-			ill++
-		}
-	}
 	// A fault of the network or of the reports looks like a fleet that fell ill
 	// at once. Then nobody is judged.
-	if panicking := float64(ill) > halfFleet*float64(len(d.part)); panicking != d.panicking {
+	if panicking := float64(d.ill()) > halfFleet*float64(len(d.part)); panicking != d.panicking {
 		d.panicking = panicking
 		if panicking {
 			d.log("most workers look ill: the evidence is not trusted, all are used")
@@ -994,6 +1005,7 @@
 		oldest = min(oldest, a.sent)
 		if d.set.TellsStart && a.started == 0 && !a.overdue && d.now-a.sent > patience {
 			a.overdue = true
+			d.overdue = append(d.overdue, a)
 			d.fitted(a, false)
 		}
 	}
@@ -1003,6 +1015,7 @@
 	}
 	if quiet > limit && !w.suspect {
 		w.suspect = true
+		d.doubt(w)
 		w.trial = d.now + limit
 		d.log("worker " + strconv.Itoa(int(w.entry.Worker)) + " is silent: nothing more goes there")
 		d.copies(w)
@@ -1066,6 +1079,7 @@
 	d.settle(named)
 	clear(named)
 	d.named = named[:0]
+	d.moved()
 }
 
 // settle picks the part of the fleet that is this dispatcher's own. Hundreds of
@@ -1156,18 +1170,6 @@
 	d.heard(w, e.Peer, use{m[5], m[6]})
 }
 
-// taken is the slots of a worker that are taken, by all that we know of.
-func (d *Dispatcher) taken(w *worker) float64 {
-	others, _ := d.others(w)
-	return w.used + others
-}
-
-// atWork is the slots of a worker whose jobs run, by all that we know of.
-func (d *Dispatcher) atWork(w *worker) float64 {
-	_, others := d.others(w)
-	return d.running(w) + others
-}
-
 // heard records what a peer says that it has at a worker.
 func (d *Dispatcher) heard(w *worker, peer int, u use) {
 	i := slices.IndexFunc(w.peers, func(p peerUse) bool { return p.peer == peer })
@@ -1210,48 +1212,3 @@
 	}
 	return a.Cell == b.Cell
 }
-
-// others is what the peers have at a worker. Old word is dropped: its sender
-// may be gone.
-func (d *Dispatcher) others(w *worker) (used, running float64) {
-	for i := range w.peers {
-		if p := &w.peers[i]; d.trusted(p) {
-			used += float64(p.used)
-			running += float64(p.used - min(p.used, p.waiting+d.travels(p)))
-		}
-	}
-	return used, running
-}
-
-func (d *Dispatcher) trusted(p *peerUse) bool {
-	return d.now-p.at < second+Micros(peerTrust*d.slots.value)
-}
-
-// queued tells whether a peer's job waits at a worker. Then it is full whatever our
-// cap says; else each of ten dispatchers would try there.
-func (d *Dispatcher) queued(w *worker) bool {
-	for i := range w.peers {
-		if p := &w.peers[i]; p.waits != 0 && d.trusted(p) {
-			return d.set.TellsStart
-		}
-	}
-	return false
-}
-
-// coming tells whether a peer's job may not have begun at a worker yet.
-func (d *Dispatcher) coming(w *worker) bool {
-	for i := range w.peers {
-		if d.travels(&w.peers[i]) > 0 {
-			return d.set.TellsStart
-		}
-	}
-	return false
-}
-
-// travels is the slots of a peer's jobs that may not have begun yet.
-func (d *Dispatcher) travels(p *peerUse) byte {
-	if d.now-p.grew < ticksToTell*d.set.Granularity {
-		return p.coming
-	}
-	return 0
-}
--- a/estimates.go
+++ b/estimates.go
@@ -18,10 +18,7 @@
 }
 
 func (d *Dispatcher) warmSpeed(w *worker) float64 {
-	prior, unit := d.fleet.speed(), max(d.slots.value, 1)
-	if k := d.kind(w); k.time > 0 {
-		prior = k.speed()
-	}
+	prior, unit := d.prior(w), max(d.slots.value, 1)
 	if d.hints {
 		unit *= hintedPrior
 	} else {
@@ -34,6 +31,22 @@
 	return v
 }
 
+// prior is the speed of a worker of which nothing is known.
+func (d *Dispatcher) prior(w *worker) float64 {
+	if k := d.kind(w); k.time > 0 {
+		return k.speed()
+	}
+	return d.fleet.speed()
+}
+
+// typical is the speed of a warm worker that is as most of its kind.
+func (d *Dispatcher) typical(w *worker) float64 {
+	if !d.hints && d.fleet.work > 0 {
+		return d.prior(w) * d.fleet.time / d.fleet.work
+	}
+	return d.prior(w)
+}
+
 // bestSpeed is the fastest that a job could still get, reckoned once an event.
 func (d *Dispatcher) bestSpeed() float64 {
 	if d.best > 0 {
@@ -41,7 +54,9 @@
 	}
 	for _, w := range d.part {
 		if d.usable(w) {
-			d.best = max(d.best, d.speed(w))
+			if speed := d.speed(w); speed > d.best {
+				d.best, d.fastest = speed, w
+			}
 		}
 	}
 	if d.best == 0 {
@@ -50,6 +65,15 @@
 	return d.best
 }
 
+// canAny tells whether bestSpeed is enough, where more is never worse. In a large part the
+// fastest of the last look is asked first: what is enough for it need not be looked for.
+func (d *Dispatcher) canAny(enough func(speed float64) bool) bool {
+	if w := d.fastest; w != nil && d.best == 0 && d.large() && d.usable(w) && enough(d.speed(w)) {
+		return true
+	}
+	return enough(d.bestSpeed())
+}
+
 // book learns a worker's speed from the part of a run that has passed. Without
 // hints only whole runs tell, against the class's mean.
 func (d *Dispatcher) book(a *attempt, done float64) {
@@ -257,13 +281,22 @@
 	return w.kind
 }
 
-// slotsOf counts the slots that this dispatcher may fill on some workers.
-func (d *Dispatcher) slotsOf(some func(*worker) bool) float64 {
-	slots := 0.0
-	for _, w := range d.part {
-		if some(w) && d.usable(w) {
+const everyZone = -2 // no zone has this number
+
+// slotsOf counts the slots that this dispatcher may fill on the workers of a zone. It is asked
+// after 16 workers, 32 and so on, whether so many are enough, and may then stop.
+func (d *Dispatcher) slotsOf(zone int, enough func(slots float64) bool) float64 {
+	slots, ask := 0.0, 16
+	for i, w := range d.part {
+		if (zone == everyZone || w.entry.Zone == zone) && d.usable(w) {
 			slots += d.room(w)
 		}
+		if i+1 == ask {
+			if enough(slots) {
+				return slots
+			}
+			ask *= 2
+		}
 	}
 	return slots
 }
@@ -359,13 +392,15 @@
 	if d.set.Classes[j.class].Effect != Unsafe && !d.blind() || !d.errs(w) {
 		return false
 	}
-	err := 0.0
-	for _, w := range d.part {
-		if d.errs(w) {
-			err++
+	if d.erring.turn != d.turns || !d.large() {
+		d.erring.turn, d.erring.n = d.turns, 0
+		for _, w := range d.part {
+			if d.errs(w) {
+				d.erring.n++
+			}
 		}
 	}
-	return err <= halfFleet*float64(len(d.part))
+	return d.erring.n <= halfFleet*float64(len(d.part))
 }
 
 // unhinted is the work that a job without a hint is reckoned with. Where many are blind that
@@ -494,7 +529,8 @@
 // all dispatchers find alike, and crowd together.
 type crowd struct {
 	waits
-	delay float64 // what they and the jobs that wait now come to, in this event; below 0: not reckoned
+	delay float64 // what they and the jobs that wait now come to
+	turn  uint64  // the event in which that was reckoned
 }
 
 type crowdKey struct{ zone, kind int }
@@ -503,7 +539,7 @@
 	if w.crowd == nil {
 		key := crowdKey{w.entry.Zone, w.entry.Kind}
 		if w.crowd = d.crowds[key]; w.crowd == nil {
-			w.crowd = &crowd{delay: -1}
+			w.crowd = &crowd{}
 			d.crowds[key] = w.crowd
 		}
 	}
@@ -535,19 +571,20 @@
 		return 0
 	}
 	c := d.crowd(w)
-	if c.delay < 0 {
+	if c.turn != d.turns {
+		c.turn = d.turns
 		c.fade(d.now, crowdMemory*d.memory())
 		sum, n := c.sum, c.n+1
-		for _, b := range d.busy {
-			for _, a := range b.live {
-				if d.crowd(b) == c && a.overdue && a.started == 0 {
-					sum, n = sum+2*float64(d.now-a.sent), n+1
-				}
+		for _, a := range d.late() {
+			if d.crowd(a.worker) == c && a.started == 0 && a.live {
+				sum, n = sum+2*float64(d.now-a.sent), n+1
 			}
 		}
 		c.delay = sum / n
 	}
-	w.wait.fade(d.now, ownMemory*d.memory())
+	if w.wait.n > 0 {
+		w.wait.fade(d.now, ownMemory*d.memory())
+	}
 	return (w.wait.sum + c.delay*crowdWaits) / (w.wait.n + crowdWaits)
 }
 
@@ -574,3 +611,78 @@
 	}
 	return cost + d.set.CrossZonePrice*left
 }
+
+// capacity is how many slots of a worker may be taken. Where starts are told, it
+// is the largest number at which jobs begin at once rather than wait.
+func (d *Dispatcher) capacity(w *worker) float64 {
+	if !d.set.TellsStart {
+		return w.cap
+	}
+	k, best := d.kind(w), 0
+	for n := k.top; n > 0 && best == 0; n-- {
+		if of := d.fit(w, n); of.prompt > 0 && of.prompt >= of.late {
+			best = n
+		}
+	}
+	if best == k.top && best < fitsKept {
+		best++ // nobody had to wait yet
+	}
+	return float64(max(best, 1))
+}
+
+// taken is the slots of a worker that are taken, by all that we know of.
+func (d *Dispatcher) taken(w *worker) float64 {
+	others, _ := d.others(w)
+	return w.used + others
+}
+
+// atWork is the slots of a worker whose jobs run, by all that we know of.
+func (d *Dispatcher) atWork(w *worker) float64 {
+	_, others := d.others(w)
+	return d.running(w) + others
+}
+
+// others is what the peers have at a worker. Old word is dropped: its sender
+// may be gone.
+func (d *Dispatcher) others(w *worker) (used, running float64) {
+	for i := range w.peers {
+		if p := &w.peers[i]; d.trusted(p) {
+			used += float64(p.used)
+			running += float64(p.used - min(p.used, p.waiting+d.travels(p)))
+		}
+	}
+	return used, running
+}
+
+func (d *Dispatcher) trusted(p *peerUse) bool {
+	return d.now-p.at < second+Micros(peerTrust*d.slots.value)
+}
+
+// queued tells whether a peer's job waits at a worker. Then it is full whatever our
+// cap says; else each of ten dispatchers would try there.
+func (d *Dispatcher) queued(w *worker) bool {
+	for i := range w.peers {
+		if p := &w.peers[i]; p.waits != 0 && d.trusted(p) {
+			return d.set.TellsStart
+		}
+	}
+	return false
+}
+
+// coming tells whether a peer's job may not have begun at a worker yet.
+func (d *Dispatcher) coming(w *worker) bool {
+	for i := range w.peers {
+		if d.travels(&w.peers[i]) > 0 {
+			return d.set.TellsStart
+		}
+	}
+	return false
+}
+
+// travels is the slots of a peer's jobs that may not have begun yet.
+func (d *Dispatcher) travels(p *peerUse) byte {
+	if d.now-p.grew < ticksToTell*d.set.Granularity {
+		return p.coming
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/bucket/bucket_test.go
@@ -0,0 +1,64 @@
+package bucket
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever is put, moved and taken out, the queue holds what a plain map holds, and what it
+// calls the least are the least.
+func TestQueueAgainstAMap(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		queues := [2]Queue[int]{}
+		nodes := make([]Node[int], 40)
+		type place struct{ queue, key int }
+		want := map[int]place{}
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			i := rapid.IntRange(0, len(nodes)-1).Draw(t, "node")
+			nodes[i].Value = i
+			if rapid.IntRange(0, 3).Draw(t, "do") == 0 {
+				nodes[i].Remove()
+				delete(want, i)
+				continue
+			}
+			q, key := rapid.IntRange(0, 1).Draw(t, "queue"), rapid.IntRange(-2, Buckets+2).Draw(t, "key")
+			queues[q].Put(&nodes[i], key)
+			want[i] = place{q, min(max(key, 0), Buckets-1)}
+		}
+		most, upTo := rapid.IntRange(0, 50).Draw(t, "most"), rapid.IntRange(0, Buckets).Draw(t, "up to")
+		for q := range queues {
+			held, below := 0, 0
+			for i, p := range want {
+				if n := &nodes[i]; n.In() != &queues[p.queue] || n.Key() != p.key {
+					t.Fatalf("node %d is under %d, put under %v", i, n.Key(), p)
+				}
+				if p.queue == q {
+					held++
+					if p.key <= upTo {
+						below++
+					}
+				}
+			}
+			if queues[q].Len() != held {
+				t.Fatalf("%d held, want %d", queues[q].Len(), held)
+			}
+			least := queues[q].Least(nil, most, upTo, rapid.Uint().Draw(t, "turn"))
+			if len(least) != min(most, below) {
+				t.Fatalf("%d of the least, want %d", len(least), min(most, below))
+			}
+			seen, highest := map[*Node[int]]bool{}, 0
+			for _, n := range least {
+				if seen[n] || n.In() != &queues[q] || n.Key() < highest {
+					t.Fatal("one twice, of another queue, or out of order")
+				}
+				seen[n], highest = true, n.Key()
+			}
+			for i, p := range want {
+				if p.queue == q && p.key < highest && !seen[&nodes[i]] {
+					t.Fatalf("node %d under %d was passed over for one under %d", i, p.key, highest)
+				}
+			}
+		}
+	})
+}
--- a/state.go
+++ b/state.go
@@ -5,6 +5,7 @@
 	"math"
 	"slices"
 
+	"dahliaford/internal/bucket"
 	"dahliaford/internal/roster"
 )
 
@@ -40,6 +41,7 @@
 	slots   quantiles // run time x slots of all jobs
 	fleet   pace
 	best    float64 // fastest speed in this event; 0: not reckoned yet
+	fastest *worker // that had it when last reckoned
 	worth   float64 // mean worth of a job
 	hints   bool    // jobs come with cost hints
 	tokens  []float64
@@ -63,6 +65,21 @@
 	listedAt                    Micros // when discovery last said what there is, or nothing new; 0: never
 	logged                      Micros
 	panicking                   bool
+
+	turns    uint64 // events so far: marks what holds for one of them
+	index    *index // of a large part; nil: not needed yet
+	looked   uint64 // workers looked at for jobs
+	roomy    bool   // one of those looked at has room for one more slot
+	nowhere  uint64 // the event in which none of the part has
+	groups   [GroupCell + 1]map[int][]*worker
+	doubted  []*worker  // those that may be suspect or set aside
+	overdue  []*attempt // live, not begun
+	lateNow  []*attempt // the same in order, in the event lateTurn
+	lateTurn uint64
+	erring   struct { // workers of the part that fail jobs, in an event
+		turn uint64
+		n    float64
+	}
 }
 
 // New returns a dispatcher with the given settings. The seed decides all that
@@ -167,6 +184,10 @@
 	placedAt  uint64                 // the shifts of those it is among when that was reckoned; 0: never
 	among     *roster.Crowd[*worker] // the ready ones of its zone and kind; nil: it is not ready
 	tilt      float64                // small own preference, so that dispatchers spread
+	node      bucket.Node[*worker]
+	listing   uint64 // the index's last look at the part that had it
+	stirred   bool   // the index has it to reckon anew
+	doubted   bool   // it is among those that may be ill
 }
 
 // use is what a dispatcher has at a worker: slots taken and slots of jobs that wait.
@@ -249,6 +270,7 @@
 func (d *Dispatcher) leave(a *attempt) {
 	a.live = false
 	a.job.live--
+	d.notOverdue(a)
 	w := a.worker
 	w.used -= a.job.slots
 	if a.started == 0 {
@@ -336,6 +358,7 @@
 
 // touch marks a worker of which peers may have to be told.
 func (d *Dispatcher) touch(w *worker) {
+	d.stir(w)
 	if d.set.MayTellPeers && d.set.Balancers > 1 && !w.touched {
 		w.touched = true
 		d.touched = append(d.touched, w)
@@ -366,9 +389,16 @@
 
 // anyAllowed tells whether rule 2 leaves a job any worker at all.
 func (d *Dispatcher) anyAllowed(j *job) bool {
-	for _, w := range d.order {
-		if w.entry.Status == Ready && d.mayRepeat(j, w) {
-			return true
+	from := d.order
+	keyed := d.set.Classes[j.class].Effect == Keyed
+	if keyed {
+		from, _ = d.candidates(j)
+	}
+	for _, w := range from {
+		if w.entry.Status == Ready {
+			if allowed := d.mayRepeat(j, w); allowed || !keyed {
+				return allowed // only a group makes a difference between workers
+			}
 		}
 	}
 	return false
