--- a/choice.go
+++ b/choice.go
@@ -6,12 +6,13 @@
 // for. What a worker costs is for dispatcher.go to say. docs/design-choice.md has the causes.
 
 const (
-	smallPart   = 64 // workers up to which the part is walked: that costs no more than the index
-	shortlisted = 8  // workers of a crowd that are weighed for a job
-	renewed     = 8  // workers whose place in the index is reckoned anew for a job, in turn
-	perRun      = 16 // keys to the length of a mean run
-	shutKey     = bucket.Buckets - 1
-	fullKey     = bucket.Buckets - 2
+	smallPart      = 64 // workers up to which the part is walked: that costs no more than the index
+	shortlisted    = 8  // workers of a crowd that are weighed for a job
+	shortlistedAll = 32 // the same of all crowds together, two of each at the least
+	renewed        = 8  // workers whose place in the index is reckoned anew for a job, in turn
+	perRun         = 16 // keys to the length of a mean run
+	shutKey        = bucket.Buckets - 1
+	fullKey        = bucket.Buckets - 2
 )
 
 // index holds the part by crowd, in order of what a mean job would cost there when last reckoned.
@@ -19,6 +20,7 @@
 	crowds  []*shelf
 	byCrowd map[crowdKey]*shelf
 	members []*worker // the part that it was made for
+	work    float64   // of late jobs, the mean
 	stale   bool      // the part may have changed
 	listing uint64    // counts the changes
 	next    int       // the member that is reckoned anew next
@@ -33,7 +35,7 @@
 }
 
 // large tells whether the part is too large to be walked for every job.
-func (d *Dispatcher) large() bool { return len(d.part) > smallPart }
+func (d *Dispatcher) large() bool { return len(d.part) > d.walked }
 
 // moved takes note that the list has changed.
 func (d *Dispatcher) moved() {
@@ -54,7 +56,7 @@
 // indexed returns the index of a large part as it is now.
 func (d *Dispatcher) indexed() *index {
 	if d.index == nil {
-		d.index = &index{byCrowd: map[crowdKey]*shelf{}, stale: true}
+		d.index = &index{byCrowd: map[crowdKey]*shelf{}, stale: true, work: d.memory()}
 	}
 	x := d.index
 	if !x.stale {
@@ -105,9 +107,11 @@
 	if taken+1 > most {
 		return fullKey
 	}
-	runs := d.typical(w) / d.speed(w) * (1 + crowding*taken/max(1, most) + w.tilt)
-	if d.blind() {
-		runs += (d.delay(w)-d.crowd(w).delay)/d.memory() + d.gap(d.here, w)/d.reach*leaning
+	load := 1 + crowding*taken/max(1, most) + w.tilt
+	runs := d.typical(w) / d.speed(w) * load
+	if d.blind() { // against waits and distance it matters how long a run is
+		own := d.index.work/d.speed(w)*load + d.delay(w) - d.crowd(w).delay
+		runs = own/d.memory() + d.gap(d.here, w)/d.reach*leaning
 	}
 	return int(min(max(runs*perRun, 0), fullKey-1))
 }
@@ -124,6 +128,7 @@
 // the first of its queue. Old keys are put right as they come up.
 func (d *Dispatcher) shortlist(j *job) []*worker {
 	x := d.indexed()
+	x.work += (j.work - x.work) / 32
 	for _, w := range x.stirred {
 		w.stirred = false
 		x.renew(d, w)
@@ -140,9 +145,13 @@
 		if kind >= 0 && kind != s.key.kind {
 			continue
 		}
+		most := shortlisted // of the own zone, where the others cost more
+		if s.key.zone != d.set.Zone || d.set.CrossZonePrice == 0 {
+			most = max(2, min(shortlisted, shortlistedAll/len(x.crowds)))
+		}
 		for range 3 { // those that were put right may make room for better ones
 			moved := false
-			x.nodes = s.Least(x.nodes[:0], shortlisted, fullKey-1, uint(d.turns))
+			x.nodes = s.Least(x.nodes[:0], most, fullKey-1, uint(d.turns))
 			for _, n := range x.nodes {
 				key := n.Key()
 				x.renew(d, n.Value)
--- a/internal/scheduler/job_test.go
+++ b/internal/scheduler/job_test.go
@@ -3,14 +3,45 @@
 import (
 	"fmt"
 	"testing"
+
+	"dahliaford"
+	"dahliaford/internal/settings"
 )
 
-// BenchmarkJob is one job with all its events, by schedulers and workers.
+// zonesOf starts a scheduler of a fleet whose workers are dealt out to zones, of two kinds each.
+func zonesOf(t testing.TB, schedulers, workers, zones int) *Scheduler {
+	t.Helper()
+	if zones == 1 {
+		return fleetOf(t, schedulers, workers)
+	}
+	set, err := settings.Parse([]byte(testSettings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	set.Module.Balancers = schedulers
+	s, err := New(set, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := WorkerList{Rev: 1, All: true}
+	for i := range workers {
+		r := line(fmt.Sprintf("r%d", i), dahliaford.Ready)
+		if r.Kind = fmt.Sprintf("m%d", i%2); i/2%zones > 0 {
+			r.Zone = fmt.Sprintf("zone%d", i/2%zones)
+		}
+		list.Workers = append(list.Workers, r)
+	}
+	s.Step(1000*second, Began{Discovery: "d1", Known: list}, nil)
+	return s
+}
+
+// BenchmarkJob is one job with all its events, by schedulers, workers and zones.
 func BenchmarkJob(b *testing.B) {
-	for _, size := range [][2]int{{3, 10}, {80, 60}, {300, 200}, {300, 800}, {300, 2400}, {300, 7200}, {30, 7200},
-		{17, 7200}, {7200, 7200}} {
-		b.Run(fmt.Sprintf("%d schedulers, %d workers", size[0], size[1]), func(b *testing.B) {
-			s := fleetOf(b, size[0], size[1])
+	for _, size := range [][3]int{{3, 10, 1}, {80, 60, 1}, {300, 200, 1}, {300, 800, 1}, {300, 2400, 1},
+		{300, 7200, 1}, {30, 7200, 1}, {17, 7200, 1}, {7200, 7200, 1}, {300, 7200, 14}, {17, 7200, 14}} {
+		name := fmt.Sprintf("%d schedulers, %d workers, %d zones", size[0], size[1], size[2])
+		b.Run(name, func(b *testing.B) {
+			s := zonesOf(b, size[0], size[1], size[2])
 			b.ReportAllocs()
 			b.ResetTimer()
 			jobs(b, s, b.N)
--- a/state.go
+++ b/state.go
@@ -67,6 +67,7 @@
 	panicking                   bool
 
 	turns    uint64 // events so far: marks what holds for one of them
+	walked   int    // workers up to which a part is walked: smallPart
 	index    *index // of a large part; nil: not needed yet
 	looked   uint64 // workers looked at for jobs
 	roomy    bool   // one of those looked at has room for one more slot
@@ -91,7 +92,7 @@
 	n := max(1, len(s.Tenants))
 	d := &Dispatcher{set: s, random: random(seed), jobs: map[JobID]*job{}, workers: map[WorkerID]*worker{},
 		classes: make([]classState, len(s.Classes)), kinds: map[int]*kind{}, crowds: map[crowdKey]*crowd{},
-		tokens: make([]float64, n), tokenAt: make([]Micros, n), retries: retryBurst,
+		tokens: make([]float64, n), tokenAt: make([]Micros, n), retries: retryBurst, walked: smallPart,
 		flows: make([]flow, n*len(s.Classes)*2), ranks: make([]int, len(s.Classes)*2)}
 	for i := range d.tokens {
 		d.tokens[i] = d.burst(i)
