--- a/choice_test.go
+++ b/choice_test.go
@@ -156,13 +156,15 @@
 }
 
 func (r fleetResult) String() string {
-	return fmt.Sprintf("to start %.4f s, 99%% %.3f s, not served %.4f, spread of load %.3f, looked at %.0f a job",
-		r.mean, r.p99, r.early, r.spread, r.looked)
+	return fmt.Sprintf(
+		"to start %.4f s, 99%% %.3f s, not served %.4f, spread of load %.3f, looked at %.0f a job", r.mean,
+		r.p99, r.early, r.spread, r.looked)
 }
 
 // fleetDay plays dispatchers that are given their list, workers with uneven speeds, and so many
 // seconds of jobs that fill a part of all slots.
-func fleetDay(t testing.TB, dispatchers, workers, zones int, load, uneven float64, walked int, seed int64) fleetResult {
+func fleetDay(t testing.TB, dispatchers, workers, zones int, load, uneven float64, walked int,
+	seed int64) fleetResult {
 	t.Helper()
 	f := &fleetWorld{r: rand.New(rand.NewSource(seed)), now: 100 * second, workers: map[WorkerID]*hollow{},
 		jobs: map[JobID]*hollowJob{}}
