--- /dev/null
+++ b/cmd/dahlialab/fit_test.go
@@ -0,0 +1,54 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// The output of benchmarks becomes one row a figure; sizes and repeats are found in their names.
+func TestFitReadsBenchmarks(t *testing.T) {
+	var text strings.Builder
+	text.WriteString("goos: linux\nBenchmarkOther-4 \t 5\t 3 ns/op\nnot a benchmark at all, 7 workers\n")
+	for _, n := range []string{"200", "450", "800", "2400", "4800", "7200"} {
+		for range 2 {
+			text.WriteString("BenchmarkWord/300_schedulers,_" + n + "_workers-3 \t 10\t " + n + "0 ns/op\t 7 B/op\n")
+			text.WriteString("BenchmarkFew/17_schedulers \t 10\t 5 ns/op\n")
+		}
+	}
+	all, err := readSeries(nil, strings.NewReader(text.String()))
+	if err != nil || len(all) != 3 {
+		t.Fatalf("%d series, %v", len(all), err)
+	}
+	var out strings.Builder
+	printFits(&out, all)
+	for _, want := range []string{"Word" + "/300 schedulers, N workers, ns/op", "7200: 7.2e+04", "| 2, ±0% | n |",
+		"| flat (", "1 sizes, not told"} {
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("no %q in\n%s", want, out.String())
+		}
+	}
+	path := filepath.Join(t.TempDir(), "word.svg")
+	if err := drawSeries(path, "workers", all); err != nil {
+		t.Error(err)
+	}
+	if raw, err := os.ReadFile(path); err != nil || !strings.Contains(string(raw), "<svg") {
+		t.Errorf("no chart: %v", err)
+	}
+	if _, err := readSeries(nil, strings.NewReader("BenchmarkX/0_workers 1 5 ns/op")); err == nil {
+		t.Error("a size of nought is taken")
+	}
+}
+
+func TestFitIsMisused(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "none.txt")
+	if err := os.WriteFile(path, []byte("PASS\n"), 0o666); err != nil {
+		t.Fatal(err)
+	}
+	for _, args := range [][]string{{"fit"}, {"fit", path}, {"fit", path + "x"}} {
+		if status := run(args); status != misused {
+			t.Errorf("%v: status %d", args, status)
+		}
+	}
+}
--- a/cmd/dahlialab/main.go
+++ b/cmd/dahlialab/main.go
@@ -22,6 +22,7 @@
 	Explore exploreCmd `cmd:"" help:"Explore the life of an attempt in a tiny world, in every order of events."`
 	Drill   drillCmd   `cmd:"" help:"Run an experiment: bounded in time, with figures as its last line."`
 	Scale   scaleCmd   `cmd:"" help:"Run a fleet at size in virtual time: hollow schedulers and workers."`
+	Fit     fitCmd     `cmd:"" help:"Say how what benchmarks measured grows with the size in their names."`
 	Keep    keepCmd    `cmd:"" hidden:"" help:"The process that the drill disk kills."`
 	Engine  engineCmd  `cmd:"" hidden:"" help:"One step of the drill engines."`
 }
