--- /dev/null
+++ b/internal/node/slopes_bench_test.go
@@ -0,0 +1,187 @@
+package node
+
+import (
+	"bufio"
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"dahliaford/internal/scheduler"
+)
+
+// The sizes at which costs are fitted, see docs/CAPACITY.md.
+var slopeSizes = []int{200, 450, 800, 2400, 4800, 7200}
+
+// entry is a line of the worker list with all fields of the protocol, in its order.
+type entry struct {
+	UID      string  `json:"uid"`
+	Endpoint string  `json:"endpoint"`
+	Zone     string  `json:"az"`
+	Model    string  `json:"model"`
+	Group    int     `json:"pod_group"`
+	State    string  `json:"state"`
+	Capacity float64 `json:"capacity_hint"`
+	BootMs   int64   `json:"boot_ms"`
+}
+
+type word struct {
+	Rev     int64   `json:"rev"`
+	All     bool    `json:"all"`
+	Targets []entry `json:"targets"`
+}
+
+func slopeEntry(i int) entry {
+	return entry{UID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Capacity: 1, BootMs: 1764648000000 + int64(i),
+		Endpoint: fmt.Sprintf("10.%d.%d.%d:8443", i>>16, i>>8&255, i&255), Zone: fmt.Sprint("zone-", i%14),
+		Model: fmt.Sprint("m", i/14%4), Group: i / 40, State: "ready"}
+}
+
+func slopeWord(tb testing.TB, rev int64, all bool, from, n int) []byte {
+	tb.Helper()
+	w := word{Rev: rev, All: all}
+	for i := range n {
+		w.Targets = append(w.Targets, slopeEntry(from+i))
+	}
+	raw, err := json.Marshal(w)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return raw
+}
+
+func processorMicros(tb testing.TB) float64 {
+	tb.Helper()
+	var u unix.Rusage
+	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
+		tb.Fatal(err)
+	}
+	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1000
+}
+
+// BenchmarkSlopeList is a whole list on the wire: its bytes, as they are and as gzip would have them, and
+// the processor time that reading it takes before the reducer has it.
+func BenchmarkSlopeList(b *testing.B) {
+	for _, n := range slopeSizes {
+		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
+			raw := slopeWord(b, 41, true, 0, n)
+			var packed bytes.Buffer
+			z := gzip.NewWriter(&packed)
+			z.Write(raw)
+			z.Close()
+			before := processorMicros(b)
+			for range b.N {
+				if list, odd, err := DecodeList(raw); err != nil || odd != nil || len(list.Workers) != n {
+					b.Fatal(odd, err)
+				}
+			}
+			b.ReportMetric((processorMicros(b)-before)/float64(b.N), "cpu-us/list")
+			b.ReportMetric(float64(len(raw)), "wire-bytes")
+			b.ReportMetric(float64(packed.Len()), "gzip-bytes")
+			b.ReportMetric(0, "ns/op")
+		})
+	}
+}
+
+// BenchmarkSlopeApplied is the time from a word's write to a socket until nothing of it is unread any
+// more and what it tells is in force: what the last look waits for.
+func BenchmarkSlopeApplied(b *testing.B) {
+	for _, n := range slopeSizes {
+		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
+			l, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				b.Fatal(err)
+			}
+			defer l.Close()
+			set := parsed(b)
+			set.Module.Balancers, set.Module.Me = 300, 150
+			node, err := Listen(Config{Name: "n", Listen: "127.0.0.1:0", Settings: set,
+				Discovery: l.Addr().String()}, slog.New(slog.DiscardHandler))
+			if err != nil {
+				b.Fatal(err)
+			}
+			done := make(chan error, 1)
+			go func() { done <- node.Run() }()
+			defer func() {
+				node.Stop()
+				<-done
+			}()
+			conn, err := l.Accept()
+			if err != nil {
+				b.Fatal(err)
+			}
+			defer conn.Close()
+			for head := bufio.NewScanner(conn); head.Scan() && head.Text() != ""; {
+			}
+			// say writes a word and waits until it is in force.
+			said := uint64(0)
+			say := func(raw []byte) time.Duration {
+				text := fmt.Sprintf("%x\r\n%s\n\r\n", len(raw)+1, raw)
+				began := time.Now()
+				if _, err := conn.Write([]byte(text)); err != nil {
+					b.Fatal(err)
+				}
+				for said++; ; {
+					next := node.told.next()
+					if node.told.count() >= said {
+						return time.Since(began)
+					}
+					<-next
+				}
+			}
+			if _, err := conn.Write([]byte(watchHead)); err != nil {
+				b.Fatal(err)
+			}
+			whole := say(slopeWord(b, 1, true, 0, n))
+			var took []time.Duration
+			before := processorMicros(b)
+			for i := range b.N {
+				w := word{Rev: int64(i) + 2, Targets: []entry{slopeEntry(i / 2 * 7919 % n)}}
+				w.Targets[0].State = []string{"draining", "ready"}[i%2]
+				raw, err := json.Marshal(w)
+				if err != nil {
+					b.Fatal(err)
+				}
+				took = append(took, say(raw))
+			}
+			b.ReportMetric((processorMicros(b)-before)/float64(b.N), "cpu-us/word")
+			slices.Sort(took)
+			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "median-us")
+			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
+			b.ReportMetric(float64(whole.Microseconds()), "whole-us")
+			b.ReportMetric(float64(len(slopeWord(b, 2, false, 0, 1))+1), "wire-bytes")
+			b.ReportMetric(0, "ns/op")
+		})
+	}
+}
+
+// count is how many words have been dealt with.
+func (t *told) count() uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.applied
+}
+
+// BenchmarkSlopeMemory is the memory that a list in the form of a scheduler.WorkerList takes on its way
+// from the reader to the reducer: beside the books, and given back after.
+func BenchmarkSlopeMemory(b *testing.B) {
+	for _, n := range slopeSizes {
+		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
+			raw, lists := slopeWord(b, 41, true, 0, n), scheduler.WorkerList{}
+			b.ReportAllocs()
+			for range b.N {
+				lists, _, _ = DecodeList(raw)
+			}
+			if len(lists.Workers) != n {
+				b.Fatal(len(lists.Workers))
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/scheduler/slopes_bench_test.go
@@ -0,0 +1,192 @@
+package scheduler
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"dahliaford"
+	"dahliaford/internal/settings"
+)
+
+// The sizes at which costs are fitted, see docs/CAPACITY.md.
+var slopeSizes = []int{200, 450, 800, 2400, 4800, 7200}
+
+const slopeSchedulers = 300
+
+// processorMicros is the processor time of this process, in microseconds: on a shared machine it says
+// more than the wall's.
+func processorMicros(tb testing.TB) float64 {
+	tb.Helper()
+	var u unix.Rusage
+	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
+		tb.Fatal(err)
+	}
+	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1000
+}
+
+// heapBytes is what lives after a collection.
+func heapBytes() float64 {
+	var m runtime.MemStats
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&m)
+	return float64(m.HeapAlloc)
+}
+
+// slopeList is a whole list in 14 zones, and slopeLine one line of it.
+func slopeList(workers int) WorkerList {
+	list := WorkerList{Rev: 1, All: true}
+	for i := range workers {
+		list.Workers = append(list.Workers, slopeLine(i, dahliaford.Ready))
+	}
+	return list
+}
+
+func slopeLine(i int, status dahliaford.Status) Worker {
+	return Worker{UID: fmt.Sprintf("worker-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:8443", i>>16, i>>8&255, i&255),
+		Zone: fmt.Sprint("zone-", i%slopeZones), Kind: fmt.Sprint("m", i/slopeZones%4), Cell: i / 40, Status: status}
+}
+
+const slopeZones = 14
+
+// slopeStart starts a scheduler of a zone that knows a list.
+func slopeStart(tb testing.TB, schedulers int, list WorkerList) *Scheduler {
+	tb.Helper()
+	set, err := settings.Parse([]byte(testSettings))
+	if err != nil {
+		tb.Fatal(err)
+	}
+	set.Module.Balancers, set.Module.Me = schedulers, schedulers/2
+	set.Zones, set.Kinds = nil, nil
+	for z := range slopeZones {
+		set.Zones = append(set.Zones, fmt.Sprint("zone-", z))
+	}
+	for k := range 4 {
+		set.Kinds = append(set.Kinds, fmt.Sprint("m", k))
+	}
+	s, err := New(set, 1)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	s.Step(1000*second, Began{Discovery: "d1", Known: list}, nil)
+	return s
+}
+
+// slope runs one benchmark for each size; run is timed by the processor time that it takes.
+func slope(b *testing.B, sizes []int, what string, run func(b *testing.B, n int) (perOp float64)) {
+	for _, n := range sizes {
+		b.Run(fmt.Sprintf("%d %s", n, what), func(b *testing.B) {
+			us := run(b, n)
+			b.ReportMetric(0, "ns/op")
+			b.ReportMetric(us, "cpu-us/op")
+		})
+	}
+}
+
+// BenchmarkSlopeWord is one changed entry a word.
+func BenchmarkSlopeWord(b *testing.B) {
+	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+		s := slopeStart(b, slopeSchedulers, slopeList(n))
+		list, out := WorkerList{Workers: make([]Worker, 1)}, []Effect(nil)
+		before := processorMicros(b)
+		for i := range b.N {
+			list.Rev = int64(i) + 2
+			list.Workers[0] = slopeLine(i/2*7919%n, []dahliaford.Status{dahliaford.Draining, dahliaford.Ready}[i%2])
+			out = s.Step(s.now+second, ListRead{List: list}, out[:0])
+		}
+		return (processorMicros(b) - before) / float64(b.N)
+	})
+}
+
+// BenchmarkSlopeStart is a start with a whole list, and what a scheduler then holds.
+func BenchmarkSlopeStart(b *testing.B) {
+	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+		list := slopeList(n)
+		empty := heapBytes()
+		s := slopeStart(b, slopeSchedulers, list)
+		b.ReportMetric(heapBytes()-empty, "heap-bytes")
+		runtime.KeepAlive(s)
+		before := processorMicros(b)
+		for range b.N {
+			slopeStart(b, slopeSchedulers, list)
+		}
+		us := (processorMicros(b) - before) / float64(b.N)
+		runtime.KeepAlive(list)
+		return us
+	})
+}
+
+// BenchmarkSlopeWhole is a whole list that equals what is known but for one entry.
+func BenchmarkSlopeWhole(b *testing.B) {
+	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+		s, list, out := slopeStart(b, slopeSchedulers, slopeList(n)), slopeList(n), []Effect(nil)
+		before := processorMicros(b)
+		for i := range b.N {
+			list.Rev = int64(i) + 2
+			list.Workers[i/2%n].Status = []dahliaford.Status{dahliaford.Draining, dahliaford.Ready}[i%2]
+			out = s.Step(s.now+second, ListRead{List: list}, out[:0])
+		}
+		return (processorMicros(b) - before) / float64(b.N)
+	})
+}
+
+// BenchmarkSlopeZone is a zone that goes, each of its workers in a word of its own.
+func BenchmarkSlopeZone(b *testing.B) {
+	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+		list, out, took := slopeList(n), []Effect(nil), 0.0
+		for range b.N {
+			s := slopeStart(b, slopeSchedulers, list)
+			before := processorMicros(b)
+			for i := 0; i < n; i += slopeZones {
+				word := WorkerList{Rev: int64(i) + 2, Workers: []Worker{slopeLine(i, dahliaford.Gone)}}
+				out = s.Step(s.now+1000, ListRead{List: word}, out[:0])
+			}
+			took += processorMicros(b) - before
+		}
+		return took / float64(b.N)
+	})
+}
+
+// slopeOpen brings requests that are out at workers, with no end, at a scheduler of 300.
+func slopeOpen(tb testing.TB, s *Scheduler, from, n int) {
+	tb.Helper()
+	var out []Effect
+	for i := range n {
+		id := fmt.Sprintf("%016x", from+i)
+		out = s.Step(s.now+1000, Submitted{Caller: Caller(from + i + 1), ID: id, Class: "batch", Tenant: "sahel",
+			Deadline: s.now + 3600*second}, out[:0])
+		for _, e := range out {
+			if r, is := e.(Route); is {
+				s.Step(s.now, Accepted{Attempt: r.Attempt}, nil)
+				s.Step(s.now, Told{ID: r.ID, From: r.UID, News: NewsStarted}, nil)
+			}
+		}
+	}
+}
+
+// BenchmarkSlopeOpen is one more request, to its start, at a scheduler that has so many open, and what it
+// holds of each.
+func BenchmarkSlopeOpen(b *testing.B) {
+	const more = 100
+	slope(b, []int{50, 100, 200, 400, 800, 1600}, "open", func(b *testing.B, n int) float64 {
+		list, took, held := slopeList(7200), 0.0, 0.0
+		for range b.N {
+			s := slopeStart(b, slopeSchedulers, list)
+			slopeOpen(b, s, 0, 20) // tables that grow by doubling have begun to
+			empty := heapBytes()
+			slopeOpen(b, s, 20, n)
+			held += heapBytes() - empty
+			before := processorMicros(b)
+			slopeOpen(b, s, 20+n, more)
+			took += processorMicros(b) - before
+			if s.Open() != 20+n+more {
+				b.Fatalf("%d open, want %d", s.Open(), 20+n+more)
+			}
+		}
+		b.ReportMetric(held/float64(b.N), "heap-bytes")
+		return took / float64(b.N) / more
+	})
+}
