--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -190,3 +190,19 @@
 		return took / float64(b.N) / more
 	})
 }
+
+// BenchmarkSlopeJob is one job with all its events, at a scheduler of 14 zones that has 240 others open.
+func BenchmarkSlopeJob(b *testing.B) {
+	for _, schedulers := range []int{336, 17} {
+		b.Run(fmt.Sprint(schedulers, " schedulers"), func(b *testing.B) {
+			slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+				s := slopeStart(b, schedulers, slopeList(n))
+				slopeOpen(b, s, 0, 240)
+				jobs(b, s, 20)
+				before := processorMicros(b)
+				jobs(b, s, b.N)
+				return (processorMicros(b) - before) / float64(b.N)
+			})
+		})
+	}
+}
