--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -206,3 +206,100 @@
 		})
 	}
 }
+
+// steady is a scheduler at the peak: a job comes each 54 ms, runs for 13 s, and 241 run at once. Timers go
+// off when they were asked for.
+type steady struct {
+	s       *Scheduler
+	wake    Micros
+	running []Told // their ends, the oldest first
+	n       int
+	wakes   int
+	refused int
+	out     []Effect
+}
+
+const (
+	steadyEvery   = 54 * second / 1000
+	steadyRunning = 241
+)
+
+func (w *steady) step(now Micros, e Event) {
+	w.out = w.s.Step(now, e, w.out[:0])
+	routes := []Route(nil)
+	for _, e := range w.out {
+		switch e := e.(type) {
+		case Wake:
+			w.wake = e.At
+		case Route:
+			routes = append(routes, e)
+		case Answer:
+			if e.Verdict != Served {
+				w.refused++
+			}
+		}
+	}
+	for _, r := range routes {
+		w.step(now+300, Accepted{Attempt: r.Attempt})
+		w.step(now+500, Told{ID: r.ID, From: r.UID, News: NewsStarted})
+		w.running = append(w.running, Told{ID: r.ID, From: r.UID, News: NewsDone})
+	}
+}
+
+// pass lets the time of one job pass.
+func (w *steady) pass() {
+	now := w.s.now
+	for next := now + steadyEvery; ; {
+		if w.wake == 0 || w.wake > next {
+			now = next
+			break
+		}
+		at := max(w.wake, now)
+		w.wake, now = 0, at
+		w.wakes++
+		w.step(at, Woke{})
+	}
+	w.n++
+	w.step(now, Submitted{Caller: Caller(w.n), ID: fmt.Sprintf("%016x", w.n), Class: "batch", Tenant: "sahel",
+		Deadline: now + 20*second})
+	if len(w.running) > steadyRunning {
+		w.step(now+1000, w.running[0])
+		w.running = w.running[1:]
+	}
+}
+
+// BenchmarkSlopeSteady is a job at the peak with all its events and timers, at one scheduler alone, and at
+// 24 that take turns, as on a machine that they share: each finds the processor's caches cold.
+func BenchmarkSlopeSteady(b *testing.B) {
+	for _, beside := range []int{1, 24} {
+		b.Run(fmt.Sprint(beside, " in turn"), func(b *testing.B) {
+			slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+				all, list := []*steady(nil), slopeList(n)
+				for range beside {
+					w := &steady{s: slopeStart(b, 336, list)}
+					w.step(w.s.now+second, ListRead{List: list}) // a list that a start knew lets nothing go
+					for range steadyRunning + 50 {
+						w.pass()
+						w.step(w.s.now, ListRead{List: WorkerList{Rev: 2}})
+					}
+					all = append(all, w)
+				}
+				wakes, refused := 0, 0
+				for _, w := range all {
+					w.wakes, w.refused = 0, 0
+				}
+				before := processorMicros(b)
+				for i := range b.N {
+					all[i%beside].pass()
+				}
+				us := (processorMicros(b) - before) / float64(b.N)
+				for _, w := range all {
+					wakes, refused = wakes+w.wakes, refused+w.refused
+				}
+				b.ReportMetric(float64(wakes)/float64(b.N), "timers/job")
+				b.ReportMetric(float64(refused)/float64(b.N), "refused/job")
+				return us
+			})
+		})
+	}
+}
