--- a/cmd/dahlialab/fit.go
+++ b/cmd/dahlialab/fit.go
@@ -21,7 +21,7 @@
 )
 
 type fitCmd struct {
-	Files []string `arg:"" type:"existingfile" help:"Output of go test -bench, sizes in the names: '7200 workers'."`
+	Files []string `arg:"" type:"existingfile" help:"Output of go test -bench, sizes in names: '7200 workers'."`
 	Chart string   `help:"Draw the series whose name holds TEXT into a file: TEXT=FILE.svg."`
 }
 
--- a/cmd/dahlialab/fit_test.go
+++ b/cmd/dahlialab/fit_test.go
@@ -13,7 +13,8 @@
 	text.WriteString("goos: linux\nBenchmarkOther-4 \t 5\t 3 ns/op\nnot a benchmark at all, 7 workers\n")
 	for _, n := range []string{"200", "450", "800", "2400", "4800", "7200"} {
 		for range 2 {
-			text.WriteString("BenchmarkWord/300_schedulers,_" + n + "_workers-3 \t 10\t " + n + "0 ns/op\t 7 B/op\n")
+			text.WriteString("BenchmarkWord/300_schedulers,_" + n + "_workers-3 \t 10\t " + n +
+				"0 ns/op\t 7 B/op\n")
 			text.WriteString("BenchmarkFew/17_schedulers \t 10\t 5 ns/op\n")
 		}
 	}
--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -46,8 +46,9 @@
 }
 
 func slopeLine(i int, status dahliaford.Status) Worker {
-	return Worker{UID: fmt.Sprintf("worker-%05d", i), Addr: fmt.Sprintf("10.%d.%d.%d:8443", i>>16, i>>8&255, i&255),
-		Zone: fmt.Sprint("zone-", i%slopeZones), Kind: fmt.Sprint("m", i/slopeZones%4), Cell: i / 40, Status: status}
+	return Worker{UID: fmt.Sprintf("worker-%05d", i), Zone: fmt.Sprint("zone-", i%slopeZones),
+		Addr: fmt.Sprintf("10.%d.%d.%d:8443", i>>16, i>>8&255, i&255),
+		Kind: fmt.Sprint("m", i/slopeZones%4), Cell: i / 40, Status: status}
 }
 
 const slopeZones = 14
