--- a/cmd/dahlialab/fit.go
+++ b/cmd/dahlialab/fit.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"cmp"
 	"errors"
 	"fmt"
 	"io"
@@ -114,11 +113,7 @@
 		var at []string
 		runs := len(r.Points[0].Values)
 		for _, p := range r.Points {
-			sum := 0.0
-			for _, v := range p.Values {
-				sum += v
-			}
-			at = append(at, fmt.Sprintf("%g: %.4g", p.N, sum/float64(len(p.Values))))
+			at = append(at, fmt.Sprintf("%g: %.4g", p.N, p.Mean()))
 			runs = min(runs, len(p.Values))
 		}
 		fmt.Fprintf(w, "| %s, %s | %s | %d, ±%.0f%% | ", strings.ReplaceAll(s.name, "_", " "), s.unit,
@@ -134,7 +129,7 @@
 		}
 		fmt.Fprintf(w, "%s | %.4g + %.4g x %s | ", law, best.Base, best.Rate, best.Law.Name)
 		for i, c := range r.Curves {
-			fmt.Fprintf(w, "%s%.0f%%", cmp.Or(strings.Repeat(", ", min(i, 1)), ""), 100*c.Worst)
+			fmt.Fprintf(w, "%s%.0f%%", strings.Repeat(", ", min(i, 1)), 100*c.Worst)
 		}
 		fmt.Fprintln(w, " |")
 	}
@@ -157,7 +152,7 @@
 		var points plotter.XYs
 		first := 0.0
 		for _, pt := range r.Points {
-			v := pt.Values[0]
+			v := pt.Mean()
 			if first == 0 {
 				first = v
 			}
--- a/internal/fit/fit.go
+++ b/internal/fit/fit.go
@@ -17,12 +17,12 @@
 	Values []float64
 }
 
-// mean of the values.
-func (p Point) mean() float64 { return stat.Mean(p.Values, nil) }
+// Mean is the mean of the values.
+func (p Point) Mean() float64 { return stat.Mean(p.Values, nil) }
 
 // spread is how far the values lie apart, as a part of their mean.
 func (p Point) spread() float64 {
-	if m := p.mean(); m != 0 {
+	if m := p.Mean(); m != 0 {
 		return (slices.Max(p.Values) - slices.Min(p.Values)) / math.Abs(m)
 	}
 	return 0
@@ -79,7 +79,7 @@
 	}
 	ys, weights := make([]float64, len(r.Points)), make([]float64, len(r.Points))
 	for i, p := range r.Points {
-		if ys[i] = p.mean(); ys[i] != 0 {
+		if ys[i] = p.Mean(); ys[i] != 0 {
 			weights[i] = 1 / (ys[i] * ys[i])
 		} else {
 			weights[i] = 1
