--- a/cmd/dahlialab/scale.go
+++ b/cmd/dahlialab/scale.go
@@ -154,8 +154,8 @@
 	return func(path string) error {
 		base := strings.TrimSuffix(path, filepath.Ext(path))
 		title := fmt.Sprintf("%s: %d schedulers, %d workers", r.Model.Day, r.Model.Schedulers, r.Model.Workers)
-		if err := draw(base+"-starts.svg", title, "a second", []line{series("starts", r.Series.Starts),
-			series("refusals", r.Series.Refused)}); err != nil {
+		if err := draw(base+"-starts.svg", title, "a second", []line{perSecond("starts", r.Series.Starts),
+			perSecond("refusals", r.Series.Refused)}); err != nil {
 			return err
 		}
 		each := 1 / float64(r.Model.Schedulers)
@@ -165,7 +165,7 @@
 	}
 }
 
-func series(name string, counts []int) line {
+func perSecond(name string, counts []int) line {
 	values := make([]float64, len(counts))
 	for i, n := range counts {
 		values[i] = float64(n)
