--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -220,17 +220,20 @@
 			resume()
 			play(t, w, fmt.Sprintf(`
 				wait open 0
-				d%[1]d send job batch d%[1]d || next
-				r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
-				r1 send 202 OK
-				back%[1]d send POST /callback || {"id":"d%[1]d","from":"r1","state":"done"}
-				back%[1]d expect 204
-				d%[1]d expect 200
-			`, i))
+			`+servedNext, i))
 		}
 	}, "r1")
 }
 
+// servedNext is another job, numbered by the format's argument: it is served as if nothing had been.
+const servedNext = `
+	d%[1]d send job batch d%[1]d || next
+	r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
+	r1 send 202 OK
+	back%[1]d send POST /callback || {"id":"d%[1]d","from":"r1","state":"done"}
+	back%[1]d expect 204
+	d%[1]d expect 200`
+
 // A request that is half written when its client leaves, or when it is given up, stays half: what a
 // worker has read of it by then is no attempt, and the rest would make it one.
 func TestHalfARequestOfOneWhoLeftStaysHalf(t *testing.T) {
@@ -318,13 +321,7 @@
 				wait open 0
 				r1 send 200 OK
 				r1 expect end
-				d%[1]d send job batch d%[1]d || next
-				r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
-				r1 send 202 OK
-				back%[1]d send POST /callback || {"id":"d%[1]d","from":"r1","state":"done"}
-				back%[1]d expect 204
-				d%[1]d expect 200
-			`, i))
+			`+servedNext, i))
 		}
 	}, "r1")
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -168,26 +168,33 @@
 	}
 }
 
-// Where lists are pushed they come over a watch as well: without one no drain is ever heard.
-func TestPushedListsAreWatched(t *testing.T) {
+// pushedTo runs one of so many nodes whose lists are pushed by the agent behind a listener.
+func pushedTo(t *testing.T, nodes int) (agent *net.TCPListener, n *Node, done chan error) {
+	t.Helper()
 	set, err := settings.Parse([]byte(strings.Replace(testSettings, "on_request", "pushed", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
+	set.Module.Balancers = nodes
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: set, Discovery: l.Addr().String()},
-		slog.New(slog.DiscardHandler))
-	if err != nil {
+	t.Cleanup(func() { l.Close() })
+	if n, err = Listen(Config{Listen: "127.0.0.1:0", Settings: set, Discovery: l.Addr().String()},
+		slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan error, 1)
+	done = make(chan error, 1)
 	go func() { done <- n.Run() }()
+	return l.(*net.TCPListener), n, done
+}
+
+// Where lists are pushed they come over a watch as well: without one no drain is ever heard.
+func TestPushedListsAreWatched(t *testing.T) {
+	l, n, done := pushedTo(t, 1)
 	for range 2 { // once more after it broke
-		l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+		l.SetDeadline(time.Now().Add(patience))
 		conn, err := l.Accept()
 		if err != nil {
 			t.Fatal("discovery is not asked: ", err)
@@ -203,27 +210,11 @@
 // An agent that pushes lists is silent while discovery is down, and answers at once when it is not: a
 // call that it swallows is given up soon, and the next one follows, however many schedulers there are.
 func TestASilentAgentIsCalledAgainSoon(t *testing.T) {
-	set, err := settings.Parse([]byte(strings.Replace(testSettings, "on_request", "pushed", 1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	set.Module.Balancers = 300
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: set, Discovery: l.Addr().String()},
-		slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	done := make(chan error, 1)
-	go func() { done <- n.Run() }()
+	l, n, done := pushedTo(t, 300)
 	const calls = 5
 	began := time.Now()
 	for range calls {
-		l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+		l.SetDeadline(time.Now().Add(patience))
 		conn, err := l.Accept()
 		if err != nil {
 			t.Fatal("the agent is not called: ", err)
--- a/internal/scheduler/job_test.go
+++ b/internal/scheduler/job_test.go
@@ -11,9 +11,6 @@
 // zonesOf starts a scheduler of a fleet whose workers are dealt out to zones, of two kinds each.
 func zonesOf(t testing.TB, schedulers, workers, zones int) *Scheduler {
 	t.Helper()
-	if zones == 1 {
-		return fleetOf(t, schedulers, workers)
-	}
 	set, err := settings.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -7,29 +7,12 @@
 	"time"
 
 	"dahliaford"
-	"dahliaford/internal/settings"
 )
 
 // fleetOf starts a scheduler of a fleet.
 func fleetOf(t testing.TB, schedulers, workers int) *Scheduler {
 	t.Helper()
-	set, err := settings.Parse([]byte(testSettings))
-	if err != nil {
-		t.Fatal(err)
-	}
-	set.Module.Balancers = schedulers
-	s, err := New(set, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	list := WorkerList{Rev: 1, All: true}
-	for i := range workers {
-		r := line(fmt.Sprintf("r%d", i), dahliaford.Ready)
-		r.Kind = fmt.Sprintf("m%d", i%2)
-		list.Workers = append(list.Workers, r)
-	}
-	s.Step(1000*second, Began{Discovery: "d1", Known: list}, nil)
-	return s
+	return zonesOf(t, schedulers, workers, 1)
 }
 
 // jobs passes so many jobs through, each with all its events.
