--- /dev/null
+++ b/internal/emulator/emulator_test.go
@@ -0,0 +1,132 @@
+package emulator
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// short is the short form of a day.
+func short(day string) Options {
+	return Options{Workers: 200, Schedulers: 20, Rate: 80, For: 12 * time.Second, Task: time.Second, Day: day,
+		Seed: 1}
+}
+
+func play(t *testing.T, opt Options) *Report {
+	t.Helper()
+	r, err := Run(context.Background(), opt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// Each day breaks no rule, and is the same again with the same seed.
+func TestDays(t *testing.T) {
+	for _, day := range Days() {
+		t.Run(day, func(t *testing.T) {
+			t.Parallel()
+			r := play(t, short(day))
+			m := r.Model
+			if diff := cmp.Diff(m, play(t, short(day)).Model); diff != "" {
+				t.Errorf("the same seed gives another run: %s", diff)
+			}
+			if !r.OK() || m.Invalid > 0 {
+				t.Errorf("broken: %v, %d invalid; %s", m.Broken, m.Invalid, strings.Join(m.Findings, "\n"))
+			}
+			if m.Starts < m.Jobs/2 || m.Served < m.Jobs/4 || m.Checked < m.Requests-3 {
+				t.Errorf("%d jobs, %d starts, %d served; %d of %d checked", m.Jobs, m.Starts, m.Served, m.Checked,
+					m.Requests)
+			}
+			if m.Changes.Open > 0 || m.Changes.InForce.Max > 8000 {
+				t.Errorf("changes not in force in time: %+v", m.Changes)
+			}
+			befallen(t, m)
+		})
+	}
+}
+
+// befallen tells whether the day's troubles came about.
+func befallen(t *testing.T, m Model) {
+	t.Helper()
+	inZone := (m.Workers + Zones - 1) / Zones
+	schedulersInRegion := m.Schedulers / Regions
+	happened := map[string]bool{
+		"calm":      m.Changes.Words == 0 && m.Killed == 0 && m.Discovery.Lost == 0,
+		"zone":      m.Changes.Entries >= inZone && m.Killed > 0,
+		"region":    m.Discovery.Lost >= schedulersInRegion && m.Changes.Entries >= 2*(inZone-1)*ZonesInRegion,
+		"roll":      m.Changes.Entries >= 2*m.Workers*rolled/sizeOfDay,
+		"discovery": m.Discovery.Whole == m.Schedulers && m.Discovery.Lost >= m.Schedulers,
+		"storm":     m.Killed > 0 && m.Changes.Entries >= 2*rackSize,
+	}
+	if !happened[m.Day] {
+		t.Errorf("the day did not befall the fleet: %d killed, %+v, %+v", m.Killed, m.Changes, m.Discovery)
+	}
+}
+
+// Another seed is another run.
+func TestSeeds(t *testing.T) {
+	opt := short("calm")
+	opt.For = 2 * time.Second
+	a := play(t, opt)
+	if opt.Seed = 2; cmp.Equal(a.Model.TimeToStart, play(t, opt).Model.TimeToStart) {
+		t.Error("two seeds give the same run")
+	}
+}
+
+// A run that is no longer wanted ends, and says how far it came.
+func TestGivenUp(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	if _, err := Run(ctx, short("calm")); err == nil || !strings.Contains(err.Error(), "virtual time") {
+		t.Error(err)
+	}
+}
+
+func TestOptions(t *testing.T) {
+	for want, change := range map[string]func(*Options){
+		"workers":    func(o *Options) { o.Workers = 0 },
+		"schedulers": func(o *Options) { o.Schedulers = MostSchedulers + 1 },
+		"rate":       func(o *Options) { o.Rate = -1 },
+		"time":       func(o *Options) { o.For = 0 },
+		"task":       func(o *Options) { o.Task = time.Microsecond },
+		"day":        func(o *Options) { o.Day = "doom" },
+	} {
+		opt := short("calm")
+		change(&opt)
+		if _, err := Run(context.Background(), opt); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v", want, err)
+		}
+	}
+}
+
+// What each scheduler is told of its settings is what is meant.
+func TestSettings(t *testing.T) {
+	set, err := fleetSettings(short("calm"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	quota := 0.0
+	for _, tenant := range set.Module.Tenants {
+		quota += tenant.Quota
+	}
+	if len(set.Module.Tenants) != teams || quota < 1.29*80 || quota > 1.31*80 {
+		t.Errorf("%d teams with %v jobs a second", len(set.Module.Tenants), quota)
+	}
+	if !set.Module.Reports || !set.Module.TellsStart || !set.Module.MayCancel || !set.Module.MarksRepeats {
+		t.Errorf("%+v", set.Module)
+	}
+	part := 0.0
+	for _, c := range classes {
+		part += c.part
+	}
+	for _, g := range gangs {
+		part += g.part
+	}
+	if part < 1.999 || part > 2.001 || len(set.Zones) != Zones {
+		t.Errorf("the parts come to %v", part)
+	}
+}
--- a/internal/node/told.go
+++ b/internal/node/told.go
@@ -65,6 +65,18 @@
 	return nil
 }
 
+// look notes where nothing waits to be read, as every leave of an attempt does: who sends little would
+// otherwise take the next word for older than it is, and lose its trust sooner.
+func (t *told) look(now scheduler.Micros) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for tap := range t.taps {
+		if !tap.raw && tap.empty() {
+			tap.emptyAt = now
+		}
+	}
+}
+
 // next is closed when a word has been dealt with.
 func (t *told) next() <-chan struct{} {
 	t.mu.Lock()
@@ -170,7 +182,10 @@
 // deadline and the word together.
 func (p *tap) Read(b []byte) (n int, err error) {
 	p.told.mu.Lock()
-	p.raw = false
+	if p.raw { // its words may have been dealt with by now: who waits may look again
+		p.raw = false
+		p.told.signal()
+	}
 	p.told.mu.Unlock()
 	ready := false
 	take := func(fd uintptr) bool {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -20,6 +20,9 @@
 	// answerWithin is the longest that discovery may take to open a watch: a call
 	// that waits longer there fails.
 	answerWithin = 4 * time.Second
+	// agentWithin is the same where lists are pushed: the agent answers at once, or not before
+	// discovery is back. Then another call is better than to wait on with this one.
+	agentWithin = time.Second
 	// silentFor is the longest between two lines of a watch. One comes every 2 s, and
 	// what it has to tell counts as told 6 s later whether it arrives or not, so a
 	// dead watch must be found out, and a new one opened, well within these.
@@ -116,7 +119,7 @@
 
 // follow reads one watch until it ends.
 func (n *Node) follow(ctx context.Context, w scheduler.Watch, say func(scheduler.ListRead, *tap)) error {
-	dialer := net.Dialer{Deadline: time.Now().Add(answerWithin), KeepAlive: -1}
+	dialer := net.Dialer{Deadline: time.Now().Add(n.answerWithin), KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", w.Addr)
 	if err != nil {
 		return err
@@ -148,7 +151,7 @@
 	lines.Split(wholeLines)
 	for begun := false; lines.Scan(); {
 		if ctx.Err() == nil { // else the end of what has come is near
-			conn.SetReadDeadline(time.Now().Add(silentFor))
+			conn.SetReadDeadline(time.Now().Add(n.silentFor))
 		}
 		var t scheduler.WorkerList
 		if line := bytes.TrimSpace(lines.Bytes()); len(line) > 0 {
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -220,7 +220,7 @@
 
 func (n *Node) linkWrote(m wrote) error {
 	next, e := m.conn.Wrote(m.err != nil, errors.Is(m.err, syscall.ECONNREFUSED))
-	if end, is := e.(scheduler.Ended); is && (m.err == errLeaves || m.err == errUnheard) {
+	if end, is := e.(scheduler.Ended); is && (m.err == errLeaves || m.err == errUnheard || m.err == errNobody) {
 		n.log.Info("an attempt turned back", "txn", m.conn.id, "worker", m.conn.addr, "why", m.err)
 		end.Outcome = dahliaford.Moot // the worker is not at fault
 		e = end
@@ -338,8 +338,7 @@
 	defer n.post(ended{c})
 	defer c.release()
 	first := <-c.errands
-	dialer := net.Dialer{Deadline: n.at(first.writeBy), KeepAlive: -1}
-	conn, err := dialer.DialContext(c.ctx, "tcp", c.addr)
+	conn, err := c.connect(n.at(first.writeBy))
 	if err != nil {
 		n.post(wrote{c, err})
 		return
@@ -378,7 +377,75 @@
 	}
 }
 
-var errGivenUp = errors.New("given up before anything got out")
+const (
+	// secondAfter is the part of the time for a connect after which a second one is begun beside it.
+	secondAfter = 4
+	// mostSecond is how many second connects may stand at once: their descriptors are among the spare ones.
+	mostSecond = 8
+)
+
+// connect opens a connection by a time. Single connects come up late on some networks; a second one
+// beside such a one mostly does not. Whichever is up first is taken: nothing is sent on the other.
+func (c *workerConn) connect(by time.Time) (net.Conn, error) {
+	type end struct {
+		conn net.Conn
+		err  error
+	}
+	n := c.node
+	ctx, release := context.WithCancel(c.ctx)
+	defer release()
+	open := dial
+	if n.dial != nil {
+		open = n.dial
+	}
+	ends, begun := make(chan end, 2), 1
+	begin := func(ended func()) {
+		n.spawn(func() {
+			defer ended()
+			conn, err := open(ctx, c.addr, by)
+			ends <- end{conn, err}
+		})
+	}
+	begin(func() {})
+	second := time.NewTimer(time.Until(by) / secondAfter)
+	defer second.Stop()
+	for {
+		select {
+		case <-second.C:
+			if n.second.Add(1) > mostSecond {
+				n.second.Add(-1)
+			} else {
+				begun++
+				begin(func() { n.second.Add(-1) })
+			}
+		case e := <-ends:
+			if begun--; begun > 0 && os.IsTimeout(e.err) {
+				continue // the other one may be up
+			}
+			if begun > 0 {
+				n.spawn(func() {
+					if late := <-ends; late.conn != nil {
+						late.conn.Close()
+					}
+				})
+			}
+			return e.conn, e.err
+		}
+	}
+}
+
+// dialer opens a connection by a time.
+type dialer func(ctx context.Context, addr string, by time.Time) (net.Conn, error)
+
+func dial(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
+	d := net.Dialer{Deadline: by, KeepAlive: -1}
+	return d.DialContext(ctx, "tcp", addr)
+}
+
+var (
+	errGivenUp = errors.New("given up before anything got out")
+	errNobody  = errors.New("its client has left")
+)
 
 // write sends an errand. For an attempt the last look at what discovery has told comes with
 // the first byte in hand, and again for as long as none has left; a word that is not taken in
@@ -406,12 +473,15 @@
 				if held = n.told.may(e.uid, now); held == nil && now > e.writeBy {
 					held = os.ErrDeadlineExceeded
 				}
-				if held == nil && !c.ordered && !c.begin() {
-					held = errGivenUp
-				}
-				if held != nil {
-					return true
-				}
+			}
+			switch { // until the last byte is out nothing has begun
+			case held == nil && (e.payload.gone.Load() || c.cut.Load()):
+				held = errNobody
+			case held == nil && !c.ordered && !c.begin():
+				held = errGivenUp
+			}
+			if held != nil {
+				return true
 			}
 			var sent int
 			if sent, err = send(fd, text[out:]); err == syscall.EAGAIN {
@@ -421,7 +491,10 @@
 			return err != nil || out == len(text)
 		})
 		switch {
-		case held == errUnread:
+		case held == errNobody && out > 0:
+			c.cut.Store(true) // and what has left goes with the connection
+			return held
+		case held == errUnread || held == errNobody: // the loop is about to hear the same, and gives it up
 		case held != nil:
 			return held
 		case wait != nil:
@@ -434,7 +507,10 @@
 		case <-c.ctx.Done():
 			return errGivenUp
 		case <-time.After(time.Until(n.at(e.writeBy))):
-			return os.ErrDeadlineExceeded
+			if held != errNobody {
+				held = os.ErrDeadlineExceeded
+			}
+			return held
 		}
 	}
 }
--- a/state.go
+++ b/state.go
@@ -4,6 +4,9 @@
 	"cmp"
 	"math"
 	"slices"
+
+	"dahliaford/internal/bucket"
+	"dahliaford/internal/roster"
 )
 
 // The records that the module keeps, and their bookkeeping. Nothing here decides.
@@ -19,20 +22,26 @@
 	jobs    map[JobID]*job
 	held    []*job // on time by due, then the late by give-up
 	workers map[WorkerID]*worker
-	order   []*worker
-	part    []*worker // those that are this dispatcher's own, see settle
-	busy    []*worker // those with live attempts
-	touched []*worker // those of which peers may have to be told
-	reach   float64   // the part of the circle that a dispatcher covers
-	near    []int     // peers whose parts touch this one
-	here    float64   // its place on the circle
-	peers   []peer    // the dispatchers, by number
+	order   []*worker // by seat, those that are gone among them
+	part    []*worker // those that are this dispatcher's own, by seat, see settle
+	ready   roster.Roster[*worker]
+	outside []*worker  // ready ones that it claims and the interval lacks, by seat
+	gone    []departed // in order of time
+	named   []*worker  // by the present word: kept for its memory
+	lists   uint64     // words of the list so far
+	busy    []*worker  // those with live attempts
+	touched []*worker  // those of which peers may have to be told
+	reach   float64    // the part of the circle that a dispatcher covers
+	near    []int      // peers whose parts touch this one
+	here    float64    // its place on the circle
+	peers   []peer     // the dispatchers, by number
 	classes []classState
 	kinds   map[int]*kind
 	crowds  map[crowdKey]*crowd
 	slots   quantiles // run time x slots of all jobs
 	fleet   pace
 	best    float64 // fastest speed in this event; 0: not reckoned yet
+	fastest *worker // that had it when last reckoned
 	worth   float64 // mean worth of a job
 	hints   bool    // jobs come with cost hints
 	tokens  []float64
@@ -56,6 +65,22 @@
 	listedAt                    Micros // when discovery last said what there is, or nothing new; 0: never
 	logged                      Micros
 	panicking                   bool
+
+	turns    uint64 // events so far: marks what holds for one of them
+	walked   int    // workers up to which a part is walked: smallPart
+	index    *index // of a large part; nil: not needed yet
+	looked   uint64 // workers looked at for jobs
+	roomy    bool   // one of those looked at has room for one more slot
+	nowhere  uint64 // the event in which none of the part has
+	groups   [GroupCell + 1]map[int][]*worker
+	doubted  []*worker  // those that may be suspect or set aside
+	overdue  []*attempt // live, not begun
+	lateNow  []*attempt // the same in order, in the event lateTurn
+	lateTurn uint64
+	erring   struct { // workers of the part that fail jobs, in an event
+		turn uint64
+		n    float64
+	}
 }
 
 // New returns a dispatcher with the given settings. The seed decides all that
@@ -67,7 +92,7 @@
 	n := max(1, len(s.Tenants))
 	d := &Dispatcher{set: s, random: random(seed), jobs: map[JobID]*job{}, workers: map[WorkerID]*worker{},
 		classes: make([]classState, len(s.Classes)), kinds: map[int]*kind{}, crowds: map[crowdKey]*crowd{},
-		tokens: make([]float64, n), tokenAt: make([]Micros, n), retries: retryBurst,
+		tokens: make([]float64, n), tokenAt: make([]Micros, n), retries: retryBurst, walked: smallPart,
 		flows: make([]flow, n*len(s.Classes)*2), ranks: make([]int, len(s.Classes)*2)}
 	for i := range d.tokens {
 		d.tokens[i] = d.burst(i)
@@ -145,14 +170,25 @@
 	erredAt   Micros
 	lost      bool // the last try could not connect: cold when it is back
 	downUntil Micros
-	cold      Micros    // start of its warming, as far as known; 0: warm
-	budget    float64   // work that may go there now, while it is cold
-	budgetAt  Micros    // when that was so; 0: never reckoned
-	peers     []peerUse // what other dispatchers say that they have there
-	told      use       // what they were told last
-	touched   bool      // they may have to be told something
-	place     float64   // on the circle, see settle
-	tilt      float64   // small own preference, so that dispatchers spread
+	cold      Micros                 // start of its warming, as far as known; 0: warm
+	budget    float64                // work that may go there now, while it is cold
+	budgetAt  Micros                 // when that was so; 0: never reckoned
+	peers     []peerUse              // what other dispatchers say that they have there
+	told      use                    // what they were told last
+	touched   bool                   // they may have to be told something
+	seat      seat                   // as of the last settle
+	listed    bool                   // in the order
+	covered   bool                   // by the interval of the circle that is this dispatcher's
+	ours      bool                   // in its part
+	list      uint64                 // the last word that named it
+	place     float64                // on the circle, see placeOf
+	placedAt  uint64                 // the shifts of those it is among when that was reckoned; 0: never
+	among     *roster.Crowd[*worker] // the ready ones of its zone and kind; nil: it is not ready
+	tilt      float64                // small own preference, so that dispatchers spread
+	node      bucket.Node[*worker]
+	listing   uint64 // the index's last look at the part that had it
+	stirred   bool   // the index has it to reckon anew
+	doubted   bool   // it is among those that may be ill
 }
 
 // use is what a dispatcher has at a worker: slots taken and slots of jobs that wait.
@@ -211,24 +247,6 @@
 	j.held = false
 }
 
-// forget drops workers that have been gone for long.
-func (d *Dispatcher) forget() {
-	long := d.set.GoneFor()
-	d.order = slices.DeleteFunc(d.order, func(w *worker) bool {
-		switch {
-		case w.entry.Status != Gone:
-			w.gone = 0
-		case w.gone == 0:
-			w.gone = max(d.now, 1)
-		}
-		old := w.gone != 0 && d.now-w.gone >= long && len(w.live) == 0 && !w.touched
-		if old {
-			delete(d.workers, w.entry.Worker)
-		}
-		return old
-	})
-}
-
 // attempt finds the live attempt that an event is about, or nil.
 func (d *Dispatcher) attempt(e *Event) *attempt {
 	j := d.jobs[e.Job]
@@ -253,6 +271,7 @@
 func (d *Dispatcher) leave(a *attempt) {
 	a.live = false
 	a.job.live--
+	d.notOverdue(a)
 	w := a.worker
 	w.used -= a.job.slots
 	if a.started == 0 {
@@ -340,6 +359,7 @@
 
 // touch marks a worker of which peers may have to be told.
 func (d *Dispatcher) touch(w *worker) {
+	d.stir(w)
 	if d.set.MayTellPeers && d.set.Balancers > 1 && !w.touched {
 		w.touched = true
 		d.touched = append(d.touched, w)
@@ -370,9 +390,16 @@
 
 // anyAllowed tells whether rule 2 leaves a job any worker at all.
 func (d *Dispatcher) anyAllowed(j *job) bool {
-	for _, w := range d.order {
-		if w.entry.Status == Ready && d.mayRepeat(j, w) {
-			return true
+	from := d.order
+	keyed := d.set.Classes[j.class].Effect == Keyed
+	if keyed {
+		from, _ = d.candidates(j)
+	}
+	for _, w := range from {
+		if w.entry.Status == Ready {
+			if allowed := d.mayRepeat(j, w); allowed || !keyed {
+				return allowed // only a group makes a difference between workers
+			}
 		}
 	}
 	return false
