--- a/choice.go
+++ b/choice.go
@@ -1,6 +1,10 @@
 package dahliaford
 
-import "dahliaford/internal/bucket"
+import (
+	"slices"
+
+	"dahliaford/internal/bucket"
+)
 
 // The index of a large part: which workers place weighs for a job, and what it need not walk
 // for. What a worker costs is for dispatcher.go to say. docs/design-choice.md has the causes.
@@ -214,30 +218,16 @@
 	}
 }
 
-// ill counts the workers of the part that are suspect or set aside.
+// ill counts the workers of the part that are suspect or set aside, and forgets who is neither, or
+// no longer in the books.
 func (d *Dispatcher) ill() (n int) {
-	left := d.doubted[:0]
-	if len(d.doubted) > 0 && d.large() {
-		d.indexed()
-	}
-	for _, w := range d.doubted {
-		if w.doubted = w.suspect || d.now < w.downUntil; w.doubted {
-			left = append(left, w)
-			if d.large() && w.node.In() != nil {
-				n++
-			}
-		}
-	}
-	clear(d.doubted[len(left):])
-	d.doubted = left
-	if d.large() {
-		return n
-	}
-	for _, w := range d.part {
-		if w.suspect || d.now < w.downUntil {
+	d.doubted = slices.DeleteFunc(d.doubted, func(w *worker) bool {
+		w.doubted = (w.suspect || d.now < w.downUntil) && d.workers[w.entry.Worker] == w
+		if w.doubted && w.ours {
 			n++
 		}
-	}
+		return !w.doubted
+	})
 	return n
 }
 
--- a/choice_test.go
+++ b/choice_test.go
@@ -588,3 +588,26 @@
 		t.Errorf("all are well, and %d are in doubt", len(b.d.doubted))
 	}
 }
+
+// A worker that was never heard again is forgotten with the list, also among those that may be ill: a
+// fleet that is renewed under new names would fill the books.
+func TestTheIllThatAreGoneAreForgotten(t *testing.T) {
+	b := newBench(t, testSettings(), ready(1, 0), ready(2, 0))
+	w := b.d.workers[1]
+	w.suspect = true
+	b.d.doubt(w)
+	if n := b.d.ill(); n != 1 {
+		t.Fatalf("%d ill, want 1", n)
+	}
+	gone := ready(1, 0)
+	gone.Status = Gone
+	b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{gone}})
+	if n := b.d.ill(); n != 0 || len(b.d.doubted) != 1 {
+		t.Errorf("gone: %d ill, %d doubted", n, len(b.d.doubted))
+	}
+	b.now += b.d.set.GoneFor()
+	b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{ready(2, 0)}})
+	if n := b.d.ill(); n != 0 || len(b.d.doubted) != 0 {
+		t.Errorf("forgotten: %d ill, %d doubted", n, len(b.d.doubted))
+	}
+}
--- a/cmd/dahlialab/fit.go
+++ b/cmd/dahlialab/fit.go
@@ -118,7 +118,7 @@
 		}
 		fmt.Fprintf(w, "| %s, %s | %s | %d, ±%.0f%% | ", strings.ReplaceAll(s.name, "_", " "), s.unit,
 			strings.Join(at, "; "), runs, 50*r.Spread)
-		if errors.Is(err, fit.Few) {
+		if errors.Is(err, fit.ErrTooFew) {
 			fmt.Fprintf(w, "%d sizes, not told | | |\n", len(r.Points))
 			continue
 		}
--- a/internal/fit/fit.go
+++ b/internal/fit/fit.go
@@ -64,18 +64,18 @@
 // LeastSizes is how many sizes it takes to tell laws apart.
 const LeastSizes = 5
 
-// Few is the error of a series of fewer sizes.
-var Few = errors.New("too few sizes to tell how it grows")
+// ErrTooFew is the error of a series of fewer sizes.
+var ErrTooFew = errors.New("too few sizes to tell how it grows")
 
 // Of fits all laws to points, by least squares of the residuals as parts of what was measured, so that
-// small sizes count as much as large ones. With fewer than LeastSizes sizes the error is Few.
+// small sizes count as much as large ones. With fewer than LeastSizes sizes the error is ErrTooFew.
 func Of(points []Point) (r Result, err error) {
 	r.Points = slices.SortedFunc(slices.Values(points), func(a, b Point) int { return cmp.Compare(a.N, b.N) })
 	for _, p := range r.Points {
 		r.Spread = max(r.Spread, p.spread())
 	}
 	if len(r.Points) < LeastSizes {
-		return r, Few
+		return r, ErrTooFew
 	}
 	ys, weights := make([]float64, len(r.Points)), make([]float64, len(r.Points))
 	for i, p := range r.Points {
--- a/internal/fit/fit_test.go
+++ b/internal/fit/fit_test.go
@@ -52,7 +52,7 @@
 // Two sizes fit any law, so they show none.
 func TestFewSizes(t *testing.T) {
 	ps := pointsOf(0, func(n float64) float64 { return n })
-	if r, err := Of(ps[:LeastSizes-1]); !errors.Is(err, Few) || len(r.Curves) != 0 {
+	if r, err := Of(ps[:LeastSizes-1]); !errors.Is(err, ErrTooFew) || len(r.Curves) != 0 {
 		t.Errorf("%+v, %v", r, err)
 	}
 	if _, err := Of(ps[:LeastSizes]); err != nil {
--- a/internal/node/told.go
+++ b/internal/node/told.go
@@ -57,10 +57,9 @@
 		return errUnread
 	}
 	for tap := range t.taps {
-		if tap.raw || !tap.empty() {
+		if !tap.clear(now) {
 			return errUnread
 		}
-		tap.emptyAt = now
 	}
 	return nil
 }
@@ -71,9 +70,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for tap := range t.taps {
-		if !tap.raw && tap.empty() {
-			tap.emptyAt = now
-		}
+		tap.clear(now)
 	}
 }
 
@@ -222,6 +219,16 @@
 	return p.emptyAt
 }
 
+// clear tells whether nothing of its watch waits to be taken in, and notes when that was so. The
+// lock of told is held.
+func (p *tap) clear(now scheduler.Micros) bool {
+	if p.raw || !p.empty() {
+		return false
+	}
+	p.emptyAt = now
+	return true
+}
+
 // empty tells whether nothing lies in the socket: not a byte, nor its end.
 func (p *tap) empty() bool {
 	var one [1]byte
