--- a/desk/alive_other.go
+++ b/client/alive_other.go
@@ -1,6 +1,6 @@
 //go:build !unix
 
-package desk
+package client
 
 import "net"
 
--- a/desk/bench_test.go
+++ b/client/bench_test.go
@@ -1,4 +1,4 @@
-package desk
+package client
 
 import (
 	"io"
--- a/desk/conn.go
+++ b/client/conn.go
@@ -1,4 +1,4 @@
-package desk
+package client
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/time/rate"
 
-	"dahliaford/desk/internal/plan"
+	"dahliaford/client/internal/plan"
 	"dahliaford/internal/http1"
 )
 
--- a/desk/desk.go
+++ b/client/desk.go
@@ -1,8 +1,8 @@
-// Package desk is the client library for dispatch desks: it hands jobs in to the schedulers
+// Package client is the client library for dispatch desks: it hands jobs in to the schedulers
 // of dahliaford and waits for their ends. It keeps a job's deadline over all tries, marks
 // retries as retries, honours refusals, repeats nothing that its class does not allow, and
 // bounds what retries may add to the load.
-package desk
+package client
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"dahliaford/desk/internal/plan"
+	"dahliaford/client/internal/plan"
 )
 
 // Effect says what a class of jobs allows once a try may have run.
--- a/desk/desk_test.go
+++ b/client/desk_test.go
@@ -1,4 +1,4 @@
-package desk
+package client
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/history"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/record"
-	"dahliaford/internal/rig"
-	"dahliaford/internal/standin"
+	"dahliaford/internal/testcluster"
 )
 
 // scripted is a scheduler that answers each request with the bytes that a test says, and
@@ -317,27 +317,27 @@
 	runs := map[string]int{}
 	var addr atomic.Value
 	addr.Store("127.0.0.1:1")
-	worker, err := standin.NewWorker("s-1", "127.0.0.1:0", func() string { return addr.Load().(string) },
-		func(j standin.Job) standin.Plan {
+	worker, err := fakes.NewWorker("s-1", "127.0.0.1:0", func() string { return addr.Load().(string) },
+		func(j fakes.Job) fakes.Plan {
 			mu.Lock()
 			defer mu.Unlock()
 			runs[string(j.Body)]++
 			if len(runs)%7 == 0 {
-				return standin.Plan{Status: 500}
+				return fakes.Plan{Status: 500}
 			}
-			return standin.Plan{Run: time.Millisecond}
-		}, func(record.Event) {})
+			return fakes.Plan{Run: time.Millisecond}
+		}, func(history.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	discovery, err := standin.NewDiscovery("127.0.0.1:0", standin.Line{UID: "s-1", Endpoint: worker.Addr(),
+	discovery, err := fakes.NewDiscovery("127.0.0.1:0", fakes.Line{UID: "s-1", Endpoint: worker.Addr(),
 		Zone: "north", Model: "m1", State: "ready"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer discovery.Close()
-	p, err := rig.Start(bin, t.TempDir(), "n0", discovery.Addr())
+	p, err := testcluster.Start(bin, t.TempDir(), "n0", discovery.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/desk/hard_test.go
+++ b/client/hard_test.go
@@ -1,4 +1,4 @@
-package desk
+package client
 
 import (
 	"fmt"
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"dahliaford/desk/internal/plan"
+	"dahliaford/client/internal/plan"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/rig"
+	"dahliaford/internal/testcluster"
 )
 
 // program is the real scheduler, built once for all tests.
@@ -41,13 +41,13 @@
 	os.Exit(status)
 }
 
-func fleet(t *testing.T, schedulers int) *rig.Fleet {
+func fleet(t *testing.T, schedulers int) *testcluster.Fleet {
 	t.Helper()
 	bin, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := rig.StartFleet(bin, t.TempDir(), schedulers, 4, 1, false)
+	f, err := testcluster.StartFleet(bin, t.TempDir(), schedulers, 4, 1, false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/desk/internal/plan/world_test.go
+++ b/client/internal/plan/world_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dahliaford/internal/explore"
+	"dahliaford/internal/modelcheck"
 )
 
 // world is one desk with a few jobs, two schedulers and a network that loses: the plan that
@@ -311,7 +311,7 @@
 		two := newWorld(class, 2)
 		two.left = 2
 		for _, w := range []*world{one, two} {
-			tour := explore.Exhaust(w, 3_000_000)
+			tour := modelcheck.Exhaust(w, 3_000_000)
 			if tour.Broken != nil || !tour.Exhausted || tour.States < 1000 {
 				t.Errorf("%s, %d jobs: %v, %v, by %q", name, len(w.jobs), tour, tour.Broken, tour.Path)
 			}
@@ -342,7 +342,7 @@
 			}
 			return p
 		}
-		if tour := explore.Exhaust(w, 3_000_000); tour.Broken == nil {
+		if tour := modelcheck.Exhaust(w, 3_000_000); tour.Broken == nil {
 			t.Errorf("class %d, %v taken for %v: not found, %v", c.class, c.was, c.taken, tour)
 		} else {
 			t.Logf("%v, by %q", tour.Broken, tour.Path)
--- a/desk/observer.go
+++ b/client/observer.go
@@ -1,9 +1,9 @@
-package desk
+package client
 
 import (
 	"time"
 
-	"dahliaford/desk/internal/plan"
+	"dahliaford/client/internal/plan"
 )
 
 // Observer is told what a client does, for counters and histograms. Its methods must be
--- a/desk/prom/example_test.go
+++ b/client/prom/example_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"dahliaford/desk"
-	"dahliaford/desk/prom"
+	"dahliaford/client"
+	"dahliaford/client/prom"
 )
 
 // A client whose counters are registered with Prometheus.
@@ -17,9 +17,9 @@
 		fmt.Println(err)
 		return
 	}
-	client, err := desk.New(desk.Config{
+	client, err := client.New(client.Config{
 		Schedulers: []string{"127.0.0.1:8443"},
-		Classes:    map[string]desk.Class{"look": {Deadline: time.Second, Effect: desk.Safe}},
+		Classes:    map[string]client.Class{"look": {Deadline: time.Second, Effect: client.Safe}},
 		Observer:   observer,
 	})
 	if err != nil {
--- a/desk/prom/prom.go
+++ b/client/prom/prom.go
@@ -6,7 +6,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"dahliaford/desk"
+	"dahliaford/client"
 )
 
 // Observer is a desk.Observer whose counters and histograms are registered with Prometheus.
@@ -19,7 +19,7 @@
 	throttled prometheus.Counter
 }
 
-var _ desk.Observer = (*Observer)(nil)
+var _ client.Observer = (*Observer)(nil)
 
 // New registers the metrics of one client, or of several that share them. The error is the
 // registerer's: two observers cannot be registered at one place.
--- a/desk/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -12,8 +12,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/testutil"
 
-	"dahliaford/desk"
-	"dahliaford/desk/prom"
+	"dahliaford/client"
+	"dahliaford/client/prom"
 )
 
 // What a client does shows in its counters: a refusal, a retry, a result, and one job that
@@ -36,13 +36,13 @@
 		t.Error("registered twice")
 	}
 	do := func(addr string, want string) {
-		c, err := desk.New(desk.Config{Schedulers: []string{addr}, Observer: o, Budget: -1,
-			Classes: map[string]desk.Class{"a": {Deadline: 100 * time.Millisecond, Effect: desk.Once}}})
+		c, err := client.New(client.Config{Schedulers: []string{addr}, Observer: o, Budget: -1,
+			Classes: map[string]client.Class{"a": {Deadline: 100 * time.Millisecond, Effect: client.Once}}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if _, err = c.Do(t.Context(), desk.Job{Class: "a"}); desk.Verdict(err) != want {
+		if _, err = c.Do(t.Context(), client.Job{Class: "a"}); client.Verdict(err) != want {
 			t.Fatalf("%v, want %s", err, want)
 		}
 	}
--- a/desk/race_off_test.go
+++ b/client/race_off_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package desk
+package client
 
 const mostCallers = 10_000
--- a/desk/race_on_test.go
+++ b/client/race_on_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package desk
+package client
 
 // The race detector knows no more than 8,128 goroutines.
 const mostCallers = 5_000
--- a/cmd/dahliaford/send.go
+++ b/cmd/dahliaford/send.go
@@ -17,7 +17,7 @@
 	"text/tabwriter"
 	"time"
 
-	"dahliaford/desk"
+	"dahliaford/client"
 )
 
 type sendCmd struct {
@@ -67,28 +67,28 @@
 	if err != nil {
 		return err
 	}
-	client, err := newClient(cfg, c.Class)
+	jobClient, err := newClient(cfg, c.Class)
 	if err != nil {
 		return err
 	}
-	defer client.Close()
-	r, err := client.Do(ctx, desk.Job{Class: c.Class, Tenant: c.Tenant, Object: c.Object, Key: c.Key,
+	defer jobClient.Close()
+	r, err := jobClient.Do(ctx, client.Job{Class: c.Class, Tenant: c.Tenant, Object: c.Object, Key: c.Key,
 		Body: body, Deadline: c.deadline("")})
 	if err != nil {
-		return exit{status(desk.Verdict(err)), sentence(err)}
+		return exit{status(client.Verdict(err)), sentence(err)}
 	}
 	_, err = s.out.Write(r.Body)
 	return err
 }
 
 // config is the desk's configuration, as the file and the arguments say.
-func (c *sendCmd) config() (cfg desk.Config, err error) {
+func (c *sendCmd) config() (cfg client.Config, err error) {
 	if c.Desk != "" {
 		raw, err := readFile(c.Desk, mostFile)
 		if err != nil {
 			return cfg, misuse("--desk: %v", err)
 		}
-		if cfg, err = desk.ParseConfig(raw); err != nil {
+		if cfg, err = client.ParseConfig(raw); err != nil {
 			return cfg, misuse("%s: %v", c.Desk, err)
 		}
 	}
@@ -103,14 +103,14 @@
 
 // newClient makes the client. Without a file nobody knows what the classes allow: then their
 // jobs are never repeated once they may have run.
-func newClient(cfg desk.Config, classes ...string) (*desk.Client, error) {
+func newClient(cfg client.Config, classes ...string) (*client.Client, error) {
 	if cfg.Classes == nil {
-		cfg.Classes = map[string]desk.Class{}
+		cfg.Classes = map[string]client.Class{}
 		for _, name := range classes {
-			cfg.Classes[name] = desk.Class{Deadline: withoutFile, Effect: desk.Once}
+			cfg.Classes[name] = client.Class{Deadline: withoutFile, Effect: client.Once}
 		}
 	}
-	c, err := desk.New(cfg)
+	c, err := client.New(cfg)
 	if err != nil {
 		return nil, misuse("%v", err)
 	}
@@ -120,9 +120,9 @@
 func (c *sendCmd) body(in io.Reader) ([]byte, error) {
 	switch {
 	case c.Data == "-":
-		return limited(in, "standard input", desk.MostBody)
+		return limited(in, "standard input", client.MostBody)
 	case strings.HasPrefix(c.Data, "@"):
-		b, err := readFile(c.Data[1:], desk.MostBody)
+		b, err := readFile(c.Data[1:], client.MostBody)
 		if err != nil {
 			return nil, misuse("--data: %v", err)
 		}
@@ -175,7 +175,7 @@
 
 // sentence says how a job ended, and when to come back where that is known.
 func sentence(err error) string {
-	var r *desk.Refused
+	var r *client.Refused
 	if errors.As(err, &r) {
 		if wait := time.Until(r.After); wait > 0 {
 			return fmt.Sprintf("%v; come back in %v", err, wait.Round(10*time.Millisecond))
@@ -247,7 +247,7 @@
 
 // sendFile hands in the jobs of a file. Nothing is sent before the whole file has been
 // understood: half a batch is worse than none.
-func (c *sendCmd) sendFile(ctx context.Context, cfg desk.Config, s *streams) error {
+func (c *sendCmd) sendFile(ctx context.Context, cfg client.Config, s *streams) error {
 	f, err := os.Open(c.Jobs)
 	if err != nil {
 		return misuse("--jobs: %v", err)
@@ -270,11 +270,11 @@
 	if _, err := f.Seek(0, io.SeekStart); err != nil {
 		return misuse("--jobs: %v", err)
 	}
-	client, err := newClient(cfg, classes...)
+	jobClient, err := newClient(cfg, classes...)
 	if err != nil {
 		return err
 	}
-	defer client.Close()
+	defer jobClient.Close()
 	t := newTally(s, total)
 	jobs := make(chan func(), 0)
 	var workers sync.WaitGroup
@@ -291,9 +291,9 @@
 			if tenant == "" {
 				tenant = c.Tenant
 			}
-			r, err := client.Do(ctx, desk.Job{Class: j.Class, Tenant: tenant, Object: j.Object, Key: j.Key,
+			r, err := jobClient.Do(ctx, client.Job{Class: j.Class, Tenant: tenant, Object: j.Object, Key: j.Key,
 				Body: []byte(j.Data), Slots: j.Slots, Deadline: c.deadline(j.Within)})
-			e := ended{Line: n, Class: j.Class, Outcome: desk.Verdict(err)}
+			e := ended{Line: n, Class: j.Class, Outcome: client.Verdict(err)}
 			if err != nil {
 				e.Error = sentence(err)
 			} else {
--- a/cmd/dahliaford/store.go
+++ b/cmd/dahliaford/store.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dahliaford/internal/store"
-	"dahliaford/internal/store/life"
+	"dahliaford/internal/store/lifecycle"
 )
 
 type storeCmd struct {
@@ -55,7 +55,7 @@
 		return fmt.Errorf("item %q: %w", c.ID, err)
 	}
 	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	line := func(at life.Micros, format string, args ...any) {
+	line := func(at lifecycle.Micros, format string, args ...any) {
 		fmt.Fprintf(t, "%s\t%s\n", time.UnixMicro(int64(at)).UTC().Format("2006-01-02 15:04:05.000000"),
 			fmt.Sprintf(format, args...))
 	}
@@ -63,11 +63,11 @@
 		len(it.Body), time.UnixMicro(int64(it.Deadline)).UTC().Format("2006-01-02 15:04:05.000"))
 	for i, a := range it.Attempts {
 		line(a.At, "attempt %d: routed to %s, rack %s", i+1, a.Region, a.Rack)
-		if a.What != life.Open {
+		if a.What != lifecycle.Open {
 			line(a.Ended, "attempt %d: %v", i+1, a.What)
 		}
 	}
-	if it.Verdict != life.None {
+	if it.Verdict != lifecycle.None {
 		line(it.Answered, "answered: %v, %d bytes, kept until %s", it.Verdict, len(it.Result),
 			time.UnixMicro(int64(it.Keep)).UTC().Format("2006-01-02 15:04:05.000"))
 	} else if it.Outstanding() {
--- a/cmd/dahliaford/store_test.go
+++ b/cmd/dahliaford/store_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"dahliaford/internal/store"
-	"dahliaford/internal/store/life"
+	"dahliaford/internal/store/lifecycle"
 )
 
 // The commands as somebody on call would use them: check, show, back up, restore, compact;
@@ -31,18 +31,18 @@
 			t.Fatal(err)
 		}
 	}
-	it := &life.Item{ID: "a1", Class: "post-reading", Tenant: "sahel", Body: []byte("4211"),
+	it := &lifecycle.Item{ID: "a1", Class: "post-reading", Tenant: "sahel", Body: []byte("4211"),
 		Accepted: 1_000_000, Deadline: 9_000_000}
 	put(s.Accept, store.Change{Item: it})
-	for _, e := range []life.Event{{Kind: life.Routed, At: 2_000_000, Region: "s-1", Rack: "north/0"},
-		{Kind: life.Ended, At: 3_000_000, What: life.MayHave},
-		{Kind: life.Answered, At: 4_000_000, Verdict: life.Failed, Keep: 8_000_000}} {
+	for _, e := range []lifecycle.Event{{Kind: lifecycle.Routed, At: 2_000_000, Region: "s-1", Rack: "north/0"},
+		{Kind: lifecycle.Ended, At: 3_000_000, What: lifecycle.MayHave},
+		{Kind: lifecycle.Answered, At: 4_000_000, Verdict: lifecycle.Failed, Keep: 8_000_000}} {
 		if err := it.Apply(e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	put(s.Update, store.Change{Item: it})
-	wrong := &life.Item{ID: "b2", Attempts: []life.Attempt{{At: 5, What: life.MayHave}, {At: 6}}, Deadline: 9}
+	wrong := &lifecycle.Item{ID: "b2", Attempts: []lifecycle.Attempt{{At: 5, What: lifecycle.MayHave}, {At: 6}}, Deadline: 9}
 	put(s.Accept, store.Change{Item: wrong})
 
 	call := func(args ...string) (int, string, string) {
--- a/cmd/dahlialab/attempt.go
+++ b/cmd/schedbench/attempt.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"dahliaford/internal/rig"
+	"dahliaford/internal/testcluster"
 )
 
 // onProgram is a drill that runs the real program: in a folder of its own, for as long as the
@@ -35,7 +35,7 @@
 func attempts(bin, _ string, span time.Duration, seed uint64, say sayer) (*report, error) {
 	const rate = 80.0
 	say("handing in %.0f jobs a second for %v", rate, span.Round(time.Second))
-	o, err := rig.RunAttempts(context.Background(), rig.Attempts{Bin: bin, For: span, Seed: seed, Rate: rate})
+	o, err := testcluster.RunAttempts(context.Background(), testcluster.Attempts{Bin: bin, For: span, Seed: seed, Rate: rate})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/dahlialab/desks.go
+++ b/cmd/schedbench/desks.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"dahliaford/desk"
-	"dahliaford/internal/rig"
-	"dahliaford/internal/standin"
+	"dahliaford/client"
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/testcluster"
 )
 
 // The drill of the client library: 200 desks of each of three kinds, each kind at six
@@ -34,19 +34,19 @@
 type deskClass struct {
 	name          string
 	aim, deadline time.Duration
-	effect        desk.Effect
+	effect        client.Effect
 }
 
-var deskClasses = []deskClass{{"post-reading", time.Second, 2 * time.Second, desk.Once},
-	{"district-batch", 2 * time.Second, 4 * time.Second, desk.Rack}}
+var deskClasses = []deskClass{{"post-reading", time.Second, 2 * time.Second, client.Once},
+	{"district-batch", 2 * time.Second, 4 * time.Second, client.Rack}}
 
 // deskRun is one kind of desk at its own fleet, and what came of its jobs.
 type deskRun struct {
 	name  string
-	fleet *rig.Fleet
+	fleet *testcluster.Fleet
 	began time.Time
 	// submit hands a job in at a desk, and tells how it ended.
-	submit func(desk int, s standin.Submission) (verdict string)
+	submit func(desk int, s fakes.Submission) (verdict string)
 	close  func()
 
 	tries  atomic.Int64
@@ -87,23 +87,23 @@
 
 // library makes the desks of the library.
 func (r *deskRun) library(seed uint64) error {
-	classes := map[string]desk.Class{}
+	classes := map[string]client.Class{}
 	for _, c := range deskClasses {
-		classes[c.name] = desk.Class{Deadline: c.deadline, Effect: c.effect}
+		classes[c.name] = client.Class{Deadline: c.deadline, Effect: c.effect}
 	}
-	var clients []*desk.Client
+	var clients []*client.Client
 	for i := range deskCount {
-		c, err := desk.New(desk.Config{Schedulers: r.fleet.Schedulers(), Tenant: "sahel", Classes: classes,
+		c, err := client.New(client.Config{Schedulers: r.fleet.Schedulers(), Tenant: "sahel", Classes: classes,
 			Seed: seed<<16 + uint64(i) + 1, Observer: r})
 		if err != nil {
 			return err
 		}
 		clients = append(clients, c)
 	}
-	r.submit = func(i int, s standin.Submission) string {
-		_, err := clients[i].Do(context.Background(), desk.Job{Class: s.Class, Object: s.ID, Key: s.Key,
+	r.submit = func(i int, s fakes.Submission) string {
+		_, err := clients[i].Do(context.Background(), client.Job{Class: s.Class, Object: s.ID, Key: s.Key,
 			Body: s.Body, Deadline: s.Deadline})
-		return desk.Verdict(err)
+		return client.Verdict(err)
 	}
 	r.close = func() {
 		for _, c := range clients {
@@ -115,11 +115,11 @@
 
 // plain makes desks as they were, with a first wait before a retry, or none.
 func (r *deskRun) plain(backoff time.Duration) {
-	var clients []*standin.Plain
+	var clients []*fakes.Plain
 	for range deskCount {
-		clients = append(clients, standin.NewPlain(r.fleet.Schedulers(), backoff, r.dialled))
+		clients = append(clients, fakes.NewPlain(r.fleet.Schedulers(), backoff, r.dialled))
 	}
-	r.submit = func(i int, s standin.Submission) string {
+	r.submit = func(i int, s fakes.Submission) string {
 		served, tries := clients[i].Submit(s)
 		r.tries.Add(int64(tries))
 		if served {
@@ -151,9 +151,9 @@
 				c := deskClasses[random.IntN(len(deskClasses))]
 				id := fmt.Sprintf("%d-%d", i, n)
 				name := r.fleet.Mark() + id
-				s := standin.Submission{ID: id, Class: c.name, Tenant: "sahel", Body: []byte(name),
+				s := fakes.Submission{ID: id, Class: c.name, Tenant: "sahel", Body: []byte(name),
 					Deadline: time.Now().Add(c.deadline)}
-				if c.effect == desk.Rack {
+				if c.effect == client.Rack {
 					s.Key = name
 				}
 				open.Go(func() { r.one(i, c, s) })
@@ -163,7 +163,7 @@
 	all.Wait()
 }
 
-func (r *deskRun) one(i int, c deskClass, s standin.Submission) {
+func (r *deskRun) one(i int, c deskClass, s fakes.Submission) {
 	r.mu.Lock()
 	r.jobs++
 	r.mu.Unlock()
@@ -209,8 +209,8 @@
 
 // shrink takes schedulers away within a sixth of the span (10 s of a minute), every other
 // one without a word, and brings them back after a while.
-func shrink(ctx context.Context, f *rig.Fleet, span time.Duration) error {
-	rest := func(d time.Duration) bool { return rig.Rest(ctx, d) }
+func shrink(ctx context.Context, f *testcluster.Fleet, span time.Duration) error {
+	rest := func(d time.Duration) bool { return testcluster.Rest(ctx, d) }
 	gone := deskSchedulers - deskLeft
 	step := span / 6 / time.Duration(gone)
 	if !rest(span / 4) {
@@ -256,7 +256,7 @@
 		if err := os.Mkdir(own, 0o777); err != nil {
 			return nil, err
 		}
-		f, err := rig.StartFleet(bin, own, deskSchedulers, deskWorkers, seed, k == 3)
+		f, err := testcluster.StartFleet(bin, own, deskSchedulers, deskWorkers, seed, k == 3)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/dahlialab/disk.go
+++ b/cmd/schedbench/disk.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"dahliaford/internal/store"
-	"dahliaford/internal/store/life"
+	"dahliaford/internal/store/lifecycle"
 )
 
 // keepCmd is the process that the drill disk kills: it takes items through their lives, and
@@ -28,12 +28,12 @@
 )
 
 // stepsOf is how far a record has come in an item's life.
-func stepsOf(it *life.Item) int {
+func stepsOf(it *lifecycle.Item) int {
 	steps := 1 + len(it.Attempts)
 	if len(it.Attempts) > 0 && !it.Outstanding() {
 		steps++
 	}
-	if it.Verdict != life.None {
+	if it.Verdict != lifecycle.None {
 		steps++
 	}
 	return steps
@@ -51,16 +51,16 @@
 		all.Go(func() {
 			done := make(chan error, 1)
 			for n := c.From + k; ; n += keepers {
-				it := &life.Item{ID: fmt.Sprint(n), Class: "post-reading", Body: make([]byte, 200), Deadline: 1 << 60}
+				it := &lifecycle.Item{ID: fmt.Sprint(n), Class: "post-reading", Body: make([]byte, 200), Deadline: 1 << 60}
 				for step := 1; step <= lifeSteps; step++ {
 					var err error
 					switch step {
 					case 2:
-						err = it.Apply(life.Event{Kind: life.Routed, At: 1, Region: "s-1"})
+						err = it.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 1, Region: "s-1"})
 					case 3:
-						err = it.Apply(life.Event{Kind: life.Ended, At: 2, What: life.Done, Result: it.Body})
+						err = it.Apply(lifecycle.Event{Kind: lifecycle.Ended, At: 2, What: lifecycle.Done, Result: it.Body})
 					case 4:
-						err = it.Apply(life.Event{Kind: life.Answered, At: 3, Verdict: life.Served, Keep: 1 << 60})
+						err = it.Apply(lifecycle.Event{Kind: lifecycle.Answered, At: 3, Verdict: lifecycle.Served, Keep: 1 << 60})
 					}
 					change := store.Change{Item: it, Done: func(err error) { done <- err }}
 					if put := s.Update; err == nil {
@@ -132,7 +132,7 @@
 			return nil, fmt.Errorf("after kill %d: %w", kills, err)
 		}
 		held := map[int]int{}
-		err = r.Each(func(id string, it *life.Item, fault error) error {
+		err = r.Each(func(id string, it *lifecycle.Item, fault error) error {
 			var n int
 			if _, err := fmt.Sscan(id, &n); fault != nil || err != nil {
 				broken++
--- a/cmd/dahlialab/explore.go
+++ b/cmd/schedbench/explore.go
@@ -14,7 +14,7 @@
 
 	"github.com/mattn/go-isatty"
 
-	"dahliaford/internal/explore"
+	"dahliaford/internal/modelcheck"
 )
 
 type exploreCmd struct {
@@ -71,7 +71,7 @@
 	}
 	defer cancel()
 	began := time.Now()
-	opt := explore.Options{Parallel: c.Parallel, Replay: c.Engine == "replay"}
+	opt := modelcheck.Options{Parallel: c.Parallel, Replay: c.Engine == "replay"}
 	tty := isatty.IsTerminal(os.Stderr.Fd())
 	if tty {
 		opt.Seen = func(states, steps int64) {
@@ -79,24 +79,24 @@
 				time.Since(began).Seconds())
 		}
 	}
-	var r *explore.Result
+	var r *modelcheck.Result
 	var err error
-	var cfg *explore.Config
+	var cfg *modelcheck.Config
 	if c.Walk {
-		if cfg = explore.Large(); strings.HasPrefix(c.World, cfg.Name+"-") {
-			if cfg, err = explore.ByName(c.World); err != nil {
+		if cfg = modelcheck.Large(); strings.HasPrefix(c.World, cfg.Name+"-") {
+			if cfg, err = modelcheck.ByName(c.World); err != nil {
 				return misuse("%v", err)
 			}
 		}
-		r, err = explore.Walk(ctx, cfg, c.Seed, opt)
+		r, err = modelcheck.Walk(ctx, cfg, c.Seed, opt)
 	} else {
-		if cfg, err = explore.ByName(c.World); err != nil {
+		if cfg, err = modelcheck.ByName(c.World); err != nil {
 			return misuse("%v", err)
 		}
 		if cfg, err = cfg.With(c.Requests, c.Workers, c.Faults); err != nil {
 			return misuse("%v", err)
 		}
-		r, err = explore.Search(ctx, cfg, opt)
+		r, err = modelcheck.Search(ctx, cfg, opt)
 	}
 	if tty {
 		fmt.Fprintln(os.Stderr)
@@ -108,7 +108,7 @@
 }
 
 // tell prints the outcome: a table, and then the summary.
-func (c *exploreCmd) tell(out io.Writer, cfg *explore.Config, r *explore.Result, took time.Duration) error {
+func (c *exploreCmd) tell(out io.Writer, cfg *modelcheck.Config, r *modelcheck.Result, took time.Duration) error {
 	s := summary{World: r.World, States: r.States, Transitions: r.Transitions, Depth: r.Depth,
 		Exhausted: r.Exhausted,
 		Seconds:   took.Seconds(), PerSecond: float64(r.States) / took.Seconds()}
@@ -125,7 +125,7 @@
 	}
 	if r.Broken != nil {
 		s.Violations, s.Property = 1, r.Broken.Property.String()
-		trace := explore.NewTrace(cfg, r.Path, r.Broken)
+		trace := modelcheck.NewTrace(cfg, r.Path, r.Broken)
 		raw, err := json.MarshalIndent(trace, "", "  ")
 		if err != nil {
 			return err
@@ -153,11 +153,11 @@
 
 func list(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, c := range append(explore.Worlds(), explore.Large()) {
+	for _, c := range append(modelcheck.Worlds(), modelcheck.Large()) {
 		fmt.Fprintf(table, "%s\t%s\n", c.Name, c.About)
 	}
 	fmt.Fprintln(table)
-	for i, p := range explore.Properties() {
+	for i, p := range modelcheck.Properties() {
 		fmt.Fprintf(table, "%d %s\t%s\n", i+1, p, p.About())
 	}
 	return table.Flush()
@@ -169,7 +169,7 @@
 	if err != nil {
 		return misuse("%v", err)
 	}
-	trace, err := explore.ReadTrace(raw)
+	trace, err := modelcheck.ReadTrace(raw)
 	if err != nil {
 		return misuse("%s: %v", path, err)
 	}
--- a/cmd/dahlialab/fit.go
+++ b/cmd/schedbench/fit.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"dahliaford/internal/fit"
+	"dahliaford/internal/regression"
 )
 
 type fitCmd struct {
@@ -53,7 +53,7 @@
 // series is one figure of one benchmark, by size.
 type series struct {
 	name, unit string
-	points     []fit.Point
+	points     []regression.Point
 }
 
 // sized finds the size in a benchmark's name: the last number that a word follows.
@@ -99,17 +99,17 @@
 				return all
 			}
 		}
-		s.points = append(s.points, fit.Point{N: n, Values: []float64{v}})
+		s.points = append(s.points, regression.Point{N: n, Values: []float64{v}})
 		return all
 	}
-	return append(all, &series{name, unit, []fit.Point{{N: n, Values: []float64{v}}}})
+	return append(all, &series{name, unit, []regression.Point{{N: n, Values: []float64{v}}}})
 }
 
 func printFits(w io.Writer, all []*series) {
 	fmt.Fprintln(w, "| figure | at the sizes | runs, spread | grows as | base + rate x law | "+
 		"worst residual n, n log n, n² |\n| --- | --- | --- | --- | --- | --- |")
 	for _, s := range all {
-		r, err := fit.Of(s.points)
+		r, err := regression.Of(s.points)
 		var at []string
 		runs := len(r.Points[0].Values)
 		for _, p := range r.Points {
@@ -118,7 +118,7 @@
 		}
 		fmt.Fprintf(w, "| %s, %s | %s | %d, ±%.0f%% | ", strings.ReplaceAll(s.name, "_", " "), s.unit,
 			strings.Join(at, "; "), runs, 50*r.Spread)
-		if errors.Is(err, fit.ErrTooFew) {
+		if errors.Is(err, regression.ErrTooFew) {
 			fmt.Fprintf(w, "%d sizes, not told | | |\n", len(r.Points))
 			continue
 		}
@@ -148,7 +148,7 @@
 		if !strings.Contains(s.name+" "+s.unit, text) {
 			continue
 		}
-		r, _ := fit.Of(s.points)
+		r, _ := regression.Of(s.points)
 		var points plotter.XYs
 		first := 0.0
 		for _, pt := range r.Points {
--- a/cmd/dahlialab/main.go
+++ b/cmd/schedbench/main.go
@@ -1,4 +1,4 @@
-// Command dahlialab is the laboratory: it explores, drills and measures what dahliaford
+// Command schedbench is the laboratory: it explores, drills and measures what dahliaford
 // does, and serves nobody.
 package main
 
@@ -42,12 +42,12 @@
 func run(args []string) (status int) {
 	var l lab
 	ended := -1
-	parser, err := kong.New(&l, kong.Name("dahlialab"), kong.UsageOnError(),
+	parser, err := kong.New(&l, kong.Name("schedbench"), kong.UsageOnError(),
 		kong.Description("The laboratory of dahliaford: explores, drills and measures."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Exit(func(code int) { ended = code }))
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "dahlialab:", err)
+		fmt.Fprintln(os.Stderr, "schedbench:", err)
 		return failed
 	}
 	ctx, err := parser.Parse(args)
@@ -55,7 +55,7 @@
 		return ended // help was asked for
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "dahlialab:", err)
+		fmt.Fprintln(os.Stderr, "schedbench:", err)
 		return misused
 	}
 	if err := ctx.Run(); err != nil {
@@ -64,7 +64,7 @@
 			e = exit{failed, err.Error()}
 		}
 		if e.text != "" {
-			fmt.Fprintln(os.Stderr, "dahlialab:", e.text)
+			fmt.Fprintln(os.Stderr, "schedbench:", e.text)
 		}
 		return e.status
 	}
--- a/cmd/dahlialab/planting.go
+++ b/cmd/schedbench/planting.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"dahliaford/internal/explore"
-	"dahliaford/internal/explore/planted"
+	"dahliaford/internal/modelcheck"
+	"dahliaford/internal/modelcheck/mutants"
 )
 
 // planting builds the laboratory anew with each planted fault and has it explore the world
@@ -28,7 +28,7 @@
 	}
 	r := &report{ok: true, table: [][]string{{"fault", "in", "what", "world", "property", "steps", "states",
 		"seconds", "elsewhere"}}}
-	found, all := 0, planted.Faults()
+	found, all := 0, mutants.Faults()
 	for _, f := range all {
 		say("%s ...", f.Name)
 		s, steps, others, err := plant(ctx, root, f)
@@ -79,7 +79,7 @@
 }
 
 // plant looks for one fault, and has its trace replayed by the build that has the fault.
-func plant(ctx context.Context, root string, f planted.Fault) (s summary, steps int, o elsewhere, err error) {
+func plant(ctx context.Context, root string, f mutants.Fault) (s summary, steps int, o elsewhere, err error) {
 	folder, err := os.MkdirTemp("", "planted")
 	if err != nil {
 		return s, 0, o, err
@@ -90,7 +90,7 @@
 		return s, 0, o, err
 	}
 	bin := filepath.Join(folder, "lab")
-	build := exec.CommandContext(ctx, "go", "build", "-overlay", overlay, "-o", bin, "./cmd/dahlialab")
+	build := exec.CommandContext(ctx, "go", "build", "-overlay", overlay, "-o", bin, "./cmd/schedbench")
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
 		return s, 0, o, fmt.Errorf("planted fault %s: %w: %s", f.Name, err, out)
@@ -110,7 +110,7 @@
 	if err != nil {
 		return s, 0, o, err
 	}
-	trace, err := explore.ReadTrace(raw)
+	trace, err := modelcheck.ReadTrace(raw)
 	if err != nil {
 		return s, 0, o, err
 	}
@@ -137,8 +137,8 @@
 
 // lookElsewhere explores all worlds that have the usual settings.
 func lookElsewhere(ctx context.Context, bin, folder string) (o elsewhere, err error) {
-	for _, c := range explore.Worlds() {
-		if c.Rules != (explore.Rules{}) || c.DeleteOvertakes { // the hole is known to break
+	for _, c := range modelcheck.Worlds() {
+		if c.Rules != (modelcheck.Rules{}) || c.DeleteOvertakes { // the hole is known to break
 			continue
 		}
 		faults := strconv.Itoa(min(elsewhereFaults, int(c.Most)))
--- a/cmd/dahlialab/scale.go
+++ b/cmd/schedbench/scale.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/plotter"
 
 	"dahliaford/internal/emulator"
-	"dahliaford/internal/hollow"
+	"dahliaford/internal/simfleet"
 )
 
 // scaleCmd runs a fleet at size: hollow in virtual time, or with real schedulers on loopback.
@@ -54,7 +54,7 @@
 	case c.Real > 0:
 		ctx, cancel := context.WithTimeout(context.Background(), scaleWithin)
 		defer cancel()
-		return runReal(ctx, os.Stdout, hollow.Options{Schedulers: c.Real, Fleet: max(c.Schedulers, c.Real),
+		return runReal(ctx, os.Stdout, simfleet.Options{Schedulers: c.Real, Fleet: max(c.Schedulers, c.Real),
 			Workers: c.Workers, Zones: min(c.Workers, realZones), Rate: c.Rate, For: c.For, Seed: c.Seed, Day: c.Day})
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(scaleMemory))
--- a/cmd/dahlialab/scale_real.go
+++ b/cmd/schedbench/scale_real.go
@@ -9,13 +9,13 @@
 	"os/signal"
 	"syscall"
 
-	"dahliaford/internal/hollow"
+	"dahliaford/internal/simfleet"
 )
 
 // runReal runs real schedulers against hollow workers and one hollow discovery. What it says goes to
 // out, the last line as JSON. Options that cannot be run end it as misused, rules that broke as broken.
 // Without a program the one beside the laboratory is run, or else one is built.
-func runReal(ctx context.Context, out io.Writer, o hollow.Options) error {
+func runReal(ctx context.Context, out io.Writer, o simfleet.Options) error {
 	if err := o.Check(); err != nil {
 		return misuse("%v", err)
 	}
@@ -31,7 +31,7 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop() // a run that is ended takes its schedulers with it
-	r, err := hollow.Run(ctx, o, out)
+	r, err := simfleet.Run(ctx, o, out)
 	if err != nil {
 		return err
 	}
--- a/cmd/dahlialab/scale_real_test.go
+++ b/cmd/schedbench/scale_real_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"dahliaford/internal/hollow"
+	"dahliaford/internal/simfleet"
 )
 
-// A measurement by hand: go test ./cmd/dahlialab -run ScaleByHand -scale.real 1 -v
+// A measurement by hand: go test ./cmd/schedbench -run ScaleByHand -scale.real 1 -v
 var (
 	byHand  = flag.Int("scale.real", 0, "real schedulers; 0: nothing is measured")
 	ofFleet = flag.Int("scale.fleet", 0, "")
@@ -30,7 +30,7 @@
 		t.Skip("nothing to measure: -scale.real is not given")
 	}
 	t.Chdir("../..")
-	if err := runReal(t.Context(), os.Stdout, hollow.Options{Schedulers: *byHand, Fleet: *ofFleet,
+	if err := runReal(t.Context(), os.Stdout, simfleet.Options{Schedulers: *byHand, Fleet: *ofFleet,
 		Workers: *ofList, Zones: *inZones, Rate: *atRate, For: *forTime, Seed: *seeded, Day: *byDay}); err != nil {
 		t.Fatal(err)
 	}
@@ -40,13 +40,13 @@
 func TestRunReal(t *testing.T) {
 	t.Chdir("../..")
 	var out bytes.Buffer
-	o := hollow.Options{Schedulers: 1, Workers: 40, Zones: 2, Rate: 20, For: 3 * time.Second, Seed: 1,
+	o := simfleet.Options{Schedulers: 1, Workers: 40, Zones: 2, Rate: 20, For: 3 * time.Second, Seed: 1,
 		Day: "zone"}
 	if err := runReal(t.Context(), &out, o); err != nil {
 		t.Fatal(err)
 	}
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
-	var r hollow.Report
+	var r simfleet.Report
 	if err := json.Unmarshal(lines[len(lines)-1], &r); err != nil {
 		t.Fatalf("%v: %s", err, lines[len(lines)-1])
 	}
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -7,8 +7,8 @@
 	"log"
 	"time"
 
-	"dahliaford/internal/record"
-	"dahliaford/internal/standin"
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/history"
 )
 
 func main() {
@@ -18,13 +18,13 @@
 	run := flag.Duration("run", 300*time.Millisecond, "how long a job runs")
 	flag.Parse()
 	const uid = "s-00000001"
-	plan := func(standin.Job) standin.Plan { return standin.Plan{Run: *run} }
-	said := func(e record.Event) { log.Print("worker: ", e.Kind, " ", e.ID) }
-	r, err := standin.NewWorker(uid, *worker, func() string { return *scheduler }, plan, said)
+	plan := func(fakes.Job) fakes.Plan { return fakes.Plan{Run: *run} }
+	said := func(e history.Event) { log.Print("worker: ", e.Kind, " ", e.ID) }
+	r, err := fakes.NewWorker(uid, *worker, func() string { return *scheduler }, plan, said)
 	if err != nil {
 		log.Fatal(err)
 	}
-	d, err := standin.NewDiscovery(*discovery, standin.Line{UID: uid, Endpoint: r.Addr(), Zone: "sousse",
+	d, err := fakes.NewDiscovery(*discovery, fakes.Line{UID: uid, Endpoint: r.Addr(), Zone: "sousse",
 		Model: "fast-2c", State: "ready"})
 	if err != nil {
 		log.Fatal(err)
--- a/internal/bucket/bucket.go
+++ b/internal/bucketqueue/bucket.go
@@ -1,7 +1,7 @@
-// Package bucket keeps things in order of a small whole number, roughly the cost of each: a
+// Package bucketqueue keeps things in order of a small whole number, roughly the cost of each: a
 // bucket queue (Dial, 1969). Putting, moving and taking out take constant time, whatever the
 // size; the least are found by one word of bits. It decides nothing.
-package bucket
+package bucketqueue
 
 import "math/bits"
 
--- a/internal/bucket/bucket_test.go
+++ b/internal/bucketqueue/bucket_test.go
@@ -1,4 +1,4 @@
-package bucket
+package bucketqueue
 
 import (
 	"testing"
--- a/internal/link/link.go
+++ b/internal/connstate/link.go
@@ -1,12 +1,12 @@
-// Package link says what the life of a connection to a worker means for the attempt
+// Package connstate says what the life of a connection to a worker means for the attempt
 // on it. It is a state machine: what the connection showed goes in, the event that the
 // reducer is to hear and what to do with the connection come out. It does no reading or
 // writing and has no clock; package node carries it on sockets, package explore in the
 // small.
-package link
+package connstate
 
 import (
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -37,7 +37,7 @@
 	Status     int
 	TurnedAway bool // it says that it did not begin
 	Close      bool // nothing follows on this connection
-	Report     dahliaford.Report
+	Report     dispatch.Report
 }
 
 // Take puts an errand on a connection that idles.
@@ -56,11 +56,11 @@
 	case l.Dead:
 		return Stay, nil
 	case failed: // the last byte did not get out, so nothing ran
-		return l.lose(dahliaford.ConnectFailed, refused)
+		return l.lose(dispatch.ConnectFailed, refused)
 	}
 	l.Written = true
 	if l.Broken {
-		return l.lose(dahliaford.Reset, false)
+		return l.lose(dispatch.Reset, false)
 	}
 	return Stay, nil
 }
@@ -76,13 +76,13 @@
 		l.Dead = true
 		return Drop, nil
 	case l.Written:
-		return l.lose(dahliaford.Reset, false)
+		return l.lose(dispatch.Reset, false)
 	}
 	return Stay, nil // the writer's word is still to come, and says which it was
 }
 
 // lose ends the errand with the outcome that the connection's end means.
-func (l *Link) lose(o dahliaford.Outcome, gone bool) (Next, scheduler.Event) {
+func (l *Link) lose(o dispatch.Outcome, gone bool) (Next, scheduler.Event) {
 	l.Dead, l.Busy = true, false
 	if l.Withdraw {
 		return Drop, scheduler.Withdrawn{Attempt: l.Attempt, Reached: gone}
@@ -102,7 +102,7 @@
 		l.Dead = true
 		return Drop, nil
 	case l.Used && (a.Status != 202 || !l.Written):
-		return l.lose(dahliaford.Reset, false)
+		return l.lose(dispatch.Reset, false)
 	}
 	l.Busy = false
 	next := Idle
@@ -115,9 +115,9 @@
 	case a.Status == 202:
 		return next, scheduler.Accepted{Attempt: l.Attempt}
 	case (a.Status == 503 || a.Status == 504) && a.TurnedAway:
-		return next, scheduler.Ended{Attempt: l.Attempt, Outcome: dahliaford.Full, Report: a.Report}
+		return next, scheduler.Ended{Attempt: l.Attempt, Outcome: dispatch.Full, Report: a.Report}
 	case a.Status >= 400 && a.Status < 500 && a.Status != 429:
 		return next, scheduler.Rejected{Attempt: l.Attempt}
 	}
-	return next, scheduler.Ended{Attempt: l.Attempt, Outcome: dahliaford.Failed, Report: a.Report}
+	return next, scheduler.Ended{Attempt: l.Attempt, Outcome: dispatch.Failed, Report: a.Report}
 }
--- a/internal/link/link_test.go
+++ b/internal/connstate/link_test.go
@@ -1,4 +1,4 @@
-package link
+package connstate
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -14,35 +14,35 @@
 // last word says what comes of it.
 func TestLives(t *testing.T) {
 	reached := func(ok bool) scheduler.Event { return scheduler.Withdrawn{Attempt: 7, Reached: ok} }
-	ended := func(o dahliaford.Outcome) scheduler.Event { return scheduler.Ended{Attempt: 7, Outcome: o} }
+	ended := func(o dispatch.Outcome) scheduler.Event { return scheduler.Ended{Attempt: 7, Outcome: o} }
 	for _, c := range []struct {
 		life string
 		next Next
 		want scheduler.Event
 	}{
-		{"attempt unwritten", Drop, ended(dahliaford.ConnectFailed)},
-		{"attempt refused", Drop, ended(dahliaford.ConnectFailed)},
+		{"attempt unwritten", Drop, ended(dispatch.ConnectFailed)},
+		{"attempt refused", Drop, ended(dispatch.ConnectFailed)},
 		{"attempt broke", Stay, nil}, // whether it was written is still to come
-		{"attempt broke unwritten", Drop, ended(dahliaford.ConnectFailed)},
-		{"attempt broke written", Drop, ended(dahliaford.Reset)},
-		{"attempt written broke", Drop, ended(dahliaford.Reset)},
+		{"attempt broke unwritten", Drop, ended(dispatch.ConnectFailed)},
+		{"attempt broke written", Drop, ended(dispatch.Reset)},
+		{"attempt written broke", Drop, ended(dispatch.Reset)},
 		{"attempt written 202", Idle, scheduler.Accepted{Attempt: 7}},
 		{"attempt written 202close", Drop, scheduler.Accepted{Attempt: 7}},
 		// the answer overtakes the writer's word, or the last byte
 		{"attempt 202", Drop, scheduler.Accepted{Attempt: 7}},
-		{"attempt 503away", Drop, ended(dahliaford.Full)},
+		{"attempt 503away", Drop, ended(dispatch.Full)},
 		{"attempt written 202 broke", Drop, nil},
 		{"attempt written 202 503", Drop, nil}, // an answer to nothing
 		{"202", Drop, nil},
 		{"attempt written broke 202", Stay, nil},
-		{"attempt written 503", Drop, ended(dahliaford.Failed)},
-		{"attempt written 503away", Drop, ended(dahliaford.Full)},
-		{"attempt written 504away", Drop, ended(dahliaford.Full)},
-		{"attempt written 500away", Drop, ended(dahliaford.Failed)},
-		{"attempt written 500", Drop, ended(dahliaford.Failed)},
-		{"attempt written 429", Drop, ended(dahliaford.Failed)},
+		{"attempt written 503", Drop, ended(dispatch.Failed)},
+		{"attempt written 503away", Drop, ended(dispatch.Full)},
+		{"attempt written 504away", Drop, ended(dispatch.Full)},
+		{"attempt written 500away", Drop, ended(dispatch.Failed)},
+		{"attempt written 500", Drop, ended(dispatch.Failed)},
+		{"attempt written 429", Drop, ended(dispatch.Failed)},
 		{"attempt written 404", Drop, scheduler.Rejected{Attempt: 7}},
-		{"attempt written 301", Drop, ended(dahliaford.Failed)},
+		{"attempt written 301", Drop, ended(dispatch.Failed)},
 		{"attempt letgo written", Stay, nil},
 		{"attempt letgo broke", Stay, nil},
 		{"attempt letgo 202", Stay, nil},
@@ -53,10 +53,10 @@
 		{"withdrawal written broke", Drop, reached(false)},
 		{"attempt written 202 attempt written 202", Idle, scheduler.Accepted{Attempt: 7}},
 		{"attempt written 202 attempt written 202 202", Drop, nil},
-		{"attempt written 202 attempt written 503away", Drop, ended(dahliaford.Reset)}, // whose is it?
-		{"attempt written 202 attempt written 500", Drop, ended(dahliaford.Reset)},
-		{"attempt written 202 attempt written 404", Drop, ended(dahliaford.Reset)},
-		{"attempt written 202 attempt 202", Drop, ended(dahliaford.Reset)},
+		{"attempt written 202 attempt written 503away", Drop, ended(dispatch.Reset)}, // whose is it?
+		{"attempt written 202 attempt written 500", Drop, ended(dispatch.Reset)},
+		{"attempt written 202 attempt written 404", Drop, ended(dispatch.Reset)},
+		{"attempt written 202 attempt 202", Drop, ended(dispatch.Reset)},
 		{"broke", Drop, nil},
 	} {
 		var l Link
--- a/api.go
+++ b/internal/dispatch/api.go
@@ -1,9 +1,9 @@
-// Package dahliaford decides for a dispatcher that pushes jobs to workers: which
+// Package dispatch decides for a dispatcher that pushes jobs to workers: which
 // job leaves next, to which worker, what is refused and what is tried again.
 //
 // The package holds no clock, no network and no goroutines. Feed a Dispatcher
 // one Event at a time and carry out the actions that it appends.
-package dahliaford
+package dispatch
 
 // Micros is a time or a span in microseconds. Times count from an arbitrary
 // start and never run backwards.
--- a/choice.go
+++ b/internal/dispatch/choice.go
@@ -1,9 +1,9 @@
-package dahliaford
+package dispatch
 
 import (
 	"slices"
 
-	"dahliaford/internal/bucket"
+	"dahliaford/internal/bucketqueue"
 )
 
 // The index of a large part: which workers place weighs for a job, and what it need not walk
@@ -15,8 +15,8 @@
 	shortlistedAll = 32 // the same of all crowds together, two of each at the least
 	renewed        = 8  // workers whose place in the index is reckoned anew for a job, in turn
 	perRun         = 16 // keys to the length of a mean run
-	shutKey        = bucket.Buckets - 1
-	fullKey        = bucket.Buckets - 2
+	shutKey        = bucketqueue.Buckets - 1
+	fullKey        = bucketqueue.Buckets - 2
 )
 
 // index holds the part by crowd, in order of what a mean job would cost there when last reckoned.
@@ -29,12 +29,12 @@
 	listing uint64    // counts the changes
 	next    int       // the member that is reckoned anew next
 	stirred []*worker // those to which something happened
-	nodes   []*bucket.Node[*worker]
+	nodes   []*bucketqueue.Node[*worker]
 	workers []*worker
 }
 
 type shelf struct {
-	bucket.Queue[*worker]
+	bucketqueue.Queue[*worker]
 	key crowdKey
 }
 
--- a/copy.go
+++ b/internal/dispatch/copy.go
@@ -1,13 +1,13 @@
-package dahliaford
+package dispatch
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
-	"dahliaford/internal/bucket"
-	"dahliaford/internal/form"
-	"dahliaford/internal/roster"
+	"dahliaford/internal/bucketqueue"
+	"dahliaford/internal/fingerprint"
+	"dahliaford/internal/subset"
 )
 
 // What a checker needs of the module: to copy a state and to compare two. Nothing here
@@ -35,7 +35,7 @@
 		copied := *w
 		n := &copied
 		n.crowd = nil // looked up anew
-		n.node, n.stirred = bucket.Node[*worker]{}, false
+		n.node, n.stirred = bucketqueue.Node[*worker]{}, false
 		if w.kind != nil {
 			n.kind = c.kinds[w.entry.Kind]
 		}
@@ -61,7 +61,7 @@
 		}
 	}
 	c.ready = d.ready.Clone(func(w *worker) *worker { return c.workers[w.entry.Worker] },
-		func(w *worker, among *roster.Crowd[*worker]) { w.among = among })
+		func(w *worker, among *subset.Crowd[*worker]) { w.among = among })
 	c.doubted = workers(d.doubted)
 	c.index, c.fastest, c.groups, c.lateNow = nil, nil, [GroupCell + 1]map[int][]*worker{}, nil // made anew
 	c.jobs = make(map[JobID]*job, len(d.jobs))
@@ -98,7 +98,7 @@
 // AppendState appends a form of the state between two events that is the same for two
 // states if they act alike from here on.
 func (d *Dispatcher) AppendState(b []byte) []byte {
-	f := form.Form(b)
+	f := fingerprint.Form(b)
 	fits := func(of *[fitsKept + 1]fit) {
 		for i := range of {
 			if of[i] != (fit{}) {
--- a/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,4 +1,4 @@
-package dahliaford
+package dispatch
 
 // The decision module. Its interface, all types, events and actions, is api.go;
 // state.go has the records that it keeps, estimates.go the estimates.
--- a/estimates.go
+++ b/internal/dispatch/estimates.go
@@ -1,10 +1,10 @@
-package dahliaford
+package dispatch
 
 import (
 	"math"
 	"slices"
 
-	"dahliaford/internal/roster"
+	"dahliaford/internal/subset"
 )
 
 // The estimates that the module decides by: speeds, run times, works and quotas,
@@ -492,7 +492,7 @@
 
 // gap is how far on the circle a worker comes behind a place.
 func (d *Dispatcher) gap(place float64, w *worker) float64 {
-	return roster.Gap(place, d.placeOf(w))
+	return subset.Gap(place, d.placeOf(w))
 }
 
 // MostSlots is the most that a job can say it takes: far beyond any machine, and within
--- /dev/null
+++ b/internal/dispatch/example_test.go
@@ -0,0 +1,47 @@
+package dispatch_test
+
+import (
+	"fmt"
+
+	"dahliaford/internal/dispatch"
+)
+
+// A dispatcher is told of a worker and of a job, and says where the job goes.
+func Example() {
+	const second = 1_000_000
+	d, err := dispatch.New(dispatch.Settings{
+		Balancers:   1,
+		Classes:     []dispatch.Class{{Aim: second, Deadline: 5 * second, Worth: 1, Kind: -1}},
+		MaxAttempts: 3,
+		TellsStart:  true,
+	}, 42)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	now := dispatch.Micros(second) // your clock, in microseconds
+	var actions []dispatch.Action  // reuse it from call to call
+	show := func(e dispatch.Event) {
+		actions = d.Step(now, &e, actions[:0])
+		for _, a := range actions {
+			switch a.Kind {
+			case dispatch.Send:
+				fmt.Printf("send job %d to worker %d\n", a.Job, a.Worker)
+			case dispatch.Refuse:
+				fmt.Printf("refuse job %d\n", a.Job)
+			case dispatch.SetTimer:
+				// After a.Wait, pass an event TimerRang with a.Token.
+			}
+		}
+	}
+	show(dispatch.Event{Kind: dispatch.Began})
+	show(dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListFull,
+		Workers: []dispatch.WorkerEntry{{Worker: 7, Status: dispatch.Ready}}})
+	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 1, Patience: 5 * second, Slots: 1})
+	now += second / 10
+	show(dispatch.Event{Kind: dispatch.AttemptEnded, Job: 1, Worker: 7, Outcome: dispatch.OK, Final: true})
+	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 2}) // its client has no time left
+	// Output:
+	// send job 1 to worker 7
+	// refuse job 2
+}
--- a/list.go
+++ b/internal/dispatch/list.go
@@ -1,4 +1,4 @@
-package dahliaford
+package dispatch
 
 import (
 	"cmp"
--- a/state.go
+++ b/internal/dispatch/state.go
@@ -1,12 +1,12 @@
-package dahliaford
+package dispatch
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"dahliaford/internal/bucket"
-	"dahliaford/internal/roster"
+	"dahliaford/internal/bucketqueue"
+	"dahliaford/internal/subset"
 )
 
 // The records that the module keeps, and their bookkeeping. Nothing here decides.
@@ -24,7 +24,7 @@
 	workers map[WorkerID]*worker
 	order   []*worker // by seat, those that are gone among them
 	part    []*worker // those that are this dispatcher's own, by seat, see settle
-	ready   roster.Roster[*worker]
+	ready   subset.Roster[*worker]
 	outside []*worker  // ready ones that it claims and the interval lacks, by seat
 	gone    []departed // in order of time
 	named   []*worker  // by the present word: kept for its memory
@@ -183,9 +183,9 @@
 	list      uint64                 // the last word that named it
 	place     float64                // on the circle, see placeOf
 	placedAt  uint64                 // the shifts of those it is among when that was reckoned; 0: never
-	among     *roster.Crowd[*worker] // the ready ones of its zone and kind; nil: it is not ready
+	among     *subset.Crowd[*worker] // the ready ones of its zone and kind; nil: it is not ready
 	tilt      float64                // small own preference, so that dispatchers spread
-	node      bucket.Node[*worker]
+	node      bucketqueue.Node[*worker]
 	listing   uint64 // the index's last look at the part that had it
 	stirred   bool   // the index has it to reckon anew
 	doubted   bool   // it is among those that may be ill
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"dahliaford/internal/record"
+	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
 )
 
@@ -48,7 +48,7 @@
 	until    Micros
 	answered bool
 	open     int // what is still to come of it: its answer, attempts on the way or held
-	history  []record.Event
+	history  []history.Event
 }
 
 func newClients(f *fleet) *clients {
@@ -119,13 +119,13 @@
 func (r *request) taken() {
 	r.until = r.f.now + r.patience
 	r.f.requests[r.id] = r
-	r.note(record.Event{Kind: record.Sent, ID: r.id, Who: "client", Class: classes[r.item.class].name,
+	r.note(history.Event{Kind: history.Sent, ID: r.id, Who: "client", Class: classes[r.item.class].name,
 		Until: time.UnixMicro(int64(r.until))})
 }
 
 // answer notes an answer as its scheduler writes it.
 func (r *request) answer(a scheduler.Answer) {
-	r.note(record.Event{Kind: record.Answered, ID: r.id, Who: "client", Status: statuses[a.Verdict],
+	r.note(history.Event{Kind: history.Answered, ID: r.id, Who: "client", Status: statuses[a.Verdict],
 		Result: string(a.Body)})
 	if !r.answered {
 		r.answered = true
@@ -165,13 +165,13 @@
 		i.ran = req
 		f.tally.starts(i, f.now-i.first)
 	case i.ran != req && classes[i.class].once:
-		f.tally.found(record.Finding{Property: "runs-as-allowed", ID: req.id,
+		f.tally.found(history.Finding{Property: "runs-as-allowed", ID: req.id,
 			Text: "its client's earlier try, which was refused, had run"})
 	}
 }
 
 // note keeps what was seen of a request.
-func (r *request) note(e record.Event) {
+func (r *request) note(e history.Event) {
 	e.At = r.f.time()
 	r.history = append(r.history, e)
 }
@@ -187,7 +187,7 @@
 
 func (r *request) check() {
 	r.f.tally.model.Checked++
-	for _, found := range record.Check(r.f.rules, r.history) {
+	for _, found := range history.Check(r.f.rules, r.history) {
 		r.f.tally.found(found)
 	}
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -73,7 +73,7 @@
 func (d *discovery) whole() scheduler.WorkerList {
 	t := scheduler.WorkerList{Rev: d.rev, All: true}
 	for _, r := range d.list {
-		if r.Status != dahliaford.Gone {
+		if r.Status != dispatch.Gone {
 			t.Workers = append(t.Workers, r)
 		}
 	}
@@ -96,9 +96,9 @@
 	d.changed[w.number] = n
 }
 
-func (d *discovery) status(w *worker, s dahliaford.Status) {
+func (d *discovery) status(w *worker, s dispatch.Status) {
 	d.change(w, func(r *scheduler.Worker) {
-		if r.Status = s; s == dahliaford.Ready {
+		if r.Status = s; s == dispatch.Ready {
 			r.Started = w.started
 		}
 	})
@@ -113,7 +113,7 @@
 	since := d.f.now
 	for i, n := range d.changed {
 		which, since = append(which, i), min(since, n.since)
-		if d.list[i] = n.to; n.to.Status == dahliaford.Ready {
+		if d.list[i] = n.to; n.to.Status == dispatch.Ready {
 			d.leftAt[i] = 0
 		} else if d.leftAt[i] == 0 {
 			d.leftAt[i] = n.since
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"dahliaford/internal/record"
+	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
 	"dahliaford/internal/settings"
 )
@@ -110,7 +110,7 @@
 	byAddr    map[string]*worker
 	clients   *clients
 	requests  map[string]*request
-	rules     record.Rules
+	rules     history.Rules
 	tally     tally
 	watch     stopwatch
 }
@@ -163,7 +163,7 @@
 	f.net = network{f: f, random: f.random(1), cut: -1}
 	f.tally = newTally(f)
 	f.watch.start()
-	f.rules = record.Rules{Once: map[string]bool{}, Rack: map[string]string{},
+	f.rules = history.Rules{Once: map[string]bool{}, Rack: map[string]string{},
 		MostAttempts: set.Module.MaxAttempts, DrainGrace: span(set.DrainGrace), Slack: span(slack),
 		Watched: 20 * time.Second,
 		Window:  span(set.Module.Classes[len(set.Module.Classes)-1].Window)}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"dahliaford"
-	"dahliaford/internal/link"
+	"dahliaford/internal/connstate"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -68,7 +68,7 @@
 
 // conn is a connection to a worker.
 type conn struct {
-	link.Link
+	connstate.Link
 	n         *node
 	w         *worker
 	life      int // of the worker's process that took it
@@ -135,7 +135,7 @@
 		if c := n.tasks[e.Attempt]; c != nil && !c.writing {
 			delete(n.tasks, e.Attempt)
 			n.drop(c)
-			n.later(scheduler.Ended{Attempt: e.Attempt, Outcome: dahliaford.Moot})
+			n.later(scheduler.Ended{Attempt: e.Attempt, Outcome: dispatch.Moot})
 		}
 	case scheduler.Withdraw:
 		n.withdraw(e)
@@ -396,7 +396,7 @@
 	w, req := n.f.byUID[r.UID], r.Payload.(*request)
 	c := n.assign(w, false)
 	if c == nil {
-		n.later(scheduler.Ended{Attempt: r.Attempt, Outcome: dahliaford.ConnectFailed})
+		n.later(scheduler.Ended{Attempt: r.Attempt, Outcome: dispatch.ConnectFailed})
 		return
 	}
 	c.Take(r.Attempt, false)
@@ -446,7 +446,7 @@
 	}
 	f.at(c.writeBy, func() {
 		if c.on(task) && !c.writing {
-			c.failed(false, dahliaford.ConnectFailed)
+			c.failed(false, dispatch.ConnectFailed)
 		}
 	})
 	c.n.job(packetBytes)
@@ -457,7 +457,7 @@
 				switch {
 				case !c.on(task) || c.writing:
 				case !up:
-					c.failed(true, dahliaford.ConnectFailed)
+					c.failed(true, dispatch.ConnectFailed)
 				default:
 					c.connected, c.life = true, life
 					c.write(task)
@@ -484,9 +484,9 @@
 					f.net.send(c.w.zone, n.zone, packetBytes, func() { c.broke(task) })
 				case c.late(): // the connection was closed before it came
 				case c.w.withdraw(c.uid):
-					c.w.answer(c, link.Answer{Status: 200, Close: true})
+					c.w.answer(c, connstate.Answer{Status: 200, Close: true})
 				default:
-					c.w.answer(c, link.Answer{Status: 404, Close: true})
+					c.w.answer(c, connstate.Answer{Status: 404, Close: true})
 				}
 			})
 		})
@@ -496,10 +496,10 @@
 	switch {
 	case !n.may(c.uid):
 		f.tally.model.TurnedBack++
-		c.failed(false, dahliaford.Moot)
+		c.failed(false, dispatch.Moot)
 		return
 	case f.now > c.writeBy:
-		c.failed(false, dahliaford.ConnectFailed)
+		c.failed(false, dispatch.ConnectFailed)
 		return
 	}
 	req := c.req
@@ -530,11 +530,11 @@
 func (c *conn) late() bool { return c.n.f.now-c.wroteAt > 300*millisecond }
 
 // failed tells that the errand's last byte did not get out.
-func (c *conn) failed(refused bool, o dahliaford.Outcome) {
+func (c *conn) failed(refused bool, o dispatch.Outcome) {
 	next, e := c.Wrote(true, refused)
 	if end, is := e.(scheduler.Ended); is {
-		if o == dahliaford.ConnectFailed && refused && c.n.noRoom(c) {
-			o = dahliaford.Full
+		if o == dispatch.ConnectFailed && refused && c.n.noRoom(c) {
+			o = dispatch.Full
 		}
 		end.Outcome = o
 		e = end
@@ -565,9 +565,9 @@
 	c.next(next, e)
 }
 
-func (c *conn) answered(a link.Answer) {
+func (c *conn) answered(a connstate.Answer) {
 	next, e := c.Answered(a)
-	if next == link.Idle {
+	if next == connstate.Idle {
 		n := c.n
 		c.since = n.f.now
 		n.links[c.w] = append(n.links[c.w], c)
@@ -576,9 +576,9 @@
 	c.next(next, e)
 }
 
-func (c *conn) next(next link.Next, e scheduler.Event) {
+func (c *conn) next(next connstate.Next, e scheduler.Event) {
 	n := c.n
-	if next == link.Drop {
+	if next == connstate.Drop {
 		n.drop(c)
 	}
 	if e == nil {
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"dahliaford"
-	"dahliaford/internal/record"
+	"dahliaford/internal/dispatch"
+	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
 )
 
@@ -74,7 +74,7 @@
 		}
 		answer := ""
 		for _, e := range req.history {
-			if e.Kind == record.Answered {
+			if e.Kind == history.Answered {
 				answer += fmt.Sprint(e.Status)
 			}
 		}
@@ -96,8 +96,8 @@
 		return "Told/" + map[scheduler.News]string{scheduler.NewsStarted: "started", scheduler.NewsDone: "done",
 			scheduler.NewsLost: "lost", scheduler.NewsFailed: "failed"}[e.News]
 	case scheduler.Ended:
-		return "Ended/" + map[dahliaford.Outcome]string{dahliaford.ConnectFailed: "connect-failed",
-			dahliaford.Full: "full", dahliaford.Moot: "moot", dahliaford.Reset: "reset"}[e.Outcome]
+		return "Ended/" + map[dispatch.Outcome]string{dispatch.ConnectFailed: "connect-failed",
+			dispatch.Full: "full", dispatch.Moot: "moot", dispatch.Reset: "reset"}[e.Outcome]
 	}
 	return ""
 }
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"dahliaford"
-	"dahliaford/internal/record"
+	"dahliaford/internal/dispatch"
+	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
 )
 
@@ -99,9 +99,9 @@
 	d := f.discovery
 	for _, i := range []int{4, 2, 4} {
 		w := f.workers[i]
-		s := dahliaford.Draining
+		s := dispatch.Draining
 		if d.list[i].Status == s {
-			s = dahliaford.Ready
+			s = dispatch.Ready
 		}
 		d.status(w, s)
 		f.until(f.now + batchEvery)
@@ -179,9 +179,9 @@
 func TestBrokenRulesAreFound(t *testing.T) {
 	served := scheduler.Answer{Verdict: scheduler.Served, Body: []byte("a")}
 	ran := func(req *request, who string) {
-		req.note(record.Event{Kind: record.Arrived, ID: "a", Who: who})
-		req.note(record.Event{Kind: record.Started, ID: "a", Who: who})
-		req.note(record.Event{Kind: record.Ended, ID: "a", Who: who, Ran: true, Result: "a"})
+		req.note(history.Event{Kind: history.Arrived, ID: "a", Who: who})
+		req.note(history.Event{Kind: history.Started, ID: "a", Who: who})
+		req.note(history.Event{Kind: history.Ended, ID: "a", Who: who, Ran: true, Result: "a"})
 	}
 	for name, c := range map[string]struct {
 		want string
@@ -208,8 +208,8 @@
 			req.answer(served)
 		}},
 		"second copy": {"one-attempt-outstanding", func(f *fleet, req *request) {
-			req.note(record.Event{Kind: record.Arrived, ID: "a", Who: "s1"})
-			req.note(record.Event{Kind: record.Arrived, ID: "a", Who: "s2"})
+			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s1"})
+			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s2"})
 			req.answer(scheduler.Answer{Verdict: scheduler.Failed})
 		}},
 		"another try runs, too": {"runs-as-allowed", func(f *fleet, req *request) {
@@ -217,7 +217,7 @@
 			f.clients.started(&request{f: f, id: "b", item: req.item})
 		}},
 		"held for nobody": {"called-back", func(f *fleet, req *request) {
-			req.note(record.Event{Kind: record.Arrived, ID: "a", Who: "s1"})
+			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s1"})
 			req.open++
 			req.answer(scheduler.Answer{Verdict: scheduler.Failed})
 			f.now += Micros(f.rules.Watched.Microseconds()) + second
@@ -302,13 +302,13 @@
 	}
 	w.die()
 	f.until(f.now + second)
-	if !w.idle() || f.discovery.list[0].Status != dahliaford.Gone || f.tally.model.Killed != 41 {
+	if !w.idle() || f.discovery.list[0].Status != dispatch.Gone || f.tally.model.Killed != 41 {
 		t.Errorf("a dead worker holds %d, is listed as %d; %d killed", len(w.held), f.discovery.list[0].Status,
 			f.tally.model.Killed)
 	}
 	w.boot()
 	f.until(f.now + second)
-	if l := f.discovery.list[0]; l.Status != dahliaford.Ready || l.Started != w.started || w.warmth() >= 1 {
+	if l := f.discovery.list[0]; l.Status != dispatch.Ready || l.Started != w.started || w.warmth() >= 1 {
 		t.Errorf("after its start it is listed as %+v, with warmth %v", l, w.warmth())
 	}
 }
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"dahliaford/internal/record"
+	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
 )
 
@@ -188,7 +188,7 @@
 // times is a histogram of times up to the longest run.
 func times() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(MostFor.Microseconds()), 3) }
 
-func (t *tally) found(f record.Finding) {
+func (t *tally) found(f history.Finding) {
 	t.model.Broken[f.Property]++
 	if len(t.model.Findings) < mostFindings {
 		t.model.Findings = append(t.model.Findings, fmt.Sprintf("%.3f s: %v", seconds(t.f.now-began-warmUp), f))
@@ -218,7 +218,7 @@
 	}
 	// Heard words stop a send by themselves, see may. Unheard ones count as told after a while.
 	if over := t.f.now - left - toldWithin - t.f.set.DrainGrace; over > slack {
-		t.found(record.Finding{Property: "drains-kept", ID: req.id,
+		t.found(history.Finding{Property: "drains-kept", ID: req.id,
 			Text: fmt.Sprintf("%d writes to %s, which counts as told off since %v before", n.me, w.uid, span(over))})
 	}
 }
@@ -332,11 +332,11 @@
 				f.tally.model.AtOne = max(f.tally.model.AtOne, waiting[r.n])
 			}
 			if f.now > r.until+slack {
-				r.note(record.Event{Kind: record.Unanswered, ID: r.id})
+				r.note(history.Event{Kind: history.Unanswered, ID: r.id})
 			}
 		}
 		// An event that says nothing tells how late it is for what is held for nobody.
-		r.note(record.Event{Kind: record.Back})
+		r.note(history.Event{Kind: history.Back})
 		r.check()
 	}
 }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"dahliaford"
-	"dahliaford/internal/link"
-	"dahliaford/internal/record"
+	"dahliaford/internal/connstate"
+	"dahliaford/internal/dispatch"
+	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
 )
 
@@ -78,7 +78,7 @@
 	f.byUID[w.uid], f.byAddr[w.addr] = w, w
 	f.rules.Rack[w.uid] = fmt.Sprint(w.rack)
 	f.discovery.list = append(f.discovery.list, scheduler.Worker{UID: w.uid, Addr: w.addr, Zone: zoneName(zone),
-		Kind: w.kind.name, Cell: w.rack, Status: dahliaford.Ready})
+		Kind: w.kind.name, Cell: w.rack, Status: dispatch.Ready})
 	f.discovery.leftAt = append(f.discovery.leftAt, 0)
 	return w
 }
@@ -103,21 +103,21 @@
 // take takes a request whose last byte has come, and answers.
 func (w *worker) take(c *conn, req *request) {
 	f := w.f
-	req.note(record.Event{Kind: record.Arrived, ID: req.id, Who: w.uid})
+	req.note(history.Event{Kind: history.Arrived, ID: req.id, Who: w.uid})
 	a := &attempt{req: req, w: w, n: c.n}
 	waits := 0.0
 	for _, q := range w.queue {
 		waits += q.req.item.slots
 	}
 	if waits+req.item.slots > queueOfSlots*w.kind.slots || req.item.slots > w.kind.slots {
-		req.note(record.Event{Kind: record.Ended, ID: req.id, Who: w.uid})
+		req.note(history.Event{Kind: history.Ended, ID: req.id, Who: w.uid})
 		f.tally.model.TurnedAway++
-		w.answer(c, link.Answer{Status: 503, TurnedAway: true, Report: w.report()})
+		w.answer(c, connstate.Answer{Status: 503, TurnedAway: true, Report: w.report()})
 		return
 	}
 	w.held[req.id] = a
 	req.open++
-	w.answer(c, link.Answer{Status: 202})
+	w.answer(c, connstate.Answer{Status: 202})
 	w.queue = append(w.queue, a)
 	w.strain(c, req)
 	if w.up {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (w *worker) answer(c *conn, a link.Answer) {
+func (w *worker) answer(c *conn, a connstate.Answer) {
 	task := c.Attempt
 	w.f.net.send(w.zone, c.n.zone, answerBytes, func() {
 		if c.on(task) {
@@ -159,7 +159,7 @@
 	}
 	f.tally.model.PushedOver++
 	if knew >= sum*2/3 {
-		f.tally.found(record.Finding{Property: "cold-spared", ID: req.id,
+		f.tally.found(history.Finding{Property: "cold-spared", ID: req.id,
 			Text: fmt.Sprintf("%s falls over, with %.0f s of work within its window", w.uid, sum/1e6)})
 	}
 	w.die()
@@ -174,7 +174,7 @@
 		w.queue = w.queue[1:]
 		a.running = true
 		w.used += a.req.item.slots
-		a.req.note(record.Event{Kind: record.Started, ID: a.req.id, Who: w.uid})
+		a.req.note(history.Event{Kind: history.Started, ID: a.req.id, Who: w.uid})
 		f.clients.started(a.req)
 		w.callback(a, scheduler.Told{News: scheduler.NewsStarted})
 		run := Micros(a.req.item.work / w.kind.speed / w.warmth())
@@ -187,7 +187,7 @@
 		return
 	}
 	told := scheduler.Told{News: scheduler.NewsDone, Result: []byte(a.req.id)}
-	ended := record.Event{Kind: record.Ended, ID: a.req.id, Who: w.uid, Ran: true, Result: a.req.id}
+	ended := history.Event{Kind: history.Ended, ID: a.req.id, Who: w.uid, Ran: true, Result: a.req.id}
 	if w.random.Float64() < failures {
 		told.News, told.Result, ended.Result = scheduler.NewsFailed, nil, ""
 		w.errs, w.errAt = w.errors()+0.1, w.f.now
@@ -216,8 +216,8 @@
 	return w.errs * max(0, 1-float64(w.f.now-w.errAt)/float64(10*second))
 }
 
-func (w *worker) report() dahliaford.Report {
-	return dahliaford.Report{Known: true, Free: w.kind.slots - w.used, Outstanding: float64(len(w.held)),
+func (w *worker) report() dispatch.Report {
+	return dispatch.Report{Known: true, Free: w.kind.slots - w.used, Outstanding: float64(len(w.held)),
 		Errors: w.errors()}
 }
 
@@ -246,7 +246,7 @@
 	if a == nil {
 		return false
 	}
-	a.req.note(record.Event{Kind: record.Withdrawn, ID: id, Who: w.uid, Status: 200})
+	a.req.note(history.Event{Kind: history.Withdrawn, ID: id, Who: w.uid, Status: 200})
 	w.f.tally.model.Withdrawn++
 	w.free(a)
 	a.req.close()
@@ -263,7 +263,7 @@
 	slices.SortFunc(all, func(a, b *attempt) int { return a.req.number - b.req.number })
 	w.queue = nil
 	for _, a := range all {
-		a.req.note(record.Event{Kind: record.Lost, ID: a.req.id, Who: w.uid})
+		a.req.note(history.Event{Kind: history.Lost, ID: a.req.id, Who: w.uid})
 		w.f.tally.model.Killed++
 		w.free(a)
 		if tell {
@@ -284,7 +284,7 @@
 	life := w.life
 	w.f.after(agentTells, func() {
 		if w.life == life {
-			w.f.discovery.status(w, dahliaford.Gone)
+			w.f.discovery.status(w, dispatch.Gone)
 		}
 	})
 }
@@ -304,7 +304,7 @@
 	d := w.f.discovery
 	w.f.after(unheardFor+Micros((d.random()-0.5)*float64(second)), func() {
 		if w.gone || w.f.net.parted(w.zone, discoveryZone) {
-			d.status(w, dahliaford.Gone)
+			d.status(w, dispatch.Gone)
 		}
 	})
 }
@@ -325,7 +325,7 @@
 	}
 	f.after(startTells, func() {
 		if w.life == life && !f.net.parted(w.zone, discoveryZone) {
-			f.discovery.status(w, dahliaford.Ready)
+			f.discovery.status(w, dispatch.Ready)
 		}
 	})
 }
@@ -333,12 +333,12 @@
 // replace has another worker come in this one's place.
 func (w *worker) replace() {
 	w.retired = true
-	w.f.discovery.status(w, dahliaford.Gone)
+	w.f.discovery.status(w, dispatch.Gone)
 	n := w.f.addWorker(w.zone)
 	n.rack, n.up = w.rack, false
 	n.f.rules.Rack[n.uid] = fmt.Sprint(n.rack)
 	l := &w.f.discovery.list[n.number]
-	l.Cell, l.Status = n.rack, dahliaford.Gone
+	l.Cell, l.Status = n.rack, dispatch.Gone
 	n.boot()
 }
 
--- a/internal/standin/client.go
+++ b/internal/fakes/client.go
@@ -1,12 +1,12 @@
-package standin
+package fakes
 
 import (
 	"net"
 	"strconv"
 	"time"
 
+	"dahliaford/internal/history"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/record"
 )
 
 // Submission is one job that a client hands in.
@@ -33,15 +33,15 @@
 func SubmitOn(conn net.Conn, read *http1.Reader, s Submission,
 	rec Recorder) (*http1.Response, error) {
 	until := s.Deadline
-	event := record.Event{ID: s.ID, Who: "client", Class: s.Class}
+	event := history.Event{ID: s.ID, Who: "client", Class: s.Class}
 	left := strconv.FormatInt(max(time.Until(s.Deadline).Milliseconds(), 0), 10)
-	event.Kind, event.Until = record.Sent, s.Deadline
+	event.Kind, event.Until = history.Sent, s.Deadline
 	rec.say(event)
 	if _, err := conn.Write(http1.AppendRequest(nil, "POST", "/"+s.Class+"/"+s.ID, []http1.Field{
 		{Name: "Host", Value: conn.RemoteAddr().String()}, {Name: "X-Txn", Value: s.ID},
 		{Name: "X-Lane", Value: s.Class}, {Name: "X-Org", Value: s.Tenant}, {Name: "X-Remaining-Ms", Value: left},
 		{Name: "Idempotency-Key", Value: s.Key}}, s.Body)); err != nil {
-		event.Kind = record.Unanswered
+		event.Kind = history.Unanswered
 		rec.say(event)
 		return nil, err
 	}
@@ -52,11 +52,11 @@
 	m, err := read.Response()
 	switch {
 	case err == nil:
-		event.Kind, event.Status, event.Result = record.Answered, m.Status, string(m.Body)
+		event.Kind, event.Status, event.Result = history.Answered, m.Status, string(m.Body)
 	case !s.Leave.IsZero():
-		event.Kind = record.Left
+		event.Kind = history.Left
 	default:
-		event.Kind = record.Unanswered
+		event.Kind = history.Unanswered
 	}
 	rec.say(event)
 	return m, err
--- a/internal/standin/discovery.go
+++ b/internal/fakes/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
--- a/internal/standin/standin.go
+++ b/internal/fakes/standin.go
@@ -1,15 +1,15 @@
-// Package standin has what a scheduler needs around it, for tests, drills and trying by
+// Package fakes has what a scheduler needs around it, for tests, drills and trying by
 // hand: scripted workers, discovery, and clients. They speak the protocol as real ones do,
 // do wrong what their script says, and tell a recorder what they saw. Loopback only.
-package standin
+package fakes
 
 import (
 	"net"
 	"sync"
 	"time"
 
+	"dahliaford/internal/history"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/record"
 )
 
 // server is a listener and its connections, all of which it gives back in close.
@@ -135,9 +135,9 @@
 }
 
 // Recorder takes what a stand-in saw. It must be safe for many goroutines.
-type Recorder func(record.Event)
+type Recorder func(history.Event)
 
-func (r Recorder) say(e record.Event) {
+func (r Recorder) say(e history.Event) {
 	if r != nil {
 		e.At = time.Now()
 		r(e)
--- a/internal/standin/worker.go
+++ b/internal/fakes/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"dahliaford/internal/history"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/record"
 )
 
 // Plan is what a worker does with one job. The zero Plan accepts it, runs it at once and
@@ -74,7 +74,7 @@
 	r.life.Unlock()
 	for id, gone := range lost {
 		close(gone)
-		r.record.say(record.Event{Kind: record.Lost, ID: id, Who: r.UID})
+		r.record.say(history.Event{Kind: history.Lost, ID: id, Who: r.UID})
 		r.again.Go(func() { r.tell(id, "lost", "", 0) })
 	}
 }
@@ -91,7 +91,7 @@
 			if r.withdraw(id) {
 				status = 200
 			}
-			r.record.say(record.Event{Kind: record.Withdrawn, ID: id, Who: r.UID, Status: status})
+			r.record.say(history.Event{Kind: history.Withdrawn, ID: id, Who: r.UID, Status: status})
 			if _, err := conn.Write(http1.AppendResponse(nil, status, nil, nil)); err != nil {
 				return
 			}
@@ -117,7 +117,7 @@
 		status = 202
 	}
 	// It holds the job from now on, whatever comes of its answer.
-	r.record.say(record.Event{Kind: record.Arrived, ID: j.ID, Who: r.UID})
+	r.record.say(history.Event{Kind: history.Arrived, ID: j.ID, Who: r.UID})
 	gone := make(chan struct{})
 	if status == 202 && !p.Break {
 		r.life.Lock()
@@ -135,11 +135,11 @@
 	time.Sleep(p.Wait)
 	switch {
 	case p.Break:
-		r.record.say(record.Event{Kind: record.Ended, ID: j.ID, Who: r.UID, Ran: true})
+		r.record.say(history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: true})
 		broken(conn)
 		return false
 	case status != 202:
-		r.record.say(record.Event{Kind: record.Ended, ID: j.ID, Who: r.UID, Ran: !p.TurnedAway && status >= 500})
+		r.record.say(history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: !p.TurnedAway && status >= 500})
 		var fields []http1.Field
 		if p.TurnedAway {
 			fields = append(fields, http1.Field{Name: "X-Turned-Away", Value: "1"})
@@ -178,7 +178,7 @@
 	}
 	r.life.Unlock()
 	if mine {
-		r.record.say(record.Event{Kind: record.Closed, ID: id, Who: r.UID})
+		r.record.say(history.Event{Kind: history.Closed, ID: id, Who: r.UID})
 	}
 }
 
@@ -195,7 +195,7 @@
 
 // end takes a job off the worker, unless it has been withdrawn or lost. What it tells is
 // recorded before, as others may act on it at once.
-func (r *Worker) end(id string, gone chan struct{}, e record.Event) bool {
+func (r *Worker) end(id string, gone chan struct{}, e history.Event) bool {
 	r.life.Lock()
 	defer r.life.Unlock()
 	if r.jobs[id] != gone {
@@ -219,12 +219,12 @@
 		return
 	}
 	if p.End == "returned" {
-		if r.end(j.ID, gone, record.Event{Kind: record.Ended, ID: j.ID, Who: r.UID}) {
+		if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID}) {
 			r.tell(j.ID, "returned", "", p.Repeat)
 		}
 		return
 	}
-	r.record.say(record.Event{Kind: record.Started, ID: j.ID, Who: r.UID})
+	r.record.say(history.Event{Kind: history.Started, ID: j.ID, Who: r.UID})
 	r.tell(j.ID, "started", "", p.Repeat)
 	if p.End == "never" {
 		<-gone
@@ -243,7 +243,7 @@
 	if state != "done" {
 		result = ""
 	}
-	if r.end(j.ID, gone, record.Event{Kind: record.Ended, ID: j.ID, Who: r.UID, Ran: true, Result: result}) {
+	if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: true, Result: result}) {
 		r.tell(j.ID, state, result, p.Repeat)
 	}
 }
--- a/internal/form/form.go
+++ b/internal/fingerprint/form.go
@@ -1,6 +1,6 @@
-// Package form writes the form of a state: bytes that are the same for two states if these
+// Package fingerprint writes the form of a state: bytes that are the same for two states if these
 // act alike. Checkers hash it to tell states apart.
-package form
+package fingerprint
 
 import (
 	"encoding/binary"
--- a/internal/record/record.go
+++ b/internal/history/record.go
@@ -1,7 +1,7 @@
-// Package record checks the history of what clients and workers saw of a real scheduler
+// Package history checks the history of what clients and workers saw of a real scheduler
 // against the properties that package explore checks in the small. It has no I/O and no
 // clock: events come with their times, all read from one clock.
-package record
+package history
 
 import (
 	"fmt"
--- a/internal/record/record_test.go
+++ b/internal/history/record_test.go
@@ -1,4 +1,4 @@
-package record
+package history
 
 import (
 	"strconv"
--- a/internal/explore/actions.go
+++ b/internal/modelcheck/actions.go
@@ -1,10 +1,10 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
 
-	"dahliaford"
-	"dahliaford/internal/link"
+	"dahliaford/internal/connstate"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -213,12 +213,12 @@
 			add(MachineSilent, i, 0)
 		}
 		if w.can(Drain) {
-			if r.status == dahliaford.Ready {
+			if r.status == dispatch.Ready {
 				add(SayDraining, i, 0)
 			} else {
 				add(SayReady, i, 0)
 			}
-			if r.status != dahliaford.Gone {
+			if r.status != dispatch.Gone {
 				add(SayGone, i, 0)
 			}
 		}
@@ -322,7 +322,7 @@
 			break
 		}
 		add(Arrive, accept)
-		if to.status != dahliaford.Ready || w.can(TurnAway) {
+		if to.status != dispatch.Ready || w.can(TurnAway) {
 			add(Arrive, turnAway)
 		}
 		if w.can(Err) {
@@ -496,7 +496,7 @@
 	case HearWritten:
 		w.hearWritten(i)
 	case HearKept:
-		w.endRoute(i, scheduler.Ended{Attempt: r.attempt, Outcome: dahliaford.Moot})
+		w.endRoute(i, scheduler.Ended{Attempt: r.attempt, Outcome: dispatch.Moot})
 	case RefuseRoute:
 		if !w.workers[r.worker].down {
 			w.spend(Refuse)
@@ -525,7 +525,7 @@
 		}
 		w.endRoute(i, e)
 	case HearAnswer:
-		_, e := r.link.Answered(link.Answer{Status: r.status, TurnedAway: r.status == 503})
+		_, e := r.link.Answered(connstate.Answer{Status: r.status, TurnedAway: r.status == 503})
 		if r.status == 202 && e != nil {
 			r.phase, r.unheard = idle, false
 			w.step(e)
@@ -570,7 +570,7 @@
 		r.status = 202
 		w.jobs = append(w.jobs, job{id: r.id, worker: r.worker, attempt: r.attempt, sent: r.sent})
 	case turnAway:
-		if w.workers[r.worker].status == dahliaford.Ready {
+		if w.workers[r.worker].status == dispatch.Ready {
 			w.spend(TurnAway)
 		}
 		w.arrives(r)
@@ -649,7 +649,7 @@
 		return
 	case WithdrawAnswered:
 		wd.link.Wrote(false, false)
-		_, e = wd.link.Answered(link.Answer{Status: 200})
+		_, e = wd.link.Answered(connstate.Answer{Status: 200})
 	case WithdrawBreaks:
 		w.spend(Break)
 		wd.link.Wrote(false, false)
@@ -694,16 +694,16 @@
 		return
 	case SayDraining:
 		w.spend(Drain)
-		r.status = dahliaford.Draining
+		r.status = dispatch.Draining
 	case SayGone:
 		w.spend(Drain)
-		r.status = dahliaford.Gone
+		r.status = dispatch.Gone
 	case SayReady:
 		w.spend(Drain)
-		r.status = dahliaford.Ready
+		r.status = dispatch.Ready
 	}
 	switch {
-	case r.status == dahliaford.Ready:
+	case r.status == dispatch.Ready:
 		r.made = 0
 	case r.made == 0:
 		if r.made = w.now; w.moved != 0 {
--- a/internal/explore/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -1,10 +1,10 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
 	"slices"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -143,9 +143,9 @@
 var newsKinds = map[scheduler.News]eventKind{scheduler.NewsStarted: evStarted, scheduler.NewsDone: evDone,
 	scheduler.NewsFailed: evFailed, scheduler.NewsReturned: evReturned, scheduler.NewsLost: evLost}
 
-var endKinds = map[dahliaford.Outcome]eventKind{dahliaford.ConnectFailed: evConnectFailed,
-	dahliaford.Reset: evReset,
-	dahliaford.Full:  evTurnedAway, dahliaford.Failed: evError, dahliaford.Moot: evKept}
+var endKinds = map[dispatch.Outcome]eventKind{dispatch.ConnectFailed: evConnectFailed,
+	dispatch.Reset: evReset,
+	dispatch.Full:  evTurnedAway, dispatch.Failed: evError, dispatch.Moot: evKept}
 
 // see counts an event before it is passed on, and notes what the scheduler hears by it.
 func (w *World) see(e scheduler.Event) {
--- a/internal/explore/doc.go
+++ b/internal/modelcheck/doc.go
@@ -1,4 +1,4 @@
-// Package explore drives the reducer, the decision module and the connections' state
+// Package modelcheck drives the reducer, the decision module and the connections' state
 // machine through every order of events that a tiny world allows: a client, a few
 // requests, a few workers, a network that delays, loses and breaks, a worker list, and
 // time. It drives the code that serves, not a copy of it, and checks stated properties of
@@ -7,7 +7,7 @@
 // The package has no I/O and no clock. A Config describes a world; Search explores it to
 // the end or to a budget; Replay plays a trace again; Walk goes a long way at random.
 // docs/explore.md says which abstraction makes the worlds finite.
-package explore
+package modelcheck
 
 import (
 	"dahliaford/internal/scheduler"
--- a/internal/explore/explore_bench_test.go
+++ b/internal/modelcheck/explore_bench_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"context"
--- a/internal/explore/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"dahliaford/internal/explore/planted"
+	"dahliaford/internal/modelcheck/mutants"
 )
 
 // bounded is a world with fewer faults, so that CI can see it to its end.
@@ -266,7 +266,7 @@
 		t.Fatal(err)
 	}
 	names := map[string]bool{}
-	for _, f := range planted.Faults() {
+	for _, f := range mutants.Faults() {
 		if _, err := f.Overlay(root, t.TempDir()); err != nil {
 			t.Error(err)
 		}
--- a/internal/explore/properties.go
+++ b/internal/modelcheck/properties.go
@@ -1,11 +1,11 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -159,7 +159,7 @@
 // writes checks properties 5 and 12 when an attempt's first byte goes out.
 func (w *World) writes(r *route) {
 	to := &w.workers[r.worker]
-	r.cold = to.begun != 0 && to.known == to.begun && w.now-to.begun < coldFor && to.status == dahliaford.Ready
+	r.cold = to.begun != 0 && to.known == to.begun && w.now-to.begun < coldFor && to.status == dispatch.Ready
 	w.leaver(r)
 	if told := w.leaves(to); told != 0 && w.now-told > drainGrace {
 		w.fail(DrainsKept, "%s is written to %s, told %v ago to leave", w.txn(r.id), uid(int(r.worker)),
--- a/internal/explore/race_on_test.go
+++ b/internal/modelcheck/race_on_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package explore
+package modelcheck
 
 const raceOn = true // states cost ten times as much
--- a/internal/explore/search.go
+++ b/internal/modelcheck/search.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"dahliaford/internal/form"
+	"dahliaford/internal/fingerprint"
 )
 
 // Options say how a world is searched.
@@ -361,7 +361,7 @@
 
 // appendState appends a form of a state that is the same for two that act alike.
 func (w *World) appendState(b []byte) []byte {
-	f := form.Form(b)
+	f := fingerprint.Form(b)
 	f.Num(int64(w.now), int64(w.wake), w.rev, int64(w.most), int64(w.caller), int64(w.stopAt))
 	f = append(f, w.left[:]...)
 	f.Num(int64(w.heard), int64(w.until), int64(w.moved))
--- a/internal/explore/world.go
+++ b/internal/modelcheck/world.go
@@ -1,11 +1,11 @@
-package explore
+package modelcheck
 
 import (
 	"fmt"
 	"strconv"
 
-	"dahliaford"
-	"dahliaford/internal/link"
+	"dahliaford/internal/connstate"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -82,7 +82,7 @@
 type worker struct {
 	down   bool // its process is dead
 	silent bool // its machine is cut off
-	status dahliaford.Status
+	status dispatch.Status
 	begun  Micros // its start; 0: long ago
 	known  Micros // its start as the scheduler was told
 	told   Micros // when it was last told to drain or to be gone; 0: it is ready
@@ -114,7 +114,7 @@
 	status  int
 	writeBy Micros
 	sent    Micros
-	link    link.Link
+	link    connstate.Link
 }
 
 // job is an attempt that a worker holds.
@@ -138,7 +138,7 @@
 	worker   uint8
 	phase    phase
 	deadline Micros
-	link     link.Link
+	link     connstate.Link
 }
 
 // newWorld starts a world: the scheduler has begun, knows the list and watches it.
@@ -155,7 +155,7 @@
 		w.requests = append(w.requests, request{class: class, id: uint8(i)})
 	}
 	for range cfg.Racks {
-		w.workers = append(w.workers, worker{status: dahliaford.Ready})
+		w.workers = append(w.workers, worker{status: dispatch.Ready})
 	}
 	w.step(scheduler.Began{Discovery: "discovery", Known: w.list(true)})
 	w.answerWatch()
@@ -186,7 +186,7 @@
 	t := scheduler.WorkerList{Rev: w.rev, All: all}
 	if all {
 		for i := range w.workers {
-			if w.workers[i].status != dahliaford.Gone {
+			if w.workers[i].status != dispatch.Gone {
 				t.Workers = append(t.Workers, w.line(i))
 			}
 		}
@@ -206,7 +206,7 @@
 		r := &w.workers[i]
 		r.known = r.begun
 		switch {
-		case r.status == dahliaford.Ready:
+		case r.status == dispatch.Ready:
 			r.told = 0
 		case r.told == 0:
 			r.told = w.now
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/http1"
 	"dahliaford/internal/scheduler"
 )
@@ -249,7 +249,7 @@
 		why = "no X-Remaining-Ms"
 	case err != nil || left[0] < '0':
 		why = "malformed X-Remaining-Ms"
-	case !(slots <= dahliaford.MostSlots): // beyond any machine, or no number at all
+	case !(slots <= dispatch.MostSlots): // beyond any machine, or no number at all
 		why = "malformed X-Labels"
 	}
 	if why != "" {
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -6,7 +6,7 @@
 
 	"github.com/mailru/easyjson/jlexer"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -44,8 +44,8 @@
 	return t, odd, in.Error()
 }
 
-var states = map[string]dahliaford.Status{
-	"ready": dahliaford.Ready, "draining": dahliaford.Draining, "gone": dahliaford.Gone,
+var states = map[string]dispatch.Status{
+	"ready": dispatch.Ready, "draining": dispatch.Draining, "gone": dispatch.Gone,
 }
 
 // decodeWorker reads an entry. One that cannot be used takes its worker out of use, if it
@@ -82,11 +82,11 @@
 		err = errors.New("a worker without a name")
 	case !known:
 		err = fmt.Errorf("worker %q: unknown state %q", r.UID, state)
-	case r.Addr == "" && status != dahliaford.Gone:
+	case r.Addr == "" && status != dispatch.Gone:
 		err = fmt.Errorf("worker %q has no address", r.UID)
 	}
 	if r.Status = status; err != nil {
-		r.Status = dahliaford.Draining
+		r.Status = dispatch.Draining
 	}
 	return r, err
 }
@@ -123,8 +123,8 @@
 }
 
 // decodeReport reads a load report.
-func decodeReport(in *jlexer.Lexer) dahliaford.Report {
-	r := dahliaford.Report{Outstanding: -1}
+func decodeReport(in *jlexer.Lexer) dispatch.Report {
+	r := dispatch.Report{Outstanding: -1}
 	Fields(in, func(key string) {
 		switch key {
 		case "x0":
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/http1"
 	"dahliaford/internal/scenario"
 	"dahliaford/internal/scheduler"
@@ -1018,7 +1018,7 @@
 	}
 	r := got.Workers[0]
 	want := scheduler.Worker{UID: "s-1", Addr: "h:1", Zone: "a", Kind: "m2", Cell: 3,
-		Status: dahliaford.Gone, Started: 1700000000123000}
+		Status: dispatch.Gone, Started: 1700000000123000}
 	if diff := cmp.Diff(want, r); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"dahliaford/internal/record"
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
-	"dahliaford/internal/standin"
 )
 
 // held counts what a node and its process hold.
@@ -36,8 +36,8 @@
 func TestStormsLeaveNothing(t *testing.T) {
 	w := newWorld(t, 0)
 	n := w.node
-	worker, err := standin.NewWorker("r1", "127.0.0.1:0", func() string { return n.Addr().String() },
-		func(standin.Job) standin.Plan { return standin.Plan{Run: 20 * time.Millisecond} }, func(record.Event) {})
+	worker, err := fakes.NewWorker("r1", "127.0.0.1:0", func() string { return n.Addr().String() },
+		func(fakes.Job) fakes.Plan { return fakes.Plan{Run: 20 * time.Millisecond} }, func(history.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -183,7 +183,7 @@
 	other := map[string]string{"r1": "r2", "r2": "r1"}[first]
 	n.do(func() {
 		leaves := scheduler.Worker{UID: first, Addr: w.parties[first].listener.Addr().String(), Zone: "north",
-			Kind: "m1", Status: dahliaford.Draining}
+			Kind: "m1", Status: dispatch.Draining}
 		n.watchSaid(listWord{watch: n.watch, event: scheduler.ListRead{List: scheduler.WorkerList{Rev: 5,
 			Workers: []scheduler.Worker{leaves}}, At: n.now() + 3600*second}})
 	})
--- a/internal/node/words_test.go
+++ b/internal/node/words_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
 )
 
@@ -17,7 +17,7 @@
 	all := make([]scheduler.Worker, zone+rest)
 	for i := range all {
 		all[i] = scheduler.Worker{UID: fmt.Sprint("z", i), Addr: fmt.Sprintf("127.0.0.9:%d", 1000+i),
-			Zone: "north", Kind: "m1", Status: dahliaford.Ready}
+			Zone: "north", Kind: "m1", Status: dispatch.Ready}
 	}
 	tap := &tap{emptyAt: now}
 	word := func(rev int64, whole bool, workers ...scheduler.Worker) listWord {
@@ -38,7 +38,7 @@
 		words := make([]listWord, zone)
 		for i := range words {
 			gone := all[i]
-			gone.Status = dahliaford.Gone
+			gone.Status = dispatch.Gone
 			words[i] = word(11+int64(i), false, gone)
 		}
 		for i, m := range words {
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -15,9 +15,9 @@
 
 	"github.com/mailru/easyjson/jlexer"
 
-	"dahliaford"
+	"dahliaford/internal/connstate"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/link"
 	"dahliaford/internal/scheduler"
 	"dahliaford/internal/settings"
 )
@@ -30,7 +30,7 @@
 	}
 	response struct {
 		conn *workerConn
-		link.Answer
+		connstate.Answer
 	}
 	broke struct{ conn *workerConn } // nothing more can be read from it
 	ended struct{ conn *workerConn } // its descriptor is given back
@@ -76,7 +76,7 @@
 	ctx     context.Context
 	release context.CancelFunc
 
-	link.Link
+	connstate.Link
 	id    string
 	since scheduler.Micros
 	gate  atomic.Int32 // of the errand: open, writing or shut; the first to move it wins
@@ -170,7 +170,7 @@
 		deadline: r.Deadline, payload: r.Payload.(*payload)})
 	if !ok {
 		n.log.Warn("short on connections: an attempt is not sent", "txn", r.ID, "worker", r.UID)
-		n.later(scheduler.Ended{Attempt: r.Attempt, Outcome: dahliaford.ConnectFailed})
+		n.later(scheduler.Ended{Attempt: r.Attempt, Outcome: dispatch.ConnectFailed})
 		return
 	}
 	n.attempts[r.Attempt] = l
@@ -199,7 +199,7 @@
 	if c := n.attempts[attempt]; c != nil && c.gate.CompareAndSwap(gateOpen, gateShut) {
 		delete(n.attempts, attempt)
 		n.drop(c)
-		n.later(scheduler.Ended{Attempt: attempt, Outcome: dahliaford.Moot})
+		n.later(scheduler.Ended{Attempt: attempt, Outcome: dispatch.Moot})
 	}
 }
 
@@ -222,12 +222,12 @@
 	next, e := m.conn.Wrote(m.err != nil, errors.Is(m.err, syscall.ECONNREFUSED))
 	if end, is := e.(scheduler.Ended); is && (m.err == errLeaves || m.err == errUnheard || m.err == errNobody) {
 		n.log.Info("an attempt turned back", "txn", m.conn.id, "worker", m.conn.addr, "why", m.err)
-		end.Outcome = dahliaford.Moot // the worker is not at fault
+		end.Outcome = dispatch.Moot // the worker is not at fault
 		e = end
 	}
-	if end, is := e.(scheduler.Ended); is && end.Outcome == dahliaford.ConnectFailed && n.noRoom(m.conn, m.err) {
+	if end, is := e.(scheduler.Ended); is && end.Outcome == dispatch.ConnectFailed && n.noRoom(m.conn, m.err) {
 		n.log.Info("a worker has no room for another connection", "worker", m.conn.addr, "txn", m.conn.id)
-		end.Outcome = dahliaford.Full
+		end.Outcome = dispatch.Full
 		e = end
 	}
 	return n.linkNext(m.conn, next, e, m.err)
@@ -253,7 +253,7 @@
 
 func (n *Node) linkBroke(c *workerConn) error {
 	next, e := c.Broke()
-	if next == link.Drop && e == nil { // it idled
+	if next == connstate.Drop && e == nil { // it idled
 		n.unlist(c)
 	}
 	return n.linkNext(c, next, e, nil)
@@ -269,9 +269,9 @@
 	idled, unsent := !c.Busy, c.Busy && !c.Dead && !c.Withdraw && c.gate.CompareAndSwap(gateOpen, gateShut)
 	next, e := c.Answered(m.Answer)
 	if unsent { // it came before anything of the attempt had left, and now nothing will
-		e = scheduler.Ended{Attempt: c.Attempt, Outcome: dahliaford.Moot}
+		e = scheduler.Ended{Attempt: c.Attempt, Outcome: dispatch.Moot}
 	}
-	if next == link.Drop && (idled || unsent) {
+	if next == connstate.Drop && (idled || unsent) {
 		n.log.Warn("an answer that nobody asked for", "worker", c.addr, "status", m.Status)
 		n.unlist(c) // where it idled
 	}
@@ -283,14 +283,14 @@
 	case scheduler.Rejected:
 		n.log.Info("a worker rejects a request", "worker", c.addr, "txn", c.id, "status", m.Status)
 	case scheduler.Ended:
-		if e.Outcome == dahliaford.Failed && m.Status != 500 {
+		if e.Outcome == dispatch.Failed && m.Status != 500 {
 			n.log.Warn("unexpected answer of a worker", "worker", c.addr, "txn", c.id, "status", m.Status)
 		}
 	}
-	if next == link.Idle && n.keptFor == 0 {
-		next = link.Drop
+	if next == connstate.Idle && n.keptFor == 0 {
+		next = connstate.Drop
 	}
-	if next == link.Idle {
+	if next == connstate.Idle {
 		c.since = n.now()
 		n.links[c.addr] = append(n.links[c.addr], c)
 	}
@@ -299,9 +299,9 @@
 
 // linkNext does with a connection what its state machine says, and passes on what that
 // means for its errand.
-func (n *Node) linkNext(c *workerConn, next link.Next, e scheduler.Event, cause error) error {
+func (n *Node) linkNext(c *workerConn, next connstate.Next, e scheduler.Event, cause error) error {
 	if e == nil {
-		if next == link.Drop {
+		if next == connstate.Drop {
 			n.drop(c)
 		}
 		return nil
@@ -310,7 +310,7 @@
 	if c.Withdraw {
 		n.calls--
 	}
-	if next == link.Drop {
+	if next == connstate.Drop {
 		n.drop(c)
 		if !answered(e) {
 			n.log.Info("connection to a worker failed", "worker", c.addr, "txn", c.id, "sent", c.Written, "error",
@@ -325,7 +325,7 @@
 func answered(e scheduler.Event) bool {
 	switch e := e.(type) {
 	case scheduler.Ended:
-		return e.Outcome != dahliaford.Reset && e.Outcome != dahliaford.ConnectFailed
+		return e.Outcome != dispatch.Reset && e.Outcome != dispatch.ConnectFailed
 	case scheduler.Withdrawn:
 		return e.Reached
 	}
@@ -550,16 +550,16 @@
 			c.node.post(broke{c})
 			return
 		}
-		var report dahliaford.Report
+		var report dispatch.Report
 		if load := r.Header.Get("X-Pressure"); load != "" {
 			in := jlexer.Lexer{Data: []byte(load)}
 			if report = decodeReport(&in); in.Error() != nil {
-				report = dahliaford.Report{}
+				report = dispatch.Report{}
 			}
 		}
 		c.order.Lock() // an answer must not overtake the word that its attempt was written
 		c.order.Unlock()
-		c.node.post(response{c, link.Answer{Status: r.Status, TurnedAway: r.Header.Get("X-Turned-Away") == "1",
+		c.node.post(response{c, connstate.Answer{Status: r.Status, TurnedAway: r.Header.Get("X-Turned-Away") == "1",
 			Close: r.Close, Report: report}})
 		if r.Close {
 			return
--- a/internal/fit/fit.go
+++ b/internal/regression/fit.go
@@ -1,6 +1,6 @@
-// Package fit says how a measured cost grows with a size: not at all, in line with it, with n log n,
+// Package regression says how a measured cost grows with a size: not at all, in line with it, with n log n,
 // or with its square. It knows nothing of what was measured.
-package fit
+package regression
 
 import (
 	"cmp"
--- a/internal/fit/fit_test.go
+++ b/internal/regression/fit_test.go
@@ -1,4 +1,4 @@
-package fit
+package regression
 
 import (
 	"errors"
--- a/internal/scheduler/copy.go
+++ b/internal/scheduler/copy.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"dahliaford"
-	"dahliaford/internal/form"
+	"dahliaford/internal/dispatch"
+	"dahliaford/internal/fingerprint"
 )
 
 // What a checker needs of the reducer: to copy a state, to compare two, to break the
@@ -19,7 +19,7 @@
 		c.module = s.module.Clone()
 	}
 	c.workers = make(map[string]*worker, len(s.workers))
-	c.byNumber = make(map[dahliaford.WorkerID]*worker, len(s.byNumber))
+	c.byNumber = make(map[dispatch.WorkerID]*worker, len(s.byNumber))
 	for uid, r := range s.workers {
 		copied := *r
 		c.workers[uid], c.byNumber[r.number] = &copied, &copied
@@ -37,7 +37,7 @@
 	}
 	c.byCaller = make(map[Caller]*request, len(s.byCaller))
 	c.byID = make(map[string]*request, len(s.byID))
-	c.byJob = make(map[dahliaford.JobID]*request, len(s.byJob))
+	c.byJob = make(map[dispatch.JobID]*request, len(s.byJob))
 	c.byAttempt = make(map[Attempt]*attempt, len(s.byAttempt))
 	type pair struct{ was, is *request }
 	var copies []pair // few: a map would cost more than it saves
@@ -86,7 +86,7 @@
 // AppendState appends a form of the state between two events that is the same for two
 // states if they act alike from here on. Payloads are left out.
 func (s *Scheduler) AppendState(b []byte) []byte {
-	f := form.Form(b)
+	f := fingerprint.Form(b)
 	f.Num(int64(s.now), int64(s.lastJob), int64(s.lastAttempt), s.rev, int64(s.count), int64(s.knownAt),
 		int64(s.wake), int64(s.stopAt), int64(s.endBy),
 		int64(s.longest),
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -4,11 +4,11 @@
 // knows nothing of the protocol that a request came by.
 package scheduler
 
-import "dahliaford"
+import "dahliaford/internal/dispatch"
 
 // Micros is a time on the module's clock. Here it counts from the Unix epoch, so a
 // worker's start as discovery tells it needs no mapping beyond its unit.
-type Micros = dahliaford.Micros
+type Micros = dispatch.Micros
 
 // Caller numbers a wait for one answer; whoever submits a request picks it.
 type Caller uint64
@@ -45,8 +45,8 @@
 	// Ended says how an attempt ended, by what its connection showed.
 	Ended struct {
 		Attempt Attempt
-		Outcome dahliaford.Outcome
-		Report  dahliaford.Report
+		Outcome dispatch.Outcome
+		Report  dispatch.Report
 	}
 	// Rejected says that a worker can make nothing of an attempt: not the worker
 	// is at fault but the submission.
@@ -58,7 +58,7 @@
 		News     News
 		Share    float64
 		Result   []byte
-		Report   dahliaford.Report
+		Report   dispatch.Report
 	}
 	// Withdrawn tells how a Withdraw went: Reached says that the worker has heard it, or
 	// that the process that had the attempt is gone.
@@ -122,7 +122,7 @@
 type Worker struct {
 	UID, Addr, Zone, Kind string
 	Cell                  int
-	Status                dahliaford.Status
+	Status                dispatch.Status
 	Started               Micros // 0: long ago
 }
 
--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/settings"
 )
 
@@ -28,9 +28,9 @@
 			break
 		}
 		s.watching, s.knownAt = true, now
-		scope := dahliaford.ListDelta
+		scope := dispatch.ListDelta
 		if e.List.All {
-			scope = dahliaford.ListFull
+			scope = dispatch.ListFull
 		}
 		s.applyByWalk(e.List, scope)
 	default:
@@ -42,10 +42,10 @@
 }
 
 func (s *Scheduler) warnedByWalk(t WorkerList) {
-	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListWarned}
+	e := dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListWarned}
 	for _, line := range t.Workers {
 		r := s.workers[line.UID]
-		if r == nil || line.Status == dahliaford.Ready {
+		if r == nil || line.Status == dispatch.Ready {
 			continue
 		}
 		if r.offer = nil; r.left == 0 {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (s *Scheduler) applyByWalk(t WorkerList, scope dahliaford.ListScope) {
+func (s *Scheduler) applyByWalk(t WorkerList, scope dispatch.ListScope) {
 	if t.All && t.Rev < s.rev {
 		s.count++
 	}
@@ -68,7 +68,7 @@
 	}
 	now := version{s.count, t.Rev}
 	named := map[string]bool{}
-	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: scope}
+	e := dispatch.Event{Kind: dispatch.ListChanged, Scope: scope}
 	for _, line := range t.Workers {
 		named[line.UID] = true
 		r := s.workers[line.UID]
@@ -82,8 +82,8 @@
 	}
 	for _, r := range sorted(s.workers) {
 		switch {
-		case t.All && !named[r.UID] && (r.Status != dahliaford.Gone || r.offer != nil):
-			r.Status, r.at, r.offer = dahliaford.Gone, now, nil
+		case t.All && !named[r.UID] && (r.Status != dispatch.Gone || r.offer != nil):
+			r.Status, r.at, r.offer = dispatch.Gone, now, nil
 		case r.offer != nil && s.now-r.left >= s.set.Module.ToldWithin:
 			r.Worker, r.offer = *r.offer, nil
 		default:
@@ -99,15 +99,15 @@
 	long := s.set.Module.GoneFor()
 	for _, r := range sorted(s.workers) {
 		switch {
-		case r.Status != dahliaford.Ready && r.left == 0:
+		case r.Status != dispatch.Ready && r.left == 0:
 			r.left = max(s.now, 1)
 			s.emit(Retire{UID: r.UID, Addr: r.Addr})
-		case r.Status == dahliaford.Ready && r.left != 0:
+		case r.Status == dispatch.Ready && r.left != 0:
 			r.left = 0
 			s.emit(Admit{UID: r.UID})
 		}
 		switch {
-		case r.Status != dahliaford.Gone:
+		case r.Status != dispatch.Gone:
 			r.gone = 0
 		case r.gone == 0:
 			r.gone = max(s.now, 1)
@@ -129,11 +129,11 @@
 		most := rapid.SampledFrom([]int{2, 10, 40}).Draw(t, "workers")
 		worker := rapid.Custom(func(t *rapid.T) Worker {
 			i := rapid.IntRange(0, most-1).Draw(t, "worker")
-			r := line(fmt.Sprint("r", i), rapid.SampledFrom([]dahliaford.Status{dahliaford.Ready, dahliaford.Ready,
-				dahliaford.Ready, dahliaford.Draining, dahliaford.Gone}).Draw(t, "status"))
+			r := line(fmt.Sprint("r", i), rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready,
+				dispatch.Ready, dispatch.Draining, dispatch.Gone}).Draw(t, "status"))
 			r.Kind, r.Zone = fmt.Sprint("m", i%2), fmt.Sprint("z", i%3)
 			r.Addr = fmt.Sprint("a", i/2) // two have one address
-			if r.Status == dahliaford.Gone && rapid.Bool().Draw(t, "bare") {
+			if r.Status == dispatch.Gone && rapid.Bool().Draw(t, "bare") {
 				r = Worker{UID: r.UID} // a word that it is gone may say no more
 			}
 			if rapid.IntRange(0, 3).Draw(t, "cold") == 0 {
@@ -195,7 +195,7 @@
 // A zone goes in a word a worker, in one, and in both at once while it comes back cold.
 func TestZoneGoesInWords(t *testing.T) {
 	const zones, each = 14, 20
-	of := func(zone int, status dahliaford.Status, started Micros) (lines []Worker) {
+	of := func(zone int, status dispatch.Status, started Micros) (lines []Worker) {
 		for i := range each {
 			r := line(fmt.Sprintf("r%d-%d", zone, i), status)
 			r.Zone, r.Started = fmt.Sprint("z", zone), started
@@ -205,10 +205,10 @@
 	}
 	var all []Worker
 	for zone := range zones {
-		all = append(all, of(zone, dahliaford.Ready, 0)...)
+		all = append(all, of(zone, dispatch.Ready, 0)...)
 	}
-	gone, cold := of(3, dahliaford.Gone, 0), of(3, dahliaford.Ready, 1002*second)
-	draining := of(3, dahliaford.Draining, 0)
+	gone, cold := of(3, dispatch.Gone, 0), of(3, dispatch.Ready, 1002*second)
+	draining := of(3, dispatch.Draining, 0)
 	word := func(lines ...Worker) WorkerList { return WorkerList{Workers: lines} }
 	singly := func(lines []Worker) (words []WorkerList) {
 		for _, r := range lines {
@@ -221,7 +221,7 @@
 		mixed = append(mixed, word(gone[i]), word(cold[i/2]))
 	}
 	known := slices.Clone(all)
-	known[17].Status = dahliaford.Draining
+	known[17].Status = dispatch.Draining
 	for name, words := range map[string][]WorkerList{
 		"a word each":            singly(gone),
 		"draining first":         append(singly(draining), singly(gone)...),
--- a/internal/scheduler/job_test.go
+++ b/internal/scheduler/job_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/settings"
 )
 
@@ -22,7 +22,7 @@
 	}
 	list := WorkerList{Rev: 1, All: true}
 	for i := range workers {
-		r := line(fmt.Sprintf("r%d", i), dahliaford.Ready)
+		r := line(fmt.Sprintf("r%d", i), dispatch.Ready)
 		if r.Kind = fmt.Sprintf("m%d", i%2); i/2%zones > 0 {
 			r.Zone = fmt.Sprintf("zone%d", i/2%zones)
 		}
--- a/internal/scheduler/list_test.go
+++ b/internal/scheduler/list_test.go
@@ -4,14 +4,14 @@
 	"slices"
 	"testing"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 )
 
 // A worker that was told to leave does not come back by a word that may be older than that one.
 func TestNoOlderWordBringsALeavingWorkerBack(t *testing.T) {
-	ready, leaves := line("r1", dahliaford.Ready), line("r1", dahliaford.Draining)
-	gone := line("r1", dahliaford.Gone)
-	restarted, other := ready, line("r2", dahliaford.Ready)
+	ready, leaves := line("r1", dispatch.Ready), line("r1", dispatch.Draining)
+	gone := line("r1", dispatch.Gone)
+	restarted, other := ready, line("r2", dispatch.Ready)
 	restarted.Started = 5 * second
 	word := func(rev int64, all bool, r ...Worker) Event { return ListRead{List: WorkerList{rev, all, r}} }
 	moved, left := Reloaded{Discovery: "d2"}, word(9, false, leaves)
@@ -49,7 +49,7 @@
 				when string
 				want bool
 			}{{"at once", c.back}, {"after a while", c.later}} {
-				if got := w.s.workers["r1"].Status == dahliaford.Ready; got != at.want {
+				if got := w.s.workers["r1"].Status == dispatch.Ready; got != at.want {
 					t.Errorf("back %s: %v, want %v", at.when, got, at.want)
 				}
 				w.now += 6 * second
@@ -78,10 +78,10 @@
 func TestTwoWorkersOfOneAddress(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		w := newWorld(t)
-		r1, r2 := line("r1", dahliaford.Ready), line("r2", dahliaford.Ready)
+		r1, r2 := line("r1", dispatch.Ready), line("r2", dispatch.Ready)
 		r2.Addr = r1.Addr
 		w.step(ListRead{List: WorkerList{2, true, []Worker{r1, r2}}})
-		if r1.Status = dahliaford.Gone; whole {
+		if r1.Status = dispatch.Gone; whole {
 			w.now += second
 			w.step(ListRead{List: WorkerList{3, true, []Worker{r2}}})
 		} else {
@@ -95,7 +95,7 @@
 			t.Errorf("by a whole list %v: %+v, want a9 sent to r2", whole, got)
 		}
 		one, two := w.s.workers["r1"].Status, w.s.workers["r2"].Status
-		if one != dahliaford.Gone || two != dahliaford.Ready {
+		if one != dispatch.Gone || two != dispatch.Ready {
 			t.Errorf("by a whole list %v: r1 is %d, r2 is %d", whole, one, two)
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -7,7 +7,7 @@
 	"hash/fnv"
 	"slices"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/settings"
 )
 
@@ -46,7 +46,7 @@
 type Scheduler struct {
 	set    settings.Settings
 	seed   uint64
-	module *dahliaford.Dispatcher
+	module *dispatch.Dispatcher
 	now    Micros
 	out    []Effect
 
@@ -54,15 +54,15 @@
 	byID        map[string]*request // open ones, and finished ones with a live attempt
 	used        recent              // ids that were taken
 	longest     Micros              // that a class waits
-	byJob       map[dahliaford.JobID]*request
+	byJob       map[dispatch.JobID]*request
 	byAttempt   map[Attempt]*attempt
 	recalls     map[Attempt]*recall // what workers are still to be told to drop
 	recalled    map[string]int      // how many of them concern an id
-	lastJob     dahliaford.JobID
+	lastJob     dispatch.JobID
 	lastAttempt Attempt
 
 	workers   map[string]*worker
-	byNumber  map[dahliaford.WorkerID]*worker
+	byNumber  map[dispatch.WorkerID]*worker
 	zones     numbering
 	kinds     numbering
 	discovery string
@@ -79,7 +79,7 @@
 	stopAt   Micros // no new requests from then on; 0: not stopping
 	endBy    Micros // with it: who waits is answered by then
 	stopped  bool
-	feedback []dahliaford.Event // for the module, from what its own actions led to
+	feedback []dispatch.Event // for the module, from what its own actions led to
 	stepping bool
 }
 
@@ -87,7 +87,7 @@
 type request struct {
 	caller   Caller
 	id       string
-	job      dahliaford.JobID
+	job      dispatch.JobID
 	deadline Micros
 	payload  any
 	answered bool
@@ -152,7 +152,7 @@
 
 type worker struct {
 	Worker
-	number dahliaford.WorkerID
+	number dispatch.WorkerID
 	at     version // of the word that says so
 	left   Micros  // since when it has been told to leave; 0: it has not
 	gone   Micros  // since when it is gone; 0: it is not
@@ -190,9 +190,9 @@
 // New returns a scheduler that has not begun.
 func New(set settings.Settings, seed uint64) (*Scheduler, error) {
 	s := &Scheduler{set: set, seed: seed, byCaller: map[Caller]*request{}, byID: map[string]*request{},
-		byJob: map[dahliaford.JobID]*request{}, byAttempt: map[Attempt]*attempt{},
+		byJob: map[dispatch.JobID]*request{}, byAttempt: map[Attempt]*attempt{},
 		recalls: map[Attempt]*recall{}, recalled: map[string]int{}, workers: map[string]*worker{},
-		byNumber: map[dahliaford.WorkerID]*worker{}, zones: slices.Clone(set.Zones), kinds: slices.Clone(set.Kinds)}
+		byNumber: map[dispatch.WorkerID]*worker{}, zones: slices.Clone(set.Zones), kinds: slices.Clone(set.Kinds)}
 	for _, c := range set.Module.Classes {
 		s.longest = max(s.longest, c.Deadline)
 	}
@@ -200,7 +200,7 @@
 	// not ask for copies, which would use up a job's attempts for nothing.
 	s.set.Module.MayDuplicate = false
 	var err error
-	s.module, err = dahliaford.New(s.set.Module, seed)
+	s.module, err = dispatch.New(s.set.Module, seed)
 	return s, err
 }
 
@@ -222,7 +222,7 @@
 	case CallerLeft:
 		if t := s.byCaller[e.Caller]; t != nil {
 			s.settle(t)
-			s.tell(dahliaford.Event{Kind: dahliaford.ClientGone, Job: t.job})
+			s.tell(dispatch.Event{Kind: dispatch.ClientGone, Job: t.job})
 		}
 	case Accepted:
 		if k := s.byAttempt[e.Attempt]; k != nil {
@@ -231,7 +231,7 @@
 	case Ended:
 		// After the worker has accepted, only its own word or the time ends an attempt.
 		if k := s.byAttempt[e.Attempt]; k != nil && !k.accepted {
-			if e.Outcome == dahliaford.Reset {
+			if e.Outcome == dispatch.Reset {
 				// Its 202 may have crossed the connection's end: the worker may hold it.
 				s.recall(k)
 			}
@@ -240,7 +240,7 @@
 	case Rejected:
 		if k := s.byAttempt[e.Attempt]; k != nil && !k.accepted {
 			s.answer(k.of, Answer{Verdict: Invalid, Body: []byte("the worker cannot use it")})
-			s.end(k, dahliaford.Cancelled, dahliaford.Report{})
+			s.end(k, dispatch.Cancelled, dispatch.Report{})
 			s.used.drop(k.of.id) // an impostor may have come before the one whose id it is
 		}
 	case Told:
@@ -251,7 +251,7 @@
 		s.listRead(&e)
 	case ListLost:
 		s.watching = false
-		lost := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListFailed}
+		lost := dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListFailed}
 		if e.Unread || e.Until != 0 {
 			lost.Age = s.ageAt(e.Until)
 		}
@@ -293,7 +293,7 @@
 		s.byID[k.of.id] = k.of // its worker's news finds it
 	}
 	var err error
-	if s.module, err = dahliaford.New(s.set.Module, s.seed); err != nil {
+	if s.module, err = dispatch.New(s.set.Module, s.seed); err != nil {
 		return s.out, err
 	}
 	s.due = slices.DeleteFunc(s.due, func(d due) bool {
@@ -315,8 +315,8 @@
 // one, so the version must be there first: from 0 on, discovery would send it all.
 func (s *Scheduler) begin(known WorkerList) {
 	s.rev = max(s.rev, known.Rev)
-	s.tell(dahliaford.Event{Kind: dahliaford.Began})
-	s.apply(known, dahliaford.ListCached, s.now)
+	s.tell(dispatch.Event{Kind: dispatch.Began})
+	s.apply(known, dispatch.ListCached, s.now)
 }
 
 // ---- Requests
@@ -354,7 +354,7 @@
 			deadline: min(e.Deadline, s.now+s.set.Module.Classes[class].Deadline)}
 		s.byCaller[e.Caller], s.byID[e.ID], s.byJob[t.job] = t, t, t
 		heap.Push(&s.due, due{at: t.deadline, caller: t.caller})
-		s.tell(dahliaford.Event{Kind: dahliaford.JobArrived, Job: t.job, Class: class, Tenant: tenant,
+		s.tell(dispatch.Event{Kind: dispatch.JobArrived, Job: t.job, Class: class, Tenant: tenant,
 			Patience: max(e.Deadline-s.now, 0), Slots: e.Slots, Repeat: e.Repeat})
 		return
 	}
@@ -407,29 +407,29 @@
 	if k.ended || k.worker.UID != e.From {
 		return
 	}
-	note := dahliaford.Event{Kind: dahliaford.AttemptNote, Job: t.job, Attempt: k.ordinal,
-		Worker: k.worker.number, Note: dahliaford.NoteStarted}
+	note := dispatch.Event{Kind: dispatch.AttemptNote, Job: t.job, Attempt: k.ordinal,
+		Worker: k.worker.number, Note: dispatch.NoteStarted}
 	switch e.News {
 	case NewsStarted:
 		s.tell(note)
 	case NewsRunning:
-		note.Note, note.Value = dahliaford.NoteProgress, e.Share
+		note.Note, note.Value = dispatch.NoteProgress, e.Share
 		s.tell(note)
 	case NewsDone:
 		s.answer(t, Answer{Verdict: Served, Body: e.Result})
-		s.endTold(k, dahliaford.OK, e.Report)
+		s.endTold(k, dispatch.OK, e.Report)
 	case NewsFailed:
-		s.endTold(k, dahliaford.Failed, e.Report)
+		s.endTold(k, dispatch.Failed, e.Report)
 	case NewsReturned:
-		s.endTold(k, dahliaford.Returned, e.Report)
+		s.endTold(k, dispatch.Returned, e.Report)
 	case NewsLost:
-		s.endTold(k, dahliaford.Reset, e.Report)
+		s.endTold(k, dispatch.Reset, e.Report)
 	}
 }
 
 // endTold closes an attempt by its worker's own word. Its connection may still wait for an
 // answer that never comes, or never ends, and from here on nothing times it.
-func (s *Scheduler) endTold(k *attempt, o dahliaford.Outcome, r dahliaford.Report) {
+func (s *Scheduler) endTold(k *attempt, o dispatch.Outcome, r dispatch.Report) {
 	if !k.accepted {
 		s.emit(Abandon{Attempt: k.number})
 	}
@@ -437,12 +437,12 @@
 }
 
 // end closes an attempt and tells the module how it went.
-func (s *Scheduler) end(k *attempt, o dahliaford.Outcome, r dahliaford.Report) {
+func (s *Scheduler) end(k *attempt, o dispatch.Outcome, r dispatch.Report) {
 	s.forget(k)
 	if k.of.answered {
 		s.release(k.of)
 	}
-	s.tell(dahliaford.Event{Kind: dahliaford.AttemptEnded, Job: k.of.job, Attempt: k.ordinal,
+	s.tell(dispatch.Event{Kind: dispatch.AttemptEnded, Job: k.of.job, Attempt: k.ordinal,
 		Worker: k.worker.number, Outcome: o, Final: k.of.answered, Report: r})
 }
 
@@ -535,8 +535,8 @@
 	if k.parked == 0 || s.recalling(t) {
 		return
 	}
-	if t.answered || k.worker.Status != dahliaford.Ready || s.now >= k.parked {
-		s.end(k, dahliaford.Moot, dahliaford.Report{})
+	if t.answered || k.worker.Status != dispatch.Ready || s.now >= k.parked {
+		s.end(k, dispatch.Moot, dispatch.Report{})
 		return
 	}
 	by := k.parked
@@ -554,12 +554,12 @@
 	return false
 }
 
-func (s *Scheduler) route(a *dahliaford.Action) {
+func (s *Scheduler) route(a *dispatch.Action) {
 	t, r := s.byJob[a.Job], s.byNumber[a.Worker]
 	if t == nil || r == nil || t.answered || len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended {
 		// The module never asks for this. If it did, a send would break a rule.
-		s.feed(dahliaford.Event{Kind: dahliaford.AttemptEnded, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker,
-			Outcome: dahliaford.Moot, Final: t == nil || t.answered})
+		s.feed(dispatch.Event{Kind: dispatch.AttemptEnded, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker,
+			Outcome: dispatch.Moot, Final: t == nil || t.answered})
 		s.warn("send suppressed", "job", a.Job, "worker", a.Worker)
 		return
 	}
@@ -607,9 +607,9 @@
 		at = s.now
 	}
 	s.watching, s.knownAt = true, at
-	scope := dahliaford.ListDelta
+	scope := dispatch.ListDelta
 	if e.List.All {
-		scope = dahliaford.ListFull
+		scope = dispatch.ListFull
 	}
 	s.apply(e.List, scope, at)
 }
@@ -622,7 +622,7 @@
 	s.discovery, s.rev, s.watching = discovery, 0, false
 	s.count++
 	s.emit(Watch{Addr: s.discovery, Rev: s.rev, Until: s.now + movedWithin})
-	s.tell(dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListWarned,
+	s.tell(dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListWarned,
 		Age: s.ageAt(s.now + movedWithin)})
 }
 
@@ -631,11 +631,11 @@
 
 // warned takes from a discovery that is no longer the present one who leaves.
 func (s *Scheduler) warned(t WorkerList) {
-	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListWarned}
+	e := dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListWarned}
 	var changed []*worker
 	for _, line := range t.Workers {
 		r := s.workers[line.UID]
-		if r == nil || line.Status == dahliaford.Ready {
+		if r == nil || line.Status == dispatch.Ready {
 			continue
 		}
 		if r.offer = nil; r.left == 0 {
@@ -650,7 +650,7 @@
 }
 
 // apply takes a word of the present discovery, or the list that a start knows.
-func (s *Scheduler) apply(t WorkerList, scope dahliaford.ListScope, at Micros) {
+func (s *Scheduler) apply(t WorkerList, scope dispatch.ListScope, at Micros) {
 	if t.All && t.Rev < s.rev {
 		s.count++ // discovery has started anew, or another one answers: it counts from below
 	}
@@ -659,8 +659,8 @@
 	}
 	now := version{s.count, t.Rev}
 	s.word++
-	e := dahliaford.Event{Kind: dahliaford.ListChanged, Scope: scope, Age: s.now - at,
-		Workers: make([]dahliaford.WorkerEntry, 0, len(t.Workers))}
+	e := dispatch.Event{Kind: dispatch.ListChanged, Scope: scope, Age: s.now - at,
+		Workers: make([]dispatch.WorkerEntry, 0, len(t.Workers))}
 	changed := make([]*worker, 0, len(t.Workers))
 	for _, line := range t.Workers {
 		r := s.workers[line.UID]
@@ -685,8 +685,8 @@
 func (s *Scheduler) unsaid(whole bool, now version) (changed []*worker) {
 	if whole {
 		for _, r := range s.workers {
-			if r.word != s.word && (r.Status != dahliaford.Gone || r.offer != nil) {
-				r.Status, r.at, r.offer = dahliaford.Gone, now, nil
+			if r.word != s.word && (r.Status != dispatch.Gone || r.offer != nil) {
+				r.Status, r.at, r.offer = dispatch.Gone, now, nil
 				changed = append(changed, r)
 			}
 		}
@@ -714,7 +714,7 @@
 // once it has started since, or its word is newer for certain, or has been there for so long
 // that its leave would be known there.
 func (s *Scheduler) take(r *worker, line Worker, at version) {
-	back := line.Status == dahliaford.Ready
+	back := line.Status == dispatch.Ready
 	switch {
 	case back && r.at.newer(at):
 	case back && r.left != 0 && line.Started <= r.Started && !at.newer(r.at) &&
@@ -728,8 +728,8 @@
 	}
 }
 
-func (s *Scheduler) entry(r *worker) dahliaford.WorkerEntry {
-	return dahliaford.WorkerEntry{Worker: r.number, Zone: s.zones.of(r.Zone), Cell: r.Cell,
+func (s *Scheduler) entry(r *worker) dispatch.WorkerEntry {
+	return dispatch.WorkerEntry{Worker: r.number, Zone: s.zones.of(r.Zone), Cell: r.Cell,
 		Kind: s.kinds.of(r.Kind), Status: r.Status, Started: r.Started}
 }
 
@@ -738,7 +738,7 @@
 func (s *Scheduler) mark(changed []*worker) {
 	long := s.set.Module.GoneFor()
 	changed = slices.DeleteFunc(changed, func(r *worker) bool {
-		return (r.Status == dahliaford.Ready) == (r.left == 0) && (r.Status == dahliaford.Gone) == (r.gone != 0)
+		return (r.Status == dispatch.Ready) == (r.left == 0) && (r.Status == dispatch.Gone) == (r.gone != 0)
 	})
 	old := 0
 	for ; old < len(s.departed) && s.now-s.departed[old].since >= long; old++ {
@@ -750,15 +750,15 @@
 	slices.SortFunc(changed, byUID)
 	for _, r := range slices.Compact(changed) {
 		switch {
-		case r.Status != dahliaford.Ready && r.left == 0:
+		case r.Status != dispatch.Ready && r.left == 0:
 			r.left = max(s.now, 1)
 			s.emit(Retire{UID: r.UID, Addr: r.Addr})
-		case r.Status == dahliaford.Ready && r.left != 0:
+		case r.Status == dispatch.Ready && r.left != 0:
 			r.left = 0
 			s.emit(Admit{UID: r.UID})
 		}
 		switch {
-		case r.Status != dahliaford.Gone:
+		case r.Status != dispatch.Gone:
 			r.gone = 0
 		case r.gone == 0:
 			r.gone = max(s.now, 1)
@@ -773,10 +773,10 @@
 
 // numberOf gives a worker its number from its name. Schedulers that share nothing
 // must reckon the same owner of a cold worker, and the module does so by number.
-func (s *Scheduler) numberOf(uid string) dahliaford.WorkerID {
+func (s *Scheduler) numberOf(uid string) dispatch.WorkerID {
 	sum := fnv.New32a()
 	sum.Write([]byte(uid))
-	n := dahliaford.WorkerID(sum.Sum32())
+	n := dispatch.WorkerID(sum.Sum32())
 	for s.byNumber[n] != nil {
 		n++
 	}
@@ -786,11 +786,11 @@
 // ---- The module
 
 // feed queues an event for the module behind the one that it works on.
-func (s *Scheduler) feed(e dahliaford.Event) { s.feedback = append(s.feedback, e) }
+func (s *Scheduler) feed(e dispatch.Event) { s.feedback = append(s.feedback, e) }
 
 // tell passes an event to the module, carries its actions over into effects, and
 // goes on until these lead to no further events.
-func (s *Scheduler) tell(e dahliaford.Event) {
+func (s *Scheduler) tell(e dispatch.Event) {
 	s.feed(e)
 	if s.stepping {
 		return
@@ -806,20 +806,20 @@
 	s.stepping = false
 }
 
-func (s *Scheduler) act(a *dahliaford.Action) {
+func (s *Scheduler) act(a *dispatch.Action) {
 	t := s.byJob[a.Job]
 	switch a.Kind {
-	case dahliaford.Send:
+	case dispatch.Send:
 		s.route(a)
-	case dahliaford.Refuse:
+	case dispatch.Refuse:
 		if t != nil {
 			s.answer(t, Answer{Verdict: Refused, Wait: a.Wait})
 		}
-	case dahliaford.Fail:
+	case dispatch.Fail:
 		if t != nil {
 			s.answer(t, Answer{Verdict: Failed})
 		}
-	case dahliaford.Cancel:
+	case dispatch.Cancel:
 		if t == nil {
 			break
 		}
@@ -828,19 +828,19 @@
 		if i >= 0 {
 			k := t.attempts[i]
 			s.callBack(k)
-			s.end(k, dahliaford.Cancelled, dahliaford.Report{})
+			s.end(k, dispatch.Cancelled, dispatch.Report{})
 		}
-	case dahliaford.SetTimer:
+	case dispatch.SetTimer:
 		heap.Push(&s.due, due{at: s.now + a.Wait, token: a.Token, timer: true})
-	case dahliaford.WatchList:
+	case dispatch.WatchList:
 		if s.watching {
 			// The watch shows by its heartbeats that it lives. Opening another would
 			// only load discovery, so the module gets its answer here.
-			s.feed(dahliaford.Event{Kind: dahliaford.ListChanged, Scope: dahliaford.ListDelta, Age: s.now - s.knownAt})
+			s.feed(dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListDelta, Age: s.now - s.knownAt})
 		} else {
 			s.emit(Watch{Addr: s.discovery, Rev: s.rev})
 		}
-	case dahliaford.Log:
+	case dispatch.Log:
 		s.log(a.Text)
 	}
 }
@@ -881,17 +881,17 @@
 		d := heap.Pop(&s.due).(due)
 		switch {
 		case d.timer:
-			s.tell(dahliaford.Event{Kind: dahliaford.TimerRang, Token: d.token})
+			s.tell(dispatch.Event{Kind: dispatch.TimerRang, Token: d.token})
 		case d.recall != 0:
 			s.recallDue(d)
 		case d.parked:
 			if k := s.byAttempt[d.attempt]; k != nil && k.parked == d.at {
-				s.end(k, dahliaford.Moot, dahliaford.Report{})
+				s.end(k, dispatch.Moot, dispatch.Report{})
 			}
 		case d.attempt != 0:
 			if k := s.byAttempt[d.attempt]; k != nil {
 				s.callBack(k)
-				s.end(k, dahliaford.TimedOut, dahliaford.Report{})
+				s.end(k, dispatch.TimedOut, dispatch.Report{})
 			}
 		case d.caller != 0:
 			// The module answers before this. Should it ever not, the caller gets an
@@ -899,7 +899,7 @@
 			if t := s.byCaller[d.caller]; t != nil {
 				s.warn("no decision by the deadline", "txn", t.id)
 				s.answer(t, Answer{Verdict: Failed})
-				s.tell(dahliaford.Event{Kind: dahliaford.ClientGone, Job: t.job})
+				s.tell(dispatch.Event{Kind: dispatch.ClientGone, Job: t.job})
 			}
 		}
 	}
@@ -936,7 +936,7 @@
 			}
 			s.warn("the end comes before the deadline", "txn", t.id)
 			s.answer(t, Answer{Verdict: verdict})
-			s.tell(dahliaford.Event{Kind: dahliaford.ClientGone, Job: t.job})
+			s.tell(dispatch.Event{Kind: dispatch.ClientGone, Job: t.job})
 		}
 	}
 	if len(s.byCaller) == 0 && (len(s.recalls) == 0 || s.now >= s.recallEnd()) {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scenario"
 	"dahliaford/internal/settings"
 )
@@ -65,7 +65,7 @@
 	return w
 }
 
-func line(uid string, status dahliaford.Status) Worker {
+func line(uid string, status dispatch.Status) Worker {
 	return Worker{UID: uid, Addr: uid, Zone: "north", Kind: "m1", Status: status}
 }
 
@@ -149,7 +149,7 @@
 	case p.name == "discovery":
 		p.step(ListLost{})
 	case p.name[0] == 'r': // the connection broke after the request was out
-		p.step(Ended{Attempt: p.attempts[text], Outcome: dahliaford.Reset})
+		p.step(Ended{Attempt: p.attempts[text], Outcome: dispatch.Reset})
 	default:
 		for c, name := range p.callers {
 			if name == p.name {
@@ -176,7 +176,7 @@
 		t := WorkerList{Rev: 2}
 		for _, word := range words {
 			uid, state, _ := strings.Cut(word, "=")
-			status := map[string]dahliaford.Status{"ready": 1, "draining": 2}[state]
+			status := map[string]dispatch.Status{"ready": 1, "draining": 2}[state]
 			t.Workers = append(t.Workers, line(uid, status))
 		}
 		p.step(ListRead{List: t})
@@ -204,8 +204,8 @@
 }
 
 func (p party) worker(word, id string) {
-	ends := map[string]dahliaford.Outcome{"error": dahliaford.Failed, "turned-away": dahliaford.Full,
-		"unreached": dahliaford.ConnectFailed}
+	ends := map[string]dispatch.Outcome{"error": dispatch.Failed, "turned-away": dispatch.Full,
+		"unreached": dispatch.ConnectFailed}
 	if outcome, ok := ends[word]; ok {
 		p.step(Ended{Attempt: p.attempts[id], Outcome: outcome})
 	} else if word == "rejected" {
@@ -518,8 +518,8 @@
 // they met it in: the module reckons the owner of a cold one by it.
 func TestNumbersHangOnNamesAlone(t *testing.T) {
 	a, b := newWorld(t).s, newWorld(t).s
-	a.apply(WorkerList{Workers: []Worker{line("s-1", 1), line("s-2", 1)}}, dahliaford.ListDelta, 1)
-	b.apply(WorkerList{Workers: []Worker{line("s-2", 1), line("s-1", 1)}}, dahliaford.ListDelta, 1)
+	a.apply(WorkerList{Workers: []Worker{line("s-1", 1), line("s-2", 1)}}, dispatch.ListDelta, 1)
+	b.apply(WorkerList{Workers: []Worker{line("s-2", 1), line("s-1", 1)}}, dispatch.ListDelta, 1)
 	for _, uid := range []string{"s-1", "s-2"} {
 		if diff := cmp.Diff(a.workers[uid].number, b.workers[uid].number); diff != "" {
 			t.Errorf("%s: %s", uid, diff)
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 )
 
 // fleetOf starts a scheduler of a fleet.
@@ -61,16 +61,16 @@
 func TestWorkersThatWentAreForgotten(t *testing.T) {
 	s := fleetOf(t, 80, 10)
 	for i := range 200 { // one is replaced a minute
-		old, next := line(fmt.Sprintf("r%d", i), dahliaford.Gone), line(fmt.Sprintf("r%d", i+10), dahliaford.Ready)
+		old, next := line(fmt.Sprintf("r%d", i), dispatch.Gone), line(fmt.Sprintf("r%d", i+10), dispatch.Ready)
 		s.Step(s.now+60*second, ListRead{List: WorkerList{Rev: int64(i + 2), Workers: []Worker{old, next}}}, nil)
 	}
 	if n := len(s.workers); n > 25 || n < 10 || len(s.byNumber) != n {
 		t.Errorf("%d workers and %d numbers in the books, 10 in the list", n, len(s.byNumber))
 	}
 	before := len(s.workers)
-	left := WorkerList{Rev: 999, Workers: []Worker{line("r0", dahliaford.Ready)}}
+	left := WorkerList{Rev: 999, Workers: []Worker{line("r0", dispatch.Ready)}}
 	s.Step(s.now+second, ListRead{List: left}, nil)
-	if r := s.workers["r0"]; r == nil || r.Status != dahliaford.Ready || len(s.workers) != before+1 {
+	if r := s.workers["r0"]; r == nil || r.Status != dispatch.Ready || len(s.workers) != before+1 {
 		t.Errorf("one that came back is %+v", r)
 	}
 	jobs(t, s, 10)
--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/settings"
 )
 
@@ -40,12 +40,12 @@
 func slopeList(workers int) WorkerList {
 	list := WorkerList{Rev: 1, All: true}
 	for i := range workers {
-		list.Workers = append(list.Workers, slopeLine(i, dahliaford.Ready))
+		list.Workers = append(list.Workers, slopeLine(i, dispatch.Ready))
 	}
 	return list
 }
 
-func slopeLine(i int, status dahliaford.Status) Worker {
+func slopeLine(i int, status dispatch.Status) Worker {
 	return Worker{UID: fmt.Sprintf("worker-%05d", i), Zone: fmt.Sprint("zone-", i%slopeZones),
 		Addr: fmt.Sprintf("10.%d.%d.%d:8443", i>>16, i>>8&255, i&255),
 		Kind: fmt.Sprint("m", i/slopeZones%4), Cell: i / 40, Status: status}
@@ -95,7 +95,7 @@
 		before := processorMicros(b)
 		for i := range b.N {
 			list.Rev = int64(i) + 2
-			list.Workers[0] = slopeLine(i/2*7919%n, []dahliaford.Status{dahliaford.Draining, dahliaford.Ready}[i%2])
+			list.Workers[0] = slopeLine(i/2*7919%n, []dispatch.Status{dispatch.Draining, dispatch.Ready}[i%2])
 			out = s.Step(s.now+second, ListRead{List: list}, out[:0])
 		}
 		return (processorMicros(b) - before) / float64(b.N)
@@ -127,7 +127,7 @@
 		before := processorMicros(b)
 		for i := range b.N {
 			list.Rev = int64(i) + 2
-			list.Workers[i/2%n].Status = []dahliaford.Status{dahliaford.Draining, dahliaford.Ready}[i%2]
+			list.Workers[i/2%n].Status = []dispatch.Status{dispatch.Draining, dispatch.Ready}[i%2]
 			out = s.Step(s.now+second, ListRead{List: list}, out[:0])
 		}
 		return (processorMicros(b) - before) / float64(b.N)
@@ -142,7 +142,7 @@
 			s := slopeStart(b, slopeSchedulers, list)
 			before := processorMicros(b)
 			for i := 0; i < n; i += slopeZones {
-				word := WorkerList{Rev: int64(i) + 2, Workers: []Worker{slopeLine(i, dahliaford.Gone)}}
+				word := WorkerList{Rev: int64(i) + 2, Workers: []Worker{slopeLine(i, dispatch.Gone)}}
 				out = s.Step(s.now+1000, ListRead{List: word}, out[:0])
 			}
 			took += processorMicros(b) - before
--- a/internal/scheduler/word_bench_test.go
+++ b/internal/scheduler/word_bench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 )
 
 // BenchmarkWord is one changed entry a word, told to the reducer and the module: workers leave and
@@ -40,9 +40,9 @@
 
 func (w *words) say(s *Scheduler) {
 	i := w.at / 2 * 7919 % w.workers
-	status := dahliaford.Draining
+	status := dispatch.Draining
 	if w.at%2 == 1 {
-		status = dahliaford.Ready
+		status = dispatch.Ready
 	}
 	w.at++
 	w.rev++
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -7,19 +7,19 @@
 	"fmt"
 	"slices"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 )
 
 // Settings is what the object says: to the decision module, and to the program
 // that meets names instead of numbers.
 type Settings struct {
-	Module     dahliaford.Settings
+	Module     dispatch.Settings
 	Classes    []string // names, by number
 	Tenants    []string
 	Zones      []string
 	Kinds      []string
-	DrainGrace dahliaford.Micros // sends to a worker told to drain must have begun by then
-	ConnIdle   dahliaford.Micros // a worker's machine closes a connection that has idled so long
+	DrainGrace dispatch.Micros // sends to a worker told to drain must have begun by then
+	ConnIdle   dispatch.Micros // a worker's machine closes a connection that has idled so long
 }
 
 // object is the settings object. Pointers mark what is optional and has a default
@@ -87,13 +87,13 @@
 	} `json:"report"`
 }
 
-var effects = map[string]dahliaford.Effect{
-	"idempotent": dahliaford.Safe, "deduplicated": dahliaford.Keyed, "at_most_once": dahliaford.Unsafe,
+var effects = map[string]dispatch.Effect{
+	"idempotent": dispatch.Safe, "deduplicated": dispatch.Keyed, "at_most_once": dispatch.Unsafe,
 }
 
-var groups = map[string]dahliaford.Group{
-	"all": dahliaford.GroupAll, "zone": dahliaford.GroupZone,
-	"cell": dahliaford.GroupCell, "": dahliaford.GroupCell,
+var groups = map[string]dispatch.Group{
+	"all": dispatch.GroupAll, "zone": dispatch.GroupZone,
+	"cell": dispatch.GroupCell, "": dispatch.GroupCell,
 }
 
 // Parse reads the settings object. What is absent gets the value that promises
@@ -104,22 +104,22 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	all := Settings{Zones: p.Zones, Kinds: p.Kinds,
-		DrainGrace: dahliaford.Micros(p.Guarantees.DrainGrace), ConnIdle: dahliaford.Micros(p.Limits.ConnIdle)}
-	s := dahliaford.Settings{
+		DrainGrace: dispatch.Micros(p.Guarantees.DrainGrace), ConnIdle: dispatch.Micros(p.Limits.ConnIdle)}
+	s := dispatch.Settings{
 		Me: p.Me, Balancers: p.Balancers, Zone: p.Locality, WorthByWork: p.WorthBy == "work",
 		OverShareWorth: orElse(p.OverShare, 1),
-		AskForList:     p.Discovery == "on_request", AskWithin: dahliaford.Micros(p.Guarantees.AskWithin),
-		Granularity: dahliaford.Micros(p.Granularity),
-		Cold:        dahliaford.Micros(p.Guarantees.Cold),
+		AskForList:     p.Discovery == "on_request", AskWithin: dispatch.Micros(p.Guarantees.AskWithin),
+		Granularity: dispatch.Micros(p.Granularity),
+		Cold:        dispatch.Micros(p.Guarantees.Cold),
 		ColdFrom:    p.Guarantees.ColdFrom, OverloadFactor: orElse(p.Guarantees.OverloadFactor, 1),
-		Fall: dahliaford.Micros(p.Guarantees.Fall), MaxAttempts: p.Limits.AttemptsCap,
+		Fall: dispatch.Micros(p.Guarantees.Fall), MaxAttempts: p.Limits.AttemptsCap,
 		MayCancel: p.Limits.Cancel, MayDuplicate: p.Limits.MayDuplicate,
-		MayTellPeers: p.Limits.Peers, ConnectTimeout: dahliaford.Micros(p.Limits.ConnectTimeout),
-		TellsStart: p.FamilyInfo.TellsStart, Progress: dahliaford.Micros(p.FamilyInfo.Progress),
+		MayTellPeers: p.Limits.Peers, ConnectTimeout: dispatch.Micros(p.Limits.ConnectTimeout),
+		TellsStart: p.FamilyInfo.TellsStart, Progress: dispatch.Micros(p.FamilyInfo.Progress),
 		CrossZonePrice: p.Prices.CrossZone, MarksRepeats: p.Clients.MarksRetry,
 	}
 	if p.Limits.RetryAfter {
-		s.MaxRetryAfter = dahliaford.Micros(p.Limits.MaxRetryAfter)
+		s.MaxRetryAfter = dispatch.Micros(p.Limits.MaxRetryAfter)
 	}
 	s.Reports = p.Report.How != "off" && slices.Contains(p.Report.Fields, "x0") &&
 		p.FamilyInfo.ReportX0 == "free slots"
@@ -132,9 +132,9 @@
 		if !known {
 			return all, fmt.Errorf("settings: grades[%d].dedup_scope: unknown value %q", i, g.DedupScope)
 		}
-		c := dahliaford.Class{Aim: dahliaford.Micros(g.SLO), Deadline: dahliaford.Micros(g.Deadline),
+		c := dispatch.Class{Aim: dispatch.Micros(g.SLO), Deadline: dispatch.Micros(g.Deadline),
 			Worth: g.Worth, LateWorth: g.LateWorth, Effect: effect, Group: group,
-			Window: dahliaford.Micros(g.MemorySpan), Stream: g.Stream, Kind: -1}
+			Window: dispatch.Micros(g.MemorySpan), Stream: g.Stream, Kind: -1}
 		if i < len(p.FamilyInfo.ClassStretch) {
 			c.Stretch = p.FamilyInfo.ClassStretch[i]
 		}
@@ -146,7 +146,7 @@
 		all.Classes = append(all.Classes, g.Name)
 	}
 	for _, c := range p.Customers {
-		s.Tenants = append(s.Tenants, dahliaford.Tenant{Quota: c.Quota})
+		s.Tenants = append(s.Tenants, dispatch.Tenant{Quota: c.Quota})
 		all.Tenants = append(all.Tenants, c.Name)
 	}
 	all.Module = s
--- a/internal/hollow/address.go
+++ b/internal/simfleet/address.go
@@ -1,4 +1,4 @@
-package hollow
+package simfleet
 
 import (
 	"context"
--- a/internal/hollow/clients.go
+++ b/internal/simfleet/clients.go
@@ -1,4 +1,4 @@
-package hollow
+package simfleet
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
+	"dahliaford/internal/fakes"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/standin"
 )
 
 const (
@@ -26,7 +26,7 @@
 	addrs   []string
 	idle    []chan *kept
 	open    []atomic.Int64
-	record  standin.Recorder
+	record  fakes.Recorder
 	traffic *traffic
 	last    atomic.Int64
 
@@ -47,7 +47,7 @@
 	}
 }
 
-func newClients(addrs []string, rec standin.Recorder, t *traffic) *clients {
+func newClients(addrs []string, rec fakes.Recorder, t *traffic) *clients {
 	c := &clients{addrs: addrs, idle: make([]chan *kept, len(addrs)), open: make([]atomic.Int64, len(addrs)),
 		record: rec, traffic: t}
 	for i := range c.idle {
@@ -66,7 +66,7 @@
 
 // submit hands one job in at the k-th scheduler, and tells whether it was served.
 func (c *clients) submit(k int, what string, run time.Duration) bool {
-	s := standin.Submission{ID: jobID(k, what, c.last.Add(1)), Class: batchClass, Tenant: tenant,
+	s := fakes.Submission{ID: jobID(k, what, c.last.Add(1)), Class: batchClass, Tenant: tenant,
 		Body: []byte(run.String()), Deadline: time.Now().Add(batchDeadline)}
 	s.Key = "k-" + s.ID
 	rec := c.record
@@ -89,7 +89,7 @@
 	return false
 }
 
-func (c *clients) exchange(k int, s standin.Submission, rec standin.Recorder) (*http1.Response, error) {
+func (c *clients) exchange(k int, s fakes.Submission, rec fakes.Recorder) (*http1.Response, error) {
 	var to *kept
 	select {
 	case to = <-c.idle[k]:
@@ -99,7 +99,7 @@
 			return nil, err
 		}
 	}
-	m, err := standin.SubmitOn(to.conn, to.read, s, rec)
+	m, err := fakes.SubmitOn(to.conn, to.read, s, rec)
 	if err != nil || m.Close {
 		to.conn.Close()
 	} else {
--- a/internal/hollow/hollow.go
+++ b/internal/simfleet/hollow.go
@@ -1,8 +1,8 @@
-// Package hollow measures real dahliaford processes at the size of a whole fleet. Discovery and all
+// Package simfleet measures real dahliaford processes at the size of a whole fleet. Discovery and all
 // workers are hollow: they share this process, speak the protocol on loopback, and do no work. What
 // the schedulers take is read from the system's accounts; what they are told and asked is counted on
 // this side. Nothing here decides anything.
-package hollow
+package simfleet
 
 import (
 	"fmt"
--- a/internal/hollow/hollow_test.go
+++ b/internal/simfleet/hollow_test.go
@@ -1,4 +1,4 @@
-package hollow
+package simfleet
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"dahliaford/internal/fakes"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/standin"
 )
 
 // program builds the scheduler, as package rig's tests do.
@@ -127,16 +127,16 @@
 // A watch from a version on gets what has changed since; one from before a restart, or from a version
 // that never was, the whole list; and a word for each line that changes.
 func TestDiscoveryTellsWhatChanged(t *testing.T) {
-	lines := make([]standin.Line, 10)
+	lines := make([]fakes.Line, 10)
 	for i := range lines {
-		lines[i] = standin.Line{UID: fmt.Sprint("s-", i), Endpoint: "127.0.0.1:1", State: "ready"}
+		lines[i] = fakes.Line{UID: fmt.Sprint("s-", i), Endpoint: "127.0.0.1:1", State: "ready"}
 	}
 	d, err := newDiscovery(2, lines)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { d.close() }()
-	leave := func(l *standin.Line) { l.State = "gone" }
+	leave := func(l *fakes.Line) { l.State = "gone" }
 	watch := func(from, words int) (revs, entries []int, all bool) {
 		t.Helper()
 		conn, err := net.Dial("tcp", d.addr(1))
--- a/internal/hollow/run.go
+++ b/internal/simfleet/run.go
@@ -1,4 +1,4 @@
-package hollow
+package simfleet
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"dahliaford/internal/record"
-	"dahliaford/internal/rig"
-	"dahliaford/internal/standin"
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/history"
+	"dahliaford/internal/testcluster"
 )
 
 const (
@@ -45,17 +45,17 @@
 	list    *discovery
 	workers *workers
 	clients *clients
-	all     []*rig.Process
+	all     []*testcluster.Process
 	jobs    traffic // of clients and workers
 	random  *rand.Rand
 	// Of a core, what a scheduler takes with the jobs alone: the most of them, and the mean.
 	base, meanBase float64
 
 	mu      sync.Mutex
-	history []record.Event
+	history []history.Event
 }
 
-func rest(ctx context.Context, d time.Duration) bool { return rig.Rest(ctx, d) }
+func rest(ctx context.Context, d time.Duration) bool { return testcluster.Rest(ctx, d) }
 
 // Run runs a day. It ends by itself, and ends the processes that it started, also when the context
 // ends it early: then with an error.
@@ -78,7 +78,7 @@
 	fmt.Fprintf(r.log, "%6.1f s  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (r *run) saw(e record.Event) {
+func (r *run) saw(e history.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.history) < mostHistory {
@@ -124,7 +124,7 @@
 
 // start starts all schedulers at once.
 func (r *run) start(ctx context.Context, folder string, zones []string) error {
-	r.all = make([]*rig.Process, r.Schedulers)
+	r.all = make([]*testcluster.Process, r.Schedulers)
 	ready := make([]float64, r.Schedulers)
 	errs := make([]error, r.Schedulers)
 	m := r.mark()
@@ -132,11 +132,11 @@
 	for i := range r.all {
 		starts.Go(func() {
 			began := time.Now()
-			p, err := rig.StartSetup(r.Program, folder, rig.Setup{Name: "n" + strconv.Itoa(i),
+			p, err := testcluster.StartSetup(r.Program, folder, testcluster.Setup{Name: "n" + strconv.Itoa(i),
 				Listen: "127.0.0.1:0", Discovery: r.list.addr(i), Schedulers: r.fleet(),
 				// The real ones are spread over the fleet's numbers, and over the zones.
 				Me: i * r.fleet() / r.Schedulers, Zone: i % len(zones), Zones: zones,
-				MemoryMB: memoryMB, Sockets: sockets, Known: []standin.Line{}})
+				MemoryMB: memoryMB, Sockets: sockets, Known: []fakes.Line{}})
 			if errs[i] = err; err != nil {
 				return
 			}
@@ -316,19 +316,19 @@
 // gone and back tell of workers that were lost and have been started anew, cold.
 func (r *run) gone(places []int, one bool) int {
 	r.workers.lose(places)
-	return r.state(places, "gone", 0, record.Told, one)
+	return r.state(places, "gone", 0, history.Told, one)
 }
 
 func (r *run) back(places []int, one bool) int {
 	r.workers.back(places)
-	return r.state(places, "ready", time.Now().UnixMilli(), record.Back, one)
+	return r.state(places, "ready", time.Now().UnixMilli(), history.Back, one)
 }
 
-func (r *run) state(places []int, state string, boot int64, kind record.Kind, one bool) int {
+func (r *run) state(places []int, state string, boot int64, kind history.Kind, one bool) int {
 	for _, p := range places {
-		r.saw(record.Event{At: time.Now(), Kind: kind, Who: r.workers.uids[p]})
+		r.saw(history.Event{At: time.Now(), Kind: kind, Who: r.workers.uids[p]})
 	}
-	return r.list.tell(places, func(l *standin.Line) {
+	return r.list.tell(places, func(l *fakes.Line) {
 		if l.State = state; boot != 0 {
 			l.BootMs = boot
 		}
@@ -386,7 +386,7 @@
 		for end := time.Now().Add(span); time.Now().Before(end); {
 			if drains = !drains; drains {
 				place = r.random.IntN(r.Workers)
-				e.Words += r.state([]int{place}, "draining", 0, record.Told, true)
+				e.Words += r.state([]int{place}, "draining", 0, history.Told, true)
 			} else {
 				e.Words += r.back([]int{place}, true)
 			}
@@ -479,7 +479,7 @@
 		if !rest(ctx, time.Until(m.at.Add(span*time.Duration(i)/time.Duration(n)))) {
 			return ctx.Err()
 		}
-		e.Words += r.state([]int{place}, "draining", 0, record.Told, true)
+		e.Words += r.state([]int{place}, "draining", 0, history.Told, true)
 		drained = append(drained, place)
 		if late := int(drainedFor * time.Duration(n) / span); len(drained) > late {
 			e.Words += r.back(drained[:1], true)
@@ -569,13 +569,13 @@
 func (r *run) check() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rules := record.Rules{Rack: map[string]string{}, Window: 10 * time.Second,
+	rules := history.Rules{Rack: map[string]string{}, Window: 10 * time.Second,
 		DrainGrace: 550 * time.Millisecond, MostAttempts: 4, Slack: slack, Watched: 3 * time.Second}
 	for i, uid := range r.workers.uids {
 		rules.Rack[uid] = strconv.Itoa(i / 8)
 	}
 	r.report.Checked = len(r.history)
-	for _, f := range record.Check(rules, r.history) {
+	for _, f := range history.Check(rules, r.history) {
 		r.report.Broken = append(r.report.Broken, f.String())
 	}
 	if len(r.history) == mostHistory {
@@ -588,7 +588,7 @@
 func ownMB() (mb float64) {
 	raw, err := os.ReadFile("/proc/self/status")
 	if err == nil {
-		mb = rig.MostMB(string(raw))
+		mb = testcluster.MostMB(string(raw))
 	}
 	return mb
 }
--- a/internal/hollow/workers.go
+++ b/internal/simfleet/workers.go
@@ -1,4 +1,4 @@
-package hollow
+package simfleet
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/history"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/record"
-	"dahliaford/internal/standin"
 )
 
 const (
@@ -24,10 +24,10 @@
 // workers are all hollow workers. A job says in its body how long it runs, and in its id which
 // scheduler has it.
 type workers struct {
-	http    *standin.Server
+	http    *fakes.Server
 	uids    []string
 	down    []atomic.Bool // by place: its machine is off
-	record  standin.Recorder
+	record  fakes.Recorder
 	traffic *traffic
 
 	mu    sync.Mutex
@@ -45,7 +45,7 @@
 	gone  chan struct{} // closed when it is withdrawn or lost
 }
 
-func newWorkers(n, schedulers int, rec standin.Recorder, t *traffic) (*workers, error) {
+func newWorkers(n, schedulers int, rec fakes.Recorder, t *traffic) (*workers, error) {
 	w := &workers{uids: make([]string, n), down: make([]atomic.Bool, n), record: rec, traffic: t,
 		jobs: map[string]*hollowJob{}, addrs: make([]string, schedulers), idle: make([]chan *kept, schedulers),
 		over: make(chan struct{})}
@@ -59,19 +59,19 @@
 	if err != nil {
 		return nil, err
 	}
-	w.http = standin.Serve(l, w.serve)
+	w.http = fakes.Serve(l, w.serve)
 	return w, nil
 }
 
 // entries are the workers as discovery lists them: ready, in equal parts of the zones, eight to a
 // group.
-func (w *workers) entries(zones []string) []standin.Line {
+func (w *workers) entries(zones []string) []fakes.Line {
 	_, port, _ := net.SplitHostPort(w.http.Addr())
 	at, _ := strconv.Atoi(port)
-	lines := make([]standin.Line, len(w.uids))
+	lines := make([]fakes.Line, len(w.uids))
 	for i := range lines {
 		zone := i * len(zones) / len(lines)
-		lines[i] = standin.Line{UID: w.uids[i], Endpoint: address(i, at), Zone: zones[zone], Model: "m1",
+		lines[i] = fakes.Line{UID: w.uids[i], Endpoint: address(i, at), Zone: zones[zone], Model: "m1",
 			Group: i / 8, State: "ready"}
 	}
 	return lines
@@ -101,7 +101,7 @@
 		if off[j.place] {
 			delete(w.jobs, id)
 			close(j.gone)
-			w.say(record.Event{Kind: record.Lost, ID: id, Who: w.uids[j.place]})
+			w.say(history.Event{Kind: history.Lost, ID: id, Who: w.uids[j.place]})
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-func (w *workers) say(e record.Event) {
+func (w *workers) say(e history.Event) {
 	if w.record != nil && counts(e.ID) {
 		e.At = time.Now()
 		w.record(e)
@@ -122,7 +122,7 @@
 func (w *workers) serve(plain net.Conn) {
 	place := number(plain)
 	if place < 0 || place >= len(w.uids) || w.down[place].Load() {
-		standin.Reset(plain)
+		fakes.Reset(plain)
 		return
 	}
 	conn := counted{plain, w.traffic}
@@ -133,7 +133,7 @@
 			return
 		}
 		if w.down[place].Load() {
-			standin.Reset(plain)
+			fakes.Reset(plain)
 			return
 		}
 		if id, is := strings.CutPrefix(m.Target, "/jobs/"); is && m.Method == "DELETE" {
@@ -149,12 +149,12 @@
 			conn.Write(http1.AppendResponse(nil, 400, nil, nil))
 			return
 		}
-		w.say(record.Event{Kind: record.Arrived, ID: j.id, Who: w.uids[place]})
+		w.say(history.Event{Kind: history.Arrived, ID: j.id, Who: w.uids[place]})
 		w.mu.Lock()
 		w.jobs[j.id] = j
 		w.mu.Unlock()
 		if _, err := conn.Write(http1.AppendResponse(nil, 202, nil, nil)); err != nil {
-			if w.end(j, record.Event{Kind: record.Closed, ID: j.id, Who: w.uids[place]}) {
+			if w.end(j, history.Event{Kind: history.Closed, ID: j.id, Who: w.uids[place]}) {
 				close(j.gone)
 			}
 			return
@@ -172,12 +172,12 @@
 		status = 200
 	}
 	w.mu.Unlock()
-	w.say(record.Event{Kind: record.Withdrawn, ID: id, Who: w.uids[place], Status: status})
+	w.say(history.Event{Kind: history.Withdrawn, ID: id, Who: w.uids[place], Status: status})
 	return status
 }
 
 // end takes a job off its worker, unless it has been withdrawn or lost.
-func (w *workers) end(j *hollowJob, e record.Event) bool {
+func (w *workers) end(j *hollowJob, e history.Event) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.jobs[j.id] != j {
@@ -189,7 +189,7 @@
 }
 
 func (w *workers) run(j *hollowJob, span time.Duration) {
-	w.say(record.Event{Kind: record.Started, ID: j.id, Who: w.uids[j.place]})
+	w.say(history.Event{Kind: history.Started, ID: j.id, Who: w.uids[j.place]})
 	w.tell(j, "started", "")
 	if span > 0 {
 		select {
@@ -201,7 +201,7 @@
 		}
 	}
 	result := "did " + j.id
-	if w.end(j, record.Event{Kind: record.Ended, ID: j.id, Who: w.uids[j.place], Ran: true, Result: result}) {
+	if w.end(j, history.Event{Kind: history.Ended, ID: j.id, Who: w.uids[j.place], Ran: true, Result: result}) {
 		w.tell(j, "done", result)
 	}
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"dahliaford/internal/store/life"
+	"dahliaford/internal/store/lifecycle"
 	"go.etcd.io/bbolt"
 )
 
@@ -65,8 +65,8 @@
 				all.Go(func() {
 					var mine []time.Duration
 					for n := 0; n < max(b.N/callers, 1); n++ {
-						it := &life.Item{ID: fmt.Sprintf("item-%09d", rand.IntN(1<<30)), Class: "post-reading",
-							Body: make([]byte, 200), Deadline: life.Micros(k)}
+						it := &lifecycle.Item{ID: fmt.Sprintf("item-%09d", rand.IntN(1<<30)), Class: "post-reading",
+							Body: make([]byte, 200), Deadline: lifecycle.Micros(k)}
 						at := time.Now()
 						if err := accept(s, it); err != nil {
 							b.Error(err)
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -15,7 +15,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"dahliaford/internal/store/life"
+	"dahliaford/internal/store/lifecycle"
 )
 
 // version is the format's. 1 had neither checksums nor a number of records.
@@ -154,7 +154,7 @@
 func migrate(items, meta *bbolt.Bucket) error {
 	old := map[string][]byte{}
 	if err := items.ForEach(func(k, v []byte) error {
-		var it life.Item
+		var it lifecycle.Item
 		if err := json.Unmarshal(v, &it); err != nil {
 			return fmt.Errorf("item %q of version 1: %w", k, err)
 		}
@@ -181,18 +181,18 @@
 	return append(binary.BigEndian.AppendUint32(nil, sum(key, payload)), payload...)
 }
 
-func unseal(key, record []byte) (*life.Item, error) {
+func unseal(key, record []byte) (*lifecycle.Item, error) {
 	if len(record) < 4 || binary.BigEndian.Uint32(record) != sum(key, record[4:]) {
 		return nil, errBroken
 	}
-	it := &life.Item{}
+	it := &lifecycle.Item{}
 	if err := json.Unmarshal(record[4:], it); err != nil || it.ID != string(key) {
 		return nil, errBroken
 	}
 	return it, nil
 }
 
-func (b *bolt) commit(seen life.Micros, batch []Change) (count int, size int64, err error) {
+func (b *bolt) commit(seen lifecycle.Micros, batch []Change) (count int, size int64, err error) {
 	err = guard(func() (err error) {
 		count, size, err = b.update(seen, batch)
 		return err
@@ -200,7 +200,7 @@
 	return count, size - int64(b.db.Stats().FreeAlloc), err
 }
 
-func (b *bolt) update(seen life.Micros, batch []Change) (n int, size int64, err error) {
+func (b *bolt) update(seen lifecycle.Micros, batch []Change) (n int, size int64, err error) {
 	err = b.db.Update(func(tx *bbolt.Tx) error {
 		items, meta := tx.Bucket(itemsBucket), tx.Bucket(metaBucket)
 		count := number(meta.Get(countKey))
@@ -237,7 +237,7 @@
 
 // each reads all records. broken says what is wrong with one, by its checksum or by what an
 // item may become; without an id it is about the store as a whole.
-func (b *bolt) each(do func(id string, it *life.Item, broken error) error) error {
+func (b *bolt) each(do func(id string, it *lifecycle.Item, broken error) error) error {
 	return b.view(func(tx *bbolt.Tx) error {
 		n := uint64(0)
 		if b.behind != nil {
@@ -262,9 +262,9 @@
 	})
 }
 
-func (b *bolt) seen() (at life.Micros, err error) {
+func (b *bolt) seen() (at lifecycle.Micros, err error) {
 	err = b.view(func(tx *bbolt.Tx) error {
-		at = life.Micros(number(tx.Bucket(metaBucket).Get(seenKey)))
+		at = lifecycle.Micros(number(tx.Bucket(metaBucket).Get(seenKey)))
 		return nil
 	})
 	return at, err
--- a/internal/store/life/life.go
+++ b/internal/store/lifecycle/life.go
@@ -1,4 +1,4 @@
-// Package life says what may become of a stored item, and what recovery concludes from its
+// Package lifecycle says what may become of a stored item, and what recovery concludes from its
 // record. It has no I/O and no clock: events go in with their times, a changed item or a
 // conclusion comes out. Package store keeps the items on disk.
 //
@@ -6,7 +6,7 @@
 // promise: that an item was accepted, before its client hears so; that an attempt is routed,
 // before its first byte goes out; that a region called back with an end, before the region's
 // 204. And an answer, before anybody hears it.
-package life
+package lifecycle
 
 import (
 	"errors"
--- a/internal/store/life/life_test.go
+++ b/internal/store/lifecycle/life_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"errors"
--- a/internal/store/life/race_off_test.go
+++ b/internal/store/lifecycle/race_off_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package life
+package lifecycle
 
 const raceOn = false
--- a/internal/store/life/recover.go
+++ b/internal/store/lifecycle/recover.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 // Now is what recovery knows of the time.
 type Now struct {
--- a/internal/store/life/world_test.go
+++ b/internal/store/lifecycle/world_test.go
@@ -1,11 +1,11 @@
-package life
+package lifecycle
 
 import (
 	"encoding/json"
 	"fmt"
 	"testing"
 
-	"dahliaford/internal/explore"
+	"dahliaford/internal/modelcheck"
 )
 
 // world is one item, a store that loses what was not synced, a process that is killed at any
@@ -244,7 +244,7 @@
 		if raceOn {
 			crashes = 1 // states cost ten times as much
 		}
-		tour := explore.Exhaust(&world{Effect: effect, Crashes: crashes}, 300_000)
+		tour := modelcheck.Exhaust(&world{Effect: effect, Crashes: crashes}, 300_000)
 		if tour.Broken != nil || !tour.Exhausted || tour.States < 1000 {
 			t.Errorf("effect %d: %v, %v, by %q", effect, tour, tour.Broken, tour.Path)
 		}
@@ -255,7 +255,7 @@
 // Each of the waits is needed: without any one of them a promise breaks.
 func TestWhatMustBeOnDisk(t *testing.T) {
 	for _, early := range []string{"accept", "route", "204", "answer"} {
-		tour := explore.Exhaust(&world{Effect: Once, Crashes: 2, Early: early}, 1_000_000)
+		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, Early: early}, 1_000_000)
 		if tour.Broken == nil {
 			t.Errorf("nothing breaks without the wait before %s: %v", early, tour)
 			continue
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"dahliaford/internal/store/life"
+	"dahliaford/internal/store/lifecycle"
 )
 
 // Config says how a store is kept.
@@ -33,7 +33,7 @@
 
 // Change is an item's new state, or its end: the item is forgotten.
 type Change struct {
-	Item   *life.Item
+	Item   *lifecycle.Item
 	Forget bool
 	// Done is told once, from the writer's goroutine, in the order of the changes: nil when
 	// the change is on disk. It must not block.
@@ -66,9 +66,9 @@
 
 // disk is what a store needs of its engine. A commit is on disk, whole, when it returns nil.
 type disk interface {
-	commit(seen life.Micros, batch []Change) (items int, bytes int64, err error)
-	each(func(id string, it *life.Item, broken error) error) error
-	seen() (life.Micros, error)
+	commit(seen lifecycle.Micros, batch []Change) (items int, bytes int64, err error)
+	each(func(id string, it *lifecycle.Item, broken error) error) error
+	seen() (lifecycle.Micros, error)
 	size() (items int, bytes int64, err error)
 	writeTo(w io.Writer) error
 	close() error
@@ -120,19 +120,19 @@
 
 // Recovered is what a store held when it was opened.
 type Recovered struct {
-	Items  []*life.Item
+	Items  []*lifecycle.Item
 	Broken []error // a line for each record that cannot be trusted; none of them is in Items
-	Now    life.Now
+	Now    lifecycle.Now
 }
 
 // Recover reads all items. The clock is what it shows now.
-func (s *Store) Recover(clock life.Micros) (*Recovered, error) {
+func (s *Store) Recover(clock lifecycle.Micros) (*Recovered, error) {
 	seen, err := s.disk.seen()
 	if err != nil {
 		return nil, err
 	}
-	r := &Recovered{Now: life.Since(clock, seen)}
-	err = s.disk.each(func(id string, it *life.Item, broken error) error {
+	r := &Recovered{Now: lifecycle.Since(clock, seen)}
+	err = s.disk.each(func(id string, it *lifecycle.Item, broken error) error {
 		if broken != nil {
 			r.Broken = append(r.Broken, named(id, broken))
 		} else {
@@ -238,7 +238,7 @@
 	if failed != nil {
 		return failed
 	}
-	items, bytes, err := s.disk.commit(life.Micros(time.Now().UnixMicro()), batch)
+	items, bytes, err := s.disk.commit(lifecycle.Micros(time.Now().UnixMicro()), batch)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,12 +16,12 @@
 	"github.com/google/go-cmp/cmp"
 	"go.etcd.io/bbolt"
 
-	"dahliaford/internal/store/life"
+	"dahliaford/internal/store/lifecycle"
 )
 
-func item(n int) *life.Item {
-	return &life.Item{ID: fmt.Sprintf("item-%04d", n), Class: "post-reading",
-		Body: []byte(fmt.Sprint("body ", n)), Accepted: life.Micros(n), Deadline: 1 << 50}
+func item(n int) *lifecycle.Item {
+	return &lifecycle.Item{ID: fmt.Sprintf("item-%04d", n), Class: "post-reading",
+		Body: []byte(fmt.Sprint("body ", n)), Accepted: lifecycle.Micros(n), Deadline: 1 << 50}
 }
 
 func open(t testing.TB, cfg Config) *Store {
@@ -35,7 +35,7 @@
 }
 
 // accept stores an item and waits until it is on disk.
-func accept(s *Store, it *life.Item) error {
+func accept(s *Store, it *lifecycle.Item) error {
 	done := make(chan error, 1)
 	if err := s.Accept(Change{Item: it, Done: func(err error) { done <- err }}); err != nil {
 		return err
@@ -52,13 +52,13 @@
 	return <-done
 }
 
-func held(t testing.TB, s *Store) map[string]*life.Item {
+func held(t testing.TB, s *Store) map[string]*lifecycle.Item {
 	t.Helper()
 	r, err := s.Recover(1)
 	if err != nil || len(r.Broken) > 0 {
 		t.Fatalf("%v, broken %v", err, r.Broken)
 	}
-	all := map[string]*life.Item{}
+	all := map[string]*lifecycle.Item{}
 	for _, it := range r.Items {
 		all[it.ID] = it
 	}
@@ -70,7 +70,7 @@
 func TestReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "jobs")
 	s := open(t, Config{Path: path})
-	want := map[string]*life.Item{}
+	want := map[string]*lifecycle.Item{}
 	for n := range 20 {
 		it := item(n)
 		if err := accept(s, it); err != nil {
@@ -79,7 +79,7 @@
 		want[it.ID] = it
 	}
 	changed := *want["item-0003"]
-	if err := changed.Apply(life.Event{Kind: life.Routed, At: 5, Region: "s-1", Rack: "a"}); err != nil {
+	if err := changed.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 5, Region: "s-1", Rack: "a"}); err != nil {
 		t.Fatal(err)
 	}
 	if err := errors.Join(update(s, Change{Item: &changed}),
@@ -102,7 +102,7 @@
 	if diff := cmp.Diff(want, held(t, s)); diff != "" {
 		t.Error(diff)
 	}
-	hourAgo := life.Micros(time.Now().Add(-time.Hour).UnixMicro())
+	hourAgo := lifecycle.Micros(time.Now().Add(-time.Hour).UnixMicro())
 	if r, err := s.Recover(hourAgo); err != nil || !r.Now.Back || r.Now.At <= hourAgo {
 		t.Errorf("%+v, %v", r.Now, err)
 	}
@@ -118,7 +118,7 @@
 
 var errIO = errors.New("input/output error")
 
-func (c *counting) commit(seen life.Micros, batch []Change) (int, int64, error) {
+func (c *counting) commit(seen lifecycle.Micros, batch []Change) (int, int64, error) {
 	if c.hold != nil {
 		<-c.hold
 	}
@@ -197,7 +197,7 @@
 	for failAt := 1; failAt <= 6; failAt++ {
 		path := filepath.Join(t.TempDir(), "jobs")
 		s := over(t, &counting{failAt: failAt}, Config{Path: path})
-		want := map[string]*life.Item{}
+		want := map[string]*lifecycle.Item{}
 		for n := range 8 {
 			it := item(n)
 			err := accept(s, it)
@@ -371,7 +371,7 @@
 	}
 }
 
-func (r *Recovered) itemsOrNone() []*life.Item {
+func (r *Recovered) itemsOrNone() []*lifecycle.Item {
 	if r == nil {
 		return nil
 	}
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -9,7 +9,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"dahliaford/internal/store/life"
+	"dahliaford/internal/store/lifecycle"
 )
 
 // Reader reads a store that no process has open for writing.
@@ -32,7 +32,7 @@
 
 // Each reads all items. broken says what is wrong with a record, by its checksum or by what
 // an item may become; then there may be no item.
-func (r *Reader) Each(do func(id string, it *life.Item, broken error) error) error {
+func (r *Reader) Each(do func(id string, it *lifecycle.Item, broken error) error) error {
 	return r.disk.each(do)
 }
 
@@ -40,7 +40,7 @@
 var ErrNone = errors.New("no such item")
 
 // Find reads one item.
-func (r *Reader) Find(id string) (it *life.Item, err error) {
+func (r *Reader) Find(id string) (it *lifecycle.Item, err error) {
 	err = r.disk.view(func(tx *bbolt.Tx) error {
 		record := tx.Bucket(itemsBucket).Get([]byte(id))
 		if record == nil {
@@ -62,7 +62,7 @@
 		return 0, nil, err
 	}
 	defer r.Close()
-	err = r.Each(func(id string, it *life.Item, broken error) error {
+	err = r.Each(func(id string, it *lifecycle.Item, broken error) error {
 		if broken != nil {
 			faults = append(faults, named(id, broken))
 		} else {
--- a/internal/roster/roster.go
+++ b/internal/subset/roster.go
@@ -1,10 +1,10 @@
-// Package roster keeps members in crowds, all of one zone and kind, each in order of number, and
+// Package subset keeps members in crowds, all of one zone and kind, each in order of number, and
 // knows which of them an interval of the circle covers. It decides nothing.
 //
 // Within its crowd of n, the member of rank i (from 0) stands at (i+0.5)/n on a circle that is 1
 // round. A change costs a search and a move of memory in one crowd, and the interval is not walked:
 // only those that enter or leave it are told, at most one at each end for one that goes.
-package roster
+package subset
 
 import (
 	"cmp"
--- a/internal/roster/ways_test.go
+++ b/internal/subset/ways_test.go
@@ -1,4 +1,4 @@
-package roster
+package subset
 
 import (
 	"cmp"
--- a/internal/rig/attempt.go
+++ b/internal/testcluster/attempt.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"dahliaford/internal/record"
-	"dahliaford/internal/standin"
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/history"
 )
 
 // Attempts says how the drill of that name is run.
@@ -29,7 +29,7 @@
 	Attempts, Runs, Withdrawn           int
 	Crashes, Drains                     int
 	Events                              int
-	Findings                            []record.Finding
+	Findings                            []history.Finding
 	Log                                 []string // of the scheduler
 }
 
@@ -43,10 +43,10 @@
 // again and out of time, run on for ever, crash and drain. It checks what all saw.
 func RunAttempts(ctx context.Context, a Attempts) (*Outcome, error) {
 	var mu sync.Mutex
-	var history []record.Event
-	rec := standin.Recorder(func(e record.Event) {
+	var events []history.Event
+	rec := fakes.Recorder(func(e history.Event) {
 		mu.Lock()
-		history = append(history, e)
+		events = append(events, e)
 		mu.Unlock()
 	})
 	if a.Slack == 0 {
@@ -57,17 +57,17 @@
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	rules := record.Rules{Once: map[string]bool{"post-reading": true}, Rack: map[string]string{},
+	rules := history.Rules{Once: map[string]bool{"post-reading": true}, Rack: map[string]string{},
 		Window: 10 * time.Second, DrainGrace: 550 * time.Millisecond,
 		MostAttempts: 4, Slack: a.Slack, Watched: 3 * time.Second}
-	var lines []standin.Line
+	var lines []fakes.Line
 	for i := range workers {
-		line := standin.Line{UID: fmt.Sprintf("s-%08x", i+1), Group: i / 2}
+		line := fakes.Line{UID: fmt.Sprintf("s-%08x", i+1), Group: i / 2}
 		lines = append(lines, line)
 		rules.Rack[line.UID] = strconv.Itoa(line.Group)
 	}
 	p, err := startSite(a.Bin, folder, "n0", lines,
-		func(k int) func(standin.Job) standin.Plan { return mischief(a.Seed, k) }, rec)
+		func(k int) func(fakes.Job) fakes.Plan { return mischief(a.Seed, k) }, rec)
 	if err != nil {
 		return nil, err
 	}
@@ -88,13 +88,13 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	out.count(history)
-	out.Findings, out.Log = record.Check(rules, history), p.Log()
+	out.count(events)
+	out.Findings, out.Log = history.Check(rules, events), p.Log()
 	return out, nil
 }
 
 // handIn hands jobs in at an even pace, and waits for their ends.
-func handIn(ctx context.Context, a Attempts, addr string, rec standin.Recorder) {
+func handIn(ctx context.Context, a Attempts, addr string, rec fakes.Recorder) {
 	random := rand.New(rand.NewPCG(a.Seed, 1))
 	tick := time.NewTicker(time.Duration(float64(time.Second) / a.Rate))
 	defer tick.Stop()
@@ -106,7 +106,7 @@
 			return
 		case <-tick.C:
 		}
-		s := standin.Submission{ID: fmt.Sprintf("%x-%x", a.Seed, n), Class: "post-reading", Tenant: "sahel",
+		s := fakes.Submission{ID: fmt.Sprintf("%x-%x", a.Seed, n), Class: "post-reading", Tenant: "sahel",
 			Body: fmt.Appendf(nil, "job %d", n), Deadline: time.Now().Add(2 * time.Second)}
 		if random.IntN(2) == 0 {
 			s.Class, s.Key, s.Deadline = "district-batch", "k-"+s.ID, time.Now().Add(4*time.Second)
@@ -114,19 +114,19 @@
 		if random.IntN(12) == 0 {
 			s.Leave = time.Now().Add(time.Duration(random.IntN(300)) * time.Millisecond)
 		}
-		open.Go(func() { standin.Submit(addr, s, rec) })
+		open.Go(func() { fakes.Submit(addr, s, rec) })
 	}
 }
 
 // mischief plans what a worker does with each job.
-func mischief(seed uint64, worker int) func(standin.Job) standin.Plan {
+func mischief(seed uint64, worker int) func(fakes.Job) fakes.Plan {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, uint64(100+worker)))
 	ms := func(n int) time.Duration { return time.Duration(random.IntN(n)) * time.Millisecond }
-	return func(standin.Job) standin.Plan {
+	return func(fakes.Job) fakes.Plan {
 		mu.Lock()
 		defer mu.Unlock()
-		p := standin.Plan{Wait: ms(8), Queue: ms(10), Run: 10*time.Millisecond + ms(60)}
+		p := fakes.Plan{Wait: ms(8), Queue: ms(10), Run: 10*time.Millisecond + ms(60)}
 		switch random.IntN(40) {
 		case 0, 1, 2:
 			p.Status, p.TurnedAway = 503, true
@@ -168,7 +168,7 @@
 }
 
 // trouble crashes workers, lets them drain, and breaks the watch, one after another.
-func trouble(ctx context.Context, seed uint64, out *Outcome, at *site, rec standin.Recorder) {
+func trouble(ctx context.Context, seed uint64, out *Outcome, at *site, rec fakes.Recorder) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	rest := func(d time.Duration) bool { return Rest(ctx, d) }
 	for rest(400*time.Millisecond + time.Duration(random.IntN(600))*time.Millisecond) {
@@ -185,11 +185,11 @@
 			out.Drains++
 			line.State = []string{"draining", "gone"}[random.IntN(2)]
 			at.discovery.Set(line)
-			rec(record.Event{At: time.Now(), Kind: record.Told, Who: line.UID})
+			rec(history.Event{At: time.Now(), Kind: history.Told, Who: line.UID})
 			if !rest(1200 * time.Millisecond) {
 				return
 			}
-			rec(record.Event{At: time.Now(), Kind: record.Back, Who: line.UID})
+			rec(history.Event{At: time.Now(), Kind: history.Back, Who: line.UID})
 			at.discovery.Set(at.lines[i])
 		case 3:
 			at.discovery.Break()
@@ -197,21 +197,21 @@
 	}
 }
 
-func (o *Outcome) count(history []record.Event) {
-	o.Events = len(history)
-	for _, e := range history {
+func (o *Outcome) count(events []history.Event) {
+	o.Events = len(events)
+	for _, e := range events {
 		switch e.Kind {
-		case record.Sent:
+		case history.Sent:
 			o.Jobs++
-		case record.Left:
+		case history.Left:
 			o.Left++
-		case record.Arrived:
+		case history.Arrived:
 			o.Attempts++
-		case record.Started:
+		case history.Started:
 			o.Runs++
-		case record.Withdrawn:
+		case history.Withdrawn:
 			o.Withdrawn++
-		case record.Answered:
+		case history.Answered:
 			switch e.Status {
 			case 200:
 				o.Served++
--- a/internal/rig/crowd_test.go
+++ b/internal/testcluster/crowd_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"net"
@@ -9,8 +9,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"dahliaford/internal/record"
-	"dahliaford/internal/standin"
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/history"
 )
 
 // Idle clients fill all descriptors that the program may hold while discovery is down. It still answers,
@@ -20,7 +20,7 @@
 	addr := atomic.Value{}
 	addr.Store("127.0.0.1:1")
 	lines := workersOf(t, "crowd", 4, func() string { return addr.Load().(string) })
-	discovery, err := standin.NewDiscovery("127.0.0.1:0", lines...)
+	discovery, err := fakes.NewDiscovery("127.0.0.1:0", lines...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,16 +82,16 @@
 	serial := 0
 	submit := func() int {
 		serial++
-		r, err := standin.Submit(p.Addr, standin.Submission{ID: "crowd" + string(rune('a'+serial%26)) +
+		r, err := fakes.Submit(p.Addr, fakes.Submission{ID: "crowd" + string(rune('a'+serial%26)) +
 			time.Now().Format("150405.000000"), Class: "district-batch", Tenant: "sahel", Key: "k",
-			Deadline: time.Now().Add(4 * time.Second)}, func(record.Event) {})
+			Deadline: time.Now().Add(4 * time.Second)}, func(history.Event) {})
 		if err != nil {
 			return 0
 		}
 		return r.Status
 	}
 	wait("an answer while discovery is down", func() bool { return submit() == 503 })
-	back, err := standin.NewDiscovery(discovery.Addr(), lines...)
+	back, err := fakes.NewDiscovery(discovery.Addr(), lines...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"dahliaford/internal/record"
-	"dahliaford/internal/standin"
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/history"
 )
 
 // Fleet is several schedulers over workers. Each scheduler has worker doors of its own, as
@@ -47,12 +47,12 @@
 		}
 	}()
 	for i := range n {
-		plan := func(k int) func(standin.Job) standin.Plan {
+		plan := func(k int) func(fakes.Job) fakes.Plan {
 			does := honest(seed, 100*i+k)
 			if faults {
 				does = mischief(seed, 100*i+k)
 			}
-			return func(j standin.Job) standin.Plan {
+			return func(j fakes.Job) fakes.Plan {
 				of := job{name: j.Key}
 				if strings.HasPrefix(j.Target, "/post-reading/") {
 					of = job{string(j.Body), true}
@@ -63,9 +63,9 @@
 				return does(j)
 			}
 		}
-		var lines []standin.Line
+		var lines []fakes.Line
 		for k := range each {
-			lines = append(lines, standin.Line{UID: fmt.Sprintf("s-%d-%d", i, k), Group: k})
+			lines = append(lines, fakes.Line{UID: fmt.Sprintf("s-%d-%d", i, k), Group: k})
 		}
 		s, err := startSite(bin, folder, fmt.Sprint("n", i), lines, plan, f.saw)
 		if err != nil {
@@ -81,13 +81,13 @@
 
 // honest plans what a worker does that runs all jobs: a few hundredths of a second, and now
 // and then far longer.
-func honest(seed uint64, worker int) func(standin.Job) standin.Plan {
+func honest(seed uint64, worker int) func(fakes.Job) fakes.Plan {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, uint64(100+worker)))
-	return func(standin.Job) standin.Plan {
+	return func(fakes.Job) fakes.Plan {
 		mu.Lock()
 		defer mu.Unlock()
-		p := standin.Plan{Run: time.Duration(10+random.IntN(60)) * time.Millisecond}
+		p := fakes.Plan{Run: time.Duration(10+random.IntN(60)) * time.Millisecond}
 		if random.IntN(20) == 0 {
 			p.Run += time.Duration(200+random.IntN(400)) * time.Millisecond
 		}
@@ -96,8 +96,8 @@
 }
 
 // saw counts what may have run. A worker is a rack of its own.
-func (f *Fleet) saw(e record.Event) {
-	if e.Kind != record.Started && !(e.Kind == record.Ended && e.Ran) {
+func (f *Fleet) saw(e history.Event) {
+	if e.Kind != history.Started && !(e.Kind == history.Ended && e.Ran) {
 		return
 	}
 	f.mu.Lock()
--- a/internal/rig/jobpath_bench_test.go
+++ b/internal/testcluster/jobpath_bench_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 	"testing"
 	"time"
 
+	"dahliaford/internal/fakes"
 	"dahliaford/internal/http1"
-	"dahliaford/internal/standin"
 )
 
 // The costs of docs/CAPACITY.md that only the real program shows. Each is processor time from the system's
@@ -279,13 +279,13 @@
 	w, discovery := newQuickWorker(tb), newTeller(tb)
 	p, err := StartSetup(bin, tb.TempDir(), Setup{Name: "n0", Listen: "127.0.0.1:0",
 		Discovery: discovery.Addr().String(), Schedulers: schedulers, MemoryMB: 64, Sockets: 1024,
-		Known: []standin.Line{}})
+		Known: []fakes.Line{}})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(p.Kill)
 	w.to.Store(&p.Addr)
-	discovery.accept(tb, []standin.Line{{UID: "worker-0", Endpoint: w.addr, Zone: "north", Model: "m1",
+	discovery.accept(tb, []fakes.Line{{UID: "worker-0", Endpoint: w.addr, Zone: "north", Model: "m1",
 		State: "ready"}})
 	stop := make(chan struct{})
 	done := make(chan struct{})
@@ -413,9 +413,9 @@
 	bin := program(b)
 	for _, n := range []int{200, 450, 800, 2400, 4800, 7200} {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
-			lines := make([]standin.Line, n)
+			lines := make([]fakes.Line, n)
 			for i := range lines {
-				lines[i] = standin.Line{UID: fmt.Sprintf("worker-%05d", i),
+				lines[i] = fakes.Line{UID: fmt.Sprintf("worker-%05d", i),
 					Endpoint: fmt.Sprintf("127.0.0.1:%d", 10000+i), Zone: fmt.Sprint("zone-", i%14),
 					Model: fmt.Sprint("m", i/14%4), Group: i / 40, State: "ready"}
 			}
@@ -446,7 +446,7 @@
 			for i := range words {
 				line := lines[i/2*7919%n]
 				line.State = []string{"draining", "ready"}[i%2]
-				discovery.say(b, false, []standin.Line{line})
+				discovery.say(b, false, []fakes.Line{line})
 				time.Sleep(2 * time.Millisecond) // each is a word of its own
 			}
 			word := discovery.rests(b, p) - before
--- a/internal/rig/process.go
+++ b/internal/testcluster/process.go
@@ -1,5 +1,5 @@
-// Package rig runs the real program on loopback against stand-ins, for tests and drills.
-package rig
+// Package testcluster runs the real program on loopback against stand-ins, for tests and drills.
+package testcluster
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"dahliaford/internal/standin"
+	"dahliaford/internal/fakes"
 )
 
 // Process is one scheduler that runs.
@@ -66,7 +66,7 @@
 	Zones                   []string // none: north
 	Zone                    int      // of the scheduler, among Zones
 	MemoryMB, Sockets       int
-	Known                   []standin.Line
+	Known                   []fakes.Line
 }
 
 // Start starts a scheduler on a free port. folder takes its configuration.
@@ -76,7 +76,7 @@
 
 func startAt(bin, folder, name, listen, discovery string) (*Process, error) {
 	return StartSetup(bin, folder, Setup{Name: name, Listen: listen, Discovery: discovery, Schedulers: 1,
-		MemoryMB: 64, Sockets: 512, Known: []standin.Line{}})
+		MemoryMB: 64, Sockets: 512, Known: []fakes.Line{}})
 }
 
 // StartSetup starts a scheduler of any setup.
--- a/internal/rig/site.go
+++ b/internal/testcluster/site.go
@@ -1,27 +1,27 @@
-package rig
+package testcluster
 
 import (
 	"strings"
 	"sync/atomic"
 	"time"
 
-	"dahliaford/internal/standin"
+	"dahliaford/internal/fakes"
 )
 
 // site is one scheduler with its discovery and its workers, which call it back.
 type site struct {
 	*Process
 	bin, folder, name string
-	workers           []*standin.Worker
-	lines             []standin.Line // of the workers, ready
-	discovery         *standin.Discovery
+	workers           []*fakes.Worker
+	lines             []fakes.Line // of the workers, ready
+	discovery         *fakes.Discovery
 }
 
 // startSite starts a site with a worker for each line: UID and Group are told, the rest is
 // filled in. plan gives what the k-th worker does.
-func startSite(bin, folder, name string, lines []standin.Line,
-	plan func(k int) func(standin.Job) standin.Plan,
-	rec standin.Recorder) (s *site, err error) {
+func startSite(bin, folder, name string, lines []fakes.Line,
+	plan func(k int) func(fakes.Job) fakes.Plan,
+	rec fakes.Recorder) (s *site, err error) {
 	s = &site{bin: bin, folder: folder, name: name}
 	defer func() {
 		if err != nil {
@@ -31,7 +31,7 @@
 	var addr atomic.Value // of the scheduler, which starts after its workers
 	addr.Store("127.0.0.1:1")
 	for k, line := range lines {
-		r, err := standin.NewWorker(line.UID, "127.0.0.1:0", func() string { return addr.Load().(string) },
+		r, err := fakes.NewWorker(line.UID, "127.0.0.1:0", func() string { return addr.Load().(string) },
 			plan(k), rec)
 		if err != nil {
 			return s, err
@@ -40,7 +40,7 @@
 		line.Endpoint, line.Zone, line.Model, line.State = r.Addr(), "north", "m1", "ready"
 		s.lines = append(s.lines, line)
 	}
-	if s.discovery, err = standin.NewDiscovery("127.0.0.1:0", s.lines...); err != nil {
+	if s.discovery, err = fakes.NewDiscovery("127.0.0.1:0", s.lines...); err != nil {
 		return s, err
 	}
 	if s.Process, err = Start(bin, folder, name, s.discovery.Addr()); err != nil {
--- a/internal/rig/size_test.go
+++ b/internal/testcluster/size_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
@@ -6,22 +6,22 @@
 	"testing"
 	"time"
 
-	"dahliaford/internal/record"
-	"dahliaford/internal/standin"
+	"dahliaford/internal/fakes"
+	"dahliaford/internal/history"
 )
 
 // workersOf starts so many workers, named by their batch.
-func workersOf(t *testing.T, batch string, n int, scheduler func() string) []standin.Line {
+func workersOf(t *testing.T, batch string, n int, scheduler func() string) []fakes.Line {
 	t.Helper()
-	lines := make([]standin.Line, n)
+	lines := make([]fakes.Line, n)
 	for i := range lines {
 		uid := fmt.Sprintf("s-%s-%d", batch, i)
-		r, err := standin.NewWorker(uid, "127.0.0.1:0", scheduler, honest(1, i), func(record.Event) {})
+		r, err := fakes.NewWorker(uid, "127.0.0.1:0", scheduler, honest(1, i), func(history.Event) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(r.Close)
-		lines[i] = standin.Line{UID: uid, Endpoint: r.Addr(), Zone: "north", Model: "m1", Group: i, State: "ready"}
+		lines[i] = fakes.Line{UID: uid, Endpoint: r.Addr(), Zone: "north", Model: "m1", Group: i, State: "ready"}
 	}
 	return lines
 }
@@ -35,7 +35,7 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			at := func() string { return addr.Load().(string) }
 			old := workersOf(t, fmt.Sprint("old-", size), size, at)
-			discovery, err := standin.NewDiscovery("127.0.0.1:0", old...)
+			discovery, err := fakes.NewDiscovery("127.0.0.1:0", old...)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -51,9 +51,9 @@
 			addr.Store(p.Addr)
 			served := func(batch string, n int) (sum int) {
 				for i := range n {
-					r, err := standin.Submit(p.Addr, standin.Submission{ID: fmt.Sprint(batch, "-", size, "-", i),
+					r, err := fakes.Submit(p.Addr, fakes.Submission{ID: fmt.Sprint(batch, "-", size, "-", i),
 						Class: "district-batch", Tenant: "sahel", Key: fmt.Sprint(batch, i),
-						Deadline: time.Now().Add(4 * time.Second)}, func(record.Event) {})
+						Deadline: time.Now().Add(4 * time.Second)}, func(history.Event) {})
 					if err == nil && r.Status == 200 {
 						sum++
 					}
--- a/internal/rig/zone_bench_test.go
+++ b/internal/testcluster/zone_bench_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dahliaford/internal/standin"
+	"dahliaford/internal/fakes"
 )
 
 // teller is a discovery that says what it is told to say, to the one watch that is open.
@@ -31,7 +31,7 @@
 }
 
 // accept waits for the watch and gives it the whole list.
-func (d *teller) accept(tb testing.TB, lines []standin.Line) {
+func (d *teller) accept(tb testing.TB, lines []fakes.Line) {
 	tb.Helper()
 	conn, err := d.Accept()
 	if err != nil {
@@ -45,7 +45,7 @@
 	d.say(tb, true, lines)
 }
 
-func (d *teller) say(tb testing.TB, all bool, lines []standin.Line) {
+func (d *teller) say(tb testing.TB, all bool, lines []fakes.Line) {
 	tb.Helper()
 	d.rev++
 	raw, err := json.Marshal(map[string]any{"rev": d.rev, "all": all, "targets": lines})
@@ -91,9 +91,9 @@
 	bin := program(b)
 	for _, n := range []int{720, 1440, 2880, 4320, 7200} {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
-			lines := make([]standin.Line, n)
+			lines := make([]fakes.Line, n)
 			for i := range lines {
-				lines[i] = standin.Line{UID: fmt.Sprintf("worker-%05d", i),
+				lines[i] = fakes.Line{UID: fmt.Sprintf("worker-%05d", i),
 					Endpoint: fmt.Sprintf("127.0.0.1:%d", 10000+i), Zone: fmt.Sprint("zone-", i%zones),
 					Model: fmt.Sprint("m", i/zones%4), Group: i / 40, State: "ready"}
 			}
@@ -101,7 +101,7 @@
 			p, err := StartSetup(bin, b.TempDir(), Setup{Name: "n0", Listen: "127.0.0.1:0",
 				Discovery:  discovery.Addr().String(),
 				Schedulers: 300, MemoryMB: 64, Sockets: 512,
-				Known: []standin.Line{}})
+				Known: []fakes.Line{}})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -115,7 +115,7 @@
 					for i := 0; i < n; i += zones {
 						line := lines[i]
 						line.State = state
-						discovery.say(b, false, []standin.Line{line})
+						discovery.say(b, false, []fakes.Line{line})
 					}
 					if took := discovery.rests(b, p) - before; state == "gone" {
 						lost, told = lost+took, told+(n+zones-1)/zones
@@ -131,7 +131,7 @@
 			for i := range seconds {
 				line := lines[i*7919%n]
 				line.State = "draining"
-				discovery.say(b, false, []standin.Line{line})
+				discovery.say(b, false, []fakes.Line{line})
 				time.Sleep(time.Second)
 			}
 			share := (processor(b, p) - before).Seconds() / time.Since(began).Seconds()
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -9,7 +9,7 @@
 
 	"github.com/mailru/easyjson/jlexer"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 )
 
 // message is one event of a batch, as it stands on the wire. Which fields count
@@ -38,8 +38,8 @@
 	blob     string
 	seed     uint64
 	params   []byte
-	report   dahliaford.Report
-	workers  []dahliaford.WorkerEntry
+	report   dispatch.Report
+	workers  []dispatch.WorkerEntry
 }
 
 // decodeBatch reads one line into the reused slice. Strings and raw fields of
@@ -187,8 +187,8 @@
 	in.Delim('}')
 }
 
-func decodeWorkers(in *jlexer.Lexer) []dahliaford.WorkerEntry {
-	var list []dahliaford.WorkerEntry
+func decodeWorkers(in *jlexer.Lexer) []dispatch.WorkerEntry {
+	var list []dispatch.WorkerEntry
 	in.Delim('[')
 	for !in.IsDelim(']') {
 		list = append(list, decodeWorker(in))
@@ -201,8 +201,8 @@
 	return list
 }
 
-func decodeWorker(in *jlexer.Lexer) dahliaford.WorkerEntry {
-	e := dahliaford.WorkerEntry{Status: dahliaford.Ready}
+func decodeWorker(in *jlexer.Lexer) dispatch.WorkerEntry {
+	e := dispatch.WorkerEntry{Status: dispatch.Ready}
 	in.Delim('{')
 	for !in.IsDelim('}') {
 		key := in.UnsafeFieldName(false)
@@ -222,9 +222,9 @@
 		case "status":
 			e.Status = workerStatus(in.Int())
 		case "online_since":
-			e.Started = dahliaford.Micros(in.Int64())
+			e.Started = dispatch.Micros(in.Int64())
 		case "worker":
-			e.Worker = dahliaford.WorkerID(in.Uint32())
+			e.Worker = dispatch.WorkerID(in.Uint32())
 		default:
 			in.SkipRecursive()
 		}
@@ -234,56 +234,56 @@
 	return e
 }
 
-func workerStatus(n int) dahliaford.Status {
+func workerStatus(n int) dispatch.Status {
 	switch n {
 	case 1:
-		return dahliaford.Ready
+		return dispatch.Ready
 	case 2:
-		return dahliaford.Draining
+		return dispatch.Draining
 	}
-	return dahliaford.Gone
+	return dispatch.Gone
 }
 
-var outcomes = map[int]dahliaford.Outcome{
-	0: dahliaford.OK, 5: dahliaford.Failed, 11: dahliaford.Full, 110: dahliaford.TimedOut,
-	111: dahliaford.ConnectFailed,
-	104: dahliaford.Reset, 125: dahliaford.Cancelled, 114: dahliaford.Moot,
+var outcomes = map[int]dispatch.Outcome{
+	0: dispatch.OK, 5: dispatch.Failed, 11: dispatch.Full, 110: dispatch.TimedOut,
+	111: dispatch.ConnectFailed,
+	104: dispatch.Reset, 125: dispatch.Cancelled, 114: dispatch.Moot,
 }
 
 // event fills e with what a message means; false for one that means nothing to
 // a dispatcher.
-func (m *message) event(e *dahliaford.Event) bool {
-	*e = dahliaford.Event{Job: dahliaford.JobID(m.job), Worker: dahliaford.WorkerID(m.worker),
+func (m *message) event(e *dispatch.Event) bool {
+	*e = dispatch.Event{Job: dispatch.JobID(m.job), Worker: dispatch.WorkerID(m.worker),
 		Attempt: m.try, Report: m.report}
 	switch m.name {
 	case "knock":
-		e.Kind, e.Class, e.Tenant = dahliaford.JobArrived, m.class, m.tenant
-		e.Patience, e.Work = dahliaford.Micros(m.patience), dahliaford.Micros(m.estimate)
+		e.Kind, e.Class, e.Tenant = dispatch.JobArrived, m.class, m.tenant
+		e.Patience, e.Work = dispatch.Micros(m.patience), dispatch.Micros(m.estimate)
 		e.Repeat = m.retry
 		e.Slots = max(m.needs, m.memory)
 	case "completed":
-		e.Kind, e.Final = dahliaford.AttemptEnded, m.terminal
+		e.Kind, e.Final = dispatch.AttemptEnded, m.terminal
 		outcome, known := outcomes[m.status]
 		if !known {
-			outcome = dahliaford.Failed // it may have run: the careful reading of a new code
+			outcome = dispatch.Failed // it may have run: the careful reading of a new code
 		}
 		e.Outcome = outcome
 	case "status_note":
-		e.Kind, e.Value = dahliaford.AttemptNote, m.value
+		e.Kind, e.Value = dispatch.AttemptNote, m.value
 		switch m.sort {
 		case 1:
-			e.Note = dahliaford.NoteStarted
+			e.Note = dispatch.NoteStarted
 		case 2:
-			e.Note = dahliaford.NoteProgress
+			e.Note = dispatch.NoteProgress
 		}
 	case "first_byte":
-		e.Kind = dahliaford.StreamBegan
+		e.Kind = dispatch.StreamBegan
 	case "client_gone":
-		e.Kind = dahliaford.ClientGone
+		e.Kind = dispatch.ClientGone
 	case "ring":
-		e.Kind, e.Token = dahliaford.TimerRang, m.tag
+		e.Kind, e.Token = dispatch.TimerRang, m.tag
 	case "whisper":
-		e.Kind, e.Peer = dahliaford.PeerTold, m.from
+		e.Kind, e.Peer = dispatch.PeerTold, m.from
 		e.Message, _ = hex.DecodeString(m.blob)
 	default:
 		return false
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -5,33 +5,33 @@
 	"encoding/json"
 	"strconv"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 )
 
 // appendAction writes one action of an instance, followed by a comma.
-func appendAction(b []byte, who int, a *dahliaford.Action) []byte {
+func appendAction(b []byte, who int, a *dispatch.Action) []byte {
 	switch a.Kind {
-	case dahliaford.Send:
+	case dispatch.Send:
 		b = appendJob(open(b, "transmit", who), a)
 		b = appendInt(b, `,"worker":`, int64(a.Worker))
 		b = appendInt(b, `,"abandon_at":`, int64(a.At))
-	case dahliaford.Refuse:
+	case dispatch.Refuse:
 		b = appendJob(open(b, "reject", who), a)
 		b = appendInt(b, `,"hold_off":`, int64(a.Wait))
-	case dahliaford.Fail:
+	case dispatch.Fail:
 		b = appendJob(open(b, "respond_error", who), a)
-	case dahliaford.Cancel:
+	case dispatch.Cancel:
 		b = appendJob(open(b, "retract", who), a)
 		b = appendInt(b, `,"try":`, int64(a.Attempt))
-	case dahliaford.SetTimer:
+	case dispatch.SetTimer:
 		b = appendInt(open(b, "set_timer", who), `,"span":`, int64(a.Wait))
 		b = strconv.AppendUint(append(b, `,"tag":`...), a.Token, 10)
-	case dahliaford.WatchList:
+	case dispatch.WatchList:
 		b = append(open(b, "watch", who), `,"enable":true`...)
-	case dahliaford.TellPeers:
+	case dispatch.TellPeers:
 		b = appendInt(open(b, "write_peer", who), `,"dst":`, int64(a.Peer))
 		b = append(hex.AppendEncode(append(b, `,"blob":"`...), a.Message), '"')
-	case dahliaford.Log:
+	case dispatch.Log:
 		b = appendText(open(b, "write_log", who), a.Text)
 	default:
 		return b
@@ -49,7 +49,7 @@
 	return strconv.AppendInt(b, int64(who), 10)
 }
 
-func appendJob(b []byte, a *dahliaford.Action) []byte {
+func appendJob(b []byte, a *dispatch.Action) []byte {
 	return strconv.AppendUint(append(b, `,"op_id":`...), uint64(a.Job), 10)
 }
 
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"io"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/settings"
 )
 
@@ -18,17 +18,17 @@
 // Host runs the dispatchers of many instances. They share nothing but the list
 // texts that the wire numbers for the whole process.
 type Host struct {
-	dispatchers map[int]*dahliaford.Dispatcher
-	lists       [lists][]dahliaford.WorkerEntry
+	dispatchers map[int]*dispatch.Dispatcher
+	lists       [lists][]dispatch.WorkerEntry
 	messages    []message
-	actions     []dahliaford.Action
-	event       dahliaford.Event
+	actions     []dispatch.Action
+	event       dispatch.Event
 	reply       []byte
 }
 
 // NewHost returns a host without instances.
 func NewHost() *Host {
-	return &Host{dispatchers: map[int]*dahliaford.Dispatcher{}}
+	return &Host{dispatchers: map[int]*dispatch.Dispatcher{}}
 }
 
 // Serve answers batches, one a line, until the input ends. It fails on a line
@@ -57,7 +57,7 @@
 	}
 	h.reply = append(h.reply[:0], `{"do":[`...)
 	for i := range messages {
-		h.handle(dahliaford.Micros(now), &messages[i])
+		h.handle(dispatch.Micros(now), &messages[i])
 	}
 	if h.reply[len(h.reply)-1] == ',' {
 		h.reply = h.reply[:len(h.reply)-1]
@@ -68,7 +68,7 @@
 
 // handle passes one message on. A breakdown of the decision code is reported
 // for the instance that it hit.
-func (h *Host) handle(now dahliaford.Micros, m *message) {
+func (h *Host) handle(now dispatch.Micros, m *message) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			h.reply = appendFault(h.reply, m.who, fmt.Sprint(cause))
@@ -93,38 +93,38 @@
 	}
 }
 
-func (h *Host) enlist(now dahliaford.Micros, m *message) {
+func (h *Host) enlist(now dispatch.Micros, m *message) {
 	told, err := settings.Parse(m.params)
-	var d *dahliaford.Dispatcher
+	var d *dispatch.Dispatcher
 	if err == nil {
-		d, err = dahliaford.New(told.Module, m.seed)
+		d, err = dispatch.New(told.Module, m.seed)
 	}
 	if err != nil {
 		h.reply = appendFault(h.reply, m.who, err.Error())
 		return
 	}
 	h.dispatchers[m.who] = d
-	h.event = dahliaford.Event{Kind: dahliaford.Began}
+	h.event = dispatch.Event{Kind: dispatch.Began}
 	h.step(now, m.who)
 }
 
-var scopes = map[int]dahliaford.ListScope{
-	0: dahliaford.ListDelta, 1: dahliaford.ListCached, 2: dahliaford.ListFailed, 3: dahliaford.ListFull,
+var scopes = map[int]dispatch.ListScope{
+	0: dispatch.ListDelta, 1: dispatch.ListCached, 2: dispatch.ListFailed, 3: dispatch.ListFull,
 }
 
-func (h *Host) update(now dahliaford.Micros, m *message) {
+func (h *Host) update(now dispatch.Micros, m *message) {
 	scope, known := scopes[m.scope]
 	if !known {
 		return
 	}
-	h.event = dahliaford.Event{Kind: dahliaford.ListChanged, Scope: scope}
-	if scope != dahliaford.ListFailed && m.ref >= 0 && m.ref < lists {
+	h.event = dispatch.Event{Kind: dispatch.ListChanged, Scope: scope}
+	if scope != dispatch.ListFailed && m.ref >= 0 && m.ref < lists {
 		h.event.Workers = h.lists[m.ref]
 	}
 	h.step(now, m.who)
 }
 
-func (h *Host) step(now dahliaford.Micros, who int) {
+func (h *Host) step(now dispatch.Micros, who int) {
 	d := h.dispatchers[who]
 	if d == nil {
 		return
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"dahliaford"
+	"dahliaford/internal/dispatch"
 	"dahliaford/internal/settings"
 )
 
@@ -141,13 +141,13 @@
 
 func TestEncodeEveryAction(t *testing.T) {
 	hi := []byte("hi")
-	for want, a := range map[string]dahliaford.Action{
-		`{"reject":{"who":3,"op_id":7,"hold_off":250}},`:  {Kind: dahliaford.Refuse, Job: 7, Wait: 250},
-		`{"respond_error":{"who":3,"op_id":7}},`:          {Kind: dahliaford.Fail, Job: 7},
-		`{"retract":{"who":3,"op_id":7,"try":2}},`:        {Kind: dahliaford.Cancel, Job: 7, Attempt: 2},
-		`{"set_timer":{"who":3,"span":5,"tag":9}},`:       {Kind: dahliaford.SetTimer, Wait: 5, Token: 9},
-		`{"write_peer":{"who":3,"dst":4,"blob":"6869"}},`: {Kind: dahliaford.TellPeers, Peer: 4, Message: hi},
-		`{"write_log":{"who":3,"line":"a \"b\""}},`:       {Kind: dahliaford.Log, Text: `a "b"`},
+	for want, a := range map[string]dispatch.Action{
+		`{"reject":{"who":3,"op_id":7,"hold_off":250}},`:  {Kind: dispatch.Refuse, Job: 7, Wait: 250},
+		`{"respond_error":{"who":3,"op_id":7}},`:          {Kind: dispatch.Fail, Job: 7},
+		`{"retract":{"who":3,"op_id":7,"try":2}},`:        {Kind: dispatch.Cancel, Job: 7, Attempt: 2},
+		`{"set_timer":{"who":3,"span":5,"tag":9}},`:       {Kind: dispatch.SetTimer, Wait: 5, Token: 9},
+		`{"write_peer":{"who":3,"dst":4,"blob":"6869"}},`: {Kind: dispatch.TellPeers, Peer: 4, Message: hi},
+		`{"write_log":{"who":3,"line":"a \"b\""}},`:       {Kind: dispatch.Log, Text: `a "b"`},
 	} {
 		if got := string(appendAction(nil, 3, &a)); got != want {
 			t.Errorf("got %s, want %s", got, want)
@@ -164,7 +164,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var e dahliaford.Event
+		var e dispatch.Event
 		if !messages[0].event(&e) || e.Repeat != want {
 			t.Errorf("%s: got %+v", mark, e)
 		}
@@ -174,7 +174,7 @@
 // A breakdown of the decision code is reported for the instance that it hit.
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost()
-	h.dispatchers[2] = &dahliaford.Dispatcher{} // not made by New: its maps are missing
+	h.dispatchers[2] = &dispatch.Dispatcher{} // not made by New: its maps are missing
 	out, err := h.Batch([]byte(`{"t":1,"inbox":[{"knock":{"who":2,"op_id":1,"class":0,"patience_left":5}}]}`))
 	if err != nil || !strings.Contains(string(out), `{"exception":{"who":2,"line":`) {
 		t.Errorf("got %s, %v", out, err)
