--- a/client/desk_test.go
+++ b/client/desk_test.go
@@ -318,14 +318,14 @@
 	var addr atomic.Value
 	addr.Store("127.0.0.1:1")
 	worker, err := fakes.NewWorker("s-1", "127.0.0.1:0", func() string { return addr.Load().(string) },
-		func(j fakes.Job) fakes.Plan {
+		func(j fakes.Job) fakes.Script {
 			mu.Lock()
 			defer mu.Unlock()
 			runs[string(j.Body)]++
 			if len(runs)%7 == 0 {
-				return fakes.Plan{Status: 500}
+				return fakes.Script{Status: 500}
 			}
-			return fakes.Plan{Run: time.Millisecond}
+			return fakes.Script{Run: time.Millisecond}
 		}, func(history.Event) {})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dahliaford/config.go
+++ b/cmd/dahliaford/config.go
@@ -79,8 +79,8 @@
 	if len(known) > 0 {
 		// It may be old, and nothing is sent by it alone: what is no use of it ends no start.
 		known, odd, err := node.DecodeList(known)
-		if cfg.Known, cfg.Odd = known, odd; err != nil {
-			cfg.Known.Workers, cfg.Odd = nil, err
+		if cfg.Known, cfg.InvalidKnown = known, odd; err != nil {
+			cfg.Known.Workers, cfg.InvalidKnown = nil, err
 		}
 	}
 	if len(set) == 0 {
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -92,8 +92,8 @@
 	} {
 		cfg, err := parse([]byte(strings.Replace(good, `"targets":[]`, `"targets":`+targets, 1)))
 		if odd := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
-			(cfg.Odd != nil) != odd || len(cfg.Known.Workers) != want {
-			t.Errorf("%s: %v, odd %v, %d workers", targets, err, cfg.Odd, len(cfg.Known.Workers))
+			(cfg.InvalidKnown != nil) != odd || len(cfg.Known.Workers) != want {
+			t.Errorf("%s: %v, odd %v, %d workers", targets, err, cfg.InvalidKnown, len(cfg.Known.Workers))
 		}
 	}
 }
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -18,7 +18,7 @@
 	run := flag.Duration("run", 300*time.Millisecond, "how long a job runs")
 	flag.Parse()
 	const uid = "s-00000001"
-	plan := func(fakes.Job) fakes.Plan { return fakes.Plan{Run: *run} }
+	plan := func(fakes.Job) fakes.Script { return fakes.Script{Run: *run} }
 	said := func(e history.Event) { log.Print("worker: ", e.Kind, " ", e.ID) }
 	r, err := fakes.NewWorker(uid, *worker, func() string { return *scheduler }, plan, said)
 	if err != nil {
--- a/internal/bucketqueue/bucket.go
+++ b/internal/bucketqueue/bucket.go
@@ -64,10 +64,10 @@
 	n.queue = nil
 }
 
-// Least appends up to most nodes to a list, by key from below up to a key, and returns it.
+// Smallest appends up to most nodes to a list, by key from below up to a key, and returns it.
 // Within a bucket it begins at a place that turn gives, so that equals take turns. The queue
 // may be changed before the list is used.
-func (q *Queue[T]) Least(list []*Node[T], most, upTo int, turn uint) []*Node[T] {
+func (q *Queue[T]) Smallest(list []*Node[T], most, upTo int, turn uint) []*Node[T] {
 	for used := q.used; used != 0 && most > 0; used &= used - 1 {
 		k := bits.TrailingZeros64(used)
 		if k > upTo {
--- a/internal/bucketqueue/bucket_test.go
+++ b/internal/bucketqueue/bucket_test.go
@@ -43,7 +43,7 @@
 			if queues[q].Len() != held {
 				t.Fatalf("%d held, want %d", queues[q].Len(), held)
 			}
-			least := queues[q].Least(nil, most, upTo, rapid.Uint().Draw(t, "turn"))
+			least := queues[q].Smallest(nil, most, upTo, rapid.Uint().Draw(t, "turn"))
 			if len(least) != min(most, below) {
 				t.Fatalf("%d of the least, want %d", len(least), min(most, below))
 			}
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -25,28 +25,28 @@
 	Unsafe               // must never run twice
 )
 
-// Group is the set of workers that drop repeats of a keyed job.
-type Group uint8
+// DedupScope is the set of workers that drop repeats of a keyed job.
+type DedupScope uint8
 
 // The groups of a keyed class.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	ScopeAll DedupScope = iota
+	ScopeZone
+	ScopeCell
 )
 
 // Class describes one class of jobs.
 type Class struct {
-	Aim       Micros  // an answer within this earns the full worth
-	Stretch   float64 // the aim grows by this multiple of the job's own work
-	Deadline  Micros  // the client's whole wait, over all its tries
-	Worth     float64 // worth of a job, or of a unit of its work
-	LateWorth float64 // fraction of the worth earned after the aim
-	Effect    Effect
-	Group     Group  // for Keyed
-	Window    Micros // for Keyed: how long repeats are dropped
-	Stream    bool   // the answer streams
-	Kind      int    // the machine kind that it needs, or -1
+	LatencyObjective Micros  // an answer within this earns the full worth
+	ObjectiveStretch float64 // the aim grows by this multiple of the job's own work
+	Deadline         Micros  // the client's whole wait, over all its tries
+	PriorityWeight   float64 // worth of a job, or of a unit of its work
+	LateWeight       float64 // fraction of the worth earned after the aim
+	Effect           Effect
+	DedupScope       DedupScope // for Keyed
+	DedupWindow      Micros     // for Keyed: how long repeats are dropped
+	Stream           bool       // the answer streams
+	Kind             int        // the machine kind that it needs, or -1
 }
 
 // Tenant is one of those who share the fleet.
@@ -56,38 +56,38 @@
 
 // Settings is what a dispatcher is told at its start.
 type Settings struct {
-	Me        int // this dispatcher's number
-	Balancers int // how many dispatchers there are
-	Zone      int // the zone it sits in
+	Index       int // this dispatcher's number
+	Dispatchers int // how many dispatchers there are
+	Zone        int // the zone it sits in
 
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64 // worth of a job beyond its tenant's share, as a fraction
-	WorthByWork    bool    // worth counts for each unit of work
+	Classes         []Class
+	Tenants         []Tenant
+	OverQuotaWeight float64 // worth of a job beyond its tenant's share, as a fraction
+	WeightByWork    bool    // worth counts for each unit of work
 
-	AskForList bool   // the worker list must be asked for
-	AskWithin  Micros // longest time without asking, where it must be asked for
-	ToldWithin Micros // what there is to tell counts as told this long after, heard or not; 0: once heard
-	FreeCalls  bool   // calls for the list cost nobody anything, so none is spread or put off
+	PollEndpoints  bool   // the worker list must be asked for
+	PollInterval   Micros // longest time without asking, where it must be asked for
+	MaxStaleness   Micros // what there is to tell counts as told this long after, heard or not; 0: once heard
+	UnmeteredPolls bool   // calls for the list cost nobody anything, so none is spread or put off
 
 	Granularity Micros // least time between two batches of events
 
-	Cold           Micros  // a started worker is warm after this
-	ColdFrom       float64 // the fraction of its capacity that it starts with
-	OverloadFactor float64 // more than this multiple of its present capacity ...
-	Fall           Micros  // ... over this long makes a cold worker fall over
+	SlowStart        Micros  // a started worker is warm after this
+	SlowStartInitial float64 // the fraction of its capacity that it starts with
+	OverloadFactor   float64 // more than this multiple of its present capacity ...
+	OverloadWindow   Micros  // ... over this long makes a cold worker fall over
 
 	MaxAttempts    int
-	MayCancel      bool
-	MayDuplicate   bool // two attempts of a job may be out together
-	MayTellPeers   bool
+	CancelAllowed  bool
+	HedgingAllowed bool // two attempts of a job may be out together
+	GossipAllowed  bool
 	MaxRetryAfter  Micros // longest advice to wait that clients obey; 0: none
-	MarksRepeats   bool   // clients mark their tries after the first
+	RetriesMarked  bool   // clients mark their tries after the first
 	ConnectTimeout Micros
 
-	TellsStart bool   // workers tell when a job starts
-	Progress   Micros // workers tell a running job's progress this often; 0: never
-	Reports    bool   // answers carry load reports
+	StartReported    bool   // workers tell when a job starts
+	ProgressInterval Micros // workers tell a running job's progress this often; 0: never
+	LoadReports      bool   // answers carry load reports
 
 	CrossZonePrice float64 // of an attempt that leaves the zone, in mean jobs' worth
 }
@@ -97,7 +97,7 @@
 
 // The states of a listed worker.
 const (
-	Gone Status = iota
+	Removed Status = iota
 	Ready
 	Draining
 )
@@ -117,15 +117,15 @@
 
 // The kinds of events, with the fields that each uses.
 const (
-	JobArrived   EventKind = iota // Job, Class, Tenant, Patience, Repeat, Work, Slots
-	AttemptEnded                  // Job, Attempt, Worker, Outcome, Final, Report
-	AttemptNote                   // Job, Attempt, Worker, Note, Value
-	StreamBegan                   // Job, Attempt, Worker
-	ClientGone                    // Job
-	ListChanged                   // Scope, Workers, Age
-	PeerTold                      // Peer, Message
-	TimerRang                     // Token
-	Began                         // sent once, before all else
+	JobArrived         EventKind = iota // Job, Class, Tenant, Patience, Repeat, Work, Slots
+	AttemptEnded                        // Job, Attempt, Worker, Outcome, Final, Report
+	AttemptReported                     // Job, Attempt, Worker, Note, Value
+	StreamStarted                       // Job, Attempt, Worker
+	ClientDisconnected                  // Job
+	EndpointsUpdated                    // Scope, Workers, Age
+	GossipReceived                      // Peer, Message
+	TimerFired                          // Token
+	Started                             // sent once, before all else
 )
 
 // Outcome is how an attempt ended.
@@ -135,13 +135,13 @@
 const (
 	OK Outcome = iota
 	Failed
-	Full
+	AtCapacity
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
-	Returned // like Full, but told later and perhaps told again: see fits
+	NotSent
+	HandedBack // like Full, but told later and perhaps told again: see fits
 )
 
 // Note is the kind of news about a running attempt.
@@ -154,16 +154,16 @@
 	NoteProgress
 )
 
-// ListScope says how a list event applies.
-type ListScope uint8
+// UpdateScope says how a list event applies.
+type UpdateScope uint8
 
 // The scopes of list events.
 const (
-	ListDelta  ListScope = iota // changed entries only
-	ListFull                    // the whole list
-	ListCached                  // the whole list as last seen, perhaps stale
-	ListFailed                  // a call failed or the subscription dropped; what is known may be older: Age
-	ListWarned                  // entries that leave, from elsewhere than the list itself; Age likewise
+	UpdateDelta  UpdateScope = iota // changed entries only
+	UpdateFull                      // the whole list
+	UpdateCached                    // the whole list as last seen, perhaps stale
+	UpdateFailed                    // a call failed or the subscription dropped; what is known may be older: Age
+	UpdateDrains                    // entries that leave, from elsewhere than the list itself; Age likewise
 )
 
 // Report is the part of a worker's load report that decisions use.
@@ -178,14 +178,14 @@
 type Event struct {
 	Kind     EventKind
 	Note     Note
-	Scope    ListScope
+	Scope    UpdateScope
 	Outcome  Outcome
 	Final    bool // the job is finished
 	Job      JobID
 	Class    int
 	Tenant   int
 	Patience Micros  // time until the client abandons this try
-	Repeat   bool    // the client says that it tried before
+	Retry    bool    // the client says that it tried before
 	Work     Micros  // expected work on a standard core; 0: unknown
 	Slots    float64 // slots (or memory units, if more) that the job takes
 	Worker   WorkerID
@@ -204,27 +204,27 @@
 
 // The kinds of actions, with the fields that each uses.
 const (
-	Send      ActionKind = iota // Job, Attempt (its number), Worker, At (abandon it then), By (leave by then)
-	Refuse                      // Job, Wait (advice to the client)
-	Fail                        // Job
-	Cancel                      // Job, Attempt
-	SetTimer                    // Wait, Token
-	WatchList                   // subscribe to the worker list
-	TellPeers                   // Peer, Message
-	Log                         // Text
+	Send           ActionKind = iota // Job, Attempt (its number), Worker, At (abandon it then), By (leave by then)
+	Refuse                           // Job, Wait (advice to the client)
+	Fail                             // Job
+	Cancel                           // Job, Attempt
+	SetTimer                         // Wait, Token
+	WatchEndpoints                   // subscribe to the worker list
+	SendGossip                       // Peer, Message
+	Log                              // Text
 )
 
 // Action is one thing to do. Kind says which fields count.
 type Action struct {
-	Kind    ActionKind
-	Job     JobID
-	Worker  WorkerID
-	Attempt int
-	At      Micros
-	By      Micros // of a Send: nothing may leave from then on, or it would come outside its class's Window
-	Wait    Micros
-	Token   uint64
-	Peer    int
-	Message []byte
-	Text    string
+	Kind     ActionKind
+	Job      JobID
+	Worker   WorkerID
+	Attempt  int
+	Deadline Micros
+	SendBy   Micros // of a Send: nothing may leave from then on, or it would come outside its class's Window
+	Delay    Micros
+	Token    uint64
+	Peer     int
+	Message  []byte
+	Text     string
 }
--- a/internal/dispatch/blind_test.go
+++ b/internal/dispatch/blind_test.go
@@ -7,7 +7,7 @@
 
 // blind is the setting of the operators' large fleet: 80 dispatchers, no peers.
 func blind(s *Settings) {
-	s.MayTellPeers, s.MayDuplicate, s.CrossZonePrice, s.Granularity = false, false, 0.01, second/500
+	s.GossipAllowed, s.HedgingAllowed, s.CrossZonePrice, s.Granularity = false, false, 0.01, second/500
 }
 
 // serve runs one job at a dispatcher: it begins after a wait that depends on its worker.
@@ -18,10 +18,10 @@
 		b.t.Fatalf("job %d: %d sends", id, len(sent))
 	}
 	w := b.d.workers[sent[0].Worker]
-	for end := b.now + wait(w); b.now < end; b.do(Event{Kind: TimerRang, Token: b.d.token}) {
+	for end := b.now + wait(w); b.now < end; b.do(Event{Kind: TimerFired, Token: b.d.token}) {
 		b.now += min(end-b.now, second/100) // events of other jobs make it look
 	}
-	b.do(Event{Kind: AttemptNote, Job: id, Note: NoteStarted})
+	b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 	b.pass(second / 5 * Micros(1+w.entry.Kind)) // the first kind is twice as fast
 	b.end(id, 0, OK)
 	return w
@@ -99,7 +99,7 @@
 	list := fleetList(60)
 	all := tier(t, 80, list, alternating, func(s *Settings) {
 		blind(s)
-		s.ColdFrom, s.OverloadFactor = 0.4, 4 // as the operators have them
+		s.SlowStartInitial, s.OverloadFactor = 0.4, 4 // as the operators have them
 	})
 	for i := range list {
 		list[i].Started = all[0].now
@@ -108,7 +108,7 @@
 	for i, b := range all {
 		b.slots(list[0].Worker, 2)
 		b.slots(list[2].Worker, 3)
-		b.do(Event{Kind: ListChanged, Workers: list})
+		b.do(Event{Kind: EndpointsUpdated, Workers: list})
 		b.pass(second / 2) // a part of the budget
 		sent := len(find(b.arrive(JobID(i), 0), Send)) + len(find(b.pass(second/2), Send))
 		if sent == 0 {
@@ -136,7 +136,7 @@
 // slot goes to the one behind it. What has begun is left to end.
 func TestJobThatWaitsPastItsAimIsGivenUp(t *testing.T) {
 	s := testSettings()
-	s.Classes[2].LateWorth = 0
+	s.Classes[2].LateWeight = 0
 	b := newBench(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
 	late := b.pass(s.Classes[2].Deadline - second)
@@ -145,7 +145,7 @@
 
 	b = newBench(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
-	b.do(Event{Kind: AttemptNote, Job: 1, Note: NoteStarted})
+	b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 	late = b.pass(s.Classes[2].Deadline - second)
 	b.want(late, Fail, 0)
 	b.want(late, Cancel, 0)
@@ -158,10 +158,10 @@
 	for name, o := range map[string]Outcome{"an error": Failed, "luck": OK} {
 		b := member(t, 80, 3, fleetList(60), 0, func(s *Settings) {
 			blind(s)
-			s.Reports = true
+			s.LoadReports = true
 		})
 		bad := b.d.workers[find(b.arrive(1, 2), Send)[0].Worker]
-		b.do(Event{Kind: AttemptNote, Job: 1, Note: NoteStarted})
+		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 		b.do(Event{Kind: AttemptEnded, Job: 1, Outcome: o, Final: o == OK,
 			Report: Report{Known: true, Free: 2, Outstanding: -1, Errors: 1.5}})
 		for id := JobID(2); b.now < 107*second; id++ {
@@ -178,7 +178,7 @@
 	b := newBench(t, testSettings(), ready(1, 0))
 	for i := WorkerID(1); i < 200; i++ {
 		b.now += 60 * second
-		b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{{Worker: i, Status: Gone}, ready(i+1, 0)}})
+		b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: i, Status: Removed}, ready(i+1, 0)}})
 	}
 	if n := len(b.d.order); n > 15 || len(b.d.workers) != n {
 		t.Errorf("%d workers in order, %d by number, 1 in the list", n, len(b.d.workers))
@@ -207,8 +207,8 @@
 	const work, slots, tick, length = 400_000, 2, second / 50, 6 * second
 	set := func(s *Settings) {
 		blind(s)
-		s.Cold, s.ColdFrom, s.OverloadFactor, s.Fall = 8*second, 0.3, 4, 2*second
-		s.Classes[0].Aim = second / 5 // half of what a job takes: nobody tells that at a start
+		s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8*second, 0.3, 4, 2*second
+		s.Classes[0].LatencyObjective = second / 5 // half of what a job takes: nobody tells that at a start
 	}
 	chance := random(seed)
 	list := fleetList(workers)
@@ -251,7 +251,7 @@
 			if started[a.Worker] {
 				sent[a.Worker] = append(sent[a.Worker], send{now, told[i] == 0})
 			}
-			all[i].do(Event{Kind: AttemptNote, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
+			all[i].do(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
 			running = append(running, run{i, a.Job, a.Attempt, now + work})
 		}
 	}
@@ -262,13 +262,13 @@
 				again[i], told[i] = 0, 0
 				b.now = now
 				b.d, _ = New(b.d.set, uint64(i)+seed)
-				b.do(Event{Kind: Began})
-				b.do(Event{Kind: ListChanged, Scope: ListCached, Workers: list})
+				b.do(Event{Kind: Started})
+				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
 			}
 			if told[i] != 0 && told[i] <= now {
 				told[i] = 0
 				b.now = now
-				take(i, b.do(Event{Kind: ListChanged, Workers: list}), now)
+				take(i, b.do(Event{Kind: EndpointsUpdated, Workers: list}), now)
 			}
 			take(i, b.pass(now-b.now), now)
 			if chance.chance() < rate[i]*float64(tick)/second {
--- a/internal/dispatch/choice.go
+++ b/internal/dispatch/choice.go
@@ -43,7 +43,7 @@
 
 // moved takes note that the list has changed.
 func (d *Dispatcher) moved() {
-	d.fastest, d.groups = nil, [GroupCell + 1]map[int][]*worker{}
+	d.fastest, d.groups = nil, [ScopeCell + 1]map[int][]*worker{}
 	if d.index != nil {
 		d.index.stale = true
 	}
@@ -155,7 +155,7 @@
 		}
 		for range 3 { // those that were put right may make room for better ones
 			moved := false
-			x.nodes = s.Least(x.nodes[:0], most, fullKey-1, uint(d.turns))
+			x.nodes = s.Smallest(x.nodes[:0], most, fullKey-1, uint(d.turns))
 			for _, n := range x.nodes {
 				key := n.Key()
 				x.renew(d, n.Value)
@@ -191,23 +191,23 @@
 		return d.part, true
 	}
 	a := j.bound()
-	if a == nil || c.Group == GroupAll {
+	if a == nil || c.DedupScope == ScopeAll {
 		return d.order, true
 	}
 	of := func(e *WorkerEntry) int {
-		if c.Group == GroupZone {
+		if c.DedupScope == ScopeZone {
 			return e.Zone
 		}
 		return e.Cell
 	}
-	if d.groups[c.Group] == nil { // in the order of the list, which breaks ties
+	if d.groups[c.DedupScope] == nil { // in the order of the list, which breaks ties
 		groups := map[int][]*worker{}
 		for _, w := range d.order {
 			groups[of(&w.entry)] = append(groups[of(&w.entry)], w)
 		}
-		d.groups[c.Group] = groups
+		d.groups[c.DedupScope] = groups
 	}
-	return d.groups[c.Group][of(&a.worker.entry)], false
+	return d.groups[c.DedupScope][of(&a.worker.entry)], false
 }
 
 // doubt takes note of a worker that may be ill.
--- a/internal/dispatch/choice_test.go
+++ b/internal/dispatch/choice_test.go
@@ -97,7 +97,7 @@
 		case Refuse, Fail:
 			f.early++
 		case SetTimer:
-			f.after(a.Wait, func() { f.step(m, Event{Kind: TimerRang, Token: a.Token}) })
+			f.after(a.Delay, func() { f.step(m, Event{Kind: TimerFired, Token: a.Token}) })
 		}
 	}
 }
@@ -128,7 +128,7 @@
 		j := f.jobs[run.job]
 		f.began = append(f.began, float64(f.now-j.arrived)/second)
 		f.after(wire, func() {
-			f.step(run.member, Event{Kind: AttemptNote, Job: run.job, Attempt: run.attempt, Worker: run.worker,
+			f.step(run.member, Event{Kind: AttemptReported, Job: run.job, Attempt: run.attempt, Worker: run.worker,
 				Note: NoteStarted})
 		})
 		f.after(Micros(j.work/w.speed), func() {
@@ -179,15 +179,15 @@
 	for m := range dispatchers {
 		s := testSettings()
 		blind(&s)
-		s.Balancers, s.Me, s.Zone, s.Tenants = dispatchers, m, m%zones, nil
+		s.Dispatchers, s.Index, s.Zone, s.Tenants = dispatchers, m, m%zones, nil
 		d, err := New(s, uint64(m))
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.walked = walked
 		f.members = append(f.members, d)
-		f.step(m, Event{Kind: Began})
-		f.step(m, Event{Kind: ListChanged, Scope: ListFull, Workers: list})
+		f.step(m, Event{Kind: Started})
+		f.step(m, Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list})
 		for _, w := range d.order { // slots are known: what is compared is choice, not how soon these are learnt
 			k, n := d.kind(w), f.workers[w.entry.Worker].slots
 			k.top, k.tried, k.most = n+1, f.now, float64(n)
@@ -322,7 +322,7 @@
 			continue
 		}
 		run, delay := j.work/d.speed(w), d.delay(w)
-		earns := d.coldAt(w) != 0 && d.set.Classes[j.class].LateWorth > 0
+		earns := d.coldAt(w) != 0 && d.set.Classes[j.class].LateWeight > 0
 		if !j.late && !earns && delay+d.grant(j)*run > left {
 			continue
 		}
@@ -352,9 +352,9 @@
 func TestIndexFindsAWorkerWheneverTheWalkDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
-		s.Balancers = rapid.SampledFrom([]int{2, 17}).Draw(t, "dispatchers")
+		s.Dispatchers = rapid.SampledFrom([]int{2, 17}).Draw(t, "dispatchers")
 		s.CrossZonePrice = rapid.SampledFrom([]float64{0, 0.05}).Draw(t, "price")
-		s.Classes[1].Group = Group(rapid.IntRange(0, 2).Draw(t, "group"))
+		s.Classes[1].DedupScope = DedupScope(rapid.IntRange(0, 2).Draw(t, "group"))
 		s.Classes[2].Kind = rapid.IntRange(-1, 1).Draw(t, "kind")
 		d, err := New(s, 1)
 		if err != nil {
@@ -362,7 +362,7 @@
 		}
 		now := Micros(100 * second)
 		list := fleetList(rapid.IntRange(0, 160).Draw(t, "workers"))
-		d.Step(now, &Event{Kind: ListChanged, Scope: ListFull, Workers: list}, nil)
+		d.Step(now, &Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list}, nil)
 		// Workers in a few states, most of them out of use.
 		r := rand.New(rand.NewSource(rapid.Int64().Draw(t, "states")))
 		out := rapid.SampledFrom([]float64{0, 0.5, 0.9, 0.99, 1}).Draw(t, "out of use")
@@ -482,14 +482,14 @@
 		"slow":      func(w *worker) { w.pace = pace{1, 1e12} }, // one alone still meets the aim
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := large(t, func(s *Settings) { s.Classes[0].LateWorth = 0 })
+			b := large(t, func(s *Settings) { s.Classes[0].LateWeight = 0 })
 			only(t, b, useless, 0, b.d.order[137])
 		})
 		if name == "slow" {
 			continue // a job whose aim is lost everywhere goes out late
 		}
 		t.Run(name+", all", func(t *testing.T) {
-			b := large(t, func(s *Settings) { s.Classes[0].LateWorth = 0 })
+			b := large(t, func(s *Settings) { s.Classes[0].LateWeight = 0 })
 			only(t, b, useless, 0, nil)
 			w := b.d.order[55] // one that is of use again is found, whatever the index holds of it
 			w.used, w.unstarted, w.downUntil, w.fails, w.blocked, w.suspect, w.cold = 0, 0, 0, 0, 0, false, 0
@@ -539,13 +539,13 @@
 func TestIndexOfAPartThatEmptiesAndComesBack(t *testing.T) {
 	b := large(t, nil)
 	list := fleetList(200)
-	b.do(Event{Kind: ListChanged, Scope: ListFull, Workers: nil})
+	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: nil})
 	if sent := find(b.arrive(1, 0), Send); len(b.d.part) != 0 || len(sent) != 0 {
 		t.Errorf("sent as %v, a part of %d", sent, len(b.d.part))
 	}
-	b.want(b.do(Event{Kind: ListChanged, Scope: ListDelta, Workers: list[7:8]}), Send, 1)
+	b.want(b.do(Event{Kind: EndpointsUpdated, Scope: UpdateDelta, Workers: list[7:8]}), Send, 1)
 	b.now += second / 100
-	b.do(Event{Kind: ListChanged, Scope: ListFull, Workers: list})
+	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list})
 	sent := find(b.arrive(2, 0), Send)
 	if len(sent) != 1 || sent[0].Worker == list[7].Worker {
 		t.Errorf("sent as %v", sent)
@@ -600,13 +600,13 @@
 		t.Fatalf("%d ill, want 1", n)
 	}
 	gone := ready(1, 0)
-	gone.Status = Gone
-	b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{gone}})
+	gone.Status = Removed
+	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{gone}})
 	if n := b.d.ill(); n != 0 || len(b.d.doubted) != 1 {
 		t.Errorf("gone: %d ill, %d doubted", n, len(b.d.doubted))
 	}
-	b.now += b.d.set.GoneFor()
-	b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{ready(2, 0)}})
+	b.now += b.d.set.RemovedRetention()
+	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0)}})
 	if n := b.d.ill(); n != 0 || len(b.d.doubted) != 0 {
 		t.Errorf("forgotten: %d ill, %d doubted", n, len(b.d.doubted))
 	}
--- a/internal/dispatch/cold_test.go
+++ b/internal/dispatch/cold_test.go
@@ -25,21 +25,21 @@
 var coldSites = []coldSite{
 	{name: "even", works: []float64{400_000, 300_000, 600_000}, shares: []float64{0.5, 0.3, 0.2},
 		cores: 2, slots: 2, set: func(s *Settings) {
-			s.Cold, s.ColdFrom, s.OverloadFactor, s.Fall = 8.3*second, 0.3, 4, 2*second
+			s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8.3*second, 0.3, 4, 2*second
 		}},
 	{name: "wide", works: []float64{400_000, 215_000, 2_600_000}, shares: []float64{0.35, 0.34, 0.31},
 		cores: 4, slots: 5, wide: 0.4, set: func(s *Settings) {
-			s.Cold, s.ColdFrom, s.OverloadFactor, s.Fall = 18*second, 0.13, 3, 3*second
-			s.Classes[0].Aim, s.Classes[1].Aim, s.Classes[2].Aim = 300_000, 200_000, 1_200_000
+			s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 18*second, 0.13, 3, 3*second
+			s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective, s.Classes[2].LatencyObjective = 300_000, 200_000, 1_200_000
 			s.Classes[2].Deadline = 25 * second
 		}},
 	{name: "steep", works: []float64{100_000, 150_000, 1_500_000}, shares: []float64{0.5, 0.3, 0.2},
 		hinted: true, cores: 4, slots: 4, set: func(s *Settings) {
-			s.Cold, s.ColdFrom, s.OverloadFactor, s.Fall = 12*second, 0.13, 4, 2*second
+			s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 12*second, 0.13, 4, 2*second
 		}},
 	{name: "big", works: []float64{200_000, 150_000, 250_000}, shares: []float64{0.5, 0.3, 0.2},
 		hinted: true, cores: 20, slots: 20, set: func(s *Settings) {
-			s.Cold, s.ColdFrom, s.OverloadFactor, s.Fall = 8.3*second, 0.3, 4, 2*second
+			s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8.3*second, 0.3, 4, 2*second
 		}},
 }
 
@@ -119,7 +119,7 @@
 }
 
 func (s *coldSite) warmth(set *Settings, since Micros) float64 {
-	return min(1, set.ColdFrom+(1-set.ColdFrom)*float64(max(0, since))/float64(set.Cold))
+	return min(1, set.SlowStartInitial+(1-set.SlowStartInitial)*float64(max(0, since))/float64(set.SlowStart))
 }
 
 // play runs a case.
@@ -128,9 +128,9 @@
 	change := func(s *Settings) {
 		blind(s)
 		site.set(s)
-		s.Balancers = max(c.balancers, 1)
+		s.Dispatchers = max(c.balancers, 1)
 		if c.balancers == 0 {
-			s.Balancers = c.dispatchers
+			s.Dispatchers = c.dispatchers
 		}
 		s.Tenants = nil
 	}
@@ -165,7 +165,7 @@
 	begin, sum := Micros(100*second+coldBefore), 0.0
 	for i := range all {
 		all[i] = member(t, c.dispatchers, i, lists[i], i%2, change)
-		all[i].d.set.Balancers = max(1, all[i].d.set.Balancers)
+		all[i].d.set.Dispatchers = max(1, all[i].d.set.Dispatchers)
 		for _, e := range list {
 			if all[i].d.workers[e.Worker] != nil {
 				all[i].slots(e.Worker, int(site.slots))
@@ -223,7 +223,7 @@
 			}
 		}
 	}
-	hear := func(i int, scope ListScope) {
+	hear := func(i int, scope UpdateScope) {
 		b := all[i]
 		for k := range lists[i] {
 			if w := servers[lists[i][k].Worker]; w != nil && w.cold {
@@ -231,7 +231,7 @@
 			}
 		}
 		told[i]++
-		take(i, b.do(Event{Kind: ListChanged, Scope: scope, Workers: lists[i]}), b.now)
+		take(i, b.do(Event{Kind: EndpointsUpdated, Scope: scope, Workers: lists[i]}), b.now)
 	}
 	job := JobID(0)
 	for now := Micros(100 * second); now < begin+coldLength-coldBefore; now += coldTick {
@@ -273,13 +273,13 @@
 				}
 				b.now = now
 				b.d, _ = New(b.d.set, uint64(i)+c.seed<<16)
-				b.do(Event{Kind: Began})
-				b.do(Event{Kind: ListChanged, Scope: ListCached, Workers: lists[i]})
+				b.do(Event{Kind: Started})
+				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: lists[i]})
 			}
 			if when[i] != 0 && when[i] <= now {
 				when[i] = 0
 				b.now = now
-				hear(i, ListFull)
+				hear(i, UpdateFull)
 			}
 			take(i, b.pass(now-b.now), now)
 			for more := rate[i] / sum * total * float64(coldTick) / second * burst(now-begin); more > 0; more-- {
@@ -326,7 +326,7 @@
 				}
 				w.busy += r.slots
 				r.ends = now + Micros(r.work/speed*max(1, w.busy/site.cores))
-				take(r.by, all[r.by].do(Event{Kind: AttemptNote, Job: r.job, Attempt: r.attempt,
+				take(r.by, all[r.by].do(Event{Kind: AttemptReported, Job: r.job, Attempt: r.attempt,
 					Note: NoteStarted}), now)
 			}
 		}
@@ -368,16 +368,16 @@
 			until = w.starts[s+1]
 		}
 		for from, first := range w.sent {
-			if first.at < start || first.at >= until || first.at-start >= set.Cold {
+			if first.at < start || first.at >= until || first.at-start >= set.SlowStart {
 				continue
 			}
 			// The strictest reading: what it could do when the window began.
-			n := c.site.warmth(set, first.at-start) * c.site.cores * set.OverloadFactor * float64(set.Fall) /
+			n := c.site.warmth(set, first.at-start) * c.site.cores * set.OverloadFactor * float64(set.OverloadWindow) /
 				c.site.mean()
 			limit := (n + 2*math.Sqrt(n) + 2) * c.site.mean()
 			all, told := 0.0, 0.0
 			for _, one := range w.sent[from:] {
-				if one.at-first.at >= set.Fall || one.at >= until {
+				if one.at-first.at >= set.OverloadWindow || one.at >= until {
 					break
 				}
 				if all += one.work; one.told {
--- a/internal/dispatch/copy.go
+++ b/internal/dispatch/copy.go
@@ -61,9 +61,9 @@
 		}
 	}
 	c.ready = d.ready.Clone(func(w *worker) *worker { return c.workers[w.entry.Worker] },
-		func(w *worker, among *subset.Crowd[*worker]) { w.among = among })
+		func(w *worker, among *subset.Group[*worker]) { w.among = among })
 	c.doubted = workers(d.doubted)
-	c.index, c.fastest, c.groups, c.lateNow = nil, nil, [GroupCell + 1]map[int][]*worker{}, nil // made anew
+	c.index, c.fastest, c.groups, c.lateNow = nil, nil, [ScopeCell + 1]map[int][]*worker{}, nil // made anew
 	c.jobs = make(map[JobID]*job, len(d.jobs))
 	for id, j := range d.jobs {
 		copied := *j
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -69,9 +69,9 @@
 	d.now, d.out, d.best = now, out, 0
 	d.turns++
 	switch e.Kind {
-	case Began:
+	case Started:
 		d.born = now
-		if d.set.AskForList {
+		if d.set.PollEndpoints {
 			if d.askAt = d.now + d.turn(); d.askAt == d.now {
 				d.ask()
 			}
@@ -80,26 +80,26 @@
 		d.arrive(e)
 	case AttemptEnded:
 		d.ended(e)
-	case AttemptNote:
+	case AttemptReported:
 		d.note(e)
-	case StreamBegan:
+	case StreamStarted:
 		if a := d.attempt(e); a != nil {
 			a.job.streaming = true
 			a.worker.alive(d.now)
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		if j := d.jobs[e.Job]; j != nil && !j.finished {
 			d.close(j)
 		}
-	case ListChanged:
+	case EndpointsUpdated:
 		d.listed(e)
-	case TimerRang:
+	case TimerFired:
 		if e.Token != d.token {
 			return d.out
 		}
 		d.wake = 0
 		d.housekeep()
-	case PeerTold:
+	case GossipReceived:
 		d.hear(e)
 	}
 	d.release()
@@ -130,10 +130,10 @@
 		d.hints = true
 		st.seen(j.work)
 	} else {
-		j.work = d.unhinted(st, float64(c.Aim))
+		j.work = d.unhinted(st, float64(c.LatencyObjective))
 	}
-	begun := d.begunAt(j, e.Repeat)
-	j.aim = min(begun+c.Aim+Micros(c.Stretch*j.work), j.giveUp)
+	begun := d.begunAt(j, e.Retry)
+	j.aim = min(begun+c.LatencyObjective+Micros(c.ObjectiveStretch*j.work), j.giveUp)
 	d.jobs[j.id] = j
 	d.retries = min(d.retries+retryRatio, retryBurst)
 	st.arrived++
@@ -165,12 +165,12 @@
 
 // value is what a timely answer earns.
 func (d *Dispatcher) value(j *job) float64 {
-	v := d.set.Classes[j.class].Worth
-	if d.set.WorthByWork {
+	v := d.set.Classes[j.class].PriorityWeight
+	if d.set.WeightByWork {
 		v *= j.work
 	}
 	if j.over {
-		v *= d.set.OverShareWorth
+		v *= d.set.OverQuotaWeight
 	}
 	return v
 }
@@ -315,16 +315,16 @@
 	arrived := 0.0
 	for k := range d.classes {
 		c, st := &d.set.Classes[k], &d.classes[k]
-		work := st.mean(float64(c.Aim))
+		work := st.mean(float64(c.LatencyObjective))
 		if !d.hints {
-			work = st.weighted(float64(c.Aim))
+			work = st.weighted(float64(c.LatencyObjective))
 		}
 		run := work / fleet
 		if d.hints && st.runs.n > 0 {
 			run = st.runs.value
 		}
-		aim := min(c.Aim+Micros(c.Stretch*work), c.Deadline)
-		st.target = max(aim-Micros(run), c.Aim/4, d.set.Granularity)
+		aim := min(c.LatencyObjective+Micros(c.ObjectiveStretch*work), c.Deadline)
+		st.target = max(aim-Micros(run), c.LatencyObjective/4, d.set.Granularity)
 		arrived += st.arrived
 	}
 	slices.SortStableFunc(d.byTarget, func(a, b int) int {
@@ -343,11 +343,11 @@
 	utility := make([]float64, len(d.ranks))
 	for k := range d.classes {
 		c := &d.set.Classes[k]
-		u := c.Worth
-		if !d.set.WorthByWork {
-			u /= max(1, d.classes[k].mean(float64(c.Aim)))
+		u := c.PriorityWeight
+		if !d.set.WeightByWork {
+			u /= max(1, d.classes[k].mean(float64(c.LatencyObjective)))
 		}
-		utility[k*2], utility[k*2+1] = u, u*d.set.OverShareWorth
+		utility[k*2], utility[k*2+1] = u, u*d.set.OverQuotaWeight
 	}
 	distinct := slices.Clone(utility)
 	slices.Sort(distinct)
@@ -371,7 +371,7 @@
 		d.classes[k].rate = 0
 	}
 	spend := func(t, k int, rate float64) {
-		cost := d.classes[k].mean(float64(d.set.Classes[k].Aim)) / d.fleetSpeed() / second
+		cost := d.classes[k].mean(float64(d.set.Classes[k].LatencyObjective)) / d.fleetSpeed() / second
 		rate = min(rate, room/cost)
 		room -= rate * cost
 		d.flows[(t*nc+k)*2].rate += rate
@@ -438,7 +438,7 @@
 		}
 		return true
 	}
-	earns := d.now < j.aim || d.set.Classes[j.class].LateWorth > 0
+	earns := d.now < j.aim || d.set.Classes[j.class].LateWeight > 0
 	if earns && (j.late && d.level == 0 || !j.late && d.inTime(j, d.grant(j))) {
 		return false
 	}
@@ -542,7 +542,7 @@
 	run, delay := j.work/d.speed(w), d.delay(w)
 	// The aim is lost there but not everywhere: see expired. A cold worker may
 	// have it all the same where late answers earn, or a new fleet stands idle.
-	earns := d.coldAt(w) != 0 && d.set.Classes[j.class].LateWorth > 0
+	earns := d.coldAt(w) != 0 && d.set.Classes[j.class].LateWeight > 0
 	if !j.late && !earns && delay+d.grant(j)*run > left {
 		return 0, false
 	}
@@ -559,7 +559,7 @@
 		if local > 0 && j.due > d.now {
 			risk = min(1, d.reach*d.slots.value/local/float64(j.due-d.now))
 		}
-		return risk*d.value(j)*(1-d.set.Classes[j.class].LateWorth) > d.set.CrossZonePrice*d.worth
+		return risk*d.value(j)*(1-d.set.Classes[j.class].LateWeight) > d.set.CrossZonePrice*d.worth
 	}
 	return pays(d.slotsOf(d.set.Zone, func(local float64) bool { return !pays(local) }))
 }
@@ -613,13 +613,13 @@
 	// The attempt ends before the client gives up, so its time-out can still be
 	// answered in time.
 	end := j.giveUp - 2*d.set.Granularity
-	d.emit(Action{Kind: Send, Job: j.id, Attempt: a.n, Worker: w.entry.Worker, At: end, By: by})
+	d.emit(Action{Kind: Send, Job: j.id, Attempt: a.n, Worker: w.entry.Worker, Deadline: end, SendBy: by})
 	return true
 }
 
 // repeatBy is rule 2 for sends: until when an attempt may leave for a worker; 0: it may not.
 func (d *Dispatcher) repeatBy(j *job, w *worker) Micros {
-	if j.live > 0 && !d.set.MayDuplicate {
+	if j.live > 0 && !d.set.HedgingAllowed {
 		return 0
 	}
 	by, c := j.giveUp, &d.set.Classes[j.class]
@@ -627,10 +627,10 @@
 		if !a.live && !a.ran || c.Effect == Safe {
 			continue // it provably never ran, or may run again
 		}
-		if c.Effect == Unsafe || !sameGroup(c.Group, &a.worker.entry, &w.entry) {
+		if c.Effect == Unsafe || !sameGroup(c.DedupScope, &a.worker.entry, &w.entry) {
 			return 0
 		}
-		by = min(by, a.sent+c.Window-d.guard())
+		by = min(by, a.sent+c.DedupWindow-d.guard())
 	}
 	return by
 }
@@ -644,11 +644,11 @@
 		return
 	}
 	if refuse && d.mayRefuse(j) {
-		wait, lost := Micros(0), d.now >= j.aim && d.set.Classes[j.class].LateWorth == 0
+		wait, lost := Micros(0), d.now >= j.aim && d.set.Classes[j.class].LateWeight == 0
 		if lost || d.level > 0 && (j.over || !d.inTime(j, 1)) {
 			wait = d.set.MaxRetryAfter // a repeat now helps nobody; others may yet be in time
 		}
-		d.emit(Action{Kind: Refuse, Job: j.id, Wait: wait})
+		d.emit(Action{Kind: Refuse, Job: j.id, Delay: wait})
 	} else {
 		d.emit(Action{Kind: Fail, Job: j.id})
 	}
@@ -657,7 +657,7 @@
 
 func (d *Dispatcher) mayRefuse(j *job) bool {
 	c := &d.set.Classes[j.class]
-	if c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
+	if c.Effect == Safe || c.Effect == Keyed && c.DedupScope == ScopeAll {
 		return true
 	}
 	for _, a := range j.attempts {
@@ -676,7 +676,7 @@
 		delete(d.jobs, j.id)
 		return
 	}
-	if d.set.MayCancel && !j.streaming {
+	if d.set.CancelAllowed && !j.streaming {
 		for _, a := range j.attempts {
 			if a.live {
 				d.emit(Action{Kind: Cancel, Job: j.id, Attempt: a.n})
@@ -712,7 +712,7 @@
 	a.started, a.noted = at, at
 	w.unstarted--
 	d.touch(w)
-	if !d.set.TellsStart {
+	if !d.set.StartReported {
 		d.filled(w, d.atWork(w))
 	} else {
 		d.waited(w, float64(at-a.sent))
@@ -728,7 +728,7 @@
 		return
 	}
 	j, w := a.job, a.worker
-	turnedAway := e.Outcome == Full || e.Outcome == Returned
+	turnedAway := e.Outcome == AtCapacity || e.Outcome == HandedBack
 	if a.overdue && a.started == 0 && !turnedAway {
 		d.waited(w, 2*float64(d.now-a.sent)) // it was given up half way, on average
 	}
@@ -737,7 +737,7 @@
 	if !turnedAway { // 'full' is surer than a report that promises slots
 		d.report(w, e.Report, j.slots)
 	}
-	a.ran, a.back = mayHaveRun(e.Outcome), e.Outcome == Returned
+	a.ran, a.back = mayHaveRun(e.Outcome), e.Outcome == HandedBack
 	switch {
 	case !j.finished && (e.Final || e.Outcome == OK):
 		d.close(j)
@@ -781,7 +781,7 @@
 		d.erred(w, 0, e.Report)
 		w.alive(d.now)
 		d.learnRun(a)
-	case Full, Returned:
+	case AtCapacity, HandedBack:
 		w.cap, w.capAt = max(1, d.taken(w)), d.now
 		w.blocked = d.now + max(d.beat(), Micros(d.slots.value/4))
 		w.alive(d.now)
@@ -814,7 +814,7 @@
 // report learns free slots from a load report. Attempts younger than a report
 // can be are not in it.
 func (d *Dispatcher) report(w *worker, r Report, leaving float64) {
-	if !r.Known || d.set.TellsStart {
+	if !r.Known || d.set.StartReported {
 		return
 	}
 	seen := leaving
@@ -848,7 +848,7 @@
 	if w.entry.Status != Ready || d.outdated() || d.now < w.blocked {
 		return false
 	}
-	if d.set.TellsStart && w.unstarted > 0 || d.queued(w) {
+	if d.set.StartReported && w.unstarted > 0 || d.queued(w) {
 		return false // its last job has not begun: it is full, or gone
 	}
 	if d.now < w.downUntil || w.fails > 0 && len(w.live) > 0 {
@@ -863,8 +863,8 @@
 	if d.queued(w) || d.coming(w) {
 		return false
 	}
-	pause, at := max(d.slots.value, float64(d.set.Classes[0].Aim)), w.capAt
-	if d.set.TellsStart {
+	pause, at := max(d.slots.value, float64(d.set.Classes[0].LatencyObjective)), w.capAt
+	if d.set.StartReported {
 		at = d.kind(w).tried
 	}
 	return float64(d.now-at) > pause*max(1, d.sharing()/triersAtOnce)
@@ -876,7 +876,7 @@
 		return d.now
 	}
 	at := max(w.cold, w.entry.Started)
-	if at != 0 && d.now-at >= d.set.Cold {
+	if at != 0 && d.now-at >= d.set.SlowStart {
 		return 0
 	}
 	return at
@@ -910,7 +910,7 @@
 // stands. Many blind ones go by the place instead: who owns it there covers it.
 func (d *Dispatcher) claims(w *worker) bool {
 	source := random(w.entry.Worker)
-	return !d.blind() && int(source.chance()*float64(d.set.Balancers)) == d.set.Me
+	return !d.blind() && int(source.chance()*float64(d.set.Dispatchers)) == d.set.Index
 }
 
 // coldBudget brings the budget of a cold worker up to date and returns its most.
@@ -919,18 +919,18 @@
 // leave when it is full, and is paid for before the next. After a start of our
 // own it begins empty: what we sent before is unknown.
 func (d *Dispatcher) coldBudget(w *worker) float64 {
-	warmth := d.warmth(d.coldAt(w) + d.set.Fall) // as it was when the window began
+	warmth := d.warmth(d.coldAt(w) + d.set.OverloadWindow) // as it was when the window began
 	rate := d.coldRate(w) * warmth
 	if w.lost {
-		rate /= 2 * float64(d.set.Balancers) // anyone may find out whether it is back
+		rate /= 2 * float64(d.set.Dispatchers) // anyone may find out whether it is back
 	} else {
 		rate /= d.owners(w)
 	}
-	most := rate * float64(d.set.Fall)
+	most := rate * float64(d.set.OverloadWindow)
 	if d.blind() {
 		most /= 2 // leaves room for a job too many from some
 	}
-	if w.budgetAt == 0 && d.now-d.born >= d.set.Fall {
+	if w.budgetAt == 0 && d.now-d.born >= d.set.OverloadWindow {
 		w.budget += most // less what was under way there when its start was told
 	} else {
 		w.budget = min(most, w.budget+rate*float64(d.now-max(w.budgetAt, d.born)))
@@ -953,7 +953,7 @@
 	if !d.blind() {
 		return 1
 	}
-	whole := 1.5 * d.coldRate(w) * d.set.ColdFrom * float64(d.set.Fall)
+	whole := 1.5 * d.coldRate(w) * d.set.SlowStartInitial * float64(d.set.OverloadWindow)
 	return max(1, min(d.sharing(), whole/max(d.slots.value, d.typicalWork())))
 }
 
@@ -993,7 +993,7 @@
 	for _, a := range w.live {
 		j := a.job
 		waits := a.overdue && a.started == 0 && !j.finished && j.live == 1
-		if waits && d.set.MayCancel && d.set.Classes[j.class].LateWorth == 0 && !d.inTime(j, hopeful) {
+		if waits && d.set.CancelAllowed && d.set.Classes[j.class].LateWeight == 0 && !d.inTime(j, hopeful) {
 			d.finish(j, true)
 		}
 	}
@@ -1003,7 +1003,7 @@
 	running, oldest := d.running(w), d.now
 	for _, a := range w.live {
 		oldest = min(oldest, a.sent)
-		if d.set.TellsStart && a.started == 0 && !a.overdue && d.now-a.sent > patience {
+		if d.set.StartReported && a.started == 0 && !a.overdue && d.now-a.sent > patience {
 			a.overdue = true
 			d.overdue = append(d.overdue, a)
 			d.fitted(a, false)
@@ -1024,7 +1024,7 @@
 
 // copies holds the repeatable jobs of a silent worker for a second attempt.
 func (d *Dispatcher) copies(w *worker) {
-	if !d.set.MayDuplicate {
+	if !d.set.HedgingAllowed {
 		return
 	}
 	for _, a := range w.live {
@@ -1040,22 +1040,22 @@
 // ---- The worker list
 
 func (d *Dispatcher) listed(e *Event) {
-	if e.Scope >= ListFailed { // nothing new, and perhaps less to rely on
+	if e.Scope >= UpdateFailed { // nothing new, and perhaps less to rely on
 		d.listedAt = min(d.listedAt, d.now-e.Age)
 	}
-	if e.Scope == ListFailed {
-		if d.set.AskForList {
+	if e.Scope == UpdateFailed {
+		if d.set.PollEndpoints {
 			d.askAt = d.now + d.nextCall()
 			d.askFails++
 			d.log("the worker list does not answer: the last one is used")
 		}
 		return
 	}
-	if e.Scope < ListCached && d.set.AskForList { // what a start knew may be of any age
+	if e.Scope < UpdateCached && d.set.PollEndpoints { // what a start knew may be of any age
 		d.askFails, d.listedAt = 0, d.now-e.Age
-		d.askAt = d.now + Micros(renewAfter*float64(d.set.AskWithin))
+		d.askAt = d.now + Micros(renewAfter*float64(d.set.PollInterval))
 	}
-	named, whole := d.named[:0], e.Scope == ListFull || e.Scope == ListCached
+	named, whole := d.named[:0], e.Scope == UpdateFull || e.Scope == UpdateCached
 	d.lists++
 	for _, entry := range e.Workers {
 		w := d.workers[entry.Worker]
@@ -1070,8 +1070,8 @@
 		named = append(named, w)
 	}
 	for i := 0; whole && i < len(d.order); i++ {
-		if w := d.order[i]; w.list != d.lists && w.entry.Status != Gone {
-			w.entry.Status = Gone
+		if w := d.order[i]; w.list != d.lists && w.entry.Status != Removed {
+			w.entry.Status = Removed
 			named = append(named, w)
 		}
 	}
@@ -1106,8 +1106,8 @@
 
 // ask subscribes to the list, and asks again if no answer comes.
 func (d *Dispatcher) ask() {
-	d.emit(Action{Kind: WatchList})
-	d.askAt = d.now + Micros(float64(d.set.AskWithin)*(0.45+0.05*d.random.chance()))
+	d.emit(Action{Kind: WatchEndpoints})
+	d.askAt = d.now + Micros(float64(d.set.PollInterval)*(0.45+0.05*d.random.chance()))
 }
 
 // ---- Peers
@@ -1140,12 +1140,12 @@
 func (d *Dispatcher) spread(w *worker, message []byte) {
 	told, few := 0.0, d.sharing() <= sharers
 	for i := range d.near {
-		p := d.near[(i+max(d.set.Me, 0))%len(d.near)]
+		p := d.near[(i+max(d.set.Index, 0))%len(d.near)]
 		o := &d.peers[p]
 		here := o.zone == unknown || o.zone == w.entry.Zone || w.entry.Zone != d.set.Zone
 		visits := o.visited != 0 && d.now-o.visited < visit*second
-		if p != d.set.Me && (few || here || visits) && d.covers(o.place, w) {
-			d.emit(Action{Kind: TellPeers, Peer: p, Message: message})
+		if p != d.set.Index && (few || here || visits) && d.covers(o.place, w) {
+			d.emit(Action{Kind: SendGossip, Peer: p, Message: message})
 			if told++; told >= tellMost { // a fleet that shrinks has many to a worker
 				return
 			}
@@ -1155,7 +1155,7 @@
 
 func (d *Dispatcher) hear(e *Event) {
 	m := e.Message
-	if len(m) != peerMessage || e.Peer < 0 || e.Peer >= d.set.Balancers {
+	if len(m) != peerMessage || e.Peer < 0 || e.Peer >= d.set.Dispatchers {
 		return
 	}
 	peer := &d.peers[e.Peer]
@@ -1203,11 +1203,11 @@
 }
 
 // sameGroup tells whether two workers drop each other's repeats.
-func sameGroup(g Group, a, b *WorkerEntry) bool {
+func sameGroup(g DedupScope, a, b *WorkerEntry) bool {
 	switch g {
-	case GroupAll:
+	case ScopeAll:
 		return true
-	case GroupZone:
+	case ScopeZone:
 		return a.Zone == b.Zone
 	}
 	return a.Cell == b.Cell
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -10,17 +10,17 @@
 // unsafe. Aims are short enough to be lost and long enough to wait.
 func testSettings() Settings {
 	return Settings{
-		Me: 1, Balancers: 2, OverShareWorth: 0.2, WorthByWork: true, Granularity: 5000,
+		Index: 1, Dispatchers: 2, OverQuotaWeight: 0.2, WeightByWork: true, Granularity: 5000,
 		Classes: []Class{
-			{Aim: second, Stretch: 2, Deadline: 6 * second, Worth: 1, LateWorth: 0.3, Kind: -1},
-			{Aim: second, Stretch: 2, Deadline: 8 * second, Worth: 3, Effect: Keyed, Group: GroupCell,
-				Window: 5 * second, Kind: -1},
-			{Aim: second, Stretch: 2, Deadline: 8 * second, Worth: 2, Effect: Unsafe, Kind: -1},
+			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 6 * second, PriorityWeight: 1, LateWeight: 0.3, Kind: -1},
+			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 8 * second, PriorityWeight: 3, Effect: Keyed, DedupScope: ScopeCell,
+				DedupWindow: 5 * second, Kind: -1},
+			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 8 * second, PriorityWeight: 2, Effect: Unsafe, Kind: -1},
 		},
-		Tenants: []Tenant{{Quota: 20}, {Quota: 20}},
-		Cold:    10 * second, ColdFrom: 0.2, OverloadFactor: 3, Fall: 2 * second,
-		MaxAttempts: 4, MayCancel: true, MayDuplicate: true, MaxRetryAfter: 2 * second,
-		ConnectTimeout: second / 4, TellsStart: true, Progress: second,
+		Tenants:   []Tenant{{Quota: 20}, {Quota: 20}},
+		SlowStart: 10 * second, SlowStartInitial: 0.2, OverloadFactor: 3, OverloadWindow: 2 * second,
+		MaxAttempts: 4, CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: 2 * second,
+		ConnectTimeout: second / 4, StartReported: true, ProgressInterval: second,
 	}
 }
 
@@ -39,9 +39,9 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, d: d, now: 100 * second}
-	b.do(Event{Kind: Began})
-	b.do(Event{Kind: ListChanged, Scope: ListCached, Workers: workers})
-	b.do(Event{Kind: ListChanged, Scope: ListFull, Workers: workers})
+	b.do(Event{Kind: Started})
+	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: workers})
+	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: workers})
 	return b
 }
 
@@ -60,7 +60,7 @@
 			return all
 		}
 		b.now = max(b.now, b.d.wake)
-		all = append(all, b.do(Event{Kind: TimerRang, Token: b.d.token})...)
+		all = append(all, b.do(Event{Kind: TimerFired, Token: b.d.token})...)
 	}
 }
 
@@ -105,11 +105,11 @@
 	for field, spoil := range map[string]func(*Settings){
 		"Classes":             func(s *Settings) { s.Classes = nil },
 		"Classes[1].Deadline": func(s *Settings) { s.Classes[1].Deadline = 0 },
-		"Classes[0]":          func(s *Settings) { s.Classes[0].Stretch = -1 },
-		"ColdFrom":            func(s *Settings) { s.ColdFrom = 2 },
+		"Classes[0]":          func(s *Settings) { s.Classes[0].ObjectiveStretch = -1 },
+		"ColdFrom":            func(s *Settings) { s.SlowStartInitial = 2 },
 		"MaxAttempts":         func(s *Settings) { s.MaxAttempts = -1 },
 		"Tenants[1]":          func(s *Settings) { s.Tenants[1].Quota = -1 },
-		"Balancers":           func(s *Settings) { s.Balancers = -1 },
+		"Balancers":           func(s *Settings) { s.Dispatchers = -1 },
 		"Granularity":         func(s *Settings) { s.Granularity = -1 },
 	} {
 		s := testSettings()
@@ -275,7 +275,7 @@
 		b.do(Event{Kind: JobArrived, Job: JobID(i), Class: 1, Work: 2 * second, Slots: 1,
 			Patience: patience * second})
 	}
-	sent := find(b.do(Event{Kind: ListChanged, Scope: ListFull,
+	sent := find(b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull,
 		Workers: []WorkerEntry{ready(1, 0), ready(2, 0), ready(3, 0)}}), Send)
 	if len(sent) != 3 || sent[0].Job != 1 || sent[1].Job != 2 || sent[2].Job != 0 {
 		t.Fatalf("sent %+v", sent)
@@ -288,7 +288,7 @@
 	// Its start is overdue: the worker is full, whoever fills it.
 	b.pass(second / 5)
 	b.want(b.arrive(2, 2), Send, 0)
-	b.do(Event{Kind: AttemptNote, Job: 1, Note: NoteStarted})
+	b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 	b.want(b.end(1, 0, OK), Send, 1)
 }
 
@@ -297,11 +297,11 @@
 	w := b.d.workers[1]
 	for id := JobID(1); id <= 3; id++ {
 		b.want(b.arrive(id, 0), Send, 1)
-		b.do(Event{Kind: AttemptNote, Job: id, Note: NoteStarted})
+		b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 		b.now += second + second/5 // a try past the cap waits for a run
 	}
 	b.arrive(4, 0)
-	b.end(4, 0, Full)
+	b.end(4, 0, AtCapacity)
 	if w.cap != 3 {
 		t.Errorf("cap %v after the fourth job was turned away", w.cap)
 	}
@@ -310,7 +310,7 @@
 // A queue of our own at a worker once passed for slots, and the cap never fell.
 func TestReportedQueueLowersTheCap(t *testing.T) {
 	s := testSettings()
-	s.TellsStart = false
+	s.StartReported = false
 	b := newBench(t, s, ready(1, 0))
 	b.d.report(b.d.workers[1], Report{Known: true, Free: 2, Outstanding: 0}, 0)
 	b.d.report(b.d.workers[1], Report{Known: true, Free: 0, Outstanding: 4}, 4)
@@ -352,28 +352,28 @@
 func TestTimeOutAtTheDeadline(t *testing.T) {
 	b := newBench(t, testSettings(), ready(1, 0))
 	sent := find(b.arrive(1, 2), Send)[0]
-	b.now = sent.At
+	b.now = sent.Deadline
 	out := b.end(1, 0, TimedOut)
 	b.want(out, Fail, 1)
 	if late := b.now - (100*second + 8*second); late > 0 {
 		t.Errorf("answered %v after the deadline", late)
 	}
 	b.want(b.end(1, 0, TimedOut), Fail, 0)
-	b.want(b.do(Event{Kind: ClientGone, Job: 1}), Send, 0)
+	b.want(b.do(Event{Kind: ClientDisconnected, Job: 1}), Send, 0)
 }
 
 // Rule 1: whatever comes after the end of a job is ignored.
 func TestStaleEvents(t *testing.T) {
 	b := newBench(t, testSettings(), ready(1, 0), ready(2, 0))
 	b.arrive(1, 0)
-	b.do(Event{Kind: ClientGone, Job: 1})
+	b.do(Event{Kind: ClientDisconnected, Job: 1})
 	for _, e := range []Event{
-		{Kind: AttemptNote, Job: 1, Note: NoteStarted}, {Kind: AttemptNote, Job: 1, Note: NoteProgress, Value: 1},
+		{Kind: AttemptReported, Job: 1, Note: NoteStarted}, {Kind: AttemptReported, Job: 1, Note: NoteProgress, Value: 1},
 		{Kind: AttemptEnded, Job: 1, Outcome: Reset}, {Kind: AttemptEnded, Job: 1, Outcome: OK, Final: true},
-		{Kind: ClientGone, Job: 1}, {Kind: AttemptEnded, Job: 77}, {Kind: AttemptNote, Job: 1, Attempt: -1},
-		{Kind: PeerTold, Peer: 1, Message: []byte{1, 2}},
-		{Kind: PeerTold, Peer: 1 << 30, Message: make([]byte, peerMessage)}, {Kind: StreamBegan, Job: 5},
-		{Kind: AttemptEnded, Job: 1, Attempt: 9, Outcome: Reset}, {Kind: TimerRang, Token: 1 << 60},
+		{Kind: ClientDisconnected, Job: 1}, {Kind: AttemptEnded, Job: 77}, {Kind: AttemptReported, Job: 1, Attempt: -1},
+		{Kind: GossipReceived, Peer: 1, Message: []byte{1, 2}},
+		{Kind: GossipReceived, Peer: 1 << 30, Message: make([]byte, peerMessage)}, {Kind: StreamStarted, Job: 5},
+		{Kind: AttemptEnded, Job: 1, Attempt: 9, Outcome: Reset}, {Kind: TimerFired, Token: 1 << 60},
 	} {
 		out := b.do(e)
 		if n := len(find(out, Send)) + len(find(out, Refuse)) + len(find(out, Fail)); n != 0 {
@@ -387,7 +387,7 @@
 	for _, c := range []struct {
 		name    string
 		class   int
-		group   Group
+		group   DedupScope
 		outcome Outcome
 		after   Micros
 		want    ActionKind
@@ -396,24 +396,24 @@
 		{"safe goes elsewhere", 0, 0, Reset, 0, Send, 0},
 		{"unsafe never goes again", 2, 0, Reset, 0, Fail, 0},
 		{"unsafe may go again when it never ran", 2, 0, ConnectFailed, 0, Send, 0},
-		{"keyed stays in its cell", 1, GroupCell, Failed, 0, Send, 2},
-		{"keyed stays in its zone", 1, GroupZone, Failed, 0, Send, 3},
-		{"keyed for all goes anywhere", 1, GroupAll, Failed, 0, Send, 0},
-		{"keyed not past its window", 1, GroupCell, Failed, 5 * second, Fail, 0},
+		{"keyed stays in its cell", 1, ScopeCell, Failed, 0, Send, 2},
+		{"keyed stays in its zone", 1, ScopeZone, Failed, 0, Send, 3},
+		{"keyed for all goes anywhere", 1, ScopeAll, Failed, 0, Send, 0},
+		{"keyed not past its window", 1, ScopeCell, Failed, 5 * second, Fail, 0},
 	} {
 		s := testSettings()
-		s.Classes[1].Group = c.group
-		s.Progress = 60 * second // no suspicion here
+		s.Classes[1].DedupScope = c.group
+		s.ProgressInterval = 60 * second // no suspicion here
 		b := newBench(t, s, ready(1, 0))
 		b.want(b.arrive(1, c.class), Send, 1)
 		// Worker 2 shares the cell and 3 the zone; 4 shares neither.
-		b.do(Event{Kind: ListChanged, Scope: ListFull, Workers: []WorkerEntry{ready(1, 0),
+		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0),
 			{Worker: 4, Cell: 4, Zone: 4, Status: Ready}}})
 		if c.worker == 2 {
-			b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{ready(2, 0)}})
+			b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0)}})
 		}
 		if c.worker == 3 {
-			b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{ready(3, 3)}})
+			b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(3, 3)}})
 		}
 		b.now += c.after
 		out := b.end(1, 0, c.outcome)
@@ -440,9 +440,9 @@
 // Rule 3: nothing to a worker that drains, is gone, or is left out of a whole list.
 func TestDrainsAreKept(t *testing.T) {
 	for name, news := range map[string]Event{
-		"draining": {Kind: ListChanged, Workers: []WorkerEntry{{Worker: 1, Status: Draining}}},
-		"gone":     {Kind: ListChanged, Workers: []WorkerEntry{{Worker: 1, Status: Gone}}},
-		"left out": {Kind: ListChanged, Scope: ListFull, Workers: []WorkerEntry{ready(2, 0)}},
+		"draining": {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Draining}}},
+		"gone":     {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Removed}}},
+		"left out": {Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(2, 0)}},
 	} {
 		b := newBench(t, testSettings(), ready(1, 0), ready(2, 0))
 		b.do(news)
@@ -451,7 +451,7 @@
 				if a.Worker == 1 {
 					t.Fatalf("%s: job %d was sent there", name, id)
 				}
-				b.do(Event{Kind: AttemptNote, Job: id, Note: NoteStarted})
+				b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 			}
 		}
 	}
@@ -461,22 +461,22 @@
 // when the call fails, and again within the stated time when nothing answers.
 func TestKeepsAskingForTheList(t *testing.T) {
 	s := testSettings()
-	s.AskForList, s.AskWithin = true, 10*second
+	s.PollEndpoints, s.PollInterval = true, 10*second
 	d, _ := New(s, 3)
 	b := &bench{t: t, d: d, now: second}
-	b.want(b.do(Event{Kind: Began}), WatchList, 1)
-	b.do(Event{Kind: ListChanged, Scope: ListCached, Workers: []WorkerEntry{ready(1, 0)}})
-	if len(find(b.pass(s.AskWithin/2), WatchList)) == 0 {
+	b.want(b.do(Event{Kind: Started}), WatchEndpoints, 1)
+	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: []WorkerEntry{ready(1, 0)}})
+	if len(find(b.pass(s.PollInterval/2), WatchEndpoints)) == 0 {
 		t.Error("a call without an answer is not repeated")
 	}
 	for range 20 { // an outage
-		b.do(Event{Kind: ListChanged, Scope: ListFailed})
-		if len(find(b.pass(s.AskWithin*2/5), WatchList)) == 0 {
+		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+		if len(find(b.pass(s.PollInterval*2/5), WatchEndpoints)) == 0 {
 			t.Fatal("a failed call is not repeated")
 		}
 	}
-	b.do(Event{Kind: ListChanged, Scope: ListFull, Workers: []WorkerEntry{ready(1, 0)}})
-	b.want(b.pass(s.AskWithin), WatchList, 0)
+	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
+	b.want(b.pass(s.PollInterval), WatchEndpoints, 0)
 }
 
 // Rule 4: what goes to a cold worker within any window stays under this
@@ -490,16 +490,16 @@
 	}
 	for name, make := range map[string]func(b *bench){
 		"new": func(b *bench) {
-			b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{{Worker: 1, Status: Ready, Started: b.now}}})
+			b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Ready, Started: b.now}}})
 		},
 		"restarted": func(b *bench) {
-			b.do(Event{Kind: ListChanged,
+			b.do(Event{Kind: EndpointsUpdated,
 				Workers: []WorkerEntry{{Worker: 1, Status: Ready, Started: b.now - second}}})
 		},
 		"back before the list says so": back,
 	} {
 		s := testSettings()
-		s.Fall = 2 * second
+		s.OverloadWindow = 2 * second
 		b := newBench(t, s, ready(1, 0))
 		b.now += 3 * second // past the time after a start of our own
 		make(b)
@@ -509,12 +509,12 @@
 		if !b.d.owns(b.d.workers[1]) {
 			t.Fatal("worker 1 is not this dispatcher's to warm")
 		}
-		budget := s.OverloadFactor * (s.ColdFrom + (1-s.ColdFrom)*float64(s.Fall)/float64(s.Cold)) *
-			float64(s.Fall)
-		for id := JobID(1); b.now < start+s.Fall; id++ {
+		budget := s.OverloadFactor * (s.SlowStartInitial + (1-s.SlowStartInitial)*float64(s.OverloadWindow)/float64(s.SlowStart)) *
+			float64(s.OverloadWindow)
+		for id := JobID(1); b.now < start+s.OverloadWindow; id++ {
 			for _, a := range find(b.arrive(id, 0), Send) {
 				work += second / 5
-				b.do(Event{Kind: AttemptNote, Job: a.Job, Note: NoteStarted})
+				b.do(Event{Kind: AttemptReported, Job: a.Job, Note: NoteStarted})
 				b.end(a.Job, a.Attempt, OK)
 			}
 			b.now += second / 50
@@ -540,17 +540,17 @@
 func TestSilentWorker(t *testing.T) {
 	for class, copies := range []int{1, 1, 0} {
 		s := testSettings()
-		s.Classes[class].Aim = 5 * second
+		s.Classes[class].LatencyObjective = 5 * second
 		b := newBench(t, s, ready(1, 0))
 		b.want(b.arrive(1, class), Send, 1)
-		b.do(Event{Kind: AttemptNote, Job: 1, Note: NoteStarted})
-		b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{ready(2, 0), ready(3, 0)}})
+		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
+		b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0), ready(3, 0)}})
 		b.want(b.pass(2*second), Send, copies)
 		w := b.d.workers[1]
 		if !w.suspect {
 			t.Fatal("a worker that is silent past its progress interval is not suspected")
 		}
-		b.do(Event{Kind: AttemptNote, Job: 1, Note: NoteProgress, Value: 0.9})
+		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteProgress, Value: 0.9})
 		if w.suspect {
 			t.Error("a sign of life does not heal the suspicion")
 		}
@@ -585,7 +585,7 @@
 			if a.Worker == 1 {
 				o, bad = Failed, bad+1
 			}
-			b.do(Event{Kind: AttemptNote, Job: id, Note: NoteStarted})
+			b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 			b.now += second / 100
 			b.end(id, 0, o)
 		}
@@ -598,7 +598,7 @@
 // Retries stay bounded when every attempt fails.
 func TestRetriesAreBounded(t *testing.T) {
 	s := testSettings()
-	s.TellsStart = false
+	s.StartReported = false
 	var list []WorkerEntry
 	for id := range WorkerID(40) {
 		list = append(list, ready(id+1, 0))
@@ -622,18 +622,18 @@
 // Peers' word keeps two dispatchers from the same slot; old word is dropped.
 func TestPeersCountAsTaken(t *testing.T) {
 	s := testSettings()
-	s.MayTellPeers = true
+	s.GossipAllowed = true
 	b := newBench(t, s, ready(7, 0))
-	b.want(b.arrive(1, 0), TellPeers, 1)
-	b.want(b.do(Event{Kind: AttemptNote, Job: 1, Note: NoteStarted}), TellPeers, 0)
-	b.do(Event{Kind: PeerTold, Peer: 1, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
+	b.want(b.arrive(1, 0), SendGossip, 1)
+	b.want(b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted}), SendGossip, 0)
+	b.do(Event{Kind: GossipReceived, Peer: 1, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
 	b.now += ticksToTell * s.Granularity
-	b.do(Event{Kind: TimerRang})
+	b.do(Event{Kind: TimerFired})
 	if used, running := b.d.others(b.d.workers[7]); used != 3 || running != 2 {
 		t.Fatalf("others have %v, of them running %v", used, running)
 	}
 	b.pass(60 * second)
-	b.do(Event{Kind: TimerRang})
+	b.do(Event{Kind: TimerFired})
 	if used, _ := b.d.others(b.d.workers[7]); used != 0 {
 		t.Errorf("word from a minute ago still counts %v slots", used)
 	}
@@ -648,7 +648,7 @@
 		for id, needs := range []float64{slots, 1} {
 			arrived := Event{Kind: JobArrived, Job: JobID(id), Work: second / 5, Slots: needs, Patience: 6 * second}
 			for _, a := range find(b.do(arrived), Send) {
-				b.do(Event{Kind: AttemptNote, Job: a.Job, Worker: a.Worker, Note: NoteStarted})
+				b.do(Event{Kind: AttemptReported, Job: a.Job, Worker: a.Worker, Note: NoteStarted})
 				b.end(a.Job, 0, OK)
 			}
 		}
@@ -663,7 +663,7 @@
 	for id := JobID(1); id <= 40; id += 2 {
 		sent := append(find(b.arrive(id, 0), Send), find(b.arrive(id+1, 0), Send)...)
 		for _, a := range sent {
-			b.do(Event{Kind: AttemptNote, Job: a.Job, Note: NoteStarted})
+			b.do(Event{Kind: AttemptReported, Job: a.Job, Note: NoteStarted})
 		}
 		begun := b.now
 		for _, on := range []WorkerID{2, 1} {
@@ -707,9 +707,9 @@
 			lost(b, j, w)
 		}},
 		"draining": {0, func(b *bench, j *job, w *worker) { w.entry.Status = Draining }},
-		"gone":     {0, func(b *bench, j *job, w *worker) { w.entry.Status = Gone }},
+		"gone":     {0, func(b *bench, j *job, w *worker) { w.entry.Status = Removed }},
 		"two out at once": {0, func(b *bench, j *job, w *worker) {
-			b.d.set.MayDuplicate = false
+			b.d.set.HedgingAllowed = false
 			out(b, j, w)
 		}},
 		"unsafe and out": {2, out},
@@ -841,31 +841,31 @@
 // believe in, nothing more goes there until it runs.
 func TestPeersJobThatWaitsKeepsOursAway(t *testing.T) {
 	s := testSettings()
-	s.MayTellPeers = true
+	s.GossipAllowed = true
 	b := newBench(t, s, ready(7, 0))
 	w := b.d.workers[7]
 	b.slots(7, 9)
-	b.do(Event{Kind: PeerTold, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}})
+	b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}})
 	b.want(b.arrive(1, 0), Send, 1) // it may be on its way only
-	b.do(Event{Kind: AttemptNote, Job: 1, Attempt: 0, Note: NoteStarted})
-	b.do(Event{Kind: PeerTold, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
+	b.do(Event{Kind: AttemptReported, Job: 1, Attempt: 0, Note: NoteStarted})
+	b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
 	b.want(b.arrive(2, 0), Send, 0)
-	b.want(b.do(Event{Kind: PeerTold, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}}), Send, 1)
+	b.want(b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}}), Send, 1)
 	// Past the cap nothing is tried while a peer's job travels.
-	b.do(Event{Kind: AttemptNote, Job: 2, Attempt: 0, Note: NoteStarted})
+	b.do(Event{Kind: AttemptReported, Job: 2, Attempt: 0, Note: NoteStarted})
 	b.now += ticksToTell * s.Granularity
-	b.do(Event{Kind: TimerRang})
+	b.do(Event{Kind: TimerFired})
 	b.d.kind(w).tried = 1
 	if !b.d.growable(w) {
 		t.Fatal("an old cap may not be passed")
 	}
-	b.do(Event{Kind: PeerTold, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 4, 0}})
+	b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 4, 0}})
 	if b.d.growable(w) {
 		t.Error("a try past the cap while a peer's job has not begun")
 	}
 	// The word of a peer that is gone must not keep the worker idle.
 	b.pass(60 * second)
-	b.do(Event{Kind: TimerRang})
+	b.do(Event{Kind: TimerFired})
 	if b.d.queued(w) {
 		t.Error("word from a minute ago keeps jobs away")
 	}
@@ -881,12 +881,12 @@
 		j := &job{id: 9, aim: b.now + aim, over: over, work: second / 5}
 		b.d.out, b.d.best = nil, 0
 		b.d.finish(j, true)
-		return b.d.out[0].Wait
+		return b.d.out[0].Delay
 	}
 	b.d.finish(&job{id: 8, class: 2, aim: b.now}, true) // late answers earn nothing, and its aim has passed
 	b.want(b.d.out, Refuse, 1)
-	if b.d.out[0].Wait != b.d.set.MaxRetryAfter {
-		t.Errorf("its aim has passed: told to wait for %v", b.d.out[0].Wait)
+	if b.d.out[0].Delay != b.d.set.MaxRetryAfter {
+		t.Errorf("its aim has passed: told to wait for %v", b.d.out[0].Delay)
 	}
 	for _, c := range []struct {
 		aim   Micros
@@ -919,24 +919,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			s.AskForList, s.AskWithin, s.ToldWithin = true, 10*second, c.within
+			s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, c.within
 			d, _ := New(s, 3)
 			b := &bench{t: t, d: d, now: 100 * second}
-			b.do(Event{Kind: Began})
-			b.do(Event{Kind: ListChanged, Scope: ListCached,
+			b.do(Event{Kind: Started})
+			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached,
 				Workers: []WorkerEntry{ready(1, 0), ready(2, 0), ready(3, 0)}})
 			if !c.never {
-				b.do(Event{Kind: ListChanged})
+				b.do(Event{Kind: EndpointsUpdated})
 				b.do(Event{Kind: JobArrived, Job: 9, Patience: 60 * second, Slots: 1})
-				b.do(Event{Kind: AttemptNote, Job: 9, Note: NoteStarted}) // it may drain all the same
+				b.do(Event{Kind: AttemptReported, Job: 9, Note: NoteStarted}) // it may drain all the same
 			}
 			b.now += c.silent
-			b.do(Event{Kind: ListChanged, Scope: ListFailed})
+			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			sent := append(find(b.arrive(1, 0), Send), find(b.arrive(2, 0), Send)...)
 			if len(sent) != c.sent {
 				t.Fatalf("%d jobs were sent, want %d", len(sent), c.sent)
 			}
-			b.do(Event{Kind: ListChanged}) // nothing new
+			b.do(Event{Kind: EndpointsUpdated}) // nothing new
 			if again := len(find(b.out, Send)); again != 2-c.sent {
 				t.Errorf("%d jobs left once the list was heard", again)
 			}
@@ -948,13 +948,13 @@
 // heard anew. What others say of workers that leave is no word of the list.
 func TestAChangeThatCannotBeReadEndsTheTrust(t *testing.T) {
 	s := testSettings()
-	s.AskForList, s.AskWithin, s.ToldWithin = true, 10*second, 6*second
+	s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, 6*second
 	b := newBench(t, s, ready(1, 0), ready(2, 0))
-	b.do(Event{Kind: ListChanged, Scope: ListFailed, Age: b.now + b.d.set.ToldWithin})
+	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed, Age: b.now + b.d.set.MaxStaleness})
 	b.want(b.arrive(1, 0), Send, 0)
 	leaves := []WorkerEntry{{Worker: 1, Status: Draining}}
-	b.want(b.do(Event{Kind: ListChanged, Scope: ListWarned, Workers: leaves}), Send, 0)
-	sent := find(b.do(Event{Kind: ListChanged, Age: second}), Send)
+	b.want(b.do(Event{Kind: EndpointsUpdated, Scope: UpdateDrains, Workers: leaves}), Send, 0)
+	sent := find(b.do(Event{Kind: EndpointsUpdated, Age: second}), Send)
 	if len(sent) != 1 || sent[0].Worker != 2 {
 		t.Errorf("sent %+v, want one to worker 2", sent)
 	}
@@ -975,12 +975,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			if s.MarksRepeats = c.marks; c.many {
+			if s.RetriesMarked = c.marks; c.many {
 				blind(&s)
-				s.Balancers = 80
+				s.Dispatchers = 80
 			}
 			b := newBench(t, s, ready(1, 0))
-			out := b.do(Event{Kind: JobArrived, Job: 1, Class: 2, Patience: 2 * second, Repeat: c.repeat, Slots: 1})
+			out := b.do(Event{Kind: JobArrived, Job: 1, Class: 2, Patience: 2 * second, Retry: c.repeat, Slots: 1})
 			if served := len(find(out, Send)) == 1; served != c.served {
 				t.Errorf("served: %v, want %v", served, c.served)
 			}
--- a/internal/dispatch/estimates.go
+++ b/internal/dispatch/estimates.go
@@ -83,7 +83,7 @@
 			return
 		}
 		st := &d.classes[a.job.class]
-		work = st.mean(float64(d.set.Classes[a.job.class].Aim))
+		work = st.mean(float64(d.set.Classes[a.job.class].LatencyObjective))
 		span = min(float64(d.now-a.started), 4*work/d.speed(w)) // a long job is not a slow worker
 	}
 	a.done, a.noted = max(done, a.done), d.now
@@ -116,7 +116,7 @@
 // would seem lost as it comes; where clients mark their repeats, it can be told. A few
 // dispatchers see overload themselves, and such a job is the first to turn away then.
 func (d *Dispatcher) begunAt(j *job, repeat bool) Micros {
-	if d.set.MarksRepeats && !repeat && d.blind() {
+	if d.set.RetriesMarked && !repeat && d.blind() {
 		return d.now
 	}
 	return j.giveUp - d.set.Classes[j.class].Deadline
@@ -127,7 +127,7 @@
 	if tenant >= len(d.set.Tenants) {
 		return 0
 	}
-	return d.set.Tenants[tenant].Quota / float64(d.set.Balancers)
+	return d.set.Tenants[tenant].Quota / float64(d.set.Dispatchers)
 }
 
 func (d *Dispatcher) burst(tenant int) float64 {
@@ -135,13 +135,13 @@
 }
 
 func (d *Dispatcher) warmth(at Micros) float64 {
-	return d.set.ColdFrom + (1-d.set.ColdFrom)*max(0, float64(d.now-at))/float64(max(1, d.set.Cold))
+	return d.set.SlowStartInitial + (1-d.set.SlowStartInitial)*max(0, float64(d.now-at))/float64(max(1, d.set.SlowStart))
 }
 
 func (d *Dispatcher) coldWork(j *job) float64 {
 	work := j.work
 	if !j.hinted {
-		work = d.classes[j.class].mean(unseen * float64(d.set.Classes[j.class].Aim))
+		work = d.classes[j.class].mean(unseen * float64(d.set.Classes[j.class].LatencyObjective))
 	}
 	return work + float64(d.set.Granularity) // a handshake may come with it
 }
@@ -156,7 +156,7 @@
 	sum, squares := 0.0, 0.0
 	for k := range d.classes {
 		st := &d.classes[k]
-		work := st.mean(unseen * float64(d.set.Classes[k].Aim))
+		work := st.mean(unseen * float64(d.set.Classes[k].LatencyObjective))
 		sum, squares = sum+(1+st.arrived)*work, squares+(1+st.arrived)*work*work
 	}
 	return squares / max(1, sum)
@@ -310,10 +310,10 @@
 
 // quiet is how long a worker with work may give no sign of life.
 func (d *Dispatcher) quiet() Micros {
-	if d.set.Progress == 0 {
+	if d.set.ProgressInterval == 0 {
 		return Micros(quietRuns * max(d.slots.value, second/4))
 	}
-	return Micros(silence * float64(d.set.Progress))
+	return Micros(silence * float64(d.set.ProgressInterval))
 }
 
 // fit tells how jobs fared with n slots of a worker taken: its own, and as far as
@@ -416,11 +416,11 @@
 // wait too long there fail, and cost it as much. While what was heard last holds there is time
 // until then, less what a call may take. Otherwise nothing can be sent, and it is short.
 func (d *Dispatcher) turn() Micros {
-	if !d.set.LargeFleet() || d.set.FreeCalls {
+	if !d.set.LargeFleet() || d.set.UnmeteredPolls {
 		return 0
 	}
-	left := float64(d.listedAt + d.set.ToldWithin - d.now - second)
-	longest := max(left, min(callTime*float64(d.set.Balancers), float64(d.set.AskWithin)/5))
+	left := float64(d.listedAt + d.set.MaxStaleness - d.now - second)
+	longest := max(left, min(callTime*float64(d.set.Dispatchers), float64(d.set.PollInterval)/5))
 	return Micros(d.random.chance() * longest)
 }
 
@@ -431,17 +431,17 @@
 func (d *Dispatcher) nextCall() Micros {
 	base := float64(second) / 2 * (1 + d.random.chance())
 	switch {
-	case d.set.FreeCalls && d.askFails == 0:
+	case d.set.UnmeteredPolls && d.askFails == 0:
 		return d.set.Granularity
-	case d.set.FreeCalls:
+	case d.set.UnmeteredPolls:
 		return Micros(base * 2 / 5)
 	}
 	if d.askFails == 0 {
-		return Micros(min(base, float64(d.set.AskWithin)/3)) + d.turn()
+		return Micros(min(base, float64(d.set.PollInterval)/3)) + d.turn()
 	}
-	longest := float64(d.set.AskWithin) / 5
+	longest := float64(d.set.PollInterval) / 5
 	if d.set.LargeFleet() {
-		longest = min(callTime*float64(d.set.Balancers), longest)
+		longest = min(callTime*float64(d.set.Dispatchers), longest)
 		base = d.random.chance() * longest
 	}
 	return Micros(min(base, longest) * min(math.Pow(callGrowth, float64(max(d.askFails-soonCalls, 0))), 2))
@@ -451,8 +451,8 @@
 // is to tell counts as told ToldWithin later, so what was heard last holds so long, and the list
 // that a start knew not at all. That a worker takes jobs proves nothing: one that drains may.
 func (d *Dispatcher) outdated() bool {
-	return d.set.AskForList && d.set.ToldWithin > 0 &&
-		(d.listedAt == 0 || d.now-d.listedAt > d.set.ToldWithin)
+	return d.set.PollEndpoints && d.set.MaxStaleness > 0 &&
+		(d.listedAt == 0 || d.now-d.listedAt > d.set.MaxStaleness)
 }
 
 const (
@@ -467,7 +467,7 @@
 	if d.blind() {
 		share, least = blindSharers, blindPart
 	}
-	return max(share/float64(d.set.Balancers), least/max(1, float64(ready)))
+	return max(share/float64(d.set.Dispatchers), least/max(1, float64(ready)))
 }
 
 // patience is how long a job may take to begin before it is held to wait.
@@ -480,10 +480,10 @@
 
 // blind tells whether there are many dispatchers and none tells another anything: what
 // they do together shows only in how long jobs wait.
-func (d *Dispatcher) blind() bool { return !d.set.MayTellPeers && d.set.LargeFleet() }
+func (d *Dispatcher) blind() bool { return !d.set.GossipAllowed && d.set.LargeFleet() }
 
 // sharing is how many dispatchers share a worker.
-func (d *Dispatcher) sharing() float64 { return d.reach * float64(d.set.Balancers) }
+func (d *Dispatcher) sharing() float64 { return d.reach * float64(d.set.Dispatchers) }
 
 // covers tells whether a worker is in the part of the dispatcher at a place.
 func (d *Dispatcher) covers(place float64, w *worker) bool {
@@ -492,12 +492,12 @@
 
 // gap is how far on the circle a worker comes behind a place.
 func (d *Dispatcher) gap(place float64, w *worker) float64 {
-	return subset.Gap(place, d.placeOf(w))
+	return subset.Distance(place, d.placeOf(w))
 }
 
-// MostSlots is the most that a job can say it takes: far beyond any machine, and within
+// MaxSlots is the most that a job can say it takes: far beyond any machine, and within
 // what counts of slots can hold.
-const MostSlots = 1 << 20
+const MaxSlots = 1 << 20
 
 // slotsFor is the slots that a job is taken to need: one at the least. What is no number
 // counts as one: added to a worker's use, it could never be taken off again.
@@ -505,7 +505,7 @@
 	if !(said >= 1) {
 		return 1
 	}
-	return min(said, MostSlots)
+	return min(said, MaxSlots)
 }
 
 // waits is the mean of how long jobs waited at workers before they began. What was seen
@@ -567,7 +567,7 @@
 // delay is how long a job would likely wait at a worker: as our last ones there did, and as
 // far as they do not tell, as those at its crowd. One that waits now is on average half way.
 func (d *Dispatcher) delay(w *worker) float64 {
-	if !d.set.TellsStart || !d.blind() {
+	if !d.set.StartReported || !d.blind() {
 		return 0
 	}
 	c := d.crowd(w)
@@ -615,7 +615,7 @@
 // capacity is how many slots of a worker may be taken. Where starts are told, it
 // is the largest number at which jobs begin at once rather than wait.
 func (d *Dispatcher) capacity(w *worker) float64 {
-	if !d.set.TellsStart {
+	if !d.set.StartReported {
 		return w.cap
 	}
 	k, best := d.kind(w), 0
@@ -663,7 +663,7 @@
 func (d *Dispatcher) queued(w *worker) bool {
 	for i := range w.peers {
 		if p := &w.peers[i]; p.waits != 0 && d.trusted(p) {
-			return d.set.TellsStart
+			return d.set.StartReported
 		}
 	}
 	return false
@@ -673,7 +673,7 @@
 func (d *Dispatcher) coming(w *worker) bool {
 	for i := range w.peers {
 		if d.travels(&w.peers[i]) > 0 {
-			return d.set.TellsStart
+			return d.set.StartReported
 		}
 	}
 	return false
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -10,10 +10,10 @@
 func Example() {
 	const second = 1_000_000
 	d, err := dispatch.New(dispatch.Settings{
-		Balancers:   1,
-		Classes:     []dispatch.Class{{Aim: second, Deadline: 5 * second, Worth: 1, Kind: -1}},
-		MaxAttempts: 3,
-		TellsStart:  true,
+		Dispatchers:   1,
+		Classes:       []dispatch.Class{{LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Kind: -1}},
+		MaxAttempts:   3,
+		StartReported: true,
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -34,8 +34,8 @@
 			}
 		}
 	}
-	show(dispatch.Event{Kind: dispatch.Began})
-	show(dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListFull,
+	show(dispatch.Event{Kind: dispatch.Started})
+	show(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateFull,
 		Workers: []dispatch.WorkerEntry{{Worker: 7, Status: dispatch.Ready}}})
 	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 1, Patience: 5 * second, Slots: 1})
 	now += second / 10
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -7,7 +7,7 @@
 
 // run lets a sent job run on its worker for a while and end well.
 func (b *bench) run(sent Action, span Micros) []Action {
-	b.do(Event{Kind: AttemptNote, Job: sent.Job, Attempt: sent.Attempt, Note: NoteStarted})
+	b.do(Event{Kind: AttemptReported, Job: sent.Job, Attempt: sent.Attempt, Note: NoteStarted})
 	b.now += span
 	return b.end(sent.Job, sent.Attempt, OK)
 }
@@ -35,7 +35,7 @@
 			refused[min(1, int(a.Job+9)%10/9)]++
 		}
 		for _, a := range find(actions, Send) {
-			b.do(Event{Kind: AttemptNote, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
+			b.do(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
 			live = append(live, a)
 		}
 		b.now += second / 100
@@ -57,7 +57,7 @@
 // gets a new aim nor takes a slot for an answer that earns nothing.
 func TestRepeatsOfLostJobsTakeNoSlot(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].LateWorth = 0
+	s.Classes[0].LateWeight = 0
 	b := newBench(t, s, ready(1, 0))
 	actions := b.do(Event{Kind: JobArrived, Job: 1, Work: second / 5, Slots: 1, Patience: 3 * second})
 	b.want(actions, Send, 0)
@@ -70,7 +70,7 @@
 	b := newBench(t, testSettings(), ready(1, 0), ready(2, 0))
 	for id := JobID(1); id <= 20; id++ {
 		sent := find(b.arrive(id, 0), Send)
-		b.do(Event{Kind: AttemptNote, Job: id, Note: NoteStarted})
+		b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 		b.want(b.pass(6*second/10), Send, 0) // no copy
 		if w := b.d.workers[sent[0].Worker]; w.suspect || b.now < w.downUntil {
 			t.Fatal("a pause made a worker suspect")
@@ -105,7 +105,7 @@
 		if id%20 == 0 && id <= 100 {
 			gone := workers[id/20-1]
 			gone.Status = Draining
-			count(b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{gone}}))
+			count(b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{gone}}))
 		}
 		count(b.arrive(id, int(id)%3))
 		count(b.pass(second / 20))
@@ -131,14 +131,14 @@
 // speak for our path. We try it rarely, and use it when the path is back.
 func TestRefusesOnlyUs(t *testing.T) {
 	s := testSettings()
-	s.MayTellPeers = true
+	s.GossipAllowed = true
 	b := newBench(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
 	b.warm(3)
 	b.d.workers[2].tilt, b.d.workers[3].tilt = 1, 1 // worker 1 comes first
 	refused, id := 0, JobID(0)
 	for range 100 {
 		id++
-		b.do(Event{Kind: PeerTold, Peer: 0, Message: []byte{0, 0, 0, 0, 1, byte(1 + id%2), 0}})
+		b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 1, byte(1 + id%2), 0}})
 		sent := find(b.arrive(id, 0), Send)
 		for len(sent) == 1 && sent[0].Worker == 1 {
 			refused++
@@ -175,7 +175,7 @@
 	b.warm(3)
 	b.d.slots.value = second / 5
 	first := find(b.arrive(1, 0), Send)[0]
-	next := find(b.end(1, 0, Full), Send)
+	next := find(b.end(1, 0, AtCapacity), Send)
 	if len(next) != 1 || next[0].Worker == first.Worker {
 		t.Fatalf("after 'full' from worker %d: %+v", first.Worker, next)
 	}
@@ -184,7 +184,7 @@
 	}
 	b.run(next[0], second/5)
 	b.pass(4 * second)
-	b.do(Event{Kind: TimerRang})
+	b.do(Event{Kind: TimerFired})
 	if w := b.d.workers[first.Worker]; !b.d.usable(w) || !b.d.growable(w) {
 		t.Error("a worker that was full once is never tried again")
 	}
@@ -194,13 +194,13 @@
 // another's never does though it serves. Neither floods nor starves it.
 func TestFrozenReports(t *testing.T) {
 	s := testSettings()
-	s.TellsStart, s.Reports = false, true
+	s.StartReported, s.LoadReports = false, true
 	b := newBench(t, s, ready(1, 0), ready(2, 0))
 	id, full, served := JobID(0), 0, 0
 	for range 50 {
 		id++
 		for sent := find(b.arrive(id, 0), Send); len(sent) == 1; {
-			e := Event{Kind: AttemptEnded, Job: id, Attempt: sent[0].Attempt, Outcome: Full}
+			e := Event{Kind: AttemptEnded, Job: id, Attempt: sent[0].Attempt, Outcome: AtCapacity}
 			if e.Report = (Report{Known: true, Free: 5}); sent[0].Worker == 2 {
 				served++
 				b.now += second / 10
@@ -226,14 +226,14 @@
 	b := newBench(t, testSettings(), ready(1, 0))
 	sent := find(b.arrive(1, 0), Send)
 	gone := ready(1, 0)
-	gone.Status = Gone
-	b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{gone}})
+	gone.Status = Removed
+	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{gone}})
 	b.run(sent[0], second/10)
 	if _, open := b.d.jobs[1]; open {
 		t.Error("the answer of a worker that is gone from the list was not taken")
 	}
 	b.want(b.arrive(2, 0), Send, 0)
-	b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{ready(2, 0), ready(3, 0), ready(4, 0)}})
+	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0), ready(3, 0), ready(4, 0)}})
 	lost := find(b.out, Send)
 	if len(lost) != 1 {
 		t.Fatalf("job 2 still waits: %+v", b.out)
@@ -286,16 +286,16 @@
 // of those is not its own, and peers that never speak take nothing away.
 func TestRestartedAmongStrangers(t *testing.T) {
 	s := testSettings()
-	s.MayTellPeers = true
+	s.GossipAllowed = true
 	b := newBench(t, s, ready(1, 0))
 	for _, e := range []Event{
 		{Kind: AttemptEnded, Job: 77, Attempt: 0, Worker: 1, Outcome: OK, Final: true},
-		{Kind: AttemptNote, Job: 77, Attempt: 3, Worker: 1, Note: NoteStarted},
-		{Kind: StreamBegan, Job: 77, Worker: 9}, {Kind: ClientGone, Job: 77},
-		{Kind: TimerRang, Token: 1 << 40},
-		{Kind: PeerTold, Peer: -1, Message: []byte{0, 0, 0, 0, 1, 9, 9}},
-		{Kind: PeerTold, Peer: 99, Message: []byte{0, 0, 0, 0, 1, 9, 9}},
-		{Kind: PeerTold, Peer: 0, Message: []byte{1, 2}},
+		{Kind: AttemptReported, Job: 77, Attempt: 3, Worker: 1, Note: NoteStarted},
+		{Kind: StreamStarted, Job: 77, Worker: 9}, {Kind: ClientDisconnected, Job: 77},
+		{Kind: TimerFired, Token: 1 << 40},
+		{Kind: GossipReceived, Peer: -1, Message: []byte{0, 0, 0, 0, 1, 9, 9}},
+		{Kind: GossipReceived, Peer: 99, Message: []byte{0, 0, 0, 0, 1, 9, 9}},
+		{Kind: GossipReceived, Peer: 0, Message: []byte{1, 2}},
 	} {
 		actions := b.do(e)
 		b.want(actions, Send, 0)
@@ -309,12 +309,12 @@
 func TestTriesPastTheCapAreShared(t *testing.T) {
 	pause := func(balancers int) (steps int) {
 		s := testSettings()
-		s.Balancers = balancers
+		s.Dispatchers = balancers
 		b := newBench(t, s, ready(1, 0))
 		w := b.d.workers[1]
 		for w.capAt = b.now; !b.d.growable(w); steps++ {
 			b.pass(second / 4)
-			b.do(Event{Kind: TimerRang})
+			b.do(Event{Kind: TimerFired})
 		}
 		return steps
 	}
@@ -328,16 +328,16 @@
 func TestNewWorkersDoNotStandIdle(t *testing.T) {
 	for _, late := range []float64{0, 0.5} {
 		s := testSettings()
-		s.Balancers, s.Me = 1, 0
-		s.Classes[0].LateWorth, s.Classes[0].Aim = late, second/4
+		s.Dispatchers, s.Index = 1, 0
+		s.Classes[0].LateWeight, s.Classes[0].LatencyObjective = late, second/4
 		b := newBench(t, s, ready(1, 0))
-		b.pass(2 * s.Fall) // our own start is past
+		b.pass(2 * s.OverloadWindow) // our own start is past
 		b.warm(1)
 		b.want(b.arrive(1, 0), Send, 1)
-		b.do(Event{Kind: AttemptNote, Job: 1, Note: NoteStarted})
+		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 		b.slots(1, 1)
 		b.pass(second / 20)
-		b.do(Event{Kind: ListChanged, Workers: []WorkerEntry{
+		b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{
 			{Worker: 2, Status: Ready, Started: b.now - second/10}}})
 		want := 0
 		if late > 0 {
@@ -380,16 +380,16 @@
 // worker for free; one who never came is not, where dispatchers are many.
 func TestThoseWhoCrossZonesAreTold(t *testing.T) {
 	s := testSettings()
-	s.MayTellPeers, s.Balancers, s.Me = true, 40, 0
+	s.GossipAllowed, s.Dispatchers, s.Index = true, 40, 0
 	b := newBench(t, s, ready(1, 0))
 	w := b.d.workers[1]
 	b.d.reach = 0.5
 	b.d.near = b.d.near[:0]
-	for p := range s.Balancers {
+	for p := range s.Dispatchers {
 		b.d.near = append(b.d.near, p)
 	}
 	visitor, other := -1, -1
-	for p := 1; p < s.Balancers; p++ {
+	for p := 1; p < s.Dispatchers; p++ {
 		if b.d.covers(circle(p), w) && visitor < 0 {
 			visitor = p
 		} else if b.d.covers(circle(p), w) {
@@ -409,7 +409,7 @@
 	if got := told(); len(got) > 0 {
 		t.Fatalf("told: %v", got)
 	}
-	b.do(Event{Kind: PeerTold, Peer: visitor, Message: []byte{1, 0, 0, 0, 1, 1, 0}})
+	b.do(Event{Kind: GossipReceived, Peer: visitor, Message: []byte{1, 0, 0, 0, 1, 1, 0}})
 	if got := told(); !got[visitor] || got[other] {
 		t.Errorf("visitor %d, other %d, told: %v", visitor, other, got)
 	}
@@ -419,7 +419,7 @@
 // seconds: two jobs that meet at one dispatcher are still within it, a third is not.
 func TestSmallShareOverManyDispatchers(t *testing.T) {
 	s := testSettings()
-	s.Balancers, s.Tenants[1].Quota = 10, 1
+	s.Dispatchers, s.Tenants[1].Quota = 10, 1
 	b := newBench(t, s, ready(1, 0))
 	for i, want := range []bool{false, false, true} {
 		if got := b.d.beyondShare(1, false); got != want {
@@ -433,7 +433,7 @@
 // itself has passed.
 func TestRoughHintsDoNotRefuseOnQuietDays(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].LateWorth = 0
+	s.Classes[0].LateWeight = 0
 	b := newBench(t, s, ready(1, 0))
 	late := Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1,
 		Patience: 7 * second / 2} // aim in half a second
@@ -472,7 +472,7 @@
 			sent := 0
 			for id := JobID(1); id <= 3; id++ {
 				for _, a := range find(b.arrive(id, c.class), Send) {
-					b.do(Event{Kind: AttemptNote, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
+					b.do(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
 					sent++
 				}
 			}
@@ -480,7 +480,7 @@
 				t.Errorf("%d sent, want %d", sent, c.sent)
 			}
 			b.now += 10 * second
-			b.do(Event{Kind: TimerRang})
+			b.do(Event{Kind: TimerFired})
 			if b.d.errs(b.d.workers[1]) {
 				t.Error("the errors do not wear off")
 			}
@@ -511,7 +511,7 @@
 					t.Fatalf("outcome %d: not tried again", i)
 				}
 				b.end(id, 0, o)
-				b.do(Event{Kind: ClientGone, Job: id})
+				b.do(Event{Kind: ClientDisconnected, Job: id})
 			}
 			if got := b.d.usable(w); got != c.usable {
 				t.Errorf("usable %v", got)
--- a/internal/dispatch/list.go
+++ b/internal/dispatch/list.go
@@ -121,14 +121,14 @@
 // forget notes which of those that a word named are gone, and drops those that have long been so.
 func (d *Dispatcher) forget(named []*worker) {
 	for _, w := range named {
-		if w.entry.Status != Gone {
+		if w.entry.Status != Removed {
 			w.gone = 0
 		} else if w.gone == 0 {
 			w.gone = max(d.now, 1)
 			d.gone = append(d.gone, departed{w, w.gone})
 		}
 	}
-	long := d.set.GoneFor()
+	long := d.set.RemovedRetention()
 	if len(d.gone) == 0 || d.now-d.gone[0].since < long {
 		return
 	}
--- a/internal/dispatch/list_test.go
+++ b/internal/dispatch/list_test.go
@@ -26,12 +26,12 @@
 func (m *listModel) word(d *Dispatcher) {
 	order := []*worker{}
 	for id, w := range m.known {
-		if w.entry.Status != Gone {
+		if w.entry.Status != Removed {
 			m.gone[id] = 0
 		} else if m.gone[id] == 0 {
 			m.gone[id] = max(d.now, 1)
 		}
-		if m.gone[id] != 0 && d.now-m.gone[id] >= d.set.GoneFor() && len(w.live) == 0 && !w.touched {
+		if m.gone[id] != 0 && d.now-m.gone[id] >= d.set.RemovedRetention() && len(w.live) == 0 && !w.touched {
 			delete(m.known, id)
 			delete(m.gone, id)
 			delete(m.places, id)
@@ -93,15 +93,15 @@
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	d.Step(100*second, &Event{Kind: Began}, nil)
+	d.Step(100*second, &Event{Kind: Started}, nil)
 	return &fed{t, d, &listModel{known: map[WorkerID]*worker{}, places: map[WorkerID]float64{},
 		gone: map[WorkerID]Micros{}}}
 }
 
 // say passes a word on. The settings let no job out here, so nothing else changes a worker.
-func (f *fed) say(now Micros, scope ListScope, entries ...WorkerEntry) {
+func (f *fed) say(now Micros, scope UpdateScope, entries ...WorkerEntry) {
 	d := f.d
-	d.Step(now, &Event{Kind: ListChanged, Scope: scope, Workers: entries}, nil)
+	d.Step(now, &Event{Kind: EndpointsUpdated, Scope: scope, Workers: entries}, nil)
 	for _, e := range entries {
 		if w := d.workers[e.Worker]; w != nil {
 			f.m.known[e.Worker] = w
@@ -151,7 +151,7 @@
 
 func listSettings(balancers, me int, peers bool) Settings {
 	s := testSettings()
-	s.Balancers, s.Me, s.MayTellPeers = balancers, me, peers
+	s.Dispatchers, s.Index, s.GossipAllowed = balancers, me, peers
 	return s
 }
 
@@ -167,17 +167,17 @@
 			if rapid.IntRange(0, 20).Draw(t, "moves") == 0 {
 				e.Zone, e.Kind = rapid.IntRange(0, 3).Draw(t, "zone"), rapid.IntRange(0, 2).Draw(t, "kind")
 			}
-			e.Status = rapid.SampledFrom([]Status{Ready, Ready, Ready, Ready, Draining, Gone}).Draw(t, "status")
+			e.Status = rapid.SampledFrom([]Status{Ready, Ready, Ready, Ready, Draining, Removed}).Draw(t, "status")
 			if rapid.IntRange(0, 3).Draw(t, "cold") == 0 {
-				e.Started = max(1, now-Micros(rapid.Int64Range(0, int64(2*s.Cold)).Draw(t, "age")))
+				e.Started = max(1, now-Micros(rapid.Int64Range(0, int64(2*s.SlowStart)).Draw(t, "age")))
 			}
 			return e
 		})
 		for range rapid.IntRange(1, 12).Draw(t, "words") {
-			now += rapid.SampledFrom([]Micros{0, 1, second, s.Cold / 2, s.Cold, s.GoneFor() / 2,
-				s.GoneFor()}).Draw(t, "passed")
-			scope := rapid.SampledFrom([]ListScope{ListDelta, ListDelta, ListDelta, ListFull, ListCached,
-				ListWarned}).Draw(t, "scope")
+			now += rapid.SampledFrom([]Micros{0, 1, second, s.SlowStart / 2, s.SlowStart, s.RemovedRetention() / 2,
+				s.RemovedRetention()}).Draw(t, "passed")
+			scope := rapid.SampledFrom([]UpdateScope{UpdateDelta, UpdateDelta, UpdateDelta, UpdateFull, UpdateCached,
+				UpdateDrains}).Draw(t, "scope")
 			n := rapid.SampledFrom([]int{0, 1, 1, 2, 5, -1}).Draw(t, "entries")
 			if n < 0 { // most of the fleet, by chance
 				f.say(now, scope, byChance(rapid.Uint64().Draw(t, "fleet"), most, now)...)
@@ -241,7 +241,7 @@
 	var without, cold []WorkerEntry
 	for _, e := range list {
 		if e.Zone == lost {
-			e.Status = Gone
+			e.Status = Removed
 			without = append(without, e)
 			e.Status, e.Started = Ready, 200*second
 			cold = append(cold, e)
@@ -251,34 +251,34 @@
 		for _, peers := range []bool{false, true} {
 			run := func(words func(f *fed)) *fed {
 				f := newFed(t, listSettings(balancers, 2, peers))
-				f.say(100*second, ListFull, list...)
+				f.say(100*second, UpdateFull, list...)
 				words(f)
 				return f
 			}
-			one := run(func(f *fed) { f.say(200*second, ListDelta, without...) })
+			one := run(func(f *fed) { f.say(200*second, UpdateDelta, without...) })
 			each := run(func(f *fed) {
 				for _, e := range without {
-					f.say(200*second, ListDelta, e)
+					f.say(200*second, UpdateDelta, e)
 				}
 			})
 			if !slices.Equal(one.m.part, each.m.part) {
 				t.Errorf("%d dispatchers: a zone lost in one word leaves %v, in %d words %v", balancers, one.m.part,
 					len(without), each.m.part)
 			}
-			back := run(func(f *fed) { f.say(200*second, ListDelta, cold...) })
+			back := run(func(f *fed) { f.say(200*second, UpdateDelta, cold...) })
 			both := run(func(f *fed) {
 				for i := range without {
-					f.say(200*second, ListDelta, without[i])
-					f.say(200*second, ListDelta, cold[i/2])
+					f.say(200*second, UpdateDelta, without[i])
+					f.say(200*second, UpdateDelta, cold[i/2])
 				}
-				f.say(200*second, ListDelta, append(slices.Clone(without), cold...)...)
+				f.say(200*second, UpdateDelta, append(slices.Clone(without), cold...)...)
 			})
 			if !slices.Equal(back.m.part, both.m.part) {
 				t.Errorf("%d dispatchers: a zone back cold gives %v, after a loss %v", balancers, back.m.part,
 					both.m.part)
 			}
 			set := &both.d.set // time alone makes it warm; a word that names nobody brings it to light
-			both.say(200*second+set.Cold, ListDelta)
+			both.say(200*second+set.SlowStart, UpdateDelta)
 		}
 	}
 }
@@ -288,20 +288,20 @@
 	for _, balancers := range []int{1, 17, 300} {
 		f := newFed(t, listSettings(balancers, 0, false))
 		list := zoned(3, 1)
-		f.say(100*second, ListFull, list...)
+		f.say(100*second, UpdateFull, list...)
 		for i, e := range list {
 			if e.Status = Draining; i == 1 {
-				e.Status = Gone
+				e.Status = Removed
 			}
-			f.say(101*second, ListDelta, e)
+			f.say(101*second, UpdateDelta, e)
 		}
 		if len(f.d.part) != 0 {
 			t.Errorf("%d dispatchers: a part of %d of a fleet that is not ready", balancers, len(f.d.part))
 		}
 		f.d.Step(102*second, &Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1, Patience: 5 * second}, nil)
-		f.say(103*second, ListFull)
-		f.say(104*second, ListFull, list...)
-		f.say(104*second+f.d.set.GoneFor(), ListFull, list[0])
+		f.say(103*second, UpdateFull)
+		f.say(104*second, UpdateFull, list...)
+		f.say(104*second+f.d.set.RemovedRetention(), UpdateFull, list[0])
 	}
 }
 
@@ -310,14 +310,14 @@
 	list := zoned(200, 2)
 	for _, balancers := range []int{3, 300} {
 		whole := newFed(t, listSettings(balancers, 1, true))
-		whole.say(100*second, ListFull, list...)
+		whole.say(100*second, UpdateFull, list...)
 		delta := newFed(t, listSettings(balancers, 1, true))
-		delta.say(100*second, ListFull, list...)
+		delta.say(100*second, UpdateFull, list...)
 		changed := slices.Clone(list)
 		changed[17].Status = Draining
 		slices.Reverse(changed)
-		whole.say(101*second, ListFull, changed...)
-		delta.say(101*second, ListDelta, changed[len(changed)-1-17])
+		whole.say(101*second, UpdateFull, changed...)
+		delta.say(101*second, UpdateDelta, changed[len(changed)-1-17])
 		if !slices.Equal(whole.m.part, delta.m.part) {
 			t.Errorf("%d dispatchers: by the whole list %v, by the entry %v", balancers, whole.m.part, delta.m.part)
 		}
@@ -331,7 +331,7 @@
 		t.Run(fmt.Sprintf("%d dispatchers, %d workers", size[0], size[1]), func(t *testing.T) {
 			list := zoned(size[1], 2)
 			f := newFed(t, listSettings(size[0], size[0]/3, false))
-			f.d.Step(100*second, &Event{Kind: ListChanged, Scope: ListFull, Workers: list}, nil)
+			f.d.Step(100*second, &Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list}, nil)
 			shifts := func() map[int]int { // rank in the part by worker, to count who came and went
 				in := map[int]int{}
 				for _, w := range f.d.part {
@@ -341,10 +341,10 @@
 			}
 			before := shifts()
 			for i, step := 0, max(1, len(list)/50); i < len(list); i += step {
-				for _, status := range []Status{Gone, Ready} {
+				for _, status := range []Status{Removed, Ready} {
 					e := list[i]
 					e.Status = status
-					f.d.Step(101*second, &Event{Kind: ListChanged, Workers: []WorkerEntry{e}}, nil)
+					f.d.Step(101*second, &Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{e}}, nil)
 					now, moved := shifts(), 0
 					for id := range before {
 						moved += 1 - now[id]
@@ -371,7 +371,7 @@
 	outside := 0
 	for me := range 80 {
 		f := newFed(t, listSettings(80, me, true))
-		f.say(101*second, ListFull, list...)
+		f.say(101*second, UpdateFull, list...)
 		covered := 0
 		for _, w := range f.d.part {
 			if w.covered {
@@ -382,7 +382,7 @@
 		}
 		outside += len(f.d.part) - covered
 		f.goOn()
-		f.say(100*second+f.d.set.Cold, ListDelta)
+		f.say(100*second+f.d.set.SlowStart, UpdateDelta)
 		if len(f.d.part) != covered {
 			t.Errorf("dispatcher %d has %d of a warm fleet, and covers %d", me, len(f.d.part), covered)
 		}
@@ -396,12 +396,12 @@
 func TestForgottenByAWordThatNamesIt(t *testing.T) {
 	f := newFed(t, listSettings(3, 0, false))
 	list := zoned(4, 2)
-	f.say(100*second, ListFull, list...)
+	f.say(100*second, UpdateFull, list...)
 	e := list[1]
-	e.Status = Gone
-	f.say(101*second, ListDelta, e)
+	e.Status = Removed
+	f.say(101*second, UpdateDelta, e)
 	e.Zone, e.Kind = 7, 3
-	f.say(101*second+f.d.set.GoneFor(), ListDelta, e)
+	f.say(101*second+f.d.set.RemovedRetention(), UpdateDelta, e)
 	e.Status = Ready
-	f.say(102*second+f.d.set.GoneFor(), ListDelta, e)
+	f.say(102*second+f.d.set.RemovedRetention(), UpdateDelta, e)
 }
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -62,18 +62,18 @@
 func newWorld(t *testing.T, seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
 	s := testSettings()
-	s.Balancers = []int{1, 2, 3, 260}[r.Intn(4)]
-	s.Me = r.Intn(s.Balancers)
-	s.AskForList = r.Intn(2) == 0
-	s.AskWithin = 10 * second
-	s.MayDuplicate = r.Intn(4) > 0
-	s.MayCancel = r.Intn(2) == 0
-	s.MayTellPeers = r.Intn(2) == 0
-	s.TellsStart = r.Intn(2) == 0
+	s.Dispatchers = []int{1, 2, 3, 260}[r.Intn(4)]
+	s.Index = r.Intn(s.Dispatchers)
+	s.PollEndpoints = r.Intn(2) == 0
+	s.PollInterval = 10 * second
+	s.HedgingAllowed = r.Intn(4) > 0
+	s.CancelAllowed = r.Intn(2) == 0
+	s.GossipAllowed = r.Intn(2) == 0
+	s.StartReported = r.Intn(2) == 0
 	s.MaxAttempts = 1 + r.Intn(5)
-	s.WorthByWork = r.Intn(2) == 0
+	s.WeightByWork = r.Intn(2) == 0
 	s.CrossZonePrice = []float64{0, 0.05}[r.Intn(2)]
-	s.Classes[1].Group = Group(r.Intn(3))
+	s.Classes[1].DedupScope = DedupScope(r.Intn(3))
 	if r.Intn(3) == 0 {
 		s.Tenants = nil
 	}
@@ -106,7 +106,7 @@
 			return
 		}
 		a.live = false
-		a.ran = e.Outcome != Full && e.Outcome != ConnectFailed && e.Outcome != Moot
+		a.ran = e.Outcome != AtCapacity && e.Outcome != ConnectFailed && e.Outcome != NotSent
 		if e.Outcome == OK {
 			if j.answered == 0 {
 				j.answered++
@@ -125,11 +125,11 @@
 func (w *world) check(a Action) {
 	switch a.Kind {
 	case SetTimer:
-		if a.Wait < 0 {
+		if a.Delay < 0 {
 			w.failf("timer in the past")
 		}
-		w.at(w.now+max(a.Wait, w.s.Granularity), Event{Kind: TimerRang, Token: a.Token})
-	case WatchList:
+		w.at(w.now+max(a.Delay, w.s.Granularity), Event{Kind: TimerFired, Token: a.Token})
+	case WatchEndpoints:
 		w.answerCall()
 	case Send:
 		w.checkSend(a)
@@ -148,11 +148,11 @@
 			w.checkRefusal(a.Job, j)
 		}
 	case Cancel:
-		if !w.s.MayCancel || a.Attempt >= len(w.jobs[a.Job].attempts) {
+		if !w.s.CancelAllowed || a.Attempt >= len(w.jobs[a.Job].attempts) {
 			w.failf("bad cancel %+v", a)
 		}
-	case TellPeers:
-		if !w.s.MayTellPeers || len(a.Message) > 256 {
+	case SendGossip:
+		if !w.s.GossipAllowed || len(a.Message) > 256 {
 			w.failf("bad message %+v", a)
 		}
 	}
@@ -161,7 +161,7 @@
 func (w *world) checkRefusal(id JobID, j *known) {
 	c := &w.s.Classes[j.class]
 	for _, a := range j.attempts {
-		if (a.live || a.ran) && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+		if (a.live || a.ran) && (c.Effect == Unsafe || c.Effect == Keyed && c.DedupScope != ScopeAll) {
 			w.failf("job %d refused though it may have run", id)
 		}
 	}
@@ -178,14 +178,14 @@
 		w.failf("job %d sent too often", a.Job)
 	case to.entry.Status != Ready:
 		w.failf("job %d sent to worker %d, told %d ago that it drains or is gone", a.Job, a.Worker, w.now-to.since)
-	case a.By > j.giveUp || a.By <= w.now:
-		w.failf("job %d to leave by %d, given up at %d", a.Job, a.By, j.giveUp)
-	case a.At > j.giveUp || a.At <= w.now:
-		w.failf("job %d to be abandoned at %d, given up at %d", a.Job, a.At, j.giveUp)
+	case a.SendBy > j.giveUp || a.SendBy <= w.now:
+		w.failf("job %d to leave by %d, given up at %d", a.Job, a.SendBy, j.giveUp)
+	case a.Deadline > j.giveUp || a.Deadline <= w.now:
+		w.failf("job %d to be abandoned at %d, given up at %d", a.Job, a.Deadline, j.giveUp)
 	}
 	c := &w.s.Classes[j.class]
 	for _, p := range j.attempts {
-		if p.live && !w.s.MayDuplicate {
+		if p.live && !w.s.HedgingAllowed {
 			w.failf("job %d has two attempts out", a.Job)
 		}
 		if !p.live && !p.ran {
@@ -195,7 +195,7 @@
 		case Unsafe:
 			w.failf("unsafe job %d sent again though it may have run", a.Job)
 		case Keyed:
-			if a.By-p.sent > c.Window || !sameGroup(c.Group, &p.worker, &to.entry) {
+			if a.SendBy-p.sent > c.DedupWindow || !sameGroup(c.DedupScope, &p.worker, &to.entry) {
 				w.failf("keyed job %d sent out of its group or window", a.Job)
 			}
 		}
@@ -211,18 +211,18 @@
 // checkCold holds rule 4: one dispatcher alone uses the budget, in any window that
 // ends now. Workers here have eight slots of speed 1.
 func (w *world) checkCold(to *listedWorker, j *known) {
-	if to.started == 0 || w.now-to.started >= w.s.Cold {
+	if to.started == 0 || w.now-to.started >= w.s.SlowStart {
 		return
 	}
 	to.cold = append(to.cold, booking{w.now, float64(j.work)})
 	sum := 0.0
 	for _, b := range to.cold {
-		if w.now-b.at <= w.s.Fall {
+		if w.now-b.at <= w.s.OverloadWindow {
 			sum += b.work
 		}
 	}
-	warm := w.s.ColdFrom + (1-w.s.ColdFrom)*float64(w.now-to.started)/float64(w.s.Cold)
-	if budget := w.s.OverloadFactor * 8 * warm * float64(w.s.Fall); sum > budget {
+	warm := w.s.SlowStartInitial + (1-w.s.SlowStartInitial)*float64(w.now-to.started)/float64(w.s.SlowStart)
+	if budget := w.s.OverloadFactor * 8 * warm * float64(w.s.OverloadWindow); sum > budget {
 		w.failf("cold worker sent %.0f of a budget of %.0f", sum, budget)
 	}
 }
@@ -236,42 +236,42 @@
 	case 0:
 		e.Outcome = Failed
 	case 1:
-		e.Outcome, end = Full, w.now+w.s.Granularity
+		e.Outcome, end = AtCapacity, w.now+w.s.Granularity
 	case 2:
 		e.Outcome = Reset
 	case 3:
 		e.Outcome, end = ConnectFailed, w.now+w.s.ConnectTimeout
 	case 4, 5:
-		e.Outcome, end = TimedOut, a.At // it hangs
+		e.Outcome, end = TimedOut, a.Deadline // it hangs
 	case 6:
-		e.Outcome, end = Moot, w.now+w.s.Granularity
+		e.Outcome, end = NotSent, w.now+w.s.Granularity
 	}
 	if e.Outcome == OK || e.Outcome == Failed {
-		if w.s.TellsStart {
-			w.at(w.now+w.s.Granularity, Event{Kind: AttemptNote, Job: a.Job, Attempt: n, Worker: worker,
+		if w.s.StartReported {
+			w.at(w.now+w.s.Granularity, Event{Kind: AttemptReported, Job: a.Job, Attempt: n, Worker: worker,
 				Note: NoteStarted})
 		}
-		w.at((w.now+end)/2, Event{Kind: AttemptNote, Job: a.Job, Attempt: n, Worker: worker,
+		w.at((w.now+end)/2, Event{Kind: AttemptReported, Job: a.Job, Attempt: n, Worker: worker,
 			Note: NoteProgress, Value: 0.5})
 		e.Report = Report{Known: true, Free: 8 * w.r.Float64(), Outstanding: 8 * w.r.Float64()}
 	}
-	if end > a.At {
-		e.Outcome, end = TimedOut, a.At
+	if end > a.Deadline {
+		e.Outcome, end = TimedOut, a.Deadline
 	}
 	w.at(end, e)
 }
 
 func (w *world) answerCall() {
 	if w.r.Intn(3) == 0 {
-		w.at(w.now+w.span(2*second), Event{Kind: ListChanged, Scope: ListFailed})
+		w.at(w.now+w.span(2*second), Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 	} else {
-		w.at(w.now+w.span(2*second), Event{Kind: ListChanged, Scope: ListFull, Workers: nil})
+		w.at(w.now+w.span(2*second), Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: nil})
 	}
 }
 
 // list fills a list event with news and books what was told.
 func (w *world) list(e *Event) {
-	if e.Scope == ListFailed {
+	if e.Scope == UpdateFailed {
 		return
 	}
 	if len(w.ids) == 0 || w.r.Intn(4) == 0 && len(w.ids) < 12 {
@@ -279,7 +279,7 @@
 		w.ids = append(w.ids, id)
 		w.workers[id] = &listedWorker{entry: WorkerEntry{Worker: id, Zone: w.r.Intn(2), Cell: w.r.Intn(3),
 			Kind: w.r.Intn(2), Status: Ready}}
-		if e.Scope == ListDelta {
+		if e.Scope == UpdateDelta {
 			e.Workers = append(e.Workers, w.workers[id].entry)
 		}
 	}
@@ -289,25 +289,25 @@
 		case 0:
 			k.entry.Status = Draining
 		case 1:
-			k.entry.Status = Gone
+			k.entry.Status = Removed
 		case 2:
 			k.entry.Status, k.entry.Started = Ready, w.now-w.span(second)
 			k.started, k.cold = k.entry.Started, nil
 		default:
-			if e.Scope == ListDelta {
+			if e.Scope == UpdateDelta {
 				continue
 			}
 		}
 		k.since = w.now
-		if e.Scope == ListDelta || k.entry.Status != Gone || w.r.Intn(2) == 0 {
+		if e.Scope == UpdateDelta || k.entry.Status != Removed || w.r.Intn(2) == 0 {
 			e.Workers = append(e.Workers, k.entry)
 		}
 	}
 }
 
 func (w *world) run(steps int) []string {
-	w.feed(Event{Kind: Began})
-	first := Event{Kind: ListChanged, Scope: ListCached}
+	w.feed(Event{Kind: Started})
+	first := Event{Kind: EndpointsUpdated, Scope: UpdateCached}
 	w.list(&first)
 	w.feed(first)
 	for n := range steps + 4000 {
@@ -329,7 +329,7 @@
 func (w *world) stir() {
 	switch w.r.Intn(20) {
 	case 0:
-		e := Event{Kind: ListChanged, Scope: []ListScope{ListDelta, ListDelta, ListFull}[w.r.Intn(3)]}
+		e := Event{Kind: EndpointsUpdated, Scope: []UpdateScope{UpdateDelta, UpdateDelta, UpdateFull}[w.r.Intn(3)]}
 		w.list(&e)
 		w.feed(e)
 	case 1:
@@ -337,13 +337,13 @@
 			id := w.live[w.r.Intn(len(w.live))]
 			if j := w.jobs[id]; j.answered == 0 {
 				j.told = true
-				w.feed(Event{Kind: ClientGone, Job: id})
+				w.feed(Event{Kind: ClientDisconnected, Job: id})
 			}
 		}
 	case 2:
-		w.feed(Event{Kind: PeerTold, Peer: w.r.Intn(4), Message: []byte{0, 0, 0, 0, 1, 2, 1}})
+		w.feed(Event{Kind: GossipReceived, Peer: w.r.Intn(4), Message: []byte{0, 0, 0, 0, 1, 2, 1}})
 	case 3: // stale or foreign news
-		w.feed(Event{Kind: AttemptNote, Job: JobID(w.r.Intn(1000)), Attempt: w.r.Intn(9), Note: NoteStarted})
+		w.feed(Event{Kind: AttemptReported, Job: JobID(w.r.Intn(1000)), Attempt: w.r.Intn(9), Note: NoteStarted})
 	case 4, 5, 6:
 		target := w.now + w.span(second/2)
 		for slices.ContainsFunc(w.due, func(h happening) bool { return h.at <= target }) {
@@ -380,7 +380,7 @@
 	h := w.due[0]
 	w.due = w.due[1:]
 	w.now = max(w.now, h.at)
-	if h.event.Kind == ListChanged {
+	if h.event.Kind == EndpointsUpdated {
 		w.list(&h.event)
 	}
 	w.feed(h.event)
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -8,15 +8,15 @@
 // check refuses settings that make no sense and fills in safe defaults.
 func check(s *Settings) error {
 	switch {
-	case s.Balancers < 0:
-		return fmt.Errorf("dahliaford: Balancers is negative: %d", s.Balancers)
+	case s.Dispatchers < 0:
+		return fmt.Errorf("dahliaford: Balancers is negative: %d", s.Dispatchers)
 	case len(s.Classes) == 0:
 		return fmt.Errorf("dahliaford: Classes is empty")
 	case s.Granularity < 0:
 		return fmt.Errorf("dahliaford: Granularity is negative: %d", s.Granularity)
-	case s.ColdFrom < 0 || s.ColdFrom > 1:
-		return fmt.Errorf("dahliaford: ColdFrom is not within 0 and 1: %v", s.ColdFrom)
-	case s.OverloadFactor < 0 || s.Cold < 0 || s.Fall < 0:
+	case s.SlowStartInitial < 0 || s.SlowStartInitial > 1:
+		return fmt.Errorf("dahliaford: ColdFrom is not within 0 and 1: %v", s.SlowStartInitial)
+	case s.OverloadFactor < 0 || s.SlowStart < 0 || s.OverloadWindow < 0:
 		return fmt.Errorf("dahliaford: Cold, Fall or OverloadFactor is negative")
 	case s.MaxAttempts < 0:
 		return fmt.Errorf("dahliaford: MaxAttempts is negative: %d", s.MaxAttempts)
@@ -25,14 +25,14 @@
 		switch {
 		case c.Deadline <= 0:
 			return fmt.Errorf("dahliaford: Classes[%d].Deadline is not positive: %d", i, c.Deadline)
-		case c.Aim < 0 || c.Stretch < 0 || c.Worth < 0 || c.LateWorth < 0 || c.Window < 0:
+		case c.LatencyObjective < 0 || c.ObjectiveStretch < 0 || c.PriorityWeight < 0 || c.LateWeight < 0 || c.DedupWindow < 0:
 			return fmt.Errorf("dahliaford: Classes[%d] has a negative Aim, Stretch, Worth, LateWorth or Window", i)
-		case c.Effect > Unsafe || c.Group > GroupCell:
+		case c.Effect > Unsafe || c.DedupScope > ScopeCell:
 			return fmt.Errorf("dahliaford: Classes[%d] has an unknown Effect or Group", i)
 		}
-		if c.Aim == 0 {
+		if c.LatencyObjective == 0 {
 			s.Classes = slices.Clone(s.Classes)
-			s.Classes[i].Aim = c.Deadline
+			s.Classes[i].LatencyObjective = c.Deadline
 		}
 	}
 	for i, t := range s.Tenants {
@@ -40,22 +40,22 @@
 			return fmt.Errorf("dahliaford: Tenants[%d] has a negative Quota", i)
 		}
 	}
-	s.Balancers = max(1, s.Balancers)
+	s.Dispatchers = max(1, s.Dispatchers)
 	s.MaxAttempts = max(1, s.MaxAttempts)
 	s.Granularity = max(s.Granularity, 1000)
-	if s.AskWithin <= 0 {
-		s.AskWithin = 10 * second
+	if s.PollInterval <= 0 {
+		s.PollInterval = 10 * second
 	}
 	return nil
 }
 
 // LargeFleet tells whether there are so many dispatchers that each meets a worker seldom.
-func (s *Settings) LargeFleet() bool { return s.Balancers > few }
+func (s *Settings) LargeFleet() bool { return s.Dispatchers > few }
 
-// GoneFor is how long a worker that is gone stays in the books: it may come back, and what was
+// RemovedRetention is how long a worker that is gone stays in the books: it may come back, and what was
 // learned of it holds. No open job has an attempt there by then. A fleet that is replaced for
 // years must not fill them.
-func (s *Settings) GoneFor() Micros {
+func (s *Settings) RemovedRetention() Micros {
 	long := Micros(600 * second)
 	for i := range s.Classes {
 		long = max(long, 2*s.Classes[i].Deadline)
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -34,7 +34,7 @@
 func member(t testing.TB, balancers, i int, list []WorkerEntry, zone int, change func(*Settings)) *bench {
 	t.Helper()
 	s := testSettings()
-	s.Balancers, s.Me, s.Zone, s.MayTellPeers = balancers, i, zone, true
+	s.Dispatchers, s.Index, s.Zone, s.GossipAllowed = balancers, i, zone, true
 	if change != nil {
 		change(&s)
 	}
@@ -43,8 +43,8 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, d: d, now: 100 * second}
-	b.do(Event{Kind: Began})
-	b.do(Event{Kind: ListChanged, Scope: ListCached, Workers: list})
+	b.do(Event{Kind: Started})
+	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
 	return b
 }
 
@@ -69,7 +69,7 @@
 					}
 				}
 				if local < 3 {
-					t.Errorf("%d dispatchers, zones %s: %d has %d local workers", n, name, b.d.set.Me, local)
+					t.Errorf("%d dispatchers, zones %s: %d has %d local workers", n, name, b.d.set.Index, local)
 				}
 			}
 			mean := 0.0
@@ -124,14 +124,14 @@
 	}
 	sends := map[WorkerID][]booking{}
 	for i, b := range all {
-		b.do(Event{Kind: ListChanged, Workers: list})
+		b.do(Event{Kind: EndpointsUpdated, Workers: list})
 		for step := range 60 {
 			id := JobID(i*1000 + step)
 			if i%50 == 7 && step == 20 { // restarted: it has the cached list and no books
 				s := b.d.set
 				b.d, _ = New(s, uint64(i+999))
-				b.do(Event{Kind: Began})
-				b.do(Event{Kind: ListChanged, Scope: ListCached, Workers: list})
+				b.do(Event{Kind: Started})
+				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
 			}
 			work := Micros(second / 10)
 			for _, a := range find(b.do(Event{Kind: JobArrived, Job: id, Work: work, Slots: 1,
@@ -151,12 +151,12 @@
 		for _, end := range bookings {
 			sum := 0.0
 			for _, b := range bookings {
-				if b.at <= end.at && end.at-b.at < set.Fall {
+				if b.at <= end.at && end.at-b.at < set.OverloadWindow {
 					sum += b.work
 				}
 			}
-			present := set.ColdFrom + (1-set.ColdFrom)*float64(end.at-set.Fall-started)/float64(set.Cold)
-			budget := set.OverloadFactor * 4 * max(set.ColdFrom, present) * float64(set.Fall)
+			present := set.SlowStartInitial + (1-set.SlowStartInitial)*float64(end.at-set.OverloadWindow-started)/float64(set.SlowStart)
+			budget := set.OverloadFactor * 4 * max(set.SlowStartInitial, present) * float64(set.OverloadWindow)
 			if sum > budget {
 				t.Fatalf("cold worker %d was sent %.0f of a budget of %.0f by all", w, sum, budget)
 			}
@@ -197,7 +197,7 @@
 	for _, n := range []int{60, 240, 480} {
 		told := 0
 		for _, b := range tier(t, n, fleetList(n), alternating, nil) {
-			told += len(find(b.arrive(1, 0), TellPeers))
+			told += len(find(b.arrive(1, 0), SendGossip))
 		}
 		if mean := float64(told) / float64(n); mean == 0 || mean > 4*sharers {
 			t.Errorf("%d dispatchers: a job is told to %.1f", n, mean)
@@ -208,8 +208,8 @@
 // Hundreds that lose the list at once do not come back in step.
 func TestListCallsOfAllAreSpread(t *testing.T) {
 	at := map[Micros]int{}
-	for _, b := range tier(t, 260, fleetList(20), alternating, func(s *Settings) { s.AskForList = true }) {
-		b.do(Event{Kind: ListChanged, Scope: ListFailed})
+	for _, b := range tier(t, 260, fleetList(20), alternating, func(s *Settings) { s.PollEndpoints = true }) {
+		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 		at[b.d.askAt/(second/100)]++
 	}
 	for when, n := range at {
@@ -226,14 +226,14 @@
 	const failures = 8
 	var sum [failures]float64
 	at := map[Micros]int{}
-	all := tier(t, 260, fleetList(20), alternating, func(s *Settings) { s.AskForList = true })
+	all := tier(t, 260, fleetList(20), alternating, func(s *Settings) { s.PollEndpoints = true })
 	for _, b := range all {
-		b.do(Event{Kind: ListChanged, Scope: ListFailed}) // the watch ends
-		b.now += 10 * second                              // what was heard holds no longer
+		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed}) // the watch ends
+		b.now += 10 * second                                     // what was heard holds no longer
 		for i := range failures {
-			b.do(Event{Kind: ListChanged, Scope: ListFailed})
+			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			wait := b.d.askAt - b.now
-			if most := b.d.set.AskWithin / 5; wait > 2*most || i < soonCalls && wait > most {
+			if most := b.d.set.PollInterval / 5; wait > 2*most || i < soonCalls && wait > most {
 				t.Errorf("failure %d: the next call comes after %d us", i+1, wait)
 			}
 			sum[i] += float64(wait) / float64(len(all)) / second
@@ -257,18 +257,18 @@
 func TestFreeCallsDoNotWait(t *testing.T) {
 	for _, balancers := range []int{1, 300} {
 		s := testSettings()
-		s.Balancers, s.AskForList, s.FreeCalls, s.ToldWithin = balancers, true, true, 6*second
+		s.Dispatchers, s.PollEndpoints, s.UnmeteredPolls, s.MaxStaleness = balancers, true, true, 6*second
 		d, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b := &bench{t: t, d: d, now: 100 * second}
-		b.want(b.do(Event{Kind: Began}), WatchList, 1)
-		b.do(Event{Kind: ListChanged, Scope: ListFull, Workers: []WorkerEntry{ready(1, 0)}})
-		b.do(Event{Kind: ListChanged, Scope: ListFailed})
-		b.want(b.pass(2*s.Granularity), WatchList, 1)
+		b.want(b.do(Event{Kind: Started}), WatchEndpoints, 1)
+		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
+		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+		b.want(b.pass(2*s.Granularity), WatchEndpoints, 1)
 		for i := range 300 {
-			b.do(Event{Kind: ListChanged, Scope: ListFailed})
+			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			if wait := b.d.askAt - b.now; wait < second/10 || wait > second/2 {
 				t.Fatalf("failure %d: the next call comes after %d us", i, wait)
 			}
@@ -284,15 +284,15 @@
 		calls := map[Micros]int{}
 		for i := range balancers {
 			s := testSettings()
-			s.Balancers, s.Me, s.AskForList, s.AskWithin = balancers, i, true, 10*second
+			s.Dispatchers, s.Index, s.PollEndpoints, s.PollInterval = balancers, i, true, 10*second
 			d, err := New(s, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
 			b := &bench{t: t, d: d, now: 100 * second}
-			first := len(find(b.do(Event{Kind: Began}), WatchList))
-			for at := Micros(0); at < s.AskWithin/5 && first == 0; at += second / 10 {
-				if first = len(find(b.pass(second/10), WatchList)); first > 0 {
+			first := len(find(b.do(Event{Kind: Started}), WatchEndpoints))
+			for at := Micros(0); at < s.PollInterval/5 && first == 0; at += second / 10 {
+				if first = len(find(b.pass(second/10), WatchEndpoints)); first > 0 {
 					calls[at]++
 				}
 			}
@@ -301,8 +301,8 @@
 			}
 			// It fails, again and again: each time it may wait longer, by chance.
 			for range 8 {
-				b.do(Event{Kind: ListChanged, Scope: ListFailed})
-				if wait := b.d.askAt - b.now; wait < 0 || wait >= s.AskWithin {
+				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+				if wait := b.d.askAt - b.now; wait < 0 || wait >= s.PollInterval {
 					t.Errorf("dispatcher %d of %d calls again after %d us", i, balancers, wait)
 				}
 			}
@@ -327,7 +327,7 @@
 				d.now += second / 2
 				sent := find(d.arrive(id, 0), Send)
 				for _, a := range sent {
-					d.do(Event{Kind: AttemptNote, Job: id, Attempt: a.Attempt, Note: NoteStarted})
+					d.do(Event{Kind: AttemptReported, Job: id, Attempt: a.Attempt, Note: NoteStarted})
 				}
 				d.now += second / 5
 				for _, a := range sent {
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -24,7 +24,7 @@
 	workers map[WorkerID]*worker
 	order   []*worker // by seat, those that are gone among them
 	part    []*worker // those that are this dispatcher's own, by seat, see settle
-	ready   subset.Roster[*worker]
+	ready   subset.Ring[*worker]
 	outside []*worker  // ready ones that it claims and the interval lacks, by seat
 	gone    []departed // in order of time
 	named   []*worker  // by the present word: kept for its memory
@@ -72,7 +72,7 @@
 	looked   uint64 // workers looked at for jobs
 	roomy    bool   // one of those looked at has room for one more slot
 	nowhere  uint64 // the event in which none of the part has
-	groups   [GroupCell + 1]map[int][]*worker
+	groups   [ScopeCell + 1]map[int][]*worker
 	doubted  []*worker  // those that may be suspect or set aside
 	overdue  []*attempt // live, not begun
 	lateNow  []*attempt // the same in order, in the event lateTurn
@@ -97,8 +97,8 @@
 	for i := range d.tokens {
 		d.tokens[i] = d.burst(i)
 	}
-	d.here = circle(s.Me)
-	d.peers = make([]peer, s.Balancers)
+	d.here = circle(s.Index)
+	d.peers = make([]peer, s.Dispatchers)
 	for i := range d.peers {
 		d.peers[i].place = circle(i)
 		d.peers[i].zone = unknown
@@ -106,9 +106,9 @@
 	for i := range d.flows {
 		d.flows[i].interval = -1
 	}
-	d.climb = d.set.Classes[0].Aim
+	d.climb = d.set.Classes[0].LatencyObjective
 	for k := range d.classes {
-		d.climb = min(d.climb, d.set.Classes[k].Aim)
+		d.climb = min(d.climb, d.set.Classes[k].LatencyObjective)
 		d.byTarget = append(d.byTarget, k)
 	}
 	return d, nil
@@ -183,7 +183,7 @@
 	list      uint64                 // the last word that named it
 	place     float64                // on the circle, see placeOf
 	placedAt  uint64                 // the shifts of those it is among when that was reckoned; 0: never
-	among     *subset.Crowd[*worker] // the ready ones of its zone and kind; nil: it is not ready
+	among     *subset.Group[*worker] // the ready ones of its zone and kind; nil: it is not ready
 	tilt      float64                // small own preference, so that dispatchers spread
 	node      bucketqueue.Node[*worker]
 	listing   uint64 // the index's last look at the part that had it
@@ -354,13 +354,13 @@
 	}
 	d.wake = next
 	d.token++
-	d.emit(Action{Kind: SetTimer, Wait: max(next-d.now, 0), Token: d.token})
+	d.emit(Action{Kind: SetTimer, Delay: max(next-d.now, 0), Token: d.token})
 }
 
 // touch marks a worker of which peers may have to be told.
 func (d *Dispatcher) touch(w *worker) {
 	d.stir(w)
-	if d.set.MayTellPeers && d.set.Balancers > 1 && !w.touched {
+	if d.set.GossipAllowed && d.set.Dispatchers > 1 && !w.touched {
 		w.touched = true
 		d.touched = append(d.touched, w)
 	}
@@ -370,7 +370,7 @@
 // ours may be about to begin.
 func (d *Dispatcher) waiting(w *worker) (slots float64, coming bool) {
 	for _, a := range w.live {
-		if d.set.TellsStart && a.started == 0 {
+		if d.set.StartReported && a.started == 0 {
 			if d.now-a.sent < ticksToTell*d.set.Granularity {
 				coming = true
 			} else {
@@ -407,5 +407,5 @@
 
 // mayHaveRun tells what an outcome leaves open.
 func mayHaveRun(o Outcome) bool {
-	return o != Full && o != ConnectFailed && o != Moot && o != Returned
+	return o != AtCapacity && o != ConnectFailed && o != NotSent && o != HandedBack
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -142,7 +142,7 @@
 	case scheduler.Refused:
 		f.tally.model.Refused++
 		f.watch.refused(f)
-		wait := max(a.Wait, leastPause)
+		wait := max(a.RetryAfter, leastPause)
 		if left := req.until - f.now - wait; left >= leastLeft && req.item.tries < mostTries {
 			f.after(wait, func() { c.submit(req.item, left) })
 		} else {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -71,9 +71,9 @@
 
 // whole is the list as discovery holds it, without those that are gone.
 func (d *discovery) whole() scheduler.WorkerList {
-	t := scheduler.WorkerList{Rev: d.rev, All: true}
+	t := scheduler.WorkerList{Rev: d.rev, Complete: true}
 	for _, r := range d.list {
-		if r.Status != dispatch.Gone {
+		if r.Status != dispatch.Removed {
 			t.Workers = append(t.Workers, r)
 		}
 	}
@@ -168,7 +168,7 @@
 		return
 	}
 	t := d.since(rev)
-	if t.All {
+	if t.Complete {
 		f.tally.discovery.Whole++
 	} else {
 		f.tally.discovery.Deltas++
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -163,12 +163,12 @@
 	f.net = network{f: f, random: f.random(1), cut: -1}
 	f.tally = newTally(f)
 	f.watch.start()
-	f.rules = history.Rules{Once: map[string]bool{}, Rack: map[string]string{},
-		MostAttempts: set.Module.MaxAttempts, DrainGrace: span(set.DrainGrace), Slack: span(slack),
-		Watched: 20 * time.Second,
-		Window:  span(set.Module.Classes[len(set.Module.Classes)-1].Window)}
+	f.rules = history.Rules{AtMostOnce: map[string]bool{}, Rack: map[string]string{},
+		MaxAttempts: set.Module.MaxAttempts, DrainGrace: span(set.DrainGrace), Slack: span(slack),
+		OrphanLimit: 20 * time.Second,
+		Window:      span(set.Module.Classes[len(set.Module.Classes)-1].DedupWindow)}
 	for _, c := range classes {
-		f.rules.Once[c.name] = c.once
+		f.rules.AtMostOnce[c.name] = c.once
 	}
 	f.discovery = newDiscovery(f)
 	for i := range opt.Workers {
@@ -185,7 +185,7 @@
 	}
 	for _, n := range f.nodes {
 		f.at(began+Micros(n.random.Int64N(int64(second/2))), func() {
-			n.step(scheduler.Began{Discovery: "discovery", Known: table})
+			n.step(scheduler.Started{Discovery: "discovery", Known: table})
 		})
 	}
 	f.at(began+warmUp, func() {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -116,7 +116,7 @@
 	if len(set.Module.Tenants) != teams || quota < 1.29*80 || quota > 1.31*80 {
 		t.Errorf("%d teams with %v jobs a second", len(set.Module.Tenants), quota)
 	}
-	if !set.Module.Reports || !set.Module.TellsStart || !set.Module.MayCancel || !set.Module.MarksRepeats {
+	if !set.Module.LoadReports || !set.Module.StartReported || !set.Module.CancelAllowed || !set.Module.RetriesMarked {
 		t.Errorf("%+v", set.Module)
 	}
 	part := 0.0
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -68,7 +68,7 @@
 
 // conn is a connection to a worker.
 type conn struct {
-	connstate.Link
+	connstate.Conn
 	n         *node
 	w         *worker
 	life      int // of the worker's process that took it
@@ -84,7 +84,7 @@
 
 func newNode(f *fleet, me, zone int) (*node, error) {
 	set := f.set
-	set.Module.Me, set.Module.Zone = me, zone
+	set.Module.Index, set.Module.Zone = me, zone
 	s, err := scheduler.New(set, f.opt.Seed<<20+uint64(me))
 	if err != nil {
 		return nil, err
@@ -127,17 +127,17 @@
 
 func (n *node) carryOut(e scheduler.Effect) {
 	switch e := e.(type) {
-	case scheduler.Route:
+	case scheduler.SendAttempt:
 		n.route(e)
-	case scheduler.Abandon:
+	case scheduler.CloseConnection:
 		n.abandon(e.Attempt)
-	case scheduler.Unsend:
+	case scheduler.CancelUnsent:
 		if c := n.tasks[e.Attempt]; c != nil && !c.writing {
 			delete(n.tasks, e.Attempt)
 			n.drop(c)
-			n.later(scheduler.Ended{Attempt: e.Attempt, Outcome: dispatch.Moot})
+			n.later(scheduler.AttemptEnded{Attempt: e.Attempt, Outcome: dispatch.NotSent})
 		}
-	case scheduler.Withdraw:
+	case scheduler.CancelAttempt:
 		n.withdraw(e)
 	case scheduler.Answer:
 		if req := n.callers[e.Caller]; req != nil {
@@ -146,19 +146,19 @@
 			req.answer(e)
 			n.f.net.send(n.zone, req.zone, answerBytes, func() { n.f.clients.answered(req, e) })
 		}
-	case scheduler.Wake:
+	case scheduler.SetTimer:
 		n.wakeAt = e.At
 		n.arm()
-	case scheduler.Watch:
+	case scheduler.OpenWatch:
 		n.openWatch(e)
-	case scheduler.Retire:
+	case scheduler.StopUsingWorker:
 		n.left[e.UID] = true
 		w := n.f.byUID[e.UID]
 		for _, c := range n.links[w] {
 			n.drop(c)
 		}
 		delete(n.links, w)
-	case scheduler.Admit:
+	case scheduler.ResumeWorker:
 		delete(n.left, e.UID)
 	case scheduler.Log:
 		n.f.tally.model.Log[kindOfLine(e.Text)]++
@@ -192,7 +192,7 @@
 		case n.wakeAt == 0:
 		case n.wakeAt <= n.f.now:
 			n.wakeAt = 0
-			n.step(scheduler.Woke{})
+			n.step(scheduler.TimerFired{})
 		default:
 			n.arm()
 		}
@@ -201,9 +201,9 @@
 
 // ---- Discovery
 
-func (n *node) openWatch(w scheduler.Watch) {
-	if w.Until != 0 {
-		n.until = min(n.until, w.Until)
+func (n *node) openWatch(w scheduler.OpenWatch) {
+	if w.ValidUntil != 0 {
+		n.until = min(n.until, w.ValidUntil)
 	}
 	if n.present != nil && !n.present.ended {
 		if n.before != nil {
@@ -258,16 +258,16 @@
 		return
 	}
 	n.control(bytes)
-	e := scheduler.ListRead{List: t, At: min(now, s.emptyAt+n.f.set.DrainGrace/2)}
+	e := scheduler.EndpointsUpdated{List: t, AsOf: min(now, s.emptyAt+n.f.set.DrainGrace/2)}
 	s.spoke, s.emptyAt, s.lostAt = true, now, now+silentFor
-	heard := e.At
+	heard := e.AsOf
 	if s == n.present {
 		if n.before != nil {
 			n.release(n.before)
 			n.before = nil
 		}
 	} else {
-		e.Old, heard = true, 0
+		e.FromPreviousWatch, heard = true, 0
 	}
 	trusted := n.until
 	for _, r := range t.Workers {
@@ -279,7 +279,7 @@
 	if heard != 0 {
 		n.heard, n.until = heard, heard+toldWithin
 	}
-	if t.Rev != 0 && !e.Old {
+	if t.Rev != 0 && !e.FromPreviousWatch {
 		n.f.tally.applied(n, t.Rev, trusted)
 	}
 }
@@ -303,9 +303,9 @@
 		return
 	}
 	if s.spoke { // the fleet's list is asked for, see told.lost
-		n.until = min(n.until, n.heard+n.f.set.Module.AskWithin)
+		n.until = min(n.until, n.heard+n.f.set.Module.PollInterval)
 	}
-	n.step(scheduler.ListLost{Until: n.until})
+	n.step(scheduler.WatchClosed{ValidUntil: n.until})
 }
 
 // may is the last look before a task leaves.
@@ -366,7 +366,7 @@
 	for len(n.idle) > 0 {
 		o := n.idle[0]
 		n.idle = n.idle[1:]
-		if o.c.Busy || o.c.Dead || o.c.since != o.since {
+		if o.c.Busy || o.c.Released || o.c.since != o.since {
 			continue // it was used again
 		}
 		links := n.links[o.c.w]
@@ -388,35 +388,35 @@
 	if !c.dropped {
 		n.open--
 	}
-	c.LetGo()
+	c.Release()
 	c.dropped = true
 }
 
-func (n *node) route(r scheduler.Route) {
+func (n *node) route(r scheduler.SendAttempt) {
 	w, req := n.f.byUID[r.UID], r.Payload.(*request)
 	c := n.assign(w, false)
 	if c == nil {
-		n.later(scheduler.Ended{Attempt: r.Attempt, Outcome: dispatch.ConnectFailed})
+		n.later(scheduler.AttemptEnded{Attempt: r.Attempt, Outcome: dispatch.ConnectFailed})
 		return
 	}
-	c.Take(r.Attempt, false)
+	c.Assign(r.Attempt, false)
 	c.req, c.uid, c.writeBy, c.writing = req, r.UID, r.WriteBy, false
 	n.tasks[r.Attempt] = c
 	n.f.tally.model.Attempts++
 	c.start()
 }
 
-func (n *node) withdraw(e scheduler.Withdraw) {
+func (n *node) withdraw(e scheduler.CancelAttempt) {
 	if n.unsent == e.Attempt {
-		n.later(scheduler.Withdrawn{Attempt: e.Attempt, Reached: true})
+		n.later(scheduler.CancellationResult{Attempt: e.Attempt, Acknowledged: true})
 		return
 	}
 	c := n.assign(n.f.byAddr[e.Addr], true)
 	if c == nil {
-		n.later(scheduler.Withdrawn{Attempt: e.Attempt})
+		n.later(scheduler.CancellationResult{Attempt: e.Attempt})
 		return
 	}
-	c.Take(e.Attempt, true)
+	c.Assign(e.Attempt, true)
 	c.uid, c.writeBy = e.ID, e.Deadline
 	n.tasks[e.Attempt] = c
 	c.start()
@@ -428,14 +428,14 @@
 		return
 	}
 	delete(n.tasks, task)
-	if !c.Withdraw && !c.writing {
+	if !c.Cancel && !c.writing {
 		n.unsent = task
 	}
 	n.drop(c)
 }
 
 // on tells whether the connection still carries an errand.
-func (c *conn) on(task scheduler.Attempt) bool { return !c.Dead && c.Busy && c.Attempt == task }
+func (c *conn) on(task scheduler.Attempt) bool { return !c.Released && c.Busy && c.Attempt == task }
 
 // start brings the connection up, if it is not, and writes the errand.
 func (c *conn) start() {
@@ -473,10 +473,10 @@
 	if !c.on(task) || c.writing {
 		return
 	}
-	if c.Withdraw {
+	if c.Cancel {
 		c.writing = true
 		n.job(withdrawBytes)
-		c.Wrote(false, false)
+		c.WriteEnded(false, false)
 		f.net.send(n.zone, c.w.zone, withdrawBytes, func() {
 			c.w.reach(func() {
 				switch {
@@ -496,7 +496,7 @@
 	switch {
 	case !n.may(c.uid):
 		f.tally.model.TurnedBack++
-		c.failed(false, dispatch.Moot)
+		c.failed(false, dispatch.NotSent)
 		return
 	case f.now > c.writeBy:
 		c.failed(false, dispatch.ConnectFailed)
@@ -508,14 +508,14 @@
 	bytes := requestBytes
 	n.job(bytes)
 	req.open++
-	if next, e := c.Wrote(false, false); e != nil {
+	if next, e := c.WriteEnded(false, false); e != nil {
 		c.next(next, e)
 	}
 	life := c.life
 	f.net.send(n.zone, c.w.zone, bytes, func() {
 		c.w.reach(func() {
 			switch {
-			case c.late() && c.Dead: // let go with what had not left
+			case c.late() && c.Released: // let go with what had not left
 			case life != c.w.life || !c.w.up:
 				f.net.send(c.w.zone, n.zone, packetBytes, func() { c.broke(task) })
 			default:
@@ -531,10 +531,10 @@
 
 // failed tells that the errand's last byte did not get out.
 func (c *conn) failed(refused bool, o dispatch.Outcome) {
-	next, e := c.Wrote(true, refused)
-	if end, is := e.(scheduler.Ended); is {
+	next, e := c.WriteEnded(true, refused)
+	if end, is := e.(scheduler.AttemptEnded); is {
 		if o == dispatch.ConnectFailed && refused && c.n.noRoom(c) {
-			o = dispatch.Full
+			o = dispatch.AtCapacity
 		}
 		end.Outcome = o
 		e = end
@@ -561,7 +561,7 @@
 	if !c.on(task) {
 		return
 	}
-	next, e := c.Broke()
+	next, e := c.ReadEnded()
 	c.next(next, e)
 }
 
@@ -576,7 +576,7 @@
 	c.next(next, e)
 }
 
-func (c *conn) next(next connstate.Next, e scheduler.Event) {
+func (c *conn) next(next connstate.Disposition, e scheduler.Event) {
 	n := c.n
 	if next == connstate.Drop {
 		n.drop(c)
@@ -596,5 +596,5 @@
 	n.job(requestBytes)
 	n.step(scheduler.Submitted{Caller: n.caller, ID: req.id, Class: classes[req.item.class].name,
 		Tenant: teamName(req.item.team), Deadline: n.f.now + req.patience/millisecond*millisecond,
-		Slots: req.item.slots, Repeat: req.item.tries > 1, Payload: req})
+		Slots: req.item.slots, Retry: req.item.tries > 1, Payload: req})
 }
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -55,7 +55,7 @@
 		n, w := f.nodes[0], f.workers[0]
 		var seen []string
 		f.watch.seen = func(e scheduler.Event) { seen = append(seen, nameOf(e)) }
-		n.step(scheduler.Began{Discovery: "discovery", Known: f.discovery.whole()})
+		n.step(scheduler.Started{Discovery: "discovery", Known: f.discovery.whole()})
 		f.until(f.now + 2*second)
 		seen = nil
 		if c.befall != nil {
@@ -90,14 +90,14 @@
 // nameOf names an event about a job.
 func nameOf(e scheduler.Event) string {
 	switch e := e.(type) {
-	case scheduler.Submitted, scheduler.Accepted, scheduler.Withdrawn:
+	case scheduler.Submitted, scheduler.AttemptAccepted, scheduler.CancellationResult:
 		return strings.TrimPrefix(fmt.Sprintf("%T", e), "scheduler.")
-	case scheduler.Told:
-		return "Told/" + map[scheduler.News]string{scheduler.NewsStarted: "started", scheduler.NewsDone: "done",
-			scheduler.NewsLost: "lost", scheduler.NewsFailed: "failed"}[e.News]
-	case scheduler.Ended:
+	case scheduler.Callback:
+		return "Told/" + map[scheduler.CallbackKind]string{scheduler.CallbackStarted: "started", scheduler.CallbackDone: "done",
+			scheduler.CallbackAborted: "lost", scheduler.CallbackFailed: "failed"}[e.Kind]
+	case scheduler.AttemptEnded:
 		return "Ended/" + map[dispatch.Outcome]string{dispatch.ConnectFailed: "connect-failed",
-			dispatch.Full: "full", dispatch.Moot: "moot", dispatch.Reset: "reset"}[e.Outcome]
+			dispatch.AtCapacity: "full", dispatch.NotSent: "moot", dispatch.Reset: "reset"}[e.Outcome]
 	}
 	return ""
 }
@@ -108,8 +108,8 @@
 	n, w := f.nodes[0], f.workers[0]
 	idle := func() *conn {
 		c := &conn{n: n, w: w, connected: true, since: f.now}
-		c.Take(1, false)
-		c.Wrote(false, false)
+		c.Assign(1, false)
+		c.WriteEnded(false, false)
 		c.Busy = false
 		n.open++
 		n.links[w] = append(n.links[w], c)
@@ -126,7 +126,7 @@
 	}
 	c = idle()
 	f.now += keptMany
-	if n.assign(w, false) == c || !c.Dead {
+	if n.assign(w, false) == c || !c.Released {
 		t.Error("a connection that has idled too long is used again")
 	}
 	c = idle()
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -111,7 +111,7 @@
 	}
 	for rev, want := range map[int64]string{0: "all", 1: "s2 s4", 2: "s2 s4", 3: "s4", 4: "", 9: "all"} {
 		got := "all"
-		if table := d.since(rev); !table.All {
+		if table := d.since(rev); !table.Complete {
 			var names []string
 			for _, r := range table.Workers {
 				names = append(names, map[string]string{f.workers[2].uid: "s2", f.workers[4].uid: "s4"}[r.UID])
@@ -126,7 +126,7 @@
 	}
 	d.restart(second)
 	f.until(f.now + second)
-	if !d.since(4).All || d.since(5).All {
+	if !d.since(4).Complete || d.since(5).Complete {
 		t.Error("after a restart it should know of nothing before")
 	}
 }
@@ -220,7 +220,7 @@
 			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s1"})
 			req.open++
 			req.answer(scheduler.Answer{Verdict: scheduler.Failed})
-			f.now += Micros(f.rules.Watched.Microseconds()) + second
+			f.now += Micros(f.rules.OrphanLimit.Microseconds()) + second
 			f.open()
 		}},
 		"sent to one told off": {"drains-kept", func(f *fleet, req *request) {
@@ -290,7 +290,7 @@
 			item: &item{slots: 1, work: float64(second)}}
 		req.taken()
 		c := &conn{n: n, w: w}
-		c.Take(scheduler.Attempt(i+1), false)
+		c.Assign(scheduler.Attempt(i+1), false)
 		w.take(c, req)
 	}
 	if w.used != 14 || len(w.queue) != 28 || f.tally.model.TurnedAway != jobs-42 {
@@ -302,7 +302,7 @@
 	}
 	w.die()
 	f.until(f.now + second)
-	if !w.idle() || f.discovery.list[0].Status != dispatch.Gone || f.tally.model.Killed != 41 {
+	if !w.idle() || f.discovery.list[0].Status != dispatch.Removed || f.tally.model.Killed != 41 {
 		t.Errorf("a dead worker holds %d, is listed as %d; %d killed", len(w.held), f.discovery.list[0].Status,
 			f.tally.model.Killed)
 	}
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -336,7 +336,7 @@
 			}
 		}
 		// An event that says nothing tells how late it is for what is held for nobody.
-		r.note(history.Event{Kind: history.Back})
+		r.note(history.Event{Kind: history.WorkerReady})
 		r.check()
 	}
 }
@@ -376,32 +376,32 @@
 
 func kindOfEvent(e scheduler.Event) string {
 	switch e := e.(type) {
-	case scheduler.Began:
+	case scheduler.Started:
 		return "began, list known"
 	case scheduler.Submitted:
 		return "job submitted"
-	case scheduler.Accepted:
+	case scheduler.AttemptAccepted:
 		return "job accepted"
-	case scheduler.Told:
-		if e.News == scheduler.NewsStarted {
+	case scheduler.Callback:
+		if e.Kind == scheduler.CallbackStarted {
 			return "job started"
 		}
 		return "job ended, told"
-	case scheduler.Ended:
+	case scheduler.AttemptEnded:
 		return "attempt ended, seen"
-	case scheduler.Withdrawn:
+	case scheduler.CancellationResult:
 		return "job withdrawn"
-	case scheduler.ListRead:
+	case scheduler.EndpointsUpdated:
 		switch {
-		case e.List.All:
+		case e.List.Complete:
 			return "whole list"
 		case len(e.List.Workers) == 0:
 			return "word without entries"
 		}
 		return "word with entries"
-	case scheduler.ListLost:
+	case scheduler.WatchClosed:
 		return "watch lost"
-	case scheduler.Woke:
+	case scheduler.TimerFired:
 		return "timer"
 	}
 	return "others"
@@ -425,7 +425,7 @@
 	n.use.took += took
 	now := span(n.f.now)
 	switch e.(type) {
-	case scheduler.ListRead, scheduler.ListLost:
+	case scheduler.EndpointsUpdated, scheduler.WatchClosed:
 		n.use.tookControl += took
 		n.use.busyPart = max(n.use.busyPart, now) + time.Duration(float64(took)/coreForControl)
 	}
--- a/internal/emulator/setup.go
+++ b/internal/emulator/setup.go
@@ -147,7 +147,7 @@
 		return settings.Settings{}, err
 	}
 	// As package node has it: a watch is opened by the program, and a change counts as told unheard.
-	set.Module.AskForList, set.Module.ToldWithin = true, toldWithin
+	set.Module.PollEndpoints, set.Module.MaxStaleness = true, toldWithin
 	return set, nil
 }
 
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -176,7 +176,7 @@
 		w.used += a.req.item.slots
 		a.req.note(history.Event{Kind: history.Started, ID: a.req.id, Who: w.uid})
 		f.clients.started(a.req)
-		w.callback(a, scheduler.Told{News: scheduler.NewsStarted})
+		w.callback(a, scheduler.Callback{Kind: scheduler.CallbackStarted})
 		run := Micros(a.req.item.work / w.kind.speed / w.warmth())
 		f.after(run, func() { w.finish(a) })
 	}
@@ -186,10 +186,10 @@
 	if a.over {
 		return
 	}
-	told := scheduler.Told{News: scheduler.NewsDone, Result: []byte(a.req.id)}
+	told := scheduler.Callback{Kind: scheduler.CallbackDone, Result: []byte(a.req.id)}
 	ended := history.Event{Kind: history.Ended, ID: a.req.id, Who: w.uid, Ran: true, Result: a.req.id}
 	if w.random.Float64() < failures {
-		told.News, told.Result, ended.Result = scheduler.NewsFailed, nil, ""
+		told.Kind, told.Result, ended.Result = scheduler.CallbackFailed, nil, ""
 		w.errs, w.errAt = w.errors()+0.1, w.f.now
 	}
 	a.req.note(ended)
@@ -222,7 +222,7 @@
 }
 
 // callback tells the attempt's scheduler something, and tries for a while.
-func (w *worker) callback(a *attempt, t scheduler.Told) {
+func (w *worker) callback(a *attempt, t scheduler.Callback) {
 	f, sent, life := w.f, w.f.now, a.n.life
 	t.ID, t.From = a.req.id, w.uid
 	bytes := callbackBytes + len(t.Result)
@@ -246,7 +246,7 @@
 	if a == nil {
 		return false
 	}
-	a.req.note(history.Event{Kind: history.Withdrawn, ID: id, Who: w.uid, Status: 200})
+	a.req.note(history.Event{Kind: history.CancelReceived, ID: id, Who: w.uid, Status: 200})
 	w.f.tally.model.Withdrawn++
 	w.free(a)
 	a.req.close()
@@ -263,11 +263,11 @@
 	slices.SortFunc(all, func(a, b *attempt) int { return a.req.number - b.req.number })
 	w.queue = nil
 	for _, a := range all {
-		a.req.note(history.Event{Kind: history.Lost, ID: a.req.id, Who: w.uid})
+		a.req.note(history.Event{Kind: history.WorkerDied, ID: a.req.id, Who: w.uid})
 		w.f.tally.model.Killed++
 		w.free(a)
 		if tell {
-			w.callback(a, scheduler.Told{News: scheduler.NewsLost})
+			w.callback(a, scheduler.Callback{Kind: scheduler.CallbackAborted})
 		}
 		a.req.close()
 	}
@@ -284,7 +284,7 @@
 	life := w.life
 	w.f.after(agentTells, func() {
 		if w.life == life {
-			w.f.discovery.status(w, dispatch.Gone)
+			w.f.discovery.status(w, dispatch.Removed)
 		}
 	})
 }
@@ -304,7 +304,7 @@
 	d := w.f.discovery
 	w.f.after(unheardFor+Micros((d.random()-0.5)*float64(second)), func() {
 		if w.gone || w.f.net.parted(w.zone, discoveryZone) {
-			d.status(w, dispatch.Gone)
+			d.status(w, dispatch.Removed)
 		}
 	})
 }
@@ -333,12 +333,12 @@
 // replace has another worker come in this one's place.
 func (w *worker) replace() {
 	w.retired = true
-	w.f.discovery.status(w, dispatch.Gone)
+	w.f.discovery.status(w, dispatch.Removed)
 	n := w.f.addWorker(w.zone)
 	n.rack, n.up = w.rack, false
 	n.f.rules.Rack[n.uid] = fmt.Sprint(n.rack)
 	l := &w.f.discovery.list[n.number]
-	l.Cell, l.Status = n.rack, dispatch.Gone
+	l.Cell, l.Status = n.rack, dispatch.Removed
 	n.boot()
 }
 
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -54,7 +54,7 @@
 	case err == nil:
 		event.Kind, event.Status, event.Result = history.Answered, m.Status, string(m.Body)
 	case !s.Leave.IsZero():
-		event.Kind = history.Left
+		event.Kind = history.ClientLeft
 	default:
 		event.Kind = history.Unanswered
 	}
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -11,9 +11,9 @@
 	"dahliaford/internal/http1"
 )
 
-// Plan is what a worker does with one job. The zero Plan accepts it, runs it at once and
+// Script is what a worker does with one job. The zero Plan accepts it, runs it at once and
 // is done.
-type Plan struct {
+type Script struct {
 	Status     int           // the answer; 0: 202
 	TurnedAway bool          // with 503 or 504: it did not begin
 	Break      bool          // the connection breaks instead of an answer
@@ -31,14 +31,14 @@
 type Job struct {
 	ID, Method, Target, Key string
 	Body                    []byte
-	Left                    string // X-Remaining-Ms, as it came
+	Remaining               string // X-Remaining-Ms, as it came
 }
 
 // Worker is a scripted job worker.
 type Worker struct {
 	UID       string
 	scheduler func() string
-	plan      func(Job) Plan
+	plan      func(Job) Script
 	record    Recorder
 	server
 	life  sync.Mutex
@@ -48,7 +48,7 @@
 
 // NewWorker opens a worker. scheduler says where its callbacks go at the time of each;
 // plan must be safe for many goroutines.
-func NewWorker(uid, addr string, scheduler func() string, plan func(Job) Plan,
+func NewWorker(uid, addr string, scheduler func() string, plan func(Job) Script,
 	rec Recorder) (*Worker, error) {
 	r := &Worker{UID: uid, scheduler: scheduler, plan: plan, record: rec, jobs: map[string]chan struct{}{}}
 	return r, r.listen(addr, r.serve)
@@ -74,7 +74,7 @@
 	r.life.Unlock()
 	for id, gone := range lost {
 		close(gone)
-		r.record.say(history.Event{Kind: history.Lost, ID: id, Who: r.UID})
+		r.record.say(history.Event{Kind: history.WorkerDied, ID: id, Who: r.UID})
 		r.again.Go(func() { r.tell(id, "lost", "", 0) })
 	}
 }
@@ -91,7 +91,7 @@
 			if r.withdraw(id) {
 				status = 200
 			}
-			r.record.say(history.Event{Kind: history.Withdrawn, ID: id, Who: r.UID, Status: status})
+			r.record.say(history.Event{Kind: history.CancelReceived, ID: id, Who: r.UID, Status: status})
 			if _, err := conn.Write(http1.AppendResponse(nil, status, nil, nil)); err != nil {
 				return
 			}
@@ -106,7 +106,7 @@
 // job takes one job. It tells whether the connection goes on.
 func (r *Worker) job(conn net.Conn, m *http1.Request) bool {
 	j := Job{ID: m.Header.Get("X-Txn"), Method: m.Method, Target: m.Target, Key: m.Header.Get("Idempotency-Key"),
-		Body: m.Body, Left: m.Header.Get("X-Remaining-Ms")}
+		Body: m.Body, Remaining: m.Header.Get("X-Remaining-Ms")}
 	if j.ID == "" {
 		conn.Write(http1.AppendResponse(nil, 404, nil, nil))
 		return false
@@ -206,7 +206,7 @@
 	return true
 }
 
-func (r *Worker) run(j Job, p Plan, gone chan struct{}) {
+func (r *Worker) run(j Job, p Script, gone chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-gone:
--- a/internal/history/record.go
+++ b/internal/history/record.go
@@ -14,18 +14,18 @@
 
 // What can be seen.
 const (
-	Sent       Kind = iota // a client wrote a request; Until: it gives up then
-	Left                   // the client left
-	Answered               // it has its answer: Status, Result
-	Unanswered             // its connection ended, or its time, without one
-	Arrived                // a request's last byte came to a worker
-	Started                // it runs there
-	Ended                  // the attempt is over there; Ran: it may have run
-	Lost                   // the worker's process died with it
-	Closed                 // the connection ended before the 202: it is given up there
-	Withdrawn              // a DELETE came; Status 200: the job was there
-	Told                   // discovery wrote a change about a worker (Who): it drains or is gone
-	Back                   // and that it is ready again
+	Sent            Kind = iota // a client wrote a request; Until: it gives up then
+	ClientLeft                  // the client left
+	Answered                    // it has its answer: Status, Result
+	Unanswered                  // its connection ended, or its time, without one
+	Arrived                     // a request's last byte came to a worker
+	Started                     // it runs there
+	Ended                       // the attempt is over there; Ran: it may have run
+	WorkerDied                  // the worker's process died with it
+	Closed                      // the connection ended before the 202: it is given up there
+	CancelReceived              // a DELETE came; Status 200: the job was there
+	EndpointChanged             // discovery wrote a change about a worker (Who): it drains or is gone
+	WorkerReady                 // and that it is ready again
 )
 
 var kindNames = [...]string{"sent", "left", "answered", "unanswered", "arrived", "started", "ended",
@@ -50,15 +50,15 @@
 // Rules are the figures of a deployment. Slack is added to each of its times: a machine
 // that is busy makes events late.
 type Rules struct {
-	Once         map[string]bool   // classes of which nothing may run twice
-	Rack         map[string]string // of each worker
-	Window       time.Duration     // in which a repeat is dropped within a rack
-	DrainGrace   time.Duration
-	MostAttempts int
-	Slack        time.Duration
-	// Watched is how long a worker may hold a job for nobody. After the history's end
+	AtMostOnce  map[string]bool   // classes of which nothing may run twice
+	Rack        map[string]string // of each worker
+	Window      time.Duration     // in which a repeat is dropped within a rack
+	DrainGrace  time.Duration
+	MaxAttempts int
+	Slack       time.Duration
+	// OrphanLimit is how long a worker may hold a job for nobody. After the history's end
 	// nothing is expected any more.
-	Watched time.Duration
+	OrphanLimit time.Duration
 }
 
 // Finding is a property that broke, named as in package explore.
@@ -109,12 +109,12 @@
 
 func (c *checker) see(e Event) {
 	switch e.Kind {
-	case Told:
+	case EndpointChanged:
 		if _, since := c.leaving[e.Who]; !since {
 			c.leaving[e.Who] = e.At
 		}
 		return
-	case Back:
+	case WorkerReady:
 		delete(c.leaving, e.Who)
 		return
 	}
@@ -126,7 +126,7 @@
 	switch e.Kind {
 	case Sent:
 		l.class, l.sent, l.until = e.Class, e.At, e.Until
-	case Left:
+	case ClientLeft:
 		l.over = e.At
 	case Unanswered:
 		l.over = e.At
@@ -145,15 +145,15 @@
 			l.results[e.Result] = true
 		}
 		delete(l.held, e.Who)
-	case Lost, Closed:
+	case WorkerDied, Closed:
 		delete(l.held, e.Who)
-	case Withdrawn:
+	case CancelReceived:
 		delete(l.held, e.Who)
 	}
 }
 
 func (c *checker) ran(l *life, e Event) {
-	if l.runs++; l.runs > 1 && c.rules.Once[l.class] {
+	if l.runs++; l.runs > 1 && c.rules.AtMostOnce[l.class] {
 		c.fail("runs-as-allowed", e.ID, "it runs for the second time, at %s", e.Who)
 	}
 	at, held := l.held[e.Who]
@@ -187,7 +187,7 @@
 }
 
 func (c *checker) arrived(l *life, e Event) {
-	if l.attempts++; l.attempts > c.rules.MostAttempts {
+	if l.attempts++; l.attempts > c.rules.MaxAttempts {
 		c.fail("four-attempts", e.ID, "attempt %d comes to %s", l.attempts, e.Who)
 	}
 	for who := range l.held {
@@ -195,7 +195,7 @@
 	}
 	for who, at := range l.ran {
 		switch {
-		case c.rules.Once[l.class]:
+		case c.rules.AtMostOnce[l.class]:
 			c.fail("runs-as-allowed", e.ID, "it may have run at %s and comes to %s", who, e.Who)
 		case c.rules.Rack[who] != c.rules.Rack[e.Who]:
 			c.fail("runs-as-allowed", e.ID, "it may have run at %s and comes to %s, in another rack", who, e.Who)
@@ -213,7 +213,7 @@
 func (c *checker) rest(end time.Time) {
 	for id, l := range c.lives {
 		for who := range l.held {
-			if !l.over.IsZero() && end.Sub(l.over) > c.rules.Watched+c.rules.Slack {
+			if !l.over.IsZero() && end.Sub(l.over) > c.rules.OrphanLimit+c.rules.Slack {
 				c.fail("called-back", id, "%s holds it %v after its end", who, end.Sub(l.over))
 			}
 		}
--- a/internal/history/record_test.go
+++ b/internal/history/record_test.go
@@ -22,9 +22,9 @@
 		return start.Add(time.Duration(n) * time.Millisecond)
 	}
 	events := []Event{{At: start, Kind: Sent, ID: "t", Class: class, Until: start.Add(2 * time.Second)}}
-	kinds := map[string]Kind{"left": Left, "answered": Answered, "unanswered": Unanswered, "arrived": Arrived,
-		"started": Started, "ended": Ended, "ran": Ended, "lost": Lost, "closed": Closed, "withdrawn": Withdrawn,
-		"told": Told, "back": Back}
+	kinds := map[string]Kind{"left": ClientLeft, "answered": Answered, "unanswered": Unanswered, "arrived": Arrived,
+		"started": Started, "ended": Ended, "ran": Ended, "lost": WorkerDied, "closed": Closed, "withdrawn": CancelReceived,
+		"told": EndpointChanged, "back": WorkerReady}
 	for _, line := range strings.Split(strings.TrimSpace(text), ";") {
 		words := strings.Fields(line)
 		kind, known := kinds[words[1]]
@@ -48,9 +48,9 @@
 }
 
 func TestCheck(t *testing.T) {
-	rules := Rules{Once: map[string]bool{"post": true}, Rack: map[string]string{"a": "1", "b": "1", "c": "2"},
-		Window: time.Second, DrainGrace: 500 * time.Millisecond, MostAttempts: 4, Slack: 100 * time.Millisecond,
-		Watched: time.Second}
+	rules := Rules{AtMostOnce: map[string]bool{"post": true}, Rack: map[string]string{"a": "1", "b": "1", "c": "2"},
+		Window: time.Second, DrainGrace: 500 * time.Millisecond, MaxAttempts: 4, Slack: 100 * time.Millisecond,
+		OrphanLimit: time.Second}
 	for _, c := range []struct{ name, class, text, want string }{
 		{"served", "post", "1 arrived a; 2 started a; 9 ran a X; 10 answered 200 X", ""},
 		{"never answered", "post", "2050 unanswered client", "one-final-answer"},
--- a/internal/modelcheck/actions.go
+++ b/internal/modelcheck/actions.go
@@ -218,7 +218,7 @@
 			} else {
 				add(SayReady, i, 0)
 			}
-			if r.status != dispatch.Gone {
+			if r.status != dispatch.Removed {
 				add(SayGone, i, 0)
 			}
 		}
@@ -257,7 +257,7 @@
 func (w *World) forgotten(id uint8) bool {
 	q := &w.requests[id]
 	if q.id != id || q.state == unsent || q.state == open || q.stage == stageConnecting ||
-		w.s.Kept().Recalls > 0 {
+		w.s.Stats().Cancellations > 0 {
 		return false
 	}
 	for i := range w.requests {
@@ -423,7 +423,7 @@
 		w.spend(Leave)
 		q := &w.requests[i]
 		q.state, q.leftAt = gone, w.now
-		w.step(scheduler.CallerLeft{Caller: q.caller})
+		w.step(scheduler.ClientDisconnected{Caller: q.caller})
 	case Tell, TellAndKeep, LoseCall:
 		w.applyCall(a, i)
 	case Begin, Finish, FailJob, HandBackJob, KillJob:
@@ -434,7 +434,7 @@
 		w.applyWorker(a, i)
 	case WatchLost:
 		w.spend(LoseWatch)
-		w.step(scheduler.ListLost{Until: w.lost()})
+		w.step(scheduler.WatchClosed{ValidUntil: w.lost()})
 	case WatchAnswered:
 		w.answerWatch()
 	case WatchAnew:
@@ -447,7 +447,7 @@
 	case SigTerm:
 		w.spend(Stop)
 		w.stopped, w.stopAt = true, w.now
-		w.step(scheduler.Stopping{})
+		w.step(scheduler.ShutdownRequested{})
 	case ModuleBreaks:
 		w.spend(Panic)
 		w.breaks = true
@@ -496,19 +496,19 @@
 	case HearWritten:
 		w.hearWritten(i)
 	case HearKept:
-		w.endRoute(i, scheduler.Ended{Attempt: r.attempt, Outcome: dispatch.Moot})
+		w.endRoute(i, scheduler.AttemptEnded{Attempt: r.attempt, Outcome: dispatch.NotSent})
 	case RefuseRoute:
 		if !w.workers[r.worker].down {
 			w.spend(Refuse)
 		}
-		_, e := r.link.Wrote(true, true)
+		_, e := r.link.WriteEnded(true, true)
 		w.endRoute(i, e)
 	case Arrive:
 		w.arrive(i, a.B)
 	case BreakRoute:
 		w.spend(Break)
 		if a.B == breakIdle {
-			_, e := r.link.Broke()
+			_, e := r.link.ReadEnded()
 			w.endRoute(i, e)
 			return
 		}
@@ -518,7 +518,7 @@
 		}
 		r.phase = broken
 	case HearBroken:
-		_, e := r.link.Broke()
+		_, e := r.link.ReadEnded()
 		if e == nil {
 			r.phase = halfHeard // the writer's word is still to come
 			return
@@ -548,7 +548,7 @@
 	if q := &w.requests[r.id]; q.last == r.attempt && q.stage == stageConnecting {
 		q.stage = stageWritten
 	}
-	if _, e := r.link.Wrote(false, false); e != nil {
+	if _, e := r.link.WriteEnded(false, false); e != nil {
 		w.endRoute(i, e)
 	}
 }
@@ -588,28 +588,28 @@
 
 func (w *World) applyJob(a Action, i int) {
 	j := w.jobs[i]
-	say := func(n scheduler.News) { w.calls = append(w.calls, call{j.id, j.worker, n}) }
+	say := func(n scheduler.CallbackKind) { w.calls = append(w.calls, call{j.id, j.worker, n}) }
 	switch a.Kind {
 	case Begin:
 		w.jobs[i].running = true
 		w.runs(j.id, j.worker, j.sent)
-		say(scheduler.NewsStarted)
+		say(scheduler.CallbackStarted)
 		return
 	case Finish:
 		w.requests[j.id].made |= 1 << j.worker
-		say(scheduler.NewsDone)
+		say(scheduler.CallbackDone)
 	case FailJob:
 		w.spend(Fail)
-		say(scheduler.NewsFailed)
+		say(scheduler.CallbackFailed)
 	case HandBackJob:
 		w.spend(HandBack)
-		say(scheduler.NewsReturned)
+		say(scheduler.CallbackHandedBack)
 	case KillJob:
 		w.spend(Kill)
 		if !j.running { // nobody can say that it did not run
 			w.runs(j.id, j.worker, j.sent)
 		}
-		say(scheduler.NewsLost)
+		say(scheduler.CallbackAborted)
 	}
 	w.dropJob(i)
 }
@@ -626,8 +626,8 @@
 	case Tell:
 		w.dropCall(i)
 	}
-	told := scheduler.Told{ID: w.txn(c.id), From: uid(int(c.worker)), News: c.news}
-	if c.news == scheduler.NewsDone {
+	told := scheduler.Callback{ID: w.txn(c.id), From: uid(int(c.worker)), Kind: c.news}
+	if c.news == scheduler.CallbackDone {
 		told.Result = []byte(w.txn(c.id) + " by " + uid(int(c.worker)))
 	}
 	w.step(told)
@@ -639,7 +639,7 @@
 	switch a.Kind {
 	case WithdrawArrives:
 		if w.workers[wd.worker].down {
-			_, e = wd.link.Wrote(true, true)
+			_, e = wd.link.WriteEnded(true, true)
 			break
 		}
 		if j := w.jobOf(wd.id, wd.worker); j >= 0 {
@@ -648,12 +648,12 @@
 		wd.phase = replied
 		return
 	case WithdrawAnswered:
-		wd.link.Wrote(false, false)
+		wd.link.WriteEnded(false, false)
 		_, e = wd.link.Answered(connstate.Answer{Status: 200})
 	case WithdrawBreaks:
 		w.spend(Break)
-		wd.link.Wrote(false, false)
-		_, e = wd.link.Broke()
+		wd.link.WriteEnded(false, false)
+		_, e = wd.link.ReadEnded()
 	}
 	w.dropWithdraw(i)
 	w.step(e)
@@ -667,7 +667,7 @@
 		r.down = true
 		for n := len(w.jobs) - 1; n >= 0; n-- {
 			if j := w.jobs[n]; int(j.worker) == i {
-				w.calls = append(w.calls, call{j.id, j.worker, scheduler.NewsLost})
+				w.calls = append(w.calls, call{j.id, j.worker, scheduler.CallbackAborted})
 				w.dropJob(n)
 			}
 		}
@@ -697,7 +697,7 @@
 		r.status = dispatch.Draining
 	case SayGone:
 		w.spend(Drain)
-		r.status = dispatch.Gone
+		r.status = dispatch.Removed
 	case SayReady:
 		w.spend(Drain)
 		r.status = dispatch.Ready
@@ -713,7 +713,7 @@
 	w.rev++
 	if w.watching {
 		w.told()
-		w.step(scheduler.ListRead{List: w.list(false, i)})
+		w.step(scheduler.EndpointsUpdated{List: w.list(false, i)})
 	}
 }
 
@@ -732,14 +732,14 @@
 	w.now = max(w.now, due)
 	for i := range w.routes {
 		if r := &w.routes[i]; r.phase == connecting && r.writeBy <= w.now {
-			_, e := r.link.Wrote(true, false)
+			_, e := r.link.WriteEnded(true, false)
 			w.endRoute(i, e)
 			return
 		}
 	}
 	if w.wake != 0 && w.wake <= w.now {
 		w.wake = 0
-		w.step(scheduler.Woke{})
+		w.step(scheduler.TimerFired{})
 	}
 }
 
@@ -782,8 +782,8 @@
 		return fmt.Sprintf("%s at %s %s", w.txn(j.id), uid(int(j.worker)), what)
 	case Tell, TellAndKeep, LoseCall:
 		c := &w.calls[i]
-		news := map[scheduler.News]string{scheduler.NewsStarted: "started", scheduler.NewsDone: "done",
-			scheduler.NewsFailed: "failed", scheduler.NewsReturned: "returned", scheduler.NewsLost: "lost"}[c.news]
+		news := map[scheduler.CallbackKind]string{scheduler.CallbackStarted: "started", scheduler.CallbackDone: "done",
+			scheduler.CallbackFailed: "failed", scheduler.CallbackHandedBack: "returned", scheduler.CallbackAborted: "lost"}[c.news]
 		end := map[Kind]string{Tell: "", TellAndKeep: " (and will again)",
 			LoseCall: ", which never gets through"}[a.Kind]
 		return fmt.Sprintf("%s calls back: %s %s%s", uid(int(c.worker)), w.txn(c.id), news, end)
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -118,9 +118,9 @@
 	set, err := settings.Parse(fmt.Appendf(nil, worldSettings, r.Progress, discovery, r.maxAttempts(),
 		!r.NoCancel, r.MayDuplicate, r.askWithin()))
 	// The node does the same: a list that is pushed comes over a watch, too.
-	set.Module.AskForList = true
+	set.Module.PollEndpoints = true
 	if r.Trust {
-		set.Module.ToldWithin = toldWithin
+		set.Module.MaxStaleness = toldWithin
 	}
 	return set, err
 }
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -140,12 +140,12 @@
 	return table
 }
 
-var newsKinds = map[scheduler.News]eventKind{scheduler.NewsStarted: evStarted, scheduler.NewsDone: evDone,
-	scheduler.NewsFailed: evFailed, scheduler.NewsReturned: evReturned, scheduler.NewsLost: evLost}
+var newsKinds = map[scheduler.CallbackKind]eventKind{scheduler.CallbackStarted: evStarted, scheduler.CallbackDone: evDone,
+	scheduler.CallbackFailed: evFailed, scheduler.CallbackHandedBack: evReturned, scheduler.CallbackAborted: evLost}
 
 var endKinds = map[dispatch.Outcome]eventKind{dispatch.ConnectFailed: evConnectFailed,
-	dispatch.Reset: evReset,
-	dispatch.Full:  evTurnedAway, dispatch.Failed: evError, dispatch.Moot: evKept}
+	dispatch.Reset:      evReset,
+	dispatch.AtCapacity: evTurnedAway, dispatch.Failed: evError, dispatch.NotSent: evKept}
 
 // see counts an event before it is passed on, and notes what the scheduler hears by it.
 func (w *World) see(e scheduler.Event) {
@@ -171,40 +171,40 @@
 	switch e := e.(type) {
 	case scheduler.Submitted:
 		w.cover[evSubmitted][w.requests[idOf(e.ID)].stage]++
-	case scheduler.CallerLeft:
+	case scheduler.ClientDisconnected:
 		for i := range w.requests {
 			if q := &w.requests[i]; q.caller == e.Caller {
 				w.cover[evLeft][w.requests[q.id].stage]++
 			}
 		}
-	case scheduler.Accepted:
+	case scheduler.AttemptAccepted:
 		attempt(evAccepted, e.Attempt, stageAccepted)
-	case scheduler.Ended:
+	case scheduler.AttemptEnded:
 		attempt(endKinds[e.Outcome], e.Attempt, stageEnded)
-	case scheduler.Rejected:
+	case scheduler.AttemptRejected:
 		attempt(evRejected, e.Attempt, stageEnded)
-	case scheduler.Withdrawn:
-		attempt(map[bool]eventKind{true: evWithdrawn, false: evNotWithdrawn}[e.Reached], e.Attempt, stageNone)
-	case scheduler.Told:
+	case scheduler.CancellationResult:
+		attempt(map[bool]eventKind{true: evWithdrawn, false: evNotWithdrawn}[e.Acknowledged], e.Attempt, stageNone)
+	case scheduler.Callback:
 		to := stageEnded
-		if e.News == scheduler.NewsStarted {
+		if e.Kind == scheduler.CallbackStarted {
 			to = stageStarted
 		}
 		q := &w.requests[idOf(e.ID)]
 		if q.at != workerOf(e.From) {
-			w.cover[newsKinds[e.News]][stageEarlier]++
+			w.cover[newsKinds[e.Kind]][stageEarlier]++
 			break
 		}
-		attempt(newsKinds[e.News], q.last, to)
-	case scheduler.ListRead:
+		attempt(newsKinds[e.Kind], q.last, to)
+	case scheduler.EndpointsUpdated:
 		all(evList)
-	case scheduler.ListLost:
+	case scheduler.WatchClosed:
 		all(evListLost)
 	case scheduler.Reloaded:
 		all(evReloaded)
-	case scheduler.Woke:
+	case scheduler.TimerFired:
 		all(evWoke)
-	case scheduler.Stopping:
+	case scheduler.ShutdownRequested:
 		all(evStopping)
 	}
 	if w.breaks {
--- a/internal/modelcheck/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -310,8 +310,8 @@
 			t.Fatal(err)
 		}
 		s := &cfg.settings.Module
-		if is := (got{s.MayCancel, s.MayDuplicate, s.MaxAttempts, s.AskWithin, s.ToldWithin, s.Progress,
-			s.ConnectTimeout}); is != want || !s.AskForList {
+		if is := (got{s.CancelAllowed, s.HedgingAllowed, s.MaxAttempts, s.PollInterval, s.MaxStaleness, s.ProgressInterval,
+			s.ConnectTimeout}); is != want || !s.PollEndpoints {
 			t.Errorf("%s: %+v, want %+v", name, is, want)
 		}
 	}
--- a/internal/modelcheck/mutants/connstate_mutants.go
+++ b/internal/modelcheck/mutants/connstate_mutants.go
@@ -24,8 +24,8 @@
 			" honest-answers",
 		File: links,
 		Edits: []string{
-			"scheduler.Ended{Attempt: l.Attempt, Outcome: dispatch.Failed,",
-			"scheduler.Ended{Attempt: l.Attempt, Outcome: dispatch.Full,",
+			"scheduler.AttemptEnded{Attempt: l.Attempt, Outcome: dispatch.Failed,",
+			"scheduler.AttemptEnded{Attempt: l.Attempt, Outcome: dispatch.AtCapacity,",
 		},
 	},
 	{
@@ -35,8 +35,8 @@
 			" one-attempt-outstanding",
 		File: links,
 		Edits: []string{
-			"scheduler.Withdrawn{Attempt: l.Attempt, Reached: gone}",
-			"scheduler.Withdrawn{Attempt: l.Attempt, Reached: true}",
+			"scheduler.CancellationResult{Attempt: l.Attempt, Acknowledged: gone}",
+			"scheduler.CancellationResult{Attempt: l.Attempt, Acknowledged: true}",
 		},
 	},
 }
--- a/internal/modelcheck/mutants/dispatch_mutants.go
+++ b/internal/modelcheck/mutants/dispatch_mutants.go
@@ -19,7 +19,7 @@
 		Want:  "runs-as-allowed",
 		File:  module,
 		Edits: []string{
-			" || !sameGroup(c.Group, &a.worker.entry, &w.entry) {",
+			" || !sameGroup(c.DedupScope, &a.worker.entry, &w.entry) {",
 			" {",
 		},
 	},
@@ -53,7 +53,7 @@
 		Want:  "cancels-as-allowed",
 		File:  module,
 		Edits: []string{
-			"\tif d.set.MayCancel && !j.streaming {",
+			"\tif d.set.CancelAllowed && !j.streaming {",
 			"\tif !j.streaming {",
 		},
 	},
--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -24,8 +24,8 @@
 			" called-back",
 		File: reducer,
 		Edits: []string{
-			"s.endTold(k, dispatch.Returned, e.Report)",
-			"s.endTold(k, dispatch.Full, e.Report)",
+			"s.endTold(k, dispatch.HandedBack, e.Report)",
+			"s.endTold(k, dispatch.AtCapacity, e.Report)",
 		},
 	},
 	{
@@ -34,10 +34,10 @@
 		Want:  "called-back",
 		File:  reducer,
 		Edits: []string{
-			"\t\ts.emit(Abandon{Attempt: k.number})\n" +
+			"\t\ts.emit(CloseConnection{Attempt: k.number})\n" +
 				"\t}\n" +
 				"\ts.recall(k)\n",
-			"\t\ts.emit(Abandon{Attempt: k.number})\n" +
+			"\t\ts.emit(CloseConnection{Attempt: k.number})\n" +
 				"\t}\n",
 		},
 	},
@@ -190,7 +190,7 @@
 		Want:  "leavers-spared",
 		File:  reducer,
 		Edits: []string{
-			"\t\ts.emit(Unsend{Attempt: t.attempts[n-1].number})",
+			"\t\ts.emit(CancelUnsent{Attempt: t.attempts[n-1].number})",
 			"\t\t_ = n",
 		},
 	},
@@ -200,8 +200,8 @@
 		Want:  "list-trusted",
 		File:  reducer,
 		Edits: []string{
-			"lost.Age = s.ageAt(e.Until)",
-			"lost.Age = s.ageAt(max(e.Until, s.knownAt+s.set.Module.AskWithin))",
+			"lost.Age = s.ageAt(e.ValidUntil)",
+			"lost.Age = s.ageAt(max(e.ValidUntil, s.knownAt+s.set.Module.AskWithin))",
 		},
 	},
 	{
@@ -210,8 +210,8 @@
 		Want:  "list-trusted",
 		File:  reducer,
 		Edits: []string{
-			"lost.Age = s.ageAt(e.Until)",
-			"lost.Age = s.ageAt(max(e.Until, s.now+s.set.DrainGrace))",
+			"lost.Age = s.ageAt(e.ValidUntil)",
+			"lost.Age = s.ageAt(max(e.ValidUntil, s.now+s.set.DrainGrace))",
 		},
 	},
 	{
@@ -220,7 +220,7 @@
 		Want:  "one-attempt-outstanding",
 		File:  reducer,
 		Edits: []string{
-			"\ts.set.Module.MayDuplicate = false\n",
+			"\ts.set.Module.HedgingAllowed = false\n",
 			"",
 			" || len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended {",
 			" {",
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -289,8 +289,8 @@
 		return c.broke
 	}
 	c.now = max(c.now, c.rest)
-	c.step(scheduler.ListRead{}) // a heartbeat, as one comes every 2 s
-	if kept := c.s.Kept(); kept != (scheduler.Kept{}) {
+	c.step(scheduler.EndpointsUpdated{}) // a heartbeat, as one comes every 2 s
+	if kept := c.s.Stats(); kept != (scheduler.Stats{}) {
 		c.fail(NothingLeaks, "long after the last answer the scheduler keeps %+v", kept)
 	}
 	return c.broke
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -392,7 +392,7 @@
 	for i := range w.routes {
 		r := &w.routes[i]
 		f = append(f, r.id, r.worker, byte(r.phase))
-		f.Flag(r.cold, r.unheard, r.link.Busy, r.link.Written, r.link.Broken, r.link.Dead)
+		f.Flag(r.cold, r.unheard, r.link.Busy, r.link.Written, r.link.Broken, r.link.Released)
 		f.Num(int64(r.attempt), int64(r.status), int64(r.writeBy), int64(r.sent))
 	}
 	for i := range w.jobs {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -114,7 +114,7 @@
 	status  int
 	writeBy Micros
 	sent    Micros
-	link    connstate.Link
+	link    connstate.Conn
 }
 
 // job is an attempt that a worker holds.
@@ -128,7 +128,7 @@
 // call is a callback on its way.
 type call struct {
 	id, worker uint8
-	news       scheduler.News
+	news       scheduler.CallbackKind
 }
 
 // withdraw is the withdrawal of an attempt on its connection.
@@ -138,7 +138,7 @@
 	worker   uint8
 	phase    phase
 	deadline Micros
-	link     connstate.Link
+	link     connstate.Conn
 }
 
 // newWorld starts a world: the scheduler has begun, knows the list and watches it.
@@ -157,7 +157,7 @@
 	for range cfg.Racks {
 		w.workers = append(w.workers, worker{status: dispatch.Ready})
 	}
-	w.step(scheduler.Began{Discovery: "discovery", Known: w.list(true)})
+	w.step(scheduler.Started{Discovery: "discovery", Known: w.list(true)})
 	w.answerWatch()
 	return w, nil
 }
@@ -183,10 +183,10 @@
 }
 
 func (w *World) list(all bool, which ...int) scheduler.WorkerList {
-	t := scheduler.WorkerList{Rev: w.rev, All: all}
+	t := scheduler.WorkerList{Rev: w.rev, Complete: all}
 	if all {
 		for i := range w.workers {
-			if w.workers[i].status != dispatch.Gone {
+			if w.workers[i].status != dispatch.Removed {
 				t.Workers = append(t.Workers, w.line(i))
 			}
 		}
@@ -259,7 +259,7 @@
 func (w *World) answerWatch() {
 	w.asked, w.watching = false, true
 	w.told()
-	w.step(scheduler.ListRead{List: w.list(true)})
+	w.step(scheduler.EndpointsUpdated{List: w.list(true)})
 }
 
 // ---- The scheduler and what it asks for
@@ -302,7 +302,7 @@
 
 func (w *World) carryOut(e scheduler.Effect) {
 	switch e := e.(type) {
-	case scheduler.Route:
+	case scheduler.SendAttempt:
 		w.note("scheduler routes %s to %s, to be written within %v", e.ID, e.UID, span(e.WriteBy-w.now))
 		// What waited for a withdrawal was decided before, and the node's last look keeps it back.
 		if w.outdated() && e.WriteBy-connectTimeout > w.until {
@@ -310,22 +310,22 @@
 				span(w.now-w.until))
 		}
 		r := route{attempt: e.Attempt, id: idOf(e.ID), worker: workerOf(e.UID), writeBy: e.WriteBy}
-		r.link.Take(e.Attempt, false)
+		r.link.Assign(e.Attempt, false)
 		w.routes = append(w.routes, r)
 		q := &w.requests[r.id]
 		q.last, q.lastBy, q.at, q.stage = e.Attempt, e.Deadline, r.worker, stageConnecting
-	case scheduler.Abandon:
+	case scheduler.CloseConnection:
 		w.note("scheduler closes the connection of its attempt at a worker")
 		w.abandon(e.Attempt)
-	case scheduler.Unsend:
+	case scheduler.CancelUnsent:
 		w.note("scheduler keeps its attempt back, if nothing of it has left")
 		w.keepBack(e.Attempt)
-	case scheduler.Withdraw:
+	case scheduler.CancelAttempt:
 		w.note("scheduler tells %s to drop %s", e.Addr, e.ID)
 		w.cancels(e.Attempt)
 		w.give(e.Attempt)
 		wd := withdraw{attempt: e.Attempt, id: idOf(e.ID), worker: workerOf(e.Addr), deadline: e.Deadline}
-		wd.link.Take(e.Attempt, true)
+		wd.link.Assign(e.Attempt, true)
 		for _, attempt := range w.unsent {
 			if attempt == e.Attempt {
 				wd.phase = replied // nothing was ever out: the node need not ask
@@ -334,14 +334,14 @@
 		w.withdraws = append(w.withdraws, wd)
 	case scheduler.Answer:
 		w.answer(e)
-	case scheduler.Wake:
+	case scheduler.SetTimer:
 		w.wake = e.At
-	case scheduler.Watch:
+	case scheduler.OpenWatch:
 		w.note("scheduler opens a watch of the worker list")
-		if w.asked, w.watching = true, false; e.Until != 0 && w.cfg.Rules.Trust {
-			w.moved, w.until = w.now, min(w.until, e.Until)
+		if w.asked, w.watching = true, false; e.ValidUntil != 0 && w.cfg.Rules.Trust {
+			w.moved, w.until = w.now, min(w.until, e.ValidUntil)
 		}
-	case scheduler.Exit:
+	case scheduler.Shutdown:
 		w.note("scheduler ends")
 		w.exit()
 	case scheduler.Log:
@@ -369,10 +369,10 @@
 	w.give(attempt)
 	for i := range w.routes {
 		r := &w.routes[i]
-		if r.attempt != attempt || r.link.Dead {
+		if r.attempt != attempt || r.link.Released {
 			continue
 		}
-		r.link.LetGo()
+		r.link.Release()
 		switch r.phase {
 		case connecting:
 			w.unsent = append(w.unsent, attempt)
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -249,7 +249,7 @@
 		why = "no X-Remaining-Ms"
 	case err != nil || left[0] < '0':
 		why = "malformed X-Remaining-Ms"
-	case !(slots <= dispatch.MostSlots): // beyond any machine, or no number at all
+	case !(slots <= dispatch.MaxSlots): // beyond any machine, or no number at all
 		why = "malformed X-Labels"
 	}
 	if why != "" {
@@ -266,7 +266,7 @@
 	p := &payload{method: r.Method, target: r.Target, key: r.Header.Get("Idempotency-Key"), body: r.Body}
 	s := scheduler.Submitted{Caller: scheduler.Caller(lastCaller.Add(1)), ID: id, Class: class(r),
 		Tenant: r.Header.Get("X-Org"), Deadline: at + scheduler.Micros(min(ms, mostMs))*1000 - early,
-		Slots: slots, Repeat: r.Header.Get("X-Resent") == "1", Payload: p}
+		Slots: slots, Retry: r.Header.Get("X-Resent") == "1", Payload: p}
 	n.post(submission{c, n.now(), s})
 	next = c.begin()
 	var answer scheduler.Answer
@@ -278,7 +278,7 @@
 		case err := <-leave:
 			if err != nil {
 				p.gone.Store(true) // the loop may be far behind
-				n.post(scheduler.CallerLeft{Caller: s.Caller})
+				n.post(scheduler.ClientDisconnected{Caller: s.Caller})
 				return nil, c.over(at, err)
 			}
 			// The next request came before this one's answer: it waits its turn. Its bytes must
@@ -292,7 +292,7 @@
 			return nil, false
 		}
 	}
-	last := r.Close || answer.Last || c.ctx.Err() != nil || len(n.slots) == cap(n.slots)
+	last := r.Close || answer.FinalForConnection || c.ctx.Err() != nil || len(n.slots) == cap(n.slots)
 	if ahead != nil { // nobody else may read until it has ended
 		c.conn.SetReadDeadline(time.Now())
 		last = !errors.Is(<-ahead, os.ErrDeadlineExceeded) || last
@@ -346,7 +346,7 @@
 	if a.Verdict != scheduler.Refused {
 		return ""
 	}
-	return retryAfter(a.Wait)
+	return retryAfter(a.RetryAfter)
 }
 
 func retryAfter(wait scheduler.Micros) string {
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -22,7 +22,7 @@
 		case "rev":
 			t.Rev = in.Int64()
 		case "all":
-			t.All = in.Bool()
+			t.Complete = in.Bool()
 		case "targets":
 			in.Delim('[')
 			for !in.IsDelim(']') && in.Error() == nil {
@@ -45,7 +45,7 @@
 }
 
 var states = map[string]dispatch.Status{
-	"ready": dispatch.Ready, "draining": dispatch.Draining, "gone": dispatch.Gone,
+	"ready": dispatch.Ready, "draining": dispatch.Draining, "gone": dispatch.Removed,
 }
 
 // decodeWorker reads an entry. One that cannot be used takes its worker out of use, if it
@@ -82,7 +82,7 @@
 		err = errors.New("a worker without a name")
 	case !known:
 		err = fmt.Errorf("worker %q: unknown state %q", r.UID, state)
-	case r.Addr == "" && status != dispatch.Gone:
+	case r.Addr == "" && status != dispatch.Removed:
 		err = fmt.Errorf("worker %q has no address", r.UID)
 	}
 	if r.Status = status; err != nil {
@@ -91,14 +91,14 @@
 	return r, err
 }
 
-var news = map[string]scheduler.News{
-	"started": scheduler.NewsStarted, "running": scheduler.NewsRunning, "done": scheduler.NewsDone,
-	"failed": scheduler.NewsFailed, "returned": scheduler.NewsReturned, "lost": scheduler.NewsLost,
+var news = map[string]scheduler.CallbackKind{
+	"started": scheduler.CallbackStarted, "running": scheduler.CallbackRunning, "done": scheduler.CallbackDone,
+	"failed": scheduler.CallbackFailed, "returned": scheduler.CallbackHandedBack, "lost": scheduler.CallbackAborted,
 }
 
 // decodeTold reads a callback.
-func decodeTold(body []byte) (scheduler.Told, error) {
-	var t scheduler.Told
+func decodeTold(body []byte) (scheduler.Callback, error) {
+	var t scheduler.Callback
 	in := jlexer.Lexer{Data: body}
 	Fields(&in, func(key string) {
 		switch key {
@@ -107,9 +107,9 @@
 		case "from":
 			t.From = in.String()
 		case "state":
-			t.News = news[in.String()]
+			t.Kind = news[in.String()]
 		case "share":
-			t.Share = in.Float64()
+			t.Progress = in.Float64()
 		case "result":
 			t.Result = []byte(in.String())
 		case "load":
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -93,7 +93,7 @@
 	w.node.slots <- struct{}{}
 	c.serve()
 	w.node.do(func() {
-		if n := w.node.sched.Kept().Used; n != 0 {
+		if n := w.node.sched.Stats().ReservedIDs; n != 0 {
 			t.Errorf("%d were submitted", n)
 		}
 	})
@@ -104,7 +104,7 @@
 func TestWhatHasNotLeftNeverLeaves(t *testing.T) {
 	for _, may := range []bool{false, true} {
 		set := parsed(t)
-		set.Module.MayCancel = may
+		set.Module.CancelAllowed = may
 		w := newWorldOf(t, set, 0, "r1")
 		n := w.node
 		n.do(func() {
@@ -113,7 +113,7 @@
 		play(t, w, "c1 send job batch a1 || work\nwait open 1\nc1 close\nwait open 0")
 		n.do(func() {
 			n.told.apply(n.now())
-			if k := n.sched.Kept(); k.Attempts != 0 && len(n.attempts) != 0 {
+			if k := n.sched.Stats(); k.Attempts != 0 && len(n.attempts) != 0 {
 				t.Errorf("may cancel %v: still on its way: %+v", may, k)
 			}
 		})
@@ -196,7 +196,7 @@
 		t.Run(fmt.Sprintf("may cancel %v", may), func(t *testing.T) {
 			t.Parallel()
 			set := parsed(t)
-			set.Module.MayCancel = may
+			set.Module.CancelAllowed = may
 			test(t, newWorldOf(t, set, 0, workers...))
 		})
 	}
@@ -321,8 +321,8 @@
 		r1 expect POST /batch/7?a=b txn=b1 key=k body=next
 	`)
 	n.do(func() {
-		if k := n.sched.Kept(); k.Used != 1 {
-			t.Errorf("%d were submitted", k.Used)
+		if k := n.sched.Stats(); k.ReservedIDs != 1 {
+			t.Errorf("%d were submitted", k.ReservedIDs)
 		}
 	})
 }
@@ -391,7 +391,7 @@
 					arrives(leave)
 				}
 				resume()
-				if leaveFirst && n.cfg.Settings.Module.MayCancel { // what has left is called off
+				if leaveFirst && n.cfg.Settings.Module.CancelAllowed { // what has left is called off
 					play(t, w, fmt.Sprintf("r1 expect DELETE /jobs/a%d\nr1 send 200 OK\nr1 expect end", i))
 				}
 				play(t, w, fmt.Sprintf(`
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,15 +26,15 @@
 
 // Config is what a node is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Sockets   int // descriptors that the process may hold; 0: not told
-	MemoryMB  int // memory that it may take; 0: not told
-	Known     scheduler.WorkerList
-	Odd       error // of what is known, what cannot be used
-	Settings  settings.Settings
+	Name         string
+	Listen       string
+	Discovery    string
+	Seed         uint64
+	Sockets      int // descriptors that the process may hold; 0: not told
+	MemoryMB     int // memory that it may take; 0: not told
+	Known        scheduler.WorkerList
+	InvalidKnown error // of what is known, what cannot be used
+	Settings     settings.Settings
 }
 
 // How the descriptors are dealt out.
@@ -105,10 +105,10 @@
 // Listen opens the client address. Nothing is accepted until Run.
 func Listen(cfg Config, log *slog.Logger) (*Node, error) {
 	// On sockets a list that is pushed comes over a watch, too, which somebody has to open.
-	pushed := !cfg.Settings.Module.AskForList
-	cfg.Settings.Module.AskForList, cfg.Settings.Module.FreeCalls = true, pushed
-	if cfg.Settings.Module.ToldWithin == 0 { // only tests set it
-		cfg.Settings.Module.ToldWithin = scheduler.Micros(toldWithin / time.Microsecond)
+	pushed := !cfg.Settings.Module.PollEndpoints
+	cfg.Settings.Module.PollEndpoints, cfg.Settings.Module.UnmeteredPolls = true, pushed
+	if cfg.Settings.Module.MaxStaleness == 0 { // only tests set it
+		cfg.Settings.Module.MaxStaleness = scheduler.Micros(toldWithin / time.Microsecond)
 	}
 	sched, err := scheduler.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -127,8 +127,8 @@
 		clients: map[*client]bool{}, callers: map[scheduler.Caller]*client{},
 		links: map[string][]*workerConn{}, attempts: map[scheduler.Attempt]*workerConn{},
 		mostOpen: usable / workerPart}
-	n.told = newTold(cfg.Settings.DrainGrace, cfg.Settings.Module.ToldWithin)
-	n.told.pushed, n.told.ask = pushed, cfg.Settings.Module.AskWithin
+	n.told = newTold(cfg.Settings.DrainGrace, cfg.Settings.Module.MaxStaleness)
+	n.told.pushed, n.told.ask = pushed, cfg.Settings.Module.PollInterval
 	if n.answerWithin, n.silentFor = answerWithin, silentFor; pushed {
 		n.answerWithin = agentWithin
 	}
@@ -162,7 +162,7 @@
 }
 
 // Stop asks for an orderly end.
-func (n *Node) Stop() { n.post(scheduler.Stopping{}) }
+func (n *Node) Stop() { n.post(scheduler.ShutdownRequested{}) }
 
 // Reload goes over to a new configuration. All that it applies is discovery's address.
 func (n *Node) Reload(cfg Config) { n.post(scheduler.Reloaded{Discovery: cfg.Discovery}) }
@@ -174,11 +174,11 @@
 	sweep := time.NewTicker(sweepEvery)
 	defer sweep.Stop()
 	defer n.close()
-	err := n.step(scheduler.Began{Discovery: n.cfg.Discovery, Known: n.cfg.Known})
+	err := n.step(scheduler.Started{Discovery: n.cfg.Discovery, Known: n.cfg.Known})
 	n.log.Info("serving", "name", n.cfg.Name, "listen", n.Addr().String(), "discovery", n.cfg.Discovery,
 		"workers", len(n.cfg.Known.Workers))
-	if n.cfg.Odd != nil {
-		n.log.Warn("the known worker list is no use in part", "why", n.cfg.Odd)
+	if n.cfg.InvalidKnown != nil {
+		n.log.Warn("the known worker list is no use in part", "why", n.cfg.InvalidKnown)
 	}
 	n.serving.Add(1) // the acceptor counts as one, so that none is added behind the last
 	n.spawn(n.accept)
@@ -197,7 +197,7 @@
 			n.told.look(n.now())
 		case <-n.timer.C:
 			n.lag.note(n.now(), n.wakeAt)
-			err = n.step(scheduler.Woke{})
+			err = n.step(scheduler.TimerFired{})
 		}
 	}
 	return err
@@ -279,7 +279,7 @@
 		// The last slots are for callbacks: without them nothing that runs would end.
 		if len(n.callers) >= cap(n.slots)-n.reserve {
 			n.log.Warn("short on connections: a job is refused", "txn", m.ID)
-			m.client.answers <- scheduler.Answer{Verdict: scheduler.Refused, Last: true}
+			m.client.answers <- scheduler.Answer{Verdict: scheduler.Refused, FinalForConnection: true}
 			return nil
 		}
 		n.callers[m.Caller] = m.client
@@ -298,7 +298,7 @@
 		n.open--
 	case listWord:
 		return n.watchSaid(m)
-	case scheduler.CallerLeft:
+	case scheduler.ClientDisconnected:
 		delete(n.callers, m.Caller) // no answer follows that would
 		return n.step(m)
 	case scheduler.Event:
@@ -344,35 +344,35 @@
 // never hangs on it.
 func (n *Node) carryOut(e scheduler.Effect) {
 	switch e := e.(type) {
-	case scheduler.Route:
+	case scheduler.SendAttempt:
 		n.route(e)
-	case scheduler.Abandon:
+	case scheduler.CloseConnection:
 		n.abandon(e.Attempt)
-	case scheduler.Unsend:
+	case scheduler.CancelUnsent:
 		n.unsend(e.Attempt)
-	case scheduler.Withdraw:
+	case scheduler.CancelAttempt:
 		n.withdraw(e)
 	case scheduler.Answer:
 		if c := n.callers[e.Caller]; c != nil {
 			delete(n.callers, e.Caller)
 			c.answers <- e // it has room for the one answer that a caller gets
 		}
-	case scheduler.Wake:
+	case scheduler.SetTimer:
 		n.wakeAt = e.At
 		n.timer.Reset(time.Until(n.at(e.At)))
-	case scheduler.Watch:
+	case scheduler.OpenWatch:
 		n.openWatch(e)
-	case scheduler.Retire:
+	case scheduler.StopUsingWorker:
 		n.told.leaves(e.UID, true)
 		n.retire(e.Addr)
-	case scheduler.Admit:
+	case scheduler.ResumeWorker:
 		n.told.leaves(e.UID, false)
-	case scheduler.Close:
+	case scheduler.CloseIdleClients:
 		n.draining.Store(true)
 		for c := range n.clients {
 			c.release()
 		}
-	case scheduler.Exit:
+	case scheduler.Shutdown:
 		n.part(n.at(e.By))
 	case scheduler.Log:
 		level := slog.LevelInfo
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -139,12 +139,12 @@
 func (n *Node) knows(span time.Duration) {
 	n.wordIsPosted()
 	until := n.now() + scheduler.Micros(span.Microseconds())
-	n.watchSaid(listWord{watch: n.watch, event: scheduler.ListRead{At: until}})
+	n.watchSaid(listWord{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: until}})
 }
 
 // deaf lets nothing that a node knows of the list hold.
 func (n *Node) deaf() {
-	n.watchSaid(listWord{watch: n.watch, event: scheduler.ListLost{Unread: true}})
+	n.watchSaid(listWord{watch: n.watch, event: scheduler.WatchClosed{Unreadable: true}})
 }
 
 func workerLine(name, addr string) string {
@@ -567,7 +567,7 @@
 // it says leaves gets nothing new. An empty line before the first object says nothing.
 func TestReloadListensToBoth(t *testing.T) {
 	set := parsed(t) // nothing comes due by itself while discovery is played by hand
-	set.Module.AskWithin, set.Module.ToldWithin = 3600*second, 3600*second
+	set.Module.PollInterval, set.Module.MaxStaleness = 3600*second, 3600*second
 	w := newWorldOf(t, set, 0, "r1", "r2")
 	w.serve(t, "discovery2")
 	addr := w.parties["r1"].listener.Addr().String()
@@ -605,7 +605,7 @@
 // trusts lets what a node knows of the list hold, without a word of any watch.
 func (n *Node) trusts(span time.Duration) {
 	until := n.now() + scheduler.Micros(span.Microseconds())
-	n.step(scheduler.ListRead{At: until})
+	n.step(scheduler.EndpointsUpdated{AsOf: until})
 	n.told.mu.Lock()
 	defer n.told.mu.Unlock()
 	n.told.until = until
@@ -613,7 +613,7 @@
 
 // Before the first object a watch says nothing of what there is.
 func TestEmptyLinesAreNoList(t *testing.T) {
-	told := make(chan scheduler.ListRead, 10)
+	told := make(chan scheduler.EndpointsUpdated, 10)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -631,8 +631,8 @@
 			conn.Close()
 		}
 	}()
-	say := func(e scheduler.ListRead, _ *tap) { told <- e }
-	err = n.follow(n.ctx, scheduler.Watch{Addr: l.Addr().String()}, say)
+	say := func(e scheduler.EndpointsUpdated, _ *tap) { told <- e }
+	err = n.follow(n.ctx, scheduler.OpenWatch{Addr: l.Addr().String()}, say)
 	if err == nil || errors.Is(err, errNoList) {
 		t.Errorf("an object that is cut off is none, not one that cannot be read: %v", err)
 	}
@@ -835,7 +835,7 @@
 		t.Error("ready before discovery was heard")
 	}
 	n.timer, n.watch = time.NewTimer(time.Hour), &watch{}
-	n.handle(listWord{watch: n.watch, event: scheduler.ListLost{}})
+	n.handle(listWord{watch: n.watch, event: scheduler.WatchClosed{}})
 	if n.ready() {
 		t.Error("ready though discovery did not answer")
 	}
@@ -862,7 +862,7 @@
 		if _, err := io.WriteString(theirs, text); err != nil {
 			t.Fatal(err)
 		}
-		if m, is := (<-n.inbox).(submission); !is || m.Repeat != want {
+		if m, is := (<-n.inbox).(submission); !is || m.Retry != want {
 			t.Errorf("%q: got %+v", mark, m)
 		}
 		theirs.Close()
@@ -977,7 +977,7 @@
 func TestIdleConnectionsAreKeptByTheFleet(t *testing.T) {
 	for balancers, want := range map[int]int{3: 0, 80: 1} {
 		set := parsed(t)
-		set.Module.Balancers = balancers
+		set.Module.Dispatchers = balancers
 		n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: set}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -1003,7 +1003,7 @@
 	}{{3, 60 * second, keptFor}, {3, 0, 0}, {80, 60 * second, 2 * second},
 		{80, 1500 * millisecond, 750 * millisecond}, {80, 0, 0}} {
 		set := parsed(t)
-		set.Module.Balancers, set.ConnIdle = c.balancers, c.idle
+		set.Module.Dispatchers, set.ConnIdle = c.balancers, c.idle
 		if got := kept(&set); got != c.want {
 			t.Errorf("%d schedulers, closed after %d: kept for %d, want %d", c.balancers, c.idle, got, c.want)
 		}
@@ -1018,7 +1018,7 @@
 	}
 	r := got.Workers[0]
 	want := scheduler.Worker{UID: "s-1", Addr: "h:1", Zone: "a", Kind: "m2", Cell: 3,
-		Status: dispatch.Gone, Started: 1700000000123000}
+		Status: dispatch.Removed, Started: 1700000000123000}
 	if diff := cmp.Diff(want, r); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/node/quiet_test.go
+++ b/internal/node/quiet_test.go
@@ -12,7 +12,7 @@
 // quietWorld is a world whose discovery has told of r1 over a watch that is open.
 func quietWorld(t *testing.T, pushed bool, askWithin scheduler.Micros) *world {
 	set := parsed(t)
-	set.DrainGrace, set.Module.AskForList, set.Module.AskWithin = graceOfTests, !pushed, askWithin
+	set.DrainGrace, set.Module.PollEndpoints, set.Module.PollInterval = graceOfTests, !pushed, askWithin
 	w := newWorldOf(t, set, 0, "r1")
 	w.serve(t, "discovery2")
 	play(t, w, `
@@ -72,7 +72,7 @@
 		t.Errorf("the last look: %v", got)
 	}
 	w.node.do(func() { // the module holds the job rather than have it turned back
-		if k := w.node.sched.Kept(); k.Attempts != 0 || k.ModuleJobs != 1 || len(w.node.attempts) != 0 {
+		if k := w.node.sched.Stats(); k.Attempts != 0 || k.ModuleJobs != 1 || len(w.node.attempts) != 0 {
 			t.Errorf("kept %+v", k)
 		}
 	})
@@ -111,7 +111,7 @@
 	until := n.holds(t, 4*second)
 	n.do(func() { // an empty line of the address before: its word comes after the reload
 		n.wordIsPosted()
-		n.watchSaid(listWord{watch: n.before, event: scheduler.ListRead{At: n.now()}})
+		n.watchSaid(listWord{watch: n.before, event: scheduler.EndpointsUpdated{AsOf: n.now()}})
 	})
 	if again := n.holds(t, 4*second); again > until {
 		t.Errorf("it holds until %d, not %d", again, until)
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -24,11 +24,11 @@
 			t.Run(fmt.Sprint(way, ", a client waits ", deadline), func(t *testing.T) {
 				t.Parallel()
 				set := parsed(t)
-				set.Module.Balancers = 300
+				set.Module.Dispatchers = 300
 				for i := range set.Module.Classes {
 					c := &set.Module.Classes[i]
 					c.Deadline = scheduler.Micros(deadline.Microseconds())
-					c.Aim = min(c.Aim, c.Deadline/2)
+					c.LatencyObjective = min(c.LatencyObjective, c.Deadline/2)
 				}
 				n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: set, Discovery: absent(t, way)},
 					slog.New(slog.DiscardHandler))
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -23,8 +23,8 @@
 		for _, l := range n.links {
 			links += len(l)
 		}
-		k := n.sched.Kept()
-		k.Used, k.Dues = 0, 0 // these go by time alone
+		k := n.sched.Stats()
+		k.ReservedIDs, k.Timers = 0, 0 // these go by time alone
 		text = fmt.Sprintf("clients %d, callers %d, links %d in %d, open %d, attempts %d, calls %d, slots %d, %+v",
 			len(n.clients), len(n.callers), links, len(n.links), n.open, len(n.attempts), n.calls, len(n.slots), k)
 	})
@@ -37,15 +37,15 @@
 	w := newWorld(t, 0)
 	n := w.node
 	worker, err := fakes.NewWorker("r1", "127.0.0.1:0", func() string { return n.Addr().String() },
-		func(fakes.Job) fakes.Plan { return fakes.Plan{Run: 20 * time.Millisecond} }, func(history.Event) {})
+		func(fakes.Job) fakes.Script { return fakes.Script{Run: 20 * time.Millisecond} }, func(history.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(worker.Close)
 	n.do(func() {
 		n.wordIsPosted()
-		n.watchSaid(listWord{watch: n.watch, event: scheduler.ListRead{At: n.now() + 3600*second,
-			List: scheduler.WorkerList{Rev: 5, All: true, Workers: []scheduler.Worker{
+		n.watchSaid(listWord{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: n.now() + 3600*second,
+			List: scheduler.WorkerList{Rev: 5, Complete: true, Workers: []scheduler.Worker{
 				{UID: "r1", Addr: worker.Addr(), Zone: "north", Kind: "m1", Status: 1}}}}})
 	})
 	const job = "POST /%[1]s/7 HTTP/1.1\r\nX-Txn: %[2]s\r\nX-Lane: %[1]s\r\nX-Org: sahel\r\n" +
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -184,8 +184,8 @@
 	n.do(func() {
 		leaves := scheduler.Worker{UID: first, Addr: w.parties[first].listener.Addr().String(), Zone: "north",
 			Kind: "m1", Status: dispatch.Draining}
-		n.watchSaid(listWord{watch: n.watch, event: scheduler.ListRead{List: scheduler.WorkerList{Rev: 5,
-			Workers: []scheduler.Worker{leaves}}, At: n.now() + 3600*second}})
+		n.watchSaid(listWord{watch: n.watch, event: scheduler.EndpointsUpdated{List: scheduler.WorkerList{Rev: 5,
+			Workers: []scheduler.Worker{leaves}}, AsOf: n.now() + 3600*second}})
 	})
 	play(t, w, other+" expect POST /post/7?a=b txn=a1 key=k body=work")
 	heard := w.parties[first].heard
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -50,9 +50,9 @@
 
 // openWatch opens a watch in place of the present one. That one is read on until the new one
 // has said something: what discovery has written there has been told.
-func (n *Node) openWatch(w scheduler.Watch) {
-	if w.Until != 0 {
-		n.told.moved(w.Until)
+func (n *Node) openWatch(w scheduler.OpenWatch) {
+	if w.ValidUntil != 0 {
+		n.told.moved(w.ValidUntil)
 	}
 	ctx, release := context.WithCancel(n.ctx)
 	if n.watch != nil && !n.watch.ended {
@@ -66,15 +66,15 @@
 	n.spawn(func() {
 		defer release()
 		var spoke *tap
-		err := n.follow(ctx, w, func(e scheduler.ListRead, t *tap) {
+		err := n.follow(ctx, w, func(e scheduler.EndpointsUpdated, t *tap) {
 			spoke = t
-			e.At = n.told.post(t, n.now())
+			e.AsOf = n.told.post(t, n.now())
 			n.post(listWord{watch: own, event: e, read: n.now()})
 		})
-		lost := scheduler.ListLost{}
+		lost := scheduler.WatchClosed{}
 		if ctx.Err() == nil { // else it was let go
 			n.log.Warn("watch of the worker list lost", "error", err)
-			lost.Unread = errors.Is(err, errNoList)
+			lost.Unreadable = errors.Is(err, errNoList)
 		}
 		n.post(listWord{watch: own, event: lost, sure: spoke.sure()})
 	})
@@ -83,8 +83,8 @@
 // watchSaid takes a word of a watch.
 func (n *Node) watchSaid(m listWord) (err error) {
 	switch e := m.event.(type) {
-	case scheduler.ListRead:
-		heard := e.At
+	case scheduler.EndpointsUpdated:
+		heard := e.AsOf
 		if late := n.now() - m.read; m.read != 0 && late > n.told.grace/2 && n.told.grace > 0 {
 			n.log.Warn("a word of discovery is taken in late", "rev", e.List.Rev, "ms", late/millisecond)
 		}
@@ -95,15 +95,15 @@
 				n.before = nil
 			}
 		} else {
-			e.Old, heard = true, 0
+			e.FromPreviousWatch, heard = true, 0
 		}
 		err = n.step(e)
 		n.told.apply(heard) // only now: those who leave are known
-	case scheduler.ListLost:
+	case scheduler.WatchClosed:
 		if m.watch.ended = true; m.watch != n.watch {
 			m.sure = 0 // nothing hangs on it any more
 		}
-		e.Until = n.told.lost(m.sure, e.Unread)
+		e.ValidUntil = n.told.lost(m.sure, e.Unreadable)
 		switch m.watch {
 		case n.watch:
 			err = n.step(e)
@@ -118,7 +118,7 @@
 var errNoList = errors.New("no list")
 
 // follow reads one watch until it ends.
-func (n *Node) follow(ctx context.Context, w scheduler.Watch, say func(scheduler.ListRead, *tap)) error {
+func (n *Node) follow(ctx context.Context, w scheduler.OpenWatch, say func(scheduler.EndpointsUpdated, *tap)) error {
 	dialer := net.Dialer{Deadline: time.Now().Add(n.answerWithin), KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", w.Addr)
 	if err != nil {
@@ -164,7 +164,7 @@
 			begun = true
 		}
 		if begun { // before the first object an empty line says nothing of what there is
-			say(scheduler.ListRead{List: t}, tap)
+			say(scheduler.EndpointsUpdated{List: t}, tap)
 		}
 	}
 	switch err := lines.Err(); {
--- a/internal/node/words_test.go
+++ b/internal/node/words_test.go
@@ -21,8 +21,8 @@
 	}
 	tap := &tap{emptyAt: now}
 	word := func(rev int64, whole bool, workers ...scheduler.Worker) listWord {
-		return listWord{watch: n.watch, event: scheduler.ListRead{At: n.told.post(tap, n.now()),
-			List: scheduler.WorkerList{Rev: rev, All: whole, Workers: workers}}}
+		return listWord{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: n.told.post(tap, n.now()),
+			List: scheduler.WorkerList{Rev: rev, Complete: whole, Workers: workers}}}
 	}
 	n.do(func() {
 		n.told.mu.Lock()
@@ -38,7 +38,7 @@
 		words := make([]listWord, zone)
 		for i := range words {
 			gone := all[i]
-			gone.Status = dispatch.Gone
+			gone.Status = dispatch.Removed
 			words[i] = word(11+int64(i), false, gone)
 		}
 		for i, m := range words {
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -76,7 +76,7 @@
 	ctx     context.Context
 	release context.CancelFunc
 
-	connstate.Link
+	connstate.Conn
 	id    string
 	since scheduler.Micros
 	gate  atomic.Int32 // of the errand: open, writing or shut; the first to move it wins
@@ -118,7 +118,7 @@
 }
 
 func (c *workerConn) take(e errand) {
-	c.Take(e.attempt, e.payload == nil)
+	c.Assign(e.attempt, e.payload == nil)
 	c.id = e.id
 	c.gate.Store(gateOpen)
 	c.errands <- e // it has room: a connection has one errand at a time
@@ -126,7 +126,7 @@
 
 // drop lets a connection go.
 func (n *Node) drop(c *workerConn) {
-	c.LetGo()
+	c.Release()
 	c.release()
 }
 
@@ -165,12 +165,12 @@
 	delete(n.links, addr)
 }
 
-func (n *Node) route(r scheduler.Route) {
+func (n *Node) route(r scheduler.SendAttempt) {
 	l, ok := n.assign(r.Addr, errand{attempt: r.Attempt, id: r.ID, uid: r.UID, writeBy: r.WriteBy,
 		deadline: r.Deadline, payload: r.Payload.(*payload)})
 	if !ok {
 		n.log.Warn("short on connections: an attempt is not sent", "txn", r.ID, "worker", r.UID)
-		n.later(scheduler.Ended{Attempt: r.Attempt, Outcome: dispatch.ConnectFailed})
+		n.later(scheduler.AttemptEnded{Attempt: r.Attempt, Outcome: dispatch.ConnectFailed})
 		return
 	}
 	n.attempts[r.Attempt] = l
@@ -185,7 +185,7 @@
 		return
 	}
 	delete(n.attempts, attempt)
-	if c.Withdraw {
+	if c.Cancel {
 		n.calls--
 	} else if c.gate.CompareAndSwap(gateOpen, gateShut) {
 		n.unsent = attempt // the withdrawal that follows has nobody to tell
@@ -199,19 +199,19 @@
 	if c := n.attempts[attempt]; c != nil && c.gate.CompareAndSwap(gateOpen, gateShut) {
 		delete(n.attempts, attempt)
 		n.drop(c)
-		n.later(scheduler.Ended{Attempt: attempt, Outcome: dispatch.Moot})
+		n.later(scheduler.AttemptEnded{Attempt: attempt, Outcome: dispatch.NotSent})
 	}
 }
 
-func (n *Node) withdraw(w scheduler.Withdraw) {
+func (n *Node) withdraw(w scheduler.CancelAttempt) {
 	if n.unsent == w.Attempt {
-		n.later(scheduler.Withdrawn{Attempt: w.Attempt, Reached: true})
+		n.later(scheduler.CancellationResult{Attempt: w.Attempt, Acknowledged: true})
 		return
 	}
 	c, ok := n.assign(w.Addr, errand{attempt: w.Attempt, id: w.ID, writeBy: w.Deadline, deadline: w.Deadline})
 	if !ok {
 		n.log.Warn("short on connections: a job is not withdrawn", "txn", w.ID)
-		n.later(scheduler.Withdrawn{Attempt: w.Attempt})
+		n.later(scheduler.CancellationResult{Attempt: w.Attempt})
 		return
 	}
 	n.attempts[w.Attempt] = c
@@ -219,15 +219,15 @@
 }
 
 func (n *Node) linkWrote(m wrote) error {
-	next, e := m.conn.Wrote(m.err != nil, errors.Is(m.err, syscall.ECONNREFUSED))
-	if end, is := e.(scheduler.Ended); is && (m.err == errLeaves || m.err == errUnheard || m.err == errNobody) {
+	next, e := m.conn.WriteEnded(m.err != nil, errors.Is(m.err, syscall.ECONNREFUSED))
+	if end, is := e.(scheduler.AttemptEnded); is && (m.err == errLeaves || m.err == errUnheard || m.err == errNobody) {
 		n.log.Info("an attempt turned back", "txn", m.conn.id, "worker", m.conn.addr, "why", m.err)
-		end.Outcome = dispatch.Moot // the worker is not at fault
+		end.Outcome = dispatch.NotSent // the worker is not at fault
 		e = end
 	}
-	if end, is := e.(scheduler.Ended); is && end.Outcome == dispatch.ConnectFailed && n.noRoom(m.conn, m.err) {
+	if end, is := e.(scheduler.AttemptEnded); is && end.Outcome == dispatch.ConnectFailed && n.noRoom(m.conn, m.err) {
 		n.log.Info("a worker has no room for another connection", "worker", m.conn.addr, "txn", m.conn.id)
-		end.Outcome = dispatch.Full
+		end.Outcome = dispatch.AtCapacity
 		e = end
 	}
 	return n.linkNext(m.conn, next, e, m.err)
@@ -252,7 +252,7 @@
 }
 
 func (n *Node) linkBroke(c *workerConn) error {
-	next, e := c.Broke()
+	next, e := c.ReadEnded()
 	if next == connstate.Drop && e == nil { // it idled
 		n.unlist(c)
 	}
@@ -266,23 +266,23 @@
 
 func (n *Node) linkAnswered(m response) error {
 	c := m.conn
-	idled, unsent := !c.Busy, c.Busy && !c.Dead && !c.Withdraw && c.gate.CompareAndSwap(gateOpen, gateShut)
+	idled, unsent := !c.Busy, c.Busy && !c.Released && !c.Cancel && c.gate.CompareAndSwap(gateOpen, gateShut)
 	next, e := c.Answered(m.Answer)
 	if unsent { // it came before anything of the attempt had left, and now nothing will
-		e = scheduler.Ended{Attempt: c.Attempt, Outcome: dispatch.Moot}
+		e = scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: dispatch.NotSent}
 	}
 	if next == connstate.Drop && (idled || unsent) {
 		n.log.Warn("an answer that nobody asked for", "worker", c.addr, "status", m.Status)
 		n.unlist(c) // where it idled
 	}
 	switch e := e.(type) {
-	case scheduler.Withdrawn:
+	case scheduler.CancellationResult:
 		if m.Status >= 300 && m.Status != 404 {
 			n.log.Warn("withdrawal not taken", "worker", c.addr, "txn", c.id, "status", m.Status)
 		}
-	case scheduler.Rejected:
+	case scheduler.AttemptRejected:
 		n.log.Info("a worker rejects a request", "worker", c.addr, "txn", c.id, "status", m.Status)
-	case scheduler.Ended:
+	case scheduler.AttemptEnded:
 		if e.Outcome == dispatch.Failed && m.Status != 500 {
 			n.log.Warn("unexpected answer of a worker", "worker", c.addr, "txn", c.id, "status", m.Status)
 		}
@@ -299,7 +299,7 @@
 
 // linkNext does with a connection what its state machine says, and passes on what that
 // means for its errand.
-func (n *Node) linkNext(c *workerConn, next connstate.Next, e scheduler.Event, cause error) error {
+func (n *Node) linkNext(c *workerConn, next connstate.Disposition, e scheduler.Event, cause error) error {
 	if e == nil {
 		if next == connstate.Drop {
 			n.drop(c)
@@ -307,7 +307,7 @@
 		return nil
 	}
 	delete(n.attempts, c.Attempt)
-	if c.Withdraw {
+	if c.Cancel {
 		n.calls--
 	}
 	if next == connstate.Drop {
@@ -324,10 +324,10 @@
 // connection's end.
 func answered(e scheduler.Event) bool {
 	switch e := e.(type) {
-	case scheduler.Ended:
+	case scheduler.AttemptEnded:
 		return e.Outcome != dispatch.Reset && e.Outcome != dispatch.ConnectFailed
-	case scheduler.Withdrawn:
-		return e.Reached
+	case scheduler.CancellationResult:
+		return e.Acknowledged
 	}
 	return true
 }
