--- a/internal/scheduler/copy.go
+++ b/internal/scheduler/copy.go
@@ -152,26 +152,26 @@
 // Break makes the module break down at the next event that it gets.
 func (s *Scheduler) Break() { s.module = nil }
 
-// Kept counts what is held on behalf of requests, now or in the past.
-type Kept struct {
+// Stats counts what is held on behalf of requests, now or in the past.
+type Stats struct {
 	Callers, IDs, Jobs, Attempts int // of requests and attempts
-	Recalls                      int // withdrawals that are still to be heard
-	Used                         int // ids that may not come again
-	Dues                         int // things to come due other than the module's timers
+	Cancellations                int // withdrawals that are still to be heard
+	ReservedIDs                  int // ids that may not come again
+	Timers                       int // things to come due other than the module's timers
 	ModuleJobs                   int
 }
 
-// Kept tells what is held after all that has come due is dealt with.
-func (s *Scheduler) Kept() Kept {
-	k := Kept{Callers: len(s.byCaller), IDs: len(s.byID), Jobs: len(s.byJob), Attempts: len(s.byAttempt),
-		Recalls: len(s.recalls),
-		Used:    len(s.used.now) + len(s.used.before)}
+// Stats tells what is held after all that has come due is dealt with.
+func (s *Scheduler) Stats() Stats {
+	k := Stats{Callers: len(s.byCaller), IDs: len(s.byID), Jobs: len(s.byJob), Attempts: len(s.byAttempt),
+		Cancellations: len(s.recalls),
+		ReservedIDs:   len(s.used.now) + len(s.used.before)}
 	if s.module != nil {
 		k.ModuleJobs = s.module.Open()
 	}
 	for _, d := range s.due {
 		if !d.timer {
-			k.Dues++
+			k.Timers++
 		}
 	}
 	return k
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -21,8 +21,8 @@
 
 // The events.
 type (
-	// Began comes once, before all others.
-	Began struct {
+	// Started comes once, before all others.
+	Started struct {
 		Discovery string // its address
 		Known     WorkerList
 	}
@@ -35,87 +35,87 @@
 		Class, Tenant string
 		Deadline      Micros // the caller waits until then
 		Slots         float64
-		Repeat        bool // the caller says that it tried before
+		Retry         bool // the caller says that it tried before
 		Payload       any  // handed back with each attempt, unread
 	}
-	// CallerLeft says that nobody waits for the answer any more.
-	CallerLeft struct{ Caller Caller }
-	// Accepted says that a worker has taken an attempt.
-	Accepted struct{ Attempt Attempt }
-	// Ended says how an attempt ended, by what its connection showed.
-	Ended struct {
+	// ClientDisconnected says that nobody waits for the answer any more.
+	ClientDisconnected struct{ Caller Caller }
+	// AttemptAccepted says that a worker has taken an attempt.
+	AttemptAccepted struct{ Attempt Attempt }
+	// AttemptEnded says how an attempt ended, by what its connection showed.
+	AttemptEnded struct {
 		Attempt Attempt
 		Outcome dispatch.Outcome
 		Report  dispatch.Report
 	}
-	// Rejected says that a worker can make nothing of an attempt: not the worker
+	// AttemptRejected says that a worker can make nothing of an attempt: not the worker
 	// is at fault but the submission.
-	Rejected struct{ Attempt Attempt }
-	// Told is what a worker says of a request on its own account. It may come
+	AttemptRejected struct{ Attempt Attempt }
+	// Callback is what a worker says of a request on its own account. It may come
 	// early, late, or again.
-	Told struct {
+	Callback struct {
 		ID, From string
-		News     News
-		Share    float64
+		Kind     CallbackKind
+		Progress float64
 		Result   []byte
 		Report   dispatch.Report
 	}
-	// Withdrawn tells how a Withdraw went: Reached says that the worker has heard it, or
+	// CancellationResult tells how a Withdraw went: Reached says that the worker has heard it, or
 	// that the process that had the attempt is gone.
-	Withdrawn struct {
-		Attempt Attempt
-		Reached bool
+	CancellationResult struct {
+		Attempt      Attempt
+		Acknowledged bool
 	}
-	// ListRead is a word from discovery; one without workers is a heartbeat.
-	ListRead struct {
-		List WorkerList
-		At   Micros // all that there was to tell by then has been told; 0: by now
-		Old  bool   // of the discovery before the present one: it tells only who leaves
+	// EndpointsUpdated is a word from discovery; one without workers is a heartbeat.
+	EndpointsUpdated struct {
+		List              WorkerList
+		AsOf              Micros // all that there was to tell by then has been told; 0: by now
+		FromPreviousWatch bool   // of the discovery before the present one: it tells only who leaves
 	}
-	// ListLost says that the watch could not be opened, or ended.
-	ListLost struct {
-		Unread bool   // with a word that nobody can read: any worker may have been told to leave
-		Until  Micros // what is known holds no longer than that; 0, if it was read: it holds as it did
+	// WatchClosed says that the watch could not be opened, or ended.
+	WatchClosed struct {
+		Unreadable bool   // with a word that nobody can read: any worker may have been told to leave
+		ValidUntil Micros // what is known holds no longer than that; 0, if it was read: it holds as it did
 	}
-	// Woke says that the time of the last Wake has come.
-	Woke struct{}
-	// Stopping asks for an orderly end.
-	Stopping struct{}
+	// TimerFired says that the time of the last Wake has come.
+	TimerFired struct{}
+	// ShutdownRequested asks for an orderly end.
+	ShutdownRequested struct{}
 )
 
-func (Began) event()      {}
-func (Reloaded) event()   {}
-func (Submitted) event()  {}
-func (CallerLeft) event() {}
-func (Accepted) event()   {}
-func (Ended) event()      {}
-func (Rejected) event()   {}
-func (Told) event()       {}
-func (Withdrawn) event()  {}
-func (ListRead) event()   {}
-func (ListLost) event()   {}
-func (Woke) event()       {}
-func (Stopping) event()   {}
-
-// News is what a worker tells.
-type News uint8
+func (Started) event()            {}
+func (Reloaded) event()           {}
+func (Submitted) event()          {}
+func (ClientDisconnected) event() {}
+func (AttemptAccepted) event()    {}
+func (AttemptEnded) event()       {}
+func (AttemptRejected) event()    {}
+func (Callback) event()           {}
+func (CancellationResult) event() {}
+func (EndpointsUpdated) event()   {}
+func (WatchClosed) event()        {}
+func (TimerFired) event()         {}
+func (ShutdownRequested) event()  {}
+
+// CallbackKind is what a worker tells.
+type CallbackKind uint8
 
 // The news a worker can tell.
 const (
-	NewsUnknown News = iota
-	NewsStarted
-	NewsRunning
-	NewsDone
-	NewsFailed
-	NewsReturned // handed back unstarted
-	NewsLost
+	CallbackUnknown CallbackKind = iota
+	CallbackStarted
+	CallbackRunning
+	CallbackDone
+	CallbackFailed
+	CallbackHandedBack // handed back unstarted
+	CallbackAborted
 )
 
 // WorkerList is the worker list or a change to it.
 type WorkerList struct {
-	Rev     int64
-	All     bool // the whole list; what it lacks is gone
-	Workers []Worker
+	Rev      int64
+	Complete bool // the whole list; what it lacks is gone
+	Workers  []Worker
 }
 
 // Worker is one line of the worker list.
@@ -131,8 +131,8 @@
 
 // The effects.
 type (
-	// Route sends an attempt to a worker.
-	Route struct {
+	// SendAttempt sends an attempt to a worker.
+	SendAttempt struct {
 		Attempt  Attempt
 		ID       string
 		UID      string
@@ -141,14 +141,14 @@
 		Deadline Micros // the worker may work on it until then
 		Payload  any
 	}
-	// Abandon breaks the connection that an attempt, or its withdrawal, is on.
-	Abandon struct{ Attempt Attempt }
-	// Unsend keeps back an attempt that nobody waits for, if nothing of it has left yet; then
+	// CloseConnection breaks the connection that an attempt, or its withdrawal, is on.
+	CloseConnection struct{ Attempt Attempt }
+	// CancelUnsent keeps back an attempt that nobody waits for, if nothing of it has left yet; then
 	// Ended follows. It is no withdrawal: what has left goes on.
-	Unsend struct{ Attempt Attempt }
-	// Withdraw tells a worker to drop an attempt that it may hold. Withdrawn must follow. If
+	CancelUnsent struct{ Attempt Attempt }
+	// CancelAttempt tells a worker to drop an attempt that it may hold. Withdrawn must follow. If
 	// it comes with Abandon and nothing of the attempt ever got out, nobody need be told.
-	Withdraw struct {
+	CancelAttempt struct {
 		Attempt  Attempt
 		ID       string
 		Addr     string
@@ -156,29 +156,29 @@
 	}
 	// Answer is the one answer to a caller.
 	Answer struct {
-		Caller  Caller
-		Verdict Verdict
-		Body    []byte
-		Wait    Micros // with Refused: come back after this
-		Last    bool   // the scheduler is stopping: nothing more from this caller
+		Caller             Caller
+		Verdict            Verdict
+		Body               []byte
+		RetryAfter         Micros // with Refused: come back after this
+		FinalForConnection bool   // the scheduler is stopping: nothing more from this caller
 	}
-	// Wake asks for Woke at a time. The latest one counts.
-	Wake struct{ At Micros }
-	// Watch opens a watch of the worker list; an older one is dropped.
-	Watch struct {
+	// SetTimer asks for Woke at a time. The latest one counts.
+	SetTimer struct{ At Micros }
+	// OpenWatch opens a watch of the worker list; an older one is dropped.
+	OpenWatch struct {
 		Addr string
 		Rev  int64 // what changed after it is asked for; 0: the whole list
-		// Until, unless 0, is until when what is known holds, if Addr has not answered by then.
-		Until Micros
+		// ValidUntil, unless 0, is until when what is known holds, if Addr has not answered by then.
+		ValidUntil Micros
 	}
-	// Retire says that nothing new may go to a worker, and closes idle connections to it.
-	Retire struct{ UID, Addr string }
-	// Admit takes a Retire back: the worker is there again, or forgotten.
-	Admit struct{ UID string }
-	// Close lets callers go that have nothing submitted.
-	Close struct{}
-	// Exit ends the program: nothing is owed any more. Clients may part until then.
-	Exit struct{ By Micros }
+	// StopUsingWorker says that nothing new may go to a worker, and closes idle connections to it.
+	StopUsingWorker struct{ UID, Addr string }
+	// ResumeWorker takes a Retire back: the worker is there again, or forgotten.
+	ResumeWorker struct{ UID string }
+	// CloseIdleClients lets callers go that have nothing submitted.
+	CloseIdleClients struct{}
+	// Shutdown ends the program: nothing is owed any more. Clients may part until then.
+	Shutdown struct{ By Micros }
 	// Log is a line for the log.
 	Log struct {
 		Warn bool // somebody should look
@@ -187,18 +187,18 @@
 	}
 )
 
-func (Route) effect()    {}
-func (Abandon) effect()  {}
-func (Unsend) effect()   {}
-func (Withdraw) effect() {}
-func (Answer) effect()   {}
-func (Wake) effect()     {}
-func (Watch) effect()    {}
-func (Retire) effect()   {}
-func (Admit) effect()    {}
-func (Close) effect()    {}
-func (Exit) effect()     {}
-func (Log) effect()      {}
+func (SendAttempt) effect()      {}
+func (CloseConnection) effect()  {}
+func (CancelUnsent) effect()     {}
+func (CancelAttempt) effect()    {}
+func (Answer) effect()           {}
+func (SetTimer) effect()         {}
+func (OpenWatch) effect()        {}
+func (StopUsingWorker) effect()  {}
+func (ResumeWorker) effect()     {}
+func (CloseIdleClients) effect() {}
+func (Shutdown) effect()         {}
+func (Log) effect()              {}
 
 // Verdict is the kind of an answer.
 type Verdict uint8
--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -22,15 +22,15 @@
 	s.now, s.out = now, nil
 	s.used.pass(now, s.longest)
 	switch e := e.(type) {
-	case ListRead:
-		if e.Old {
+	case EndpointsUpdated:
+		if e.FromPreviousWatch {
 			s.warnedByWalk(e.List)
 			break
 		}
 		s.watching, s.knownAt = true, now
-		scope := dispatch.ListDelta
-		if e.List.All {
-			scope = dispatch.ListFull
+		scope := dispatch.UpdateDelta
+		if e.List.Complete {
+			scope = dispatch.UpdateFull
 		}
 		s.applyByWalk(e.List, scope)
 	default:
@@ -42,7 +42,7 @@
 }
 
 func (s *Scheduler) warnedByWalk(t WorkerList) {
-	e := dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListWarned}
+	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains}
 	for _, line := range t.Workers {
 		r := s.workers[line.UID]
 		if r == nil || line.Status == dispatch.Ready {
@@ -59,16 +59,16 @@
 	}
 }
 
-func (s *Scheduler) applyByWalk(t WorkerList, scope dispatch.ListScope) {
-	if t.All && t.Rev < s.rev {
+func (s *Scheduler) applyByWalk(t WorkerList, scope dispatch.UpdateScope) {
+	if t.Complete && t.Rev < s.rev {
 		s.count++
 	}
-	if s.rev = max(s.rev, t.Rev); t.All {
+	if s.rev = max(s.rev, t.Rev); t.Complete {
 		s.rev = t.Rev
 	}
 	now := version{s.count, t.Rev}
 	named := map[string]bool{}
-	e := dispatch.Event{Kind: dispatch.ListChanged, Scope: scope}
+	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope}
 	for _, line := range t.Workers {
 		named[line.UID] = true
 		r := s.workers[line.UID]
@@ -82,9 +82,9 @@
 	}
 	for _, r := range sorted(s.workers) {
 		switch {
-		case t.All && !named[r.UID] && (r.Status != dispatch.Gone || r.offer != nil):
-			r.Status, r.at, r.offer = dispatch.Gone, now, nil
-		case r.offer != nil && s.now-r.left >= s.set.Module.ToldWithin:
+		case t.Complete && !named[r.UID] && (r.Status != dispatch.Removed || r.offer != nil):
+			r.Status, r.at, r.offer = dispatch.Removed, now, nil
+		case r.offer != nil && s.now-r.left >= s.set.Module.MaxStaleness:
 			r.Worker, r.offer = *r.offer, nil
 		default:
 			continue
@@ -96,25 +96,25 @@
 }
 
 func (s *Scheduler) markByWalk() {
-	long := s.set.Module.GoneFor()
+	long := s.set.Module.RemovedRetention()
 	for _, r := range sorted(s.workers) {
 		switch {
 		case r.Status != dispatch.Ready && r.left == 0:
 			r.left = max(s.now, 1)
-			s.emit(Retire{UID: r.UID, Addr: r.Addr})
+			s.emit(StopUsingWorker{UID: r.UID, Addr: r.Addr})
 		case r.Status == dispatch.Ready && r.left != 0:
 			r.left = 0
-			s.emit(Admit{UID: r.UID})
+			s.emit(ResumeWorker{UID: r.UID})
 		}
 		switch {
-		case r.Status != dispatch.Gone:
+		case r.Status != dispatch.Removed:
 			r.gone = 0
 		case r.gone == 0:
 			r.gone = max(s.now, 1)
 		case s.now-r.gone >= long:
 			delete(s.workers, r.UID)
 			delete(s.byNumber, r.number)
-			s.emit(Admit{UID: r.UID})
+			s.emit(ResumeWorker{UID: r.UID})
 		}
 	}
 }
@@ -130,10 +130,10 @@
 		worker := rapid.Custom(func(t *rapid.T) Worker {
 			i := rapid.IntRange(0, most-1).Draw(t, "worker")
 			r := line(fmt.Sprint("r", i), rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready,
-				dispatch.Ready, dispatch.Draining, dispatch.Gone}).Draw(t, "status"))
+				dispatch.Ready, dispatch.Draining, dispatch.Removed}).Draw(t, "status"))
 			r.Kind, r.Zone = fmt.Sprint("m", i%2), fmt.Sprint("z", i%3)
 			r.Addr = fmt.Sprint("a", i/2) // two have one address
-			if r.Status == dispatch.Gone && rapid.Bool().Draw(t, "bare") {
+			if r.Status == dispatch.Removed && rapid.Bool().Draw(t, "bare") {
 				r = Worker{UID: r.UID} // a word that it is gone may say no more
 			}
 			if rapid.IntRange(0, 3).Draw(t, "cold") == 0 {
@@ -150,13 +150,13 @@
 			case 0:
 				e = Reloaded{Discovery: "d2"}
 			case 1:
-				e = ListLost{}
+				e = WatchClosed{}
 			default:
 				rev += rapid.SampledFrom([]int64{1, 1, 1, 1, 0, -1, -3}).Draw(t, "rev")
 				n := rapid.SampledFrom([]int{0, 1, 1, 1, 2, most}).Draw(t, "lines")
-				e = ListRead{List: WorkerList{Rev: rev, All: rapid.IntRange(0, 3).Draw(t, "all") == 0,
+				e = EndpointsUpdated{List: WorkerList{Rev: rev, Complete: rapid.IntRange(0, 3).Draw(t, "all") == 0,
 					Workers: rapid.SliceOfN(worker, n, n).Draw(t, "list")},
-					Old: rapid.IntRange(0, 6).Draw(t, "old") == 0}
+					FromPreviousWatch: rapid.IntRange(0, 6).Draw(t, "old") == 0}
 			}
 			trace = append(trace, fmt.Sprintf("%d %T%+v", now, e, e))
 			got, want := w.Step(now, e, nil), walk.stepByWalk(now, e)
@@ -183,12 +183,12 @@
 	if err != nil {
 		panic(err)
 	}
-	set.Module.Balancers, set.Module.ToldWithin = 17, 6*second
+	set.Module.Dispatchers, set.Module.MaxStaleness = 17, 6*second
 	s, err := New(set, 1)
 	if err != nil {
 		panic(err)
 	}
-	s.Step(1000*second, Began{Discovery: "d1"}, nil)
+	s.Step(1000*second, Started{Discovery: "d1"}, nil)
 	return s
 }
 
@@ -207,7 +207,7 @@
 	for zone := range zones {
 		all = append(all, of(zone, dispatch.Ready, 0)...)
 	}
-	gone, cold := of(3, dispatch.Gone, 0), of(3, dispatch.Ready, 1002*second)
+	gone, cold := of(3, dispatch.Removed, 0), of(3, dispatch.Ready, 1002*second)
 	draining := of(3, dispatch.Draining, 0)
 	word := func(lines ...Worker) WorkerList { return WorkerList{Workers: lines} }
 	singly := func(lines []Worker) (words []WorkerList) {
@@ -226,13 +226,13 @@
 		"a word each":            singly(gone),
 		"draining first":         append(singly(draining), singly(gone)...),
 		"one word":               {word(gone...)},
-		"missing from the whole": {{All: true, Workers: slices.Concat(all[:3*each], all[4*each:])}},
+		"missing from the whole": {{Complete: true, Workers: slices.Concat(all[:3*each], all[4*each:])}},
 		"both at once":           append(singly(gone), word(gone...), word(cold...)),
 		"both mixed, back cold": append(mixed,
-			word(gone...), WorkerList{All: true, Workers: all}, word(cold...)),
-		"known but for one":        {{All: true, Workers: known}},
-		"known, and by an old one": {{All: true, Workers: all}, {All: true, Rev: -5, Workers: known}},
-		"the whole fleet":          {{All: true}, {All: true, Workers: all}},
+			word(gone...), WorkerList{Complete: true, Workers: all}, word(cold...)),
+		"known but for one":        {{Complete: true, Workers: known}},
+		"known, and by an old one": {{Complete: true, Workers: all}, {Complete: true, Rev: -5, Workers: known}},
+		"the whole fleet":          {{Complete: true}, {Complete: true, Workers: all}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, walk := fleetForWords(), fleetForWords()
@@ -241,7 +241,7 @@
 				now += second / 100
 				rev++
 				list.Rev += rev
-				e := ListRead{List: list}
+				e := EndpointsUpdated{List: list}
 				got, want := s.Step(now, e, nil), walk.stepByWalk(now, e)
 				if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
 					t.Fatalf("effects %+v\nby a walk %+v", got, want)
@@ -250,13 +250,13 @@
 					t.Fatal("the states differ")
 				}
 			}
-			say(WorkerList{All: true, Workers: all})
+			say(WorkerList{Complete: true, Workers: all})
 			for _, w := range words {
 				say(w)
 			}
 			now += 600 * second
 			say(WorkerList{}) // those that are gone are forgotten
-			say(WorkerList{All: true, Workers: all})
+			say(WorkerList{Complete: true, Workers: all})
 		})
 	}
 }
--- a/internal/scheduler/job_test.go
+++ b/internal/scheduler/job_test.go
@@ -15,12 +15,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Module.Balancers = schedulers
+	set.Module.Dispatchers = schedulers
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := WorkerList{Rev: 1, All: true}
+	list := WorkerList{Rev: 1, Complete: true}
 	for i := range workers {
 		r := line(fmt.Sprintf("r%d", i), dispatch.Ready)
 		if r.Kind = fmt.Sprintf("m%d", i%2); i/2%zones > 0 {
@@ -28,7 +28,7 @@
 		}
 		list.Workers = append(list.Workers, r)
 	}
-	s.Step(1000*second, Began{Discovery: "d1", Known: list}, nil)
+	s.Step(1000*second, Started{Discovery: "d1", Known: list}, nil)
 	return s
 }
 
--- a/internal/scheduler/list_test.go
+++ b/internal/scheduler/list_test.go
@@ -10,12 +10,12 @@
 // A worker that was told to leave does not come back by a word that may be older than that one.
 func TestNoOlderWordBringsALeavingWorkerBack(t *testing.T) {
 	ready, leaves := line("r1", dispatch.Ready), line("r1", dispatch.Draining)
-	gone := line("r1", dispatch.Gone)
+	gone := line("r1", dispatch.Removed)
 	restarted, other := ready, line("r2", dispatch.Ready)
 	restarted.Started = 5 * second
-	word := func(rev int64, all bool, r ...Worker) Event { return ListRead{List: WorkerList{rev, all, r}} }
+	word := func(rev int64, all bool, r ...Worker) Event { return EndpointsUpdated{List: WorkerList{rev, all, r}} }
 	moved, left := Reloaded{Discovery: "d2"}, word(9, false, leaves)
-	old := ListRead{List: WorkerList{9, false, []Worker{leaves}}, Old: true}
+	old := EndpointsUpdated{List: WorkerList{9, false, []Worker{leaves}}, FromPreviousWatch: true}
 	for name, c := range map[string]struct {
 		words []Event
 		back  bool // at once
@@ -39,7 +39,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t)
-			w.s.set.Module.ToldWithin = 6 * second
+			w.s.set.Module.MaxStaleness = 6 * second
 			w.step(word(7, true, ready, other))
 			for _, e := range c.words {
 				w.now += second / 10
@@ -53,7 +53,7 @@
 					t.Errorf("back %s: %v, want %v", at.when, got, at.want)
 				}
 				w.now += 6 * second
-				w.step(ListRead{})
+				w.step(EndpointsUpdated{})
 			}
 		})
 	}
@@ -63,12 +63,12 @@
 // that asks whether the list is alive.
 func TestAnOldWordDoesNotPassForNew(t *testing.T) {
 	w := newWorld(t)
-	w.step(ListRead{At: w.now - second})
+	w.step(EndpointsUpdated{AsOf: w.now - second})
 	if w.s.knownAt != w.now-second {
 		t.Errorf("known at %d, want %d", w.s.knownAt, w.now-second)
 	}
 	w.now += second
-	w.step(ListRead{})
+	w.step(EndpointsUpdated{})
 	if w.s.knownAt != w.now {
 		t.Errorf("known at %d, want %d", w.s.knownAt, w.now)
 	}
@@ -80,22 +80,22 @@
 		w := newWorld(t)
 		r1, r2 := line("r1", dispatch.Ready), line("r2", dispatch.Ready)
 		r2.Addr = r1.Addr
-		w.step(ListRead{List: WorkerList{2, true, []Worker{r1, r2}}})
-		if r1.Status = dispatch.Gone; whole {
+		w.step(EndpointsUpdated{List: WorkerList{2, true, []Worker{r1, r2}}})
+		if r1.Status = dispatch.Removed; whole {
 			w.now += second
-			w.step(ListRead{List: WorkerList{3, true, []Worker{r2}}})
+			w.step(EndpointsUpdated{List: WorkerList{3, true, []Worker{r2}}})
 		} else {
 			w.now += second
-			w.step(ListRead{List: WorkerList{3, false, []Worker{r1}}})
+			w.step(EndpointsUpdated{List: WorkerList{3, false, []Worker{r1}}})
 		}
 		got := w.s.Step(w.now, Submitted{Caller: 9, ID: "a9", Class: "post", Tenant: "sahel",
 			Deadline: w.now + 5*second}, nil)
-		i := slices.IndexFunc(got, func(e Effect) bool { _, is := e.(Route); return is })
-		if i < 0 || got[i].(Route).UID != "r2" || got[i].(Route).Addr != r2.Addr {
+		i := slices.IndexFunc(got, func(e Effect) bool { _, is := e.(SendAttempt); return is })
+		if i < 0 || got[i].(SendAttempt).UID != "r2" || got[i].(SendAttempt).Addr != r2.Addr {
 			t.Errorf("by a whole list %v: %+v, want a9 sent to r2", whole, got)
 		}
 		one, two := w.s.workers["r1"].Status, w.s.workers["r2"].Status
-		if one != dispatch.Gone || two != dispatch.Ready {
+		if one != dispatch.Removed || two != dispatch.Ready {
 			t.Errorf("by a whole list %v: r1 is %d, r2 is %d", whole, one, two)
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -198,7 +198,7 @@
 	}
 	// One attempt of a request is out at a time here, whatever the settings allow: the module must
 	// not ask for copies, which would use up a job's attempts for nothing.
-	s.set.Module.MayDuplicate = false
+	s.set.Module.HedgingAllowed = false
 	var err error
 	s.module, err = dispatch.New(s.set.Module, seed)
 	return s, err
@@ -212,23 +212,23 @@
 	s.now, s.out = now, out
 	s.used.pass(now, s.longest)
 	switch e := e.(type) {
-	case Began:
+	case Started:
 		s.discovery = e.Discovery
 		s.begin(e.Known)
 	case Reloaded:
 		s.reloaded(e.Discovery)
 	case Submitted:
 		s.submitted(&e)
-	case CallerLeft:
+	case ClientDisconnected:
 		if t := s.byCaller[e.Caller]; t != nil {
 			s.settle(t)
-			s.tell(dispatch.Event{Kind: dispatch.ClientGone, Job: t.job})
+			s.tell(dispatch.Event{Kind: dispatch.ClientDisconnected, Job: t.job})
 		}
-	case Accepted:
+	case AttemptAccepted:
 		if k := s.byAttempt[e.Attempt]; k != nil {
 			k.accepted = true
 		}
-	case Ended:
+	case AttemptEnded:
 		// After the worker has accepted, only its own word or the time ends an attempt.
 		if k := s.byAttempt[e.Attempt]; k != nil && !k.accepted {
 			if e.Outcome == dispatch.Reset {
@@ -237,28 +237,28 @@
 			}
 			s.end(k, e.Outcome, e.Report)
 		}
-	case Rejected:
+	case AttemptRejected:
 		if k := s.byAttempt[e.Attempt]; k != nil && !k.accepted {
 			s.answer(k.of, Answer{Verdict: Invalid, Body: []byte("the worker cannot use it")})
 			s.end(k, dispatch.Cancelled, dispatch.Report{})
 			s.used.drop(k.of.id) // an impostor may have come before the one whose id it is
 		}
-	case Told:
+	case Callback:
 		s.told(&e)
-	case Withdrawn:
+	case CancellationResult:
 		s.withdrawn(&e)
-	case ListRead:
+	case EndpointsUpdated:
 		s.listRead(&e)
-	case ListLost:
+	case WatchClosed:
 		s.watching = false
-		lost := dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListFailed}
-		if e.Unread || e.Until != 0 {
-			lost.Age = s.ageAt(e.Until)
+		lost := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateFailed}
+		if e.Unreadable || e.ValidUntil != 0 {
+			lost.Age = s.ageAt(e.ValidUntil)
 		}
 		s.tell(lost)
-	case Woke:
+	case TimerFired:
 		s.wake = 0
-	case Stopping:
+	case ShutdownRequested:
 		if s.stopAt == 0 {
 			s.stopAt, s.endBy = now+serveOn, now+min(s.longest, longestKept)+killedAfter-lastCall
 			heap.Push(&s.due, due{at: s.stopAt})
@@ -281,7 +281,7 @@
 		s.answer(t, Answer{Verdict: Failed})
 	}
 	for _, k := range sorted(s.byAttempt) {
-		if !s.set.Module.MayCancel && k.parked == 0 {
+		if !s.set.Module.CancelAllowed && k.parked == 0 {
 			continue // it is out, and must not be cancelled: its connection or its time ends it
 		}
 		s.callBack(k)
@@ -300,7 +300,7 @@
 		return d.recall == 0 && !d.look() && s.byAttempt[d.attempt] == nil
 	})
 	heap.Init(&s.due)
-	known := WorkerList{Rev: s.rev, All: true}
+	known := WorkerList{Rev: s.rev, Complete: true}
 	for _, r := range sorted(s.workers) {
 		known.Workers = append(known.Workers, r.Worker)
 	}
@@ -315,8 +315,8 @@
 // one, so the version must be there first: from 0 on, discovery would send it all.
 func (s *Scheduler) begin(known WorkerList) {
 	s.rev = max(s.rev, known.Rev)
-	s.tell(dispatch.Event{Kind: dispatch.Began})
-	s.apply(known, dispatch.ListCached, s.now)
+	s.tell(dispatch.Event{Kind: dispatch.Started})
+	s.apply(known, dispatch.UpdateCached, s.now)
 }
 
 // ---- Requests
@@ -327,7 +327,7 @@
 	if len(s.set.Tenants) == 0 {
 		tenant = 0
 	}
-	answer := Answer{Caller: e.Caller, Verdict: Invalid, Last: s.stopping()}
+	answer := Answer{Caller: e.Caller, Verdict: Invalid, FinalForConnection: s.stopping()}
 	switch {
 	case class < 0:
 		answer.Body = fmt.Appendf(nil, "unknown class %q", e.Class)
@@ -343,7 +343,7 @@
 		// attempt of the first, or be turned away, which looks like a failing worker.
 		answer.Verdict, answer.Body = Conflict, []byte("that id has been used")
 	case s.stopping():
-		s.emit(Answer{Caller: e.Caller, Verdict: Refused, Last: true})
+		s.emit(Answer{Caller: e.Caller, Verdict: Refused, FinalForConnection: true})
 		return
 	default:
 		s.lastJob++
@@ -355,7 +355,7 @@
 		s.byCaller[e.Caller], s.byID[e.ID], s.byJob[t.job] = t, t, t
 		heap.Push(&s.due, due{at: t.deadline, caller: t.caller})
 		s.tell(dispatch.Event{Kind: dispatch.JobArrived, Job: t.job, Class: class, Tenant: tenant,
-			Patience: max(e.Deadline-s.now, 0), Slots: e.Slots, Repeat: e.Repeat})
+			Patience: max(e.Deadline-s.now, 0), Slots: e.Slots, Retry: e.Retry})
 		return
 	}
 	s.emit(answer)
@@ -367,7 +367,7 @@
 	if t.answered {
 		return
 	}
-	a.Caller, a.Last = t.caller, s.stopping()
+	a.Caller, a.FinalForConnection = t.caller, s.stopping()
 	s.emit(a)
 	s.settle(t)
 }
@@ -380,8 +380,8 @@
 	n := len(t.attempts)
 	if n == 0 || t.attempts[n-1].ended {
 		s.release(t)
-	} else if !s.set.Module.MayCancel { // else the module calls it off
-		s.emit(Unsend{Attempt: t.attempts[n-1].number}) // of a parked one, heard sees that nobody waits
+	} else if !s.set.Module.CancelAllowed { // else the module calls it off
+		s.emit(CancelUnsent{Attempt: t.attempts[n-1].number}) // of a parked one, heard sees that nobody waits
 	}
 }
 
@@ -394,7 +394,7 @@
 
 // ---- Attempts
 
-func (s *Scheduler) told(e *Told) {
+func (s *Scheduler) told(e *Callback) {
 	t := s.byID[e.ID]
 	if t == nil || len(t.attempts) == 0 {
 		return // late, or a repeat: its attempt is over
@@ -407,22 +407,22 @@
 	if k.ended || k.worker.UID != e.From {
 		return
 	}
-	note := dispatch.Event{Kind: dispatch.AttemptNote, Job: t.job, Attempt: k.ordinal,
+	note := dispatch.Event{Kind: dispatch.AttemptReported, Job: t.job, Attempt: k.ordinal,
 		Worker: k.worker.number, Note: dispatch.NoteStarted}
-	switch e.News {
-	case NewsStarted:
+	switch e.Kind {
+	case CallbackStarted:
 		s.tell(note)
-	case NewsRunning:
-		note.Note, note.Value = dispatch.NoteProgress, e.Share
+	case CallbackRunning:
+		note.Note, note.Value = dispatch.NoteProgress, e.Progress
 		s.tell(note)
-	case NewsDone:
+	case CallbackDone:
 		s.answer(t, Answer{Verdict: Served, Body: e.Result})
 		s.endTold(k, dispatch.OK, e.Report)
-	case NewsFailed:
+	case CallbackFailed:
 		s.endTold(k, dispatch.Failed, e.Report)
-	case NewsReturned:
-		s.endTold(k, dispatch.Returned, e.Report)
-	case NewsLost:
+	case CallbackHandedBack:
+		s.endTold(k, dispatch.HandedBack, e.Report)
+	case CallbackAborted:
 		s.endTold(k, dispatch.Reset, e.Report)
 	}
 }
@@ -431,7 +431,7 @@
 // answer that never comes, or never ends, and from here on nothing times it.
 func (s *Scheduler) endTold(k *attempt, o dispatch.Outcome, r dispatch.Report) {
 	if !k.accepted {
-		s.emit(Abandon{Attempt: k.number})
+		s.emit(CloseConnection{Attempt: k.number})
 	}
 	s.end(k, o, r)
 }
@@ -453,17 +453,17 @@
 
 // toldBefore takes what a worker tells of an earlier attempt while the next one waits for
 // that to be recalled. Its end is as good as a recall, and its result as any.
-func (s *Scheduler) toldBefore(t *request, e *Told) {
+func (s *Scheduler) toldBefore(t *request, e *Callback) {
 	for _, k := range t.attempts {
 		c := s.recalls[k.number]
-		if c == nil || k.worker.UID != e.From || e.News == NewsStarted || e.News == NewsRunning {
+		if c == nil || k.worker.UID != e.From || e.Kind == CallbackStarted || e.Kind == CallbackRunning {
 			continue
 		}
-		if e.News == NewsDone {
+		if e.Kind == CallbackDone {
 			s.answer(t, Answer{Verdict: Served, Body: e.Result})
 		}
 		if c.trying {
-			s.emit(Abandon{Attempt: k.number}) // nobody times the withdrawal's connection any more
+			s.emit(CloseConnection{Attempt: k.number}) // nobody times the withdrawal's connection any more
 		}
 		s.heard(c)
 	}
@@ -477,7 +477,7 @@
 		return // it never left
 	}
 	if !k.accepted {
-		s.emit(Abandon{Attempt: k.number})
+		s.emit(CloseConnection{Attempt: k.number})
 	}
 	s.recall(k)
 }
@@ -499,16 +499,16 @@
 func (s *Scheduler) tryRecall(c *recall) {
 	c.trying, c.at = true, s.now+answerWithin
 	c.tries++
-	s.emit(Withdraw{Attempt: c.attempt.number, ID: c.attempt.of.id, Addr: c.attempt.addr, Deadline: c.at})
+	s.emit(CancelAttempt{Attempt: c.attempt.number, ID: c.attempt.of.id, Addr: c.attempt.addr, Deadline: c.at})
 	heap.Push(&s.due, due{at: c.at, recall: c.attempt.number})
 }
 
 // withdrawn takes the end of a try.
-func (s *Scheduler) withdrawn(e *Withdrawn) {
+func (s *Scheduler) withdrawn(e *CancellationResult) {
 	c := s.recalls[e.Attempt]
 	switch {
 	case c == nil || !c.trying:
-	case e.Reached:
+	case e.Acknowledged:
 		s.heard(c)
 	default:
 		s.recallLater(c)
@@ -536,7 +536,7 @@
 		return
 	}
 	if t.answered || k.worker.Status != dispatch.Ready || s.now >= k.parked {
-		s.end(k, dispatch.Moot, dispatch.Report{})
+		s.end(k, dispatch.NotSent, dispatch.Report{})
 		return
 	}
 	by := k.parked
@@ -559,15 +559,15 @@
 	if t == nil || r == nil || t.answered || len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended {
 		// The module never asks for this. If it did, a send would break a rule.
 		s.feed(dispatch.Event{Kind: dispatch.AttemptEnded, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker,
-			Outcome: dispatch.Moot, Final: t == nil || t.answered})
+			Outcome: dispatch.NotSent, Final: t == nil || t.answered})
 		s.warn("send suppressed", "job", a.Job, "worker", a.Worker)
 		return
 	}
 	s.lastAttempt++
 	k := &attempt{number: s.lastAttempt, of: t, ordinal: a.Attempt, worker: r, addr: r.Addr,
 		deadline: t.deadline}
-	if a.At > 0 {
-		k.deadline = min(k.deadline, a.At)
+	if a.Deadline > 0 {
+		k.deadline = min(k.deadline, a.Deadline)
 	}
 	t.attempts = append(t.attempts, k)
 	s.byAttempt[k.number] = k
@@ -579,7 +579,7 @@
 		by = min(by, s.now+s.set.DrainGrace)
 	}
 	// A repeat must come within its class's window, however late its connection comes up.
-	by = min(by, k.deadline, a.By)
+	by = min(by, k.deadline, a.SendBy)
 	if s.recalling(t) {
 		// A worker may hold an earlier attempt. Until it has heard that this is given up,
 		// another one would be a second copy.
@@ -591,25 +591,25 @@
 }
 
 func (s *Scheduler) send(k *attempt, by Micros) {
-	s.emit(Route{Attempt: k.number, ID: k.of.id, UID: k.worker.UID, Addr: k.addr, WriteBy: by,
+	s.emit(SendAttempt{Attempt: k.number, ID: k.of.id, UID: k.worker.UID, Addr: k.addr, WriteBy: by,
 		Deadline: k.deadline, Payload: k.of.payload})
 }
 
 // ---- The worker list
 
-func (s *Scheduler) listRead(e *ListRead) {
-	if e.Old {
+func (s *Scheduler) listRead(e *EndpointsUpdated) {
+	if e.FromPreviousWatch {
 		s.warned(e.List)
 		return
 	}
-	at := e.At
+	at := e.AsOf
 	if at == 0 {
 		at = s.now
 	}
 	s.watching, s.knownAt = true, at
-	scope := dispatch.ListDelta
-	if e.List.All {
-		scope = dispatch.ListFull
+	scope := dispatch.UpdateDelta
+	if e.List.Complete {
+		scope = dispatch.UpdateFull
 	}
 	s.apply(e.List, scope, at)
 }
@@ -621,17 +621,17 @@
 func (s *Scheduler) reloaded(discovery string) {
 	s.discovery, s.rev, s.watching = discovery, 0, false
 	s.count++
-	s.emit(Watch{Addr: s.discovery, Rev: s.rev, Until: s.now + movedWithin})
-	s.tell(dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListWarned,
+	s.emit(OpenWatch{Addr: s.discovery, Rev: s.rev, ValidUntil: s.now + movedWithin})
+	s.tell(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains,
 		Age: s.ageAt(s.now + movedWithin)})
 }
 
 // ageAt is how old what is known has to be taken for, if it holds until a time.
-func (s *Scheduler) ageAt(until Micros) Micros { return s.now - until + s.set.Module.ToldWithin }
+func (s *Scheduler) ageAt(until Micros) Micros { return s.now - until + s.set.Module.MaxStaleness }
 
 // warned takes from a discovery that is no longer the present one who leaves.
 func (s *Scheduler) warned(t WorkerList) {
-	e := dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListWarned}
+	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains}
 	var changed []*worker
 	for _, line := range t.Workers {
 		r := s.workers[line.UID]
@@ -650,16 +650,16 @@
 }
 
 // apply takes a word of the present discovery, or the list that a start knows.
-func (s *Scheduler) apply(t WorkerList, scope dispatch.ListScope, at Micros) {
-	if t.All && t.Rev < s.rev {
+func (s *Scheduler) apply(t WorkerList, scope dispatch.UpdateScope, at Micros) {
+	if t.Complete && t.Rev < s.rev {
 		s.count++ // discovery has started anew, or another one answers: it counts from below
 	}
-	if s.rev = max(s.rev, t.Rev); t.All {
+	if s.rev = max(s.rev, t.Rev); t.Complete {
 		s.rev = t.Rev
 	}
 	now := version{s.count, t.Rev}
 	s.word++
-	e := dispatch.Event{Kind: dispatch.ListChanged, Scope: scope, Age: s.now - at,
+	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope, Age: s.now - at,
 		Workers: make([]dispatch.WorkerEntry, 0, len(t.Workers))}
 	changed := make([]*worker, 0, len(t.Workers))
 	for _, line := range t.Workers {
@@ -673,7 +673,7 @@
 		r.word = s.word
 		e.Workers, changed = append(e.Workers, s.entry(r)), append(changed, r) // as it now is known
 	}
-	for _, r := range s.unsaid(t.All, now) {
+	for _, r := range s.unsaid(t.Complete, now) {
 		e.Workers, changed = append(e.Workers, s.entry(r)), append(changed, r)
 	}
 	s.mark(changed)
@@ -685,8 +685,8 @@
 func (s *Scheduler) unsaid(whole bool, now version) (changed []*worker) {
 	if whole {
 		for _, r := range s.workers {
-			if r.word != s.word && (r.Status != dispatch.Gone || r.offer != nil) {
-				r.Status, r.at, r.offer = dispatch.Gone, now, nil
+			if r.word != s.word && (r.Status != dispatch.Removed || r.offer != nil) {
+				r.Status, r.at, r.offer = dispatch.Removed, now, nil
 				changed = append(changed, r)
 			}
 		}
@@ -695,7 +695,7 @@
 		if r.offer == nil || s.workers[r.UID] != r {
 			return true
 		}
-		if s.now-r.left < s.set.Module.ToldWithin {
+		if s.now-r.left < s.set.Module.MaxStaleness {
 			return false
 		}
 		r.Worker, r.offer = *r.offer, nil
@@ -718,7 +718,7 @@
 	switch {
 	case back && r.at.newer(at):
 	case back && r.left != 0 && line.Started <= r.Started && !at.newer(r.at) &&
-		s.now-r.left < s.set.Module.ToldWithin:
+		s.now-r.left < s.set.Module.MaxStaleness:
 		if r.offer == nil {
 			s.offered = append(s.offered, r)
 		}
@@ -736,9 +736,9 @@
 // mark notes since when workers that may have changed are leaving or gone, says so, and forgets
 // those that have been gone for long.
 func (s *Scheduler) mark(changed []*worker) {
-	long := s.set.Module.GoneFor()
+	long := s.set.Module.RemovedRetention()
 	changed = slices.DeleteFunc(changed, func(r *worker) bool {
-		return (r.Status == dispatch.Ready) == (r.left == 0) && (r.Status == dispatch.Gone) == (r.gone != 0)
+		return (r.Status == dispatch.Ready) == (r.left == 0) && (r.Status == dispatch.Removed) == (r.gone != 0)
 	})
 	old := 0
 	for ; old < len(s.departed) && s.now-s.departed[old].since >= long; old++ {
@@ -752,13 +752,13 @@
 		switch {
 		case r.Status != dispatch.Ready && r.left == 0:
 			r.left = max(s.now, 1)
-			s.emit(Retire{UID: r.UID, Addr: r.Addr})
+			s.emit(StopUsingWorker{UID: r.UID, Addr: r.Addr})
 		case r.Status == dispatch.Ready && r.left != 0:
 			r.left = 0
-			s.emit(Admit{UID: r.UID})
+			s.emit(ResumeWorker{UID: r.UID})
 		}
 		switch {
-		case r.Status != dispatch.Gone:
+		case r.Status != dispatch.Removed:
 			r.gone = 0
 		case r.gone == 0:
 			r.gone = max(s.now, 1)
@@ -766,7 +766,7 @@
 		case s.now-r.gone >= long:
 			delete(s.workers, r.UID)
 			delete(s.byNumber, r.number)
-			s.emit(Admit{UID: r.UID})
+			s.emit(ResumeWorker{UID: r.UID})
 		}
 	}
 }
@@ -813,7 +813,7 @@
 		s.route(a)
 	case dispatch.Refuse:
 		if t != nil {
-			s.answer(t, Answer{Verdict: Refused, Wait: a.Wait})
+			s.answer(t, Answer{Verdict: Refused, RetryAfter: a.Delay})
 		}
 	case dispatch.Fail:
 		if t != nil {
@@ -831,14 +831,14 @@
 			s.end(k, dispatch.Cancelled, dispatch.Report{})
 		}
 	case dispatch.SetTimer:
-		heap.Push(&s.due, due{at: s.now + a.Wait, token: a.Token, timer: true})
-	case dispatch.WatchList:
+		heap.Push(&s.due, due{at: s.now + a.Delay, token: a.Token, timer: true})
+	case dispatch.WatchEndpoints:
 		if s.watching {
 			// The watch shows by its heartbeats that it lives. Opening another would
 			// only load discovery, so the module gets its answer here.
-			s.feed(dispatch.Event{Kind: dispatch.ListChanged, Scope: dispatch.ListDelta, Age: s.now - s.knownAt})
+			s.feed(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDelta, Age: s.now - s.knownAt})
 		} else {
-			s.emit(Watch{Addr: s.discovery, Rev: s.rev})
+			s.emit(OpenWatch{Addr: s.discovery, Rev: s.rev})
 		}
 	case dispatch.Log:
 		s.log(a.Text)
@@ -881,12 +881,12 @@
 		d := heap.Pop(&s.due).(due)
 		switch {
 		case d.timer:
-			s.tell(dispatch.Event{Kind: dispatch.TimerRang, Token: d.token})
+			s.tell(dispatch.Event{Kind: dispatch.TimerFired, Token: d.token})
 		case d.recall != 0:
 			s.recallDue(d)
 		case d.parked:
 			if k := s.byAttempt[d.attempt]; k != nil && k.parked == d.at {
-				s.end(k, dispatch.Moot, dispatch.Report{})
+				s.end(k, dispatch.NotSent, dispatch.Report{})
 			}
 		case d.attempt != 0:
 			if k := s.byAttempt[d.attempt]; k != nil {
@@ -899,7 +899,7 @@
 			if t := s.byCaller[d.caller]; t != nil {
 				s.warn("no decision by the deadline", "txn", t.id)
 				s.answer(t, Answer{Verdict: Failed})
-				s.tell(dispatch.Event{Kind: dispatch.ClientGone, Job: t.job})
+				s.tell(dispatch.Event{Kind: dispatch.ClientDisconnected, Job: t.job})
 			}
 		}
 	}
@@ -910,7 +910,7 @@
 	switch {
 	case c == nil || c.at != d.at:
 	case c.trying:
-		s.emit(Abandon{Attempt: d.recall}) // of the withdrawal's own connection
+		s.emit(CloseConnection{Attempt: d.recall}) // of the withdrawal's own connection
 		s.recallLater(c)
 	default:
 		s.tryRecall(c)
@@ -925,7 +925,7 @@
 	}
 	if !s.stopped {
 		s.stopped = true
-		s.emit(Close{})
+		s.emit(CloseIdleClients{})
 		s.log("no new requests from now on", "open", len(s.byCaller))
 	}
 	if s.now >= s.endBy {
@@ -936,11 +936,11 @@
 			}
 			s.warn("the end comes before the deadline", "txn", t.id)
 			s.answer(t, Answer{Verdict: verdict})
-			s.tell(dispatch.Event{Kind: dispatch.ClientGone, Job: t.job})
+			s.tell(dispatch.Event{Kind: dispatch.ClientDisconnected, Job: t.job})
 		}
 	}
 	if len(s.byCaller) == 0 && (len(s.recalls) == 0 || s.now >= s.recallEnd()) {
-		s.emit(Exit{By: s.endBy + parting})
+		s.emit(Shutdown{By: s.endBy + parting})
 	}
 }
 
@@ -958,7 +958,7 @@
 		}
 		if d.at != s.wake {
 			s.wake = d.at
-			s.emit(Wake{At: d.at})
+			s.emit(SetTimer{At: d.at})
 		}
 		return
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -61,7 +61,7 @@
 	}
 	w := &world{s: s, now: 1000 * second, seen: map[string][]string{}, attempts: map[string]Attempt{},
 		workers: map[Attempt]string{}, callers: map[Caller]string{}}
-	w.step(Began{Discovery: "d1", Known: WorkerList{Rev: 1, All: true, Workers: []Worker{line("r1", 1)}}})
+	w.step(Started{Discovery: "d1", Known: WorkerList{Rev: 1, Complete: true, Workers: []Worker{line("r1", 1)}}})
 	return w
 }
 
@@ -77,31 +77,31 @@
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
-		case Route:
+		case SendAttempt:
 			w.attempts[e.ID], w.workers[e.Attempt] = e.Attempt, e.UID
 			say(e.UID, "%s %v written in %v done in %v", e.ID, e.Payload, w.in(e.WriteBy), w.in(e.Deadline))
-		case Abandon:
+		case CloseConnection:
 			say(w.workers[e.Attempt], "abandoned")
-		case Withdraw:
+		case CancelAttempt:
 			say(e.Addr, "withdrawn %s", e.ID)
 		case Answer:
 			verdict := [...]string{"served", "refused", "failed", "invalid", "conflict"}[e.Verdict]
-			last := map[bool]string{true: "last"}[e.Last]
+			last := map[bool]string{true: "last"}[e.FinalForConnection]
 			say(w.callers[e.Caller], "%s%s%s", verdict, spaced(string(e.Body)), spaced(last))
-		case Watch:
+		case OpenWatch:
 			say("discovery", "watch %s from %d", e.Addr, e.Rev)
-		case Retire:
+		case StopUsingWorker:
 			say(e.Addr, "retired")
-		case Exit:
+		case Shutdown:
 			w.exit = e.By
 			say("program", "%T", e)
-		case Close:
+		case CloseIdleClients:
 			say("program", "%T", e)
 		case Log:
 			if e.Warn {
 				say("log", "%s", e.Text)
 			}
-		case Wake:
+		case SetTimer:
 			w.wake = e.At
 		}
 	}
@@ -124,7 +124,7 @@
 			return err
 		}
 		w.now, w.wake = max(w.now, w.wake), 0
-		w.step(Woke{})
+		w.step(TimerFired{})
 	}
 }
 
@@ -147,13 +147,13 @@
 func (p party) Close(text string) error {
 	switch {
 	case p.name == "discovery":
-		p.step(ListLost{})
+		p.step(WatchClosed{})
 	case p.name[0] == 'r': // the connection broke after the request was out
-		p.step(Ended{Attempt: p.attempts[text], Outcome: dispatch.Reset})
+		p.step(AttemptEnded{Attempt: p.attempts[text], Outcome: dispatch.Reset})
 	default:
 		for c, name := range p.callers {
 			if name == p.name {
-				p.step(CallerLeft{Caller: c})
+				p.step(ClientDisconnected{Caller: c})
 			}
 		}
 	}
@@ -169,7 +169,7 @@
 			p.recovered()
 			return nil
 		}
-		p.step(Stopping{})
+		p.step(ShutdownRequested{})
 	case p.name == "discovery" && strings.HasPrefix(text, "reload "):
 		p.step(Reloaded{Discovery: words[1]})
 	case p.name == "discovery":
@@ -179,7 +179,7 @@
 			status := map[string]dispatch.Status{"ready": 1, "draining": 2}[state]
 			t.Workers = append(t.Workers, line(uid, status))
 		}
-		p.step(ListRead{List: t})
+		p.step(EndpointsUpdated{List: t})
 	case p.name[0] == 'r':
 		p.worker(words[0], words[1])
 	default:
@@ -200,24 +200,24 @@
 		effects, _ := p.s.Recover(p.now)
 		p.see(effects)
 	}()
-	p.step(ListLost{})
+	p.step(WatchClosed{})
 }
 
 func (p party) worker(word, id string) {
-	ends := map[string]dispatch.Outcome{"error": dispatch.Failed, "turned-away": dispatch.Full,
+	ends := map[string]dispatch.Outcome{"error": dispatch.Failed, "turned-away": dispatch.AtCapacity,
 		"unreached": dispatch.ConnectFailed}
 	if outcome, ok := ends[word]; ok {
-		p.step(Ended{Attempt: p.attempts[id], Outcome: outcome})
+		p.step(AttemptEnded{Attempt: p.attempts[id], Outcome: outcome})
 	} else if word == "rejected" {
-		p.step(Rejected{Attempt: p.attempts[id]})
+		p.step(AttemptRejected{Attempt: p.attempts[id]})
 	} else if word == "dropped" || word == "unheard" {
-		p.step(Withdrawn{Attempt: p.attempts[id], Reached: word == "dropped"})
+		p.step(CancellationResult{Attempt: p.attempts[id], Acknowledged: word == "dropped"})
 	} else if word == "accepted" {
-		p.step(Accepted{Attempt: p.attempts[id]})
+		p.step(AttemptAccepted{Attempt: p.attempts[id]})
 	} else {
-		news := map[string]News{"started": NewsStarted, "done": NewsDone, "failed": NewsFailed,
-			"returned": NewsReturned, "lost": NewsLost}[word]
-		p.step(Told{ID: id, From: p.name, News: news, Result: []byte("result")})
+		news := map[string]CallbackKind{"started": CallbackStarted, "done": CallbackDone, "failed": CallbackFailed,
+			"returned": CallbackHandedBack, "lost": CallbackAborted}[word]
+		p.step(Callback{ID: id, From: p.name, Kind: news, Result: []byte("result")})
 	}
 }
 
@@ -505,12 +505,12 @@
 // A module that never answers must not cost the caller its answer.
 func TestDeadlineHoldsWithoutADecision(t *testing.T) {
 	w := newWorld(t)
-	w.step(ListRead{List: WorkerList{Workers: []Worker{line("r1", 2)}}})
+	w.step(EndpointsUpdated{List: WorkerList{Workers: []Worker{line("r1", 2)}}})
 	w.callers[7] = "c1"
 	late := &request{caller: 7, id: "x", job: 99, deadline: w.now + second}
 	w.s.byCaller[7], w.s.byID["x"], w.s.byJob[99] = late, late, late
 	heap.Push(&w.s.due, due{at: late.deadline, caller: 7})
-	w.step(ListRead{})
+	w.step(EndpointsUpdated{})
 	scenario.Run(t, w, "wait 1s\nc1 expect failed", func(want, got string) string { return cmp.Diff(want, got) })
 }
 
@@ -518,8 +518,8 @@
 // they met it in: the module reckons the owner of a cold one by it.
 func TestNumbersHangOnNamesAlone(t *testing.T) {
 	a, b := newWorld(t).s, newWorld(t).s
-	a.apply(WorkerList{Workers: []Worker{line("s-1", 1), line("s-2", 1)}}, dispatch.ListDelta, 1)
-	b.apply(WorkerList{Workers: []Worker{line("s-2", 1), line("s-1", 1)}}, dispatch.ListDelta, 1)
+	a.apply(WorkerList{Workers: []Worker{line("s-1", 1), line("s-2", 1)}}, dispatch.UpdateDelta, 1)
+	b.apply(WorkerList{Workers: []Worker{line("s-2", 1), line("s-1", 1)}}, dispatch.UpdateDelta, 1)
 	for _, uid := range []string{"s-1", "s-2"} {
 		if diff := cmp.Diff(a.workers[uid].number, b.workers[uid].number); diff != "" {
 			t.Errorf("%s: %s", uid, diff)
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -23,15 +23,15 @@
 		id := fmt.Sprint("a", now)
 		out = s.Step(now, Submitted{Caller: Caller(now), ID: id, Class: "post", Tenant: "sahel",
 			Deadline: now + 5*second}, out[:0])
-		i := slices.IndexFunc(out, func(e Effect) bool { _, is := e.(Route); return is })
+		i := slices.IndexFunc(out, func(e Effect) bool { _, is := e.(SendAttempt); return is })
 		if i < 0 {
 			t.Fatalf("%s is not sent: %v", id, out)
 		}
-		r := out[i].(Route)
-		s.Step(now+1000, Accepted{Attempt: r.Attempt}, nil)
-		s.Step(now+2000, Told{ID: id, From: r.UID, News: NewsStarted}, nil)
-		s.Step(now+100_000, Woke{}, nil)
-		s.Step(now+200_000, Told{ID: id, From: r.UID, News: NewsDone}, nil)
+		r := out[i].(SendAttempt)
+		s.Step(now+1000, AttemptAccepted{Attempt: r.Attempt}, nil)
+		s.Step(now+2000, Callback{ID: id, From: r.UID, Kind: CallbackStarted}, nil)
+		s.Step(now+100_000, TimerFired{}, nil)
+		s.Step(now+200_000, Callback{ID: id, From: r.UID, Kind: CallbackDone}, nil)
 	}
 }
 
@@ -61,15 +61,15 @@
 func TestWorkersThatWentAreForgotten(t *testing.T) {
 	s := fleetOf(t, 80, 10)
 	for i := range 200 { // one is replaced a minute
-		old, next := line(fmt.Sprintf("r%d", i), dispatch.Gone), line(fmt.Sprintf("r%d", i+10), dispatch.Ready)
-		s.Step(s.now+60*second, ListRead{List: WorkerList{Rev: int64(i + 2), Workers: []Worker{old, next}}}, nil)
+		old, next := line(fmt.Sprintf("r%d", i), dispatch.Removed), line(fmt.Sprintf("r%d", i+10), dispatch.Ready)
+		s.Step(s.now+60*second, EndpointsUpdated{List: WorkerList{Rev: int64(i + 2), Workers: []Worker{old, next}}}, nil)
 	}
 	if n := len(s.workers); n > 25 || n < 10 || len(s.byNumber) != n {
 		t.Errorf("%d workers and %d numbers in the books, 10 in the list", n, len(s.byNumber))
 	}
 	before := len(s.workers)
 	left := WorkerList{Rev: 999, Workers: []Worker{line("r0", dispatch.Ready)}}
-	s.Step(s.now+second, ListRead{List: left}, nil)
+	s.Step(s.now+second, EndpointsUpdated{List: left}, nil)
 	if r := s.workers["r0"]; r == nil || r.Status != dispatch.Ready || len(s.workers) != before+1 {
 		t.Errorf("one that came back is %+v", r)
 	}
--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -38,7 +38,7 @@
 
 // slopeList is a whole list in 14 zones, and slopeLine one line of it.
 func slopeList(workers int) WorkerList {
-	list := WorkerList{Rev: 1, All: true}
+	list := WorkerList{Rev: 1, Complete: true}
 	for i := range workers {
 		list.Workers = append(list.Workers, slopeLine(i, dispatch.Ready))
 	}
@@ -60,7 +60,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	set.Module.Balancers, set.Module.Me = schedulers, schedulers/2
+	set.Module.Dispatchers, set.Module.Index = schedulers, schedulers/2
 	set.Zones, set.Kinds = nil, nil
 	for z := range slopeZones {
 		set.Zones = append(set.Zones, fmt.Sprint("zone-", z))
@@ -72,7 +72,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	s.Step(1000*second, Began{Discovery: "d1", Known: list}, nil)
+	s.Step(1000*second, Started{Discovery: "d1", Known: list}, nil)
 	return s
 }
 
@@ -96,7 +96,7 @@
 		for i := range b.N {
 			list.Rev = int64(i) + 2
 			list.Workers[0] = slopeLine(i/2*7919%n, []dispatch.Status{dispatch.Draining, dispatch.Ready}[i%2])
-			out = s.Step(s.now+second, ListRead{List: list}, out[:0])
+			out = s.Step(s.now+second, EndpointsUpdated{List: list}, out[:0])
 		}
 		return (processorMicros(b) - before) / float64(b.N)
 	})
@@ -128,7 +128,7 @@
 		for i := range b.N {
 			list.Rev = int64(i) + 2
 			list.Workers[i/2%n].Status = []dispatch.Status{dispatch.Draining, dispatch.Ready}[i%2]
-			out = s.Step(s.now+second, ListRead{List: list}, out[:0])
+			out = s.Step(s.now+second, EndpointsUpdated{List: list}, out[:0])
 		}
 		return (processorMicros(b) - before) / float64(b.N)
 	})
@@ -142,8 +142,8 @@
 			s := slopeStart(b, slopeSchedulers, list)
 			before := processorMicros(b)
 			for i := 0; i < n; i += slopeZones {
-				word := WorkerList{Rev: int64(i) + 2, Workers: []Worker{slopeLine(i, dispatch.Gone)}}
-				out = s.Step(s.now+1000, ListRead{List: word}, out[:0])
+				word := WorkerList{Rev: int64(i) + 2, Workers: []Worker{slopeLine(i, dispatch.Removed)}}
+				out = s.Step(s.now+1000, EndpointsUpdated{List: word}, out[:0])
 			}
 			took += processorMicros(b) - before
 		}
@@ -160,9 +160,9 @@
 		out = s.Step(s.now+1000, Submitted{Caller: Caller(from + i + 1), ID: id, Class: "batch", Tenant: "sahel",
 			Deadline: s.now + 3600*second}, out[:0])
 		for _, e := range out {
-			if r, is := e.(Route); is {
-				s.Step(s.now, Accepted{Attempt: r.Attempt}, nil)
-				s.Step(s.now, Told{ID: r.ID, From: r.UID, News: NewsStarted}, nil)
+			if r, is := e.(SendAttempt); is {
+				s.Step(s.now, AttemptAccepted{Attempt: r.Attempt}, nil)
+				s.Step(s.now, Callback{ID: r.ID, From: r.UID, Kind: CallbackStarted}, nil)
 			}
 		}
 	}
@@ -213,7 +213,7 @@
 type steady struct {
 	s       *Scheduler
 	wake    Micros
-	running []Told // their ends, the oldest first
+	running []Callback // their ends, the oldest first
 	n       int
 	wakes   int
 	refused int
@@ -227,12 +227,12 @@
 
 func (w *steady) step(now Micros, e Event) {
 	w.out = w.s.Step(now, e, w.out[:0])
-	routes := []Route(nil)
+	routes := []SendAttempt(nil)
 	for _, e := range w.out {
 		switch e := e.(type) {
-		case Wake:
+		case SetTimer:
 			w.wake = e.At
-		case Route:
+		case SendAttempt:
 			routes = append(routes, e)
 		case Answer:
 			if e.Verdict != Served {
@@ -241,9 +241,9 @@
 		}
 	}
 	for _, r := range routes {
-		w.step(now+300, Accepted{Attempt: r.Attempt})
-		w.step(now+500, Told{ID: r.ID, From: r.UID, News: NewsStarted})
-		w.running = append(w.running, Told{ID: r.ID, From: r.UID, News: NewsDone})
+		w.step(now+300, AttemptAccepted{Attempt: r.Attempt})
+		w.step(now+500, Callback{ID: r.ID, From: r.UID, Kind: CallbackStarted})
+		w.running = append(w.running, Callback{ID: r.ID, From: r.UID, Kind: CallbackDone})
 	}
 }
 
@@ -258,7 +258,7 @@
 		at := max(w.wake, now)
 		w.wake, now = 0, at
 		w.wakes++
-		w.step(at, Woke{})
+		w.step(at, TimerFired{})
 	}
 	w.n++
 	w.step(now, Submitted{Caller: Caller(w.n), ID: fmt.Sprintf("%016x", w.n), Class: "batch", Tenant: "sahel",
@@ -278,10 +278,10 @@
 				all, list := []*steady(nil), slopeList(n)
 				for range beside {
 					w := &steady{s: slopeStart(b, 336, list)}
-					w.step(w.s.now+second, ListRead{List: list}) // a list that a start knew lets nothing go
+					w.step(w.s.now+second, EndpointsUpdated{List: list}) // a list that a start knew lets nothing go
 					for range steadyRunning + 50 {
 						w.pass()
-						w.step(w.s.now, ListRead{List: WorkerList{Rev: 2}})
+						w.step(w.s.now, EndpointsUpdated{List: WorkerList{Rev: 2}})
 					}
 					all = append(all, w)
 				}
--- a/internal/scheduler/word_bench_test.go
+++ b/internal/scheduler/word_bench_test.go
@@ -50,5 +50,5 @@
 	r := line(fmt.Sprintf("r%d", i), status)
 	r.Kind = fmt.Sprintf("m%d", i%2)
 	w.list.Workers[0] = r
-	w.out = s.Step(s.now+second, ListRead{List: w.list}, w.out[:0])
+	w.out = s.Step(s.now+second, EndpointsUpdated{List: w.list}, w.out[:0])
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -91,9 +91,9 @@
 	"idempotent": dispatch.Safe, "deduplicated": dispatch.Keyed, "at_most_once": dispatch.Unsafe,
 }
 
-var groups = map[string]dispatch.Group{
-	"all": dispatch.GroupAll, "zone": dispatch.GroupZone,
-	"cell": dispatch.GroupCell, "": dispatch.GroupCell,
+var groups = map[string]dispatch.DedupScope{
+	"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
+	"cell": dispatch.ScopeCell, "": dispatch.ScopeCell,
 }
 
 // Parse reads the settings object. What is absent gets the value that promises
@@ -106,22 +106,22 @@
 	all := Settings{Zones: p.Zones, Kinds: p.Kinds,
 		DrainGrace: dispatch.Micros(p.Guarantees.DrainGrace), ConnIdle: dispatch.Micros(p.Limits.ConnIdle)}
 	s := dispatch.Settings{
-		Me: p.Me, Balancers: p.Balancers, Zone: p.Locality, WorthByWork: p.WorthBy == "work",
-		OverShareWorth: orElse(p.OverShare, 1),
-		AskForList:     p.Discovery == "on_request", AskWithin: dispatch.Micros(p.Guarantees.AskWithin),
-		Granularity: dispatch.Micros(p.Granularity),
-		Cold:        dispatch.Micros(p.Guarantees.Cold),
-		ColdFrom:    p.Guarantees.ColdFrom, OverloadFactor: orElse(p.Guarantees.OverloadFactor, 1),
-		Fall: dispatch.Micros(p.Guarantees.Fall), MaxAttempts: p.Limits.AttemptsCap,
-		MayCancel: p.Limits.Cancel, MayDuplicate: p.Limits.MayDuplicate,
-		MayTellPeers: p.Limits.Peers, ConnectTimeout: dispatch.Micros(p.Limits.ConnectTimeout),
-		TellsStart: p.FamilyInfo.TellsStart, Progress: dispatch.Micros(p.FamilyInfo.Progress),
-		CrossZonePrice: p.Prices.CrossZone, MarksRepeats: p.Clients.MarksRetry,
+		Index: p.Me, Dispatchers: p.Balancers, Zone: p.Locality, WeightByWork: p.WorthBy == "work",
+		OverQuotaWeight: orElse(p.OverShare, 1),
+		PollEndpoints:   p.Discovery == "on_request", PollInterval: dispatch.Micros(p.Guarantees.AskWithin),
+		Granularity:      dispatch.Micros(p.Granularity),
+		SlowStart:        dispatch.Micros(p.Guarantees.Cold),
+		SlowStartInitial: p.Guarantees.ColdFrom, OverloadFactor: orElse(p.Guarantees.OverloadFactor, 1),
+		OverloadWindow: dispatch.Micros(p.Guarantees.Fall), MaxAttempts: p.Limits.AttemptsCap,
+		CancelAllowed: p.Limits.Cancel, HedgingAllowed: p.Limits.MayDuplicate,
+		GossipAllowed: p.Limits.Peers, ConnectTimeout: dispatch.Micros(p.Limits.ConnectTimeout),
+		StartReported: p.FamilyInfo.TellsStart, ProgressInterval: dispatch.Micros(p.FamilyInfo.Progress),
+		CrossZonePrice: p.Prices.CrossZone, RetriesMarked: p.Clients.MarksRetry,
 	}
 	if p.Limits.RetryAfter {
 		s.MaxRetryAfter = dispatch.Micros(p.Limits.MaxRetryAfter)
 	}
-	s.Reports = p.Report.How != "off" && slices.Contains(p.Report.Fields, "x0") &&
+	s.LoadReports = p.Report.How != "off" && slices.Contains(p.Report.Fields, "x0") &&
 		p.FamilyInfo.ReportX0 == "free slots"
 	for i, g := range p.Grades {
 		effect, known := effects[g.Semantics]
@@ -132,13 +132,13 @@
 		if !known {
 			return all, fmt.Errorf("settings: grades[%d].dedup_scope: unknown value %q", i, g.DedupScope)
 		}
-		c := dispatch.Class{Aim: dispatch.Micros(g.SLO), Deadline: dispatch.Micros(g.Deadline),
-			Worth: g.Worth, LateWorth: g.LateWorth, Effect: effect, Group: group,
-			Window: dispatch.Micros(g.MemorySpan), Stream: g.Stream, Kind: -1}
+		c := dispatch.Class{LatencyObjective: dispatch.Micros(g.SLO), Deadline: dispatch.Micros(g.Deadline),
+			PriorityWeight: g.Worth, LateWeight: g.LateWorth, Effect: effect, DedupScope: group,
+			DedupWindow: dispatch.Micros(g.MemorySpan), Stream: g.Stream, Kind: -1}
 		if i < len(p.FamilyInfo.ClassStretch) {
-			c.Stretch = p.FamilyInfo.ClassStretch[i]
+			c.ObjectiveStretch = p.FamilyInfo.ClassStretch[i]
 		}
-		c.Stretch = orElse(g.AimStretch, c.Stretch)
+		c.ObjectiveStretch = orElse(g.AimStretch, c.ObjectiveStretch)
 		if i < len(p.FamilyInfo.ClassKind) {
 			c.Kind = p.FamilyInfo.ClassKind[i]
 		}
--- a/internal/simfleet/run.go
+++ b/internal/simfleet/run.go
@@ -316,12 +316,12 @@
 // gone and back tell of workers that were lost and have been started anew, cold.
 func (r *run) gone(places []int, one bool) int {
 	r.workers.lose(places)
-	return r.state(places, "gone", 0, history.Told, one)
+	return r.state(places, "gone", 0, history.EndpointChanged, one)
 }
 
 func (r *run) back(places []int, one bool) int {
 	r.workers.back(places)
-	return r.state(places, "ready", time.Now().UnixMilli(), history.Back, one)
+	return r.state(places, "ready", time.Now().UnixMilli(), history.WorkerReady, one)
 }
 
 func (r *run) state(places []int, state string, boot int64, kind history.Kind, one bool) int {
@@ -386,7 +386,7 @@
 		for end := time.Now().Add(span); time.Now().Before(end); {
 			if drains = !drains; drains {
 				place = r.random.IntN(r.Workers)
-				e.Words += r.state([]int{place}, "draining", 0, history.Told, true)
+				e.Words += r.state([]int{place}, "draining", 0, history.EndpointChanged, true)
 			} else {
 				e.Words += r.back([]int{place}, true)
 			}
@@ -479,7 +479,7 @@
 		if !rest(ctx, time.Until(m.at.Add(span*time.Duration(i)/time.Duration(n)))) {
 			return ctx.Err()
 		}
-		e.Words += r.state([]int{place}, "draining", 0, history.Told, true)
+		e.Words += r.state([]int{place}, "draining", 0, history.EndpointChanged, true)
 		drained = append(drained, place)
 		if late := int(drainedFor * time.Duration(n) / span); len(drained) > late {
 			e.Words += r.back(drained[:1], true)
@@ -570,7 +570,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rules := history.Rules{Rack: map[string]string{}, Window: 10 * time.Second,
-		DrainGrace: 550 * time.Millisecond, MostAttempts: 4, Slack: slack, Watched: 3 * time.Second}
+		DrainGrace: 550 * time.Millisecond, MaxAttempts: 4, Slack: slack, OrphanLimit: 3 * time.Second}
 	for i, uid := range r.workers.uids {
 		rules.Rack[uid] = strconv.Itoa(i / 8)
 	}
--- a/internal/simfleet/workers.go
+++ b/internal/simfleet/workers.go
@@ -101,7 +101,7 @@
 		if off[j.place] {
 			delete(w.jobs, id)
 			close(j.gone)
-			w.say(history.Event{Kind: history.Lost, ID: id, Who: w.uids[j.place]})
+			w.say(history.Event{Kind: history.WorkerDied, ID: id, Who: w.uids[j.place]})
 		}
 	}
 }
@@ -172,7 +172,7 @@
 		status = 200
 	}
 	w.mu.Unlock()
-	w.say(history.Event{Kind: history.Withdrawn, ID: id, Who: w.uids[place], Status: status})
+	w.say(history.Event{Kind: history.CancelReceived, ID: id, Who: w.uids[place], Status: status})
 	return status
 }
 
--- a/internal/subset/roster.go
+++ b/internal/subset/roster.go
@@ -12,14 +12,14 @@
 	"sort"
 )
 
-// Roster is the members by zone and kind. The zero Roster is empty.
-type Roster[M any] struct {
-	crowds []*Crowd[M] // by zone, then kind; none is empty
+// Ring is the members by zone and kind. The zero Roster is empty.
+type Ring[M any] struct {
+	crowds []*Group[M] // by zone, then kind; none is empty
 	size   int
 }
 
-// Crowd is the members of one zone and kind, by number.
-type Crowd[M any] struct {
+// Group is the members of one zone and kind, by number.
+type Group[M any] struct {
 	zone, kind   int
 	shifts       uint64 // changes so far: while it stays, so do ranks
 	numbers      []uint32
@@ -34,10 +34,10 @@
 func (r run) has(rank int) bool { return r.lo <= rank && rank < r.hi }
 
 // Len is the number of members.
-func (r *Roster[M]) Len() int { return r.size }
+func (r *Ring[M]) Len() int { return r.size }
 
 // Zones is the number of zones that have members. It costs by the number of crowds.
-func (r *Roster[M]) Zones() int {
+func (r *Ring[M]) Zones() int {
 	n := 0
 	for i, c := range r.crowds {
 		if i == 0 || r.crowds[i-1].zone != c.zone {
@@ -47,18 +47,18 @@
 	return n
 }
 
-func (r *Roster[M]) search(zone, kind int) (int, bool) {
-	return slices.BinarySearchFunc(r.crowds, zone, func(c *Crowd[M], zone int) int {
+func (r *Ring[M]) search(zone, kind int) (int, bool) {
+	return slices.BinarySearchFunc(r.crowds, zone, func(c *Group[M], zone int) int {
 		return cmp.Or(cmp.Compare(c.zone, zone), cmp.Compare(c.kind, kind))
 	})
 }
 
 // Add takes a member in, whose number must be new to its zone and kind. It tells the crowd that the
 // member is in now, and whether it came between two that are covered, and so is covered, too.
-func (r *Roster[M]) Add(zone, kind int, number uint32, m M) (c *Crowd[M], covered bool) {
+func (r *Ring[M]) Add(zone, kind int, number uint32, m M) (c *Group[M], covered bool) {
 	at, found := r.search(zone, kind)
 	if !found {
-		r.crowds = slices.Insert(r.crowds, at, &Crowd[M]{zone: zone, kind: kind})
+		r.crowds = slices.Insert(r.crowds, at, &Group[M]{zone: zone, kind: kind})
 	}
 	c = r.crowds[at]
 	rank, _ := slices.BinarySearch(c.numbers, number)
@@ -77,7 +77,7 @@
 }
 
 // Remove takes a member out of its crowd. Whoever calls knows whether it was covered.
-func (r *Roster[M]) Remove(c *Crowd[M], number uint32) {
+func (r *Ring[M]) Remove(c *Group[M], number uint32) {
 	rank, found := slices.BinarySearch(c.numbers, number)
 	if !found {
 		return
@@ -99,24 +99,24 @@
 	}
 }
 
-func (c *Crowd[M]) changed() {
+func (c *Group[M]) changed() {
 	c.shifts++
 	c.reach = -1
 }
 
 // Shifts counts the changes of a crowd. While it stays, so do the places of its members.
-func (c *Crowd[M]) Shifts() uint64 { return c.shifts }
+func (c *Group[M]) Shifts() uint64 { return c.shifts }
 
 // Place is the place of the member of a number.
-func (c *Crowd[M]) Place(number uint32) float64 {
+func (c *Group[M]) Place(number uint32) float64 {
 	rank, _ := slices.BinarySearch(c.numbers, number)
 	return c.at(rank)
 }
 
-func (c *Crowd[M]) at(rank int) float64 { return (float64(rank) + 0.5) / float64(len(c.numbers)) }
+func (c *Group[M]) at(rank int) float64 { return (float64(rank) + 0.5) / float64(len(c.numbers)) }
 
-// Gap is how far one place comes behind another on the circle.
-func Gap(from, to float64) float64 {
+// Distance is how far one place comes behind another on the circle.
+func Distance(from, to float64) float64 {
 	gap := to - from
 	if gap < 0 {
 		gap++
@@ -126,7 +126,7 @@
 
 // Cover makes the interval begin at a place and reach so far, and tells who has come into it and
 // who has left it since the last call.
-func (r *Roster[M]) Cover(place, reach float64, moved func(m M, in bool)) {
+func (r *Ring[M]) Cover(place, reach float64, moved func(m M, in bool)) {
 	for _, c := range r.crowds {
 		if c.place != place || c.reach != reach {
 			c.cover(place, reach, moved)
@@ -134,8 +134,8 @@
 	}
 }
 
-func (c *Crowd[M]) cover(place, reach float64, moved func(m M, in bool)) {
-	beyond := func(rank int) bool { return Gap(place, c.at(rank)) >= reach }
+func (c *Group[M]) cover(place, reach float64, moved func(m M, in bool)) {
+	beyond := func(rank int) bool { return Distance(place, c.at(rank)) >= reach }
 	n := len(c.numbers)
 	from := sort.Search(n, func(rank int) bool { return c.at(rank) >= place })
 	to := from + sort.Search(n-from, func(i int) bool { return beyond(from + i) })
@@ -163,8 +163,8 @@
 }
 
 // Clone copies a roster onto other members; link hears of each where it is in the copy.
-func (r *Roster[M]) Clone(of func(M) M, link func(M, *Crowd[M])) Roster[M] {
-	copied := Roster[M]{size: r.size, crowds: make([]*Crowd[M], len(r.crowds))}
+func (r *Ring[M]) Clone(of func(M) M, link func(M, *Group[M])) Ring[M] {
+	copied := Ring[M]{size: r.size, crowds: make([]*Group[M], len(r.crowds))}
 	for i, c := range r.crowds {
 		n := *c
 		n.numbers, n.members = slices.Clone(c.numbers), make([]M, len(c.members))
--- a/internal/subset/roster_test.go
+++ b/internal/subset/roster_test.go
@@ -11,7 +11,7 @@
 type item struct {
 	zone, kind int
 	number     uint32
-	crowd      *Crowd[*item]
+	crowd      *Group[*item]
 	in         bool
 }
 
@@ -19,7 +19,7 @@
 // interval, and tells each that comes or goes once.
 func TestCoverIsAsReckonedFromNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Roster[*item]
+		var r Ring[*item]
 		items := map[uint32]*item{}
 		place, reach := rapid.Float64Range(0, 0.999).Draw(t, "place"), 0.0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -48,7 +48,7 @@
 			})
 			copies := map[*item]*item{}
 			copied := r.Clone(func(it *item) *item { c := *it; copies[it] = &c; return &c },
-				func(it *item, c *Crowd[*item]) { it.crowd = c })
+				func(it *item, c *Group[*item]) { it.crowd = c })
 			copied.Cover(place, reach, func(it *item, in bool) { t.Fatalf("%d moves in a copy", it.number) })
 			check(t, &r, items, place, reach)
 			of := map[uint32]*item{}
@@ -60,7 +60,7 @@
 	})
 }
 
-func check(t *rapid.T, r *Roster[*item], items map[uint32]*item, place, reach float64) {
+func check(t *rapid.T, r *Ring[*item], items map[uint32]*item, place, reach float64) {
 	crowds, zones := map[[2]int][]uint32{}, map[int]bool{}
 	for _, number := range slices.Sorted(maps.Keys(items)) {
 		it := items[number]
@@ -92,8 +92,8 @@
 func TestOneThatGoesMovesOneAtEachEnd(t *testing.T) {
 	for _, n := range []int{3, 50, 400, 7200} {
 		for _, reach := range []float64{8.0 / 7200, 8.0 / 300, 8.0 / 17, 0.9} {
-			var r Roster[int]
-			crowds := [2]*Crowd[int]{}
+			var r Ring[int]
+			crowds := [2]*Group[int]{}
 			for i := range 2 * n {
 				crowds[i%2], _ = r.Add(0, i%2, uint32(i), i)
 			}
--- a/internal/subset/ways_test.go
+++ b/internal/subset/ways_test.go
@@ -50,7 +50,7 @@
 
 // ranks is the present way: this package.
 func ranks(s, _ int, reach float64, workers []member) (part []int) {
-	var r Roster[int]
+	var r Ring[int]
 	for i, w := range workers {
 		r.Add(0, 0, w.number, i)
 	}
@@ -74,7 +74,7 @@
 func ring(s, _ int, reach float64, workers []member, places int) (part []int) {
 	for i, w := range workers {
 		for k := range places {
-			if Gap(golden(s), unit(mix(uint64(w.number)<<16|uint64(k)))) < reach/float64(places) {
+			if Distance(golden(s), unit(mix(uint64(w.number)<<16|uint64(k)))) < reach/float64(places) {
 				part = append(part, i)
 				break
 			}
@@ -138,7 +138,7 @@
 	for i, w := range workers {
 		lot := w.index % size
 		at := corput(s) + unit(mix(uint64(lot))) // each lot turned by an amount of its own
-		if gap := Gap(at-math.Floor(at), corput(w.index/size)); gap < best[lot] {
+		if gap := Distance(at-math.Floor(at), corput(w.index/size)); gap < best[lot] {
 			best[lot], found[lot] = gap, i
 		}
 	}
--- a/internal/testcluster/attempt.go
+++ b/internal/testcluster/attempt.go
@@ -57,9 +57,9 @@
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	rules := history.Rules{Once: map[string]bool{"post-reading": true}, Rack: map[string]string{},
+	rules := history.Rules{AtMostOnce: map[string]bool{"post-reading": true}, Rack: map[string]string{},
 		Window: 10 * time.Second, DrainGrace: 550 * time.Millisecond,
-		MostAttempts: 4, Slack: a.Slack, Watched: 3 * time.Second}
+		MaxAttempts: 4, Slack: a.Slack, OrphanLimit: 3 * time.Second}
 	var lines []fakes.Line
 	for i := range workers {
 		line := fakes.Line{UID: fmt.Sprintf("s-%08x", i+1), Group: i / 2}
@@ -67,7 +67,7 @@
 		rules.Rack[line.UID] = strconv.Itoa(line.Group)
 	}
 	p, err := startSite(a.Bin, folder, "n0", lines,
-		func(k int) func(fakes.Job) fakes.Plan { return mischief(a.Seed, k) }, rec)
+		func(k int) func(fakes.Job) fakes.Script { return mischief(a.Seed, k) }, rec)
 	if err != nil {
 		return nil, err
 	}
@@ -119,14 +119,14 @@
 }
 
 // mischief plans what a worker does with each job.
-func mischief(seed uint64, worker int) func(fakes.Job) fakes.Plan {
+func mischief(seed uint64, worker int) func(fakes.Job) fakes.Script {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, uint64(100+worker)))
 	ms := func(n int) time.Duration { return time.Duration(random.IntN(n)) * time.Millisecond }
-	return func(fakes.Job) fakes.Plan {
+	return func(fakes.Job) fakes.Script {
 		mu.Lock()
 		defer mu.Unlock()
-		p := fakes.Plan{Wait: ms(8), Queue: ms(10), Run: 10*time.Millisecond + ms(60)}
+		p := fakes.Script{Wait: ms(8), Queue: ms(10), Run: 10*time.Millisecond + ms(60)}
 		switch random.IntN(40) {
 		case 0, 1, 2:
 			p.Status, p.TurnedAway = 503, true
@@ -185,11 +185,11 @@
 			out.Drains++
 			line.State = []string{"draining", "gone"}[random.IntN(2)]
 			at.discovery.Set(line)
-			rec(history.Event{At: time.Now(), Kind: history.Told, Who: line.UID})
+			rec(history.Event{At: time.Now(), Kind: history.EndpointChanged, Who: line.UID})
 			if !rest(1200 * time.Millisecond) {
 				return
 			}
-			rec(history.Event{At: time.Now(), Kind: history.Back, Who: line.UID})
+			rec(history.Event{At: time.Now(), Kind: history.WorkerReady, Who: line.UID})
 			at.discovery.Set(at.lines[i])
 		case 3:
 			at.discovery.Break()
@@ -203,13 +203,13 @@
 		switch e.Kind {
 		case history.Sent:
 			o.Jobs++
-		case history.Left:
+		case history.ClientLeft:
 			o.Left++
 		case history.Arrived:
 			o.Attempts++
 		case history.Started:
 			o.Runs++
-		case history.Withdrawn:
+		case history.CancelReceived:
 			o.Withdrawn++
 		case history.Answered:
 			switch e.Status {
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -47,12 +47,12 @@
 		}
 	}()
 	for i := range n {
-		plan := func(k int) func(fakes.Job) fakes.Plan {
+		plan := func(k int) func(fakes.Job) fakes.Script {
 			does := honest(seed, 100*i+k)
 			if faults {
 				does = mischief(seed, 100*i+k)
 			}
-			return func(j fakes.Job) fakes.Plan {
+			return func(j fakes.Job) fakes.Script {
 				of := job{name: j.Key}
 				if strings.HasPrefix(j.Target, "/post-reading/") {
 					of = job{string(j.Body), true}
@@ -81,13 +81,13 @@
 
 // honest plans what a worker does that runs all jobs: a few hundredths of a second, and now
 // and then far longer.
-func honest(seed uint64, worker int) func(fakes.Job) fakes.Plan {
+func honest(seed uint64, worker int) func(fakes.Job) fakes.Script {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, uint64(100+worker)))
-	return func(fakes.Job) fakes.Plan {
+	return func(fakes.Job) fakes.Script {
 		mu.Lock()
 		defer mu.Unlock()
-		p := fakes.Plan{Run: time.Duration(10+random.IntN(60)) * time.Millisecond}
+		p := fakes.Script{Run: time.Duration(10+random.IntN(60)) * time.Millisecond}
 		if random.IntN(20) == 0 {
 			p.Run += time.Duration(200+random.IntN(400)) * time.Millisecond
 		}
--- a/internal/testcluster/site.go
+++ b/internal/testcluster/site.go
@@ -20,7 +20,7 @@
 // startSite starts a site with a worker for each line: UID and Group are told, the rest is
 // filled in. plan gives what the k-th worker does.
 func startSite(bin, folder, name string, lines []fakes.Line,
-	plan func(k int) func(fakes.Job) fakes.Plan,
+	plan func(k int) func(fakes.Job) fakes.Script,
 	rec fakes.Recorder) (s *site, err error) {
 	s = &site{bin: bin, folder: folder, name: name}
 	defer func() {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -241,13 +241,13 @@
 	case 2:
 		return dispatch.Draining
 	}
-	return dispatch.Gone
+	return dispatch.Removed
 }
 
 var outcomes = map[int]dispatch.Outcome{
-	0: dispatch.OK, 5: dispatch.Failed, 11: dispatch.Full, 110: dispatch.TimedOut,
+	0: dispatch.OK, 5: dispatch.Failed, 11: dispatch.AtCapacity, 110: dispatch.TimedOut,
 	111: dispatch.ConnectFailed,
-	104: dispatch.Reset, 125: dispatch.Cancelled, 114: dispatch.Moot,
+	104: dispatch.Reset, 125: dispatch.Cancelled, 114: dispatch.NotSent,
 }
 
 // event fills e with what a message means; false for one that means nothing to
@@ -259,7 +259,7 @@
 	case "knock":
 		e.Kind, e.Class, e.Tenant = dispatch.JobArrived, m.class, m.tenant
 		e.Patience, e.Work = dispatch.Micros(m.patience), dispatch.Micros(m.estimate)
-		e.Repeat = m.retry
+		e.Retry = m.retry
 		e.Slots = max(m.needs, m.memory)
 	case "completed":
 		e.Kind, e.Final = dispatch.AttemptEnded, m.terminal
@@ -269,7 +269,7 @@
 		}
 		e.Outcome = outcome
 	case "status_note":
-		e.Kind, e.Value = dispatch.AttemptNote, m.value
+		e.Kind, e.Value = dispatch.AttemptReported, m.value
 		switch m.sort {
 		case 1:
 			e.Note = dispatch.NoteStarted
@@ -277,13 +277,13 @@
 			e.Note = dispatch.NoteProgress
 		}
 	case "first_byte":
-		e.Kind = dispatch.StreamBegan
+		e.Kind = dispatch.StreamStarted
 	case "client_gone":
-		e.Kind = dispatch.ClientGone
+		e.Kind = dispatch.ClientDisconnected
 	case "ring":
-		e.Kind, e.Token = dispatch.TimerRang, m.tag
+		e.Kind, e.Token = dispatch.TimerFired, m.tag
 	case "whisper":
-		e.Kind, e.Peer = dispatch.PeerTold, m.from
+		e.Kind, e.Peer = dispatch.GossipReceived, m.from
 		e.Message, _ = hex.DecodeString(m.blob)
 	default:
 		return false
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -14,21 +14,21 @@
 	case dispatch.Send:
 		b = appendJob(open(b, "transmit", who), a)
 		b = appendInt(b, `,"worker":`, int64(a.Worker))
-		b = appendInt(b, `,"abandon_at":`, int64(a.At))
+		b = appendInt(b, `,"abandon_at":`, int64(a.Deadline))
 	case dispatch.Refuse:
 		b = appendJob(open(b, "reject", who), a)
-		b = appendInt(b, `,"hold_off":`, int64(a.Wait))
+		b = appendInt(b, `,"hold_off":`, int64(a.Delay))
 	case dispatch.Fail:
 		b = appendJob(open(b, "respond_error", who), a)
 	case dispatch.Cancel:
 		b = appendJob(open(b, "retract", who), a)
 		b = appendInt(b, `,"try":`, int64(a.Attempt))
 	case dispatch.SetTimer:
-		b = appendInt(open(b, "set_timer", who), `,"span":`, int64(a.Wait))
+		b = appendInt(open(b, "set_timer", who), `,"span":`, int64(a.Delay))
 		b = strconv.AppendUint(append(b, `,"tag":`...), a.Token, 10)
-	case dispatch.WatchList:
+	case dispatch.WatchEndpoints:
 		b = append(open(b, "watch", who), `,"enable":true`...)
-	case dispatch.TellPeers:
+	case dispatch.SendGossip:
 		b = appendInt(open(b, "write_peer", who), `,"dst":`, int64(a.Peer))
 		b = append(hex.AppendEncode(append(b, `,"blob":"`...), a.Message), '"')
 	case dispatch.Log:
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -104,12 +104,12 @@
 		return
 	}
 	h.dispatchers[m.who] = d
-	h.event = dispatch.Event{Kind: dispatch.Began}
+	h.event = dispatch.Event{Kind: dispatch.Started}
 	h.step(now, m.who)
 }
 
-var scopes = map[int]dispatch.ListScope{
-	0: dispatch.ListDelta, 1: dispatch.ListCached, 2: dispatch.ListFailed, 3: dispatch.ListFull,
+var scopes = map[int]dispatch.UpdateScope{
+	0: dispatch.UpdateDelta, 1: dispatch.UpdateCached, 2: dispatch.UpdateFailed, 3: dispatch.UpdateFull,
 }
 
 func (h *Host) update(now dispatch.Micros, m *message) {
@@ -117,8 +117,8 @@
 	if !known {
 		return
 	}
-	h.event = dispatch.Event{Kind: dispatch.ListChanged, Scope: scope}
-	if scope != dispatch.ListFailed && m.ref >= 0 && m.ref < lists {
+	h.event = dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope}
+	if scope != dispatch.UpdateFailed && m.ref >= 0 && m.ref < lists {
 		h.event.Workers = h.lists[m.ref]
 	}
 	h.step(now, m.who)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,11 +55,11 @@
 		t.Fatal(err)
 	}
 	s := told.Module
-	if s.Classes[0].Stretch != 1.5 || s.Classes[1].Stretch != 0.5 || s.Classes[1].Group != 1 ||
+	if s.Classes[0].ObjectiveStretch != 1.5 || s.Classes[1].ObjectiveStretch != 0.5 || s.Classes[1].DedupScope != 1 ||
 		s.Classes[1].Effect != 1 || s.Classes[0].Kind != -1 {
 		t.Errorf("classes: %+v", s.Classes)
 	}
-	if s.OverShareWorth != 1 || s.OverloadFactor != 1 || !s.AskForList || !s.Reports || s.MaxRetryAfter != 0 {
+	if s.OverQuotaWeight != 1 || s.OverloadFactor != 1 || !s.PollEndpoints || !s.LoadReports || s.MaxRetryAfter != 0 {
 		t.Errorf("settings: %+v", s)
 	}
 	for bad, field := range map[string]string{
@@ -142,11 +142,11 @@
 func TestEncodeEveryAction(t *testing.T) {
 	hi := []byte("hi")
 	for want, a := range map[string]dispatch.Action{
-		`{"reject":{"who":3,"op_id":7,"hold_off":250}},`:  {Kind: dispatch.Refuse, Job: 7, Wait: 250},
+		`{"reject":{"who":3,"op_id":7,"hold_off":250}},`:  {Kind: dispatch.Refuse, Job: 7, Delay: 250},
 		`{"respond_error":{"who":3,"op_id":7}},`:          {Kind: dispatch.Fail, Job: 7},
 		`{"retract":{"who":3,"op_id":7,"try":2}},`:        {Kind: dispatch.Cancel, Job: 7, Attempt: 2},
-		`{"set_timer":{"who":3,"span":5,"tag":9}},`:       {Kind: dispatch.SetTimer, Wait: 5, Token: 9},
-		`{"write_peer":{"who":3,"dst":4,"blob":"6869"}},`: {Kind: dispatch.TellPeers, Peer: 4, Message: hi},
+		`{"set_timer":{"who":3,"span":5,"tag":9}},`:       {Kind: dispatch.SetTimer, Delay: 5, Token: 9},
+		`{"write_peer":{"who":3,"dst":4,"blob":"6869"}},`: {Kind: dispatch.SendGossip, Peer: 4, Message: hi},
 		`{"write_log":{"who":3,"line":"a \"b\""}},`:       {Kind: dispatch.Log, Text: `a "b"`},
 	} {
 		if got := string(appendAction(nil, 3, &a)); got != want {
@@ -165,7 +165,7 @@
 			t.Fatal(err)
 		}
 		var e dispatch.Event
-		if !messages[0].event(&e) || e.Repeat != want {
+		if !messages[0].event(&e) || e.Retry != want {
 			t.Errorf("%s: got %+v", mark, e)
 		}
 	}
