--- /dev/null
+++ b/client/compat_test.go
@@ -0,0 +1,47 @@
+package client
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// Files that were written for earlier releases must be read to the same values by each later one. The
+// files in testdata are copies and are never edited.
+func TestFilesOfEarlierReleases(t *testing.T) {
+	for name, want := range map[string]Config{
+		"desk.json": {Schedulers: []string{"127.0.0.1:8443"}, Tenant: "sahel", Budget: 0.1,
+			Classes: map[string]Class{
+				"post-reading":   {Deadline: 5 * time.Second, Effect: Once, Tries: 3},
+				"district-batch": {Deadline: 20 * time.Second, Effect: Rack, Tries: 3}}},
+		"desk-all-fields.json": {Schedulers: []string{"127.0.0.1:8443", "scheduler-2.example:8443"},
+			Tenant: "sahel", Budget: -1, Connections: 16, Reconnects: 12.5,
+			Classes: map[string]Class{
+				"post-reading":   {Deadline: 5 * time.Second, Effect: Once, Tries: 3},
+				"district-batch": {Deadline: 20 * time.Second, Effect: Rack},
+				"invoice": {Deadline: 1500 * time.Millisecond, Effect: Anywhere, Window: 30 * time.Second,
+					Tries: 10},
+				"lookup": {Deadline: 250 * time.Millisecond, Effect: Safe, Tries: 1}}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			raw, err := os.ReadFile("testdata/" + name)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := ParseConfig(raw)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(want, got); diff != "" {
+				t.Error(diff)
+			}
+			c, err := New(got)
+			if err != nil {
+				t.Fatal(err)
+			}
+			c.Close()
+		})
+	}
+}
--- /dev/null
+++ b/internal/appliance/compat_test.go
@@ -0,0 +1,29 @@
+package appliance
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"dahliaford/internal/store"
+)
+
+// A file that was written for an earlier release must be read to the same values by each later one. The
+// file in testdata is a copy and is never edited.
+func TestFileOfEarlierRelease(t *testing.T) {
+	raw, err := os.ReadFile("testdata/appliance.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := Parse(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Config{Store: &Store{Config: store.Config{Path: "/var/lib/dahliaford/jobs.db",
+		MostItems: 1_000_000, MostBytes: 1 << 30}, Keep: time.Hour, Ask: 5 * time.Second}}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
--- /dev/null
+++ b/internal/store/compat_test.go
@@ -0,0 +1,90 @@
+package store
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"go.etcd.io/bbolt"
+
+	"dahliaford/internal/store/lifecycle"
+)
+
+// version2Items are the items that testdata/v2.db holds: each effect, each outcome of an attempt, each
+// verdict, and each field of a record at least once.
+func version2Items() map[string]*lifecycle.Item {
+	attempt := func(region, rack string, at, ended lifecycle.Micros, how lifecycle.Outcome) lifecycle.Attempt {
+		return lifecycle.Attempt{Region: region, Rack: rack, At: at, Ended: ended, What: how}
+	}
+	all := map[string]*lifecycle.Item{}
+	for _, it := range []*lifecycle.Item{
+		{ID: "accepted", Class: "post-reading", Tenant: "sahel", Object: "17", Key: "k-1", Body: []byte("4211\x00\xff"),
+			Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000},
+		{ID: "bare", Deadline: 1},
+		{ID: "routed", Class: "post-reading", Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000,
+			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 0, lifecycle.Open)}},
+		{ID: "never-ran", Class: "district-batch", Effect: lifecycle.Rack, Window: 30_000_000, Accepted: 1_000_000,
+			Deadline: 9_000_000,
+			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.Never)}},
+		{ID: "may-have-run", Class: "district-batch", Effect: lifecycle.Rack, Window: 30_000_000, Accepted: 1_000_000,
+			Deadline: 9_000_000, Attempts: []lifecycle.Attempt{
+				attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHave),
+				attempt("s-2", "north/0", 4_000_000, 0, lifecycle.Open)}},
+		{ID: "done", Class: "invoice", Effect: lifecycle.Anywhere, Window: 30_000_000, Accepted: 1_000_000,
+			Deadline: 9_000_000, Result: []byte("r"), Attempts: []lifecycle.Attempt{
+				attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHave),
+				attempt("s-9", "south/1", 4_000_000, 5_000_000, lifecycle.Done)}},
+		{ID: "served", Class: "lookup", Effect: lifecycle.Safe, Accepted: 1_000_000, Deadline: 9_000_000,
+			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.Done)},
+			Verdict:  lifecycle.Served, Result: []byte("result"), Answered: 4_000_000, Keep: 8_000_000},
+		{ID: "failed", Class: "post-reading", Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000,
+			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHave)},
+			Verdict:  lifecycle.Failed, Answered: 4_000_000, Keep: 8_000_000},
+		{ID: "expired", Class: "post-reading", Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000,
+			Verdict: lifecycle.Expired, Answered: 9_000_000, Keep: 12_000_000},
+	} {
+		all[it.ID] = it
+	}
+	return all
+}
+
+// A file that an earlier release wrote in this version of the format is read to the same items, its counts
+// and its latest time, and each record is written again byte for byte. The file is never written anew.
+func TestFileOfVersion2(t *testing.T) {
+	raw, err := os.ReadFile("testdata/v2.db")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "jobs")
+	if err := os.WriteFile(path, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	want := version2Items()
+	if items, faults, err := Check(path); err != nil || len(faults) > 0 || items != len(want) {
+		t.Errorf("%d items, %d expected, faults %v, %v", items, len(want), faults, err)
+	}
+	s := open(t, Config{Path: path})
+	if diff := cmp.Diff(want, held(t, s)); diff != "" {
+		t.Error(diff)
+	}
+	if seen, err := s.disk.seen(); err != nil || seen < 1_700_000_000_000_000 {
+		t.Errorf("latest time %d, %v", seen, err)
+	}
+	err = s.disk.(*bolt).db.View(func(tx *bbolt.Tx) error {
+		return tx.Bucket(itemsBucket).ForEach(func(id, record []byte) error {
+			c := Change{Item: want[string(id)]}
+			if err := c.encode(); err != nil {
+				return err
+			}
+			if !bytes.Equal(record, c.record) {
+				t.Errorf("item %q is now written as %q, it was %q", id, c.record, record)
+			}
+			return nil
+		})
+	})
+	if err != nil {
+		t.Error(err)
+	}
+}
