--- a/internal/bucketqueue/bucket.go
+++ b/internal/bucketqueue/bucket.go
@@ -23,8 +23,8 @@
 	buckets [Buckets][]*Node[T]
 }
 
-// In is the queue that holds the node, nil if none does.
-func (n *Node[T]) In() *Queue[T] { return n.queue }
+// Queue is the queue that holds the node, nil if none does.
+func (n *Node[T]) Queue() *Queue[T] { return n.queue }
 
 // Key is the key that the node was put under last.
 func (n *Node[T]) Key() int { return int(n.key) }
--- a/internal/bucketqueue/bucket_test.go
+++ b/internal/bucketqueue/bucket_test.go
@@ -30,7 +30,7 @@
 		for q := range queues {
 			held, below := 0, 0
 			for i, p := range want {
-				if n := &nodes[i]; n.In() != &queues[p.queue] || n.Key() != p.key {
+				if n := &nodes[i]; n.Queue() != &queues[p.queue] || n.Key() != p.key {
 					t.Fatalf("node %d is under %d, put under %v", i, n.Key(), p)
 				}
 				if p.queue == q {
@@ -49,7 +49,7 @@
 			}
 			seen, highest := map[*Node[int]]bool{}, 0
 			for _, n := range least {
-				if seen[n] || n.In() != &queues[q] || n.Key() < highest {
+				if seen[n] || n.Queue() != &queues[q] || n.Key() < highest {
 					t.Fatal("one twice, of another queue, or out of order")
 				}
 				seen[n], highest = true, n.Key()
--- a/internal/connstate/link.go
+++ b/internal/connstate/link.go
@@ -13,13 +13,13 @@
 // Conn is one connection to a worker. It carries an errand at a time: an attempt, or
 // the withdrawal of one. The zero Link idles.
 type Conn struct {
-	Attempt  scheduler.Attempt // of the errand
-	Cancel   bool              // the errand takes the attempt back
-	Busy     bool              // an errand is on it
-	Used     bool              // it carried another one before
-	Written  bool              // the errand's last byte is out
-	Broken   bool              // nothing more can be read from it
-	Released bool              // let go: nothing that it says counts any more
+	Attempt  scheduler.AttemptID // of the errand
+	Cancel   bool                // the errand takes the attempt back
+	Busy     bool                // an errand is on it
+	Used     bool                // it carried another one before
+	Written  bool                // the errand's last byte is out
+	Broken   bool                // nothing more can be read from it
+	Released bool                // let go: nothing that it says counts any more
 }
 
 // Disposition is what is to become of the connection.
@@ -41,7 +41,7 @@
 }
 
 // Assign puts an errand on a connection that idles.
-func (l *Conn) Assign(attempt scheduler.Attempt, withdraw bool) {
+func (l *Conn) Assign(attempt scheduler.AttemptID, withdraw bool) {
 	l.Used = l.Attempt != 0
 	l.Attempt, l.Cancel, l.Busy, l.Written = attempt, withdraw, true, false
 }
--- a/internal/dispatch/choice.go
+++ b/internal/dispatch/choice.go
@@ -77,7 +77,7 @@
 			x.byCrowd[key] = s
 			x.crowds = append(x.crowds, s)
 		}
-		if w.node.In() != &s.Queue {
+		if w.node.Queue() != &s.Queue {
 			w.node.Value = w
 			s.Put(&w.node, d.keyOf(w))
 		}
@@ -122,7 +122,7 @@
 
 // renew puts a member where it belongs by now.
 func (x *index) renew(d *Dispatcher, w *worker) {
-	if s := w.node.In(); s != nil {
+	if s := w.node.Queue(); s != nil {
 		d.looked++
 		s.Put(&w.node, d.keyOf(w))
 	}
--- a/internal/dispatch/choice_test.go
+++ b/internal/dispatch/choice_test.go
@@ -551,7 +551,7 @@
 		t.Errorf("sent as %v", sent)
 	}
 	for _, w := range b.d.part {
-		if w.node.In() == nil {
+		if w.node.Queue() == nil {
 			t.Fatalf("worker %d is in the part and not in the index", w.entry.Worker)
 		}
 	}
--- a/internal/dispatch/copy.go
+++ b/internal/dispatch/copy.go
@@ -98,104 +98,104 @@
 // AppendState appends a form of the state between two events that is the same for two
 // states if they act alike from here on.
 func (d *Dispatcher) AppendState(b []byte) []byte {
-	f := fingerprint.Form(b)
+	f := fingerprint.Buffer(b)
 	fits := func(of *[fitsKept + 1]fit) {
 		for i := range of {
 			if of[i] != (fit{}) {
-				f.Num(int64(i))
-				f.Real(of[i].prompt, of[i].late)
+				f.Ints(int64(i))
+				f.Floats(of[i].prompt, of[i].late)
 			}
 		}
-		f.Num(-1)
+		f.Ints(-1)
 	}
 	runs := func(q *quantiles) {
-		f.Num(int64(q.n))
-		f.Real(q.value)
-		f.Real(q.ring[:min(q.n, runsKept)]...)
+		f.Ints(int64(q.n))
+		f.Floats(q.value)
+		f.Floats(q.ring[:min(q.n, runsKept)]...)
 	}
-	f.Num(int64(d.now), int64(d.born), int64(d.random), int64(d.seq), int64(len(d.jobs)), int64(len(d.held)))
-	f.Num(int64(d.level), int64(d.gapped), int64(d.severeRow), int64(d.overRow), int64(d.passRow),
+	f.Ints(int64(d.now), int64(d.born), int64(d.random), int64(d.seq), int64(len(d.jobs)), int64(len(d.held)))
+	f.Ints(int64(d.level), int64(d.gapped), int64(d.severeRow), int64(d.overRow), int64(d.passRow),
 		int64(d.stepAt),
 		int64(d.climb), int64(d.levels), int64(d.refreshed), int64(d.refreshes), int64(d.wake), int64(d.token),
 		int64(d.askAt), int64(d.askFails), int64(d.logged), int64(d.listedAt))
-	f.Real(d.reach, d.here, d.worth, d.retries, d.fleet.work, d.fleet.time)
-	f.Flag(d.hints, d.panicking)
+	f.Floats(d.reach, d.here, d.worth, d.retries, d.fleet.work, d.fleet.time)
+	f.Bools(d.hints, d.panicking)
 	runs(&d.slots)
-	f.Real(d.tokens...)
+	f.Floats(d.tokens...)
 	for _, at := range d.tokenAt {
-		f.Num(int64(at))
+		f.Ints(int64(at))
 	}
 	for i := range d.classes {
 		c := &d.classes[i]
-		f.Real(c.work, c.square, c.n, c.arrived, c.rate)
-		f.Num(int64(c.target))
+		f.Floats(c.work, c.square, c.n, c.arrived, c.rate)
+		f.Ints(int64(c.target))
 		runs(&c.runs)
 	}
 	for i := range d.flows {
-		f.Real(d.flows[i].rate)
-		f.Num(d.flows[i].interval)
+		f.Floats(d.flows[i].rate)
+		f.Ints(d.flows[i].interval)
 	}
 	for _, list := range [][]int{d.near, d.ranks, d.byTarget} {
 		for _, n := range list {
-			f.Num(int64(n))
+			f.Ints(int64(n))
 		}
 	}
 	for i := range d.peers {
-		f.Real(d.peers[i].place)
-		f.Num(int64(d.peers[i].zone), int64(d.peers[i].visited))
+		f.Floats(d.peers[i].place)
+		f.Ints(int64(d.peers[i].zone), int64(d.peers[i].visited))
 	}
 	for _, n := range slices.Sorted(maps.Keys(d.kinds)) {
 		k := d.kinds[n]
-		f.Num(int64(n), int64(k.top), int64(k.tried))
-		f.Real(k.work, k.time, k.most)
+		f.Ints(int64(n), int64(k.top), int64(k.tried))
+		f.Floats(k.work, k.time, k.most)
 		fits(&k.fits)
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(d.crowds), func(a, b crowdKey) int {
 		return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.kind, b.kind))
 	}) {
 		c := d.crowds[key]
-		f.Num(int64(key.zone), int64(key.kind), int64(c.at))
-		f.Real(c.sum, c.n)
+		f.Ints(int64(key.zone), int64(key.kind), int64(c.at))
+		f.Floats(c.sum, c.n)
 	}
 	for _, list := range [][]*worker{d.order, d.part, d.busy, d.touched} {
-		f.Num(int64(len(list)))
+		f.Ints(int64(len(list)))
 		for _, w := range list {
-			f.Num(int64(w.entry.Worker))
+			f.Ints(int64(w.entry.Worker))
 		}
 	}
 	for _, w := range d.order {
 		e := &w.entry
-		f.Num(int64(e.Zone), int64(e.Cell), int64(e.Kind), int64(e.Status), int64(e.Started))
-		f.Num(int64(w.unstarted), int64(w.capAt), int64(w.blocked), int64(w.gone),
+		f.Ints(int64(e.Zone), int64(e.Cell), int64(e.Kind), int64(e.Status), int64(e.Started))
+		f.Ints(int64(w.unstarted), int64(w.capAt), int64(w.blocked), int64(w.gone),
 			int64(w.sign),
 			int64(w.trial), int64(w.fails), int64(w.erredAt), int64(w.downUntil), int64(w.cold), int64(w.budgetAt),
 			int64(w.told.used), int64(w.told.waiting), int64(len(w.live)))
-		f.Real(w.used, w.cap, w.slots, w.pace.work, w.pace.time, w.errors, w.budget, d.placeOf(w), w.tilt,
+		f.Floats(w.used, w.cap, w.slots, w.pace.work, w.pace.time, w.errors, w.budget, d.placeOf(w), w.tilt,
 			w.wait.sum, w.wait.n)
-		f.Num(int64(w.wait.at))
-		f.Flag(w.suspect, w.lost, w.touched, w.kind != nil, w.fits != nil)
+		f.Ints(int64(w.wait.at))
+		f.Bools(w.suspect, w.lost, w.touched, w.kind != nil, w.fits != nil)
 		if w.fits != nil {
 			fits(w.fits)
 		}
 		for i := range w.peers {
 			p := &w.peers[i]
-			f.Num(int64(p.used), int64(p.waiting), int64(p.peer), int64(p.at), int64(p.grew), int64(p.coming),
+			f.Ints(int64(p.used), int64(p.waiting), int64(p.peer), int64(p.at), int64(p.grew), int64(p.coming),
 				int64(p.waits))
 		}
 		for _, a := range w.live {
-			f.Num(int64(a.job.id), int64(a.n))
+			f.Ints(int64(a.job.id), int64(a.n))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.jobs)) {
 		j := d.jobs[id]
-		f.Num(int64(id), int64(j.class), int64(j.tenant), int64(j.giveUp), int64(j.aim), int64(j.due), int64(j.seq),
+		f.Ints(int64(id), int64(j.class), int64(j.tenant), int64(j.giveUp), int64(j.aim), int64(j.due), int64(j.seq),
 			int64(j.live), int64(len(j.attempts)))
-		f.Real(j.work, j.slots)
-		f.Flag(j.over, j.held, j.late, j.hinted, j.streaming, j.finished)
+		f.Floats(j.work, j.slots)
+		f.Bools(j.over, j.held, j.late, j.hinted, j.streaming, j.finished)
 		for _, a := range j.attempts {
-			f.Num(int64(a.worker.entry.Worker), int64(a.n), int64(a.sent), int64(a.started), int64(a.noted))
-			f.Real(a.done, a.taken)
-			f.Flag(a.live, a.ran, a.back, a.overdue)
+			f.Ints(int64(a.worker.entry.Worker), int64(a.n), int64(a.sent), int64(a.started), int64(a.noted))
+			f.Floats(a.done, a.taken)
+			f.Bools(a.live, a.ran, a.back, a.overdue)
 		}
 	}
 	return f
--- a/internal/dispatch/list.go
+++ b/internal/dispatch/list.go
@@ -106,8 +106,8 @@
 
 // placeOf is the place of a worker on the circle: by its rank while it is ready, else the last.
 func (d *Dispatcher) placeOf(w *worker) float64 {
-	if w.among != nil && w.placedAt != w.among.Shifts() {
-		w.place, w.placedAt = w.among.Place(uint32(w.entry.Worker)), w.among.Shifts()
+	if w.among != nil && w.placedAt != w.among.Generation() {
+		w.place, w.placedAt = w.among.Position(uint32(w.entry.Worker)), w.among.Generation()
 	}
 	return w.place
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -164,9 +164,9 @@
 	f.tally = newTally(f)
 	f.watch.start()
 	f.rules = history.Rules{AtMostOnce: map[string]bool{}, Rack: map[string]string{},
-		MaxAttempts: set.Module.MaxAttempts, DrainGrace: span(set.DrainGrace), Slack: span(slack),
+		MaxAttempts: set.Dispatch.MaxAttempts, DrainGrace: span(set.DrainGrace), Slack: span(slack),
 		OrphanLimit: 20 * time.Second,
-		Window:      span(set.Module.Classes[len(set.Module.Classes)-1].DedupWindow)}
+		Window:      span(set.Dispatch.Classes[len(set.Dispatch.Classes)-1].DedupWindow)}
 	for _, c := range classes {
 		f.rules.AtMostOnce[c.name] = c.once
 	}
@@ -185,7 +185,7 @@
 	}
 	for _, n := range f.nodes {
 		f.at(began+Micros(n.random.Int64N(int64(second/2))), func() {
-			n.step(scheduler.Started{Discovery: "discovery", Known: table})
+			n.step(scheduler.Started{Discovery: "discovery", CachedList: table})
 		})
 	}
 	f.at(began+warmUp, func() {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -110,14 +110,14 @@
 		t.Fatal(err)
 	}
 	quota := 0.0
-	for _, tenant := range set.Module.Tenants {
+	for _, tenant := range set.Dispatch.Tenants {
 		quota += tenant.Quota
 	}
-	if len(set.Module.Tenants) != teams || quota < 1.29*80 || quota > 1.31*80 {
-		t.Errorf("%d teams with %v jobs a second", len(set.Module.Tenants), quota)
+	if len(set.Dispatch.Tenants) != teams || quota < 1.29*80 || quota > 1.31*80 {
+		t.Errorf("%d teams with %v jobs a second", len(set.Dispatch.Tenants), quota)
 	}
-	if !set.Module.LoadReports || !set.Module.StartReported || !set.Module.CancelAllowed || !set.Module.RetriesMarked {
-		t.Errorf("%+v", set.Module)
+	if !set.Dispatch.LoadReports || !set.Dispatch.StartReported || !set.Dispatch.CancelAllowed || !set.Dispatch.RetriesMarked {
+		t.Errorf("%+v", set.Dispatch)
 	}
 	part := 0.0
 	for _, c := range classes {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -42,10 +42,10 @@
 	links   map[*worker][]*conn
 	idle    []idling
 	open    int
-	tasks   map[scheduler.Attempt]*conn
-	unsent  scheduler.Attempt
-	callers map[scheduler.Caller]*request
-	caller  scheduler.Caller
+	tasks   map[scheduler.AttemptID]*conn
+	unsent  scheduler.AttemptID
+	callers map[scheduler.CallerID]*request
+	caller  scheduler.CallerID
 
 	use use
 }
@@ -84,14 +84,14 @@
 
 func newNode(f *fleet, me, zone int) (*node, error) {
 	set := f.set
-	set.Module.Index, set.Module.Zone = me, zone
+	set.Dispatch.Index, set.Dispatch.Zone = me, zone
 	s, err := scheduler.New(set, f.opt.Seed<<20+uint64(me))
 	if err != nil {
 		return nil, err
 	}
 	return &node{f: f, me: me, zone: zone, sched: s, random: f.random(1_000_000 + uint64(me)), rev: 1,
 		left: map[string]bool{}, starts: map[string]Micros{}, links: map[*worker][]*conn{},
-		tasks: map[scheduler.Attempt]*conn{}, callers: map[scheduler.Caller]*request{}}, nil
+		tasks: map[scheduler.AttemptID]*conn{}, callers: map[scheduler.CallerID]*request{}}, nil
 }
 
 // control and job count a message.
@@ -303,7 +303,7 @@
 		return
 	}
 	if s.spoke { // the fleet's list is asked for, see told.lost
-		n.until = min(n.until, n.heard+n.f.set.Module.PollInterval)
+		n.until = min(n.until, n.heard+n.f.set.Dispatch.PollInterval)
 	}
 	n.step(scheduler.WatchClosed{ValidUntil: n.until})
 }
@@ -349,7 +349,7 @@
 }
 
 func (n *node) kept() Micros {
-	if n.f.set.Module.LargeFleet() {
+	if n.f.set.Dispatch.LargeFleet() {
 		return keptMany
 	}
 	return keptFew
@@ -422,7 +422,7 @@
 	c.start()
 }
 
-func (n *node) abandon(task scheduler.Attempt) {
+func (n *node) abandon(task scheduler.AttemptID) {
 	c := n.tasks[task]
 	if c == nil {
 		return
@@ -435,7 +435,7 @@
 }
 
 // on tells whether the connection still carries an errand.
-func (c *conn) on(task scheduler.Attempt) bool { return !c.Released && c.Busy && c.Attempt == task }
+func (c *conn) on(task scheduler.AttemptID) bool { return !c.Released && c.Busy && c.Attempt == task }
 
 // start brings the connection up, if it is not, and writes the errand.
 func (c *conn) start() {
@@ -468,7 +468,7 @@
 }
 
 // write sends the errand, after the last look.
-func (c *conn) write(task scheduler.Attempt) {
+func (c *conn) write(task scheduler.AttemptID) {
 	n, f := c.n, c.n.f
 	if !c.on(task) || c.writing {
 		return
@@ -557,7 +557,7 @@
 	return false
 }
 
-func (c *conn) broke(task scheduler.Attempt) {
+func (c *conn) broke(task scheduler.AttemptID) {
 	if !c.on(task) {
 		return
 	}
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -55,7 +55,7 @@
 		n, w := f.nodes[0], f.workers[0]
 		var seen []string
 		f.watch.seen = func(e scheduler.Event) { seen = append(seen, nameOf(e)) }
-		n.step(scheduler.Started{Discovery: "discovery", Known: f.discovery.whole()})
+		n.step(scheduler.Started{Discovery: "discovery", CachedList: f.discovery.whole()})
 		f.until(f.now + 2*second)
 		seen = nil
 		if c.befall != nil {
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -290,7 +290,7 @@
 			item: &item{slots: 1, work: float64(second)}}
 		req.taken()
 		c := &conn{n: n, w: w}
-		c.Assign(scheduler.Attempt(i+1), false)
+		c.Assign(scheduler.AttemptID(i+1), false)
 		w.take(c, req)
 	}
 	if w.used != 14 || len(w.queue) != 28 || f.tally.model.TurnedAway != jobs-42 {
--- a/internal/emulator/setup.go
+++ b/internal/emulator/setup.go
@@ -147,7 +147,7 @@
 		return settings.Settings{}, err
 	}
 	// As package node has it: a watch is opened by the program, and a change counts as told unheard.
-	set.Module.PollEndpoints, set.Module.MaxStaleness = true, toldWithin
+	set.Dispatch.PollEndpoints, set.Dispatch.MaxStaleness = true, toldWithin
 	return set, nil
 }
 
--- a/internal/fingerprint/form.go
+++ b/internal/fingerprint/form.go
@@ -7,25 +7,25 @@
 	"math"
 )
 
-// Form is what has been written so far.
-type Form []byte
+// Buffer is what has been written so far.
+type Buffer []byte
 
-// Num appends whole numbers.
-func (f *Form) Num(vs ...int64) {
+// Ints appends whole numbers.
+func (f *Buffer) Ints(vs ...int64) {
 	for _, v := range vs {
 		*f = binary.AppendVarint(*f, v)
 	}
 }
 
-// Real appends real numbers, bit by bit.
-func (f *Form) Real(vs ...float64) {
+// Floats appends real numbers, bit by bit.
+func (f *Buffer) Floats(vs ...float64) {
 	for _, v := range vs {
 		*f = binary.LittleEndian.AppendUint64(*f, math.Float64bits(v))
 	}
 }
 
-// Flag appends truths.
-func (f *Form) Flag(vs ...bool) {
+// Bools appends truths.
+func (f *Buffer) Bools(vs ...bool) {
 	for _, v := range vs {
 		bit := byte(0)
 		if v {
@@ -36,7 +36,7 @@
 }
 
 // Text appends a text, with its length before it.
-func (f *Form) Text(v string) {
-	f.Num(int64(len(v)))
+func (f *Buffer) Text(v string) {
+	f.Ints(int64(len(v)))
 	*f = append(*f, v...)
 }
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -118,9 +118,9 @@
 	set, err := settings.Parse(fmt.Appendf(nil, worldSettings, r.Progress, discovery, r.maxAttempts(),
 		!r.NoCancel, r.MayDuplicate, r.askWithin()))
 	// The node does the same: a list that is pushed comes over a watch, too.
-	set.Module.PollEndpoints = true
+	set.Dispatch.PollEndpoints = true
 	if r.Trust {
-		set.Module.MaxStaleness = toldWithin
+		set.Dispatch.MaxStaleness = toldWithin
 	}
 	return set, err
 }
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -149,7 +149,7 @@
 
 // see counts an event before it is passed on, and notes what the scheduler hears by it.
 func (w *World) see(e scheduler.Event) {
-	attempt := func(kind eventKind, t scheduler.Attempt, to stage) {
+	attempt := func(kind eventKind, t scheduler.AttemptID, to stage) {
 		for i := range w.requests {
 			if q := &w.requests[i]; q.last == t && t != 0 {
 				w.cover[kind][q.stage]++
--- a/internal/modelcheck/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -309,7 +309,7 @@
 		if err := cfg.prepare(); err != nil {
 			t.Fatal(err)
 		}
-		s := &cfg.settings.Module
+		s := &cfg.settings.Dispatch
 		if is := (got{s.CancelAllowed, s.HedgingAllowed, s.MaxAttempts, s.PollInterval, s.MaxStaleness, s.ProgressInterval,
 			s.ConnectTimeout}); is != want || !s.PollEndpoints {
 			t.Errorf("%s: %+v, want %+v", name, is, want)
--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -178,7 +178,7 @@
 		Edits: []string{
 			"\t\t\t\ts.callBack(k)\n" +
 				"\t\t\t\ts.end(k, dispatch.TimedOut",
-			"\t\t\t\tif s.set.Module.MayCancel {\n" +
+			"\t\t\t\tif s.set.Dispatch.CancelAllowed {\n" +
 				"\t\t\t\t\ts.callBack(k)\n" +
 				"\t\t\t\t}\n" +
 				"\t\t\t\ts.end(k, dispatch.TimedOut",
@@ -201,7 +201,7 @@
 		File:  reducer,
 		Edits: []string{
 			"lost.Age = s.ageAt(e.ValidUntil)",
-			"lost.Age = s.ageAt(max(e.ValidUntil, s.knownAt+s.set.Module.AskWithin))",
+			"lost.Age = s.ageAt(max(e.ValidUntil, s.knownAt+s.set.Dispatch.PollInterval))",
 		},
 	},
 	{
@@ -220,7 +220,7 @@
 		Want:  "one-attempt-outstanding",
 		File:  reducer,
 		Edits: []string{
-			"\ts.set.Module.HedgingAllowed = false\n",
+			"\ts.set.Dispatch.HedgingAllowed = false\n",
 			"",
 			" || len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended {",
 			" {",
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -188,7 +188,7 @@
 
 // cancels checks property 11 when an attempt is given up. What its worker or its connection has ended,
 // and what its time has ended, is out no more.
-func (w *World) cancels(attempt scheduler.Attempt) {
+func (w *World) cancels(attempt scheduler.AttemptID) {
 	if !w.cfg.Rules.NoCancel {
 		return
 	}
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -361,45 +361,45 @@
 
 // appendState appends a form of a state that is the same for two that act alike.
 func (w *World) appendState(b []byte) []byte {
-	f := fingerprint.Form(b)
-	f.Num(int64(w.now), int64(w.wake), w.rev, int64(w.most), int64(w.caller), int64(w.stopAt))
+	f := fingerprint.Buffer(b)
+	f.Ints(int64(w.now), int64(w.wake), w.rev, int64(w.most), int64(w.caller), int64(w.stopAt))
 	f = append(f, w.left[:]...)
-	f.Num(int64(w.heard), int64(w.until), int64(w.moved))
-	f.Flag(w.breaks, w.watching, w.asked, w.stopped, w.exited, w.gaveUp)
+	f.Ints(int64(w.heard), int64(w.until), int64(w.moved))
+	f.Bools(w.breaks, w.watching, w.asked, w.stopped, w.exited, w.gaveUp)
 	for i := range w.requests {
 		q := &w.requests[i]
 		f = append(f, byte(q.class), q.id, byte(q.state), byte(q.verdict), q.attempts, q.starts, q.ran, q.made,
 			q.at, byte(q.stage))
-		f.Num(int64(q.caller), int64(q.deadline), int64(q.firstRan), int64(q.last), int64(q.gen),
+		f.Ints(int64(q.caller), int64(q.deadline), int64(q.firstRan), int64(q.last), int64(q.gen),
 			int64(q.lastBy))
 		if q.state == gone { // later than the grace it is all the same
-			f.Num(int64(min(w.now-q.leftAt, leaveGrace+1)))
+			f.Ints(int64(min(w.now-q.leftAt, leaveGrace+1)))
 		}
 	}
 	for i := range w.workers {
 		r := &w.workers[i]
-		f.Flag(r.down, r.silent)
-		f.Num(int64(r.status), int64(r.begun), int64(r.known), int64(r.told), int64(len(r.fresh)))
+		f.Bools(r.down, r.silent)
+		f.Ints(int64(r.status), int64(r.begun), int64(r.known), int64(r.told), int64(len(r.fresh)))
 		if w.cfg.Rules.Trust {
-			f.Num(int64(r.made))
+			f.Ints(int64(r.made))
 		}
 		for _, at := range r.fresh {
-			f.Num(int64(at))
+			f.Ints(int64(at))
 		}
 	}
-	f.Num(int64(len(w.routes)), int64(len(w.jobs)), int64(len(w.calls)), int64(len(w.withdraws)),
+	f.Ints(int64(len(w.routes)), int64(len(w.jobs)), int64(len(w.calls)), int64(len(w.withdraws)),
 		int64(len(w.unsent)))
 	for i := range w.routes {
 		r := &w.routes[i]
 		f = append(f, r.id, r.worker, byte(r.phase))
-		f.Flag(r.cold, r.unheard, r.link.Busy, r.link.Written, r.link.Broken, r.link.Released)
-		f.Num(int64(r.attempt), int64(r.status), int64(r.writeBy), int64(r.sent))
+		f.Bools(r.cold, r.unheard, r.link.Busy, r.link.Written, r.link.Broken, r.link.Released)
+		f.Ints(int64(r.attempt), int64(r.status), int64(r.writeBy), int64(r.sent))
 	}
 	for i := range w.jobs {
 		j := &w.jobs[i]
 		f = append(f, j.id, j.worker)
-		f.Flag(j.running)
-		f.Num(int64(j.attempt), int64(j.sent))
+		f.Bools(j.running)
+		f.Ints(int64(j.attempt), int64(j.sent))
 	}
 	for _, c := range w.calls {
 		f = append(f, c.id, c.worker, byte(c.news))
@@ -407,10 +407,10 @@
 	for i := range w.withdraws {
 		wd := &w.withdraws[i]
 		f = append(f, wd.id, wd.worker, byte(wd.phase))
-		f.Num(int64(wd.attempt), int64(wd.deadline))
+		f.Ints(int64(wd.attempt), int64(wd.deadline))
 	}
 	for _, attempt := range w.unsent {
-		f.Num(int64(attempt))
+		f.Ints(int64(attempt))
 	}
 	return w.s.AppendState(f)
 }
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -23,7 +23,7 @@
 	jobs      []job
 	calls     []call
 	withdraws []withdraw
-	unsent    []scheduler.Attempt // given up before a byte was out
+	unsent    []scheduler.AttemptID // given up before a byte was out
 
 	watching bool // discovery tells of changes at once
 	asked    bool // a watch has been asked for, and not been answered yet
@@ -44,7 +44,7 @@
 	broke  *Broken // the first property that broke
 	cover  *Coverage
 	notes  *[]string // what the scheduler did, in words; nil: nobody reads them
-	caller scheduler.Caller
+	caller scheduler.CallerID
 }
 
 type requestState uint8
@@ -62,7 +62,7 @@
 	id       uint8  // of the request that first had this id
 	gen      uint16 // how often this one was renewed
 	state    requestState
-	caller   scheduler.Caller
+	caller   scheduler.CallerID
 	deadline Micros
 	verdict  scheduler.Verdict
 	leftAt   Micros // its client left then
@@ -73,7 +73,7 @@
 	ran      uint8  // workers, as bits, at which an attempt may have run
 	firstRan Micros // when the first attempt that may have run was sent
 	made     uint8  // workers, as bits, that made a result
-	last     scheduler.Attempt
+	last     scheduler.AttemptID
 	lastBy   Micros // it is given up then
 	at       uint8  // the worker of the last attempt
 	stage    stage  // of the last attempt, as far as the scheduler has heard
@@ -105,7 +105,7 @@
 
 // route is an attempt on its connection.
 type route struct {
-	attempt scheduler.Attempt
+	attempt scheduler.AttemptID
 	id      uint8
 	worker  uint8
 	phase   phase
@@ -120,7 +120,7 @@
 // job is an attempt that a worker holds.
 type job struct {
 	id, worker uint8
-	attempt    scheduler.Attempt
+	attempt    scheduler.AttemptID
 	sent       Micros
 	running    bool
 }
@@ -133,7 +133,7 @@
 
 // withdraw is the withdrawal of an attempt on its connection.
 type withdraw struct {
-	attempt  scheduler.Attempt
+	attempt  scheduler.AttemptID
 	id       uint8
 	worker   uint8
 	phase    phase
@@ -157,7 +157,7 @@
 	for range cfg.Racks {
 		w.workers = append(w.workers, worker{status: dispatch.Ready})
 	}
-	w.step(scheduler.Started{Discovery: "discovery", Known: w.list(true)})
+	w.step(scheduler.Started{Discovery: "discovery", CachedList: w.list(true)})
 	w.answerWatch()
 	return w, nil
 }
@@ -291,7 +291,7 @@
 		}
 	}()
 	if w.breaks {
-		w.s.Break()
+		w.s.InjectFault()
 	}
 	effects = w.s.Step(w.now, e, nil)
 	if w.breaks { // the event did not reach the module: it breaks down at the next
@@ -349,7 +349,7 @@
 	}
 }
 
-func (w *World) give(attempt scheduler.Attempt) {
+func (w *World) give(attempt scheduler.AttemptID) {
 	for i := range w.requests {
 		if q := &w.requests[i]; q.last == attempt && attempt != 0 {
 			q.stage = stageGivenUp
@@ -358,7 +358,7 @@
 }
 
 // abandon closes the connection of an attempt. What was written may still be on its way.
-func (w *World) abandon(attempt scheduler.Attempt) {
+func (w *World) abandon(attempt scheduler.AttemptID) {
 	for i := range w.withdraws {
 		if w.withdraws[i].attempt == attempt {
 			w.dropWithdraw(i)
@@ -387,7 +387,7 @@
 }
 
 // keepBack keeps an attempt of which nothing has left from leaving.
-func (w *World) keepBack(attempt scheduler.Attempt) {
+func (w *World) keepBack(attempt scheduler.AttemptID) {
 	for i := range w.routes {
 		if r := &w.routes[i]; r.attempt == attempt && r.phase == connecting {
 			r.phase = kept
@@ -426,7 +426,7 @@
 	c.jobs = append([]job(nil), w.jobs...)
 	c.calls = append([]call(nil), w.calls...)
 	c.withdraws = append([]withdraw(nil), w.withdraws...)
-	c.unsent = append([]scheduler.Attempt(nil), w.unsent...)
+	c.unsent = append([]scheduler.AttemptID(nil), w.unsent...)
 	for i := range c.workers {
 		c.workers[i].fresh = append([]Micros(nil), w.workers[i].fresh...)
 	}
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -264,7 +264,7 @@
 	const mostMs = 1 << 40          // keeps the sum from running over
 	early := 2 * n.lag.now(n.now()) // it lay unread for that long, and its answer is as late
 	p := &payload{method: r.Method, target: r.Target, key: r.Header.Get("Idempotency-Key"), body: r.Body}
-	s := scheduler.Submitted{Caller: scheduler.Caller(lastCaller.Add(1)), ID: id, Class: class(r),
+	s := scheduler.Submitted{Caller: scheduler.CallerID(lastCaller.Add(1)), ID: id, Class: class(r),
 		Tenant: r.Header.Get("X-Org"), Deadline: at + scheduler.Micros(min(ms, mostMs))*1000 - early,
 		Slots: slots, Retry: r.Header.Get("X-Resent") == "1", Payload: p}
 	n.post(submission{c, n.now(), s})
@@ -360,7 +360,7 @@
 	if last {
 		connection = "close"
 	}
-	if c.node.cfg.Settings.Module.MaxRetryAfter == 0 {
+	if c.node.cfg.Settings.Dispatch.MaxRetryAfter == 0 {
 		retry = "" // the settings give clients no advice
 	}
 	b := http1.AppendResponse(make([]byte, 0, 256+len(body)), status,
--- a/internal/node/connect_test.go
+++ b/internal/node/connect_test.go
@@ -46,7 +46,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := parsed(t)
-			set.Module.ConnectTimeout = 2 * second
+			set.Dispatch.ConnectTimeout = 2 * second
 			w := newWorldOf(t, set, 0, "r1")
 			dials := w.dials()
 			play(t, w, "c1 send job post a1 || work")
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -38,7 +38,7 @@
 // fleet is a world in which connections to workers are used again, however long they idled.
 func fleet(t *testing.T, sockets int, workers ...string) *world {
 	set := parsed(t)
-	set.Module.Dispatchers = 80
+	set.Dispatch.Dispatchers = 80
 	w := newWorldOf(t, set, sockets, workers...)
 	w.node.do(func() { w.node.keptFor = 3600 * second })
 	return w
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -104,7 +104,7 @@
 func TestWhatHasNotLeftNeverLeaves(t *testing.T) {
 	for _, may := range []bool{false, true} {
 		set := parsed(t)
-		set.Module.CancelAllowed = may
+		set.Dispatch.CancelAllowed = may
 		w := newWorldOf(t, set, 0, "r1")
 		n := w.node
 		n.do(func() {
@@ -128,7 +128,7 @@
 func TestAdviceIsGivenWhereAllowed(t *testing.T) {
 	for most, want := range map[scheduler.Micros]string{2 * second: "503 after 0 close", 0: "503 close"} {
 		set := parsed(t)
-		set.Module.MaxRetryAfter = most
+		set.Dispatch.MaxRetryAfter = most
 		w := newWorldOf(t, set, 0, "r1")
 		play(t, w, `
 			c1 send GET /_health
@@ -196,7 +196,7 @@
 		t.Run(fmt.Sprintf("may cancel %v", may), func(t *testing.T) {
 			t.Parallel()
 			set := parsed(t)
-			set.Module.CancelAllowed = may
+			set.Dispatch.CancelAllowed = may
 			test(t, newWorldOf(t, set, 0, workers...))
 		})
 	}
@@ -391,7 +391,7 @@
 					arrives(leave)
 				}
 				resume()
-				if leaveFirst && n.cfg.Settings.Module.CancelAllowed { // what has left is called off
+				if leaveFirst && n.cfg.Settings.Dispatch.CancelAllowed { // what has left is called off
 					play(t, w, fmt.Sprintf("r1 expect DELETE /jobs/a%d\nr1 send 200 OK\nr1 expect end", i))
 				}
 				play(t, w, fmt.Sprintf(`
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,13 +80,13 @@
 	watch    *watch // the present one
 	before   *watch // the one before, until the present one says something
 	clients  map[*client]bool
-	callers  map[scheduler.Caller]*client
+	callers  map[scheduler.CallerID]*client
 	links    map[string][]*workerConn // by address; idle ones are used latest first
-	attempts map[scheduler.Attempt]*workerConn
-	unsent   scheduler.Attempt // the last one that was given up before anything got out
-	open     int               // links
-	second   atomic.Int32      // connects that stand beside another one
-	dial     dialer            // nil, but in tests
+	attempts map[scheduler.AttemptID]*workerConn
+	unsent   scheduler.AttemptID // the last one that was given up before anything got out
+	open     int                 // links
+	second   atomic.Int32        // connects that stand beside another one
+	dial     dialer              // nil, but in tests
 	mostOpen int
 	keptFor  scheduler.Micros // that an idle link is used again
 	slots    chan struct{}    // one taken for each client connection
@@ -105,10 +105,10 @@
 // Listen opens the client address. Nothing is accepted until Run.
 func Listen(cfg Config, log *slog.Logger) (*Node, error) {
 	// On sockets a list that is pushed comes over a watch, too, which somebody has to open.
-	pushed := !cfg.Settings.Module.PollEndpoints
-	cfg.Settings.Module.PollEndpoints, cfg.Settings.Module.UnmeteredPolls = true, pushed
-	if cfg.Settings.Module.MaxStaleness == 0 { // only tests set it
-		cfg.Settings.Module.MaxStaleness = scheduler.Micros(toldWithin / time.Microsecond)
+	pushed := !cfg.Settings.Dispatch.PollEndpoints
+	cfg.Settings.Dispatch.PollEndpoints, cfg.Settings.Dispatch.UnmeteredPolls = true, pushed
+	if cfg.Settings.Dispatch.MaxStaleness == 0 { // only tests set it
+		cfg.Settings.Dispatch.MaxStaleness = scheduler.Micros(toldWithin / time.Microsecond)
 	}
 	sched, err := scheduler.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -124,11 +124,11 @@
 	usable := max(cfg.Sockets, leastSockets) - spareSockets
 	n := &Node{cfg: cfg, log: log, listener: listener.(*net.TCPListener),
 		inbox: make(chan any, inboxSize), start: time.Now(), sched: sched,
-		clients: map[*client]bool{}, callers: map[scheduler.Caller]*client{},
-		links: map[string][]*workerConn{}, attempts: map[scheduler.Attempt]*workerConn{},
+		clients: map[*client]bool{}, callers: map[scheduler.CallerID]*client{},
+		links: map[string][]*workerConn{}, attempts: map[scheduler.AttemptID]*workerConn{},
 		mostOpen: usable / workerPart}
-	n.told = newTold(cfg.Settings.DrainGrace, cfg.Settings.Module.MaxStaleness)
-	n.told.pushed, n.told.ask = pushed, cfg.Settings.Module.PollInterval
+	n.told = newTold(cfg.Settings.DrainGrace, cfg.Settings.Dispatch.MaxStaleness)
+	n.told.pushed, n.told.ask = pushed, cfg.Settings.Dispatch.PollInterval
 	if n.answerWithin, n.silentFor = answerWithin, silentFor; pushed {
 		n.answerWithin = agentWithin
 	}
@@ -174,7 +174,7 @@
 	sweep := time.NewTicker(sweepEvery)
 	defer sweep.Stop()
 	defer n.close()
-	err := n.step(scheduler.Started{Discovery: n.cfg.Discovery, Known: n.cfg.Known})
+	err := n.step(scheduler.Started{Discovery: n.cfg.Discovery, CachedList: n.cfg.Known})
 	n.log.Info("serving", "name", n.cfg.Name, "listen", n.Addr().String(), "discovery", n.cfg.Discovery,
 		"workers", len(n.cfg.Known.Workers))
 	if n.cfg.InvalidKnown != nil {
@@ -212,7 +212,7 @@
 // is held or refused at once with a word when to come again is better off than one that finds nobody.
 func unreadyFor(set *settings.Settings) time.Duration {
 	least := readyWithin
-	for _, c := range set.Module.Classes {
+	for _, c := range set.Dispatch.Classes {
 		least = min(least, time.Duration(c.Deadline)*time.Microsecond)
 	}
 	return least
@@ -333,7 +333,7 @@
 		if cause := recover(); cause != nil {
 			broken = true
 			n.log.Error("the decision module broke down: open requests fail", "panic", fmt.Sprint(cause),
-				"event", fmt.Sprintf("%T", e), "open", n.sched.Open(), "stack", string(debug.Stack()))
+				"event", fmt.Sprintf("%T", e), "open", n.sched.PendingRequests(), "stack", string(debug.Stack()))
 		}
 	}()
 	n.effects = n.sched.Step(n.now(), e, n.effects[:0])
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -567,7 +567,7 @@
 // it says leaves gets nothing new. An empty line before the first object says nothing.
 func TestReloadListensToBoth(t *testing.T) {
 	set := parsed(t) // nothing comes due by itself while discovery is played by hand
-	set.Module.PollInterval, set.Module.MaxStaleness = 3600*second, 3600*second
+	set.Dispatch.PollInterval, set.Dispatch.MaxStaleness = 3600*second, 3600*second
 	w := newWorldOf(t, set, 0, "r1", "r2")
 	w.serve(t, "discovery2")
 	addr := w.parties["r1"].listener.Addr().String()
@@ -940,16 +940,16 @@
 	working.Written = true
 	for name, c := range map[string]struct {
 		links    map[string][]*workerConn
-		attempts map[scheduler.Attempt]*workerConn
+		attempts map[scheduler.AttemptID]*workerConn
 		err      error
 		want     bool
 	}{
 		"one idles": {links: map[string][]*workerConn{"r1": {idle}}, err: refused, want: true},
 		"one works": {err: refused, want: true,
-			attempts: map[scheduler.Attempt]*workerConn{1: working}},
+			attempts: map[scheduler.AttemptID]*workerConn{1: working}},
 		"none":                   {err: refused},
 		"one to another":         {links: map[string][]*workerConn{"r2": {other}}, err: refused},
-		"one that dials":         {attempts: map[scheduler.Attempt]*workerConn{1: idle}, err: refused},
+		"one that dials":         {attempts: map[scheduler.AttemptID]*workerConn{1: idle}, err: refused},
 		"one idles, but silence": {links: map[string][]*workerConn{"r1": {idle}}, err: slow},
 	} {
 		n := &Node{links: c.links, attempts: c.attempts}
@@ -977,7 +977,7 @@
 func TestIdleConnectionsAreKeptByTheFleet(t *testing.T) {
 	for balancers, want := range map[int]int{3: 0, 80: 1} {
 		set := parsed(t)
-		set.Module.Dispatchers = balancers
+		set.Dispatch.Dispatchers = balancers
 		n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: set}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -1003,7 +1003,7 @@
 	}{{3, 60 * second, keptFor}, {3, 0, 0}, {80, 60 * second, 2 * second},
 		{80, 1500 * millisecond, 750 * millisecond}, {80, 0, 0}} {
 		set := parsed(t)
-		set.Module.Dispatchers, set.ConnIdle = c.balancers, c.idle
+		set.Dispatch.Dispatchers, set.WorkerIdleTimeout = c.balancers, c.idle
 		if got := kept(&set); got != c.want {
 			t.Errorf("%d schedulers, closed after %d: kept for %d, want %d", c.balancers, c.idle, got, c.want)
 		}
--- a/internal/node/quiet_test.go
+++ b/internal/node/quiet_test.go
@@ -12,7 +12,7 @@
 // quietWorld is a world whose discovery has told of r1 over a watch that is open.
 func quietWorld(t *testing.T, pushed bool, askWithin scheduler.Micros) *world {
 	set := parsed(t)
-	set.DrainGrace, set.Module.PollEndpoints, set.Module.PollInterval = graceOfTests, !pushed, askWithin
+	set.DrainGrace, set.Dispatch.PollEndpoints, set.Dispatch.PollInterval = graceOfTests, !pushed, askWithin
 	w := newWorldOf(t, set, 0, "r1")
 	w.serve(t, "discovery2")
 	play(t, w, `
@@ -72,7 +72,7 @@
 		t.Errorf("the last look: %v", got)
 	}
 	w.node.do(func() { // the module holds the job rather than have it turned back
-		if k := w.node.sched.Stats(); k.Attempts != 0 || k.ModuleJobs != 1 || len(w.node.attempts) != 0 {
+		if k := w.node.sched.Stats(); k.Attempts != 0 || k.DispatcherJobs != 1 || len(w.node.attempts) != 0 {
 			t.Errorf("kept %+v", k)
 		}
 	})
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -24,9 +24,9 @@
 			t.Run(fmt.Sprint(way, ", a client waits ", deadline), func(t *testing.T) {
 				t.Parallel()
 				set := parsed(t)
-				set.Module.Dispatchers = 300
-				for i := range set.Module.Classes {
-					c := &set.Module.Classes[i]
+				set.Dispatch.Dispatchers = 300
+				for i := range set.Dispatch.Classes {
+					c := &set.Dispatch.Classes[i]
 					c.Deadline = scheduler.Micros(deadline.Microseconds())
 					c.LatencyObjective = min(c.LatencyObjective, c.Deadline/2)
 				}
--- a/internal/node/slopes_bench_test.go
+++ b/internal/node/slopes_bench_test.go
@@ -101,7 +101,7 @@
 			}
 			defer l.Close()
 			set := parsed(b)
-			set.Module.Dispatchers, set.Module.Index = 300, 150
+			set.Dispatch.Dispatchers, set.Dispatch.Index = 300, 150
 			node, err := Listen(Config{Name: "n", Listen: "127.0.0.1:0", Settings: set,
 				Discovery: l.Addr().String()}, slog.New(slog.DiscardHandler))
 			if err != nil {
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Step(1, scheduler.Started{Known: list}, nil)
+	s.Step(1, scheduler.Started{CachedList: list}, nil)
 	began := time.Now()
 	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil) // told twice: no harm
 	if took := time.Since(began); took > 5*time.Second {
@@ -162,7 +162,7 @@
 // that fell silent has to be found out before.
 func TestModuleKnowsWhenChangesCountAsTold(t *testing.T) {
 	w := newWorld(t, 0, "r1")
-	within := time.Duration(w.node.cfg.Settings.Module.MaxStaleness) * time.Microsecond
+	within := time.Duration(w.node.cfg.Settings.Dispatch.MaxStaleness) * time.Microsecond
 	if within <= silentFor {
 		t.Errorf("changes count as told after %v, silence shows after %v", within, silentFor)
 	}
@@ -175,7 +175,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Module.Dispatchers = nodes
+	set.Dispatch.Dispatchers = nodes
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -50,17 +50,17 @@
 // allows it.
 func kept(set *settings.Settings) scheduler.Micros {
 	most := keptFor
-	if set.Module.LargeFleet() {
+	if set.Dispatch.LargeFleet() {
 		most = keptInFleet
 	}
-	return min(most, set.ConnIdle/2)
+	return min(most, set.WorkerIdleTimeout/2)
 }
 
 const millisecond scheduler.Micros = 1000
 
 // errand is one request to write: an attempt, or the withdrawal of one.
 type errand struct {
-	attempt  scheduler.Attempt
+	attempt  scheduler.AttemptID
 	id, uid  string
 	writeBy  scheduler.Micros
 	deadline scheduler.Micros
@@ -179,7 +179,7 @@
 // later posts from within the loop, which must not wait for itself.
 func (n *Node) later(e scheduler.Event) { n.spawn(func() { n.post(e) }) }
 
-func (n *Node) abandon(attempt scheduler.Attempt) {
+func (n *Node) abandon(attempt scheduler.AttemptID) {
 	c := n.attempts[attempt]
 	if c == nil {
 		return
@@ -195,7 +195,7 @@
 }
 
 // unsend keeps back an attempt of which nothing has left yet.
-func (n *Node) unsend(attempt scheduler.Attempt) {
+func (n *Node) unsend(attempt scheduler.AttemptID) {
 	if c := n.attempts[attempt]; c != nil && c.gate.CompareAndSwap(gateOpen, gateShut) {
 		delete(n.attempts, attempt)
 		n.drop(c)
--- a/internal/scheduler/copy.go
+++ b/internal/scheduler/copy.go
@@ -35,10 +35,10 @@
 			c.departed = append(c.departed, departed{c.workers[r.UID], went.since})
 		}
 	}
-	c.byCaller = make(map[Caller]*request, len(s.byCaller))
+	c.byCaller = make(map[CallerID]*request, len(s.byCaller))
 	c.byID = make(map[string]*request, len(s.byID))
 	c.byJob = make(map[dispatch.JobID]*request, len(s.byJob))
-	c.byAttempt = make(map[Attempt]*attempt, len(s.byAttempt))
+	c.byAttempt = make(map[AttemptID]*attempt, len(s.byAttempt))
 	type pair struct{ was, is *request }
 	var copies []pair // few: a map would cost more than it saves
 	of := func(t *request) *request {
@@ -70,7 +70,7 @@
 	for n, k := range s.byAttempt {
 		c.byAttempt[n] = of(k.of).attempts[slices.Index(k.of.attempts, k)]
 	}
-	c.recalls = make(map[Attempt]*recall, len(s.recalls))
+	c.recalls = make(map[AttemptID]*recall, len(s.recalls))
 	for n, r := range s.recalls {
 		copied := *r
 		copied.attempt = of(r.attempt.of).attempts[slices.Index(r.attempt.of.attempts, r.attempt)]
@@ -86,47 +86,47 @@
 // AppendState appends a form of the state between two events that is the same for two
 // states if they act alike from here on. Payloads are left out.
 func (s *Scheduler) AppendState(b []byte) []byte {
-	f := fingerprint.Form(b)
-	f.Num(int64(s.now), int64(s.lastJob), int64(s.lastAttempt), s.rev, int64(s.count), int64(s.knownAt),
+	f := fingerprint.Buffer(b)
+	f.Ints(int64(s.now), int64(s.lastJob), int64(s.lastAttempt), s.rev, int64(s.count), int64(s.knownAt),
 		int64(s.wake), int64(s.stopAt), int64(s.endBy),
 		int64(s.longest),
 		int64(s.used.since), int64(len(s.byCaller)), int64(len(s.byID)),
 		int64(len(s.byAttempt)), int64(len(s.byJob)))
-	f.Flag(s.watching, s.stopped, s.module == nil)
+	f.Bools(s.watching, s.stopped, s.module == nil)
 	f.Text(s.discovery)
 	for _, t := range sorted(s.byJob) {
-		f.Num(int64(t.caller), int64(t.job), int64(t.deadline), int64(len(t.attempts)))
+		f.Ints(int64(t.caller), int64(t.job), int64(t.deadline), int64(len(t.attempts)))
 		f.Text(t.id)
-		f.Flag(t.answered, s.byCaller[t.caller] == t, s.byID[t.id] == t)
+		f.Bools(t.answered, s.byCaller[t.caller] == t, s.byID[t.id] == t)
 		for _, k := range t.attempts {
-			f.Num(int64(k.number), int64(k.ordinal), int64(k.worker.number), int64(k.deadline))
-			f.Num(int64(k.parked))
+			f.Ints(int64(k.number), int64(k.ordinal), int64(k.worker.number), int64(k.deadline))
+			f.Ints(int64(k.parked))
 			f.Text(k.addr)
-			f.Flag(k.accepted, k.ended)
+			f.Bools(k.accepted, k.ended)
 		}
 	}
 	for _, c := range sorted(s.recalls) {
-		f.Num(int64(c.attempt.number), int64(c.at), int64(c.tries), int64(c.until))
+		f.Ints(int64(c.attempt.number), int64(c.at), int64(c.tries), int64(c.until))
 		f.Text(c.attempt.of.id)
 		f.Text(c.attempt.addr)
-		f.Flag(c.trying, s.byJob[c.attempt.of.job] != nil)
+		f.Bools(c.trying, s.byJob[c.attempt.of.job] != nil)
 	}
 	for _, set := range []map[string]bool{s.used.now, s.used.before} {
 		ids := slices.Sorted(maps.Keys(set))
-		f.Num(int64(len(ids)))
+		f.Ints(int64(len(ids)))
 		for _, id := range ids {
 			f.Text(id)
 		}
 	}
 	for _, r := range sorted(s.workers) {
-		f.Num(int64(r.number), int64(r.Cell), int64(r.Status), int64(r.Started))
+		f.Ints(int64(r.number), int64(r.Cell), int64(r.Status), int64(r.Started))
 		f.Text(r.UID)
 		f.Text(r.Addr)
 		f.Text(r.Zone)
 		f.Text(r.Kind)
-		f.Num(int64(r.at.count), r.at.rev, int64(r.left), int64(r.gone))
-		if f.Flag(r.offer != nil); r.offer != nil {
-			f.Num(int64(r.offer.Cell), int64(r.offer.Status), int64(r.offer.Started))
+		f.Ints(int64(r.at.count), r.at.rev, int64(r.left), int64(r.gone))
+		if f.Bools(r.offer != nil); r.offer != nil {
+			f.Ints(int64(r.offer.Cell), int64(r.offer.Status), int64(r.offer.Started))
 			f.Text(r.offer.Addr)
 		}
 	}
@@ -137,8 +137,8 @@
 			[]int64{int64(b.at), int64(b.token), int64(b.attempt), int64(b.caller), int64(b.recall)}))
 	})
 	for _, d := range dues {
-		f.Num(int64(d.at), int64(d.token), int64(d.attempt), int64(d.caller), int64(d.recall))
-		f.Flag(d.timer, d.parked)
+		f.Ints(int64(d.at), int64(d.token), int64(d.attempt), int64(d.caller), int64(d.recall))
+		f.Bools(d.timer, d.parked)
 	}
 	for _, name := range append(slices.Clone(s.zones), s.kinds...) {
 		f.Text(name)
@@ -149,8 +149,8 @@
 	return f
 }
 
-// Break makes the module break down at the next event that it gets.
-func (s *Scheduler) Break() { s.module = nil }
+// InjectFault makes the module break down at the next event that it gets.
+func (s *Scheduler) InjectFault() { s.module = nil }
 
 // Stats counts what is held on behalf of requests, now or in the past.
 type Stats struct {
@@ -158,7 +158,7 @@
 	Cancellations                int // withdrawals that are still to be heard
 	ReservedIDs                  int // ids that may not come again
 	Timers                       int // things to come due other than the module's timers
-	ModuleJobs                   int
+	DispatcherJobs               int
 }
 
 // Stats tells what is held after all that has come due is dealt with.
@@ -167,7 +167,7 @@
 		Cancellations: len(s.recalls),
 		ReservedIDs:   len(s.used.now) + len(s.used.before)}
 	if s.module != nil {
-		k.ModuleJobs = s.module.Open()
+		k.DispatcherJobs = s.module.Open()
 	}
 	for _, d := range s.due {
 		if !d.timer {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -10,11 +10,11 @@
 // worker's start as discovery tells it needs no mapping beyond its unit.
 type Micros = dispatch.Micros
 
-// Caller numbers a wait for one answer; whoever submits a request picks it.
-type Caller uint64
+// CallerID numbers a wait for one answer; whoever submits a request picks it.
+type CallerID uint64
 
-// Attempt numbers an attempt.
-type Attempt uint64
+// AttemptID numbers an attempt.
+type AttemptID uint64
 
 // Event is one thing that happened.
 type Event interface{ event() }
@@ -23,14 +23,14 @@
 type (
 	// Started comes once, before all others.
 	Started struct {
-		Discovery string // its address
-		Known     WorkerList
+		Discovery  string // its address
+		CachedList WorkerList
 	}
 	// Reloaded says that a new configuration holds. Of it, discovery's address counts.
 	Reloaded struct{ Discovery string }
 	// Submitted is a new request.
 	Submitted struct {
-		Caller        Caller
+		Caller        CallerID
 		ID            string // by which the workers know it
 		Class, Tenant string
 		Deadline      Micros // the caller waits until then
@@ -39,18 +39,18 @@
 		Payload       any  // handed back with each attempt, unread
 	}
 	// ClientDisconnected says that nobody waits for the answer any more.
-	ClientDisconnected struct{ Caller Caller }
+	ClientDisconnected struct{ Caller CallerID }
 	// AttemptAccepted says that a worker has taken an attempt.
-	AttemptAccepted struct{ Attempt Attempt }
+	AttemptAccepted struct{ Attempt AttemptID }
 	// AttemptEnded says how an attempt ended, by what its connection showed.
 	AttemptEnded struct {
-		Attempt Attempt
+		Attempt AttemptID
 		Outcome dispatch.Outcome
 		Report  dispatch.Report
 	}
 	// AttemptRejected says that a worker can make nothing of an attempt: not the worker
 	// is at fault but the submission.
-	AttemptRejected struct{ Attempt Attempt }
+	AttemptRejected struct{ Attempt AttemptID }
 	// Callback is what a worker says of a request on its own account. It may come
 	// early, late, or again.
 	Callback struct {
@@ -63,7 +63,7 @@
 	// CancellationResult tells how a Withdraw went: Reached says that the worker has heard it, or
 	// that the process that had the attempt is gone.
 	CancellationResult struct {
-		Attempt      Attempt
+		Attempt      AttemptID
 		Acknowledged bool
 	}
 	// EndpointsUpdated is a word from discovery; one without workers is a heartbeat.
@@ -133,7 +133,7 @@
 type (
 	// SendAttempt sends an attempt to a worker.
 	SendAttempt struct {
-		Attempt  Attempt
+		Attempt  AttemptID
 		ID       string
 		UID      string
 		Addr     string
@@ -142,21 +142,21 @@
 		Payload  any
 	}
 	// CloseConnection breaks the connection that an attempt, or its withdrawal, is on.
-	CloseConnection struct{ Attempt Attempt }
+	CloseConnection struct{ Attempt AttemptID }
 	// CancelUnsent keeps back an attempt that nobody waits for, if nothing of it has left yet; then
 	// Ended follows. It is no withdrawal: what has left goes on.
-	CancelUnsent struct{ Attempt Attempt }
+	CancelUnsent struct{ Attempt AttemptID }
 	// CancelAttempt tells a worker to drop an attempt that it may hold. Withdrawn must follow. If
 	// it comes with Abandon and nothing of the attempt ever got out, nobody need be told.
 	CancelAttempt struct {
-		Attempt  Attempt
+		Attempt  AttemptID
 		ID       string
 		Addr     string
 		Deadline Micros // no use after that
 	}
 	// Answer is the one answer to a caller.
 	Answer struct {
-		Caller             Caller
+		Caller             CallerID
 		Verdict            Verdict
 		Body               []byte
 		RetryAfter         Micros // with Refused: come back after this
--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -84,7 +84,7 @@
 		switch {
 		case t.Complete && !named[r.UID] && (r.Status != dispatch.Removed || r.offer != nil):
 			r.Status, r.at, r.offer = dispatch.Removed, now, nil
-		case r.offer != nil && s.now-r.left >= s.set.Module.MaxStaleness:
+		case r.offer != nil && s.now-r.left >= s.set.Dispatch.MaxStaleness:
 			r.Worker, r.offer = *r.offer, nil
 		default:
 			continue
@@ -96,7 +96,7 @@
 }
 
 func (s *Scheduler) markByWalk() {
-	long := s.set.Module.RemovedRetention()
+	long := s.set.Dispatch.RemovedRetention()
 	for _, r := range sorted(s.workers) {
 		switch {
 		case r.Status != dispatch.Ready && r.left == 0:
@@ -183,7 +183,7 @@
 	if err != nil {
 		panic(err)
 	}
-	set.Module.Dispatchers, set.Module.MaxStaleness = 17, 6*second
+	set.Dispatch.Dispatchers, set.Dispatch.MaxStaleness = 17, 6*second
 	s, err := New(set, 1)
 	if err != nil {
 		panic(err)
--- a/internal/scheduler/job_test.go
+++ b/internal/scheduler/job_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Module.Dispatchers = schedulers
+	set.Dispatch.Dispatchers = schedulers
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		}
 		list.Workers = append(list.Workers, r)
 	}
-	s.Step(1000*second, Started{Discovery: "d1", Known: list}, nil)
+	s.Step(1000*second, Started{Discovery: "d1", CachedList: list}, nil)
 	return s
 }
 
--- a/internal/scheduler/list_test.go
+++ b/internal/scheduler/list_test.go
@@ -39,7 +39,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t)
-			w.s.set.Module.MaxStaleness = 6 * second
+			w.s.set.Dispatch.MaxStaleness = 6 * second
 			w.step(word(7, true, ready, other))
 			for _, e := range c.words {
 				w.now += second / 10
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -50,16 +50,16 @@
 	now    Micros
 	out    []Effect
 
-	byCaller    map[Caller]*request
+	byCaller    map[CallerID]*request
 	byID        map[string]*request // open ones, and finished ones with a live attempt
 	used        recent              // ids that were taken
 	longest     Micros              // that a class waits
 	byJob       map[dispatch.JobID]*request
-	byAttempt   map[Attempt]*attempt
-	recalls     map[Attempt]*recall // what workers are still to be told to drop
-	recalled    map[string]int      // how many of them concern an id
+	byAttempt   map[AttemptID]*attempt
+	recalls     map[AttemptID]*recall // what workers are still to be told to drop
+	recalled    map[string]int        // how many of them concern an id
 	lastJob     dispatch.JobID
-	lastAttempt Attempt
+	lastAttempt AttemptID
 
 	workers   map[string]*worker
 	byNumber  map[dispatch.WorkerID]*worker
@@ -85,7 +85,7 @@
 
 // request is a caller's request from its arrival to its answer.
 type request struct {
-	caller   Caller
+	caller   CallerID
 	id       string
 	job      dispatch.JobID
 	deadline Micros
@@ -96,7 +96,7 @@
 
 // attempt is one try of a request at a worker.
 type attempt struct {
-	number   Attempt
+	number   AttemptID
 	of       *request
 	ordinal  int // the module's number of it, from 0 for each request
 	worker   *worker
@@ -189,23 +189,23 @@
 
 // New returns a scheduler that has not begun.
 func New(set settings.Settings, seed uint64) (*Scheduler, error) {
-	s := &Scheduler{set: set, seed: seed, byCaller: map[Caller]*request{}, byID: map[string]*request{},
-		byJob: map[dispatch.JobID]*request{}, byAttempt: map[Attempt]*attempt{},
-		recalls: map[Attempt]*recall{}, recalled: map[string]int{}, workers: map[string]*worker{},
+	s := &Scheduler{set: set, seed: seed, byCaller: map[CallerID]*request{}, byID: map[string]*request{},
+		byJob: map[dispatch.JobID]*request{}, byAttempt: map[AttemptID]*attempt{},
+		recalls: map[AttemptID]*recall{}, recalled: map[string]int{}, workers: map[string]*worker{},
 		byNumber: map[dispatch.WorkerID]*worker{}, zones: slices.Clone(set.Zones), kinds: slices.Clone(set.Kinds)}
-	for _, c := range set.Module.Classes {
+	for _, c := range set.Dispatch.Classes {
 		s.longest = max(s.longest, c.Deadline)
 	}
 	// One attempt of a request is out at a time here, whatever the settings allow: the module must
 	// not ask for copies, which would use up a job's attempts for nothing.
-	s.set.Module.HedgingAllowed = false
+	s.set.Dispatch.HedgingAllowed = false
 	var err error
-	s.module, err = dispatch.New(s.set.Module, seed)
+	s.module, err = dispatch.New(s.set.Dispatch, seed)
 	return s, err
 }
 
-// Open is the number of requests that wait for their answer.
-func (s *Scheduler) Open() int { return len(s.byCaller) }
+// PendingRequests is the number of requests that wait for their answer.
+func (s *Scheduler) PendingRequests() int { return len(s.byCaller) }
 
 // Step takes one event at its time and appends the effects that it calls for.
 func (s *Scheduler) Step(now Micros, e Event, out []Effect) []Effect {
@@ -214,7 +214,7 @@
 	switch e := e.(type) {
 	case Started:
 		s.discovery = e.Discovery
-		s.begin(e.Known)
+		s.begin(e.CachedList)
 	case Reloaded:
 		s.reloaded(e.Discovery)
 	case Submitted:
@@ -281,7 +281,7 @@
 		s.answer(t, Answer{Verdict: Failed})
 	}
 	for _, k := range sorted(s.byAttempt) {
-		if !s.set.Module.CancelAllowed && k.parked == 0 {
+		if !s.set.Dispatch.CancelAllowed && k.parked == 0 {
 			continue // it is out, and must not be cancelled: its connection or its time ends it
 		}
 		s.callBack(k)
@@ -293,7 +293,7 @@
 		s.byID[k.of.id] = k.of // its worker's news finds it
 	}
 	var err error
-	if s.module, err = dispatch.New(s.set.Module, s.seed); err != nil {
+	if s.module, err = dispatch.New(s.set.Dispatch, s.seed); err != nil {
 		return s.out, err
 	}
 	s.due = slices.DeleteFunc(s.due, func(d due) bool {
@@ -351,7 +351,7 @@
 		// No class waits longer than its deadline, whatever a client says: the module gives
 		// up by then, and what is kept for a request must have an end.
 		t := &request{caller: e.Caller, id: e.ID, job: s.lastJob, payload: e.Payload,
-			deadline: min(e.Deadline, s.now+s.set.Module.Classes[class].Deadline)}
+			deadline: min(e.Deadline, s.now+s.set.Dispatch.Classes[class].Deadline)}
 		s.byCaller[e.Caller], s.byID[e.ID], s.byJob[t.job] = t, t, t
 		heap.Push(&s.due, due{at: t.deadline, caller: t.caller})
 		s.tell(dispatch.Event{Kind: dispatch.JobArrived, Job: t.job, Class: class, Tenant: tenant,
@@ -380,7 +380,7 @@
 	n := len(t.attempts)
 	if n == 0 || t.attempts[n-1].ended {
 		s.release(t)
-	} else if !s.set.Module.CancelAllowed { // else the module calls it off
+	} else if !s.set.Dispatch.CancelAllowed { // else the module calls it off
 		s.emit(CancelUnsent{Attempt: t.attempts[n-1].number}) // of a parked one, heard sees that nobody waits
 	}
 }
@@ -574,7 +574,7 @@
 	heap.Push(&s.due, due{at: k.deadline, attempt: k.number})
 	// A worker may be told to drain the moment after this. A send counts from its
 	// first byte, so a slow connect must not carry it past the grace.
-	by := s.now + s.set.Module.ConnectTimeout
+	by := s.now + s.set.Dispatch.ConnectTimeout
 	if s.set.DrainGrace > 0 {
 		by = min(by, s.now+s.set.DrainGrace)
 	}
@@ -627,7 +627,7 @@
 }
 
 // ageAt is how old what is known has to be taken for, if it holds until a time.
-func (s *Scheduler) ageAt(until Micros) Micros { return s.now - until + s.set.Module.MaxStaleness }
+func (s *Scheduler) ageAt(until Micros) Micros { return s.now - until + s.set.Dispatch.MaxStaleness }
 
 // warned takes from a discovery that is no longer the present one who leaves.
 func (s *Scheduler) warned(t WorkerList) {
@@ -695,7 +695,7 @@
 		if r.offer == nil || s.workers[r.UID] != r {
 			return true
 		}
-		if s.now-r.left < s.set.Module.MaxStaleness {
+		if s.now-r.left < s.set.Dispatch.MaxStaleness {
 			return false
 		}
 		r.Worker, r.offer = *r.offer, nil
@@ -718,7 +718,7 @@
 	switch {
 	case back && r.at.newer(at):
 	case back && r.left != 0 && line.Started <= r.Started && !at.newer(r.at) &&
-		s.now-r.left < s.set.Module.MaxStaleness:
+		s.now-r.left < s.set.Dispatch.MaxStaleness:
 		if r.offer == nil {
 			s.offered = append(s.offered, r)
 		}
@@ -736,7 +736,7 @@
 // mark notes since when workers that may have changed are leaving or gone, says so, and forgets
 // those that have been gone for long.
 func (s *Scheduler) mark(changed []*worker) {
-	long := s.set.Module.RemovedRetention()
+	long := s.set.Dispatch.RemovedRetention()
 	changed = slices.DeleteFunc(changed, func(r *worker) bool {
 		return (r.Status == dispatch.Ready) == (r.left == 0) && (r.Status == dispatch.Removed) == (r.gone != 0)
 	})
@@ -853,10 +853,10 @@
 	at      Micros
 	timer   bool
 	token   uint64
-	attempt Attempt
-	parked  bool    // the attempt may not wait any longer to be sent
-	recall  Attempt // a withdrawal takes too long, or is tried again
-	caller  Caller
+	attempt AttemptID
+	parked  bool      // the attempt may not wait any longer to be sent
+	recall  AttemptID // a withdrawal takes too long, or is tried again
+	caller  CallerID
 }
 
 // look tells whether it is just a look: at the time to stop, or to end.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -33,9 +33,9 @@
 	wake     Micros
 	exit     Micros // when it is to be over; 0: not yet asked for
 	seen     map[string][]string
-	attempts map[string]Attempt // the last one, by request id
-	workers  map[Attempt]string // where it went
-	callers  map[Caller]string  // names
+	attempts map[string]AttemptID // the last one, by request id
+	workers  map[AttemptID]string // where it went
+	callers  map[CallerID]string  // names
 }
 
 func parsed(t *testing.T, text string) settings.Settings {
@@ -59,9 +59,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{s: s, now: 1000 * second, seen: map[string][]string{}, attempts: map[string]Attempt{},
-		workers: map[Attempt]string{}, callers: map[Caller]string{}}
-	w.step(Started{Discovery: "d1", Known: WorkerList{Rev: 1, Complete: true, Workers: []Worker{line("r1", 1)}}})
+	w := &world{s: s, now: 1000 * second, seen: map[string][]string{}, attempts: map[string]AttemptID{},
+		workers: map[AttemptID]string{}, callers: map[CallerID]string{}}
+	w.step(Started{Discovery: "d1", CachedList: WorkerList{Rev: 1, Complete: true, Workers: []Worker{line("r1", 1)}}})
 	return w
 }
 
@@ -183,7 +183,7 @@
 	case p.name[0] == 'r':
 		p.worker(words[0], words[1])
 	default:
-		c := Caller(len(p.callers) + 1)
+		c := CallerID(len(p.callers) + 1)
 		p.callers[c] = p.name
 		left, err := time.ParseDuration(words[3])
 		p.step(Submitted{Caller: c, ID: words[0], Class: words[1], Tenant: words[2],
@@ -328,10 +328,10 @@
 			c1 close
 			r1 expect withdrawn a1
 			wait 600ms
-			program expect scheduler.Close
+			program expect scheduler.CloseIdleClients
 			program expect nothing
 			wait 3s
-			program expect scheduler.Exit`,
+			program expect scheduler.Shutdown`,
 		"a caller that leaves after it": submit + begun + `
 			c1 close
 			r1 expect withdrawn a1
@@ -432,7 +432,7 @@
 			c2 send a2 batch sahel 20s
 			c2 expect nothing
 			wait 200ms
-			program expect scheduler.Close
+			program expect scheduler.CloseIdleClients
 			c3 send a3 post sahel 5s
 			c3 expect refused last
 			r1 send done a1
@@ -440,7 +440,7 @@
 			program expect nothing
 			c2 close
 			r1 send dropped a2
-			program expect scheduler.Exit`,
+			program expect scheduler.Shutdown`,
 		"a panic loses nobody silently, and the next is served": submit + begun + `
 			program send panic
 			c1 expect failed
@@ -479,8 +479,8 @@
 		20 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
 			set := parsed(t, testSettings)
-			for i := range set.Module.Classes {
-				set.Module.Classes[i].Deadline = Micros(longest.Microseconds())
+			for i := range set.Dispatch.Classes {
+				set.Dispatch.Classes[i].Deadline = Micros(longest.Microseconds())
 			}
 			w := newWorldOf(t, set)
 			kill := w.now + Micros(min(longest, 3*time.Second).Microseconds()) + killedAfter
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -21,7 +21,7 @@
 	for range n {
 		now += second / 4
 		id := fmt.Sprint("a", now)
-		out = s.Step(now, Submitted{Caller: Caller(now), ID: id, Class: "post", Tenant: "sahel",
+		out = s.Step(now, Submitted{Caller: CallerID(now), ID: id, Class: "post", Tenant: "sahel",
 			Deadline: now + 5*second}, out[:0])
 		i := slices.IndexFunc(out, func(e Effect) bool { _, is := e.(SendAttempt); return is })
 		if i < 0 {
--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	set.Module.Dispatchers, set.Module.Index = schedulers, schedulers/2
+	set.Dispatch.Dispatchers, set.Dispatch.Index = schedulers, schedulers/2
 	set.Zones, set.Kinds = nil, nil
 	for z := range slopeZones {
 		set.Zones = append(set.Zones, fmt.Sprint("zone-", z))
@@ -72,7 +72,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	s.Step(1000*second, Started{Discovery: "d1", Known: list}, nil)
+	s.Step(1000*second, Started{Discovery: "d1", CachedList: list}, nil)
 	return s
 }
 
@@ -157,7 +157,7 @@
 	var out []Effect
 	for i := range n {
 		id := fmt.Sprintf("%016x", from+i)
-		out = s.Step(s.now+1000, Submitted{Caller: Caller(from + i + 1), ID: id, Class: "batch", Tenant: "sahel",
+		out = s.Step(s.now+1000, Submitted{Caller: CallerID(from + i + 1), ID: id, Class: "batch", Tenant: "sahel",
 			Deadline: s.now + 3600*second}, out[:0])
 		for _, e := range out {
 			if r, is := e.(SendAttempt); is {
@@ -183,8 +183,8 @@
 			before := processorMicros(b)
 			slopeOpen(b, s, 20+n, more)
 			took += processorMicros(b) - before
-			if s.Open() != 20+n+more {
-				b.Fatalf("%d open, want %d", s.Open(), 20+n+more)
+			if s.PendingRequests() != 20+n+more {
+				b.Fatalf("%d open, want %d", s.PendingRequests(), 20+n+more)
 			}
 		}
 		b.ReportMetric(held/float64(b.N), "heap-bytes")
@@ -261,7 +261,7 @@
 		w.step(at, TimerFired{})
 	}
 	w.n++
-	w.step(now, Submitted{Caller: Caller(w.n), ID: fmt.Sprintf("%016x", w.n), Class: "batch", Tenant: "sahel",
+	w.step(now, Submitted{Caller: CallerID(w.n), ID: fmt.Sprintf("%016x", w.n), Class: "batch", Tenant: "sahel",
 		Deadline: now + 20*second})
 	if len(w.running) > steadyRunning {
 		w.step(now+1000, w.running[0])
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,13 +13,13 @@
 // Settings is what the object says: to the decision module, and to the program
 // that meets names instead of numbers.
 type Settings struct {
-	Module     dispatch.Settings
-	Classes    []string // names, by number
-	Tenants    []string
-	Zones      []string
-	Kinds      []string
-	DrainGrace dispatch.Micros // sends to a worker told to drain must have begun by then
-	ConnIdle   dispatch.Micros // a worker's machine closes a connection that has idled so long
+	Dispatch          dispatch.Settings
+	Classes           []string // names, by number
+	Tenants           []string
+	Zones             []string
+	Kinds             []string
+	DrainGrace        dispatch.Micros // sends to a worker told to drain must have begun by then
+	WorkerIdleTimeout dispatch.Micros // a worker's machine closes a connection that has idled so long
 }
 
 // object is the settings object. Pointers mark what is optional and has a default
@@ -104,7 +104,7 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	all := Settings{Zones: p.Zones, Kinds: p.Kinds,
-		DrainGrace: dispatch.Micros(p.Guarantees.DrainGrace), ConnIdle: dispatch.Micros(p.Limits.ConnIdle)}
+		DrainGrace: dispatch.Micros(p.Guarantees.DrainGrace), WorkerIdleTimeout: dispatch.Micros(p.Limits.ConnIdle)}
 	s := dispatch.Settings{
 		Index: p.Me, Dispatchers: p.Balancers, Zone: p.Locality, WeightByWork: p.WorthBy == "work",
 		OverQuotaWeight: orElse(p.OverShare, 1),
@@ -149,7 +149,7 @@
 		s.Tenants = append(s.Tenants, dispatch.Tenant{Quota: c.Quota})
 		all.Tenants = append(all.Tenants, c.Name)
 	}
-	all.Module = s
+	all.Dispatch = s
 	return all, nil
 }
 
--- a/internal/subset/roster.go
+++ b/internal/subset/roster.go
@@ -104,11 +104,11 @@
 	c.reach = -1
 }
 
-// Shifts counts the changes of a crowd. While it stays, so do the places of its members.
-func (c *Group[M]) Shifts() uint64 { return c.shifts }
+// Generation counts the changes of a crowd. While it stays, so do the places of its members.
+func (c *Group[M]) Generation() uint64 { return c.shifts }
 
-// Place is the place of the member of a number.
-func (c *Group[M]) Place(number uint32) float64 {
+// Position is the place of the member of a number.
+func (c *Group[M]) Position(number uint32) float64 {
 	rank, _ := slices.BinarySearch(c.numbers, number)
 	return c.at(rank)
 }
--- a/internal/subset/roster_test.go
+++ b/internal/subset/roster_test.go
@@ -73,7 +73,7 @@
 	for _, numbers := range crowds {
 		for rank, number := range numbers {
 			it, at := items[number], (float64(rank)+0.5)/float64(len(numbers))
-			if got := it.crowd.Place(number); got != at {
+			if got := it.crowd.Position(number); got != at {
 				t.Fatalf("%d at %v, want %v", number, got, at)
 			}
 			gap := at - place
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -37,7 +37,7 @@
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, readBuffer), longestLine)
 	for n := 1; scanner.Scan(); n++ {
-		reply, err := h.Batch(scanner.Bytes())
+		reply, err := h.HandleBatch(scanner.Bytes())
 		if err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
@@ -48,8 +48,8 @@
 	return scanner.Err()
 }
 
-// Batch answers one batch. The reply is valid until the next call.
-func (h *Host) Batch(line []byte) ([]byte, error) {
+// HandleBatch answers one batch. The reply is valid until the next call.
+func (h *Host) HandleBatch(line []byte) ([]byte, error) {
 	now, messages, err := decodeBatch(line, h.messages)
 	h.messages = messages
 	if err != nil {
@@ -97,7 +97,7 @@
 	told, err := settings.Parse(m.params)
 	var d *dispatch.Dispatcher
 	if err == nil {
-		d, err = dispatch.New(told.Module, m.seed)
+		d, err = dispatch.New(told.Dispatch, m.seed)
 	}
 	if err != nil {
 		h.reply = appendFault(h.reply, m.who, err.Error())
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := told.Module
+	s := told.Dispatch
 	if s.Classes[0].ObjectiveStretch != 1.5 || s.Classes[1].ObjectiveStretch != 0.5 || s.Classes[1].DedupScope != 1 ||
 		s.Classes[1].Effect != 1 || s.Classes[0].Kind != -1 {
 		t.Errorf("classes: %+v", s.Classes)
@@ -175,7 +175,7 @@
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost()
 	h.dispatchers[2] = &dispatch.Dispatcher{} // not made by New: its maps are missing
-	out, err := h.Batch([]byte(`{"t":1,"inbox":[{"knock":{"who":2,"op_id":1,"class":0,"patience_left":5}}]}`))
+	out, err := h.HandleBatch([]byte(`{"t":1,"inbox":[{"knock":{"who":2,"op_id":1,"class":0,"patience_left":5}}]}`))
 	if err != nil || !strings.Contains(string(out), `{"exception":{"who":2,"line":`) {
 		t.Errorf("got %s, %v", out, err)
 	}
