--- a/internal/emulator/bytes.go
+++ b/internal/emulator/bytes.go
@@ -18,10 +18,13 @@
 	beatBytes        = 6   // an empty line
 )
 
-// tableBytes is the size of a word of discovery.
-func tableBytes(t scheduler.WorkerList) int {
-	if t.Rev == 0 {
+// messageBytes is the size of a line of a watch.
+func messageBytes(list scheduler.WorkerList) int {
+	if list.Rev == 0 {
 		return beatBytes
 	}
-	return lineBytes + entryBytes*len(t.Workers)
+	return listBytes(len(list.Workers))
 }
+
+// listBytes is the size of a full list or a change with so many entries.
+func listBytes(entries int) int { return lineBytes + entryBytes*entries }
--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"dahliaford/internal/dispatch"
+	"dahliaford/internal/endpoints"
 )
 
 // The size that the counts of faults are given for; a smaller fleet gets its part of them.
@@ -82,7 +82,7 @@
 			if region(w.zone) == off {
 				f.after(100*millisecond+Micros(random.Int64N(int64(second))), func() {
 					if w.up {
-						f.discovery.status(w, dispatch.Ready)
+						f.discovery.setState(w, endpoints.Ready)
 					}
 				})
 			}
@@ -98,7 +98,7 @@
 	for i, at := range which {
 		w := f.workers[at]
 		f.at(f.on(0.1+0.7*float64(i%steps)/steps), func() {
-			f.discovery.status(w, dispatch.Draining)
+			f.discovery.setState(w, endpoints.Draining)
 			f.drained(w, f.now+patience, func() {
 				if i%3 == 2 {
 					w.lose(true)
@@ -156,12 +156,12 @@
 		at := when()
 		f.at(at, func() {
 			if w.up {
-				f.discovery.status(w, dispatch.Draining)
+				f.discovery.setState(w, endpoints.Draining)
 			}
 		})
 		f.at(at+f.on(0.1)-f.on(0), func() {
 			if w.up {
-				f.discovery.status(w, dispatch.Ready)
+				f.discovery.setState(w, endpoints.Ready)
 			}
 		})
 	}
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -1,16 +1,19 @@
 package emulator
 
 import (
+	"maps"
 	"slices"
+	"time"
 
 	"dahliaford/internal/dispatch"
+	"dahliaford/internal/endpoints"
 	"dahliaford/internal/scheduler"
 )
 
 const (
 	// batchEvery is how long discovery gathers changes into one word.
 	batchEvery = 250 * millisecond
-	beatEvery  = 2 * second // an empty line, while nothing changes
+	beatEvery  = Micros(endpoints.HeartbeatInterval / time.Microsecond)
 	// callTakes is the work of a call beside what it has to send; calls are worked through in turn.
 	callTakes = 5 * millisecond
 	sendRate  = 100.0 // bytes a microsecond that it can make of a list
@@ -31,23 +34,20 @@
 type discovery struct {
 	f       *fleet
 	down    bool
-	rev     int64
-	list    []scheduler.Worker // by number of the worker
-	leftAt  []Micros           // since when it is listed as leaving; 0: it is not
-	log     [][]int            // what changed with each version from logFrom on
-	logFrom int64
-	changed map[int]*news // not yet told
-	open    []*stream     // in the order of their schedulers
-	waiting []*stream     // calls that are not answered yet
-	life    int           // of its process
-	free    Micros        // when the calls that wait are done
+	table   *endpoints.Table // workers by number
+	leftAt  []Micros         // since when it is listed as leaving; 0: it is not
+	changed map[int]*news    // not yet told
+	open    []*stream        // in the order of their schedulers
+	waiting []*stream        // calls that are not answered yet
+	life    int              // of its process
+	free    Micros           // when the calls that wait are done
 	random  func() float64
 	late    float64 // the part of its lines that come late
 }
 
 // news is what a worker's entry is to be with the next word, and since when that is known.
 type news struct {
-	to    scheduler.Worker
+	to    endpoints.Endpoint
 	since Micros
 }
 
@@ -66,28 +66,45 @@
 }
 
 func newDiscovery(f *fleet) *discovery {
-	return &discovery{f: f, rev: 1, logFrom: 2, changed: map[int]*news{}, random: f.random(2).Float64}
+	return &discovery{f: f, table: endpoints.NewTable(logKept), changed: map[int]*news{},
+		random: f.random(2).Float64}
 }
 
-// whole is the list as discovery holds it, without those that are gone.
-func (d *discovery) whole() scheduler.WorkerList {
-	t := scheduler.WorkerList{Rev: d.rev, Complete: true}
-	for _, r := range d.list {
-		if r.Status != dispatch.Removed {
-			t.Workers = append(t.Workers, r)
-		}
+// workerList is a message as the reducer gets it.
+func workerList(m endpoints.Message) scheduler.WorkerList {
+	list := scheduler.WorkerList{Rev: m.Revision, Complete: m.Complete}
+	if len(m.Endpoints) > 0 {
+		list.Workers = make([]scheduler.Worker, len(m.Endpoints))
+	}
+	for i, e := range m.Endpoints {
+		list.Workers[i] = scheduler.Worker{UID: e.UID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+			Status: statusOf(e.State), Started: Micros(e.BootMs) * millisecond}
+	}
+	return list
+}
+
+func statusOf(state endpoints.State) dispatch.Status {
+	switch state {
+	case endpoints.Ready:
+		return dispatch.Ready
+	case endpoints.Removed:
+		return dispatch.Removed
+	default:
+		return dispatch.Draining
 	}
-	return t
 }
 
-// change changes a worker's entry with the next word.
-func (d *discovery) change(w *worker, change func(*scheduler.Worker)) {
+// setState changes the state of a worker's entry with the next message.
+func (d *discovery) setState(w *worker, state endpoints.State) {
 	n := d.changed[w.number]
 	if n == nil {
-		n = &news{to: d.list[w.number], since: d.f.now}
+		n = &news{to: d.table.At(w.number), since: d.f.now}
 	}
 	was := n.to
-	if change(&n.to); was == n.to {
+	if n.to.State = state; state == endpoints.Ready {
+		n.to.BootMs = int64(w.started / millisecond)
+	}
+	if n.to == was {
 		return
 	}
 	if len(d.changed) == 0 {
@@ -96,62 +113,28 @@
 	d.changed[w.number] = n
 }
 
-func (d *discovery) status(w *worker, s dispatch.Status) {
-	d.change(w, func(r *scheduler.Worker) {
-		if r.Status = s; s == dispatch.Ready {
-			r.Started = w.started
-		}
-	})
-}
-
-// tell gives the changes that have come together a version, and writes it to all watches.
+// tell publishes the changes that have come together as one revision, and writes it to all watches.
 func (d *discovery) tell() {
 	if d.down || len(d.changed) == 0 {
 		return
 	}
-	var which []int
+	var published []endpoints.Endpoint
 	since := d.f.now
-	for i, n := range d.changed {
-		which, since = append(which, i), min(since, n.since)
-		if d.list[i] = n.to; n.to.Status == dispatch.Ready {
-			d.leftAt[i] = 0
-		} else if d.leftAt[i] == 0 {
-			d.leftAt[i] = n.since
+	for _, number := range slices.Sorted(maps.Keys(d.changed)) {
+		n := d.changed[number]
+		published, since = append(published, n.to), min(since, n.since)
+		if n.to.State == endpoints.Ready {
+			d.leftAt[number] = 0
+		} else if d.leftAt[number] == 0 {
+			d.leftAt[number] = n.since
 		}
 	}
-	slices.Sort(which)
 	clear(d.changed)
-	d.rev++
-	d.log = append(d.log, which)
-	if over := len(d.log) - logKept; over > 0 {
-		d.log, d.logFrom = d.log[over:], d.logFrom+int64(over)
-	}
-	t := d.delta(which)
-	d.f.tally.changed(d.rev, since, len(which))
+	change := workerList(d.table.Publish(published...))
+	d.f.tally.changed(change.Rev, since, len(published))
 	for _, s := range d.open {
-		s.write(t)
-	}
-}
-
-func (d *discovery) delta(which []int) scheduler.WorkerList {
-	t := scheduler.WorkerList{Rev: d.rev}
-	for _, i := range which {
-		t.Workers = append(t.Workers, d.list[i])
-	}
-	return t
-}
-
-// since is what a watch from a version begins with.
-func (d *discovery) since(rev int64) scheduler.WorkerList {
-	if rev == 0 || rev > d.rev || rev+1 < d.logFrom {
-		return d.whole()
-	}
-	var which []int
-	for _, changed := range d.log[rev+1-d.logFrom:] {
-		which = append(which, changed...)
+		s.write(change)
 	}
-	slices.Sort(which)
-	return d.delta(slices.Compact(which))
 }
 
 // call takes the call that opens a watch.
@@ -167,13 +150,13 @@
 		f.at(f.now+callWaits, func() { f.net.send(discoveryZone, s.n.zone, answerBytes, s.lost) })
 		return
 	}
-	t := d.since(rev)
+	t := d.table.Since(rev)
 	if t.Complete {
 		f.tally.discovery.Whole++
 	} else {
 		f.tally.discovery.Deltas++
 	}
-	d.free = from + callTakes + Micros(float64(tableBytes(t))/sendRate)
+	d.free = from + callTakes + Micros(float64(listBytes(len(t.Endpoints)))/sendRate)
 	f.tally.discovery.Busy += float64(d.free-from) / float64(second)
 	life := d.life
 	d.waiting = append(d.waiting, s)
@@ -183,7 +166,7 @@
 		}
 		d.waiting = slices.DeleteFunc(d.waiting, func(o *stream) bool { return o == s })
 		d.join(s)
-		s.write(d.since(rev)) // as it is now
+		s.write(workerList(d.table.Since(rev))) // as it is now
 		s.beat()
 	})
 }
@@ -206,7 +189,7 @@
 		return
 	}
 	s.written = f.now
-	bytes := tableBytes(t)
+	bytes := messageBytes(t)
 	if f.net.parted(discoveryZone, s.n.zone) {
 		s.kept = append(s.kept, t)
 		return
@@ -251,9 +234,9 @@
 	d.open, d.waiting = nil, nil
 	d.f.after(span, func() {
 		d.down, d.free = false, 0
-		d.rev++ // so that no version from before is the present one
-		d.log, d.logFrom = nil, d.rev+1
-		d.f.tally.changed(d.rev, d.f.now, 0)
+		d.table.Publish() // so that no revision from before is the present one
+		d.table.Forget()
+		d.f.tally.changed(d.table.Revision(), d.f.now, 0)
 		d.tell()
 	})
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -172,10 +172,10 @@
 	}
 	f.discovery = newDiscovery(f)
 	for i := range opt.Workers {
-		f.addWorker(i % Zones)
+		f.register(f.newWorker(i % Zones))
 	}
 	empty := heap()
-	table := f.discovery.whole()
+	table := workerList(f.discovery.table.Full())
 	for i := range opt.Schedulers {
 		n, err := newNode(f, i, zoneOf(i, opt.Schedulers))
 		if err != nil {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -8,6 +8,7 @@
 
 	"dahliaford/internal/connstate"
 	"dahliaford/internal/dispatch"
+	"dahliaford/internal/endpoints"
 	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
 )
@@ -62,25 +63,34 @@
 	knew bool    // its scheduler had been told of the start
 }
 
-func (f *fleet) addWorker(zone int) *worker {
-	i := len(f.workers)
-	sum := fnv.New32a()
-	fmt.Fprintf(sum, "worker %d", i)
-	place := i / Zones
-	w := &worker{f: f, number: i, uid: fmt.Sprintf("s-%08x", sum.Sum32()), zone: zone,
+// newWorker is one more worker, in a zone. It runs, but nobody knows of it before it is registered.
+func (f *fleet) newWorker(zone int) *worker {
+	number := len(f.workers)
+	hash := fnv.New32a()
+	_, _ = fmt.Fprintf(hash, "worker %d", number) // a hash takes all that is written
+	place := number / Zones
+	w := &worker{f: f, number: number, uid: fmt.Sprintf("s-%08x", hash.Sum32()), zone: zone,
 		rack: zone*1000 + place/rackSize, addr: fmt.Sprintf("10.%d.%d.%d:8443", zone, place/250, place%250),
 		kind: &kinds[place%len(kinds)], up: true, held: map[string]*attempt{},
-		random: f.random(1000 + uint64(i))}
+		random: f.random(1000 + uint64(number))}
 	for f.byUID[w.uid] != nil {
 		w.uid += "x"
 	}
+	return w
+}
+
+// register makes a new worker part of the fleet. Discovery lists it as ready if it runs.
+func (f *fleet) register(w *worker) {
 	f.workers = append(f.workers, w)
 	f.byUID[w.uid], f.byAddr[w.addr] = w, w
 	f.rules.Rack[w.uid] = fmt.Sprint(w.rack)
-	f.discovery.list = append(f.discovery.list, scheduler.Worker{UID: w.uid, Addr: w.addr, Zone: zoneName(zone),
-		Kind: w.kind.name, Cell: w.rack, Status: dispatch.Ready})
+	state := endpoints.Ready
+	if !w.up {
+		state = endpoints.Removed
+	}
+	f.discovery.table.Add(endpoints.Endpoint{UID: w.uid, Addr: w.addr, Zone: zoneName(w.zone),
+		Kind: w.kind.name, Cell: w.rack, State: state})
 	f.discovery.leftAt = append(f.discovery.leftAt, 0)
-	return w
 }
 
 // reach has something done at the worker's machine, or once it is back.
@@ -284,7 +294,7 @@
 	life := w.life
 	w.f.after(agentTells, func() {
 		if w.life == life {
-			w.f.discovery.status(w, dispatch.Removed)
+			w.f.discovery.setState(w, endpoints.Removed)
 		}
 	})
 }
@@ -304,7 +314,7 @@
 	d := w.f.discovery
 	w.f.after(unheardFor+Micros((d.random()-0.5)*float64(second)), func() {
 		if w.gone || w.f.net.parted(w.zone, discoveryZone) {
-			d.status(w, dispatch.Removed)
+			d.setState(w, endpoints.Removed)
 		}
 	})
 }
@@ -325,7 +335,7 @@
 	}
 	f.after(startTells, func() {
 		if w.life == life && !f.net.parted(w.zone, discoveryZone) {
-			f.discovery.status(w, dispatch.Ready)
+			f.discovery.setState(w, endpoints.Ready)
 		}
 	})
 }
@@ -333,12 +343,10 @@
 // replace has another worker come in this one's place.
 func (w *worker) replace() {
 	w.retired = true
-	w.f.discovery.status(w, dispatch.Removed)
-	n := w.f.addWorker(w.zone)
+	w.f.discovery.setState(w, endpoints.Removed)
+	n := w.f.newWorker(w.zone)
 	n.rack, n.up = w.rack, false
-	n.f.rules.Rack[n.uid] = fmt.Sprint(n.rack)
-	l := &w.f.discovery.list[n.number]
-	l.Cell, l.Status = n.rack, dispatch.Removed
+	w.f.register(n)
 	n.boot()
 }
 
