--- a/client/desk_test.go
+++ b/client/desk_test.go
@@ -325,13 +325,13 @@
 			if len(runs)%7 == 0 {
 				return fakes.Script{Status: 500}
 			}
-			return fakes.Script{Run: time.Millisecond}
+			return fakes.Script{RunTime: time.Millisecond}
 		}, func(history.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	discovery, err := fakes.NewDiscovery("127.0.0.1:0", fakes.Line{UID: "s-1", Endpoint: worker.Addr(),
+	discovery, err := fakes.NewDiscovery("127.0.0.1:0", fakes.Endpoint{UID: "s-1", Addr: worker.Addr(),
 		Zone: "north", Model: "m1", State: "ready"})
 	if err != nil {
 		t.Fatal(err)
--- a/client/hard_test.go
+++ b/client/hard_test.go
@@ -114,10 +114,11 @@
 	addr := f.Schedulers()[0]
 	var lengths [2]int64 // of a request and of an answer
 	l := client(t, addr)
-	if _, err := l.Do(t.Context(), Job{Class: "post-reading", Body: []byte(f.Mark() + "first")}); err != nil {
+	if _, err := l.Do(t.Context(), Job{Class: "post-reading",
+		Body: []byte(f.JobPrefix() + "first")}); err != nil {
 		t.Fatal(err)
 	}
-	body := f.Mark() + "post-reading true 100"
+	body := f.JobPrefix() + "post-reading true 100"
 	lengths[0] = int64(len(l.request(&Job{Class: "post-reading", Body: []byte(body)}, plan.Step{}, 4000)))
 	lengths[1] = int64(len(http1.AppendResponse(nil, 200,
 		[]http1.Field{{Name: "Connection", Value: "keep-alive"}}, []byte(body))))
@@ -132,7 +133,7 @@
 				defer func() { <-room }()
 				c := cut(t, addr, way == 0, after)
 				defer c.Close()
-				body := fmt.Sprint(f.Mark(), "post-reading ", way == 0, " ", after)
+				body := fmt.Sprint(f.JobPrefix(), "post-reading ", way == 0, " ", after)
 				client, err := New(Config{Schedulers: []string{c.Addr().String()}, Tenant: "sahel", Budget: 1,
 					Classes: map[string]Class{"post-reading": {Deadline: 2 * time.Second, Effect: Once}}})
 				if err != nil {
@@ -141,7 +142,7 @@
 				}
 				defer client.Close()
 				_, err = client.Do(t.Context(), Job{Class: "post-reading", Body: []byte(body)})
-				ran := f.Ran(body)
+				ran := f.RunsOf(body)
 				mu.Lock()
 				defer mu.Unlock()
 				ends[Verdict(err)]++
@@ -152,8 +153,8 @@
 		}
 	}
 	all.Wait()
-	if saw := f.Runs(); saw.Twice > 0 {
-		t.Errorf("%d post-readings ran twice", saw.Twice)
+	if saw := f.RunCounts(); saw.Duplicates > 0 {
+		t.Errorf("%d post-readings ran twice", saw.Duplicates)
 	}
 	if ends["unknown"] < int(lengths[1])/2 {
 		t.Errorf("the ends were %v: the answers were not lost", ends)
@@ -185,7 +186,7 @@
 			}
 			open.Go(func() {
 				deadline := time.Now().Add(6 * time.Second)
-				_, err := c.Do(t.Context(), Job{Class: "post-reading", Body: fmt.Append(nil, f.Mark(), "job ", n),
+				_, err := c.Do(t.Context(), Job{Class: "post-reading", Body: fmt.Append(nil, f.JobPrefix(), "job ", n),
 					Deadline: deadline})
 				mu.Lock()
 				defer mu.Unlock()
@@ -213,19 +214,19 @@
 	more()
 	must(f.Stop(0, time.Now().Add(20*time.Second)))
 	more()
-	must(f.Again(0))
+	must(f.Restart(0))
 	f.Kill(1)
 	more()
-	must(f.Again(1))
+	must(f.Restart(1))
 	f.Kill(0)
 	f.Kill(1)
-	must(f.Again(0))
-	must(f.Again(1))
+	must(f.Restart(0))
+	must(f.Restart(1))
 	more()
 	close(stop)
 	open.Wait()
-	if saw := f.Runs(); saw.Twice > 0 {
-		t.Errorf("%d post-readings ran twice", saw.Twice)
+	if saw := f.RunCounts(); saw.Duplicates > 0 {
+		t.Errorf("%d post-readings ran twice", saw.Duplicates)
 	}
 	all := 0
 	for _, n := range ends {
@@ -294,7 +295,7 @@
 			for n := range 40 {
 				deadline := time.Now().Add(700 * time.Millisecond)
 				_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline,
-					Body: fmt.Append(nil, f.Mark(), name, n)})
+					Body: fmt.Append(nil, f.JobPrefix(), name, n)})
 				ends[Verdict(err)]++
 				if late := time.Since(deadline); late > slack {
 					t.Errorf("job %d returned %v late", n, late)
--- a/cmd/schedbench/attempt.go
+++ b/cmd/schedbench/attempt.go
@@ -35,7 +35,8 @@
 func attempts(bin, _ string, span time.Duration, seed uint64, say sayer) (*report, error) {
 	const rate = 80.0
 	say("handing in %.0f jobs a second for %v", rate, span.Round(time.Second))
-	o, err := testcluster.RunAttempts(context.Background(), testcluster.Attempts{Bin: bin, For: span, Seed: seed, Rate: rate})
+	o, err := testcluster.RunFaultDrill(context.Background(), testcluster.FaultDrill{Program: bin,
+		Duration: span, Seed: seed, Rate: rate})
 	if err != nil {
 		return nil, err
 	}
@@ -45,8 +46,8 @@
 		head, key string
 		n         int
 	}{{"jobs", "jobs", o.Jobs}, {"served", "served", o.Served}, {"refused", "refused", o.Refused},
-		{"failed", "failed", o.Failed}, {"left", "left", o.Left}, {"attempts", "attempts", o.Attempts},
-		{"runs", "runs", o.Runs}, {"DELETEs", "withdrawn", o.Withdrawn}, {"crashes", "crashes", o.Crashes},
+		{"failed", "failed", o.Failed}, {"left", "left", o.Disconnected}, {"attempts", "attempts", o.Attempts},
+		{"runs", "runs", o.Started}, {"DELETEs", "withdrawn", o.Cancelled}, {"crashes", "crashes", o.Crashes},
 		{"drains", "drains", o.Drains}, {"broken", "broken", len(o.Findings)}} {
 		r.table[0], r.table[1] = append(r.table[0], c.head), append(r.table[1], fmt.Sprint(c.n))
 		r.figures[c.key] = c.n
--- a/cmd/schedbench/desks.go
+++ b/cmd/schedbench/desks.go
@@ -115,9 +115,9 @@
 
 // plain makes desks as they were, with a first wait before a retry, or none.
 func (r *deskRun) plain(backoff time.Duration) {
-	var clients []*fakes.Plain
+	var clients []*fakes.RetryingClient
 	for range deskCount {
-		clients = append(clients, fakes.NewPlain(r.fleet.Schedulers(), backoff, r.dialled))
+		clients = append(clients, fakes.NewRetryingClient(r.fleet.Schedulers(), backoff, r.dialled))
 	}
 	r.submit = func(i int, s fakes.Submission) string {
 		served, tries := clients[i].Submit(s)
@@ -150,7 +150,7 @@
 				}
 				c := deskClasses[random.IntN(len(deskClasses))]
 				id := fmt.Sprintf("%d-%d", i, n)
-				name := r.fleet.Mark() + id
+				name := r.fleet.JobPrefix() + id
 				s := fakes.Submission{ID: id, Class: c.name, Tenant: "sahel", Body: []byte(name),
 					Deadline: time.Now().Add(c.deadline)}
 				if c.effect == client.Rack {
@@ -210,7 +210,7 @@
 // shrink takes schedulers away within a sixth of the span (10 s of a minute), every other
 // one without a word, and brings them back after a while.
 func shrink(ctx context.Context, f *testcluster.Fleet, span time.Duration) error {
-	rest := func(d time.Duration) bool { return testcluster.Rest(ctx, d) }
+	rest := func(d time.Duration) bool { return testcluster.Sleep(ctx, d) }
 	gone := deskSchedulers - deskLeft
 	step := span / 6 / time.Duration(gone)
 	if !rest(span / 4) {
@@ -230,7 +230,7 @@
 		return nil
 	}
 	for i := range gone {
-		if err := f.Again(i); err != nil {
+		if err := f.Restart(i); err != nil {
 			return err
 		}
 		if !rest(step) {
@@ -306,15 +306,15 @@
 	rep := &report{figures: map[string]any{}, table: [][]string{{"kind", "jobs", "served", "late", "tries a job",
 		"new connections", "peak in 100 ms", "post-readings twice", "keys in two racks", "latest return"}}}
 	for _, r := range runs {
-		saw := r.fleet.Runs()
+		saw := r.fleet.RunCounts()
 		tries := float64(r.tries.Load()) / float64(max(r.jobs, 1))
 		rep.table = append(rep.table, []string{r.name, fmt.Sprint(r.jobs), fmt.Sprint(r.ends["served"]),
 			fmt.Sprintf("%.1f%%", 100*float64(r.late)/float64(max(r.ends["served"], 1))), fmt.Sprintf("%.3f", tries),
-			fmt.Sprint(sum(r.dials)), fmt.Sprint(peak(r.dials)), fmt.Sprint(saw.Twice), fmt.Sprint(saw.Crossed),
+			fmt.Sprint(sum(r.dials)), fmt.Sprint(peak(r.dials)), fmt.Sprint(saw.Duplicates), fmt.Sprint(saw.CrossRack),
 			fmt.Sprint(r.latest.Round(time.Millisecond))})
 		rep.figures[r.name] = map[string]any{"jobs": r.jobs, "returns": r.returns, "ends": r.ends, "late": r.late,
 			"tries_a_job": tries, "connections": sum(r.dials), "peak_connections_100ms": peak(r.dials),
-			"runs": saw.All, "post_readings_twice": saw.Twice, "keys_in_two_racks": saw.Crossed,
+			"runs": saw.Total, "post_readings_twice": saw.Duplicates, "keys_in_two_racks": saw.CrossRack,
 			"latest_return_ms": r.latest.Milliseconds(), "served_in_time": sum(r.served),
 			"connections_by_s": bySecond(r.dials),
 			"served_by_s":      bySecond(r.served)}
@@ -323,13 +323,13 @@
 	best := slices.MaxFunc(plain, func(a, b *deskRun) int { return int(sum(a.served) - sum(b.served)) })
 	rep.ok = true
 	for _, r := range runs {
-		if n := r.fleet.Runs().Alien; n > 0 {
+		if n := r.fleet.RunCounts().Foreign; n > 0 {
 			rep.figures["alien_jobs"] = n // a port went to somebody else while its scheduler was away
 		}
 	}
 	for _, r := range []*deskRun{library, runs[3]} {
-		saw := r.fleet.Runs()
-		rep.ok = rep.ok && saw.Twice == 0 && saw.Crossed == 0 && r.returns == r.jobs && r.latest <= deskGrace
+		saw := r.fleet.RunCounts()
+		rep.ok = rep.ok && saw.Duplicates == 0 && saw.CrossRack == 0 && r.returns == r.jobs && r.latest <= deskGrace
 	}
 	rep.figures["goodput_against_best"] = float64(sum(library.served)) / float64(max(library.jobs, 1)) /
 		(float64(sum(best.served)) / float64(max(best.jobs, 1)))
--- a/cmd/schedbench/fit.go
+++ b/cmd/schedbench/fit.go
@@ -94,42 +94,42 @@
 			continue
 		}
 		for i := range s.points {
-			if s.points[i].N == n {
+			if s.points[i].Size == n {
 				s.points[i].Values = append(s.points[i].Values, v)
 				return all
 			}
 		}
-		s.points = append(s.points, regression.Point{N: n, Values: []float64{v}})
+		s.points = append(s.points, regression.Point{Size: n, Values: []float64{v}})
 		return all
 	}
-	return append(all, &series{name, unit, []regression.Point{{N: n, Values: []float64{v}}}})
+	return append(all, &series{name, unit, []regression.Point{{Size: n, Values: []float64{v}}}})
 }
 
 func printFits(w io.Writer, all []*series) {
 	fmt.Fprintln(w, "| figure | at the sizes | runs, spread | grows as | base + rate x law | "+
 		"worst residual n, n log n, n² |\n| --- | --- | --- | --- | --- | --- |")
 	for _, s := range all {
-		r, err := regression.Of(s.points)
+		r, err := regression.Fit(s.points)
 		var at []string
 		runs := len(r.Points[0].Values)
 		for _, p := range r.Points {
-			at = append(at, fmt.Sprintf("%g: %.4g", p.N, p.Mean()))
+			at = append(at, fmt.Sprintf("%g: %.4g", p.Size, p.Mean()))
 			runs = min(runs, len(p.Values))
 		}
 		fmt.Fprintf(w, "| %s, %s | %s | %d, ±%.0f%% | ", strings.ReplaceAll(s.name, "_", " "), s.unit,
 			strings.Join(at, "; "), runs, 50*r.Spread)
-		if errors.Is(err, regression.ErrTooFew) {
+		if errors.Is(err, regression.ErrNotEnoughSizes) {
 			fmt.Fprintf(w, "%d sizes, not told | | |\n", len(r.Points))
 			continue
 		}
 		best := r.Curves[r.Best]
-		law := best.Law.Name
+		law := best.Model.Name
 		if r.Flat {
 			law = "flat (" + law + ")"
 		}
-		fmt.Fprintf(w, "%s | %.4g + %.4g x %s | ", law, best.Base, best.Rate, best.Law.Name)
+		fmt.Fprintf(w, "%s | %.4g + %.4g x %s | ", law, best.Intercept, best.Slope, best.Model.Name)
 		for i, c := range r.Curves {
-			fmt.Fprintf(w, "%s%.0f%%", strings.Repeat(", ", min(i, 1)), 100*c.Worst)
+			fmt.Fprintf(w, "%s%.0f%%", strings.Repeat(", ", min(i, 1)), 100*c.MaxResidual)
 		}
 		fmt.Fprintln(w, " |")
 	}
@@ -148,7 +148,7 @@
 		if !strings.Contains(s.name+" "+s.unit, text) {
 			continue
 		}
-		r, _ := regression.Of(s.points)
+		r, _ := regression.Fit(s.points)
 		var points plotter.XYs
 		first := 0.0
 		for _, pt := range r.Points {
@@ -157,7 +157,7 @@
 				first = v
 			}
 			if v > 0 {
-				points = append(points, plotter.XY{X: pt.N, Y: v / first})
+				points = append(points, plotter.XY{X: pt.Size, Y: v / first})
 			}
 		}
 		if len(points) > 1 {
--- a/cmd/schedbench/scale.go
+++ b/cmd/schedbench/scale.go
@@ -55,7 +55,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), scaleWithin)
 		defer cancel()
 		return runReal(ctx, os.Stdout, simfleet.Options{Schedulers: c.Real, Fleet: max(c.Schedulers, c.Real),
-			Workers: c.Workers, Zones: min(c.Workers, realZones), Rate: c.Rate, For: c.For, Seed: c.Seed, Day: c.Day})
+			Workers: c.Workers, Zones: min(c.Workers, realZones), Rate: c.Rate, Duration: c.For, Seed: c.Seed,
+			Day: c.Day})
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(scaleMemory))
 	ctx, cancel := context.WithTimeout(context.Background(), scaleWithin)
--- a/cmd/schedbench/scale_real.go
+++ b/cmd/schedbench/scale_real.go
@@ -16,7 +16,7 @@
 // out, the last line as JSON. Options that cannot be run end it as misused, rules that broke as broken.
 // Without a program the one beside the laboratory is run, or else one is built.
 func runReal(ctx context.Context, out io.Writer, o simfleet.Options) error {
-	if err := o.Check(); err != nil {
+	if err := o.Validate(); err != nil {
 		return misuse("%v", err)
 	}
 	if o.Program == "" {
@@ -35,12 +35,12 @@
 	if err != nil {
 		return err
 	}
-	if err := r.Table(out); err != nil {
+	if err := r.WriteTable(out); err != nil {
 		return err
 	}
-	for i, b := range r.Broken {
+	for i, b := range r.Violations {
 		if i == 20 {
-			fmt.Fprintf(out, "... and %d more\n", len(r.Broken)-i)
+			fmt.Fprintf(out, "... and %d more\n", len(r.Violations)-i)
 			break
 		}
 		fmt.Fprintln(out, "broken:", b)
@@ -52,7 +52,7 @@
 	if _, err := fmt.Fprintf(out, "%s\n", last); err != nil {
 		return err
 	}
-	if n := len(r.Broken); n > 0 {
+	if n := len(r.Violations); n > 0 {
 		return exit{broken, fmt.Sprintf("%d properties broke", n)}
 	}
 	return nil
--- a/cmd/schedbench/scale_real_test.go
+++ b/cmd/schedbench/scale_real_test.go
@@ -31,7 +31,8 @@
 	}
 	t.Chdir("../..")
 	if err := runReal(t.Context(), os.Stdout, simfleet.Options{Schedulers: *byHand, Fleet: *ofFleet,
-		Workers: *ofList, Zones: *inZones, Rate: *atRate, For: *forTime, Seed: *seeded, Day: *byDay}); err != nil {
+		Workers: *ofList, Zones: *inZones, Rate: *atRate, Duration: *forTime, Seed: *seeded,
+		Day: *byDay}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -40,7 +41,7 @@
 func TestRunReal(t *testing.T) {
 	t.Chdir("../..")
 	var out bytes.Buffer
-	o := simfleet.Options{Schedulers: 1, Workers: 40, Zones: 2, Rate: 20, For: 3 * time.Second, Seed: 1,
+	o := simfleet.Options{Schedulers: 1, Workers: 40, Zones: 2, Rate: 20, Duration: 3 * time.Second, Seed: 1,
 		Day: "zone"}
 	if err := runReal(t.Context(), &out, o); err != nil {
 		t.Fatal(err)
@@ -50,7 +51,7 @@
 	if err := json.Unmarshal(lines[len(lines)-1], &r); err != nil {
 		t.Fatalf("%v: %s", err, lines[len(lines)-1])
 	}
-	if r.Workers != 40 || r.Find("zone lost, in one line") == nil || r.Served == 0 {
+	if r.Workers != 40 || r.FindEvent("zone lost, in one line") == nil || r.Served == 0 {
 		t.Errorf("%+v", r)
 	}
 	o.Workers = 0
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -18,13 +18,13 @@
 	run := flag.Duration("run", 300*time.Millisecond, "how long a job runs")
 	flag.Parse()
 	const uid = "s-00000001"
-	plan := func(fakes.Job) fakes.Script { return fakes.Script{Run: *run} }
+	plan := func(fakes.Job) fakes.Script { return fakes.Script{RunTime: *run} }
 	said := func(e history.Event) { log.Print("worker: ", e.Kind, " ", e.ID) }
 	r, err := fakes.NewWorker(uid, *worker, func() string { return *scheduler }, plan, said)
 	if err != nil {
 		log.Fatal(err)
 	}
-	d, err := fakes.NewDiscovery(*discovery, fakes.Line{UID: uid, Endpoint: r.Addr(), Zone: "sousse",
+	d, err := fakes.NewDiscovery(*discovery, fakes.Endpoint{UID: uid, Addr: r.Addr(), Zone: "sousse",
 		Model: "fast-2c", State: "ready"})
 	if err != nil {
 		log.Fatal(err)
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -14,7 +14,7 @@
 	ID, Class, Tenant, Key string
 	Body                   []byte
 	Deadline               time.Time // the client gives up then
-	Leave                  time.Time // it leaves before that; zero: it waits
+	DisconnectAt           time.Time // it leaves before that; zero: it waits
 }
 
 // Submit hands a job in on a connection of its own and waits for the answer.
@@ -45,15 +45,15 @@
 		rec.say(event)
 		return nil, err
 	}
-	if !s.Leave.IsZero() && s.Leave.Before(until) {
-		until = s.Leave
+	if !s.DisconnectAt.IsZero() && s.DisconnectAt.Before(until) {
+		until = s.DisconnectAt
 	}
 	conn.SetReadDeadline(until.Add(grace(s)))
 	m, err := read.Response()
 	switch {
 	case err == nil:
 		event.Kind, event.Status, event.Result = history.Answered, m.Status, string(m.Body)
-	case !s.Leave.IsZero():
+	case !s.DisconnectAt.IsZero():
 		event.Kind = history.ClientLeft
 	default:
 		event.Kind = history.Unanswered
@@ -64,7 +64,7 @@
 
 // grace is how much longer than its deadline a client listens, to see a late answer as such.
 func grace(s Submission) time.Duration {
-	if s.Leave.IsZero() {
+	if s.DisconnectAt.IsZero() {
 		return 2 * time.Second
 	}
 	return 0
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -11,21 +11,21 @@
 	"dahliaford/internal/http1"
 )
 
-// Line is one line of the worker list.
-type Line struct {
-	UID      string `json:"uid"`
-	Endpoint string `json:"endpoint"`
-	Zone     string `json:"az"`
-	Model    string `json:"model"`
-	Group    int    `json:"pod_group"`
-	State    string `json:"state"` // ready, draining or gone
-	BootMs   int64  `json:"boot_ms"`
+// Endpoint is one line of the worker list.
+type Endpoint struct {
+	UID    string `json:"uid"`
+	Addr   string `json:"endpoint"`
+	Zone   string `json:"az"`
+	Model  string `json:"model"`
+	Group  int    `json:"pod_group"`
+	State  string `json:"state"` // ready, draining or gone
+	BootMs int64  `json:"boot_ms"`
 }
 
 type list struct {
-	Rev     int64  `json:"rev"`
-	All     bool   `json:"all"`
-	Targets []Line `json:"targets"`
+	Rev     int64      `json:"rev"`
+	All     bool       `json:"all"`
+	Targets []Endpoint `json:"targets"`
 }
 
 // Discovery serves the worker list. Changes go out to open watches at once.
@@ -33,7 +33,7 @@
 	server
 	list    sync.Mutex
 	rev     int64
-	lines   []Line
+	lines   []Endpoint
 	watches map[chan list]bool
 	over    chan struct{}
 }
@@ -42,7 +42,7 @@
 const heartbeat = 2 * time.Second
 
 // NewDiscovery opens a discovery that lists some workers.
-func NewDiscovery(addr string, lines ...Line) (*Discovery, error) {
+func NewDiscovery(addr string, lines ...Endpoint) (*Discovery, error) {
 	d := &Discovery{rev: 1, lines: lines, watches: map[chan list]bool{}, over: make(chan struct{})}
 	return d, d.listen(addr, d.serve)
 }
@@ -56,11 +56,11 @@
 	d.close()
 }
 
-// Break ends all watches; they can be opened again at once.
-func (d *Discovery) Break() { d.reset() }
+// ResetWatches ends all watches; they can be opened again at once.
+func (d *Discovery) ResetWatches() { d.reset() }
 
-// Set changes one line, or adds it. With the state gone it is taken off the list.
-func (d *Discovery) Set(line Line) {
+// Update changes one line, or adds it. With the state gone it is taken off the list.
+func (d *Discovery) Update(line Endpoint) {
 	d.list.Lock()
 	defer d.list.Unlock()
 	d.rev++
@@ -76,7 +76,7 @@
 	d.lines = kept
 	for w := range d.watches {
 		select {
-		case w <- list{Rev: d.rev, Targets: []Line{line}}:
+		case w <- list{Rev: d.rev, Targets: []Endpoint{line}}:
 		default: // it does not read: its watch ends, and the next one has the whole list
 			delete(d.watches, w)
 			close(w)
@@ -85,7 +85,7 @@
 }
 
 func (d *Discovery) whole() list {
-	return list{Rev: d.rev, All: true, Targets: append([]Line{}, d.lines...)}
+	return list{Rev: d.rev, All: true, Targets: append([]Endpoint{}, d.lines...)}
 }
 
 func (d *Discovery) serve(conn net.Conn) {
--- a/internal/fakes/plain.go
+++ b/internal/fakes/plain.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Plain is a desk as desks were: it tries again whatever came back, on its own account,
+// RetryingClient is a desk as desks were: it tries again whatever came back, on its own account,
 // at any scheduler, up to a number of tries and its deadline.
-type Plain struct {
+type RetryingClient struct {
 	schedulers []string
 	backoff    time.Duration // the first wait before a retry, doubling; 0: none
 	http       http.Client
@@ -26,23 +26,24 @@
 	plainIdle    = 64          // connections for each scheduler that it keeps
 )
 
-// NewPlain returns one; dialled is told of each new connection.
-func NewPlain(schedulers []string, backoff time.Duration, dialled func()) *Plain {
+// NewRetryingClient returns one; dialled is told of each new connection.
+func NewRetryingClient(schedulers []string, backoff time.Duration, dialled func()) *RetryingClient {
 	var dialer net.Dialer
-	return &Plain{schedulers: schedulers, backoff: backoff, http: http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: plainIdle,
-		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			dialled()
-			return dialer.DialContext(ctx, network, addr)
-		}}}}
+	return &RetryingClient{schedulers: schedulers, backoff: backoff,
+		http: http.Client{Transport: &http.Transport{
+			MaxIdleConnsPerHost: plainIdle,
+			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+				dialled()
+				return dialer.DialContext(ctx, network, addr)
+			}}}}
 }
 
 // Close closes its idle connections.
-func (p *Plain) Close() { p.http.CloseIdleConnections() }
+func (p *RetryingClient) Close() { p.http.CloseIdleConnections() }
 
 // Submit hands a job in until it is served. It tells how many tries were handed in: those
 // that found nobody listening do not count.
-func (p *Plain) Submit(s Submission) (served bool, tries int) {
+func (p *RetryingClient) Submit(s Submission) (served bool, tries int) {
 	ctx, cancel := context.WithDeadline(context.Background(), s.Deadline)
 	defer cancel()
 	wait := p.backoff
@@ -65,7 +66,7 @@
 	return false, tries
 }
 
-func (p *Plain) try(ctx context.Context, s Submission, n int) (sent, served bool) {
+func (p *RetryingClient) try(ctx context.Context, s Submission, n int) (sent, served bool) {
 	addr := p.schedulers[rand.IntN(len(p.schedulers))]
 	target := "http://" + addr + "/" + s.Class + "/" + s.ID
 	r, err := http.NewRequestWithContext(ctx, "POST", target, bytes.NewReader(s.Body))
--- a/internal/fakes/standin.go
+++ b/internal/fakes/standin.go
@@ -67,8 +67,8 @@
 // Close stops listening, resets all connections and waits until each serve has returned.
 func (s *Server) Close() { s.close() }
 
-// Reset ends a connection as a dying process does.
-func Reset(conn net.Conn) { broken(conn) }
+// ResetConn ends a connection as a dying process does.
+func ResetConn(conn net.Conn) { broken(conn) }
 
 func (s *server) keep(conn net.Conn) bool {
 	s.mu.Lock()
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -14,24 +14,24 @@
 // Script is what a worker does with one job. The zero Plan accepts it, runs it at once and
 // is done.
 type Script struct {
-	Status     int           // the answer; 0: 202
-	TurnedAway bool          // with 503 or 504: it did not begin
-	Break      bool          // the connection breaks instead of an answer
-	Silent     bool          // neither an answer nor anything else
-	Wait       time.Duration // before the answer
-	Queue      time.Duration // from the acceptance to the start
-	Run        time.Duration // from the start to the end
-	End        string        // the callback at its end; "": done; "never": none, it runs on
-	Early      bool          // callbacks may come before the 202
-	Repeat     int           // each callback comes so often again, whatever the answer was
-	Result     string        // with done; "": the body in capitals
+	Status            int           // the answer; 0: 202
+	TurnedAway        bool          // with 503 or 504: it did not begin
+	ResetConn         bool          // the connection breaks instead of an answer
+	Unresponsive      bool          // neither an answer nor anything else
+	AnswerDelay       time.Duration // before the answer
+	QueueTime         time.Duration // from the acceptance to the start
+	RunTime           time.Duration // from the start to the end
+	FinalState        string        // the callback at its end; "": done; "never": none, it runs on
+	EarlyCallbacks    bool          // callbacks may come before the 202
+	RepeatedCallbacks int           // each callback comes so often again, whatever the answer was
+	Result            string        // with done; "": the body in capitals
 }
 
 // Job is a request that came to a worker.
 type Job struct {
 	ID, Method, Target, Key string
 	Body                    []byte
-	Remaining               string // X-Remaining-Ms, as it came
+	RemainingMs             string // X-Remaining-Ms, as it came
 }
 
 // Worker is a scripted job worker.
@@ -106,7 +106,7 @@
 // job takes one job. It tells whether the connection goes on.
 func (r *Worker) job(conn net.Conn, m *http1.Request) bool {
 	j := Job{ID: m.Header.Get("X-Txn"), Method: m.Method, Target: m.Target, Key: m.Header.Get("Idempotency-Key"),
-		Body: m.Body, Remaining: m.Header.Get("X-Remaining-Ms")}
+		Body: m.Body, RemainingMs: m.Header.Get("X-Remaining-Ms")}
 	if j.ID == "" {
 		conn.Write(http1.AppendResponse(nil, 404, nil, nil))
 		return false
@@ -119,22 +119,22 @@
 	// It holds the job from now on, whatever comes of its answer.
 	r.record.say(history.Event{Kind: history.Arrived, ID: j.ID, Who: r.UID})
 	gone := make(chan struct{})
-	if status == 202 && !p.Break {
+	if status == 202 && !p.ResetConn {
 		r.life.Lock()
 		r.jobs[j.ID] = gone
 		r.life.Unlock()
 	}
-	if p.Silent {
+	if p.Unresponsive {
 		<-r.closes(conn)
 		r.giveUp(j.ID, gone)
 		return false
 	}
-	if p.Early && status == 202 && !p.Break {
+	if p.EarlyCallbacks && status == 202 && !p.ResetConn {
 		r.again.Go(func() { r.run(j, p, gone) })
 	}
-	time.Sleep(p.Wait)
+	time.Sleep(p.AnswerDelay)
 	switch {
-	case p.Break:
+	case p.ResetConn:
 		r.record.say(history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: true})
 		broken(conn)
 		return false
@@ -148,7 +148,7 @@
 		return err == nil
 	}
 	_, err := conn.Write(http1.AppendResponse(nil, 202, nil, nil))
-	if !p.Early {
+	if !p.EarlyCallbacks {
 		if err != nil { // closed before its 202: given up
 			r.giveUp(j.ID, gone)
 			return false
@@ -215,25 +215,25 @@
 			return true
 		}
 	}
-	if !wait(p.Queue) {
+	if !wait(p.QueueTime) {
 		return
 	}
-	if p.End == "returned" {
+	if p.FinalState == "returned" {
 		if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID}) {
-			r.tell(j.ID, "returned", "", p.Repeat)
+			r.tell(j.ID, "returned", "", p.RepeatedCallbacks)
 		}
 		return
 	}
 	r.record.say(history.Event{Kind: history.Started, ID: j.ID, Who: r.UID})
-	r.tell(j.ID, "started", "", p.Repeat)
-	if p.End == "never" {
+	r.tell(j.ID, "started", "", p.RepeatedCallbacks)
+	if p.FinalState == "never" {
 		<-gone
 		return
 	}
-	if !wait(p.Run) {
+	if !wait(p.RunTime) {
 		return
 	}
-	state, result := p.End, p.Result
+	state, result := p.FinalState, p.Result
 	if state == "" {
 		state = "done"
 	}
@@ -244,7 +244,7 @@
 		result = ""
 	}
 	if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: true, Result: result}) {
-		r.tell(j.ID, state, result, p.Repeat)
+		r.tell(j.ID, state, result, p.RepeatedCallbacks)
 	}
 }
 
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -37,7 +37,8 @@
 	w := newWorld(t, 0)
 	n := w.node
 	worker, err := fakes.NewWorker("r1", "127.0.0.1:0", func() string { return n.Addr().String() },
-		func(fakes.Job) fakes.Script { return fakes.Script{Run: 20 * time.Millisecond} }, func(history.Event) {})
+		func(fakes.Job) fakes.Script { return fakes.Script{RunTime: 20 * time.Millisecond} },
+		func(history.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/regression/fit.go
+++ b/internal/regression/fit.go
@@ -13,7 +13,7 @@
 
 // Point is what was measured at one size.
 type Point struct {
-	N      float64 // the size, above 0
+	Size   float64 // the size, above 0
 	Values []float64
 }
 
@@ -28,14 +28,14 @@
 	return 0
 }
 
-// Law is how a cost may grow.
-type Law struct {
+// Model is how a cost may grow.
+type Model struct {
 	Name string
 	of   func(n float64) float64
 }
 
-// Laws are those that are tried.
-var Laws = []Law{
+// Models are those that are tried.
+var Models = []Model{
 	{"n", func(n float64) float64 { return n }},
 	{"n log n", func(n float64) float64 { return n * math.Log2(n) }},
 	{"n²", func(n float64) float64 { return n * n }},
@@ -43,14 +43,14 @@
 
 // Curve is Base + Rate x law(n).
 type Curve struct {
-	Law        Law
-	Base, Rate float64
-	Worst      float64 // the largest residual, as a part of what was measured
-	rms        float64
+	Model            Model
+	Intercept, Slope float64
+	MaxResidual      float64 // the largest residual, as a part of what was measured
+	rms              float64
 }
 
 // At is the curve's value at a size.
-func (c Curve) At(n float64) float64 { return c.Base + c.Rate*c.Law.of(n) }
+func (c Curve) At(n float64) float64 { return c.Intercept + c.Slope*c.Model.of(n) }
 
 // Result is what a series of points says.
 type Result struct {
@@ -61,21 +61,24 @@
 	Spread float64 // the largest spread of one size, as a part of its mean
 }
 
-// LeastSizes is how many sizes it takes to tell laws apart.
-const LeastSizes = 5
+// MinSizes is how many sizes it takes to tell laws apart.
+const MinSizes = 5
 
-// ErrTooFew is the error of a series of fewer sizes.
-var ErrTooFew = errors.New("too few sizes to tell how it grows")
+// ErrNotEnoughSizes is the error of a series of fewer sizes.
+var ErrNotEnoughSizes = errors.New("too few sizes to tell how it grows")
 
-// Of fits all laws to points, by least squares of the residuals as parts of what was measured, so that
+// Fit fits all laws to points, by least squares of the residuals as parts of what was measured, so that
 // small sizes count as much as large ones. With fewer than LeastSizes sizes the error is ErrTooFew.
-func Of(points []Point) (r Result, err error) {
-	r.Points = slices.SortedFunc(slices.Values(points), func(a, b Point) int { return cmp.Compare(a.N, b.N) })
+func Fit(points []Point) (r Result, err error) {
+	r.Points = slices.SortedFunc(slices.Values(points), func(a, b Point) int {
+		return cmp.Compare(a.Size,
+			b.Size)
+	})
 	for _, p := range r.Points {
 		r.Spread = max(r.Spread, p.spread())
 	}
-	if len(r.Points) < LeastSizes {
-		return r, ErrTooFew
+	if len(r.Points) < MinSizes {
+		return r, ErrNotEnoughSizes
 	}
 	ys, weights := make([]float64, len(r.Points)), make([]float64, len(r.Points))
 	for i, p := range r.Points {
@@ -85,16 +88,16 @@
 			weights[i] = 1
 		}
 	}
-	for _, law := range Laws {
+	for _, law := range Models {
 		xs := make([]float64, len(ys))
 		for i, p := range r.Points {
-			xs[i] = law.of(p.N)
+			xs[i] = law.of(p.Size)
 		}
-		c := Curve{Law: law}
-		c.Base, c.Rate = stat.LinearRegression(xs, ys, weights, false)
+		c := Curve{Model: law}
+		c.Intercept, c.Slope = stat.LinearRegression(xs, ys, weights, false)
 		for i, p := range r.Points {
-			part := (c.At(p.N) - ys[i]) * math.Sqrt(weights[i])
-			c.Worst = max(c.Worst, math.Abs(part))
+			part := (c.At(p.Size) - ys[i]) * math.Sqrt(weights[i])
+			c.MaxResidual = max(c.MaxResidual, math.Abs(part))
 			c.rms += part * part
 		}
 		r.Curves = append(r.Curves, c)
@@ -102,7 +105,7 @@
 			r.Best = len(r.Curves) - 1
 		}
 	}
-	best, first, last := r.Curves[r.Best], r.Points[0].N, r.Points[len(r.Points)-1].N
+	best, first, last := r.Curves[r.Best], r.Points[0].Size, r.Points[len(r.Points)-1].Size
 	rise := math.Abs(best.At(last) - best.At(first))
 	r.Flat = rise <= r.Spread*math.Abs(best.At(first))
 	return r, nil
--- a/internal/simfleet/discovery.go
+++ b/internal/simfleet/discovery.go
@@ -31,7 +31,7 @@
 	// first is the version after which changes are known; a restart forgets them.
 	first   int64
 	changes [][]byte // the words from first+1 on, as chunks
-	lines   []fakes.Line
+	lines   []fakes.Endpoint
 	watches map[*hollowWatch]bool
 	over    chan struct{} // closed when it goes down
 
@@ -46,9 +46,9 @@
 }
 
 type word struct {
-	Rev     int64        `json:"rev"`
-	All     bool         `json:"all"`
-	Targets []fakes.Line `json:"targets"`
+	Rev     int64            `json:"rev"`
+	All     bool             `json:"all"`
+	Targets []fakes.Endpoint `json:"targets"`
 }
 
 func (w word) chunk() []byte {
@@ -59,7 +59,7 @@
 	return fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(raw)+1, raw)
 }
 
-func newDiscovery(schedulers int, lines []fakes.Line) (*discovery, error) {
+func newDiscovery(schedulers int, lines []fakes.Endpoint) (*discovery, error) {
 	d := &discovery{rev: 1, first: 1, lines: lines, traffic: make([]traffic, schedulers)}
 	return d, d.open()
 }
@@ -102,7 +102,7 @@
 func (d *discovery) addr(i int) string { return address(i, d.port) }
 
 // tell changes entries, in one word each or in one for all. Entries are known by their place.
-func (d *discovery) tell(places []int, change func(*fakes.Line), one bool) (words int) {
+func (d *discovery) tell(places []int, change func(*fakes.Endpoint), one bool) (words int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var w word
@@ -132,7 +132,7 @@
 
 // whole is the list as a whole, without those that are gone. The caller holds mu.
 func (d *discovery) whole() word {
-	w := word{Rev: d.rev, All: true, Targets: make([]fakes.Line, 0, len(d.lines))}
+	w := word{Rev: d.rev, All: true, Targets: make([]fakes.Endpoint, 0, len(d.lines))}
 	for _, line := range d.lines {
 		if line.State != "gone" {
 			w.Targets = append(w.Targets, line)
@@ -195,7 +195,7 @@
 	if from >= d.first && from <= d.rev {
 		w.sent = from
 		if from == d.rev { // the first object says what there is, even if that is nothing new
-			first = word{Rev: d.rev, Targets: []fakes.Line{}}.chunk()
+			first = word{Rev: d.rev, Targets: []fakes.Endpoint{}}.chunk()
 		}
 	} else {
 		w.sent = d.rev
--- a/internal/simfleet/hollow.go
+++ b/internal/simfleet/hollow.go
@@ -39,19 +39,19 @@
 	Schedulers int    // real ones, 1 to 64
 	// Fleet is how many schedulers the settings tell of, which sets each one's part of the workers;
 	// 0: as many as are real.
-	Fleet   int
-	Workers int           // listed, 1 to 20,000
-	Zones   int           // 1 to 64, two of them a region
-	Rate    float64       // jobs a second over all, 0 to 2,000
-	For     time.Duration // 3 s to 10 min: what the day's timed events share; the others end by themselves
-	Seed    uint64
-	Day     string // one of Days; storm has every event
+	Fleet    int
+	Workers  int           // listed, 1 to 20,000
+	Zones    int           // 1 to 64, two of them a region
+	Rate     float64       // jobs a second over all, 0 to 2,000
+	Duration time.Duration // 3 s to 10 min: what the day's timed events share; the others end by themselves
+	Seed     uint64
+	Day      string // one of Days; storm has every event
 }
 
 func (o *Options) fleet() int { return max(o.Fleet, o.Schedulers) }
 
-// Check tells in one line what cannot be run here. The program is looked for by Run.
-func (o *Options) Check() error {
+// Validate tells in one line what cannot be run here. The program is looked for by Run.
+func (o *Options) Validate() error {
 	switch {
 	case o.Schedulers < 1 || o.Schedulers > mostSchedulers:
 		return fmt.Errorf("%d real schedulers: 1 to %d can be run", o.Schedulers, mostSchedulers)
@@ -63,8 +63,8 @@
 		return fmt.Errorf("%d zones: 1 to %d, and no more than workers", o.Zones, mostZones)
 	case !(o.Rate >= 0 && o.Rate <= mostRate):
 		return fmt.Errorf("%g jobs a second: 0 to %g can be handed in", o.Rate, mostRate)
-	case o.For < leastFor || o.For > mostFor:
-		return fmt.Errorf("a run of %v: %v to %v can be asked for", o.For, leastFor, mostFor)
+	case o.Duration < leastFor || o.Duration > mostFor:
+		return fmt.Errorf("a run of %v: %v to %v can be asked for", o.Duration, leastFor, mostFor)
 	case !slices.Contains(Days, o.Day):
 		return fmt.Errorf("no day %q: there are %s", o.Day, strings.Join(Days, ", "))
 	}
@@ -108,9 +108,9 @@
 
 // Spread is a figure of each scheduler.
 type Spread struct {
-	Mean  float64 `json:"mean"`
-	Least float64 `json:"least"`
-	Most  float64 `json:"most"`
+	Mean float64 `json:"mean"`
+	Min  float64 `json:"least"`
+	Max  float64 `json:"most"`
 }
 
 func spread(of []float64) (s Spread) {
@@ -118,7 +118,7 @@
 		s.Mean += v / float64(len(of))
 	}
 	if len(of) > 0 {
-		s.Least, s.Most = slices.Min(of), slices.Max(of)
+		s.Min, s.Max = slices.Min(of), slices.Max(of)
 	}
 	return s
 }
@@ -126,37 +126,37 @@
 // Event is what one event of a day took.
 type Event struct {
 	Name string `json:"name"`
-	// Words is how many changes discovery told each scheduler, a line each; Entries what they held.
-	Words   int `json:"words"`
+	// Updates is how many changes discovery told each scheduler, a line each; Entries what they held.
+	Updates int `json:"words"`
 	Entries int `json:"entries"`
 	// Window is how long was looked at: until the schedulers idled again, or the event's own time.
 	Window  float64 `json:"window_s"`
 	Settled bool    `json:"settled"` // else the window ended before they idled
-	// Processor time of a scheduler within the window, and as a share of a core.
-	Processor Spread  `json:"processor_s"`
-	Core      float64 `json:"core_share"`
-	// Net is the mean without what the jobs at the rate alone, or idling, take in that time.
-	Net float64 `json:"processor_net_s"`
-	// Resume is the time from the last word until a scheduler had got a job served again.
-	Resume   Spread  `json:"resume_s"`
-	MemoryMB float64 `json:"memory_most_mb"` // VmHWM of the largest scheduler up to now
+	// CPUSeconds time of a scheduler within the window, and as a share of a core.
+	CPUSeconds Spread  `json:"processor_s"`
+	CoreShare  float64 `json:"core_share"`
+	// NetCPUSeconds is the mean without what the jobs at the rate alone, or idling, take in that time.
+	NetCPUSeconds float64 `json:"processor_net_s"`
+	// RecoverySeconds is the time from the last word until a scheduler had got a job served again.
+	RecoverySeconds Spread  `json:"resume_s"`
+	PeakMemoryMB    float64 `json:"memory_most_mb"` // VmHWM of the largest scheduler up to now
 	// Bytes of the list to a scheduler, and of its calls to discovery.
-	ListBytes Spread `json:"list_bytes"`
-	AskBytes  Spread `json:"ask_bytes"`
-	Wholes    int    `json:"whole_lists"` // that discovery gave out, to all schedulers
-	Watches   int    `json:"watches"`     // that were opened, by all schedulers
+	ListBytes    Spread `json:"list_bytes"`
+	RequestBytes Spread `json:"ask_bytes"`
+	FullLists    int    `json:"whole_lists"` // that discovery gave out, to all schedulers
+	Watches      int    `json:"watches"`     // that were opened, by all schedulers
 	// Jobs that came to an end in the window, at all schedulers.
-	Clients int   `json:"clients,omitempty"`
-	Jobs    int   `json:"jobs"`
-	Served  int   `json:"served"`
-	PerJob  Micro `json:"processor_a_job_us,omitempty"`
+	Clients   int          `json:"clients,omitempty"`
+	Jobs      int          `json:"jobs"`
+	Served    int          `json:"served"`
+	CPUPerJob Microseconds `json:"processor_a_job_us,omitempty"`
 	// Bytes of clients' and workers' connections, both ways, of all schedulers.
 	JobBytesIn  int64 `json:"job_bytes_in"`
 	JobBytesOut int64 `json:"job_bytes_out"`
 }
 
-// Micro is a time in microseconds.
-type Micro float64
+// Microseconds is a time in microseconds.
+type Microseconds float64
 
 // Report is what a run showed.
 type Report struct {
@@ -172,29 +172,29 @@
 	// Load is the machine's load average of a minute at the start: above 1 it is shared.
 	Load   float64 `json:"load_at_start"`
 	Events []Event `json:"events"`
-	// MemoryMB is the most that a scheduler had resident.
-	MemoryMB Spread `json:"memory_mb"`
-	// HollowMB is the most that this process had resident.
-	HollowMB  float64 `json:"hollow_memory_mb"`
-	Threads   int     `json:"threads_most"`
-	Sockets   int     `json:"descriptors_most"` // of a scheduler, at the end of an event
-	Processor Spread  `json:"processor_s"`      // of all of the run
-	Ticks     Spread  `json:"processor_stat_s"` // the same from /proc/PID/stat, in steps of 10 ms
-	Jobs      int     `json:"jobs"`
-	Served    int     `json:"served"`
-	Refused   int     `json:"refused"`
-	Failed    int     `json:"failed"`
-	Skipped   int     `json:"skipped"` // not handed in, as too many were open
+	// PeakMemoryMB is the most that a scheduler had resident.
+	PeakMemoryMB Spread `json:"memory_mb"`
+	// HarnessMB is the most that this process had resident.
+	HarnessMB      float64 `json:"hollow_memory_mb"`
+	MaxThreads     int     `json:"threads_most"`
+	MaxDescriptors int     `json:"descriptors_most"` // of a scheduler, at the end of an event
+	CPUSeconds     Spread  `json:"processor_s"`      // of all of the run
+	CPUTickSeconds Spread  `json:"processor_stat_s"` // the same from /proc/PID/stat, in steps of 10 ms
+	Jobs           int     `json:"jobs"`
+	Served         int     `json:"served"`
+	Refused        int     `json:"refused"`
+	Failed         int     `json:"failed"`
+	Skipped        int     `json:"skipped"` // not handed in, as too many were open
 	// Errors are the first that ended a client's connection instead of an answer.
-	Errors []string `json:"errors"`
-	Took   float64  `json:"took_s"`
-	// Broken are the properties that broke, by package record; events checked: Checked.
-	Broken  []string `json:"broken"`
-	Checked int      `json:"checked_events"`
+	Errors         []string `json:"errors"`
+	ElapsedSeconds float64  `json:"took_s"`
+	// Violations are the properties that broke, by package record; events checked: Checked.
+	Violations    []string `json:"broken"`
+	CheckedEvents int      `json:"checked_events"`
 }
 
-// Find has the event of a name, or none.
-func (r *Report) Find(name string) *Event {
+// FindEvent has the event of a name, or none.
+func (r *Report) FindEvent(name string) *Event {
 	for i := range r.Events {
 		if r.Events[i].Name == name {
 			return &r.Events[i]
--- a/internal/simfleet/hollow_test.go
+++ b/internal/simfleet/hollow_test.go
@@ -48,16 +48,17 @@
 func TestStormOfTwoRealSchedulers(t *testing.T) {
 	const schedulers, workers, zones = 2, 200, 4
 	r, err := Run(t.Context(), Options{Program: program(t), Schedulers: schedulers, Workers: workers,
-		Zones: zones, Rate: 40, For: 4 * time.Second, Seed: 3, Day: "storm"}, logged{t})
+		Zones: zones, Rate: 40, Duration: 4 * time.Second, Seed: 3, Day: "storm"}, logged{t})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	t.Logf("%d jobs, %d served, %d refused, %d failed, %d skipped; %d events checked; %.1f MB, %.3f s, %.3f s "+
-		"in ticks", r.Jobs, r.Served, r.Refused, r.Failed, r.Skipped, r.Checked, r.MemoryMB.Most, r.Processor.Mean,
-		r.Ticks.Mean)
+		"in ticks", r.Jobs, r.Served, r.Refused, r.Failed, r.Skipped, r.CheckedEvents, r.PeakMemoryMB.Max,
+		r.CPUSeconds.Mean,
+		r.CPUTickSeconds.Mean)
 	zone, region, roll := workers/zones, 2*workers/zones, workers*410/7200
 	for _, want := range []struct {
 		name                   string
@@ -74,29 +75,30 @@
 		{"discovery restarted", 0, workers, schedulers},
 		{"roll of 11", 2 * roll, 2 * roll, 0},
 	} {
-		e := r.Find(want.name)
+		e := r.FindEvent(want.name)
 		if e == nil {
 			t.Errorf("no event %q", want.name)
 			continue
 		}
-		if e.Words != want.words || e.Entries != want.entries || e.Wholes != want.wholes {
-			t.Errorf("%s: %d words, %d entries, %d whole lists; want %d, %d, %d", want.name, e.Words, e.Entries,
-				e.Wholes, want.words, want.entries, want.wholes)
+		if e.Updates != want.words || e.Entries != want.entries || e.FullLists != want.wholes {
+			t.Errorf("%s: %d words, %d entries, %d whole lists; want %d, %d, %d", want.name, e.Updates, e.Entries,
+				e.FullLists, want.words, want.entries, want.wholes)
 		}
-		if e.Processor.Least <= 0 || e.MemoryMB <= 0 {
+		if e.CPUSeconds.Min <= 0 || e.PeakMemoryMB <= 0 {
 			t.Errorf("%s: nothing was accounted for: %+v", want.name, e)
 		}
 	}
-	if r.Served < 100 || r.Checked < 400 {
-		t.Errorf("too little happened: %d served, %d events checked", r.Served, r.Checked)
+	if r.Served < 100 || r.CheckedEvents < 400 {
+		t.Errorf("too little happened: %d served, %d events checked", r.Served, r.CheckedEvents)
 	}
 }
 
 // What cannot be run is said in one line, before anything is started.
 func TestBadOptions(t *testing.T) {
-	good := Options{Program: "hollow.go", Schedulers: 2, Workers: 200, Zones: 4, Rate: 1, For: 5 * time.Second,
-		Day: "calm"}
-	if err := good.Check(); err != nil {
+	good := Options{Program: "hollow.go", Schedulers: 2, Workers: 200, Zones: 4, Rate: 1,
+		Duration: 5 * time.Second,
+		Day:      "calm"}
+	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(*Options){
@@ -111,8 +113,8 @@
 		"0 zones":            func(o *Options) { o.Zones = 0 },
 		"-1 jobs a second":   func(o *Options) { o.Rate = -1 },
 		"NaN jobs a second":  func(o *Options) { o.Rate = math.NaN() },
-		"a run of 1s":        func(o *Options) { o.For = time.Second },
-		"a run of 11m0s":     func(o *Options) { o.For = 11 * time.Minute },
+		"a run of 1s":        func(o *Options) { o.Duration = time.Second },
+		"a run of 11m0s":     func(o *Options) { o.Duration = 11 * time.Minute },
 		`no day "sunny"`:     func(o *Options) { o.Day = "sunny" },
 	} {
 		o := good
@@ -127,16 +129,16 @@
 // A watch from a version on gets what has changed since; one from before a restart, or from a version
 // that never was, the whole list; and a word for each line that changes.
 func TestDiscoveryTellsWhatChanged(t *testing.T) {
-	lines := make([]fakes.Line, 10)
+	lines := make([]fakes.Endpoint, 10)
 	for i := range lines {
-		lines[i] = fakes.Line{UID: fmt.Sprint("s-", i), Endpoint: "127.0.0.1:1", State: "ready"}
+		lines[i] = fakes.Endpoint{UID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", State: "ready"}
 	}
 	d, err := newDiscovery(2, lines)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { d.close() }()
-	leave := func(l *fakes.Line) { l.State = "gone" }
+	leave := func(l *fakes.Endpoint) { l.State = "gone" }
 	watch := func(from, words int) (revs, entries []int, all bool) {
 		t.Helper()
 		conn, err := net.Dial("tcp", d.addr(1))
@@ -210,7 +212,7 @@
 
 // A run that is ended early, or whose schedulers do not start, leaves none of them behind.
 func TestNothingIsLeftRunning(t *testing.T) {
-	o := Options{Schedulers: 2, Workers: 20, Zones: 2, For: time.Minute, Day: "calm"}
+	o := Options{Schedulers: 2, Workers: 20, Zones: 2, Duration: time.Minute, Day: "calm"}
 	ctx, cancel := context.WithCancel(t.Context())
 	o.Program = program(t)
 	if _, err := Run(ctx, o, cancels{logged{t}, cancel}); !errors.Is(err, context.Canceled) {
@@ -234,15 +236,15 @@
 // The accounts of the system agree: to the nanosecond by thread, and in ticks.
 func TestAccountsAgree(t *testing.T) {
 	r, err := Run(t.Context(), Options{Program: program(t), Schedulers: 1, Workers: 8, Zones: 2,
-		For: 3 * time.Second, Day: "calm"}, logged{t})
+		Duration: 3 * time.Second, Day: "calm"}, logged{t})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if apart := math.Abs(r.Processor.Mean - r.Ticks.Mean); r.Processor.Mean == 0 || apart > 0.03 {
-		t.Errorf("%.3f s by thread, %.3f s in ticks", r.Processor.Mean, r.Ticks.Mean)
+	if apart := math.Abs(r.CPUSeconds.Mean - r.CPUTickSeconds.Mean); r.CPUSeconds.Mean == 0 || apart > 0.03 {
+		t.Errorf("%.3f s by thread, %.3f s in ticks", r.CPUSeconds.Mean, r.CPUTickSeconds.Mean)
 	}
-	path := r.Find("jobs of 0 s, clients: 128")
-	if path == nil || path.Served == 0 || path.PerJob <= 0 || path.JobBytesIn == 0 || path.JobBytesOut == 0 {
+	path := r.FindEvent("jobs of 0 s, clients: 128")
+	if path == nil || path.Served == 0 || path.CPUPerJob <= 0 || path.JobBytesIn == 0 || path.JobBytesOut == 0 {
 		t.Errorf("the job path: %+v", path)
 	}
 }
--- a/internal/simfleet/run.go
+++ b/internal/simfleet/run.go
@@ -55,12 +55,12 @@
 	history []history.Event
 }
 
-func rest(ctx context.Context, d time.Duration) bool { return testcluster.Rest(ctx, d) }
+func rest(ctx context.Context, d time.Duration) bool { return testcluster.Sleep(ctx, d) }
 
 // Run runs a day. It ends by itself, and ends the processes that it started, also when the context
 // ends it early: then with an error.
 func Run(ctx context.Context, o Options, log io.Writer) (Report, error) {
-	if err := o.Check(); err != nil {
+	if err := o.Validate(); err != nil {
 		return Report{}, err
 	}
 	if err := o.there(); err != nil {
@@ -68,9 +68,9 @@
 	}
 	r := &run{Options: o, log: log, began: time.Now(), random: rand.New(rand.NewPCG(o.Seed, 28))}
 	r.report = Report{Schedulers: o.Schedulers, Fleet: o.fleet(), Workers: o.Workers, Zones: o.Zones,
-		Rate: o.Rate, For: o.For.Seconds(), Seed: o.Seed, Day: o.Day, Cores: cores(), Load: machineLoad()}
+		Rate: o.Rate, For: o.Duration.Seconds(), Seed: o.Seed, Day: o.Day, Cores: cores(), Load: machineLoad()}
 	err := r.live(ctx)
-	r.report.Took = time.Since(r.began).Seconds()
+	r.report.ElapsedSeconds = time.Since(r.began).Seconds()
 	return r.report, err
 }
 
@@ -132,11 +132,11 @@
 	for i := range r.all {
 		starts.Go(func() {
 			began := time.Now()
-			p, err := testcluster.StartSetup(r.Program, folder, testcluster.Setup{Name: "n" + strconv.Itoa(i),
+			p, err := testcluster.StartConfig(r.Program, folder, testcluster.Config{Name: "n" + strconv.Itoa(i),
 				Listen: "127.0.0.1:0", Discovery: r.list.addr(i), Schedulers: r.fleet(),
 				// The real ones are spread over the fleet's numbers, and over the zones.
-				Me: i * r.fleet() / r.Schedulers, Zone: i % len(zones), Zones: zones,
-				MemoryMB: memoryMB, Sockets: sockets, Known: []fakes.Line{}})
+				Index: i * r.fleet() / r.Schedulers, Zone: i % len(zones), Zones: zones,
+				MemoryMB: memoryMB, MaxSockets: sockets, KnownEndpoints: []fakes.Endpoint{}})
 			if errs[i] = err; err != nil {
 				return
 			}
@@ -163,7 +163,7 @@
 		r.workers.mu.Unlock()
 	}
 	r.clients = newClients(addrs, r.saw, &r.jobs)
-	e := Event{Name: "start", Entries: r.Workers, Resume: spread(ready)}
+	e := Event{Name: "start", Entries: r.Workers, RecoverySeconds: spread(ready)}
 	return r.settle(ctx, &e, m)
 }
 
@@ -199,7 +199,7 @@
 		if p == nil {
 			continue // not started yet
 		}
-		if took[i], err = p.Processor(); err != nil {
+		if took[i], err = p.CPUTime(); err != nil {
 			return took, fmt.Errorf("scheduler %d has ended: %w", i, err)
 		}
 	}
@@ -245,24 +245,24 @@
 		took[i] = (now.took[i] - m.took[i]).Seconds()
 		in[i], out[i] = float64(now.in[i]-m.in[i]), float64(now.out[i]-m.out[i])
 	}
-	e.Processor, e.ListBytes, e.AskBytes = spread(took), spread(in), spread(out)
-	e.Core = e.Processor.Mean / e.Window
-	e.Net = e.Processor.Mean - r.meanBase*e.Window
-	e.Wholes, e.Watches = int(now.wholes-m.wholes), int(now.opened-m.opened)
+	e.CPUSeconds, e.ListBytes, e.RequestBytes = spread(took), spread(in), spread(out)
+	e.CoreShare = e.CPUSeconds.Mean / e.Window
+	e.NetCPUSeconds = e.CPUSeconds.Mean - r.meanBase*e.Window
+	e.FullLists, e.Watches = int(now.wholes-m.wholes), int(now.opened-m.opened)
 	e.Jobs, e.Served = int(now.jobs-m.jobs), int(now.served-m.served)
 	e.JobBytesIn, e.JobBytesOut = now.jobIn-m.jobIn, now.jobOut-m.jobOut
 	for _, p := range r.all {
-		use, err := p.Use()
+		use, err := p.Usage()
 		if err != nil {
 			return err
 		}
-		e.MemoryMB = max(e.MemoryMB, use.MostMB)
-		r.report.Sockets = max(r.report.Sockets, use.Descriptors)
-		r.report.Threads = max(r.report.Threads, use.Threads)
+		e.PeakMemoryMB = max(e.PeakMemoryMB, use.PeakMemoryMB)
+		r.report.MaxDescriptors = max(r.report.MaxDescriptors, use.Descriptors)
+		r.report.MaxThreads = max(r.report.MaxThreads, use.Threads)
 	}
 	r.report.Events = append(r.report.Events, *e)
 	r.say("%-26s %6.3f s of processor each (%.3f to %.3f) in %.1f s, %.1f MB at most, %.0f bytes of list each",
-		e.Name, e.Processor.Mean, e.Processor.Least, e.Processor.Most, e.Window, e.MemoryMB, e.ListBytes.Mean)
+		e.Name, e.CPUSeconds.Mean, e.CPUSeconds.Min, e.CPUSeconds.Max, e.Window, e.PeakMemoryMB, e.ListBytes.Mean)
 	return nil
 }
 
@@ -287,8 +287,8 @@
 func (r *run) told(ctx context.Context, name string, tell func() (words, entries int)) error {
 	m := r.mark()
 	e := Event{Name: name}
-	e.Words, e.Entries = tell()
-	e.Resume = r.resume(ctx)
+	e.Updates, e.Entries = tell()
+	e.RecoverySeconds = r.resume(ctx)
 	return r.settle(ctx, &e, m)
 }
 
@@ -328,7 +328,7 @@
 	for _, p := range places {
 		r.saw(history.Event{At: time.Now(), Kind: kind, Who: r.workers.uids[p]})
 	}
-	return r.list.tell(places, func(l *fakes.Line) {
+	return r.list.tell(places, func(l *fakes.Endpoint) {
 		if l.State = state; boot != 0 {
 			l.BootMs = boot
 		}
@@ -343,7 +343,7 @@
 	defer pace.Wait()
 	defer stop()
 	timed := map[string]int{"calm": 3, "roll": 2, "storm": 4}[r.Day] // spells
-	span := r.For / time.Duration(max(timed, 1))
+	span := r.Duration / time.Duration(max(timed, 1))
 	type step func(context.Context, time.Duration) error
 	steps := map[string][]step{
 		"calm":      {r.steady, r.changes},
@@ -372,7 +372,7 @@
 	err := r.spell(ctx, Event{Name: "jobs at the rate alone"}, func(*Event) { rest(ctx, span) })
 	if err == nil {
 		e := &r.report.Events[len(r.report.Events)-1]
-		r.base, r.meanBase = e.Processor.Most/e.Window, e.Core
+		r.base, r.meanBase = e.CPUSeconds.Max/e.Window, e.CoreShare
 	}
 	return err
 }
@@ -386,9 +386,9 @@
 		for end := time.Now().Add(span); time.Now().Before(end); {
 			if drains = !drains; drains {
 				place = r.random.IntN(r.Workers)
-				e.Words += r.state([]int{place}, "draining", 0, history.EndpointChanged, true)
+				e.Updates += r.state([]int{place}, "draining", 0, history.EndpointChanged, true)
 			} else {
-				e.Words += r.back([]int{place}, true)
+				e.Updates += r.back([]int{place}, true)
 			}
 			e.Entries++
 			select {
@@ -398,7 +398,7 @@
 			}
 		}
 		if drains {
-			e.Words += r.back([]int{place}, true)
+			e.Updates += r.back([]int{place}, true)
 			e.Entries++
 		}
 	})
@@ -458,7 +458,7 @@
 	if err := r.list.open(); err != nil {
 		return err
 	}
-	e.Resume = r.resume(ctx)
+	e.RecoverySeconds = r.resume(ctx)
 	for end := time.Now().Add(readyWithin); r.list.opened.Load()-m.opened < int64(r.Schedulers); {
 		if time.Now().After(end) {
 			return fmt.Errorf("%d of %d schedulers watch again", r.list.opened.Load()-m.opened, r.Schedulers)
@@ -479,24 +479,24 @@
 		if !rest(ctx, time.Until(m.at.Add(span*time.Duration(i)/time.Duration(n)))) {
 			return ctx.Err()
 		}
-		e.Words += r.state([]int{place}, "draining", 0, history.EndpointChanged, true)
+		e.Updates += r.state([]int{place}, "draining", 0, history.EndpointChanged, true)
 		drained = append(drained, place)
 		if late := int(drainedFor * time.Duration(n) / span); len(drained) > late {
-			e.Words += r.back(drained[:1], true)
+			e.Updates += r.back(drained[:1], true)
 			drained = drained[1:]
 		}
 	}
 	rest(ctx, drainedFor)
-	e.Words += r.back(drained, false)
-	e.Entries = e.Words
-	e.Resume = r.resume(ctx)
+	e.Updates += r.back(drained, false)
+	e.Entries = e.Updates
+	e.RecoverySeconds = r.resume(ctx)
 	return r.settle(ctx, &e, m)
 }
 
 // path times jobs of no length with two callbacks each, at one scheduler while the others idle.
 func (r *run) path(ctx context.Context, span time.Duration) error {
 	for _, n := range pathClients {
-		before, err := r.all[0].Processor()
+		before, err := r.all[0].CPUTime()
 		if err != nil {
 			return err
 		}
@@ -508,14 +508,14 @@
 		if err != nil {
 			return err
 		}
-		after, err := r.all[0].Processor()
+		after, err := r.all[0].CPUTime()
 		if err != nil {
 			return err
 		}
 		e := &r.report.Events[len(r.report.Events)-1]
 		if e.Served > 0 {
-			e.PerJob = Micro(float64((after - before).Microseconds()) / float64(e.Jobs))
-			r.say("%26s %.0f us of processor a job, %d jobs", "", float64(e.PerJob), e.Jobs)
+			e.CPUPerJob = Microseconds(float64((after - before).Microseconds()) / float64(e.Jobs))
+			r.say("%26s %.0f us of processor a job, %d jobs", "", float64(e.CPUPerJob), e.Jobs)
 		}
 	}
 	return nil
@@ -528,22 +528,24 @@
 	}
 	var took, ticks, memory []float64
 	for _, p := range r.all {
-		t, err := p.Processor()
+		t, err := p.CPUTime()
 		if err != nil {
 			return err
 		}
-		s, err := p.Ticks()
+		s, err := p.CPUTicks()
 		if err != nil {
 			return err
 		}
-		use, err := p.Use()
+		use, err := p.Usage()
 		if err != nil {
 			return err
 		}
-		took, ticks, memory = append(took, t.Seconds()), append(ticks, s.Seconds()), append(memory, use.MostMB)
+		took, ticks, memory = append(took, t.Seconds()), append(ticks, s.Seconds()), append(memory,
+			use.PeakMemoryMB)
 	}
 	rep := &r.report
-	rep.Processor, rep.Ticks, rep.MemoryMB, rep.HollowMB = spread(took), spread(ticks), spread(memory), ownMB()
+	rep.CPUSeconds, rep.CPUTickSeconds, rep.PeakMemoryMB, rep.HarnessMB = spread(took), spread(ticks),
+		spread(memory), ownMB()
 	c := r.clients
 	rep.Jobs, rep.Served, rep.Refused = int(c.jobs.Load()), int(c.served.Load()), int(c.refused.Load())
 	rep.Failed, rep.Skipped, rep.Errors = int(c.failed.Load()), int(c.skipped.Load()), c.errors
@@ -554,7 +556,7 @@
 	}
 	ends.Wait()
 	err := errors.Join(append(errs, r.check())...)
-	if len(rep.Broken) > 0 || err != nil {
+	if len(rep.Violations) > 0 || err != nil {
 		for i, p := range r.all {
 			for _, line := range p.Log() {
 				r.say("scheduler %d: %s", i, line)
@@ -574,9 +576,9 @@
 	for i, uid := range r.workers.uids {
 		rules.Rack[uid] = strconv.Itoa(i / 8)
 	}
-	r.report.Checked = len(r.history)
+	r.report.CheckedEvents = len(r.history)
 	for _, f := range history.Check(rules, r.history) {
-		r.report.Broken = append(r.report.Broken, f.String())
+		r.report.Violations = append(r.report.Violations, f.String())
 	}
 	if len(r.history) == mostHistory {
 		return fmt.Errorf("over %d events: the rest was not checked", mostHistory)
@@ -588,7 +590,7 @@
 func ownMB() (mb float64) {
 	raw, err := os.ReadFile("/proc/self/status")
 	if err == nil {
-		mb = testcluster.MostMB(string(raw))
+		mb = testcluster.PeakMemoryMB(string(raw))
 	}
 	return mb
 }
--- a/internal/simfleet/workers.go
+++ b/internal/simfleet/workers.go
@@ -65,13 +65,13 @@
 
 // entries are the workers as discovery lists them: ready, in equal parts of the zones, eight to a
 // group.
-func (w *workers) entries(zones []string) []fakes.Line {
+func (w *workers) entries(zones []string) []fakes.Endpoint {
 	_, port, _ := net.SplitHostPort(w.http.Addr())
 	at, _ := strconv.Atoi(port)
-	lines := make([]fakes.Line, len(w.uids))
+	lines := make([]fakes.Endpoint, len(w.uids))
 	for i := range lines {
 		zone := i * len(zones) / len(lines)
-		lines[i] = fakes.Line{UID: w.uids[i], Endpoint: address(i, at), Zone: zones[zone], Model: "m1",
+		lines[i] = fakes.Endpoint{UID: w.uids[i], Addr: address(i, at), Zone: zones[zone], Model: "m1",
 			Group: i / 8, State: "ready"}
 	}
 	return lines
@@ -122,7 +122,7 @@
 func (w *workers) serve(plain net.Conn) {
 	place := number(plain)
 	if place < 0 || place >= len(w.uids) || w.down[place].Load() {
-		fakes.Reset(plain)
+		fakes.ResetConn(plain)
 		return
 	}
 	conn := counted{plain, w.traffic}
@@ -133,7 +133,7 @@
 			return
 		}
 		if w.down[place].Load() {
-			fakes.Reset(plain)
+			fakes.ResetConn(plain)
 			return
 		}
 		if id, is := strings.CutPrefix(m.Target, "/jobs/"); is && m.Method == "DELETE" {
--- a/internal/testcluster/attempt.go
+++ b/internal/testcluster/attempt.go
@@ -13,24 +13,24 @@
 	"dahliaford/internal/history"
 )
 
-// Attempts says how the drill of that name is run.
-type Attempts struct {
-	Bin  string        // the scheduler's program
-	For  time.Duration // how long jobs are handed in
-	Seed uint64
-	Rate float64 // jobs a second
+// FaultDrill says how the drill of that name is run.
+type FaultDrill struct {
+	Program  string        // the scheduler's program
+	Duration time.Duration // how long jobs are handed in
+	Seed     uint64
+	Rate     float64 // jobs a second
 	// Slack is what a busy machine may add to the times of the rules; 0: 400 ms.
 	Slack time.Duration
 }
 
 // Outcome is what a run showed.
 type Outcome struct {
-	Jobs, Served, Refused, Failed, Left int
-	Attempts, Runs, Withdrawn           int
-	Crashes, Drains                     int
-	Events                              int
-	Findings                            []history.Finding
-	Log                                 []string // of the scheduler
+	Jobs, Served, Refused, Failed, Disconnected int
+	Attempts, Started, Cancelled                int
+	Crashes, Drains                             int
+	Events                                      int
+	Findings                                    []history.Finding
+	Log                                         []string // of the scheduler
 }
 
 const (
@@ -38,10 +38,10 @@
 	rested  = 8 * time.Second // after the last job, for what is still to be called back
 )
 
-// RunAttempts hands jobs in to the real program, whose four workers in two racks do wrong
+// RunFaultDrill hands jobs in to the real program, whose four workers in two racks do wrong
 // whatever the protocol allows: they turn away, fail, break, fall silent, call back early,
 // again and out of time, run on for ever, crash and drain. It checks what all saw.
-func RunAttempts(ctx context.Context, a Attempts) (*Outcome, error) {
+func RunFaultDrill(ctx context.Context, a FaultDrill) (*Outcome, error) {
 	var mu sync.Mutex
 	var events []history.Event
 	rec := fakes.Recorder(func(e history.Event) {
@@ -60,20 +60,20 @@
 	rules := history.Rules{AtMostOnce: map[string]bool{"post-reading": true}, Rack: map[string]string{},
 		Window: 10 * time.Second, DrainGrace: 550 * time.Millisecond,
 		MaxAttempts: 4, Slack: a.Slack, OrphanLimit: 3 * time.Second}
-	var lines []fakes.Line
+	var lines []fakes.Endpoint
 	for i := range workers {
-		line := fakes.Line{UID: fmt.Sprintf("s-%08x", i+1), Group: i / 2}
+		line := fakes.Endpoint{UID: fmt.Sprintf("s-%08x", i+1), Group: i / 2}
 		lines = append(lines, line)
 		rules.Rack[line.UID] = strconv.Itoa(line.Group)
 	}
-	p, err := startSite(a.Bin, folder, "n0", lines,
+	p, err := startSite(a.Program, folder, "n0", lines,
 		func(k int) func(fakes.Job) fakes.Script { return mischief(a.Seed, k) }, rec)
 	if err != nil {
 		return nil, err
 	}
 	defer p.close()
 	out := &Outcome{}
-	handing, cancel := context.WithTimeout(ctx, a.For)
+	handing, cancel := context.WithTimeout(ctx, a.Duration)
 	defer cancel()
 	var troubles sync.WaitGroup
 	troubles.Go(func() { trouble(handing, a.Seed, out, p, rec) })
@@ -94,7 +94,7 @@
 }
 
 // handIn hands jobs in at an even pace, and waits for their ends.
-func handIn(ctx context.Context, a Attempts, addr string, rec fakes.Recorder) {
+func handIn(ctx context.Context, a FaultDrill, addr string, rec fakes.Recorder) {
 	random := rand.New(rand.NewPCG(a.Seed, 1))
 	tick := time.NewTicker(time.Duration(float64(time.Second) / a.Rate))
 	defer tick.Stop()
@@ -112,7 +112,7 @@
 			s.Class, s.Key, s.Deadline = "district-batch", "k-"+s.ID, time.Now().Add(4*time.Second)
 		}
 		if random.IntN(12) == 0 {
-			s.Leave = time.Now().Add(time.Duration(random.IntN(300)) * time.Millisecond)
+			s.DisconnectAt = time.Now().Add(time.Duration(random.IntN(300)) * time.Millisecond)
 		}
 		open.Go(func() { fakes.Submit(addr, s, rec) })
 	}
@@ -126,39 +126,39 @@
 	return func(fakes.Job) fakes.Script {
 		mu.Lock()
 		defer mu.Unlock()
-		p := fakes.Script{Wait: ms(8), Queue: ms(10), Run: 10*time.Millisecond + ms(60)}
+		p := fakes.Script{AnswerDelay: ms(8), QueueTime: ms(10), RunTime: 10*time.Millisecond + ms(60)}
 		switch random.IntN(40) {
 		case 0, 1, 2:
 			p.Status, p.TurnedAway = 503, true
 		case 3:
 			p.Status = 500
 		case 4:
-			p.Break = true
+			p.ResetConn = true
 		case 5:
-			p.Silent = true
+			p.Unresponsive = true
 		case 6, 7:
-			p.End = "failed"
+			p.FinalState = "failed"
 		case 8, 9, 10:
-			p.End = "returned"
+			p.FinalState = "returned"
 		case 11:
-			p.End = "lost"
+			p.FinalState = "lost"
 		case 12:
-			p.End = "never"
+			p.FinalState = "never"
 		case 13:
-			p.Wait = 300*time.Millisecond + ms(400)
+			p.AnswerDelay = 300*time.Millisecond + ms(400)
 		case 14, 15:
-			p.Run = 500*time.Millisecond + ms(900)
+			p.RunTime = 500*time.Millisecond + ms(900)
 		}
-		p.Early = random.IntN(4) == 0
+		p.EarlyCallbacks = random.IntN(4) == 0
 		if random.IntN(4) == 0 {
-			p.Repeat = 1 + random.IntN(9)
+			p.RepeatedCallbacks = 1 + random.IntN(9)
 		}
 		return p
 	}
 }
 
-// Rest waits, and tells whether it waited to the end: the context may end first.
-func Rest(ctx context.Context, d time.Duration) bool {
+// Sleep waits, and tells whether it waited to the end: the context may end first.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -170,7 +170,7 @@
 // trouble crashes workers, lets them drain, and breaks the watch, one after another.
 func trouble(ctx context.Context, seed uint64, out *Outcome, at *site, rec fakes.Recorder) {
 	random := rand.New(rand.NewPCG(seed, 2))
-	rest := func(d time.Duration) bool { return Rest(ctx, d) }
+	rest := func(d time.Duration) bool { return Sleep(ctx, d) }
 	for rest(400*time.Millisecond + time.Duration(random.IntN(600))*time.Millisecond) {
 		i := random.IntN(len(at.workers))
 		line := at.lines[i]
@@ -180,19 +180,19 @@
 			at.workers[i].Crash()
 			line.BootMs = time.Now().UnixMilli()
 			at.lines[i] = line
-			at.discovery.Set(line)
+			at.discovery.Update(line)
 		case 1, 2:
 			out.Drains++
 			line.State = []string{"draining", "gone"}[random.IntN(2)]
-			at.discovery.Set(line)
+			at.discovery.Update(line)
 			rec(history.Event{At: time.Now(), Kind: history.EndpointChanged, Who: line.UID})
 			if !rest(1200 * time.Millisecond) {
 				return
 			}
 			rec(history.Event{At: time.Now(), Kind: history.WorkerReady, Who: line.UID})
-			at.discovery.Set(at.lines[i])
+			at.discovery.Update(at.lines[i])
 		case 3:
-			at.discovery.Break()
+			at.discovery.ResetWatches()
 		}
 	}
 }
@@ -204,13 +204,13 @@
 		case history.Sent:
 			o.Jobs++
 		case history.ClientLeft:
-			o.Left++
+			o.Disconnected++
 		case history.Arrived:
 			o.Attempts++
 		case history.Started:
-			o.Runs++
+			o.Started++
 		case history.CancelReceived:
-			o.Withdrawn++
+			o.Cancelled++
 		case history.Answered:
 			switch e.Status {
 			case 200:
--- a/internal/testcluster/crowd_test.go
+++ b/internal/testcluster/crowd_test.go
@@ -25,8 +25,8 @@
 		t.Fatal(err)
 	}
 	discovery.Close() // it is down from the start
-	p, err := StartSetup(program(t), t.TempDir(), Setup{Name: "n0", Listen: "127.0.0.1:0",
-		Discovery: discovery.Addr(), Schedulers: 1, MemoryMB: 32, Sockets: descriptors, Known: lines})
+	p, err := StartConfig(program(t), t.TempDir(), Config{Name: "n0", Listen: "127.0.0.1:0",
+		Discovery: discovery.Addr(), Schedulers: 1, MemoryMB: 32, MaxSockets: descriptors, KnownEndpoints: lines})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	}
 	defer back.Close()
 	wait("a job served once discovery is back", func() bool { return submit() == 200 })
-	if use, err := p.Use(); err != nil || use.Descriptors > descriptors {
+	if use, err := p.Usage(); err != nil || use.Descriptors > descriptors {
 		t.Errorf("%+v, %v", use, err)
 	}
 }
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -63,9 +63,9 @@
 				return does(j)
 			}
 		}
-		var lines []fakes.Line
+		var lines []fakes.Endpoint
 		for k := range each {
-			lines = append(lines, fakes.Line{UID: fmt.Sprintf("s-%d-%d", i, k), Group: k})
+			lines = append(lines, fakes.Endpoint{UID: fmt.Sprintf("s-%d-%d", i, k), Group: k})
 		}
 		s, err := startSite(bin, folder, fmt.Sprint("n", i), lines, plan, f.saw)
 		if err != nil {
@@ -87,9 +87,9 @@
 	return func(fakes.Job) fakes.Script {
 		mu.Lock()
 		defer mu.Unlock()
-		p := fakes.Script{Run: time.Duration(10+random.IntN(60)) * time.Millisecond}
+		p := fakes.Script{RunTime: time.Duration(10+random.IntN(60)) * time.Millisecond}
 		if random.IntN(20) == 0 {
-			p.Run += time.Duration(200+random.IntN(400)) * time.Millisecond
+			p.RunTime += time.Duration(200+random.IntN(400)) * time.Millisecond
 		}
 		return p
 	}
@@ -127,28 +127,28 @@
 	}
 }
 
-// Mark begins the names of this fleet's jobs: the body of a post-reading, the key of another.
+// JobPrefix begins the names of this fleet's jobs: the body of a post-reading, the key of another.
 // While a scheduler is away its port may be given to somebody else's, whose jobs must not be
 // taken for repeats of ours.
-func (f *Fleet) Mark() string { return f.mark }
-
-// Runs is what the workers of a fleet saw.
-type Runs struct {
-	Alien   int // attempts at jobs without the fleet's mark: somebody else's came here
-	All     int // attempts that may have run
-	Twice   int // post-readings that may have run more than once
-	Crossed int // keys that may have run in more than one rack
+func (f *Fleet) JobPrefix() string { return f.mark }
+
+// RunCounts is what the workers of a fleet saw.
+type RunCounts struct {
+	Foreign    int // attempts at jobs without the fleet's mark: somebody else's came here
+	Total      int // attempts that may have run
+	Duplicates int // post-readings that may have run more than once
+	CrossRack  int // keys that may have run in more than one rack
 }
 
-// Runs tells what its workers saw.
-func (f *Fleet) Runs() Runs {
+// RunCounts tells what its workers saw.
+func (f *Fleet) RunCounts() RunCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Runs{f.alien, len(f.ran), f.twice, f.cross}
+	return RunCounts{f.alien, len(f.ran), f.twice, f.cross}
 }
 
-// Ran tells how many attempts at a post-reading with this body may have run.
-func (f *Fleet) Ran(body string) int {
+// RunsOf tells how many attempts at a post-reading with this body may have run.
+func (f *Fleet) RunsOf(body string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.posts[body]
@@ -169,8 +169,8 @@
 // Stop asks a scheduler to end in order, and waits for that until a deadline.
 func (f *Fleet) Stop(i int, deadline time.Time) error { return f.sites[i].Stop(deadline) }
 
-// Again starts a scheduler that has ended, at the address that it had.
-func (f *Fleet) Again(i int) error { return f.sites[i].again() }
+// Restart starts a scheduler that has ended, at the address that it had.
+func (f *Fleet) Restart(i int) error { return f.sites[i].again() }
 
 // Close ends all.
 func (f *Fleet) Close() {
--- a/internal/testcluster/jobpath_bench_test.go
+++ b/internal/testcluster/jobpath_bench_test.go
@@ -277,15 +277,15 @@
 func startQuick(tb testing.TB, bin string, schedulers int) (*quickWorker, *Process, *teller) {
 	tb.Helper()
 	w, discovery := newQuickWorker(tb), newTeller(tb)
-	p, err := StartSetup(bin, tb.TempDir(), Setup{Name: "n0", Listen: "127.0.0.1:0",
-		Discovery: discovery.Addr().String(), Schedulers: schedulers, MemoryMB: 64, Sockets: 1024,
-		Known: []fakes.Line{}})
+	p, err := StartConfig(bin, tb.TempDir(), Config{Name: "n0", Listen: "127.0.0.1:0",
+		Discovery: discovery.Addr().String(), Schedulers: schedulers, MemoryMB: 64, MaxSockets: 1024,
+		KnownEndpoints: []fakes.Endpoint{}})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(p.Kill)
 	w.to.Store(&p.Addr)
-	discovery.accept(tb, []fakes.Line{{UID: "worker-0", Endpoint: w.addr, Zone: "north", Model: "m1",
+	discovery.accept(tb, []fakes.Endpoint{{UID: "worker-0", Addr: w.addr, Zone: "north", Model: "m1",
 		State: "ready"}})
 	stop := make(chan struct{})
 	done := make(chan struct{})
@@ -377,7 +377,7 @@
 		b.Run(fmt.Sprintf("%d held", n), func(b *testing.B) {
 			w, p, _ := startQuick(b, bin, 300)
 			w.holds = true
-			idle, err := p.Use()
+			idle, err := p.Usage()
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -394,13 +394,13 @@
 				go handQuick(conn, http1.NewReader(conn), fmt.Sprintf("%016x", i))
 			}
 			time.Sleep(time.Second) // less than their aim
-			use, err := p.Use()
+			use, err := p.Usage()
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportMetric(0, "ns/op")
-			b.ReportMetric(use.MostMB*1024, "resident-kB")
-			b.ReportMetric((use.MostMB-idle.MostMB)*1024/float64(n), "kB/request")
+			b.ReportMetric(use.PeakMemoryMB*1024, "resident-kB")
+			b.ReportMetric((use.PeakMemoryMB-idle.PeakMemoryMB)*1024/float64(n), "kB/request")
 			b.ReportMetric(float64(use.Descriptors), "descriptors")
 		})
 	}
@@ -413,15 +413,16 @@
 	bin := program(b)
 	for _, n := range []int{200, 450, 800, 2400, 4800, 7200} {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
-			lines := make([]fakes.Line, n)
+			lines := make([]fakes.Endpoint, n)
 			for i := range lines {
-				lines[i] = fakes.Line{UID: fmt.Sprintf("worker-%05d", i),
-					Endpoint: fmt.Sprintf("127.0.0.1:%d", 10000+i), Zone: fmt.Sprint("zone-", i%14),
+				lines[i] = fakes.Endpoint{UID: fmt.Sprintf("worker-%05d", i),
+					Addr: fmt.Sprintf("127.0.0.1:%d", 10000+i), Zone: fmt.Sprint("zone-", i%14),
 					Model: fmt.Sprint("m", i/14%4), Group: i / 40, State: "ready"}
 			}
 			discovery, folder := newTeller(b), b.TempDir()
-			p, err := StartSetup(bin, folder, Setup{Name: "n0", Listen: "127.0.0.1:0",
-				Discovery: discovery.Addr().String(), Schedulers: 300, MemoryMB: 64, Sockets: 512, Known: lines})
+			p, err := StartConfig(bin, folder, Config{Name: "n0", Listen: "127.0.0.1:0",
+				Discovery: discovery.Addr().String(), Schedulers: 300, MemoryMB: 64, MaxSockets: 512,
+				KnownEndpoints: lines})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -446,7 +447,7 @@
 			for i := range words {
 				line := lines[i/2*7919%n]
 				line.State = []string{"draining", "ready"}[i%2]
-				discovery.say(b, false, []fakes.Line{line})
+				discovery.say(b, false, []fakes.Endpoint{line})
 				time.Sleep(2 * time.Millisecond) // each is a word of its own
 			}
 			word := discovery.rests(b, p) - before
@@ -465,7 +466,7 @@
 			if taken == 0 {
 				b.Fatal("no configuration was taken")
 			}
-			use, err := p.Use()
+			use, err := p.Usage()
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -476,7 +477,7 @@
 			b.ReportMetric(word.Seconds()*1e6/words, "cpu-us/word")
 			b.ReportMetric(reload.Seconds()*1e6/float64(taken), "cpu-us/reload")
 			b.ReportMetric(float64(file.Size()), "file-bytes")
-			b.ReportMetric(use.MostMB, "MB")
+			b.ReportMetric(use.PeakMemoryMB, "MB")
 		})
 	}
 }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -32,13 +32,13 @@
 const startWithin = 20 * time.Second
 
 // settings of the deployments that the rig starts: deadlines of seconds, and racks.
-func settings(setup Setup) map[string]any {
+func settings(setup Config) map[string]any {
 	zones := setup.Zones
 	if len(zones) == 0 {
 		zones = []string{"north"}
 	}
 	return map[string]any{
-		"me": setup.Me, "balancers": setup.Schedulers, "locality": setup.Zone, "azs": zones,
+		"me": setup.Index, "balancers": setup.Schedulers, "locality": setup.Zone, "azs": zones,
 		"kinds":       []string{"m1"},
 		"granularity": 2000, "discovery": "on_request", "worth_by": "request", "over_share_worth": 0.2,
 		"grades": []map[string]any{
@@ -59,14 +59,14 @@
 	}
 }
 
-// Setup is what a scheduler is told that is not the same in all tests.
-type Setup struct {
+// Config is what a scheduler is told that is not the same in all tests.
+type Config struct {
 	Name, Listen, Discovery string
-	Schedulers, Me          int      // how many there are, and which of them it is
+	Schedulers, Index       int      // how many there are, and which of them it is
 	Zones                   []string // none: north
 	Zone                    int      // of the scheduler, among Zones
-	MemoryMB, Sockets       int
-	Known                   []fakes.Line
+	MemoryMB, MaxSockets    int
+	KnownEndpoints          []fakes.Endpoint
 }
 
 // Start starts a scheduler on a free port. folder takes its configuration.
@@ -75,17 +75,17 @@
 }
 
 func startAt(bin, folder, name, listen, discovery string) (*Process, error) {
-	return StartSetup(bin, folder, Setup{Name: name, Listen: listen, Discovery: discovery, Schedulers: 1,
-		MemoryMB: 64, Sockets: 512, Known: []fakes.Line{}})
+	return StartConfig(bin, folder, Config{Name: name, Listen: listen, Discovery: discovery, Schedulers: 1,
+		MemoryMB: 64, MaxSockets: 512, KnownEndpoints: []fakes.Endpoint{}})
 }
 
-// StartSetup starts a scheduler of any setup.
-func StartSetup(bin, folder string, setup Setup) (*Process, error) {
+// StartConfig starts a scheduler of any setup.
+func StartConfig(bin, folder string, setup Config) (*Process, error) {
 	name := setup.Name
 	raw, err := json.Marshal(map[string]any{"name": name, "listen": setup.Listen, "discovery": setup.Discovery,
 		"seed":     "1d",
-		"limits":   map[string]any{"cores": 1, "memory_mb": setup.MemoryMB, "sockets": setup.Sockets},
-		"known":    map[string]any{"rev": 0, "all": true, "targets": setup.Known},
+		"limits":   map[string]any{"cores": 1, "memory_mb": setup.MemoryMB, "sockets": setup.MaxSockets},
+		"known":    map[string]any{"rev": 0, "all": true, "targets": setup.KnownEndpoints},
 		"settings": settings(setup)})
 	if err != nil {
 		return nil, err
@@ -148,21 +148,21 @@
 	return append([]string(nil), p.log...)
 }
 
-// Use is what a process takes of its machine.
-type Use struct {
-	MostMB      float64 // of memory, up to now
-	Descriptors int
-	Threads     int
+// Usage is what a process takes of its machine.
+type Usage struct {
+	PeakMemoryMB float64 // of memory, up to now
+	Descriptors  int
+	Threads      int
 }
 
-// Use tells what the process takes.
-func (p *Process) Use() (u Use, err error) {
+// Usage tells what the process takes.
+func (p *Process) Usage() (u Usage, err error) {
 	folder := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	status, err := os.ReadFile(folder + "status")
 	if err != nil {
 		return u, err
 	}
-	u.MostMB = MostMB(string(status))
+	u.PeakMemoryMB = PeakMemoryMB(string(status))
 	for line := range strings.Lines(string(status)) {
 		fmt.Sscanf(line, "Threads: %d", &u.Threads)
 	}
@@ -171,8 +171,8 @@
 	return u, err
 }
 
-// MostMB reads the most memory that a process has had resident from its /proc/PID/status.
-func MostMB(status string) float64 {
+// PeakMemoryMB reads the most memory that a process has had resident from its /proc/PID/status.
+func PeakMemoryMB(status string) float64 {
 	for line := range strings.Lines(status) {
 		var kB float64
 		if n, _ := fmt.Sscanf(line, "VmHWM: %f kB", &kB); n == 1 {
@@ -182,9 +182,9 @@
 	return 0
 }
 
-// Processor tells the processor time that its threads have taken, as the system accounts for it:
+// CPUTime tells the processor time that its threads have taken, as the system accounts for it:
 // to the nanosecond, and without threads that have ended, of which the Go runtime has hardly any.
-func (p *Process) Processor() (took time.Duration, err error) {
+func (p *Process) CPUTime() (took time.Duration, err error) {
 	of, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
 	if err != nil || len(of) == 0 {
 		return 0, fmt.Errorf("no account of processor time: %w", os.ErrNotExist)
@@ -206,8 +206,8 @@
 // tick is the unit of /proc/PID/stat.
 const tick = 10 * time.Millisecond
 
-// Ticks tells the same from /proc/PID/stat: in steps of 10 ms, with threads that have ended.
-func (p *Process) Ticks() (time.Duration, error) {
+// CPUTicks tells the same from /proc/PID/stat: in steps of 10 ms, with threads that have ended.
+func (p *Process) CPUTicks() (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0, err
--- a/internal/testcluster/rig_test.go
+++ b/internal/testcluster/rig_test.go
@@ -26,14 +26,15 @@
 
 // The real program keeps the properties while its workers do wrong whatever they may.
 func TestAttemptsOfTheRealProgram(t *testing.T) {
-	o, err := RunAttempts(t.Context(), Attempts{Bin: program(t), For: 4 * time.Second, Seed: 7, Rate: 50,
+	o, err := RunFaultDrill(t.Context(), FaultDrill{Program: program(t), Duration: 4 * time.Second, Seed: 7,
+		Rate:  50,
 		Slack: 2 * time.Second}) // the machine may be busy with other tests
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%d jobs, %d served, %d refused, %d failed, %d left, %d attempts, %d events", o.Jobs, o.Served,
 		o.Refused,
-		o.Failed, o.Left, o.Attempts, o.Events)
+		o.Failed, o.Disconnected, o.Attempts, o.Events)
 	for _, f := range o.Findings {
 		t.Error(f)
 	}
--- a/internal/testcluster/site.go
+++ b/internal/testcluster/site.go
@@ -13,13 +13,13 @@
 	*Process
 	bin, folder, name string
 	workers           []*fakes.Worker
-	lines             []fakes.Line // of the workers, ready
+	lines             []fakes.Endpoint // of the workers, ready
 	discovery         *fakes.Discovery
 }
 
 // startSite starts a site with a worker for each line: UID and Group are told, the rest is
 // filled in. plan gives what the k-th worker does.
-func startSite(bin, folder, name string, lines []fakes.Line,
+func startSite(bin, folder, name string, lines []fakes.Endpoint,
 	plan func(k int) func(fakes.Job) fakes.Script,
 	rec fakes.Recorder) (s *site, err error) {
 	s = &site{bin: bin, folder: folder, name: name}
@@ -37,7 +37,7 @@
 			return s, err
 		}
 		s.workers = append(s.workers, r)
-		line.Endpoint, line.Zone, line.Model, line.State = r.Addr(), "north", "m1", "ready"
+		line.Addr, line.Zone, line.Model, line.State = r.Addr(), "north", "m1", "ready"
 		s.lines = append(s.lines, line)
 	}
 	if s.discovery, err = fakes.NewDiscovery("127.0.0.1:0", s.lines...); err != nil {
--- a/internal/testcluster/size_test.go
+++ b/internal/testcluster/size_test.go
@@ -11,9 +11,9 @@
 )
 
 // workersOf starts so many workers, named by their batch.
-func workersOf(t *testing.T, batch string, n int, scheduler func() string) []fakes.Line {
+func workersOf(t *testing.T, batch string, n int, scheduler func() string) []fakes.Endpoint {
 	t.Helper()
-	lines := make([]fakes.Line, n)
+	lines := make([]fakes.Endpoint, n)
 	for i := range lines {
 		uid := fmt.Sprintf("s-%s-%d", batch, i)
 		r, err := fakes.NewWorker(uid, "127.0.0.1:0", scheduler, honest(1, i), func(history.Event) {})
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(r.Close)
-		lines[i] = fakes.Line{UID: uid, Endpoint: r.Addr(), Zone: "north", Model: "m1", Group: i, State: "ready"}
+		lines[i] = fakes.Endpoint{UID: uid, Addr: r.Addr(), Zone: "north", Model: "m1", Group: i, State: "ready"}
 	}
 	return lines
 }
@@ -41,8 +41,8 @@
 			}
 			defer discovery.Close()
 			began := time.Now()
-			p, err := StartSetup(bin, t.TempDir(), Setup{Name: "n0", Listen: "127.0.0.1:0",
-				Discovery: discovery.Addr(), Schedulers: size, MemoryMB: 32, Sockets: 256, Known: old})
+			p, err := StartConfig(bin, t.TempDir(), Config{Name: "n0", Listen: "127.0.0.1:0",
+				Discovery: discovery.Addr(), Schedulers: size, MemoryMB: 32, MaxSockets: 256, KnownEndpoints: old})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -74,21 +74,21 @@
 			}
 			for i, line := range workersOf(t, fmt.Sprint("new-", size), size, at) {
 				line.BootMs = time.Now().Add(-time.Minute).UnixMilli()
-				discovery.Set(line)
+				discovery.Update(line)
 				left := old[i]
 				left.State = "gone"
-				discovery.Set(left)
+				discovery.Update(left)
 			}
 			wait("a job after the replacement", func() bool { return served("second", 1) == 1 })
 			if got := served("new", 40); got < 36 {
 				t.Errorf("%d of 40 jobs served after all workers were replaced", got)
 			}
-			use, err := p.Use()
-			if err != nil || use.MostMB > 32 || use.Descriptors > 256 {
+			use, err := p.Usage()
+			if err != nil || use.PeakMemoryMB > 32 || use.Descriptors > 256 {
 				t.Errorf("%+v, %v", use, err)
 			}
 			t.Logf("%d: serving after %v, %.1f MB, %d descriptors, %d threads", size, started.Round(time.Millisecond),
-				use.MostMB, use.Descriptors, use.Threads)
+				use.PeakMemoryMB, use.Descriptors, use.Threads)
 		})
 	}
 }
--- a/internal/testcluster/zone_bench_test.go
+++ b/internal/testcluster/zone_bench_test.go
@@ -31,7 +31,7 @@
 }
 
 // accept waits for the watch and gives it the whole list.
-func (d *teller) accept(tb testing.TB, lines []fakes.Line) {
+func (d *teller) accept(tb testing.TB, lines []fakes.Endpoint) {
 	tb.Helper()
 	conn, err := d.Accept()
 	if err != nil {
@@ -45,7 +45,7 @@
 	d.say(tb, true, lines)
 }
 
-func (d *teller) say(tb testing.TB, all bool, lines []fakes.Line) {
+func (d *teller) say(tb testing.TB, all bool, lines []fakes.Endpoint) {
 	tb.Helper()
 	d.rev++
 	raw, err := json.Marshal(map[string]any{"rev": d.rev, "all": all, "targets": lines})
@@ -91,17 +91,17 @@
 	bin := program(b)
 	for _, n := range []int{720, 1440, 2880, 4320, 7200} {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
-			lines := make([]fakes.Line, n)
+			lines := make([]fakes.Endpoint, n)
 			for i := range lines {
-				lines[i] = fakes.Line{UID: fmt.Sprintf("worker-%05d", i),
-					Endpoint: fmt.Sprintf("127.0.0.1:%d", 10000+i), Zone: fmt.Sprint("zone-", i%zones),
+				lines[i] = fakes.Endpoint{UID: fmt.Sprintf("worker-%05d", i),
+					Addr: fmt.Sprintf("127.0.0.1:%d", 10000+i), Zone: fmt.Sprint("zone-", i%zones),
 					Model: fmt.Sprint("m", i/zones%4), Group: i / 40, State: "ready"}
 			}
 			discovery := newTeller(b)
-			p, err := StartSetup(bin, b.TempDir(), Setup{Name: "n0", Listen: "127.0.0.1:0",
+			p, err := StartConfig(bin, b.TempDir(), Config{Name: "n0", Listen: "127.0.0.1:0",
 				Discovery:  discovery.Addr().String(),
-				Schedulers: 300, MemoryMB: 64, Sockets: 512,
-				Known: []fakes.Line{}})
+				Schedulers: 300, MemoryMB: 64, MaxSockets: 512,
+				KnownEndpoints: []fakes.Endpoint{}})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -115,14 +115,14 @@
 					for i := 0; i < n; i += zones {
 						line := lines[i]
 						line.State = state
-						discovery.say(b, false, []fakes.Line{line})
+						discovery.say(b, false, []fakes.Endpoint{line})
 					}
 					if took := discovery.rests(b, p) - before; state == "gone" {
 						lost, told = lost+took, told+(n+zones-1)/zones
 					}
 				}
 			}
-			use, err := p.Use()
+			use, err := p.Usage()
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -131,14 +131,14 @@
 			for i := range seconds {
 				line := lines[i*7919%n]
 				line.State = "draining"
-				discovery.say(b, false, []fakes.Line{line})
+				discovery.say(b, false, []fakes.Endpoint{line})
 				time.Sleep(time.Second)
 			}
 			share := (processor(b, p) - before).Seconds() / time.Since(began).Seconds()
 			b.ReportMetric(share*100, "%core/change/s")
 			b.ReportMetric(lost.Seconds()*1000/float64(b.N), "cpu-ms/zone")
 			b.ReportMetric(lost.Seconds()*1e6/float64(told), "cpu-us/line")
-			b.ReportMetric(use.MostMB, "MB")
+			b.ReportMetric(use.PeakMemoryMB, "MB")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
