--- a/client/config.go
+++ b/client/config.go
@@ -24,10 +24,10 @@
 	Connections int      `json:"connections"`
 	Reconnects  float64  `json:"reconnects_per_s"`
 	Classes     map[string]struct {
-		DeadlineMs int64  `json:"deadline_ms"`
-		Effect     Effect `json:"effect"`
-		WindowMs   int64  `json:"window_ms"`
-		Tries      int    `json:"tries"`
+		DeadlineMs  int64  `json:"deadline_ms"`
+		Effect      Effect `json:"effect"`
+		WindowMs    int64  `json:"window_ms"`
+		MaxAttempts int    `json:"tries"`
 	} `json:"classes"`
 }
 
@@ -41,17 +41,17 @@
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return Config{}, fmt.Errorf("desk: %w", err)
 	}
-	cfg := Config{Schedulers: f.Schedulers, Tenant: f.Tenant, Connections: f.Connections,
-		Reconnects: f.Reconnects,
-		Classes:    map[string]Class{}}
+	cfg := Config{Schedulers: f.Schedulers, Tenant: f.Tenant, MaxConnections: f.Connections,
+		ConnectRate: f.Reconnects,
+		Classes:     map[string]Class{}}
 	if f.Budget != nil {
-		if cfg.Budget = *f.Budget; cfg.Budget == 0 {
-			cfg.Budget = -1 // none, and not the default
+		if cfg.RetryBudget = *f.Budget; cfg.RetryBudget == 0 {
+			cfg.RetryBudget = -1 // none, and not the default
 		}
 	}
 	for name, c := range f.Classes {
 		cfg.Classes[name] = Class{Deadline: time.Duration(c.DeadlineMs) * time.Millisecond, Effect: c.Effect,
-			Window: time.Duration(c.WindowMs) * time.Millisecond, Tries: c.Tries}
+			Window: time.Duration(c.WindowMs) * time.Millisecond, MaxAttempts: c.MaxAttempts}
 	}
 	return cfg, nil
 }
--- a/client/config_test.go
+++ b/client/config_test.go
@@ -18,10 +18,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Config{Schedulers: []string{"127.0.0.1:8443"}, Tenant: "sahel", Budget: 0.1,
+	want := Config{Schedulers: []string{"127.0.0.1:8443"}, Tenant: "sahel", RetryBudget: 0.1,
 		Classes: map[string]Class{
-			"post-reading":   {Deadline: 5 * time.Second, Effect: Once, Tries: 3},
-			"district-batch": {Deadline: 20 * time.Second, Effect: Rack, Tries: 3}}}
+			"post-reading":   {Deadline: 5 * time.Second, Effect: Once, MaxAttempts: 3},
+			"district-batch": {Deadline: 20 * time.Second, Effect: Rack, MaxAttempts: 3}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	cfg, err := ParseConfig([]byte(head + class + `,"budget":0}`))
-	if err != nil || cfg.Budget != -1 {
+	if err != nil || cfg.RetryBudget != -1 {
 		t.Errorf("%+v, %v: a budget of 0 must mean none", cfg, err)
 	}
 }
--- a/client/conn.go
+++ b/client/conn.go
@@ -171,19 +171,19 @@
 
 // outcome is the end of a try.
 type outcome struct {
-	plan.Result
+	plan.AttemptResult
 	body []byte
 	err  error
 }
 
 // broke is a try that ended without an answer.
-func broke(proof plan.Proof, err error) outcome {
-	return outcome{Result: plan.Result{Proof: proof}, err: err}
+func broke(proof plan.Outcome, err error) outcome {
+	return outcome{AttemptResult: plan.AttemptResult{Outcome: proof}, err: err}
 }
 
 // handedIn tells whether a scheduler had any of the job.
 func (o outcome) handedIn() bool {
-	return o.Proof != plan.Unreached && o.Proof != plan.Parted && o.Proof != plan.NoRoom
+	return o.Outcome != plan.ConnectFailed && o.Outcome != plan.IdleClosed && o.Outcome != plan.ClientLimited
 }
 
 // try makes one try, and says what its end proves.
@@ -194,11 +194,11 @@
 	var room errNoRoom
 	switch {
 	case errors.As(err, &room):
-		return broke(plan.NoRoom, err)
+		return broke(plan.ClientLimited, err)
 	case err == errParted:
-		return broke(plan.Parted, err)
+		return broke(plan.IdleClosed, err)
 	case err != nil:
-		return broke(plan.Unreached, err)
+		return broke(plan.ConnectFailed, err)
 	}
 	again := false
 	defer func() { c.pool.put(step.Scheduler, link, again) }()
@@ -207,17 +207,17 @@
 	link.SetDeadline(deadline)
 	left := time.Until(deadline).Milliseconds()
 	if left <= 0 {
-		return broke(plan.NoRoom, context.DeadlineExceeded)
+		return broke(plan.ClientLimited, context.DeadlineExceeded)
 	}
 	if _, err := link.Write(c.request(job, step, left)); err != nil { // it is out whole, or not
 		c.pool.lose()
 		return broke(plan.NotSent, err)
 	}
 	o := link.answer()
-	if o.Proof != plan.Answered {
+	if o.Outcome != plan.Answered {
 		c.pool.lose()
 	}
-	again = o.Proof == plan.Answered && !link.last
+	again = o.Outcome == plan.Answered && !link.last
 	return o
 }
 
@@ -230,7 +230,7 @@
 	if tenant == "" {
 		tenant = c.cfg.Tenant
 	}
-	if step.Resent {
+	if step.Retry {
 		resent = "1"
 	}
 	if job.Slots > 1 {
@@ -253,9 +253,9 @@
 	if err := c.read.Wait(); err != nil {
 		var timeout net.Error
 		if c.used && !(errors.As(err, &timeout) && timeout.Timeout()) {
-			return broke(plan.Crossed, err)
+			return broke(plan.ReusedClosed, err)
 		}
-		return broke(plan.Lost, err)
+		return broke(plan.NoResponse, err)
 	}
 	for range mostInterim {
 		r, err := c.read.Head()
@@ -265,26 +265,26 @@
 		case r.Status < 200:
 			continue
 		case r.Header.Get("Content-Length") == "" && r.Header.Get("Transfer-Encoding") == "" && r.Status != 204:
-			return broke(plan.Garbled, errors.New("an answer that does not say how long it is"))
+			return broke(plan.Malformed, errors.New("an answer that does not say how long it is"))
 		}
 		if err := c.read.Rest(r); err != nil {
 			return unread(err)
 		}
 		c.last = r.Close
-		o := outcome{Result: plan.Result{Proof: plan.Answered, Status: r.Status, Closing: r.Close}, body: r.Body}
-		o.Advice, o.Advised = advice(r.Header.Get("Retry-After"))
+		o := outcome{AttemptResult: plan.AttemptResult{Outcome: plan.Answered, Status: r.Status, ConnectionClose: r.Close}, body: r.Body}
+		o.RetryAfter, o.HasRetryAfter = advice(r.Header.Get("Retry-After"))
 		return o
 	}
-	return broke(plan.Garbled, errors.New("interim answers without end"))
+	return broke(plan.Malformed, errors.New("interim answers without end"))
 }
 
 // unread tells an answer that breaks the protocol from one that broke off.
 func unread(err error) outcome {
 	var wrong *http1.Error
 	if errors.As(err, &wrong) {
-		return broke(plan.Garbled, err)
+		return broke(plan.Malformed, err)
 	}
-	return broke(plan.Lost, err)
+	return broke(plan.NoResponse, err)
 }
 
 // advice reads Retry-After: seconds, whole or decimal. A date, or what is no number, is
@@ -294,8 +294,8 @@
 	if err != nil || !(seconds >= 0) {
 		return 0, false
 	}
-	if seconds > plan.LongestAdvice.Seconds() {
-		return plan.LongestAdvice, true
+	if seconds > plan.MaxRetryAfter.Seconds() {
+		return plan.MaxRetryAfter, true
 	}
 	return time.Duration(seconds * float64(time.Second)), true
 }
--- a/client/desk.go
+++ b/client/desk.go
@@ -40,10 +40,10 @@
 
 // Class describes a class of jobs, as the schedulers know it.
 type Class struct {
-	Deadline time.Duration // a job's whole wait, over all its tries; it must be positive
-	Effect   Effect
-	Window   time.Duration // for Anywhere: how long repeats are dropped, from the first try on
-	Tries    int           // at most, the first one included; 0: 3
+	Deadline    time.Duration // a job's whole wait, over all its tries; it must be positive
+	Effect      Effect
+	Window      time.Duration // for Anywhere: how long repeats are dropped, from the first try on
+	MaxAttempts int           // at most, the first one included; 0: 3
 }
 
 // Config is what a desk is told. Only Schedulers and Classes must be set.
@@ -51,17 +51,17 @@
 	Schedulers []string         // host:port of each
 	Classes    map[string]Class // by name
 	Tenant     string           // whose jobs these are, unless a job says otherwise
-	// Budget is the share of fresh jobs that retries may add to the load; 0: 0.1. When it is
+	// RetryBudget is the share of fresh jobs that retries may add to the load; 0: 0.1. When it is
 	// used up, a caller gets the refusal at once. A negative one allows no retries.
-	Budget float64
-	// Connections is how many a scheduler may have from this desk; 0: 64.
-	Connections int
-	// Reconnects is how many new connections a second the desk opens, all schedulers
+	RetryBudget float64
+	// MaxConnections is how many a scheduler may have from this desk; 0: 64.
+	MaxConnections int
+	// ConnectRate is how many new connections a second the desk opens, all schedulers
 	// together, beyond a first burst of a fifth of that; 0: 50.
-	Reconnects float64
-	Log        *slog.Logger // nil: none
-	Observer   Observer     // is told what happens, for metrics; nil: nobody is
-	Seed       uint64       // of all that is left to chance; 0: a new one
+	ConnectRate float64
+	Log         *slog.Logger // nil: none
+	Observer    Observer     // is told what happens, for metrics; nil: nobody is
+	Seed        uint64       // of all that is left to chance; 0: a new one
 }
 
 // Job is one job to hand in.
@@ -79,17 +79,17 @@
 
 // Result is a job's result.
 type Result struct {
-	Body  []byte // as the worker made it
-	Tries int    // how many it took
+	Body     []byte // as the worker made it
+	Attempts int    // how many it took
 }
 
-// Refused says that a job did not run: handing it in again is harmless.
-type Refused struct {
-	After time.Time // not before that
-	Cause error     // what kept it from being sent; nil: a scheduler refused it
+// RefusedError says that a job did not run: handing it in again is harmless.
+type RefusedError struct {
+	RetryAfter time.Time // not before that
+	Cause      error     // what kept it from being sent; nil: a scheduler refused it
 }
 
-func (e *Refused) Error() string {
+func (e *RefusedError) Error() string {
 	if e.Cause != nil {
 		return "desk: not sent: " + e.Cause.Error()
 	}
@@ -97,17 +97,17 @@
 }
 
 // Unwrap returns the cause.
-func (e *Refused) Unwrap() error { return e.Cause }
+func (e *RefusedError) Unwrap() error { return e.Cause }
 
-// Failed says that a job failed. It may have run.
-type Failed struct{ Status int }
+// FailedError says that a job failed. It may have run.
+type FailedError struct{ Status int }
 
-func (e *Failed) Error() string { return fmt.Sprintf("desk: failed, status %d", e.Status) }
+func (e *FailedError) Error() string { return fmt.Sprintf("desk: failed, status %d", e.Status) }
 
-// Unknown says that a job may have run, and that nobody can say how it ended.
-type Unknown struct{ Cause error }
+// UnknownOutcomeError says that a job may have run, and that nobody can say how it ended.
+type UnknownOutcomeError struct{ Cause error }
 
-func (e *Unknown) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	if e.Cause == nil {
 		return "desk: may have run"
 	}
@@ -115,20 +115,20 @@
 }
 
 // Unwrap returns the cause.
-func (e *Unknown) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// Invalid says that a job makes no sense, to the desk (Status is 0) or to a scheduler.
-type Invalid struct {
+// InvalidJobError says that a job makes no sense, to the desk (Status is 0) or to a scheduler.
+type InvalidJobError struct {
 	Status int
 	Text   string
 }
 
-func (e *Invalid) Error() string { return "desk: invalid: " + e.Text }
+func (e *InvalidJobError) Error() string { return "desk: invalid: " + e.Text }
 
-// Expired says that no time was left to hand a job in. It did not run.
-type Expired struct{}
+// ExpiredError says that no time was left to hand a job in. It did not run.
+type ExpiredError struct{}
 
-func (e *Expired) Error() string { return "desk: no time left" }
+func (e *ExpiredError) Error() string { return "desk: no time left" }
 
 // Client hands jobs in. It is safe for many goroutines.
 type Client struct {
@@ -151,23 +151,23 @@
 	defaultReconnects  = 50
 )
 
-// MostBody is the longest body of a job, in bytes: schedulers take none that is longer.
-const MostBody = 64 << 10
+// MaxBodyBytes is the longest body of a job, in bytes: schedulers take none that is longer.
+const MaxBodyBytes = 64 << 10
 
 // New returns a client. The error names the field that makes no sense.
 func New(cfg Config) (*Client, error) {
-	if cfg.Budget == 0 {
-		cfg.Budget = defaultBudget
+	if cfg.RetryBudget == 0 {
+		cfg.RetryBudget = defaultBudget
 	}
 	spare := float64(spareRetries)
-	if cfg.Budget < 0 {
-		cfg.Budget, spare = 0, 0
+	if cfg.RetryBudget < 0 {
+		cfg.RetryBudget, spare = 0, 0
 	}
-	if cfg.Connections == 0 {
-		cfg.Connections = defaultConnections
+	if cfg.MaxConnections == 0 {
+		cfg.MaxConnections = defaultConnections
 	}
-	if cfg.Reconnects == 0 {
-		cfg.Reconnects = defaultReconnects
+	if cfg.ConnectRate == 0 {
+		cfg.ConnectRate = defaultReconnects
 	}
 	if cfg.Seed == 0 {
 		cfg.Seed = uint64(time.Now().UnixNano())
@@ -175,16 +175,16 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	if cfg.Connections < 0 || cfg.Reconnects < 0 {
+	if cfg.MaxConnections < 0 || cfg.ConnectRate < 0 {
 		return nil, errors.New("desk: connections and reconnects must not be negative")
 	}
 	if cfg.Observer == nil {
 		cfg.Observer = nobody{}
 	}
 	c := &Client{cfg: cfg, classes: map[string]int{}, log: cfg.Log, back: make(chan struct{})}
-	p := plan.Config{Schedulers: len(cfg.Schedulers), Budget: cfg.Budget, Spare: spare,
-		Backoff: 50 * time.Millisecond, Longest: time.Second, EjectAfter: 3, Eject: time.Second,
-		EjectMost: 30 * time.Second}
+	p := plan.Config{Schedulers: len(cfg.Schedulers), RetryBudget: cfg.RetryBudget, MaxTokens: spare,
+		Backoff: 50 * time.Millisecond, MaxBackoff: time.Second, EjectAfter: 3, BaseEjection: time.Second,
+		MaxEjection: 30 * time.Second}
 	for _, name := range slices.Sorted(maps.Keys(cfg.Classes)) {
 		class := cfg.Classes[name]
 		effect, known := effects[class.Effect]
@@ -193,21 +193,21 @@
 			return nil, fmt.Errorf("desk: classes.%s.effect: unknown effect %q", name, class.Effect)
 		case class.Deadline <= 0:
 			return nil, fmt.Errorf("desk: classes.%s.deadline: it must be positive", name)
-		case class.Tries < 0:
+		case class.MaxAttempts < 0:
 			return nil, fmt.Errorf("desk: classes.%s.tries: it must not be negative", name)
 		case class.Effect == Anywhere && class.Window <= 0:
 			return nil, fmt.Errorf("desk: classes.%s.window: it must be positive", name)
-		case class.Tries == 0:
-			class.Tries = defaultTries
+		case class.MaxAttempts == 0:
+			class.MaxAttempts = defaultTries
 		}
 		c.classes[name] = len(p.Classes)
-		p.Classes = append(p.Classes, plan.Class{Effect: effect, Window: class.Window, Tries: class.Tries})
+		p.Classes = append(p.Classes, plan.Class{Effect: effect, Window: class.Window, MaxAttempts: class.MaxAttempts})
 	}
 	var err error
 	if c.plan, err = plan.New(p, cfg.Seed); err != nil {
 		return nil, fmt.Errorf("desk: %w", err)
 	}
-	c.pool = newPool(cfg.Schedulers, cfg.Connections, cfg.Reconnects,
+	c.pool = newPool(cfg.Schedulers, cfg.MaxConnections, cfg.ConnectRate,
 		func(i int, err error) { cfg.Observer.Connected(cfg.Schedulers[i], err) })
 	return c, nil
 }
@@ -222,9 +222,9 @@
 	class, known := c.classes[job.Class]
 	switch {
 	case !known:
-		return nil, &Invalid{Text: fmt.Sprintf("unknown class %q", job.Class)}
-	case len(job.Body) > MostBody:
-		return nil, &Invalid{Text: fmt.Sprintf("a body of %d bytes, %d at most", len(job.Body), MostBody)}
+		return nil, &InvalidJobError{Text: fmt.Sprintf("unknown class %q", job.Class)}
+	case len(job.Body) > MaxBodyBytes:
+		return nil, &InvalidJobError{Text: fmt.Sprintf("a body of %d bytes, %d at most", len(job.Body), MaxBodyBytes)}
 	}
 	deadline := job.Deadline
 	if deadline.IsZero() {
@@ -237,9 +237,9 @@
 	result, err := c.carry(ctx, &job, class, deadline)
 	tries := 0
 	if result != nil {
-		tries = result.Tries
+		tries = result.Attempts
 	}
-	c.cfg.Observer.Ended(job.Class, Verdict(err), tries, time.Since(began))
+	c.cfg.Observer.JobEnded(job.Class, Verdict(err), tries, time.Since(began))
 	return result, err
 }
 
@@ -252,8 +252,8 @@
 	ran, tries := false, 0
 	var last outcome
 	for step.Verdict == plan.Pending {
-		if !step.Go {
-			if !step.Away {
+		if !step.StartNow {
+			if !step.AllEjected {
 				back = nil // this wait is for its own sake
 			}
 			if err := rest(ctx, step.At, back); err != nil {
@@ -268,40 +268,40 @@
 		last = c.try(ctx, job, step, deadline)
 		if last.handedIn() {
 			tries++
-			ran = ran || last.Proof != plan.NotSent
+			ran = ran || last.Outcome != plan.NotSent
 		}
-		if err := ctx.Err(); err != nil && last.Proof != plan.Answered && time.Now().Before(deadline) {
+		if err := ctx.Err(); err != nil && last.Outcome != plan.Answered && time.Now().Before(deadline) {
 			return nil, c.leave(planned, ran, err)
 		}
 		scheduler := c.cfg.Schedulers[step.Scheduler]
 		if last.err != nil {
 			c.log.Info("a try failed", "scheduler", scheduler, "class", job.Class, "error", last.err)
 		}
-		c.cfg.Observer.Tried(scheduler, job.Class, last.word(), time.Since(began))
+		c.cfg.Observer.AttemptEnded(scheduler, job.Class, last.word(), time.Since(began))
 		step, back = c.ended(began, planned, last)
 	}
 	switch step.Verdict {
 	case plan.Served:
-		return &Result{Body: last.body, Tries: tries}, nil
+		return &Result{Body: last.body, Attempts: tries}, nil
 	case plan.Refused:
-		return nil, &Refused{After: step.At, Cause: last.err}
+		return nil, &RefusedError{RetryAfter: step.At, Cause: last.err}
 	case plan.Failed:
-		return nil, &Failed{Status: last.Status}
+		return nil, &FailedError{Status: last.Status}
 	case plan.Invalid:
-		return nil, &Invalid{Status: last.Status, Text: string(last.body)}
+		return nil, &InvalidJobError{Status: last.Status, Text: string(last.body)}
 	case plan.Expired:
-		return nil, &Expired{}
+		return nil, &ExpiredError{}
 	}
-	return nil, &Unknown{Cause: last.err}
+	return nil, &UnknownOutcomeError{Cause: last.err}
 }
 
 // ended tells the plan of a try's end, and wakes those who wait if a scheduler is back.
 func (c *Client) ended(began time.Time, j *plan.Job, o outcome) (plan.Step, chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	well, throttled := c.plan.Well(), c.plan.Throttled()
-	step := c.plan.Ended(time.Now(), began, j, o.Result)
-	if well == 0 && c.plan.Well() > 0 {
+	well, throttled := c.plan.Available(), c.plan.Throttled()
+	step := c.plan.AttemptEnded(time.Now(), began, j, o.AttemptResult)
+	if well == 0 && c.plan.Available() > 0 {
 		close(c.back)
 		c.back = make(chan struct{})
 	}
@@ -314,12 +314,12 @@
 // leave ends a job whose caller has gone.
 func (c *Client) leave(j *plan.Job, ran bool, cause error) error {
 	c.mu.Lock()
-	c.plan.Leave(j)
+	c.plan.Cancel(j)
 	c.mu.Unlock()
 	if ran {
-		return &Unknown{Cause: cause}
+		return &UnknownOutcomeError{Cause: cause}
 	}
-	return &Refused{After: time.Now(), Cause: cause}
+	return &RefusedError{RetryAfter: time.Now(), Cause: cause}
 }
 
 // rest waits until a time or a word, or for the context's end, which is the error.
--- a/client/desk_test.go
+++ b/client/desk_test.go
@@ -79,10 +79,10 @@
 
 func client(t *testing.T, schedulers ...string) *Client {
 	t.Helper()
-	c, err := New(Config{Schedulers: schedulers, Tenant: "sahel", Seed: 1, Budget: 1, Classes: map[string]Class{
+	c, err := New(Config{Schedulers: schedulers, Tenant: "sahel", Seed: 1, RetryBudget: 1, Classes: map[string]Class{
 		"post-reading":   {Deadline: 5 * time.Second, Effect: Once},
 		"district-batch": {Deadline: 20 * time.Second, Effect: Rack},
-		"look":           {Deadline: 5 * time.Second, Effect: Safe, Tries: 3}}})
+		"look":           {Deadline: 5 * time.Second, Effect: Safe, MaxAttempts: 3}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 	})
 	began := time.Now()
 	r, err := client(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading", Key: "k"})
-	if err != nil || r.Tries != 3 || time.Since(began) < 100*time.Millisecond {
+	if err != nil || r.Attempts != 3 || time.Since(began) < 100*time.Millisecond {
 		t.Fatalf("%+v, %v after %v", r, err, time.Since(began))
 	}
 	ids := map[string]bool{}
@@ -172,7 +172,7 @@
 	if len(ids) != 3 {
 		t.Errorf("%d ids in 3 tries", len(ids))
 	}
-	var refused *Refused
+	var refused *RefusedError
 	never := script(t, func(int64) (string, string) {
 		return "HTTP/1.1 503 Busy\r\nRetry-After: 0.01\r\nContent-Length: 0\r\n\r\n", "keep"
 	})
@@ -294,11 +294,11 @@
 		"classes.a.effect":   {Schedulers: []string{"x"}, Classes: map[string]Class{"a": {Deadline: 1}}},
 		"classes.a.deadline": {Schedulers: []string{"x"}, Classes: map[string]Class{"a": {Effect: Once}}},
 		"classes.a.tries": {Schedulers: []string{"x"}, Classes: map[string]Class{"a": {Deadline: 1,
-			Effect: Once, Tries: -1}}},
+			Effect: Once, MaxAttempts: -1}}},
 		"classes.a.window": {Schedulers: []string{"x"}, Classes: map[string]Class{"a": {Deadline: 1,
 			Effect: Anywhere}}},
-		"budget":      {Schedulers: []string{"x"}, Classes: map[string]Class{"a": good}, Budget: 2},
-		"connections": {Schedulers: []string{"x"}, Classes: map[string]Class{"a": good}, Connections: -1},
+		"budget":      {Schedulers: []string{"x"}, Classes: map[string]Class{"a": good}, RetryBudget: 2},
+		"connections": {Schedulers: []string{"x"}, Classes: map[string]Class{"a": good}, MaxConnections: -1},
 	} {
 		if _, err := New(cfg); err == nil || !strings.HasPrefix(err.Error(), "desk: "+want) {
 			t.Errorf("got %v, want %s", err, want)
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -25,8 +25,8 @@
 	}
 	defer c.Close()
 	_, err = c.Do(context.Background(), client.Job{Class: "post-reading", Object: "17", Body: []byte("4211")})
-	var refused *client.Refused
-	var unknown *client.Unknown
+	var refused *client.RefusedError
+	var unknown *client.UnknownOutcomeError
 	switch {
 	case errors.As(err, &refused):
 		fmt.Println("not run: hand it in again")
@@ -53,8 +53,8 @@
 // The words for how a job ended are few, and fit for a counter's label.
 func ExampleVerdict() {
 	fmt.Println(client.Verdict(nil))
-	fmt.Println(client.Verdict(&client.Refused{After: time.Now().Add(time.Second)}))
-	fmt.Println(client.Verdict(fmt.Errorf("reading 17: %w", &client.Unknown{})))
+	fmt.Println(client.Verdict(&client.RefusedError{RetryAfter: time.Now().Add(time.Second)}))
+	fmt.Println(client.Verdict(fmt.Errorf("reading 17: %w", &client.UnknownOutcomeError{})))
 	// Output:
 	// served
 	// refused
--- a/client/hard_test.go
+++ b/client/hard_test.go
@@ -133,7 +133,7 @@
 				c := cut(t, addr, way == 0, after)
 				defer c.Close()
 				body := fmt.Sprint(f.Mark(), "post-reading ", way == 0, " ", after)
-				client, err := New(Config{Schedulers: []string{c.Addr().String()}, Tenant: "sahel", Budget: 1,
+				client, err := New(Config{Schedulers: []string{c.Addr().String()}, Tenant: "sahel", RetryBudget: 1,
 					Classes: map[string]Class{"post-reading": {Deadline: 2 * time.Second, Effect: Once}}})
 				if err != nil {
 					t.Error(err)
@@ -258,8 +258,8 @@
 			})
 			_, err := client(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 			if least < 0 {
-				refused, ok := err.(*Refused)
-				if !ok || time.Until(refused.After) < 30*time.Second || s.took.Load() != 1 {
+				refused, ok := err.(*RefusedError)
+				if !ok || time.Until(refused.RetryAfter) < 30*time.Second || s.took.Load() != 1 {
 					t.Errorf("%v after %d tries", err, s.took.Load())
 				}
 				return
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -24,76 +24,78 @@
 
 // Class is a class of jobs.
 type Class struct {
-	Effect Effect
-	Window time.Duration // for Anywhere: how long repeats are dropped, from the first try on
-	Tries  int           // at most, the first one included; those count that were handed in
+	Effect      Effect
+	Window      time.Duration // for Anywhere: how long repeats are dropped, from the first try on
+	MaxAttempts int           // at most, the first one included; those count that were handed in
 }
 
 // Config is what a desk is told.
 type Config struct {
 	Schedulers int     // how many there are; they are numbered from 0
 	Classes    []Class // by number
-	// Budget is the share of fresh jobs that retries may amount to, and Spare how many may
+	// RetryBudget is the share of fresh jobs that retries may amount to, and Spare how many may
 	// be saved up; the first one is given. When it is used up, a caller gets the refusal at
 	// once.
-	Budget float64
-	Spare  float64
+	RetryBudget float64
+	MaxTokens   float64
 	// Backoff is the first wait after a refusal that names none, doubling up to Longest.
-	Backoff, Longest time.Duration
+	Backoff, MaxBackoff time.Duration
 	// EjectAfter failures in a row set a scheduler aside, for about Eject, doubling up to
 	// EjectMost. Never more than half of them are, but for those that nobody listens at:
 	// one failure tells these, and all of them may be.
-	EjectAfter       int
-	Eject, EjectMost time.Duration
+	EjectAfter                int
+	BaseEjection, MaxEjection time.Duration
 }
 
-// LongestAdvice bounds what a scheduler may say about when to come back: an absurd figure is
+// MaxRetryAfter bounds what a scheduler may say about when to come back: an absurd figure is
 // an error somewhere, not a reason to hold a job for a day.
-const LongestAdvice = time.Minute
+const MaxRetryAfter = time.Minute
 
-// Proof says how a try ended, by what it proves about the job.
-type Proof uint8
+// Outcome says how a try ended, by what it proves about the job.
+type Outcome uint8
 
 // The proofs.
 const (
-	Answered Proof = iota // there is a whole answer: see Status
-	// Unreached: the connection was refused, or never came up. Nobody has taken the job.
-	Unreached
-	// Parted: the scheduler had closed the kept connections while they idled; no other was
+	Answered Outcome = iota // there is a whole answer: see Status
+	// ConnectFailed: the connection was refused, or never came up. Nobody has taken the job.
+	ConnectFailed
+	// IdleClosed: the scheduler had closed the kept connections while they idled; no other was
 	// opened. It is ending, or short of sockets.
-	Parted
+	IdleClosed
 	// NotSent: the connection broke before the last byte of the request was out. Nobody can
 	// have read the job whole.
 	NotSent
-	// NoRoom: the desk had no connection for it in time, by its own bounds. That tells
+	// ClientLimited: the desk had no connection for it in time, by its own bounds. That tells
 	// nothing of the scheduler.
-	NoRoom
-	// Crossed: a kept connection ended with no byte of an answer. The scheduler may have
+	ClientLimited
+	// ReusedClosed: a kept connection ended with no byte of an answer. The scheduler may have
 	// closed it between requests, before it read this one; or it took the job and died. The
 	// two cannot be told apart, so for what must never run twice this is as Lost.
-	Crossed
-	Lost    // the request was out, and no whole answer came
-	Garbled // what came is no answer: its framing is broken, or it is too large
+	ReusedClosed
+	NoResponse // the request was out, and no whole answer came
+	Malformed  // what came is no answer: its framing is broken, or it is too large
 )
 
-// Result is the end of a try.
-type Result struct {
-	Proof  Proof
-	Status int
+// AttemptResult is the end of a try.
+type AttemptResult struct {
+	Outcome Outcome
+	Status  int
 	// Advice is when the scheduler said to come back, counted from the answer; with Advised.
-	Advised bool
-	Advice  time.Duration
-	// Closing: the scheduler closes the connection after its answer. With a refusal it is
+	HasRetryAfter bool
+	RetryAfter    time.Duration
+	// ConnectionClose: the scheduler closes the connection after its answer. With a refusal it is
 	// about to end, or short of sockets.
-	Closing bool
+	ConnectionClose bool
 }
 
 // Refused tells whether a scheduler refused the job: it did not run there.
-func (r Result) Refused() bool { return r.Proof == Answered && (r.Status == 429 || r.Status == 503) }
+func (r AttemptResult) Refused() bool {
+	return r.Outcome == Answered && (r.Status == 429 || r.Status == 503)
+}
 
 // Invalid tells whether a scheduler said that the job makes no sense.
-func (r Result) Invalid() bool {
-	return r.Proof == Answered && r.Status >= 400 && r.Status < 500 && r.Status != 429
+func (r AttemptResult) Invalid() bool {
+	return r.Outcome == Answered && r.Status >= 400 && r.Status < 500 && r.Status != 429
 }
 
 // Verdict is the end of a job.
@@ -113,12 +115,12 @@
 // Step is what to do next. With Pending and Go: make a try at the scheduler, now. With
 // Pending alone: call Start at that time, or with Away as soon as Well is no longer zero.
 type Step struct {
-	Verdict   Verdict
-	Go        bool
-	Scheduler int
-	Resent    bool
-	At        time.Time
-	Away      bool // no scheduler can be reached
+	Verdict    Verdict
+	StartNow   bool
+	Scheduler  int
+	Retry      bool
+	At         time.Time
+	AllEjected bool // no scheduler can be reached
 }
 
 // Job is one job from its arrival to its verdict. It belongs to whoever began it.
@@ -161,19 +163,19 @@
 		return nil, errors.New("schedulers: none is named")
 	case len(cfg.Classes) == 0:
 		return nil, errors.New("classes: none is named")
-	case !(cfg.Budget >= 0 && cfg.Budget <= 1):
-		return nil, fmt.Errorf("budget: %v is not within 0 and 1", cfg.Budget)
-	case !(cfg.Spare >= 0):
-		return nil, fmt.Errorf("spare: %v is negative", cfg.Spare)
-	case cfg.Backoff <= 0 || cfg.Longest < cfg.Backoff:
+	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1):
+		return nil, fmt.Errorf("budget: %v is not within 0 and 1", cfg.RetryBudget)
+	case !(cfg.MaxTokens >= 0):
+		return nil, fmt.Errorf("spare: %v is negative", cfg.MaxTokens)
+	case cfg.Backoff <= 0 || cfg.MaxBackoff < cfg.Backoff:
 		return nil, errors.New("backoff: it must be positive, and no longer than the longest")
-	case cfg.EjectAfter <= 0 || cfg.Eject <= 0 || cfg.EjectMost < cfg.Eject:
+	case cfg.EjectAfter <= 0 || cfg.BaseEjection <= 0 || cfg.MaxEjection < cfg.BaseEjection:
 		return nil, errors.New("eject: its figures must be positive, and its time no longer than the longest")
 	}
 	for i, c := range cfg.Classes {
 		switch {
-		case c.Tries <= 0:
-			return nil, fmt.Errorf("classes[%d].tries: %d is not positive", i, c.Tries)
+		case c.MaxAttempts <= 0:
+			return nil, fmt.Errorf("classes[%d].tries: %d is not positive", i, c.MaxAttempts)
 		case c.Effect > Safe:
 			return nil, fmt.Errorf("classes[%d].effect: unknown", i)
 		case c.Effect == Anywhere && c.Window <= 0:
@@ -181,13 +183,13 @@
 		}
 	}
 	random := rand.New(rand.NewPCG(seed, 0))
-	return &Plan{cfg: cfg, random: random, tokens: min(1, cfg.Spare), scheds: make([]sched, cfg.Schedulers),
+	return &Plan{cfg: cfg, random: random, tokens: min(1, cfg.MaxTokens), scheds: make([]sched, cfg.Schedulers),
 		order: random.Perm(cfg.Schedulers)}, nil
 }
 
 // Begin takes a new job. Its deadline is set here once and for all.
 func (p *Plan) Begin(now time.Time, class int, deadline time.Time) (*Job, Step) {
-	p.tokens = min(p.tokens+p.cfg.Budget, p.cfg.Spare)
+	p.tokens = min(p.tokens+p.cfg.RetryBudget, p.cfg.MaxTokens)
 	j := &Job{class: &p.cfg.Classes[class], deadline: deadline, at: -1, end: Expired}
 	return j, p.Start(now, j)
 }
@@ -200,7 +202,7 @@
 	}
 	i, back := p.pick(now, j.at)
 	if i < 0 && back.Before(j.deadline) {
-		return Step{At: back, Away: true}
+		return Step{At: back, AllEjected: true}
 	}
 	if i < 0 {
 		if j.end == Expired {
@@ -211,7 +213,7 @@
 	j.at, j.running = i, true
 	j.tries++
 	p.scheds[i].open++
-	return Step{Go: true, Scheduler: i, At: now, Resent: j.tries > 1}
+	return Step{StartNow: true, Scheduler: i, At: now, Retry: j.tries > 1}
 }
 
 func (p *Plan) finish(j *Job, s Step) Step {
@@ -219,8 +221,8 @@
 	return s
 }
 
-// Leave ends a job whose caller has gone, with a try under way or waiting to begin.
-func (p *Plan) Leave(j *Job) {
+// Cancel ends a job whose caller has gone, with a try under way or waiting to begin.
+func (p *Plan) Cancel(j *Job) {
 	j.over = true
 	p.release(j)
 }
@@ -233,8 +235,8 @@
 	}
 }
 
-// Ended takes the end of a try that began at a time, and says what is next.
-func (p *Plan) Ended(now, began time.Time, j *Job, r Result) Step {
+// AttemptEnded takes the end of a try that began at a time, and says what is next.
+func (p *Plan) AttemptEnded(now, began time.Time, j *Job, r AttemptResult) Step {
 	if j.over || !j.running {
 		return Step{Verdict: Unknown}
 	}
@@ -244,7 +246,7 @@
 		j.first = began
 	}
 	switch {
-	case r.Proof == Answered && r.Status == 200:
+	case r.Outcome == Answered && r.Status == 200:
 		return p.finish(j, Step{Verdict: Served})
 	case r.Invalid():
 		return p.finish(j, Step{Verdict: Invalid})
@@ -253,7 +255,7 @@
 	if !j.first.IsZero() && j.end == Refused {
 		j.end = Unknown // this try did not run; an earlier one may have
 	}
-	if r.Proof == Unreached || r.Proof == Parted {
+	if r.Outcome == ConnectFailed || r.Outcome == IdleClosed {
 		// That was no try: nobody had the job, and it costs no scheduler anything. Its number
 		// is bounded, as the scheduler is set aside.
 		j.tries--
@@ -264,9 +266,9 @@
 	}
 	back := p.comeBack(now, j, r)
 	switch {
-	case r.Proof == NoRoom:
+	case r.Outcome == ClientLimited:
 		return p.finish(j, Step{Verdict: j.end, At: back})
-	case j.tries >= j.class.Tries, !back.Before(j.deadline), !mayRepeat(j, back):
+	case j.tries >= j.class.MaxAttempts, !back.Before(j.deadline), !mayRepeat(j, back):
 		return p.finish(j, Step{Verdict: j.end, At: back})
 	case p.tokens < 1:
 		p.throttled++
@@ -294,9 +296,9 @@
 }
 
 // mayHaveRun tells what the end of a try leaves open.
-func mayHaveRun(r Result) bool {
-	switch r.Proof {
-	case Unreached, Parted, NotSent, NoRoom:
+func mayHaveRun(r AttemptResult) bool {
+	switch r.Outcome {
+	case ConnectFailed, IdleClosed, NotSent, ClientLimited:
 		return false
 	case Answered:
 		return !r.Refused() && !r.Invalid()
@@ -305,14 +307,14 @@
 }
 
 // verdict is what the end of a try means for a job that gets no further one.
-func verdict(r Result) Verdict {
-	switch r.Proof {
+func verdict(r AttemptResult) Verdict {
+	switch r.Outcome {
 	case Answered:
 		if r.Refused() {
 			return Refused
 		}
 		return Failed
-	case Unreached, Parted, NotSent, NoRoom:
+	case ConnectFailed, IdleClosed, NotSent, ClientLimited:
 		return Refused // nobody took it: a repeat is harmless
 	}
 	return Unknown
@@ -320,14 +322,14 @@
 
 // comeBack is when a next try may begin: never before the scheduler's advice, and spread
 // beyond it, as all that were refused together would come back together.
-func (p *Plan) comeBack(now time.Time, j *Job, r Result) time.Time {
+func (p *Plan) comeBack(now time.Time, j *Job, r AttemptResult) time.Time {
 	limit := p.cfg.Backoff
 	for range j.tries - 1 {
-		limit = min(2*limit, p.cfg.Longest)
+		limit = min(2*limit, p.cfg.MaxBackoff)
 	}
 	jitter := time.Duration(p.random.Float64() * float64(limit))
-	if r.Proof == Answered && r.Advised && r.Advice >= 0 {
-		return now.Add(min(r.Advice, LongestAdvice) + jitter)
+	if r.Outcome == Answered && r.HasRetryAfter && r.RetryAfter >= 0 {
+		return now.Add(min(r.RetryAfter, MaxRetryAfter) + jitter)
 	}
 	return now.Add(jitter)
 }
@@ -336,13 +338,13 @@
 
 // judge draws from the end of a try what it tells of its scheduler. A refusal is the word
 // of one that is well, though others may be the better choice.
-func (p *Plan) judge(now time.Time, i int, r Result) {
+func (p *Plan) judge(now time.Time, i int, r AttemptResult) {
 	s := &p.scheds[i]
-	switch r.Proof {
-	case NoRoom:
+	switch r.Outcome {
+	case ClientLimited:
 		return
-	case Parted:
-		if s.until.IsZero() && p.Well() > 1 {
+	case IdleClosed:
+		if s.until.IsZero() && p.Available() > 1 {
 			p.eject(now, s)
 		}
 		return
@@ -353,13 +355,13 @@
 			refused = 1
 		}
 		s.refuses += refusalWeight * (refused - s.refuses)
-		if r.Refused() && r.Closing && 2*(p.aside()+1) <= len(p.scheds) {
+		if r.Refused() && r.ConnectionClose && 2*(p.aside()+1) <= len(p.scheds) {
 			p.eject(now, s)
 		}
 		return
 	}
 	s.fails++
-	if r.Proof != Unreached {
+	if r.Outcome != ConnectFailed {
 		if s.fails < p.cfg.EjectAfter && !s.trial {
 			return
 		}
@@ -376,7 +378,7 @@
 // eject sets a scheduler aside, for a time that is spread: all desks lose one at the same
 // moment.
 func (p *Plan) eject(now time.Time, s *sched) {
-	s.ejected = min(max(2*s.ejected, p.cfg.Eject), p.cfg.EjectMost)
+	s.ejected = min(max(2*s.ejected, p.cfg.BaseEjection), p.cfg.MaxEjection)
 	s.until = now.Add(s.ejected/2 + time.Duration(p.random.Float64()*float64(s.ejected)))
 }
 
@@ -387,8 +389,8 @@
 	refusalCost = 8
 )
 
-// Well counts the schedulers that are not set aside.
-func (p *Plan) Well() int { return len(p.scheds) - p.aside() }
+// Available counts the schedulers that are not set aside.
+func (p *Plan) Available() int { return len(p.scheds) - p.aside() }
 
 // aside counts the schedulers that are set aside.
 func (p *Plan) aside() int {
@@ -425,7 +427,7 @@
 		default:
 			at := s.until
 			if s.trial {
-				at = now.Add(p.cfg.Eject)
+				at = now.Add(p.cfg.BaseEjection)
 			}
 			if back.IsZero() || at.Before(back) {
 				back = at
@@ -436,7 +438,7 @@
 		return last, now
 	}
 	if len(well) == 0 {
-		return -1, back.Add(time.Duration(p.random.Float64() * float64(p.cfg.Eject) / 4))
+		return -1, back.Add(time.Duration(p.random.Float64() * float64(p.cfg.BaseEjection) / 4))
 	}
 	for own := 1; ; own *= 2 {
 		best := p.lessBusy(well[:min(own, len(well))])
@@ -457,8 +459,8 @@
 
 func (s *sched) load() float64 { return float64(s.open+1) * (1 + refusalCost*s.refuses) }
 
-// Open is the number of tries that are under way.
-func (p *Plan) Open() int {
+// InFlight is the number of tries that are under way.
+func (p *Plan) InFlight() int {
 	n := 0
 	for i := range p.scheds {
 		n += p.scheds[i].open
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -17,10 +17,10 @@
 )
 
 func config() Config {
-	return Config{Schedulers: 3, Budget: 0.1, Spare: 10, Backoff: 50 * time.Millisecond, Longest: time.Second,
-		EjectAfter: 3, Eject: time.Second, EjectMost: 30 * time.Second,
-		Classes: []Class{{Effect: Once, Tries: 3}, {Effect: Rack, Tries: 3},
-			{Effect: Anywhere, Window: time.Second, Tries: 3}, {Effect: Safe, Tries: 3}}}
+	return Config{Schedulers: 3, RetryBudget: 0.1, MaxTokens: 10, Backoff: 50 * time.Millisecond, MaxBackoff: time.Second,
+		EjectAfter: 3, BaseEjection: time.Second, MaxEjection: 30 * time.Second,
+		Classes: []Class{{Effect: Once, MaxAttempts: 3}, {Effect: Rack, MaxAttempts: 3},
+			{Effect: Anywhere, Window: time.Second, MaxAttempts: 3}, {Effect: Safe, MaxAttempts: 3}}}
 }
 
 var start = time.Unix(1000, 0)
@@ -39,36 +39,36 @@
 	again := [4]Verdict{Pending, Pending, Pending, Pending}
 	for _, c := range []struct {
 		name string
-		end  Result
+		end  AttemptResult
 		want [4]Verdict // post, batch, keyed, safe
 	}{
-		{"served", Result{Status: 200}, [4]Verdict{Served, Served, Served, Served}},
-		{"refused", Result{Status: 503}, again},
-		{"refused with another status", Result{Status: 429}, again},
-		{"failed", Result{Status: 500}, [4]Verdict{Failed, Failed, Pending, Pending}},
-		{"an answer that nobody gives", Result{Status: 302}, [4]Verdict{Failed, Failed, Pending, Pending}},
-		{"invalid", Result{Status: 400}, [4]Verdict{Invalid, Invalid, Invalid, Invalid}},
-		{"a conflict", Result{Status: 409}, [4]Verdict{Invalid, Invalid, Invalid, Invalid}},
-		{"half written", Result{Proof: NotSent}, again},
-		{"no room", Result{Proof: NoRoom}, [4]Verdict{Refused, Refused, Refused, Refused}},
-		{"a kept connection ended", Result{Proof: Crossed}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
-		{"the answer is lost", Result{Proof: Lost}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
-		{"the answer is garbage", Result{Proof: Garbled}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
+		{"served", AttemptResult{Status: 200}, [4]Verdict{Served, Served, Served, Served}},
+		{"refused", AttemptResult{Status: 503}, again},
+		{"refused with another status", AttemptResult{Status: 429}, again},
+		{"failed", AttemptResult{Status: 500}, [4]Verdict{Failed, Failed, Pending, Pending}},
+		{"an answer that nobody gives", AttemptResult{Status: 302}, [4]Verdict{Failed, Failed, Pending, Pending}},
+		{"invalid", AttemptResult{Status: 400}, [4]Verdict{Invalid, Invalid, Invalid, Invalid}},
+		{"a conflict", AttemptResult{Status: 409}, [4]Verdict{Invalid, Invalid, Invalid, Invalid}},
+		{"half written", AttemptResult{Outcome: NotSent}, again},
+		{"no room", AttemptResult{Outcome: ClientLimited}, [4]Verdict{Refused, Refused, Refused, Refused}},
+		{"a kept connection ended", AttemptResult{Outcome: ReusedClosed}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
+		{"the answer is lost", AttemptResult{Outcome: NoResponse}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
+		{"the answer is garbage", AttemptResult{Outcome: Malformed}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
 	} {
 		var got [4]Verdict
 		for class := range got {
 			p := newPlan(t, config())
 			j, s := p.Begin(start, class, start.Add(5*time.Second))
-			if s.Verdict != Pending || s.Resent || !s.At.Equal(start) {
+			if s.Verdict != Pending || s.Retry || !s.At.Equal(start) {
 				t.Fatalf("the first try: %+v", s)
 			}
-			s = p.Ended(start.Add(time.Millisecond), start, j, c.end)
+			s = p.AttemptEnded(start.Add(time.Millisecond), start, j, c.end)
 			got[class] = s.Verdict
-			if open := p.Open(); open != 0 {
+			if open := p.InFlight(); open != 0 {
 				t.Errorf("%s: %d tries are open after %v", c.name, open, s.Verdict)
 			}
 			if s.Verdict == Pending {
-				if s = p.Start(s.At, j); !s.Go || !s.Resent || p.Open() != 1 {
+				if s = p.Start(s.At, j); !s.StartNow || !s.Retry || p.InFlight() != 1 {
 					t.Errorf("%s: a retry is not marked, or not counted: %+v", c.name, s)
 				}
 			}
@@ -82,14 +82,14 @@
 // A refusal after a try that may have run proves nothing about that one.
 func TestARefusalLaterIsNoProof(t *testing.T) {
 	cfg := config()
-	cfg.Classes[keyed].Tries = 2
+	cfg.Classes[keyed].MaxAttempts = 2
 	p := newPlan(t, cfg)
 	j, _ := p.Begin(start, keyed, start.Add(5*time.Second))
-	s := p.Ended(start, start, j, Result{Proof: Lost})
-	if s = p.Start(s.At, j); !s.Go {
+	s := p.AttemptEnded(start, start, j, AttemptResult{Outcome: NoResponse})
+	if s = p.Start(s.At, j); !s.StartNow {
 		t.Fatal(s)
 	}
-	if s := p.Ended(start, start, j, Result{Status: 503}); s.Verdict != Unknown {
+	if s := p.AttemptEnded(start, start, j, AttemptResult{Status: 503}); s.Verdict != Unknown {
 		t.Errorf("got %+v, want Unknown", s)
 	}
 }
@@ -98,18 +98,18 @@
 func TestWhenToComeBack(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		end         Result
+		end         AttemptResult
 		least, most time.Duration
 	}{
-		{"at once", Result{Status: 503, Advised: true}, 0, 50 * time.Millisecond},
-		{"a moment", Result{Status: 503, Advised: true, Advice: 50 * time.Millisecond}, 50 * time.Millisecond,
+		{"at once", AttemptResult{Status: 503, HasRetryAfter: true}, 0, 50 * time.Millisecond},
+		{"a moment", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 50 * time.Millisecond}, 50 * time.Millisecond,
 			100 * time.Millisecond},
-		{"two seconds", Result{Status: 503, Advised: true, Advice: 2 * time.Second}, 2 * time.Second,
+		{"two seconds", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 2 * time.Second}, 2 * time.Second,
 			2050 * time.Millisecond},
-		{"absurd", Result{Status: 503, Advised: true, Advice: 1 << 60}, LongestAdvice,
-			LongestAdvice + 50*time.Millisecond},
-		{"negative", Result{Status: 503, Advised: true, Advice: -time.Hour}, 0, 50 * time.Millisecond},
-		{"none", Result{Status: 503}, 0, 50 * time.Millisecond},
+		{"absurd", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 1 << 60}, MaxRetryAfter,
+			MaxRetryAfter + 50*time.Millisecond},
+		{"negative", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: -time.Hour}, 0, 50 * time.Millisecond},
+		{"none", AttemptResult{Status: 503}, 0, 50 * time.Millisecond},
 	} {
 		seen := map[time.Duration]bool{}
 		for range 50 {
@@ -119,7 +119,7 @@
 				p.random.Float64()
 			}
 			j, _ := p.Begin(start, post, start.Add(time.Hour))
-			s := p.Ended(start, start, j, c.end)
+			s := p.AttemptEnded(start, start, j, c.end)
 			wait := s.At.Sub(start)
 			if s.Verdict != Pending || wait < c.least || wait > c.most {
 				t.Fatalf("%s: %v after %v, want %v to %v", c.name, s.Verdict, wait, c.least, c.most)
@@ -140,7 +140,7 @@
 	for range 1000 {
 		j, s := p.Begin(start, safe, start.Add(time.Hour))
 		for s.Verdict == Pending {
-			s = p.Ended(start, start, j, Result{Status: 503, Advised: true, Advice: time.Second})
+			s = p.AttemptEnded(start, start, j, AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: time.Second})
 			if s.Verdict == Pending {
 				retries++
 				s = p.Start(s.At, j)
@@ -166,7 +166,7 @@
 		for range 50 {
 			j, s := p.Begin(start, post, start.Add(time.Hour))
 			used[s.Scheduler] = true
-			p.Ended(start, start, j, Result{Status: 200})
+			p.AttemptEnded(start, start, j, AttemptResult{Status: 200})
 		}
 		if len(used) != 1 {
 			t.Fatalf("a desk uses %d schedulers for one job at a time", len(used))
@@ -196,16 +196,16 @@
 
 // ends plays the first tries of n jobs: those at scheduler i end as fail says, others are
 // served. It counts the tries at i, which must be one of the desk's own.
-func ends(p *Plan, at time.Time, n, i int, fail Result) (tries int) {
+func ends(p *Plan, at time.Time, n, i int, fail AttemptResult) (tries int) {
 	for range n {
 		j, s := p.Begin(at, safe, at.Add(time.Hour))
-		end := Result{Status: 200}
-		if s.Go && s.Scheduler == i {
+		end := AttemptResult{Status: 200}
+		if s.StartNow && s.Scheduler == i {
 			tries++
 			end = fail
 		}
-		p.Ended(at, at, j, end)
-		p.Leave(j)
+		p.AttemptEnded(at, at, j, end)
+		p.Cancel(j)
 	}
 	return tries
 }
@@ -214,12 +214,12 @@
 // a single try then finds out whether it is back. A desk without room says nothing of it.
 func TestEjection(t *testing.T) {
 	for _, c := range []struct {
-		end  Result
+		end  AttemptResult
 		want int
-	}{{Result{Proof: Unreached}, 1}, {Result{Proof: Lost}, 3}, {Result{Proof: Garbled}, 3}} {
+	}{{AttemptResult{Outcome: ConnectFailed}, 1}, {AttemptResult{Outcome: NoResponse}, 3}, {AttemptResult{Outcome: Malformed}, 3}} {
 		p := newPlan(t, config())
-		if got := ends(p, start, 100, p.order[0], c.end); got != c.want || p.Well() != 2 {
-			t.Errorf("%+v: %d tries before it was set aside, %d are well", c.end, got, p.Well())
+		if got := ends(p, start, 100, p.order[0], c.end); got != c.want || p.Available() != 2 {
+			t.Errorf("%+v: %d tries before it was set aside, %d are well", c.end, got, p.Available())
 		}
 		later := start.Add(2 * time.Second)
 		trials := 0
@@ -235,29 +235,29 @@
 			continue
 		}
 		// A refusal is the word of one that is well.
-		if p.Ended(later, later, trial, Result{Status: 503}); p.Well() != 3 {
+		if p.AttemptEnded(later, later, trial, AttemptResult{Status: 503}); p.Available() != 3 {
 			t.Error("it is still set aside")
 		}
 	}
 	// One that refuses and closes is about to end: it is set aside at once, for a moment.
 	p := newPlan(t, config())
-	if got := ends(p, start, 100, p.order[0], Result{Status: 503, Closing: true}); got != 1 || p.Well() != 2 {
-		t.Errorf("%d jobs went to a scheduler that ends, %d are well", got, p.Well())
+	if got := ends(p, start, 100, p.order[0], AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
+		t.Errorf("%d jobs went to a scheduler that ends, %d are well", got, p.Available())
 	}
 	p = newPlan(t, config())
-	if got := ends(p, start, 100, p.order[0], Result{Proof: Parted}); got != 1 || p.Well() != 2 {
-		t.Errorf("%d jobs went to one that closed its connections, %d are well", got, p.Well())
+	if got := ends(p, start, 100, p.order[0], AttemptResult{Outcome: IdleClosed}); got != 1 || p.Available() != 2 {
+		t.Errorf("%d jobs went to one that closed its connections, %d are well", got, p.Available())
 	}
 	for range 9 { // but never the last one
 		for i := range p.scheds {
-			p.judge(start, i, Result{Proof: Parted})
+			p.judge(start, i, AttemptResult{Outcome: IdleClosed})
 		}
 	}
-	if p.Well() != 1 {
-		t.Errorf("%d are well after all closed connections, want 1", p.Well())
+	if p.Available() != 1 {
+		t.Errorf("%d are well after all closed connections, want 1", p.Available())
 	}
 	p = newPlan(t, config())
-	if got := ends(p, start, 100, p.order[0], Result{Proof: NoRoom}); got < 10 || p.Well() != 3 {
+	if got := ends(p, start, 100, p.order[0], AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
 		t.Errorf("for want of room in the desk a scheduler was set aside after %d tries", got)
 	}
 }
@@ -266,31 +266,31 @@
 // no retry, neither marked nor paid for.
 func TestNobodyListensIsNoTry(t *testing.T) {
 	cfg := config()
-	cfg.Budget, cfg.Spare = 0, 0
+	cfg.RetryBudget, cfg.MaxTokens = 0, 0
 	for i := range cfg.Classes {
-		cfg.Classes[i].Tries = 1
+		cfg.Classes[i].MaxAttempts = 1
 	}
 	p := newPlan(t, cfg)
 	j, s := p.Begin(start, post, start.Add(5*time.Second))
 	for n := range cfg.Schedulers {
-		if !s.Go || s.Resent || p.Open() != 1 {
-			t.Fatalf("scheduler %d: %+v, %d open", n, s, p.Open())
+		if !s.StartNow || s.Retry || p.InFlight() != 1 {
+			t.Fatalf("scheduler %d: %+v, %d open", n, s, p.InFlight())
 		}
-		if s = p.Ended(start, start, j, Result{Proof: Unreached}); s.Verdict != Pending || !s.At.Equal(start) {
+		if s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: ConnectFailed}); s.Verdict != Pending || !s.At.Equal(start) {
 			t.Fatalf("%+v", s)
 		}
 		s = p.Start(start, j)
 	}
-	if !s.Away || p.Well() != 0 {
-		t.Errorf("%+v, %d are well", s, p.Well())
+	if !s.AllEjected || p.Available() != 0 {
+		t.Errorf("%+v, %d are well", s, p.Available())
 	}
 	// An earlier try may have run: then nobody listening is no refusal.
 	p = newPlan(t, config())
 	j, _ = p.Begin(start, safe, start.Add(time.Second))
-	s = p.Ended(start, start, j, Result{Proof: Lost})
+	s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: NoResponse})
 	for n := 0; n < 9 && s.Verdict == Pending; n++ {
-		if s = p.Start(s.At, j); s.Go {
-			s = p.Ended(s.At, s.At, j, Result{Proof: Unreached})
+		if s = p.Start(s.At, j); s.StartNow {
+			s = p.AttemptEnded(s.At, s.At, j, AttemptResult{Outcome: ConnectFailed})
 		}
 	}
 	if s.Verdict != Unknown {
@@ -304,23 +304,23 @@
 	p := newPlan(t, config())
 	for i := range p.scheds {
 		for range 5 {
-			p.judge(start, i, Result{Proof: Lost})
+			p.judge(start, i, AttemptResult{Outcome: NoResponse})
 		}
 	}
-	if n := p.Well(); n != 2 {
+	if n := p.Available(); n != 2 {
 		t.Errorf("%d of 3 are well, want at least half", n)
 	}
 	for i := range p.scheds {
-		p.judge(start, i, Result{Proof: Unreached})
+		p.judge(start, i, AttemptResult{Outcome: ConnectFailed})
 	}
-	if n := p.Well(); n != 0 {
+	if n := p.Available(); n != 0 {
 		t.Errorf("%d are well where nobody listens", n)
 	}
 	j, s := p.Begin(start, post, start.Add(5*time.Second))
-	if s.Verdict != Pending || s.Go || !s.Away || s.At.Before(start.Add(400*time.Millisecond)) {
+	if s.Verdict != Pending || s.StartNow || !s.AllEjected || s.At.Before(start.Add(400*time.Millisecond)) {
 		t.Fatalf("%+v, want to wait", s)
 	}
-	if s = p.Start(s.At, j); !s.Go {
+	if s = p.Start(s.At, j); !s.StartNow {
 		t.Errorf("no trial after the wait: %+v", s)
 	}
 	if _, s = p.Begin(start, post, start.Add(100*time.Millisecond)); s.Verdict != Refused || s.At.IsZero() {
@@ -330,7 +330,7 @@
 	seen := map[time.Time]bool{}
 	for seed := range uint64(50) {
 		p, _ := New(config(), seed)
-		p.judge(start, 0, Result{Proof: Unreached})
+		p.judge(start, 0, AttemptResult{Outcome: ConnectFailed})
 		seen[p.scheds[0].until.Truncate(50*time.Millisecond)] = true
 	}
 	if len(seen) < 10 {
@@ -341,7 +341,7 @@
 // A scheduler that refuses all at once looks idle: it must not draw the jobs.
 func TestOneThatRefusesAll(t *testing.T) {
 	p := newPlan(t, config())
-	refusal := Result{Status: 503, Advised: true, Advice: time.Second}
+	refusal := AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: time.Second}
 	if got := ends(p, start, 1000, p.order[0], refusal); got > 200 {
 		t.Errorf("%d of 1,000 jobs went to it", got)
 	}
@@ -349,11 +349,11 @@
 	for range 50 {
 		j, s := p.Begin(start, safe, start.Add(time.Hour))
 		was := s.Scheduler
-		if s = p.Ended(start, start, j, Result{Status: 503}); s.Verdict == Pending {
+		if s = p.AttemptEnded(start, start, j, AttemptResult{Status: 503}); s.Verdict == Pending {
 			if s = p.Start(s.At, j); s.Scheduler == was {
 				t.Error("a retry goes where it was refused")
 			}
-			p.Leave(j)
+			p.Cancel(j)
 		}
 	}
 }
@@ -362,11 +362,11 @@
 	for want, spoil := range map[string]func(*Config){
 		"schedulers":        func(c *Config) { c.Schedulers = 0 },
 		"classes: none":     func(c *Config) { c.Classes = nil },
-		"budget":            func(c *Config) { c.Budget = 1.5 },
-		"spare":             func(c *Config) { c.Spare = -1 },
-		"backoff":           func(c *Config) { c.Longest = time.Millisecond },
+		"budget":            func(c *Config) { c.RetryBudget = 1.5 },
+		"spare":             func(c *Config) { c.MaxTokens = -1 },
+		"backoff":           func(c *Config) { c.MaxBackoff = time.Millisecond },
 		"eject":             func(c *Config) { c.EjectAfter = 0 },
-		"classes[0].tries":  func(c *Config) { c.Classes[0].Tries = 0 },
+		"classes[0].tries":  func(c *Config) { c.Classes[0].MaxAttempts = 0 },
 		"classes[1].effect": func(c *Config) { c.Classes[1].Effect = 9 },
 		"classes[2].window": func(c *Config) { c.Classes[2].Window = 0 },
 	} {
@@ -400,7 +400,7 @@
 		now, fresh, retries := start, 0, 0
 		var open []*life
 		take := func(l *life, s Step) bool {
-			for s.Verdict == Pending && !s.Go {
+			for s.Verdict == Pending && !s.StartNow {
 				if s.At.Before(now) {
 					t.Fatal("a wait ends in the past")
 				}
@@ -417,9 +417,9 @@
 				t.Fatalf("a try starts %v past its deadline", s.At.Sub(l.deadline))
 			case s.At.Before(now):
 				t.Fatal("a try starts in the past")
-			case l.tries > class.Tries:
+			case l.tries > class.MaxAttempts:
 				t.Fatalf("try %d", l.tries)
-			case s.Resent != (l.tries > 1):
+			case s.Retry != (l.tries > 1):
 				t.Fatal("a retry is marked wrongly")
 			case s.Scheduler < 0 || s.Scheduler >= cfg.Schedulers:
 				t.Fatalf("scheduler %d", s.Scheduler)
@@ -445,25 +445,25 @@
 				}
 				continue
 			} else if l := open[n]; rapid.IntRange(0, 9).Draw(t, "leave") == 0 {
-				p.Leave(l.job)
+				p.Cancel(l.job)
 				open = append(open[:n:n], open[n+1:]...)
 			} else {
 				now = latest(now, l.began)
-				r := Result{Proof: Proof(rapid.IntRange(0, int(Garbled)).Draw(t, "proof"))}
-				if r.Proof == Answered {
+				r := AttemptResult{Outcome: Outcome(rapid.IntRange(0, int(Malformed)).Draw(t, "proof"))}
+				if r.Outcome == Answered {
 					r.Status = rapid.SampledFrom([]int{200, 503, 503, 429, 500, 400, 302}).Draw(t, "status")
-					r.Advised = rapid.Bool().Draw(t, "advised")
-					r.Advice = time.Duration(rapid.Int64().Draw(t, "advice"))
+					r.HasRetryAfter = rapid.Bool().Draw(t, "advised")
+					r.RetryAfter = time.Duration(rapid.Int64().Draw(t, "advice"))
 				}
 				if mayHaveRun(r) && l.ran.IsZero() {
 					l.ran = l.began
 				}
-				if r.Proof == Unreached || r.Proof == Parted {
+				if r.Outcome == ConnectFailed || r.Outcome == IdleClosed {
 					if l.tries--; l.tries > 0 {
 						retries--
 					}
 				}
-				s := p.Ended(now, l.began, l.job, r)
+				s := p.AttemptEnded(now, l.began, l.job, r)
 				if s.Verdict == Refused && !l.ran.IsZero() {
 					t.Fatal("called refused though it may have run")
 				}
@@ -472,11 +472,11 @@
 				}
 			}
 		}
-		if most := 1 + cfg.Budget*float64(fresh); float64(retries) > most {
+		if most := 1 + cfg.RetryBudget*float64(fresh); float64(retries) > most {
 			t.Fatalf("%d retries of %d jobs, at most %v", retries, fresh, most)
 		}
-		if p.Open() != len(open) {
-			t.Fatalf("%d tries are open, the plan counts %d", len(open), p.Open())
+		if p.InFlight() != len(open) {
+			t.Fatalf("%d tries are open, the plan counts %d", len(open), p.InFlight())
 		}
 	})
 }
--- a/client/internal/plan/world_test.go
+++ b/client/internal/plan/world_test.go
@@ -22,7 +22,7 @@
 	down [2]bool
 	left int // faults that may still happen
 	// misjudge says what the desk takes a proof for; nil: for what it is. Planted faults.
-	misjudge func(Proof) Proof
+	misjudge func(Outcome) Outcome
 }
 
 // life is a job, and what the schedulers saw of it.
@@ -45,7 +45,7 @@
 
 func newWorld(class int, jobs int) *world {
 	cfg := config()
-	cfg.Schedulers, cfg.Budget, cfg.Spare = 2, 1, 10
+	cfg.Schedulers, cfg.RetryBudget, cfg.MaxTokens = 2, 1, 10
 	p, err := New(cfg, 1)
 	if err != nil {
 		panic(err)
@@ -78,30 +78,30 @@
 type event struct {
 	job, scheduler int
 	what           string
-	end            Result
+	end            AttemptResult
 	after          time.Duration
 	fault          bool
 }
 
 // The ends that a try may have. Before: no scheduler has read it.
 var before = []event{
-	{what: "half written", end: Result{Proof: NotSent}, fault: true},
-	{what: "the close crosses", end: Result{Proof: Crossed}, fault: true},
-	{what: "lost on the way", end: Result{Proof: Lost}, after: 300 * time.Millisecond, fault: true},
-	{what: "no room", end: Result{Proof: NoRoom}, fault: true},
-	{what: "parted", end: Result{Proof: Parted}, fault: true},
+	{what: "half written", end: AttemptResult{Outcome: NotSent}, fault: true},
+	{what: "the close crosses", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{what: "lost on the way", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
+	{what: "no room", end: AttemptResult{Outcome: ClientLimited}, fault: true},
+	{what: "parted", end: AttemptResult{Outcome: IdleClosed}, fault: true},
 }
 
 // Inside: a scheduler has it. Those with runs let it run, unless the key was seen.
 var inside = []event{
-	{what: "runs, served", end: Result{Status: 200}},
-	{what: "runs, fails", end: Result{Status: 500}, fault: true},
-	{what: "runs, the answer is lost", end: Result{Proof: Lost}, after: 300 * time.Millisecond, fault: true},
-	{what: "runs, dies on a kept connection", end: Result{Proof: Crossed}, fault: true},
-	{what: "runs, garbage", end: Result{Proof: Garbled}, fault: true},
-	{what: "refused", end: Result{Status: 503, Advised: true, Advice: 100 * time.Millisecond}, fault: true},
-	{what: "refused, closing", end: Result{Status: 503, Closing: true}, fault: true},
-	{what: "invalid", end: Result{Status: 400}, fault: true},
+	{what: "runs, served", end: AttemptResult{Status: 200}},
+	{what: "runs, fails", end: AttemptResult{Status: 500}, fault: true},
+	{what: "runs, the answer is lost", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
+	{what: "runs, dies on a kept connection", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{what: "runs, garbage", end: AttemptResult{Outcome: Malformed}, fault: true},
+	{what: "refused", end: AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 100 * time.Millisecond}, fault: true},
+	{what: "refused, closing", end: AttemptResult{Status: 503, ConnectionClose: true}, fault: true},
+	{what: "invalid", end: AttemptResult{Status: 400}, fault: true},
 }
 
 func (w *world) events() (all []event) {
@@ -116,7 +116,7 @@
 		case !l.begun:
 			add(event{job: i, what: "begins"})
 		case l.step.Verdict != Pending:
-		case !l.step.Go:
+		case !l.step.StartNow:
 			add(event{job: i, what: "its wait ends"})
 		case l.inside:
 			for _, e := range inside {
@@ -124,7 +124,7 @@
 				add(e)
 			}
 		case w.down[l.step.Scheduler]:
-			add(event{job: i, what: "nobody listens", end: Result{Proof: Unreached}})
+			add(event{job: i, what: "nobody listens", end: AttemptResult{Outcome: ConnectFailed}})
 		default:
 			add(event{job: i, what: "is read"})
 			for _, e := range before {
@@ -170,20 +170,20 @@
 		w.now = latest(w.now, l.step.At)
 		w.take(l, w.plan.Start(w.now, l.job))
 	case "its caller leaves":
-		w.plan.Leave(l.job)
+		w.plan.Cancel(l.job)
 		l.step, l.inside = Step{Verdict: Unknown}, false
 	case "is read":
 		l.inside = true
 	default:
-		if l.inside && (e.end.Proof != Answered || e.end.Status == 200 || e.end.Status == 500) {
+		if l.inside && (e.end.Outcome != Answered || e.end.Status == 200 || e.end.Status == 500) {
 			w.run(l)
 		}
 		l.inside = false
 		w.now = w.now.Add(10*time.Millisecond + e.after)
 		if w.misjudge != nil {
-			e.end.Proof = w.misjudge(e.end.Proof)
+			e.end.Outcome = w.misjudge(e.end.Outcome)
 		}
-		w.take(l, w.plan.Ended(w.now, l.began, l.job, e.end))
+		w.take(l, w.plan.AttemptEnded(w.now, l.began, l.job, e.end))
 	}
 	return w
 }
@@ -208,7 +208,7 @@
 func (w *world) take(l *life, s Step) {
 	l.step = s
 	switch {
-	case s.Verdict == Pending && s.Go:
+	case s.Verdict == Pending && s.StartNow:
 		l.tries++
 		l.began = w.now
 		if !w.now.Before(l.deadline) {
@@ -230,7 +230,7 @@
 	open := 0
 	for i := range w.jobs {
 		l := &w.jobs[i]
-		if l.begun && l.step.Verdict == Pending && l.step.Go {
+		if l.begun && l.step.Verdict == Pending && l.step.StartNow {
 			open++
 		}
 		switch {
@@ -240,8 +240,8 @@
 			return fmt.Errorf("job %d ran %d times", i, l.runs)
 		}
 	}
-	if w.plan.Open() != open {
-		return fmt.Errorf("%d tries are under way, the plan counts %d", open, w.plan.Open())
+	if w.plan.InFlight() != open {
+		return fmt.Errorf("%d tries are under way, the plan counts %d", open, w.plan.InFlight())
 	}
 	return nil
 }
@@ -287,7 +287,7 @@
 		flag(l.racks[1])
 		b = append(b, l.broke...)
 		num(int64(l.step.Verdict))
-		flag(l.step.Go)
+		flag(l.step.StartNow)
 		num(int64(l.step.Scheduler))
 		at(l.step.At)
 		if j := l.job; j != nil {
@@ -324,19 +324,19 @@
 func TestMisjudgedEndsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		class      int
-		was, taken Proof
+		was, taken Outcome
 	}{
-		{post, Crossed, Unreached}, // a kept connection that ended, taken for nobody listening
-		{post, Crossed, NotSent},
-		{post, Lost, NotSent},
-		{batch, Garbled, NoRoom},
-		{keyed, Lost, NotSent}, // beyond its window
+		{post, ReusedClosed, ConnectFailed}, // a kept connection that ended, taken for nobody listening
+		{post, ReusedClosed, NotSent},
+		{post, NoResponse, NotSent},
+		{batch, Malformed, ClientLimited},
+		{keyed, NoResponse, NotSent}, // beyond its window
 	} {
 		w := newWorld(c.class, 1)
 		w.cfg.Classes = slices.Clone(w.cfg.Classes)
 		w.plan.cfg.Classes = w.cfg.Classes
 		w.cfg.Classes[keyed].Window = 200 * time.Millisecond
-		w.misjudge = func(p Proof) Proof {
+		w.misjudge = func(p Outcome) Outcome {
 			if p == c.was {
 				return c.taken
 			}
--- a/client/observer.go
+++ b/client/observer.go
@@ -10,13 +10,13 @@
 // safe for many goroutines, return at once and not call the client. Package
 // dahliaford/desk/prom has one for Prometheus.
 type Observer interface {
-	// Tried is told of each try, and of each that came to nothing for want of a connection
+	// AttemptEnded is told of each try, and of each that came to nothing for want of a connection
 	// (unreached, parted, no room): its scheduler, how it ended (served, refused, failed,
 	// invalid, unreached, parted, not sent, no room, crossed, lost or garbled), and what it took.
-	Tried(scheduler, class, outcome string, took time.Duration)
-	// Ended is told of each job: its Verdict, the tries that a result took (0 without a
+	AttemptEnded(scheduler, class, outcome string, took time.Duration)
+	// JobEnded is told of each job: its Verdict, the tries that a result took (0 without a
 	// result), and what it took in all.
-	Ended(class, verdict string, tries int, took time.Duration)
+	JobEnded(class, verdict string, tries int, took time.Duration)
 	// Connected is told of each new connection, and of each that did not come up.
 	Connected(scheduler string, err error)
 	// Throttled is told when a job got no retry because the budget was used up.
@@ -25,27 +25,27 @@
 
 type nobody struct{}
 
-func (nobody) Tried(string, string, string, time.Duration) {}
-func (nobody) Ended(string, string, int, time.Duration)    {}
-func (nobody) Connected(string, error)                     {}
-func (nobody) Throttled()                                  {}
+func (nobody) AttemptEnded(string, string, string, time.Duration) {}
+func (nobody) JobEnded(string, string, int, time.Duration)        {}
+func (nobody) Connected(string, error)                            {}
+func (nobody) Throttled()                                         {}
 
 // word says how a try ended.
 func (o outcome) word() string {
-	switch o.Proof {
-	case plan.Unreached:
+	switch o.Outcome {
+	case plan.ConnectFailed:
 		return "unreached"
-	case plan.Parted:
+	case plan.IdleClosed:
 		return "parted"
 	case plan.NotSent:
 		return "not sent"
-	case plan.NoRoom:
+	case plan.ClientLimited:
 		return "no room"
-	case plan.Crossed:
+	case plan.ReusedClosed:
 		return "crossed"
-	case plan.Lost:
+	case plan.NoResponse:
 		return "lost"
-	case plan.Garbled:
+	case plan.Malformed:
 		return "garbled"
 	}
 	switch {
--- a/client/prom/prom.go
+++ b/client/prom/prom.go
@@ -51,13 +51,13 @@
 	return o, nil
 }
 
-// Tried counts a try.
-func (o *Observer) Tried(scheduler, class, outcome string, _ time.Duration) {
+// AttemptEnded counts a try.
+func (o *Observer) AttemptEnded(scheduler, class, outcome string, _ time.Duration) {
 	o.tries.WithLabelValues(scheduler, class, outcome).Inc()
 }
 
-// Ended counts a job.
-func (o *Observer) Ended(class, verdict string, _ int, took time.Duration) {
+// JobEnded counts a job.
+func (o *Observer) JobEnded(class, verdict string, _ int, took time.Duration) {
 	o.jobs.WithLabelValues(class, verdict).Inc()
 	o.took.WithLabelValues(class, verdict).Observe(took.Seconds())
 }
--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -36,7 +36,7 @@
 		t.Error("registered twice")
 	}
 	do := func(addr string, want string) {
-		c, err := client.New(client.Config{Schedulers: []string{addr}, Observer: o, Budget: -1,
+		c, err := client.New(client.Config{Schedulers: []string{addr}, Observer: o, RetryBudget: -1,
 			Classes: map[string]client.Class{"a": {Deadline: 100 * time.Millisecond, Effect: client.Once}}})
 		if err != nil {
 			t.Fatal(err)
--- a/client/verdict.go
+++ b/client/verdict.go
@@ -5,11 +5,11 @@
 // Verdict names how a job ended, by the error that Do returned: served, refused, failed,
 // unknown, invalid or expired; "" for an error that is none of this package's.
 func Verdict(err error) string {
-	var refused *Refused
-	var failed *Failed
-	var unknown *Unknown
-	var invalid *Invalid
-	var expired *Expired
+	var refused *RefusedError
+	var failed *FailedError
+	var unknown *UnknownOutcomeError
+	var invalid *InvalidJobError
+	var expired *ExpiredError
 	switch {
 	case err == nil:
 		return "served"
--- a/cmd/dahliaford/send.go
+++ b/cmd/dahliaford/send.go
@@ -120,9 +120,9 @@
 func (c *sendCmd) body(in io.Reader) ([]byte, error) {
 	switch {
 	case c.Data == "-":
-		return limited(in, "standard input", client.MostBody)
+		return limited(in, "standard input", client.MaxBodyBytes)
 	case strings.HasPrefix(c.Data, "@"):
-		b, err := readFile(c.Data[1:], client.MostBody)
+		b, err := readFile(c.Data[1:], client.MaxBodyBytes)
 		if err != nil {
 			return nil, misuse("--data: %v", err)
 		}
@@ -175,9 +175,9 @@
 
 // sentence says how a job ended, and when to come back where that is known.
 func sentence(err error) string {
-	var r *client.Refused
+	var r *client.RefusedError
 	if errors.As(err, &r) {
-		if wait := time.Until(r.After); wait > 0 {
+		if wait := time.Until(r.RetryAfter); wait > 0 {
 			return fmt.Sprintf("%v; come back in %v", err, wait.Round(10*time.Millisecond))
 		}
 	}
@@ -297,7 +297,7 @@
 			if err != nil {
 				e.Error = sentence(err)
 			} else {
-				e.Tries, e.Result = r.Tries, string(r.Body)
+				e.Tries, e.Result = r.Attempts, string(r.Body)
 			}
 			t.note(e)
 		}
--- a/cmd/dahliaford/store.go
+++ b/cmd/dahliaford/store.go
@@ -45,7 +45,7 @@
 
 // Run prints what the record says, in the order in which it came about.
 func (c *showCmd) Run(s *streams) error {
-	r, err := store.Read(c.File)
+	r, err := store.OpenReader(c.File)
 	if err != nil {
 		return err
 	}
@@ -62,14 +62,14 @@
 	line(it.Accepted, "accepted: class %s, tenant %q, key %q, %d bytes, until %s", it.Class, it.Tenant, it.Key,
 		len(it.Body), time.UnixMicro(int64(it.Deadline)).UTC().Format("2006-01-02 15:04:05.000"))
 	for i, a := range it.Attempts {
-		line(a.At, "attempt %d: routed to %s, rack %s", i+1, a.Region, a.Rack)
-		if a.What != lifecycle.Open {
-			line(a.Ended, "attempt %d: %v", i+1, a.What)
+		line(a.At, "attempt %d: routed to %s, rack %s", i+1, a.Worker, a.Rack)
+		if a.Outcome != lifecycle.Unfinished {
+			line(a.Ended, "attempt %d: %v", i+1, a.Outcome)
 		}
 	}
 	if it.Verdict != lifecycle.None {
 		line(it.Answered, "answered: %v, %d bytes, kept until %s", it.Verdict, len(it.Result),
-			time.UnixMicro(int64(it.Keep)).UTC().Format("2006-01-02 15:04:05.000"))
+			time.UnixMicro(int64(it.KeepUntil)).UTC().Format("2006-01-02 15:04:05.000"))
 	} else if it.Outstanding() {
 		fmt.Fprintln(t, "now\tthe attempt has not ended, as far as the store knows")
 	} else {
--- a/cmd/dahliaford/store_test.go
+++ b/cmd/dahliaford/store_test.go
@@ -34,15 +34,15 @@
 	it := &lifecycle.Item{ID: "a1", Class: "post-reading", Tenant: "sahel", Body: []byte("4211"),
 		Accepted: 1_000_000, Deadline: 9_000_000}
 	put(s.Accept, store.Change{Item: it})
-	for _, e := range []lifecycle.Event{{Kind: lifecycle.Routed, At: 2_000_000, Region: "s-1", Rack: "north/0"},
-		{Kind: lifecycle.Ended, At: 3_000_000, What: lifecycle.MayHave},
-		{Kind: lifecycle.Answered, At: 4_000_000, Verdict: lifecycle.Failed, Keep: 8_000_000}} {
+	for _, e := range []lifecycle.Event{{Kind: lifecycle.Routed, At: 2_000_000, Worker: "s-1", Rack: "north/0"},
+		{Kind: lifecycle.AttemptEnded, At: 3_000_000, Outcome: lifecycle.MayHaveRun},
+		{Kind: lifecycle.Answered, At: 4_000_000, Verdict: lifecycle.Failed, KeepUntil: 8_000_000}} {
 		if err := it.Apply(e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	put(s.Update, store.Change{Item: it})
-	wrong := &lifecycle.Item{ID: "b2", Attempts: []lifecycle.Attempt{{At: 5, What: lifecycle.MayHave}, {At: 6}}, Deadline: 9}
+	wrong := &lifecycle.Item{ID: "b2", Attempts: []lifecycle.Attempt{{At: 5, Outcome: lifecycle.MayHaveRun}, {At: 6}}, Deadline: 9}
 	put(s.Accept, store.Change{Item: wrong})
 
 	call := func(args ...string) (int, string, string) {
@@ -87,7 +87,7 @@
 	if s, err = store.Open(store.Config{Path: path}); err != nil {
 		t.Fatal(err)
 	}
-	put(s.Update, store.Change{Item: wrong, Forget: true})
+	put(s.Update, store.Change{Item: wrong, Delete: true})
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/schedbench/desks.go
+++ b/cmd/schedbench/desks.go
@@ -69,15 +69,15 @@
 
 // The library's word of what it does; see desk.Observer.
 
-// Tried counts the tries that were handed in: without a connection there was none.
-func (r *deskRun) Tried(_, _, outcome string, _ time.Duration) {
+// AttemptEnded counts the tries that were handed in: without a connection there was none.
+func (r *deskRun) AttemptEnded(_, _, outcome string, _ time.Duration) {
 	if outcome != "no room" && outcome != "unreached" && outcome != "parted" {
 		r.tries.Add(1)
 	}
 }
 
-// Ended is counted by who called.
-func (r *deskRun) Ended(string, string, int, time.Duration) {}
+// JobEnded is counted by who called.
+func (r *deskRun) JobEnded(string, string, int, time.Duration) {}
 
 // Connected counts new connections.
 func (r *deskRun) Connected(string, error) { r.dialled() }
--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -56,11 +56,11 @@
 					var err error
 					switch step {
 					case 2:
-						err = it.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 1, Region: "s-1"})
+						err = it.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 1, Worker: "s-1"})
 					case 3:
-						err = it.Apply(lifecycle.Event{Kind: lifecycle.Ended, At: 2, What: lifecycle.Done, Result: it.Body})
+						err = it.Apply(lifecycle.Event{Kind: lifecycle.AttemptEnded, At: 2, Outcome: lifecycle.Done, Result: it.Body})
 					case 4:
-						err = it.Apply(lifecycle.Event{Kind: lifecycle.Answered, At: 3, Verdict: lifecycle.Served, Keep: 1 << 60})
+						err = it.Apply(lifecycle.Event{Kind: lifecycle.Answered, At: 3, Verdict: lifecycle.Served, KeepUntil: 1 << 60})
 					}
 					change := store.Change{Item: it, Done: func(err error) { done <- err }}
 					if put := s.Update; err == nil {
@@ -127,7 +127,7 @@
 		run.Wait()
 		kills++
 		next += 10 * keepers // past what was stored and not confirmed
-		r, err := store.Read(path)
+		r, err := store.OpenReader(path)
 		if err != nil {
 			return nil, fmt.Errorf("after kill %d: %w", kills, err)
 		}
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -28,9 +28,9 @@
 // Store says how the job store is kept.
 type Store struct {
 	store.Config
-	Keep time.Duration // how long an answer can be read
-	Ask  time.Duration // how long workers may call back after a start
-	End  bool          // the program ends when the disk fails, instead of serving on
+	AnswerRetention time.Duration // how long an answer can be read
+	CallbackWait    time.Duration // how long workers may call back after a start
+	ExitOnDiskError bool          // the program ends when the disk fails, instead of serving on
 }
 
 const (
@@ -61,13 +61,13 @@
 		return Config{}, nil
 	}
 	s := &Store{Config: store.Config{Path: filepath.Join(f.Store.Directory, storeFile),
-		MostItems: f.Store.MostItems, MostBytes: f.Store.MostMB << 20},
-		Keep: defaultKeep, Ask: defaultAsk, End: f.Store.OnFailure == "end"}
+		MaxItems: f.Store.MostItems, MaxBytes: f.Store.MostMB << 20},
+		AnswerRetention: defaultKeep, CallbackWait: defaultAsk, ExitOnDiskError: f.Store.OnFailure == "end"}
 	if f.Store.KeepS != nil {
-		s.Keep = time.Duration(*f.Store.KeepS * float64(time.Second))
+		s.AnswerRetention = time.Duration(*f.Store.KeepS * float64(time.Second))
 	}
 	if f.Store.AskMs != nil {
-		s.Ask = time.Duration(*f.Store.AskMs) * time.Millisecond
+		s.CallbackWait = time.Duration(*f.Store.AskMs) * time.Millisecond
 	}
 	return Config{Store: s}, nil
 }
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -18,12 +18,12 @@
 	}
 	for raw, want := range map[string]Config{
 		`{}`: {},
-		`{"store":{"directory":"d"}}`: {Store: &Store{Config: store.Config{Path: "d/jobs.db"}, Keep: time.Hour,
-			Ask: 5 * time.Second}},
+		`{"store":{"directory":"d"}}`: {Store: &Store{Config: store.Config{Path: "d/jobs.db"}, AnswerRetention: time.Hour,
+			CallbackWait: 5 * time.Second}},
 		`{"store":{"directory":"d","ask_ms":0,"keep_s":0.5,"on_failure":"end"}}`: {Store: &Store{
-			Config: store.Config{Path: "d/jobs.db"}, Keep: time.Second / 2, End: true}},
+			Config: store.Config{Path: "d/jobs.db"}, AnswerRetention: time.Second / 2, ExitOnDiskError: true}},
 		string(shipped): {Store: &Store{Config: store.Config{Path: "/var/lib/dahliaford/jobs.db",
-			MostItems: 1_000_000, MostBytes: 1 << 30}, Keep: time.Hour, Ask: 5 * time.Second}},
+			MaxItems: 1_000_000, MaxBytes: 1 << 30}, AnswerRetention: time.Hour, CallbackWait: 5 * time.Second}},
 	} {
 		got, err := Parse([]byte(raw))
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
--- a/internal/appliance/compat_test.go
+++ b/internal/appliance/compat_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	want := Config{Store: &Store{Config: store.Config{Path: "/var/lib/dahliaford/jobs.db",
-		MostItems: 1_000_000, MostBytes: 1 << 30}, Keep: time.Hour, Ask: 5 * time.Second}}
+		MaxItems: 1_000_000, MaxBytes: 1 << 30}, AnswerRetention: time.Hour, CallbackWait: 5 * time.Second}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -51,7 +51,7 @@
 				b.Fatal(err)
 			}
 			c := &counting{disk: d}
-			s, err := start(Config{MostItems: defaultItems, MostBytes: 8 << 30}, c)
+			s, err := start(Config{MaxItems: defaultItems, MaxBytes: 8 << 30}, c)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -97,7 +97,7 @@
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			path := filepath.Join(b.TempDir(), "jobs")
-			s := open(b, Config{Path: path, MostItems: 2_000_000, MostBytes: 8 << 30})
+			s := open(b, Config{Path: path, MaxItems: 2_000_000, MaxBytes: 8 << 30})
 			room := make(chan bool, 1024)
 			for i := range n {
 				room <- true
@@ -112,7 +112,7 @@
 			}
 			var heap uint64
 			for b.Loop() {
-				s := open(b, Config{Path: path, MostItems: 2_000_000, MostBytes: 8 << 30})
+				s := open(b, Config{Path: path, MaxItems: 2_000_000, MaxBytes: 8 << 30})
 				r, err := s.Recover(1)
 				if err != nil || len(r.Items) != n {
 					b.Fatal(err)
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -207,7 +207,7 @@
 		for _, c := range batch {
 			key := []byte(c.Item.ID)
 			held := items.Get(key) != nil
-			if c.Forget {
+			if c.Delete {
 				if held {
 					count--
 				}
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -16,7 +16,7 @@
 // verdict, and each field of a record at least once.
 func version2Items() map[string]*lifecycle.Item {
 	attempt := func(region, rack string, at, ended lifecycle.Micros, how lifecycle.Outcome) lifecycle.Attempt {
-		return lifecycle.Attempt{Region: region, Rack: rack, At: at, Ended: ended, What: how}
+		return lifecycle.Attempt{Worker: region, Rack: rack, At: at, Ended: ended, Outcome: how}
 	}
 	all := map[string]*lifecycle.Item{}
 	for _, it := range []*lifecycle.Item{
@@ -24,26 +24,26 @@
 			Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000},
 		{ID: "bare", Deadline: 1},
 		{ID: "routed", Class: "post-reading", Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000,
-			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 0, lifecycle.Open)}},
+			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 0, lifecycle.Unfinished)}},
 		{ID: "never-ran", Class: "district-batch", Effect: lifecycle.Rack, Window: 30_000_000, Accepted: 1_000_000,
 			Deadline: 9_000_000,
-			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.Never)}},
+			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.NeverRan)}},
 		{ID: "may-have-run", Class: "district-batch", Effect: lifecycle.Rack, Window: 30_000_000, Accepted: 1_000_000,
 			Deadline: 9_000_000, Attempts: []lifecycle.Attempt{
-				attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHave),
-				attempt("s-2", "north/0", 4_000_000, 0, lifecycle.Open)}},
+				attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHaveRun),
+				attempt("s-2", "north/0", 4_000_000, 0, lifecycle.Unfinished)}},
 		{ID: "done", Class: "invoice", Effect: lifecycle.Anywhere, Window: 30_000_000, Accepted: 1_000_000,
 			Deadline: 9_000_000, Result: []byte("r"), Attempts: []lifecycle.Attempt{
-				attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHave),
+				attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHaveRun),
 				attempt("s-9", "south/1", 4_000_000, 5_000_000, lifecycle.Done)}},
 		{ID: "served", Class: "lookup", Effect: lifecycle.Safe, Accepted: 1_000_000, Deadline: 9_000_000,
 			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.Done)},
-			Verdict:  lifecycle.Served, Result: []byte("result"), Answered: 4_000_000, Keep: 8_000_000},
+			Verdict:  lifecycle.Served, Result: []byte("result"), Answered: 4_000_000, KeepUntil: 8_000_000},
 		{ID: "failed", Class: "post-reading", Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000,
-			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHave)},
-			Verdict:  lifecycle.Failed, Answered: 4_000_000, Keep: 8_000_000},
+			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHaveRun)},
+			Verdict:  lifecycle.Failed, Answered: 4_000_000, KeepUntil: 8_000_000},
 		{ID: "expired", Class: "post-reading", Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000,
-			Verdict: lifecycle.Expired, Answered: 9_000_000, Keep: 12_000_000},
+			Verdict: lifecycle.Expired, Answered: 9_000_000, KeepUntil: 12_000_000},
 	} {
 		all[it.ID] = it
 	}
--- a/internal/store/lifecycle/life.go
+++ b/internal/store/lifecycle/life.go
@@ -32,10 +32,10 @@
 
 // The outcomes.
 const (
-	Open    Outcome = iota // it has not ended, as far as the record knows
-	Never                  // it did not run, and never will
-	MayHave                // it may have run, or may yet
-	Done                   // it ran, and its result is known
+	Unfinished Outcome = iota // it has not ended, as far as the record knows
+	NeverRan                  // it did not run, and never will
+	MayHaveRun                // it may have run, or may yet
+	Done                      // it ran, and its result is known
 )
 
 func (o Outcome) String() string {
@@ -63,35 +63,35 @@
 
 func (v Verdict) String() string { return word(int(v), "none", "served", "failed", "expired") }
 
-// MostAttempts is how often an item may be routed in all.
-const MostAttempts = 4
+// MaxAttempts is how often an item may be routed in all.
+const MaxAttempts = 4
 
 // Attempt is one routing of an item.
 type Attempt struct {
-	Region string  `json:"region"`
-	Rack   string  `json:"rack"`
-	At     Micros  `json:"at"`
-	Ended  Micros  `json:"ended,omitempty"`
-	What   Outcome `json:"outcome"`
+	Worker  string  `json:"region"`
+	Rack    string  `json:"rack"`
+	At      Micros  `json:"at"`
+	Ended   Micros  `json:"ended,omitempty"`
+	Outcome Outcome `json:"outcome"`
 }
 
 // Item is a job from its acceptance until it is forgotten.
 type Item struct {
-	ID       string    `json:"id"`
-	Class    string    `json:"class"`
-	Tenant   string    `json:"tenant,omitempty"`
-	Object   string    `json:"object,omitempty"`
-	Key      string    `json:"key,omitempty"`
-	Body     []byte    `json:"body,omitempty"`
-	Effect   Effect    `json:"effect"`
-	Window   Micros    `json:"window,omitempty"` // for Rack and Anywhere: since an attempt first may have run
-	Accepted Micros    `json:"accepted"`
-	Deadline Micros    `json:"deadline"`
-	Attempts []Attempt `json:"attempts,omitempty"`
-	Verdict  Verdict   `json:"verdict,omitempty"`
-	Result   []byte    `json:"result,omitempty"`
-	Answered Micros    `json:"answered,omitempty"`
-	Keep     Micros    `json:"keep,omitempty"` // the answer may be read until then
+	ID        string    `json:"id"`
+	Class     string    `json:"class"`
+	Tenant    string    `json:"tenant,omitempty"`
+	Object    string    `json:"object,omitempty"`
+	Key       string    `json:"key,omitempty"`
+	Body      []byte    `json:"body,omitempty"`
+	Effect    Effect    `json:"effect"`
+	Window    Micros    `json:"window,omitempty"` // for Rack and Anywhere: since an attempt first may have run
+	Accepted  Micros    `json:"accepted"`
+	Deadline  Micros    `json:"deadline"`
+	Attempts  []Attempt `json:"attempts,omitempty"`
+	Verdict   Verdict   `json:"verdict,omitempty"`
+	Result    []byte    `json:"result,omitempty"`
+	Answered  Micros    `json:"answered,omitempty"`
+	KeepUntil Micros    `json:"keep,omitempty"` // the answer may be read until then
 }
 
 // Kind is what happens to an item.
@@ -99,38 +99,38 @@
 
 // The kinds of events. An item begins with its acceptance, which is no event.
 const (
-	Routed   Kind = iota // an attempt is about to go out: Region, Rack
-	Ended                // the last attempt ended: What, and Result with Done
-	Answered             // the final answer: Verdict, and Keep
+	Routed       Kind = iota // an attempt is about to go out: Region, Rack
+	AttemptEnded             // the last attempt ended: What, and Result with Done
+	Answered                 // the final answer: Verdict, and Keep
 )
 
 // Event is something that happens to an item.
 type Event struct {
-	Kind    Kind
-	At      Micros
-	Region  string
-	Rack    string
-	What    Outcome
-	Result  []byte
-	Verdict Verdict
-	Keep    Micros
+	Kind      Kind
+	At        Micros
+	Worker    string
+	Rack      string
+	Outcome   Outcome
+	Result    []byte
+	Verdict   Verdict
+	KeepUntil Micros
 }
 
 // The errors of events that cannot be.
 var (
-	ErrOver        = errors.New("the item has its answer")
-	ErrOutstanding = errors.New("an attempt is outstanding")
-	ErrNoAttempt   = errors.New("no attempt is outstanding")
-	ErrTooMany     = errors.New("no attempt is left")
-	ErrMayHaveRun  = errors.New("an attempt may have run, and the class allows no repeat there")
-	ErrLate        = errors.New("the deadline has passed")
-	ErrDishonest   = errors.New("the answer is not what the attempts prove")
+	ErrAnswered        = errors.New("the item has its answer")
+	ErrOutstanding     = errors.New("an attempt is outstanding")
+	ErrNoAttempt       = errors.New("no attempt is outstanding")
+	ErrNoAttemptsLeft  = errors.New("no attempt is left")
+	ErrMayHaveRun      = errors.New("an attempt may have run, and the class allows no repeat there")
+	ErrDeadlinePassed  = errors.New("the deadline has passed")
+	ErrUnprovenVerdict = errors.New("the answer is not what the attempts prove")
 )
 
 // Apply takes an event. An item that it does not fit stays as it was.
 func (it *Item) Apply(e Event) error {
 	if it.Verdict != None {
-		return ErrOver
+		return ErrAnswered
 	}
 	switch e.Kind {
 	case Routed:
@@ -138,22 +138,22 @@
 			return err
 		}
 		it.Attempts = append(it.Attempts[:len(it.Attempts):len(it.Attempts)],
-			Attempt{Region: e.Region, Rack: e.Rack, At: e.At})
-	case Ended:
-		if !it.Outstanding() || e.What == Open {
+			Attempt{Worker: e.Worker, Rack: e.Rack, At: e.At})
+	case AttemptEnded:
+		if !it.Outstanding() || e.Outcome == Unfinished {
 			return ErrNoAttempt
 		}
 		it.Attempts = append([]Attempt(nil), it.Attempts...)
 		last := &it.Attempts[len(it.Attempts)-1]
-		last.Ended, last.What = e.At, e.What
-		if e.What == Done {
+		last.Ended, last.Outcome = e.At, e.Outcome
+		if e.Outcome == Done {
 			it.Result = e.Result
 		}
 	case Answered:
 		if !it.fits(e.Verdict) {
-			return ErrDishonest
+			return ErrUnprovenVerdict
 		}
-		it.Verdict, it.Answered, it.Keep = e.Verdict, e.At, e.Keep
+		it.Verdict, it.Answered, it.KeepUntil = e.Verdict, e.At, e.KeepUntil
 	default:
 		return fmt.Errorf("unknown event %d", e.Kind)
 	}
@@ -164,7 +164,7 @@
 func (it *Item) fits(v Verdict) bool {
 	switch v {
 	case Served:
-		return len(it.Attempts) > 0 && it.Attempts[len(it.Attempts)-1].What == Done
+		return len(it.Attempts) > 0 && it.Attempts[len(it.Attempts)-1].Outcome == Done
 	case Expired:
 		_, ran := it.firstRan()
 		return !ran
@@ -176,13 +176,13 @@
 
 // Outstanding tells whether an attempt is under way, as far as the record knows.
 func (it *Item) Outstanding() bool {
-	return len(it.Attempts) > 0 && it.Attempts[len(it.Attempts)-1].What == Open
+	return len(it.Attempts) > 0 && it.Attempts[len(it.Attempts)-1].Outcome == Unfinished
 }
 
 // firstRan is the first attempt that may have run.
 func (it *Item) firstRan() (Attempt, bool) {
 	for _, a := range it.Attempts {
-		if a.What != Never {
+		if a.Outcome != NeverRan {
 			return a, true
 		}
 	}
@@ -193,13 +193,13 @@
 func (it *Item) MayRoute(at Micros, rack string) error {
 	switch {
 	case it.Verdict != None:
-		return ErrOver
+		return ErrAnswered
 	case it.Outstanding():
 		return ErrOutstanding
-	case len(it.Attempts) >= MostAttempts:
-		return ErrTooMany
+	case len(it.Attempts) >= MaxAttempts:
+		return ErrNoAttemptsLeft
 	case at >= it.Deadline:
-		return ErrLate
+		return ErrDeadlinePassed
 	}
 	first, ran := it.firstRan()
 	if !ran {
@@ -220,13 +220,13 @@
 		return errors.New("no id, or an unknown effect")
 	}
 	for i, a := range it.Attempts {
-		if err := again.Apply(Event{Kind: Routed, At: a.At, Region: a.Region, Rack: a.Rack}); err != nil {
+		if err := again.Apply(Event{Kind: Routed, At: a.At, Worker: a.Worker, Rack: a.Rack}); err != nil {
 			return fmt.Errorf("attempt %d: %w", i+1, err)
 		}
-		if a.What == Open {
+		if a.Outcome == Unfinished {
 			continue
 		}
-		if err := again.Apply(Event{Kind: Ended, At: a.Ended, What: a.What}); err != nil || a.What > Done {
+		if err := again.Apply(Event{Kind: AttemptEnded, At: a.Ended, Outcome: a.Outcome}); err != nil || a.Outcome > Done {
 			return fmt.Errorf("attempt %d: its end does not fit", i+1)
 		}
 	}
--- a/internal/store/lifecycle/life_test.go
+++ b/internal/store/lifecycle/life_test.go
@@ -15,10 +15,10 @@
 }
 
 func routed(at Micros, rack string) Event {
-	return Event{Kind: Routed, At: at, Region: "s-" + rack, Rack: rack}
+	return Event{Kind: Routed, At: at, Worker: "s-" + rack, Rack: rack}
 }
 
-func ended(what Outcome) Event { return Event{Kind: Ended, At: 2 * second, What: what} }
+func ended(what Outcome) Event { return Event{Kind: AttemptEnded, At: 2 * second, Outcome: what} }
 
 // Where another attempt may go, by effect and by how the last one ended.
 func TestMayRoute(t *testing.T) {
@@ -29,12 +29,12 @@
 		rack string
 		want [4]error // once, rack, anywhere, safe
 	}{
-		{"it never ran", Never, 5 * second, "b", [4]error{}},
-		{"it may have run, same rack", MayHave, 5 * second, "a", [4]error{ErrMayHaveRun, nil, nil, nil}},
-		{"it may have run, another rack", MayHave, 5 * second, "b", [4]error{ErrMayHaveRun, ErrMayHaveRun}},
-		{"past the window", MayHave, 11 * second, "a", [4]error{ErrMayHaveRun, ErrMayHaveRun, ErrMayHaveRun, nil}},
-		{"past the deadline", Never, 100 * second, "a", [4]error{ErrLate, ErrLate, ErrLate, ErrLate}},
-		{"outstanding", Open, 5 * second, "a", [4]error{ErrOutstanding, ErrOutstanding, ErrOutstanding,
+		{"it never ran", NeverRan, 5 * second, "b", [4]error{}},
+		{"it may have run, same rack", MayHaveRun, 5 * second, "a", [4]error{ErrMayHaveRun, nil, nil, nil}},
+		{"it may have run, another rack", MayHaveRun, 5 * second, "b", [4]error{ErrMayHaveRun, ErrMayHaveRun}},
+		{"past the window", MayHaveRun, 11 * second, "a", [4]error{ErrMayHaveRun, ErrMayHaveRun, ErrMayHaveRun, nil}},
+		{"past the deadline", NeverRan, 100 * second, "a", [4]error{ErrDeadlinePassed, ErrDeadlinePassed, ErrDeadlinePassed, ErrDeadlinePassed}},
+		{"outstanding", Unfinished, 5 * second, "a", [4]error{ErrOutstanding, ErrOutstanding, ErrOutstanding,
 			ErrOutstanding}},
 	} {
 		for effect, want := range c.want {
@@ -42,7 +42,7 @@
 			if err := it.Apply(routed(second, "a")); err != nil {
 				t.Fatal(err)
 			}
-			if c.what != Open {
+			if c.what != Unfinished {
 				if err := it.Apply(ended(c.what)); err != nil {
 					t.Fatal(err)
 				}
@@ -57,36 +57,36 @@
 // What recovery does, by what was on disk.
 func TestRecover(t *testing.T) {
 	open := []Event{routed(second, "a")}
-	ran := append(open, ended(MayHave))
-	done := append(open, Event{Kind: Ended, At: 2 * second, What: Done, Result: []byte("r")})
-	over := append(done, Event{Kind: Answered, At: 2 * second, Verdict: Served, Keep: 20 * second})
+	ran := append(open, ended(MayHaveRun))
+	done := append(open, Event{Kind: AttemptEnded, At: 2 * second, Outcome: Done, Result: []byte("r")})
+	over := append(done, Event{Kind: Answered, At: 2 * second, Verdict: Served, KeepUntil: 20 * second})
 	for _, c := range []struct {
 		name   string
 		effect Effect
 		events []Event
-		now    Now
+		now    Clock
 		step   Step
 		event  Event
 	}{
-		{"never sent", Once, nil, Now{At: 5 * second}, GoOn, Event{}},
-		{"never sent, too late", Once, nil, Now{At: 100 * second}, Apply,
-			Event{Kind: Answered, At: 100 * second, Verdict: Expired, Keep: 107 * second}},
-		{"on its way, regions may call", Once, open, Now{At: 5 * second}, Wait, Event{}},
-		{"on its way, too late, regions may call", Once, open, Now{At: 200 * second}, Wait, Event{}},
-		{"on its way, nobody called", Once, open, Now{At: 5 * second, Asked: true}, Apply,
-			Event{Kind: Ended, At: 5 * second, What: MayHave}},
-		{"may have run, once", Once, ran, Now{At: 5 * second, Asked: true}, Apply,
-			Event{Kind: Answered, At: 5 * second, Verdict: Failed, Keep: 12 * second}},
-		{"may have run, rack", Rack, ran, Now{At: 5 * second}, GoOn, Event{}},
-		{"may have run, rack, past the window", Rack, ran, Now{At: 15 * second}, Apply,
-			Event{Kind: Answered, At: 15 * second, Verdict: Failed, Keep: 22 * second}},
-		{"may have run, the clock went back", Anywhere, ran, Now{At: 5 * second, Back: true}, Apply,
-			Event{Kind: Answered, At: 5 * second, Verdict: Failed, Keep: 12 * second}},
-		{"may have run, safe, the clock went back", Safe, ran, Now{At: 5 * second, Back: true}, GoOn, Event{}},
-		{"done, not answered", Once, done, Now{At: 200 * second}, Apply,
-			Event{Kind: Answered, At: 200 * second, Verdict: Served, Keep: 207 * second}},
-		{"answered", Once, over, Now{At: 5 * second}, Held, Event{}},
-		{"answered long ago", Once, over, Now{At: 20 * second}, Forget, Event{}},
+		{"never sent", Once, nil, Clock{At: 5 * second}, Resume, Event{}},
+		{"never sent, too late", Once, nil, Clock{At: 100 * second}, Apply,
+			Event{Kind: Answered, At: 100 * second, Verdict: Expired, KeepUntil: 107 * second}},
+		{"on its way, regions may call", Once, open, Clock{At: 5 * second}, Wait, Event{}},
+		{"on its way, too late, regions may call", Once, open, Clock{At: 200 * second}, Wait, Event{}},
+		{"on its way, nobody called", Once, open, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
+			Event{Kind: AttemptEnded, At: 5 * second, Outcome: MayHaveRun}},
+		{"may have run, once", Once, ran, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
+			Event{Kind: Answered, At: 5 * second, Verdict: Failed, KeepUntil: 12 * second}},
+		{"may have run, rack", Rack, ran, Clock{At: 5 * second}, Resume, Event{}},
+		{"may have run, rack, past the window", Rack, ran, Clock{At: 15 * second}, Apply,
+			Event{Kind: Answered, At: 15 * second, Verdict: Failed, KeepUntil: 22 * second}},
+		{"may have run, the clock went back", Anywhere, ran, Clock{At: 5 * second, WentBack: true}, Apply,
+			Event{Kind: Answered, At: 5 * second, Verdict: Failed, KeepUntil: 12 * second}},
+		{"may have run, safe, the clock went back", Safe, ran, Clock{At: 5 * second, WentBack: true}, Resume, Event{}},
+		{"done, not answered", Once, done, Clock{At: 200 * second}, Apply,
+			Event{Kind: Answered, At: 200 * second, Verdict: Served, KeepUntil: 207 * second}},
+		{"answered", Once, over, Clock{At: 5 * second}, KeepAnswer, Event{}},
+		{"answered long ago", Once, over, Clock{At: 20 * second}, Delete, Event{}},
 	} {
 		it := fresh(c.effect)
 		for _, e := range c.events {
@@ -111,10 +111,10 @@
 	const hour = 3600 * second
 	for _, c := range []struct {
 		clock Micros
-		want  Now
-	}{{10 * second, Now{At: 10 * second}}, {hour, Now{At: hour}},
-		{9*second - hour, Now{At: 9 * second, Back: true}}} {
-		if diff := cmp.Diff(c.want, Since(c.clock, 9*second)); diff != "" {
+		want  Clock
+	}{{10 * second, Clock{At: 10 * second}}, {hour, Clock{At: hour}},
+		{9*second - hour, Clock{At: 9 * second, WentBack: true}}} {
+		if diff := cmp.Diff(c.want, ClockSince(c.clock, 9*second)); diff != "" {
 			t.Error(diff)
 		}
 	}
@@ -129,8 +129,8 @@
 		for range rapid.IntRange(0, 14).Draw(t, "events") {
 			now += Micros(rapid.IntRange(0, 5_000_000).Draw(t, "time"))
 			e := Event{Kind: Kind(rapid.IntRange(0, 2).Draw(t, "kind")), At: now,
-				Rack: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "rack"),
-				What: Outcome(rapid.IntRange(0, 3).Draw(t, "what")), Verdict: Verdict(rapid.IntRange(0, 3).Draw(t, "v"))}
+				Rack:    rapid.SampledFrom([]string{"a", "b"}).Draw(t, "rack"),
+				Outcome: Outcome(rapid.IntRange(0, 3).Draw(t, "what")), Verdict: Verdict(rapid.IntRange(0, 3).Draw(t, "v"))}
 			before := it
 			before.Attempts = append([]Attempt(nil), it.Attempts...)
 			if err := it.Apply(e); err != nil {
@@ -144,21 +144,21 @@
 		}
 		ran := 0
 		for _, a := range it.Attempts {
-			if a.What != Never {
+			if a.Outcome != NeverRan {
 				ran++
 			}
 		}
-		if it.Effect == Once && ran > 1 || len(it.Attempts) > MostAttempts {
+		if it.Effect == Once && ran > 1 || len(it.Attempts) > MaxAttempts {
 			t.Fatalf("%+v", it)
 		}
 		for n := 0; it.Verdict == None; n++ {
-			step, e := Recover(&it, Now{At: now + 1000*second, Asked: true}, second)
+			step, e := Recover(&it, Clock{At: now + 1000*second, CallbackWaitOver: true}, second)
 			if n > 3 || step != Apply || it.Apply(e) != nil {
 				t.Fatalf("recovery does not end: %d, %+v", step, it)
 			}
 		}
-		if len(it.Attempts) > 0 && it.Effect == Once && it.Attempts[0].What != Never {
-			it.Attempts = append(it.Attempts, Attempt{Region: "x", At: now})
+		if len(it.Attempts) > 0 && it.Effect == Once && it.Attempts[0].Outcome != NeverRan {
+			it.Attempts = append(it.Attempts, Attempt{Worker: "x", At: now})
 			if it.Check() == nil {
 				t.Fatal("a second attempt at what may have run passes")
 			}
--- a/internal/store/lifecycle/world_test.go
+++ b/internal/store/lifecycle/world_test.go
@@ -98,7 +98,7 @@
 		}
 		if r.Calls && !w.Dead && w.Mem != nil && w.Mem.Outstanding() {
 			add(fmt.Sprint("region ", i, " calls back"), func(w *world) {
-				w.note(Event{Kind: Ended, At: w.Now, What: Done})
+				w.note(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
 				if w.Early == "204" {
 					w.Regions[i].Calls, w.Acked = false, true // before its record is on disk
 				}
@@ -109,7 +109,7 @@
 				w.Regions[i].Calls = false
 				// One that comes after all was concluded is told so, and proves nothing more.
 				n := len(w.Mem.Attempts)
-				w.Acked = w.Acked || n > 0 && w.Mem.Attempts[n-1].What == Done
+				w.Acked = w.Acked || n > 0 && w.Mem.Attempts[n-1].Outcome == Done
 			})
 		}
 	}
@@ -150,15 +150,15 @@
 	if !w.Asked {
 		add("regions have had their while", func(w *world) { w.Asked = true })
 	}
-	step, event := Recover(w.Mem, Now{At: w.Now, Back: w.Back, Asked: w.Asked}, worldKeep)
+	step, event := Recover(w.Mem, Clock{At: w.Now, WentBack: w.Back, CallbackWaitOver: w.Asked}, worldKeep)
 	switch {
 	case step == Apply && w.saved():
 		add("it is concluded", func(w *world) { w.note(event) })
-	case step == GoOn && w.saved() && len(w.Mem.Attempts) < mostTries: // fewer than allowed: fewer states
+	case step == Resume && w.saved() && len(w.Mem.Attempts) < mostTries: // fewer than allowed: fewer states
 		for i, rack := range []string{"a", "b"} {
 			if w.Mem.MayRoute(w.Now, rack) == nil {
 				add("it is routed to "+rack, func(w *world) {
-					w.note(Event{Kind: Routed, At: w.Now, Region: rack, Rack: rack})
+					w.note(Event{Kind: Routed, At: w.Now, Worker: rack, Rack: rack})
 					if w.Early == "route" {
 						w.Sent = true
 						w.Regions[i].Holds = true
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,9 +16,9 @@
 
 // Config says how a store is kept.
 type Config struct {
-	Path      string // of its file
-	MostItems int    // open and answered ones together; 0: a million
-	MostBytes int64  // of the file; 0: 1 GiB
+	Path     string // of its file
+	MaxItems int    // open and answered ones together; 0: a million
+	MaxBytes int64  // of the file; 0: 1 GiB
 }
 
 const (
@@ -34,7 +34,7 @@
 // Change is an item's new state, or its end: the item is forgotten.
 type Change struct {
 	Item   *lifecycle.Item
-	Forget bool
+	Delete bool
 	// Done is told once, from the writer's goroutine, in the order of the changes: nil when
 	// the change is on disk. It must not block.
 	Done func(error)
@@ -53,16 +53,16 @@
 	ErrClosed = errors.New("the store is closed")
 )
 
-// Failure ends all changes after one that the disk did not take: after a failed sync nobody
+// DiskError ends all changes after one that the disk did not take: after a failed sync nobody
 // knows what of the unsynced is there. The store takes nothing more until it is opened anew.
-type Failure struct{ Cause error }
+type DiskError struct{ Cause error }
 
-func (e *Failure) Error() string {
+func (e *DiskError) Error() string {
 	return "the disk failed, nothing more is stored: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (e *Failure) Unwrap() error { return e.Cause }
+func (e *DiskError) Unwrap() error { return e.Cause }
 
 // disk is what a store needs of its engine. A commit is on disk, whole, when it returns nil.
 type disk interface {
@@ -92,13 +92,13 @@
 // Open opens a store, or makes one. Another process that has it open, a version that this
 // program does not know, and a file that is none are one clear line each.
 func Open(cfg Config) (*Store, error) {
-	if cfg.MostItems == 0 {
-		cfg.MostItems = defaultItems
+	if cfg.MaxItems == 0 {
+		cfg.MaxItems = defaultItems
 	}
-	if cfg.MostBytes == 0 {
-		cfg.MostBytes = defaultBytes
+	if cfg.MaxBytes == 0 {
+		cfg.MaxBytes = defaultBytes
 	}
-	if cfg.MostItems < 0 || cfg.MostBytes < 0 {
+	if cfg.MaxItems < 0 || cfg.MaxBytes < 0 {
 		return nil, errors.New("store: a quota must not be negative")
 	}
 	d, err := openBolt(cfg.Path, false)
@@ -120,9 +120,9 @@
 
 // Recovered is what a store held when it was opened.
 type Recovered struct {
-	Items  []*lifecycle.Item
-	Broken []error // a line for each record that cannot be trusted; none of them is in Items
-	Now    lifecycle.Now
+	Items   []*lifecycle.Item
+	Corrupt []error // a line for each record that cannot be trusted; none of them is in Items
+	Clock   lifecycle.Clock
 }
 
 // Recover reads all items. The clock is what it shows now.
@@ -131,10 +131,10 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Recovered{Now: lifecycle.Since(clock, seen)}
+	r := &Recovered{Clock: lifecycle.ClockSince(clock, seen)}
 	err = s.disk.each(func(id string, it *lifecycle.Item, broken error) error {
 		if broken != nil {
-			r.Broken = append(r.Broken, named(id, broken))
+			r.Corrupt = append(r.Corrupt, named(id, broken))
 		} else {
 			r.Items = append(r.Items, it)
 		}
@@ -159,8 +159,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spare := s.cfg.MostBytes / slack
-	if s.items+s.fresh >= s.cfg.MostItems || s.bytes+int64(len(c.Item.Body)) > s.cfg.MostBytes-spare {
+	spare := s.cfg.MaxBytes / slack
+	if s.items+s.fresh >= s.cfg.MaxItems || s.bytes+int64(len(c.Item.Body)) > s.cfg.MaxBytes-spare {
 		return ErrFull
 	}
 	// Room in the queue is kept for the ends of what was accepted.
@@ -186,7 +186,7 @@
 }
 
 func (c *Change) encode() error {
-	if c.Forget {
+	if c.Delete {
 		return nil
 	}
 	payload, err := json.Marshal(c.Item)
@@ -242,7 +242,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.failed = &Failure{err}
+		s.failed = &DiskError{err}
 		return s.failed
 	}
 	for _, c := range batch {
@@ -254,8 +254,8 @@
 	return nil
 }
 
-// Failed tells why the store takes nothing more; nil: it does.
-func (s *Store) Failed() error {
+// Err tells why the store takes nothing more; nil: it does.
+func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -55,8 +55,8 @@
 func held(t testing.TB, s *Store) map[string]*lifecycle.Item {
 	t.Helper()
 	r, err := s.Recover(1)
-	if err != nil || len(r.Broken) > 0 {
-		t.Fatalf("%v, broken %v", err, r.Broken)
+	if err != nil || len(r.Corrupt) > 0 {
+		t.Fatalf("%v, broken %v", err, r.Corrupt)
 	}
 	all := map[string]*lifecycle.Item{}
 	for _, it := range r.Items {
@@ -79,11 +79,11 @@
 		want[it.ID] = it
 	}
 	changed := *want["item-0003"]
-	if err := changed.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 5, Region: "s-1", Rack: "a"}); err != nil {
+	if err := changed.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 5, Worker: "s-1", Rack: "a"}); err != nil {
 		t.Fatal(err)
 	}
 	if err := errors.Join(update(s, Change{Item: &changed}),
-		update(s, Change{Item: want["item-0004"], Forget: true})); err != nil {
+		update(s, Change{Item: want["item-0004"], Delete: true})); err != nil {
 		t.Fatal(err)
 	}
 	want["item-0003"] = &changed
@@ -103,8 +103,8 @@
 		t.Error(diff)
 	}
 	hourAgo := lifecycle.Micros(time.Now().Add(-time.Hour).UnixMicro())
-	if r, err := s.Recover(hourAgo); err != nil || !r.Now.Back || r.Now.At <= hourAgo {
-		t.Errorf("%+v, %v", r.Now, err)
+	if r, err := s.Recover(hourAgo); err != nil || !r.Clock.WentBack || r.Clock.At <= hourAgo {
+		t.Errorf("%+v, %v", r.Clock, err)
 	}
 }
 
@@ -139,8 +139,8 @@
 		t.Fatal(err)
 	}
 	c.disk = d
-	if cfg.MostItems == 0 {
-		cfg.MostItems, cfg.MostBytes = defaultItems, defaultBytes
+	if cfg.MaxItems == 0 {
+		cfg.MaxItems, cfg.MaxBytes = defaultItems, defaultBytes
 	}
 	s, err := start(cfg, c)
 	if err != nil {
@@ -185,7 +185,7 @@
 			t.Fatalf("%v after %d", err, taken)
 		}
 	}
-	if err := s.Update(Change{Item: item(0), Forget: true, Done: func(error) {}}); err != nil {
+	if err := s.Update(Change{Item: item(0), Delete: true, Done: func(error) {}}); err != nil {
 		t.Errorf("the end of an item is refused: %v", err)
 	}
 	close(c.hold)
@@ -201,7 +201,7 @@
 		for n := range 8 {
 			it := item(n)
 			err := accept(s, it)
-			var failure *Failure
+			var failure *DiskError
 			switch {
 			case err == nil && n+1 < failAt:
 				want[it.ID] = it
@@ -209,7 +209,7 @@
 				t.Errorf("commit %d fails, item %d: %v", failAt, n, err)
 			}
 		}
-		if s.Failed() == nil {
+		if s.Err() == nil {
 			t.Error("the store does not say that it failed")
 		}
 		if err := s.Close(); err != nil {
@@ -223,7 +223,7 @@
 
 // The quota refuses new items and not what becomes of known ones; forgetting makes room.
 func TestQuota(t *testing.T) {
-	s := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MostItems: 3})
+	s := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MaxItems: 3})
 	for n := range 3 {
 		if err := accept(s, item(n)); err != nil {
 			t.Fatal(err)
@@ -232,11 +232,11 @@
 	if err := accept(s, item(3)); !errors.Is(err, ErrFull) {
 		t.Errorf("a fourth item: %v", err)
 	}
-	if err := errors.Join(update(s, Change{Item: item(1)}), update(s, Change{Item: item(0), Forget: true}),
+	if err := errors.Join(update(s, Change{Item: item(1)}), update(s, Change{Item: item(0), Delete: true}),
 		accept(s, item(3))); err != nil {
 		t.Error(err)
 	}
-	small := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MostBytes: 256 << 10})
+	small := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MaxBytes: 256 << 10})
 	for n := 0; ; n++ {
 		it := item(n)
 		it.Body = bytes.Repeat([]byte("x"), 10<<10)
@@ -273,7 +273,7 @@
 	for n := range 25 {
 		c := Change{Item: item(n)}
 		if n%5 == 4 {
-			c = Change{Item: item(n - 2), Forget: true}
+			c = Change{Item: item(n - 2), Delete: true}
 		}
 		if err := update(s, c); err != nil {
 			t.Fatal(err)
@@ -359,7 +359,7 @@
 				t.Errorf("byte %d: an item came back changed: %s", at, diff)
 			}
 		}
-		if err != nil || len(r.Broken) > 0 {
+		if err != nil || len(r.Corrupt) > 0 {
 			told++
 		} else if len(r.Items) != len(want) {
 			t.Errorf("byte %d: %d of %d items, and not a word", at, len(r.Items), len(want))
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -15,8 +15,8 @@
 // Reader reads a store that no process has open for writing.
 type Reader struct{ disk *bolt }
 
-// Read opens a store to read it.
-func Read(path string) (*Reader, error) {
+// OpenReader opens a store to read it.
+func OpenReader(path string) (*Reader, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
@@ -36,15 +36,15 @@
 	return r.disk.each(do)
 }
 
-// ErrNone: there is no such item.
-var ErrNone = errors.New("no such item")
+// ErrNotFound: there is no such item.
+var ErrNotFound = errors.New("no such item")
 
 // Find reads one item.
 func (r *Reader) Find(id string) (it *lifecycle.Item, err error) {
 	err = r.disk.view(func(tx *bbolt.Tx) error {
 		record := tx.Bucket(itemsBucket).Get([]byte(id))
 		if record == nil {
-			return ErrNone
+			return ErrNotFound
 		}
 		it, err = unseal([]byte(id), record)
 		return err
@@ -57,7 +57,7 @@
 
 // Check tells each thing that is wrong with a store, a line each, and how many items it has.
 func Check(path string) (items int, faults []error, err error) {
-	r, err := Read(path)
+	r, err := OpenReader(path)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -102,7 +102,7 @@
 
 // BackupTo copies a store into a file that does not exist yet.
 func BackupTo(path, backup string) error {
-	r, err := Read(path)
+	r, err := OpenReader(path)
 	if err != nil {
 		return err
 	}
