--- a/client/internal/plan/world_test.go
+++ b/client/internal/plan/world_test.go
@@ -312,8 +312,8 @@
 		two.left = 2
 		for _, w := range []*world{one, two} {
 			tour := modelcheck.Exhaust(w, 3_000_000)
-			if tour.Broken != nil || !tour.Exhausted || tour.States < 1000 {
-				t.Errorf("%s, %d jobs: %v, %v, by %q", name, len(w.jobs), tour, tour.Broken, tour.Path)
+			if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
+				t.Errorf("%s, %d jobs: %v, %v, by %q", name, len(w.jobs), tour, tour.Violation, tour.Path)
 			}
 			t.Logf("%s, %d jobs: %v", name, len(w.jobs), tour)
 		}
@@ -342,10 +342,10 @@
 			}
 			return p
 		}
-		if tour := modelcheck.Exhaust(w, 3_000_000); tour.Broken == nil {
+		if tour := modelcheck.Exhaust(w, 3_000_000); tour.Violation == nil {
 			t.Errorf("class %d, %v taken for %v: not found, %v", c.class, c.was, c.taken, tour)
 		} else {
-			t.Logf("%v, by %q", tour.Broken, tour.Path)
+			t.Logf("%v, by %q", tour.Violation, tour.Path)
 		}
 	}
 }
--- a/cmd/schedbench/explore.go
+++ b/cmd/schedbench/explore.go
@@ -71,10 +71,10 @@
 	}
 	defer cancel()
 	began := time.Now()
-	opt := modelcheck.Options{Parallel: c.Parallel, Replay: c.Engine == "replay"}
+	opt := modelcheck.Options{Parallel: c.Parallel, ReplayStates: c.Engine == "replay"}
 	tty := isatty.IsTerminal(os.Stderr.Fd())
 	if tty {
-		opt.Seen = func(states, steps int64) {
+		opt.Progress = func(states, steps int64) {
 			fmt.Fprintf(os.Stderr, "\r%12d states %12d transitions %6.0f s ", states, steps,
 				time.Since(began).Seconds())
 		}
@@ -83,17 +83,17 @@
 	var err error
 	var cfg *modelcheck.Config
 	if c.Walk {
-		if cfg = modelcheck.Large(); strings.HasPrefix(c.World, cfg.Name+"-") {
-			if cfg, err = modelcheck.ByName(c.World); err != nil {
+		if cfg = modelcheck.LargeWorld(); strings.HasPrefix(c.World, cfg.Name+"-") {
+			if cfg, err = modelcheck.WorldByName(c.World); err != nil {
 				return misuse("%v", err)
 			}
 		}
-		r, err = modelcheck.Walk(ctx, cfg, c.Seed, opt)
+		r, err = modelcheck.RandomWalk(ctx, cfg, c.Seed, opt)
 	} else {
-		if cfg, err = modelcheck.ByName(c.World); err != nil {
+		if cfg, err = modelcheck.WorldByName(c.World); err != nil {
 			return misuse("%v", err)
 		}
-		if cfg, err = cfg.With(c.Requests, c.Workers, c.Faults); err != nil {
+		if cfg, err = cfg.Resize(c.Requests, c.Workers, c.Faults); err != nil {
 			return misuse("%v", err)
 		}
 		r, err = modelcheck.Search(ctx, cfg, opt)
@@ -121,11 +121,11 @@
 			fmt.Fprintln(table)
 		}
 		table.Flush()
-		s.Missed = r.Coverage.Missed()
+		s.Missed = r.Coverage.Uncovered()
 	}
-	if r.Broken != nil {
-		s.Violations, s.Property = 1, r.Broken.Property.String()
-		trace := modelcheck.NewTrace(cfg, r.Path, r.Broken)
+	if r.Violation != nil {
+		s.Violations, s.Property = 1, r.Violation.Property.String()
+		trace := modelcheck.NewTrace(cfg, r.Path, r.Violation)
 		raw, err := json.MarshalIndent(trace, "", "  ")
 		if err != nil {
 			return err
@@ -137,7 +137,7 @@
 		if err := os.WriteFile(s.Trace, append(raw, '\n'), 0o666); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "broken: %v\n", r.Broken)
+		fmt.Fprintf(out, "broken: %v\n", r.Violation)
 		fmt.Fprintf(out, "trace: %s (%d steps)\n", s.Trace, len(r.Path))
 	}
 	line, err := json.Marshal(s)
@@ -145,7 +145,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s\n", line)
-	if r.Broken != nil {
+	if r.Violation != nil {
 		return exit{status: broken}
 	}
 	return nil
@@ -153,7 +153,7 @@
 
 func list(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, c := range append(modelcheck.Worlds(), modelcheck.Large()) {
+	for _, c := range append(modelcheck.Worlds(), modelcheck.LargeWorld()) {
 		fmt.Fprintf(table, "%s\t%s\n", c.Name, c.About)
 	}
 	fmt.Fprintln(table)
@@ -179,12 +179,12 @@
 		return err
 	}
 	switch {
-	case v.Diverged > 0:
-		fmt.Fprintf(out, "the code no longer does what the trace says: step %d cannot be taken\n", v.Diverged)
-	case v.Broken == nil:
+	case v.DivergedAt > 0:
+		fmt.Fprintf(out, "the code no longer does what the trace says: step %d cannot be taken\n", v.DivergedAt)
+	case v.Violation == nil:
 		fmt.Fprintln(out, "the code no longer does what the trace says: nothing breaks")
 	default:
-		fmt.Fprintf(out, "broken: %v\n", v.Broken)
+		fmt.Fprintf(out, "broken: %v\n", v.Violation)
 		return exit{status: broken}
 	}
 	return nil
--- a/cmd/schedbench/planting.go
+++ b/cmd/schedbench/planting.go
@@ -28,22 +28,22 @@
 	}
 	r := &report{ok: true, table: [][]string{{"fault", "in", "what", "world", "property", "steps", "states",
 		"seconds", "elsewhere"}}}
-	found, all := 0, mutants.Faults()
+	found, all := 0, mutants.All()
 	for _, f := range all {
 		say("%s ...", f.Name)
 		s, steps, others, err := plant(ctx, root, f)
 		if err != nil {
 			return nil, err
 		}
-		line := []string{f.Name, f.File, f.About, f.World, "not found", "", fmt.Sprint(s.States),
+		line := []string{f.Name, strings.Join(f.Files(), ", "), f.About, f.World, "not found", "", fmt.Sprint(s.States),
 			fmt.Sprintf("%.2f", s.Seconds), ""}
 		if s.Violations > 0 {
 			line[4], line[5] = s.Property, fmt.Sprint(steps)
 		}
-		if f.Only {
+		if f.OnlyInWorld {
 			line[8] = others.String()
 		}
-		if s.Violations > 0 && strings.Contains(f.Want, s.Property) && len(others.found) == 0 {
+		if s.Violations > 0 && strings.Contains(f.Violates, s.Property) && len(others.found) == 0 {
 			found++
 		} else {
 			r.ok = false
@@ -79,7 +79,7 @@
 }
 
 // plant looks for one fault, and has its trace replayed by the build that has the fault.
-func plant(ctx context.Context, root string, f mutants.Fault) (s summary, steps int, o elsewhere, err error) {
+func plant(ctx context.Context, root string, f mutants.Mutant) (s summary, steps int, o elsewhere, err error) {
 	folder, err := os.MkdirTemp("", "planted")
 	if err != nil {
 		return s, 0, o, err
@@ -98,7 +98,7 @@
 	if s, err = look(ctx, bin, folder, f.World, eachFor); err != nil {
 		return s, 0, o, fmt.Errorf("planted fault %s: %w", f.Name, err)
 	}
-	if f.Only {
+	if f.OnlyInWorld {
 		if o, err = lookElsewhere(ctx, bin, folder); err != nil {
 			return s, 0, o, fmt.Errorf("planted fault %s: %w", f.Name, err)
 		}
@@ -138,10 +138,10 @@
 // lookElsewhere explores all worlds that have the usual settings.
 func lookElsewhere(ctx context.Context, bin, folder string) (o elsewhere, err error) {
 	for _, c := range modelcheck.Worlds() {
-		if c.Rules != (modelcheck.Rules{}) || c.DeleteOvertakes { // the hole is known to break
+		if c.Rules != (modelcheck.Rules{}) || c.DeleteOvertakesRequest { // the hole is known to break
 			continue
 		}
-		faults := strconv.Itoa(min(elsewhereFaults, int(c.Most)))
+		faults := strconv.Itoa(min(elsewhereFaults, int(c.MaxFaults)))
 		s, err := look(ctx, bin, folder, c.Name, elsewhereFor, "--faults", faults)
 		if err != nil {
 			return o, err
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -119,13 +119,13 @@
 func (r *request) taken() {
 	r.until = r.f.now + r.patience
 	r.f.requests[r.id] = r
-	r.note(history.Event{Kind: history.Sent, ID: r.id, Who: "client", Class: classes[r.item.class].name,
-		Until: time.UnixMicro(int64(r.until))})
+	r.note(history.Event{Kind: history.Sent, ID: r.id, Actor: "client", Class: classes[r.item.class].name,
+		Deadline: time.UnixMicro(int64(r.until))})
 }
 
 // answer notes an answer as its scheduler writes it.
 func (r *request) answer(a scheduler.Answer) {
-	r.note(history.Event{Kind: history.Answered, ID: r.id, Who: "client", Status: statuses[a.Verdict],
+	r.note(history.Event{Kind: history.Answered, ID: r.id, Actor: "client", Status: statuses[a.Verdict],
 		Result: string(a.Body)})
 	if !r.answered {
 		r.answered = true
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -163,7 +163,7 @@
 	f.net = network{f: f, random: f.random(1), cut: -1}
 	f.tally = newTally(f)
 	f.watch.start()
-	f.rules = history.Rules{AtMostOnce: map[string]bool{}, Rack: map[string]string{},
+	f.rules = history.Rules{AtMostOnce: map[string]bool{}, RackOf: map[string]string{},
 		MaxAttempts: set.Dispatch.MaxAttempts, DrainGrace: span(set.DrainGrace), Slack: span(slack),
 		OrphanLimit: 20 * time.Second,
 		Window:      span(set.Dispatch.Classes[len(set.Dispatch.Classes)-1].DedupWindow)}
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -180,9 +180,9 @@
 func TestBrokenRulesAreFound(t *testing.T) {
 	served := scheduler.Answer{Verdict: scheduler.Served, Body: []byte("a")}
 	ran := func(req *request, who string) {
-		req.note(history.Event{Kind: history.Arrived, ID: "a", Who: who})
-		req.note(history.Event{Kind: history.Started, ID: "a", Who: who})
-		req.note(history.Event{Kind: history.Ended, ID: "a", Who: who, Ran: true, Result: "a"})
+		req.note(history.Event{Kind: history.Arrived, ID: "a", Actor: who})
+		req.note(history.Event{Kind: history.Started, ID: "a", Actor: who})
+		req.note(history.Event{Kind: history.Ended, ID: "a", Actor: who, MayHaveRun: true, Result: "a"})
 	}
 	for name, c := range map[string]struct {
 		want string
@@ -209,8 +209,8 @@
 			req.answer(served)
 		}},
 		"second copy": {"one-attempt-outstanding", func(f *fleet, req *request) {
-			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s1"})
-			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s2"})
+			req.note(history.Event{Kind: history.Arrived, ID: "a", Actor: "s1"})
+			req.note(history.Event{Kind: history.Arrived, ID: "a", Actor: "s2"})
 			req.answer(scheduler.Answer{Verdict: scheduler.Failed})
 		}},
 		"another try runs, too": {"runs-as-allowed", func(f *fleet, req *request) {
@@ -218,7 +218,7 @@
 			f.clients.started(&request{f: f, id: "b", item: req.item})
 		}},
 		"held for nobody": {"called-back", func(f *fleet, req *request) {
-			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s1"})
+			req.note(history.Event{Kind: history.Arrived, ID: "a", Actor: "s1"})
 			req.open++
 			req.answer(scheduler.Answer{Verdict: scheduler.Failed})
 			f.now += Micros(f.rules.OrphanLimit.Microseconds()) + second
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -83,7 +83,7 @@
 func (f *fleet) register(w *worker) {
 	f.workers = append(f.workers, w)
 	f.byUID[w.uid], f.byAddr[w.addr] = w, w
-	f.rules.Rack[w.uid] = fmt.Sprint(w.rack)
+	f.rules.RackOf[w.uid] = fmt.Sprint(w.rack)
 	state := endpoints.Ready
 	if !w.up {
 		state = endpoints.Removed
@@ -113,14 +113,14 @@
 // take takes a request whose last byte has come, and answers.
 func (w *worker) take(c *conn, req *request) {
 	f := w.f
-	req.note(history.Event{Kind: history.Arrived, ID: req.id, Who: w.uid})
+	req.note(history.Event{Kind: history.Arrived, ID: req.id, Actor: w.uid})
 	a := &attempt{req: req, w: w, n: c.n}
 	waits := 0.0
 	for _, q := range w.queue {
 		waits += q.req.item.slots
 	}
 	if waits+req.item.slots > queueOfSlots*w.kind.slots || req.item.slots > w.kind.slots {
-		req.note(history.Event{Kind: history.Ended, ID: req.id, Who: w.uid})
+		req.note(history.Event{Kind: history.Ended, ID: req.id, Actor: w.uid})
 		f.tally.model.TurnedAway++
 		w.answer(c, connstate.Answer{Status: 503, TurnedAway: true, Report: w.report()})
 		return
@@ -184,7 +184,7 @@
 		w.queue = w.queue[1:]
 		a.running = true
 		w.used += a.req.item.slots
-		a.req.note(history.Event{Kind: history.Started, ID: a.req.id, Who: w.uid})
+		a.req.note(history.Event{Kind: history.Started, ID: a.req.id, Actor: w.uid})
 		f.clients.started(a.req)
 		w.callback(a, scheduler.Callback{Kind: scheduler.CallbackStarted})
 		run := Micros(a.req.item.work / w.kind.speed / w.warmth())
@@ -197,7 +197,7 @@
 		return
 	}
 	told := scheduler.Callback{Kind: scheduler.CallbackDone, Result: []byte(a.req.id)}
-	ended := history.Event{Kind: history.Ended, ID: a.req.id, Who: w.uid, Ran: true, Result: a.req.id}
+	ended := history.Event{Kind: history.Ended, ID: a.req.id, Actor: w.uid, MayHaveRun: true, Result: a.req.id}
 	if w.random.Float64() < failures {
 		told.Kind, told.Result, ended.Result = scheduler.CallbackFailed, nil, ""
 		w.errs, w.errAt = w.errors()+0.1, w.f.now
@@ -256,7 +256,7 @@
 	if a == nil {
 		return false
 	}
-	a.req.note(history.Event{Kind: history.CancelReceived, ID: id, Who: w.uid, Status: 200})
+	a.req.note(history.Event{Kind: history.CancelReceived, ID: id, Actor: w.uid, Status: 200})
 	w.f.tally.model.Withdrawn++
 	w.free(a)
 	a.req.close()
@@ -273,7 +273,7 @@
 	slices.SortFunc(all, func(a, b *attempt) int { return a.req.number - b.req.number })
 	w.queue = nil
 	for _, a := range all {
-		a.req.note(history.Event{Kind: history.WorkerDied, ID: a.req.id, Who: w.uid})
+		a.req.note(history.Event{Kind: history.WorkerDied, ID: a.req.id, Actor: w.uid})
 		w.f.tally.model.Killed++
 		w.free(a)
 		if tell {
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -33,9 +33,9 @@
 func SubmitOn(conn net.Conn, read *http1.Reader, s Submission,
 	rec Recorder) (*http1.Response, error) {
 	until := s.Deadline
-	event := history.Event{ID: s.ID, Who: "client", Class: s.Class}
+	event := history.Event{ID: s.ID, Actor: "client", Class: s.Class}
 	left := strconv.FormatInt(max(time.Until(s.Deadline).Milliseconds(), 0), 10)
-	event.Kind, event.Until = history.Sent, s.Deadline
+	event.Kind, event.Deadline = history.Sent, s.Deadline
 	rec.say(event)
 	if _, err := conn.Write(http1.AppendRequest(nil, "POST", "/"+s.Class+"/"+s.ID, []http1.Field{
 		{Name: "Host", Value: conn.RemoteAddr().String()}, {Name: "X-Txn", Value: s.ID},
@@ -54,7 +54,7 @@
 	case err == nil:
 		event.Kind, event.Status, event.Result = history.Answered, m.Status, string(m.Body)
 	case !s.DisconnectAt.IsZero():
-		event.Kind = history.ClientLeft
+		event.Kind = history.ClientDisconnected
 	default:
 		event.Kind = history.Unanswered
 	}
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -74,7 +74,7 @@
 	r.life.Unlock()
 	for id, gone := range lost {
 		close(gone)
-		r.record.say(history.Event{Kind: history.WorkerDied, ID: id, Who: r.UID})
+		r.record.say(history.Event{Kind: history.WorkerDied, ID: id, Actor: r.UID})
 		r.again.Go(func() { r.tell(id, "lost", "", 0) })
 	}
 }
@@ -91,7 +91,7 @@
 			if r.withdraw(id) {
 				status = 200
 			}
-			r.record.say(history.Event{Kind: history.CancelReceived, ID: id, Who: r.UID, Status: status})
+			r.record.say(history.Event{Kind: history.CancelReceived, ID: id, Actor: r.UID, Status: status})
 			if _, err := conn.Write(http1.AppendResponse(nil, status, nil, nil)); err != nil {
 				return
 			}
@@ -117,7 +117,7 @@
 		status = 202
 	}
 	// It holds the job from now on, whatever comes of its answer.
-	r.record.say(history.Event{Kind: history.Arrived, ID: j.ID, Who: r.UID})
+	r.record.say(history.Event{Kind: history.Arrived, ID: j.ID, Actor: r.UID})
 	gone := make(chan struct{})
 	if status == 202 && !p.ResetConn {
 		r.life.Lock()
@@ -135,11 +135,11 @@
 	time.Sleep(p.AnswerDelay)
 	switch {
 	case p.ResetConn:
-		r.record.say(history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: true})
+		r.record.say(history.Event{Kind: history.Ended, ID: j.ID, Actor: r.UID, MayHaveRun: true})
 		broken(conn)
 		return false
 	case status != 202:
-		r.record.say(history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: !p.TurnedAway && status >= 500})
+		r.record.say(history.Event{Kind: history.Ended, ID: j.ID, Actor: r.UID, MayHaveRun: !p.TurnedAway && status >= 500})
 		var fields []http1.Field
 		if p.TurnedAway {
 			fields = append(fields, http1.Field{Name: "X-Turned-Away", Value: "1"})
@@ -178,7 +178,7 @@
 	}
 	r.life.Unlock()
 	if mine {
-		r.record.say(history.Event{Kind: history.Closed, ID: id, Who: r.UID})
+		r.record.say(history.Event{Kind: history.Closed, ID: id, Actor: r.UID})
 	}
 }
 
@@ -219,12 +219,12 @@
 		return
 	}
 	if p.FinalState == "returned" {
-		if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID}) {
+		if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Actor: r.UID}) {
 			r.tell(j.ID, "returned", "", p.RepeatedCallbacks)
 		}
 		return
 	}
-	r.record.say(history.Event{Kind: history.Started, ID: j.ID, Who: r.UID})
+	r.record.say(history.Event{Kind: history.Started, ID: j.ID, Actor: r.UID})
 	r.tell(j.ID, "started", "", p.RepeatedCallbacks)
 	if p.FinalState == "never" {
 		<-gone
@@ -243,7 +243,7 @@
 	if state != "done" {
 		result = ""
 	}
-	if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: true, Result: result}) {
+	if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Actor: r.UID, MayHaveRun: true, Result: result}) {
 		r.tell(j.ID, state, result, p.RepeatedCallbacks)
 	}
 }
--- a/internal/history/record.go
+++ b/internal/history/record.go
@@ -14,18 +14,18 @@
 
 // What can be seen.
 const (
-	Sent            Kind = iota // a client wrote a request; Until: it gives up then
-	ClientLeft                  // the client left
-	Answered                    // it has its answer: Status, Result
-	Unanswered                  // its connection ended, or its time, without one
-	Arrived                     // a request's last byte came to a worker
-	Started                     // it runs there
-	Ended                       // the attempt is over there; Ran: it may have run
-	WorkerDied                  // the worker's process died with it
-	Closed                      // the connection ended before the 202: it is given up there
-	CancelReceived              // a DELETE came; Status 200: the job was there
-	EndpointChanged             // discovery wrote a change about a worker (Who): it drains or is gone
-	WorkerReady                 // and that it is ready again
+	Sent               Kind = iota // a client wrote a request; Until: it gives up then
+	ClientDisconnected             // the client left
+	Answered                       // it has its answer: Status, Result
+	Unanswered                     // its connection ended, or its time, without one
+	Arrived                        // a request's last byte came to a worker
+	Started                        // it runs there
+	Ended                          // the attempt is over there; Ran: it may have run
+	WorkerDied                     // the worker's process died with it
+	Closed                         // the connection ended before the 202: it is given up there
+	CancelReceived                 // a DELETE came; Status 200: the job was there
+	EndpointChanged                // discovery wrote a change about a worker (Who): it drains or is gone
+	WorkerReady                    // and that it is ready again
 )
 
 var kindNames = [...]string{"sent", "left", "answered", "unanswered", "arrived", "started", "ended",
@@ -36,22 +36,22 @@
 
 // Event is one thing that a client, a worker or discovery saw.
 type Event struct {
-	At     time.Time
-	Kind   Kind
-	ID     string // of the request
-	Who    string // the worker, or client
-	Class  string // with Sent
-	Until  time.Time
-	Status int
-	Result string
-	Ran    bool
+	At         time.Time
+	Kind       Kind
+	ID         string // of the request
+	Actor      string // the worker, or client
+	Class      string // with Sent
+	Deadline   time.Time
+	Status     int
+	Result     string
+	MayHaveRun bool
 }
 
 // Rules are the figures of a deployment. Slack is added to each of its times: a machine
 // that is busy makes events late.
 type Rules struct {
 	AtMostOnce  map[string]bool   // classes of which nothing may run twice
-	Rack        map[string]string // of each worker
+	RackOf      map[string]string // of each worker
 	Window      time.Duration     // in which a repeat is dropped within a rack
 	DrainGrace  time.Duration
 	MaxAttempts int
@@ -110,12 +110,12 @@
 func (c *checker) see(e Event) {
 	switch e.Kind {
 	case EndpointChanged:
-		if _, since := c.leaving[e.Who]; !since {
-			c.leaving[e.Who] = e.At
+		if _, since := c.leaving[e.Actor]; !since {
+			c.leaving[e.Actor] = e.At
 		}
 		return
 	case WorkerReady:
-		delete(c.leaving, e.Who)
+		delete(c.leaving, e.Actor)
 		return
 	}
 	l := c.lives[e.ID]
@@ -125,8 +125,8 @@
 	}
 	switch e.Kind {
 	case Sent:
-		l.class, l.sent, l.until = e.Class, e.At, e.Until
-	case ClientLeft:
+		l.class, l.sent, l.until = e.Class, e.At, e.Deadline
+	case ClientDisconnected:
 		l.over = e.At
 	case Unanswered:
 		l.over = e.At
@@ -138,29 +138,29 @@
 	case Started:
 		c.ran(l, e)
 	case Ended:
-		if _, known := l.ran[e.Who]; e.Ran && !known {
+		if _, known := l.ran[e.Actor]; e.MayHaveRun && !known {
 			c.ran(l, e)
 		}
 		if e.Result != "" {
 			l.results[e.Result] = true
 		}
-		delete(l.held, e.Who)
+		delete(l.held, e.Actor)
 	case WorkerDied, Closed:
-		delete(l.held, e.Who)
+		delete(l.held, e.Actor)
 	case CancelReceived:
-		delete(l.held, e.Who)
+		delete(l.held, e.Actor)
 	}
 }
 
 func (c *checker) ran(l *life, e Event) {
 	if l.runs++; l.runs > 1 && c.rules.AtMostOnce[l.class] {
-		c.fail("runs-as-allowed", e.ID, "it runs for the second time, at %s", e.Who)
+		c.fail("runs-as-allowed", e.ID, "it runs for the second time, at %s", e.Actor)
 	}
-	at, held := l.held[e.Who]
+	at, held := l.held[e.Actor]
 	if !held {
 		at = e.At
 	}
-	l.ran[e.Who] = at
+	l.ran[e.Actor] = at
 }
 
 func (c *checker) answered(l *life, e Event) {
@@ -188,25 +188,25 @@
 
 func (c *checker) arrived(l *life, e Event) {
 	if l.attempts++; l.attempts > c.rules.MaxAttempts {
-		c.fail("four-attempts", e.ID, "attempt %d comes to %s", l.attempts, e.Who)
+		c.fail("four-attempts", e.ID, "attempt %d comes to %s", l.attempts, e.Actor)
 	}
 	for who := range l.held {
-		c.fail("one-attempt-outstanding", e.ID, "an attempt comes to %s while %s holds one", e.Who, who)
+		c.fail("one-attempt-outstanding", e.ID, "an attempt comes to %s while %s holds one", e.Actor, who)
 	}
 	for who, at := range l.ran {
 		switch {
 		case c.rules.AtMostOnce[l.class]:
-			c.fail("runs-as-allowed", e.ID, "it may have run at %s and comes to %s", who, e.Who)
-		case c.rules.Rack[who] != c.rules.Rack[e.Who]:
-			c.fail("runs-as-allowed", e.ID, "it may have run at %s and comes to %s, in another rack", who, e.Who)
+			c.fail("runs-as-allowed", e.ID, "it may have run at %s and comes to %s", who, e.Actor)
+		case c.rules.RackOf[who] != c.rules.RackOf[e.Actor]:
+			c.fail("runs-as-allowed", e.ID, "it may have run at %s and comes to %s, in another rack", who, e.Actor)
 		case e.At.Sub(at) > c.rules.Window+c.rules.Slack:
 			c.fail("runs-as-allowed", e.ID, "it comes again %v after it may have run", e.At.Sub(at))
 		}
 	}
-	if told, leaving := c.leaving[e.Who]; leaving && e.At.Sub(told) > c.rules.DrainGrace+c.rules.Slack {
-		c.fail("drains-kept", e.ID, "it comes to %s, told %v ago to leave", e.Who, e.At.Sub(told))
+	if told, leaving := c.leaving[e.Actor]; leaving && e.At.Sub(told) > c.rules.DrainGrace+c.rules.Slack {
+		c.fail("drains-kept", e.ID, "it comes to %s, told %v ago to leave", e.Actor, e.At.Sub(told))
 	}
-	l.held[e.Who] = e.At
+	l.held[e.Actor] = e.At
 }
 
 // rest looks at what is held for nobody when the history ends.
--- a/internal/history/record_test.go
+++ b/internal/history/record_test.go
@@ -21,8 +21,8 @@
 		}
 		return start.Add(time.Duration(n) * time.Millisecond)
 	}
-	events := []Event{{At: start, Kind: Sent, ID: "t", Class: class, Until: start.Add(2 * time.Second)}}
-	kinds := map[string]Kind{"left": ClientLeft, "answered": Answered, "unanswered": Unanswered, "arrived": Arrived,
+	events := []Event{{At: start, Kind: Sent, ID: "t", Class: class, Deadline: start.Add(2 * time.Second)}}
+	kinds := map[string]Kind{"left": ClientDisconnected, "answered": Answered, "unanswered": Unanswered, "arrived": Arrived,
 		"started": Started, "ended": Ended, "ran": Ended, "lost": WorkerDied, "closed": Closed, "withdrawn": CancelReceived,
 		"told": EndpointChanged, "back": WorkerReady}
 	for _, line := range strings.Split(strings.TrimSpace(text), ";") {
@@ -31,7 +31,7 @@
 		if !known {
 			t.Fatalf("%q is no event", line)
 		}
-		e := Event{At: at(words[0]), Kind: kind, ID: "t", Who: words[2], Ran: words[1] == "ran"}
+		e := Event{At: at(words[0]), Kind: kind, ID: "t", Actor: words[2], MayHaveRun: words[1] == "ran"}
 		if len(words) > 3 {
 			if kind == Answered {
 				e.Status, _ = strconv.Atoi(words[2])
@@ -48,7 +48,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	rules := Rules{AtMostOnce: map[string]bool{"post": true}, Rack: map[string]string{"a": "1", "b": "1", "c": "2"},
+	rules := Rules{AtMostOnce: map[string]bool{"post": true}, RackOf: map[string]string{"a": "1", "b": "1", "c": "2"},
 		Window: time.Second, DrainGrace: 500 * time.Millisecond, MaxAttempts: 4, Slack: 100 * time.Millisecond,
 		OrphanLimit: time.Second}
 	for _, c := range []struct{ name, class, text, want string }{
--- a/internal/modelcheck/actions.go
+++ b/internal/modelcheck/actions.go
@@ -8,52 +8,52 @@
 	"dahliaford/internal/scheduler"
 )
 
-// Kind is a kind of step that the world can take.
-type Kind uint8
+// ActionKind is a kind of step that the world can take.
+type ActionKind uint8
 
 // The kinds of steps. A is the number of a request, worker, route, job, call or
 // withdrawal; B picks among ways.
 const (
-	Submit Kind = iota
-	SubmitAgain
+	Submit ActionKind = iota
+	SubmitDuplicate
 	RenewRequest
-	ClientLeaves
-	RefuseRoute
-	Write
-	HearWritten
-	Arrive // B: a way below
-	BreakRoute
-	HearBroken
-	HearAnswer
+	ClientDisconnects
+	RefuseConnection
+	WriteRequest
+	DeliverWritten
+	ArriveAtWorker // B: a way below
+	BreakConnection
+	DeliverBroken
+	DeliverAnswer
 	CloseArrives // B: 0 in time, 1 after the worker's 202
-	Begin
-	Finish
+	StartJob
+	FinishJob
 	FailJob
 	HandBackJob
-	KillJob
-	Tell
-	TellAndKeep
-	LoseCall
-	WithdrawArrives
-	WithdrawAnswered
-	WithdrawBreaks
-	ProcessDies
-	ProcessStarts
-	MachineSilent
-	MachineBack
-	SayDraining
-	SayGone
-	SayReady
-	WatchLost
-	WatchAnswered
-	WatchAnew
+	AbortJob
+	DeliverCallback
+	DuplicateCallback
+	DropCallback
+	CancellationArrives
+	CancellationAnswered
+	CancellationBreaks
+	ProcessCrashes
+	ProcessRestarts
+	MachineUnreachable
+	MachineReachable
+	AnnounceDraining
+	AnnounceRemoved
+	AnnounceReady
+	CloseWatch
+	AnswerWatch
+	RestartDiscovery
 	ReloadConfig
-	SigTerm
-	ModuleBreaks
-	Tick
-	JustBefore
-	JustAfter
-	HearKept
+	Terminate
+	PanicModule
+	AdvanceTime
+	AdvanceJustBefore
+	AdvanceJustAfter
+	DeliverNotSent
 	kinds
 )
 
@@ -80,11 +80,11 @@
 	"say-gone", "say-ready", "watch-lost", "watch-answered", "watch-anew", "reload", "sigterm", "module-breaks",
 	"tick", "just-before", "just-after", "hear-kept"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k ActionKind) String() string { return kindNames[k] }
 
 // Action is one step of the world.
 type Action struct {
-	Kind Kind
+	Kind ActionKind
 	A, B uint8
 }
 
@@ -132,7 +132,7 @@
 	if w.exited || w.broke != nil {
 		return out
 	}
-	add := func(k Kind, a, b int) { out = append(out, Action{k, uint8(a), uint8(b)}) }
+	add := func(k ActionKind, a, b int) { out = append(out, Action{k, uint8(a), uint8(b)}) }
 	first := true // of those not sent yet: the client sends them in order
 	for i := range w.requests {
 		q := &w.requests[i]
@@ -140,14 +140,14 @@
 		case q.state == unsent && first && !w.quiet:
 			add(Submit, i, 0)
 			first = false
-		case q.state == open && w.can(Leave):
-			add(ClientLeaves, i, 0)
+		case q.state == open && w.can(FaultClientDisconnect):
+			add(ClientDisconnects, i, 0)
 		}
-		if q.state != unsent && int(q.id) == i && w.can(SameID) && len(w.requests) < mostRequests {
-			add(SubmitAgain, i, 0)
+		if q.state != unsent && int(q.id) == i && w.can(FaultDuplicateID) && len(w.requests) < mostRequests {
+			add(SubmitDuplicate, i, 0)
 		}
 	}
-	if w.cfg.Renew && !w.quiet {
+	if w.cfg.RenewRequests && !w.quiet {
 		for i := range w.requests {
 			if w.forgotten(uint8(i)) {
 				add(RenewRequest, i, 0)
@@ -160,94 +160,94 @@
 	for i := range w.jobs {
 		j := &w.jobs[i]
 		if !j.running {
-			add(Begin, i, 0)
-			if w.can(HandBack) {
+			add(StartJob, i, 0)
+			if w.can(FaultJobHandedBack) {
 				add(HandBackJob, i, 0)
 			}
 		} else {
-			add(Finish, i, 0)
-			if w.can(Fail) {
+			add(FinishJob, i, 0)
+			if w.can(FaultJobFailed) {
 				add(FailJob, i, 0)
 			}
 		}
-		if w.can(Kill) {
-			add(KillJob, i, 0)
+		if w.can(FaultJobAborted) {
+			add(AbortJob, i, 0)
 		}
 	}
 	for i := range w.calls {
 		if w.workers[w.calls[i].worker].silent {
 			continue
 		}
-		add(Tell, i, 0)
-		if w.can(Repeat) {
-			add(TellAndKeep, i, 0)
+		add(DeliverCallback, i, 0)
+		if w.can(FaultDuplicateCallback) {
+			add(DuplicateCallback, i, 0)
 		}
-		if w.can(Lose) {
-			add(LoseCall, i, 0)
+		if w.can(FaultDroppedCallback) {
+			add(DropCallback, i, 0)
 		}
 	}
 	for i := range w.withdraws {
 		wd := &w.withdraws[i]
 		switch {
 		case wd.phase == replied:
-			add(WithdrawAnswered, i, 0)
-		case !w.workers[wd.worker].silent && (w.cfg.DeleteOvertakes || !w.onItsWay(wd)):
-			add(WithdrawArrives, i, 0)
+			add(CancellationAnswered, i, 0)
+		case !w.workers[wd.worker].silent && (w.cfg.DeleteOvertakesRequest || !w.onItsWay(wd)):
+			add(CancellationArrives, i, 0)
 		}
-		if wd.phase != replied && w.can(Break) {
-			add(WithdrawBreaks, i, 0)
+		if wd.phase != replied && w.can(FaultConnectionBroken) {
+			add(CancellationBreaks, i, 0)
 		}
 	}
 	for i := range w.workers {
 		r := &w.workers[i]
 		switch {
 		case r.down:
-			add(ProcessStarts, i, 0)
-		case w.can(Die):
-			add(ProcessDies, i, 0)
+			add(ProcessRestarts, i, 0)
+		case w.can(FaultProcessCrash):
+			add(ProcessCrashes, i, 0)
 		}
 		switch {
 		case r.silent:
-			add(MachineBack, i, 0)
-		case w.can(Silence) && !r.down:
-			add(MachineSilent, i, 0)
+			add(MachineReachable, i, 0)
+		case w.can(FaultMachineUnreachable) && !r.down:
+			add(MachineUnreachable, i, 0)
 		}
-		if w.can(Drain) {
+		if w.can(FaultEndpointStatus) {
 			if r.status == dispatch.Ready {
-				add(SayDraining, i, 0)
+				add(AnnounceDraining, i, 0)
 			} else {
-				add(SayReady, i, 0)
+				add(AnnounceReady, i, 0)
 			}
 			if r.status != dispatch.Removed {
-				add(SayGone, i, 0)
+				add(AnnounceRemoved, i, 0)
 			}
 		}
 	}
 	if w.asked {
-		add(WatchAnswered, 0, 0)
-		if w.can(LoseWatch) {
-			add(WatchAnew, 0, 0)
+		add(AnswerWatch, 0, 0)
+		if w.can(FaultWatchClosed) {
+			add(RestartDiscovery, 0, 0)
 		}
 	}
-	if w.can(LoseWatch) {
-		add(WatchLost, 0, 0)
+	if w.can(FaultWatchClosed) {
+		add(CloseWatch, 0, 0)
 	}
-	if w.can(Reload) {
+	if w.can(FaultReload) {
 		add(ReloadConfig, 0, 0)
 	}
-	if w.can(Stop) && !w.stopped {
-		add(SigTerm, 0, 0)
+	if w.can(FaultShutdown) && !w.stopped {
+		add(Terminate, 0, 0)
 	}
-	if w.can(Panic) && !w.breaks {
-		add(ModuleBreaks, 0, 0)
+	if w.can(FaultModulePanic) && !w.breaks {
+		add(PanicModule, 0, 0)
 	}
 	if due := w.due(); due != 0 && w.busy() {
-		add(Tick, 0, 0)
-		if w.can(Jitter) && due > w.now+jitter {
-			add(JustBefore, 0, 0)
+		add(AdvanceTime, 0, 0)
+		if w.can(FaultTimerJitter) && due > w.now+jitter {
+			add(AdvanceJustBefore, 0, 0)
 		}
-		if w.can(Jitter) && due == w.wake && due > w.now {
-			add(JustAfter, 0, 0)
+		if w.can(FaultTimerJitter) && due == w.wake && due > w.now {
+			add(AdvanceJustAfter, 0, 0)
 		}
 	}
 	return out
@@ -301,57 +301,57 @@
 func (w *World) routeSteps(i int, out []Action) []Action {
 	r := &w.routes[i]
 	to := &w.workers[r.worker]
-	add := func(k Kind, b uint8) { out = append(out, Action{k, uint8(i), b}) }
+	add := func(k ActionKind, b uint8) { out = append(out, Action{k, uint8(i), b}) }
 	if r.unheard {
-		add(HearWritten, 0)
+		add(DeliverWritten, 0)
 	}
 	switch r.phase {
 	case connecting:
 		switch {
 		case to.silent: // it never comes up
 		case to.down:
-			add(RefuseRoute, 0)
+			add(RefuseConnection, 0)
 		default:
-			add(Write, 0)
-			if w.can(Refuse) {
-				add(RefuseRoute, 0)
+			add(WriteRequest, 0)
+			if w.can(FaultConnectionRefused) {
+				add(RefuseConnection, 0)
 			}
 		}
 	case written:
 		if to.silent {
 			break
 		}
-		add(Arrive, accept)
-		if to.status != dispatch.Ready || w.can(TurnAway) {
-			add(Arrive, turnAway)
+		add(ArriveAtWorker, accept)
+		if to.status != dispatch.Ready || w.can(FaultAtCapacity) {
+			add(ArriveAtWorker, turnAway)
 		}
-		if w.can(Err) {
-			add(Arrive, replyError)
+		if w.can(FaultServerError) {
+			add(ArriveAtWorker, replyError)
 		}
-		if w.can(Reject) {
-			add(Arrive, replyReject)
+		if w.can(FaultRejected) {
+			add(ArriveAtWorker, replyReject)
 		}
-		if w.can(Break) {
-			add(BreakRoute, breakLost)
-			add(BreakRoute, breakRan)
+		if w.can(FaultConnectionBroken) {
+			add(BreakConnection, breakLost)
+			add(BreakConnection, breakRan)
 		}
 	case replied:
 		if to.silent {
 			break
 		}
-		if !r.unheard || w.cfg.Overtake {
-			add(HearAnswer, 0)
+		if !r.unheard || w.cfg.AnswerOvertakesWrite {
+			add(DeliverAnswer, 0)
 		}
-		if w.can(Break) {
-			add(BreakRoute, breakAnswer)
+		if w.can(FaultConnectionBroken) {
+			add(BreakConnection, breakAnswer)
 		}
 	case idle:
-		if w.can(Break) {
-			add(BreakRoute, breakIdle)
+		if w.can(FaultConnectionBroken) {
+			add(BreakConnection, breakIdle)
 		}
 	case broken:
-		if !r.unheard || w.cfg.Overtake {
-			add(HearBroken, 0)
+		if !r.unheard || w.cfg.AnswerOvertakesWrite {
+			add(DeliverBroken, 0)
 		}
 	case closing:
 		if !to.silent {
@@ -359,7 +359,7 @@
 			add(CloseArrives, 1)
 		}
 	case kept:
-		add(HearKept, 0)
+		add(DeliverNotSent, 0)
 	}
 	return out
 }
@@ -369,11 +369,11 @@
 	for i := range w.workers {
 		r := &w.workers[i]
 		if r.silent {
-			return append(out, Action{MachineBack, uint8(i), 0})
+			return append(out, Action{MachineReachable, uint8(i), 0})
 		}
 	}
 	if w.asked {
-		return append(out, Action{Kind: WatchAnswered})
+		return append(out, Action{Kind: AnswerWatch})
 	}
 	for i := range w.routes {
 		var steps []Action
@@ -384,18 +384,18 @@
 		}
 	}
 	if len(w.calls) > 0 {
-		return append(out, Action{Kind: Tell})
+		return append(out, Action{Kind: DeliverCallback})
 	}
 	for i := range w.withdraws {
 		if w.withdraws[i].phase == replied {
-			return append(out, Action{WithdrawAnswered, uint8(i), 0})
+			return append(out, Action{CancellationAnswered, uint8(i), 0})
 		}
-		return append(out, Action{WithdrawArrives, uint8(i), 0})
+		return append(out, Action{CancellationArrives, uint8(i), 0})
 	}
 	if w.exited || w.wake == 0 || w.over() && w.wake > w.rest {
 		return out
 	}
-	return append(out, Action{Kind: Tick})
+	return append(out, Action{Kind: AdvanceTime})
 }
 
 // mostRest is how long a fair world goes on after the last answer: longer than anything is
@@ -412,46 +412,46 @@
 	case Submit:
 		q := &w.requests[i]
 		w.submit(q)
-	case SubmitAgain:
-		w.spend(SameID)
+	case SubmitDuplicate:
+		w.spend(FaultDuplicateID)
 		w.requests = append(w.requests, request{class: w.requests[i].class, id: uint8(i)})
 		w.submit(&w.requests[len(w.requests)-1])
 	case RenewRequest:
 		q := &w.requests[i]
 		*q = request{class: q.class, id: q.id, gen: q.gen + 1}
-	case ClientLeaves:
-		w.spend(Leave)
+	case ClientDisconnects:
+		w.spend(FaultClientDisconnect)
 		q := &w.requests[i]
 		q.state, q.leftAt = gone, w.now
 		w.step(scheduler.ClientDisconnected{Caller: q.caller})
-	case Tell, TellAndKeep, LoseCall:
+	case DeliverCallback, DuplicateCallback, DropCallback:
 		w.applyCall(a, i)
-	case Begin, Finish, FailJob, HandBackJob, KillJob:
+	case StartJob, FinishJob, FailJob, HandBackJob, AbortJob:
 		w.applyJob(a, i)
-	case WithdrawArrives, WithdrawAnswered, WithdrawBreaks:
+	case CancellationArrives, CancellationAnswered, CancellationBreaks:
 		w.applyWithdraw(a, i)
-	case ProcessDies, ProcessStarts, MachineSilent, MachineBack, SayDraining, SayGone, SayReady:
+	case ProcessCrashes, ProcessRestarts, MachineUnreachable, MachineReachable, AnnounceDraining, AnnounceRemoved, AnnounceReady:
 		w.applyWorker(a, i)
-	case WatchLost:
-		w.spend(LoseWatch)
+	case CloseWatch:
+		w.spend(FaultWatchClosed)
 		w.step(scheduler.WatchClosed{ValidUntil: w.lost()})
-	case WatchAnswered:
+	case AnswerWatch:
 		w.answerWatch()
-	case WatchAnew:
-		w.spend(LoseWatch)
+	case RestartDiscovery:
+		w.spend(FaultWatchClosed)
 		w.rev = 1
 		w.answerWatch()
 	case ReloadConfig:
-		w.spend(Reload)
+		w.spend(FaultReload)
 		w.step(scheduler.Reloaded{Discovery: "another"})
-	case SigTerm:
-		w.spend(Stop)
+	case Terminate:
+		w.spend(FaultShutdown)
 		w.stopped, w.stopAt = true, w.now
 		w.step(scheduler.ShutdownRequested{})
-	case ModuleBreaks:
-		w.spend(Panic)
+	case PanicModule:
+		w.spend(FaultModulePanic)
 		w.breaks = true
-	case Tick, JustBefore, JustAfter:
+	case AdvanceTime, AdvanceJustBefore, AdvanceJustAfter:
 		w.applyTime(a)
 	default:
 		w.applyRoute(a, i)
@@ -465,7 +465,7 @@
 	for i := len(w.routes) - 1; i >= 0; i-- {
 		r := &w.routes[i]
 		if q := &w.requests[r.id]; r.phase == idle && (q.last != r.attempt || q.stage >= stageGivenUp ||
-			!w.can(Break)) {
+			!w.can(FaultConnectionBroken)) {
 			w.dropRoute(i)
 		}
 	}
@@ -480,33 +480,33 @@
 
 func (w *World) applyRoute(a Action, i int) {
 	r := &w.routes[i]
-	if a.Kind == Write && w.holdsBack(&w.workers[r.worker]) {
+	if a.Kind == WriteRequest && w.holdsBack(&w.workers[r.worker]) {
 		r.phase = kept
 		return
 	}
-	if a.Kind == Write {
+	if a.Kind == WriteRequest {
 		w.writes(r)
 		r.phase, r.unheard, r.sent = written, true, w.now
-		if !w.cfg.Overtake {
+		if !w.cfg.AnswerOvertakesWrite {
 			w.hearWritten(i)
 		}
 		return
 	}
 	switch a.Kind {
-	case HearWritten:
+	case DeliverWritten:
 		w.hearWritten(i)
-	case HearKept:
+	case DeliverNotSent:
 		w.endRoute(i, scheduler.AttemptEnded{Attempt: r.attempt, Outcome: dispatch.NotSent})
-	case RefuseRoute:
+	case RefuseConnection:
 		if !w.workers[r.worker].down {
-			w.spend(Refuse)
+			w.spend(FaultConnectionRefused)
 		}
 		_, e := r.link.WriteEnded(true, true)
 		w.endRoute(i, e)
-	case Arrive:
+	case ArriveAtWorker:
 		w.arrive(i, a.B)
-	case BreakRoute:
-		w.spend(Break)
+	case BreakConnection:
+		w.spend(FaultConnectionBroken)
 		if a.B == breakIdle {
 			_, e := r.link.ReadEnded()
 			w.endRoute(i, e)
@@ -517,14 +517,14 @@
 			w.runs(r.id, r.worker, r.sent)
 		}
 		r.phase = broken
-	case HearBroken:
+	case DeliverBroken:
 		_, e := r.link.ReadEnded()
 		if e == nil {
 			r.phase = halfHeard // the writer's word is still to come
 			return
 		}
 		w.endRoute(i, e)
-	case HearAnswer:
+	case DeliverAnswer:
 		_, e := r.link.Answered(connstate.Answer{Status: r.status, TurnedAway: r.status == 503})
 		if r.status == 202 && e != nil {
 			r.phase, r.unheard = idle, false
@@ -571,17 +571,17 @@
 		w.jobs = append(w.jobs, job{id: r.id, worker: r.worker, attempt: r.attempt, sent: r.sent})
 	case turnAway:
 		if w.workers[r.worker].status == dispatch.Ready {
-			w.spend(TurnAway)
+			w.spend(FaultAtCapacity)
 		}
 		w.arrives(r)
 		r.status = 503
 	case replyError:
-		w.spend(Err)
+		w.spend(FaultServerError)
 		w.arrives(r)
 		w.runs(r.id, r.worker, r.sent)
 		r.status = 500
 	case replyReject:
-		w.spend(Reject)
+		w.spend(FaultRejected)
 		r.status = 400
 	}
 }
@@ -590,22 +590,22 @@
 	j := w.jobs[i]
 	say := func(n scheduler.CallbackKind) { w.calls = append(w.calls, call{j.id, j.worker, n}) }
 	switch a.Kind {
-	case Begin:
+	case StartJob:
 		w.jobs[i].running = true
 		w.runs(j.id, j.worker, j.sent)
 		say(scheduler.CallbackStarted)
 		return
-	case Finish:
+	case FinishJob:
 		w.requests[j.id].made |= 1 << j.worker
 		say(scheduler.CallbackDone)
 	case FailJob:
-		w.spend(Fail)
+		w.spend(FaultJobFailed)
 		say(scheduler.CallbackFailed)
 	case HandBackJob:
-		w.spend(HandBack)
+		w.spend(FaultJobHandedBack)
 		say(scheduler.CallbackHandedBack)
-	case KillJob:
-		w.spend(Kill)
+	case AbortJob:
+		w.spend(FaultJobAborted)
 		if !j.running { // nobody can say that it did not run
 			w.runs(j.id, j.worker, j.sent)
 		}
@@ -617,13 +617,13 @@
 func (w *World) applyCall(a Action, i int) {
 	c := w.calls[i]
 	switch a.Kind {
-	case LoseCall:
-		w.spend(Lose)
+	case DropCallback:
+		w.spend(FaultDroppedCallback)
 		w.dropCall(i)
 		return
-	case TellAndKeep:
-		w.spend(Repeat)
-	case Tell:
+	case DuplicateCallback:
+		w.spend(FaultDuplicateCallback)
+	case DeliverCallback:
 		w.dropCall(i)
 	}
 	told := scheduler.Callback{ID: w.txn(c.id), From: uid(int(c.worker)), Kind: c.news}
@@ -637,7 +637,7 @@
 	wd := &w.withdraws[i]
 	var e scheduler.Event
 	switch a.Kind {
-	case WithdrawArrives:
+	case CancellationArrives:
 		if w.workers[wd.worker].down {
 			_, e = wd.link.WriteEnded(true, true)
 			break
@@ -647,11 +647,11 @@
 		}
 		wd.phase = replied
 		return
-	case WithdrawAnswered:
+	case CancellationAnswered:
 		wd.link.WriteEnded(false, false)
 		_, e = wd.link.Answered(connstate.Answer{Status: 200})
-	case WithdrawBreaks:
-		w.spend(Break)
+	case CancellationBreaks:
+		w.spend(FaultConnectionBroken)
 		wd.link.WriteEnded(false, false)
 		_, e = wd.link.ReadEnded()
 	}
@@ -662,8 +662,8 @@
 func (w *World) applyWorker(a Action, i int) {
 	r := &w.workers[i]
 	switch a.Kind {
-	case ProcessDies:
-		w.spend(Die)
+	case ProcessCrashes:
+		w.spend(FaultProcessCrash)
 		r.down = true
 		for n := len(w.jobs) - 1; n >= 0; n-- {
 			if j := w.jobs[n]; int(j.worker) == i {
@@ -682,24 +682,24 @@
 			}
 		}
 		return
-	case ProcessStarts:
+	case ProcessRestarts:
 		r.down = false
 		r.begun, r.fresh = w.now, nil
-	case MachineSilent:
-		w.spend(Silence)
+	case MachineUnreachable:
+		w.spend(FaultMachineUnreachable)
 		r.silent = true
 		return
-	case MachineBack:
+	case MachineReachable:
 		r.silent = false
 		return
-	case SayDraining:
-		w.spend(Drain)
+	case AnnounceDraining:
+		w.spend(FaultEndpointStatus)
 		r.status = dispatch.Draining
-	case SayGone:
-		w.spend(Drain)
+	case AnnounceRemoved:
+		w.spend(FaultEndpointStatus)
 		r.status = dispatch.Removed
-	case SayReady:
-		w.spend(Drain)
+	case AnnounceReady:
+		w.spend(FaultEndpointStatus)
 		r.status = dispatch.Ready
 	}
 	switch {
@@ -720,12 +720,12 @@
 func (w *World) applyTime(a Action) {
 	due := w.due()
 	switch a.Kind {
-	case JustBefore:
-		w.spend(Jitter)
+	case AdvanceJustBefore:
+		w.spend(FaultTimerJitter)
 		w.now = due - jitter
 		return
-	case JustAfter:
-		w.spend(Jitter)
+	case AdvanceJustAfter:
+		w.spend(FaultTimerJitter)
 		w.now = due + jitter
 		return
 	}
@@ -747,24 +747,24 @@
 func (w *World) words(a Action) string {
 	i := int(a.A)
 	switch a.Kind {
-	case Submit, SubmitAgain:
+	case Submit, SubmitDuplicate:
 		q := &w.requests[i]
 		return fmt.Sprintf("client submits %s, a %v, and waits %v", w.txn(q.id), q.class, span(q.class.deadline()))
 	case RenewRequest:
 		return fmt.Sprintf("%s is over; another request takes its place", w.txn(uint8(i)))
-	case ClientLeaves:
+	case ClientDisconnects:
 		return fmt.Sprintf("client of %s leaves", w.txn(w.requests[i].id))
-	case RefuseRoute, Write, HearWritten, Arrive, BreakRoute, HearBroken, HearAnswer, CloseArrives, HearKept:
+	case RefuseConnection, WriteRequest, DeliverWritten, ArriveAtWorker, BreakConnection, DeliverBroken, DeliverAnswer, CloseArrives, DeliverNotSent:
 		r := &w.routes[i]
-		what := map[Kind]string{RefuseRoute: "its connection does not come up", Write: "is written out",
-			HearWritten: "loop hears that it is written", HearBroken: "loop hears that its connection ended",
-			HearKept:   "loop hears that nothing of it has left",
-			HearAnswer: fmt.Sprintf("loop hears the answer %d", r.status)}[a.Kind]
+		what := map[ActionKind]string{RefuseConnection: "its connection does not come up", WriteRequest: "is written out",
+			DeliverWritten: "loop hears that it is written", DeliverBroken: "loop hears that its connection ended",
+			DeliverNotSent: "loop hears that nothing of it has left",
+			DeliverAnswer:  fmt.Sprintf("loop hears the answer %d", r.status)}[a.Kind]
 		switch a.Kind {
-		case Arrive:
+		case ArriveAtWorker:
 			what = [...]string{"arrives and is accepted (202 on its way)", "arrives and is turned away",
 				"arrives and gets a 500", "arrives and gets a 400"}[a.B]
-		case BreakRoute:
+		case BreakConnection:
 			what = [...]string{"connection breaks, nothing arrived", "arrives and runs until its connection breaks",
 				"connection breaks, the worker's answer is lost", "connection ends after the 202"}[a.B]
 		case CloseArrives:
@@ -772,38 +772,38 @@
 				"our close crosses its 202: the worker holds it"}[a.B]
 		}
 		return fmt.Sprintf("attempt %d (%s at %s): %s", r.attempt, w.txn(r.id), uid(int(r.worker)), what)
-	case Begin, Finish, FailJob, HandBackJob, KillJob:
+	case StartJob, FinishJob, FailJob, HandBackJob, AbortJob:
 		j := &w.jobs[i]
-		what := map[Kind]string{Begin: "begins to run", Finish: "is done", FailJob: "fails",
-			HandBackJob: "hands back unstarted", KillJob: "loses"}[a.Kind]
-		if a.Kind == HandBackJob || a.Kind == KillJob {
+		what := map[ActionKind]string{StartJob: "begins to run", FinishJob: "is done", FailJob: "fails",
+			HandBackJob: "hands back unstarted", AbortJob: "loses"}[a.Kind]
+		if a.Kind == HandBackJob || a.Kind == AbortJob {
 			return fmt.Sprintf("%s %s %s", uid(int(j.worker)), what, w.txn(j.id))
 		}
 		return fmt.Sprintf("%s at %s %s", w.txn(j.id), uid(int(j.worker)), what)
-	case Tell, TellAndKeep, LoseCall:
+	case DeliverCallback, DuplicateCallback, DropCallback:
 		c := &w.calls[i]
 		news := map[scheduler.CallbackKind]string{scheduler.CallbackStarted: "started", scheduler.CallbackDone: "done",
 			scheduler.CallbackFailed: "failed", scheduler.CallbackHandedBack: "returned", scheduler.CallbackAborted: "lost"}[c.news]
-		end := map[Kind]string{Tell: "", TellAndKeep: " (and will again)",
-			LoseCall: ", which never gets through"}[a.Kind]
+		end := map[ActionKind]string{DeliverCallback: "", DuplicateCallback: " (and will again)",
+			DropCallback: ", which never gets through"}[a.Kind]
 		return fmt.Sprintf("%s calls back: %s %s%s", uid(int(c.worker)), w.txn(c.id), news, end)
-	case WithdrawArrives, WithdrawAnswered, WithdrawBreaks:
+	case CancellationArrives, CancellationAnswered, CancellationBreaks:
 		wd := &w.withdraws[i]
-		what := map[Kind]string{WithdrawArrives: "comes", WithdrawAnswered: "is answered",
-			WithdrawBreaks: "breaks off"}
+		what := map[ActionKind]string{CancellationArrives: "comes", CancellationAnswered: "is answered",
+			CancellationBreaks: "breaks off"}
 		return fmt.Sprintf("DELETE of %s to %s %s", w.txn(wd.id), uid(int(wd.worker)), what[a.Kind])
-	case ProcessDies, ProcessStarts, MachineSilent, MachineBack, SayDraining, SayGone, SayReady:
-		what := map[Kind]string{ProcessDies: "its process dies", ProcessStarts: "its process starts again",
-			MachineSilent: "its machine falls silent", MachineBack: "its machine is back",
-			SayDraining: "is said to drain", SayGone: "is said to be gone", SayReady: "is said to be ready"}
+	case ProcessCrashes, ProcessRestarts, MachineUnreachable, MachineReachable, AnnounceDraining, AnnounceRemoved, AnnounceReady:
+		what := map[ActionKind]string{ProcessCrashes: "its process dies", ProcessRestarts: "its process starts again",
+			MachineUnreachable: "its machine falls silent", MachineReachable: "its machine is back",
+			AnnounceDraining: "is said to drain", AnnounceRemoved: "is said to be gone", AnnounceReady: "is said to be ready"}
 		return fmt.Sprintf("%s: %s", uid(i), what[a.Kind])
-	case Tick:
+	case AdvanceTime:
 		return fmt.Sprintf("%v pass", span(max(w.due()-w.now, 0)))
 	}
-	return map[Kind]string{WatchLost: "the watch of the worker list is lost",
-		WatchAnswered: "discovery answers the watch", WatchAnew: "discovery answers, its list started anew",
-		ReloadConfig: "a new configuration holds", SigTerm: "SIGTERM",
-		ModuleBreaks: "the module is about to break down",
-		JustBefore:   "time passes until just before the next due point",
-		JustAfter:    "time passes until just after the next due point"}[a.Kind]
+	return map[ActionKind]string{CloseWatch: "the watch of the worker list is lost",
+		AnswerWatch: "discovery answers the watch", RestartDiscovery: "discovery answers, its list started anew",
+		ReloadConfig: "a new configuration holds", Terminate: "SIGTERM",
+		PanicModule:       "the module is about to break down",
+		AdvanceJustBefore: "time passes until just before the next due point",
+		AdvanceJustAfter:  "time passes until just after the next due point"}[a.Kind]
 }
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -14,26 +14,26 @@
 
 // The faults.
 const (
-	Refuse    Fault = iota // a connection does not come up
-	Break                  // a connection breaks after the last byte
-	TurnAway               // a worker turns an attempt away
-	Err                    // a worker answers 500
-	Reject                 // a worker answers 400
-	Repeat                 // a callback comes once more, at any later time
-	Lose                   // a callback never gets through
-	Fail                   // a job fails
-	HandBack               // a worker hands a job back unstarted
-	Kill                   // a worker loses a job
-	Die                    // a worker's process dies; it may start again
-	Silence                // a worker's machine falls silent; it may come back
-	Drain                  // a worker is said to drain, to be gone, or to be ready again
-	Leave                  // a client leaves
-	SameID                 // the same id is submitted again
-	LoseWatch              // the watch of the worker list is lost, or starts anew
-	Reload                 // a new configuration holds
-	Stop                   // SIGTERM
-	Panic                  // the module breaks down at the next event that it gets
-	Jitter                 // something comes just before a due point, or just after it
+	FaultConnectionRefused  Fault = iota // a connection does not come up
+	FaultConnectionBroken                // a connection breaks after the last byte
+	FaultAtCapacity                      // a worker turns an attempt away
+	FaultServerError                     // a worker answers 500
+	FaultRejected                        // a worker answers 400
+	FaultDuplicateCallback               // a callback comes once more, at any later time
+	FaultDroppedCallback                 // a callback never gets through
+	FaultJobFailed                       // a job fails
+	FaultJobHandedBack                   // a worker hands a job back unstarted
+	FaultJobAborted                      // a worker loses a job
+	FaultProcessCrash                    // a worker's process dies; it may start again
+	FaultMachineUnreachable              // a worker's machine falls silent; it may come back
+	FaultEndpointStatus                  // a worker is said to drain, to be gone, or to be ready again
+	FaultClientDisconnect                // a client leaves
+	FaultDuplicateID                     // the same id is submitted again
+	FaultWatchClosed                     // the watch of the worker list is lost, or starts anew
+	FaultReload                          // a new configuration holds
+	FaultShutdown                        // SIGTERM
+	FaultModulePanic                     // the module breaks down at the next event that it gets
+	FaultTimerJitter                     // something comes just before a due point, or just after it
 	faults
 )
 
@@ -64,16 +64,16 @@
 	// Racks has the rack of each worker.
 	Racks []int
 	// Faults has how often each may happen, Most how many in all.
-	Faults [faults]uint8
-	Most   uint8
-	// Overtake lets a worker's answer reach the loop before the writer's word.
-	Overtake bool
-	// DeleteOvertakes lets a DELETE overtake the request that it is about. No scheduler
+	Faults    [faults]uint8
+	MaxFaults uint8
+	// AnswerOvertakesWrite lets a worker's answer reach the loop before the writer's word.
+	AnswerOvertakesWrite bool
+	// DeleteOvertakesRequest lets a DELETE overtake the request that it is about. No scheduler
 	// can do anything about that: see docs/design.md.
-	DeleteOvertakes bool
-	// Renew lets a request that is over, and of which nothing is left, begin anew with
+	DeleteOvertakesRequest bool
+	// RenewRequests lets a request that is over, and of which nothing is left, begin anew with
 	// another id: a walk has no end then.
-	Renew bool
+	RenewRequests bool
 
 	// Rules are the settings in which it differs from the others.
 	Rules Rules
@@ -84,15 +84,15 @@
 // Rules are the settings that worlds may vary. The zero Rules are what most worlds have:
 // cancelling allowed, lists asked for, four attempts, no second copies.
 type Rules struct {
-	NoCancel     bool   // an attempt that is out may not be cancelled
-	MayDuplicate bool   // second copies are allowed
-	MaxAttempts  int    // 0: four
-	Pushed       bool   // lists are pushed
-	AskWithin    Micros // without a watch a change counts as told after that; 0: 10 s
-	Progress     Micros // workers tell of progress so often; 0: never
-	// Trust ends what a list is good for, as on sockets: ToldWithin is set, and a lost watch says
+	CancelForbidden  bool   // an attempt that is out may not be cancelled
+	HedgingAllowed   bool   // second copies are allowed
+	MaxAttempts      int    // 0: four
+	EndpointsPushed  bool   // lists are pushed
+	PollInterval     Micros // without a watch a change counts as told after that; 0: 10 s
+	ProgressInterval Micros // workers tell of progress so often; 0: never
+	// LimitStaleness ends what a list is good for, as on sockets: ToldWithin is set, and a lost watch says
 	// until when. Without it a list never gets old.
-	Trust bool
+	LimitStaleness bool
 }
 
 func (r *Rules) maxAttempts() int {
@@ -103,23 +103,23 @@
 }
 
 func (r *Rules) askWithin() Micros {
-	if r.AskWithin == 0 {
+	if r.PollInterval == 0 {
 		return askWithin
 	}
-	return r.AskWithin
+	return r.PollInterval
 }
 
 // parse reads the settings of a world with these rules.
 func (r *Rules) parse() (settings.Settings, error) {
 	discovery := "on_request"
-	if r.Pushed {
+	if r.EndpointsPushed {
 		discovery = "pushed"
 	}
-	set, err := settings.Parse(fmt.Appendf(nil, worldSettings, r.Progress, discovery, r.maxAttempts(),
-		!r.NoCancel, r.MayDuplicate, r.askWithin()))
+	set, err := settings.Parse(fmt.Appendf(nil, worldSettings, r.ProgressInterval, discovery, r.maxAttempts(),
+		!r.CancelForbidden, r.HedgingAllowed, r.askWithin()))
 	// The node does the same: a list that is pushed comes over a watch, too.
 	set.Dispatch.PollEndpoints = true
-	if r.Trust {
+	if r.LimitStaleness {
 		set.Dispatch.MaxStaleness = toldWithin
 	}
 	return set, err
@@ -162,9 +162,9 @@
 	return deadlineOfBatch
 }
 
-// With is the world with another number of requests (of alternating classes), of workers
+// Resize is the world with another number of requests (of alternating classes), of workers
 // (in the first one's rack) and of faults in all; 0, 0 and -1 leave them as they are.
-func (c *Config) With(requests, workers, most int) (*Config, error) {
+func (c *Config) Resize(requests, workers, most int) (*Config, error) {
 	n := *c
 	n.Requests, n.Racks = slices.Clone(c.Requests), slices.Clone(c.Racks)
 	switch {
@@ -190,7 +190,7 @@
 		n.Racks = append(n.Racks, n.Racks[0])
 	}
 	if most >= 0 {
-		n.Most = uint8(most)
+		n.MaxFaults = uint8(most)
 	}
 	return &n, nil
 }
@@ -216,7 +216,7 @@
 type budget map[Fault]uint8
 
 func world(name, about string, most uint8, requests []Class, racks []int, b budget) *Config {
-	c := &Config{Name: name, About: about, Most: most, Requests: requests, Racks: racks}
+	c := &Config{Name: name, About: about, MaxFaults: most, Requests: requests, Racks: racks}
 	for f, n := range b {
 		c.Faults[f] = n
 	}
@@ -229,63 +229,63 @@
 }
 
 var worlds = func() []*Config {
-	network := budget{Refuse: 2, Break: 2, TurnAway: 2, Err: 2, Reject: 1}
-	callbacks := budget{Repeat: 2, Lose: 1, Fail: 1, HandBack: 2, Kill: 1, TurnAway: 1}
+	network := budget{FaultConnectionRefused: 2, FaultConnectionBroken: 2, FaultAtCapacity: 2, FaultServerError: 2, FaultRejected: 1}
+	callbacks := budget{FaultDuplicateCallback: 2, FaultDroppedCallback: 1, FaultJobFailed: 1, FaultJobHandedBack: 2, FaultJobAborted: 1, FaultAtCapacity: 1}
 	all := budget{}
 	for f := range faults {
 		all[f] = 1
 	}
 	list := []*Config{
 		world("attempt", "one post-reading, two workers, the network and the workers at fault up to 3 times", 3,
-			[]Class{Post}, []int{0, 0}, merge(network, callbacks, budget{Leave: 1, Jitter: 1})),
+			[]Class{Post}, []int{0, 0}, merge(network, callbacks, budget{FaultClientDisconnect: 1, FaultTimerJitter: 1})),
 		world("keyed", "one district-batch, two workers in a rack and one outside, up to 2 faults", 2,
-			[]Class{Batch}, []int{0, 0, 1}, merge(network, callbacks, budget{Leave: 1, Die: 1})),
+			[]Class{Batch}, []int{0, 0, 1}, merge(network, callbacks, budget{FaultClientDisconnect: 1, FaultProcessCrash: 1})),
 		world("link", "one post-reading, one worker, answers overtake the writer's word", 3,
-			[]Class{Post}, []int{0}, merge(network, budget{Leave: 1, Jitter: 1, SameID: 1, Repeat: 1})),
+			[]Class{Post}, []int{0}, merge(network, budget{FaultClientDisconnect: 1, FaultTimerJitter: 1, FaultDuplicateID: 1, FaultDuplicateCallback: 1})),
 		world("list", "one request, two workers, the list changes under it, up to 3 times", 3,
-			[]Class{Batch}, []int{0, 0}, budget{Drain: 3, LoseWatch: 1, Reload: 1, TurnAway: 1, Die: 1, Refuse: 1}),
+			[]Class{Batch}, []int{0, 0}, budget{FaultEndpointStatus: 3, FaultWatchClosed: 1, FaultReload: 1, FaultAtCapacity: 1, FaultProcessCrash: 1, FaultConnectionRefused: 1}),
 		world("crash", "one request, processes die, machines fall silent, the module breaks down", 2,
-			[]Class{Batch}, []int{0, 0}, budget{Die: 2, Silence: 1, Panic: 1, Stop: 1, Break: 1, Leave: 1}),
+			[]Class{Batch}, []int{0, 0}, budget{FaultProcessCrash: 2, FaultMachineUnreachable: 1, FaultModulePanic: 1, FaultShutdown: 1, FaultConnectionBroken: 1, FaultClientDisconnect: 1}),
 		world("small", "one post-reading, two workers, any two faults of all kinds", 2,
 			[]Class{Post}, []int{0, 0}, all),
 		world("pair", "a post-reading and a district-batch, one worker, no fault (--faults 1: any one)", 0,
 			[]Class{Post, Batch}, []int{0}, all),
 	}
-	list[slices.IndexFunc(list, func(c *Config) bool { return c.Name == "link" })].Overtake = true
+	list[slices.IndexFunc(list, func(c *Config) bool { return c.Name == "link" })].AnswerOvertakesWrite = true
 	// What a planted fault needs to show itself, and little else.
 	list = append(list,
 		world("late", "one district-batch, its connection ends at any time", 2,
-			[]Class{Batch}, []int{0, 0}, budget{Break: 2}),
+			[]Class{Batch}, []int{0, 0}, budget{FaultConnectionBroken: 2}),
 		world("drains", "one district-batch, one worker comes and goes", 3,
-			[]Class{Batch}, []int{0, 0}, budget{Drain: 3, TurnAway: 1}),
+			[]Class{Batch}, []int{0, 0}, budget{FaultEndpointStatus: 3, FaultAtCapacity: 1}),
 		world("turned", "one district-batch, turned away again and again", 5,
-			[]Class{Batch}, []int{0, 0}, budget{TurnAway: 5, Refuse: 2}),
+			[]Class{Batch}, []int{0, 0}, budget{FaultAtCapacity: 5, FaultConnectionRefused: 2}),
 		world("cold", "two requests, a worker starts again", 2,
-			[]Class{Post, Batch}, []int{0}, budget{Die: 1, TurnAway: 1}))
+			[]Class{Post, Batch}, []int{0}, budget{FaultProcessCrash: 1, FaultAtCapacity: 1}))
 	// Those of other settings.
 	list = append(list,
 		world("forbidden", "one district-batch, cancelling is forbidden", 3,
-			[]Class{Batch}, []int{0, 0}, budget{Leave: 1, Break: 2, TurnAway: 1, HandBack: 1, Lose: 1, Die: 1,
-				Jitter: 1, Panic: 1, Stop: 1}).under(Rules{NoCancel: true}),
+			[]Class{Batch}, []int{0, 0}, budget{FaultClientDisconnect: 1, FaultConnectionBroken: 2, FaultAtCapacity: 1, FaultJobHandedBack: 1, FaultDroppedCallback: 1, FaultProcessCrash: 1,
+				FaultTimerJitter: 1, FaultModulePanic: 1, FaultShutdown: 1}).under(Rules{CancelForbidden: true}),
 		world("leaves", "one post-reading, its client leaves while nothing has left; cancelling is forbidden", 4,
-			[]Class{Post}, []int{0}, budget{Leave: 1, Jitter: 2, Refuse: 1, TurnAway: 1, HandBack: 1,
-				LoseWatch: 1, SameID: 1}).
-			under(Rules{NoCancel: true, Pushed: true, Trust: true}),
+			[]Class{Post}, []int{0}, budget{FaultClientDisconnect: 1, FaultTimerJitter: 2, FaultConnectionRefused: 1, FaultAtCapacity: 1, FaultJobHandedBack: 1,
+				FaultWatchClosed: 1, FaultDuplicateID: 1}).
+			under(Rules{CancelForbidden: true, EndpointsPushed: true, LimitStaleness: true}),
 		world("pushed", "one district-batch, lists are pushed, the watch is lost, workers drain", 3,
-			[]Class{Batch}, []int{0, 0}, budget{LoseWatch: 2, Drain: 2, TurnAway: 1, Break: 1, Jitter: 1}).
-			under(Rules{Pushed: true, Trust: true}),
+			[]Class{Batch}, []int{0, 0}, budget{FaultWatchClosed: 2, FaultEndpointStatus: 2, FaultAtCapacity: 1, FaultConnectionBroken: 1, FaultTimerJitter: 1}).
+			under(Rules{EndpointsPushed: true, LimitStaleness: true}),
 		world("asked", "one post-reading, ask_within is 0.4 s, the watch is lost, workers drain", 3,
-			[]Class{Post}, []int{0, 0}, budget{LoseWatch: 2, Drain: 2, TurnAway: 1, Break: 1, Jitter: 1}).
-			under(Rules{AskWithin: 400 * millisecond, Trust: true}),
+			[]Class{Post}, []int{0, 0}, budget{FaultWatchClosed: 2, FaultEndpointStatus: 2, FaultAtCapacity: 1, FaultConnectionBroken: 1, FaultTimerJitter: 1}).
+			under(Rules{PollInterval: 400 * millisecond, LimitStaleness: true}),
 		world("copies", "one district-batch, second copies are allowed, workers tell of progress", 3,
-			[]Class{Batch}, []int{0, 0}, budget{Break: 2, Leave: 1, Silence: 1, HandBack: 1, Repeat: 1, Lose: 1}).
-			under(Rules{MayDuplicate: true, Progress: 100 * millisecond}),
+			[]Class{Batch}, []int{0, 0}, budget{FaultConnectionBroken: 2, FaultClientDisconnect: 1, FaultMachineUnreachable: 1, FaultJobHandedBack: 1, FaultDuplicateCallback: 1, FaultDroppedCallback: 1}).
+			under(Rules{HedgingAllowed: true, ProgressInterval: 100 * millisecond}),
 		world("two", "one district-batch, two attempts at most", 4,
-			[]Class{Batch}, []int{0, 0}, budget{TurnAway: 4, Refuse: 2, HandBack: 2, Break: 1, Leave: 1}).
+			[]Class{Batch}, []int{0, 0}, budget{FaultAtCapacity: 4, FaultConnectionRefused: 2, FaultJobHandedBack: 2, FaultConnectionBroken: 1, FaultClientDisconnect: 1}).
 			under(Rules{MaxAttempts: 2}))
 	hole := world("hole", "one post-reading, one worker, and a DELETE may overtake its request: known to break",
-		1, []Class{Post}, []int{0}, budget{Leave: 1})
-	hole.DeleteOvertakes = true
+		1, []Class{Post}, []int{0}, budget{FaultClientDisconnect: 1})
+	hole.DeleteOvertakesRequest = true
 	list = append(list, hole)
 	return list
 }()
@@ -306,20 +306,20 @@
 // largeUnder precedes the name of a world whose settings the large one has.
 const largeUnder = "large-"
 
-// ByName finds a world; large-NAME is the large one with the settings of another. The error names
+// WorldByName finds a world; large-NAME is the large one with the settings of another. The error names
 // those that there are.
-func ByName(name string) (*Config, error) {
+func WorldByName(name string) (*Config, error) {
 	if of, is := strings.CutPrefix(name, largeUnder); is {
-		c, err := ByName(of)
+		c, err := WorldByName(of)
 		if err != nil {
 			return nil, err
 		}
-		large := Large().under(c.Rules)
+		large := LargeWorld().under(c.Rules)
 		large.Name = name
 		return large, nil
 	}
 	var names []string
-	for _, c := range append(Worlds(), Large()) {
+	for _, c := range append(Worlds(), LargeWorld()) {
 		if c.Name == name {
 			copied := *c
 			return &copied, nil
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"dahliaford/internal/dispatch"
 	"dahliaford/internal/scheduler"
@@ -110,8 +109,8 @@
 	return ""
 }
 
-// Missed lists the pairs of event and stage that are possible and were not met.
-func (c *Coverage) Missed() (missed []string) {
+// Uncovered lists the pairs of event and stage that are possible and were not met.
+func (c *Coverage) Uncovered() (missed []string) {
 	for e := range evKinds {
 		for s := range stages {
 			if c[e][s] == 0 && impossible(e, s) == "" {
@@ -211,12 +210,3 @@
 		all(evBreakdown)
 	}
 }
-
-// Sum adds coverages up.
-func Sum(all ...*Coverage) *Coverage {
-	total := &Coverage{}
-	for _, c := range slices.DeleteFunc(slices.Clone(all), func(c *Coverage) bool { return c == nil }) {
-		total.add(c)
-	}
-	return total
-}
--- a/internal/modelcheck/explore_bench_test.go
+++ b/internal/modelcheck/explore_bench_test.go
@@ -12,9 +12,9 @@
 func BenchmarkSearch(b *testing.B) {
 	defer debug.SetGCPercent(debug.SetGCPercent(600)) // as the laboratory does
 	for name, opt := range map[string]Options{"copy": {}, "copy-one": {Parallel: 1},
-		"replay-one": {Parallel: 1, Replay: true}} {
+		"replay-one": {Parallel: 1, ReplayStates: true}} {
 		b.Run(name, func(b *testing.B) {
-			cfg, err := ByName("attempt")
+			cfg, err := WorldByName("attempt")
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -23,8 +23,8 @@
 				began := time.Now()
 				r, err := Search(ctx, cfg, opt)
 				cancel()
-				if err != nil || r.Broken != nil {
-					b.Fatal(err, r.Broken)
+				if err != nil || r.Violation != nil {
+					b.Fatal(err, r.Violation)
 				}
 				b.ReportMetric(float64(r.States)/time.Since(began).Seconds(), "states/s")
 			}
--- a/internal/modelcheck/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -18,11 +18,11 @@
 // bounded is a world with fewer faults, so that CI can see it to its end.
 func bounded(t *testing.T, name string, most uint8) *Config {
 	t.Helper()
-	cfg, err := ByName(name)
+	cfg, err := WorldByName(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Most = most
+	cfg.MaxFaults = most
 	return cfg
 }
 
@@ -37,9 +37,9 @@
 	}{
 		{"attempt", 2, nil}, {"keyed", 1, nil}, {"link", 1, nil}, {"list", 1, nil}, {"crash", 1, nil},
 		{"late", 1, nil}, {"drains", 1, nil}, {"turned", 5, nil},
-		{"forbidden", 1, []Fault{Die}}, {"leaves", 2, []Fault{SameID, HandBack}},
-		{"pushed", 1, []Fault{Break, Drain}}, {"asked", 1, []Fault{Break, Drain}},
-		{"copies", 1, []Fault{Break}}, {"two", 2, nil},
+		{"forbidden", 1, []Fault{FaultProcessCrash}}, {"leaves", 2, []Fault{FaultDuplicateID, FaultJobHandedBack}},
+		{"pushed", 1, []Fault{FaultConnectionBroken, FaultEndpointStatus}}, {"asked", 1, []Fault{FaultConnectionBroken, FaultEndpointStatus}},
+		{"copies", 1, []Fault{FaultConnectionBroken}}, {"two", 2, nil},
 	} {
 		if raceOn && part.name != "late" {
 			continue
@@ -53,8 +53,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Broken != nil {
-				t.Fatalf("%v\n%s", r.Broken, account(cfg, r))
+			if r.Violation != nil {
+				t.Fatalf("%v\n%s", r.Violation, account(cfg, r))
 			}
 			if !r.Exhausted {
 				t.Errorf("not explored to the end: %+v", r)
@@ -63,16 +63,16 @@
 			all.add(r.Coverage)
 		})
 	}
-	if missed := all.Missed(); !raceOn && len(missed) > 0 {
+	if missed := all.Uncovered(); !raceOn && len(missed) > 0 {
 		t.Logf("not met with so few faults: %s", strings.Join(missed, "; "))
 	}
 }
 
 func account(cfg *Config, r *Result) string {
 	var lines []string
-	for _, s := range NewTrace(cfg, r.Path, r.Broken).Steps {
-		lines = append(lines, s.Do+"\t"+s.Words)
-		for _, then := range s.Then {
+	for _, s := range NewTrace(cfg, r.Path, r.Violation).Steps {
+		lines = append(lines, s.Action+"\t"+s.Description)
+		for _, then := range s.Effects {
 			lines = append(lines, "\t\t-> "+then)
 		}
 	}
@@ -87,12 +87,12 @@
 	for name, most := range map[string]uint8{"turned": 1, "leaves": 0, "asked": 0, "copies": 0} {
 		cfg := bounded(t, name, most)
 		var got [][]any
-		for _, opt := range []Options{{}, {Parallel: 1}, {Parallel: 2, Replay: true}} {
+		for _, opt := range []Options{{}, {Parallel: 1}, {Parallel: 2, ReplayStates: true}} {
 			r, err := Search(t.Context(), cfg, opt)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got = append(got, []any{r.States, r.Transitions, r.Exhausted, r.Broken == nil, *r.Coverage})
+			got = append(got, []any{r.States, r.Transitions, r.Exhausted, r.Violation == nil, *r.Coverage})
 		}
 		for _, g := range got[1:] {
 			if diff := cmp.Diff(got[0], g); diff != "" {
@@ -104,7 +104,7 @@
 
 // A copy acts as its original, and neither sees what the other does.
 func TestCopiesActAlike(t *testing.T) {
-	worlds := []*Config{Large()}
+	worlds := []*Config{LargeWorld()}
 	for _, c := range Worlds() {
 		if c.Rules != (Rules{}) {
 			worlds = append(worlds, c)
@@ -152,7 +152,7 @@
 func TestWalk(t *testing.T) {
 	steps, deepest := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Large()
+		cfg := LargeWorld()
 		w, err := newWorld(cfg)
 		if err != nil {
 			t.Fatal(err)
@@ -171,7 +171,7 @@
 		deepest = max(deepest, len(path))
 		if broke != nil {
 			path, broke = shorten(cfg, path, broke)
-			t.Fatalf("%v\n%s", broke, account(cfg, &Result{Path: path, Broken: broke}))
+			t.Fatalf("%v\n%s", broke, account(cfg, &Result{Path: path, Violation: broke}))
 		}
 	})
 	t.Logf("%d steps, at most %d in a walk", steps, deepest)
@@ -199,8 +199,8 @@
 			t.Fatal(file, err)
 		}
 		open := trace.World == "hole"
-		if broke := v.Broken != nil; broke != open || lines == 0 {
-			t.Errorf("%s: broken %v after %d lines, diverged at %d", file, v.Broken, lines, v.Diverged)
+		if broke := v.Violation != nil; broke != open || lines == 0 {
+			t.Errorf("%s: broken %v after %d lines, diverged at %d", file, v.Violation, lines, v.DivergedAt)
 		}
 	}
 }
@@ -209,12 +209,12 @@
 func TestFoundTraceReplays(t *testing.T) {
 	cfg := bounded(t, "hole", 1)
 	r, err := Search(t.Context(), cfg, Options{})
-	if err != nil || r.Broken == nil || r.Broken.Property != CalledBack {
+	if err != nil || r.Violation == nil || r.Violation.Property != OrphansCancelled {
 		t.Fatal(r, err)
 	}
-	trace := NewTrace(cfg, r.Path, r.Broken)
+	trace := NewTrace(cfg, r.Path, r.Violation)
 	v, err := trace.Replay(func(string) {})
-	if err != nil || v.Broken == nil {
+	if err != nil || v.Violation == nil {
 		t.Fatal(v, err)
 	}
 }
@@ -266,14 +266,14 @@
 		t.Fatal(err)
 	}
 	names := map[string]bool{}
-	for _, f := range mutants.Faults() {
+	for _, f := range mutants.All() {
 		if _, err := f.Overlay(root, t.TempDir()); err != nil {
 			t.Error(err)
 		}
-		if _, err := ByName(f.World); err != nil {
+		if _, err := WorldByName(f.World); err != nil {
 			t.Error(err)
 		}
-		for _, want := range strings.Fields(f.Want) {
+		for _, want := range strings.Fields(f.Violates) {
 			known := false
 			for _, p := range Properties() {
 				known = known || p.String() == want
@@ -322,7 +322,7 @@
 	cancel()
 	cfg := bounded(t, "attempt", 3)
 	r, err := Search(ctx, cfg, Options{})
-	if err != nil || r.Exhausted || r.Broken != nil {
+	if err != nil || r.Exhausted || r.Violation != nil {
 		t.Errorf("%+v, %v", r, err)
 	}
 	if diff := cmp.Diff(true, reflect.DeepEqual(cfg.Faults, bounded(t, "attempt", 3).Faults)); diff != "" {
--- a/internal/modelcheck/model.go
+++ b/internal/modelcheck/model.go
@@ -19,17 +19,17 @@
 	Check() error
 }
 
-// Tour is what Exhaust found.
-type Tour struct {
+// Exploration is what Exhaust found.
+type Exploration struct {
 	States, Transitions int
-	Deepest             int
+	Depth               int
 	Exhausted           bool     // all states were seen
-	Broken              error    // the first thing that broke
+	Violation           error    // the first thing that broke
 	Path                []string // the shortest way there
 }
 
 // Exhaust sees all states of a model, the nearest first, up to a number of them.
-func Exhaust[M Model[M]](root M, most int) Tour {
+func Exhaust[M Model[M]](root M, most int) Exploration {
 	type place struct {
 		world M
 		from  int // index of the place before
@@ -38,12 +38,12 @@
 	}
 	places := []place{{world: root, from: -1}}
 	seen := map[xxh3.Uint128]struct{}{xxh3.Hash128(root.AppendState(nil)): {}}
-	var t Tour
+	var t Exploration
 	var form []byte
 	for at := 0; at < len(places) && len(places) <= most; at++ {
 		here := places[at]
-		t.Deepest = max(t.Deepest, here.depth)
-		if t.Broken = here.world.Check(); t.Broken != nil {
+		t.Depth = max(t.Depth, here.depth)
+		if t.Violation = here.world.Check(); t.Violation != nil {
 			for i := at; places[i].from >= 0; i = places[i].from {
 				t.Path = append([]string{places[i].name}, t.Path...)
 			}
@@ -68,7 +68,7 @@
 	return t
 }
 
-func (t Tour) String() string {
-	return fmt.Sprintf("%d states, %d transitions, %d deep, exhausted %v", t.States, t.Transitions, t.Deepest,
+func (t Exploration) String() string {
+	return fmt.Sprintf("%d states, %d transitions, %d deep, exhausted %v", t.States, t.Transitions, t.Depth,
 		t.Exhausted)
 }
--- a/internal/modelcheck/mutants/mutants.go
+++ b/internal/modelcheck/mutants/mutants.go
@@ -1,7 +1,6 @@
-// Package mutants lists faults that are planted in the reducer, the connections' state
-// machine and the decision module, to see whether the explorer finds them. A fault is a
-// change of text that a build overlay puts in place of a source file: the program itself
-// has no hooks.
+// Package mutants lists faults that are put into the reducer, the state machine of connections and the
+// decision module, to see whether the model checker finds them. A mutant is a change of source text that a
+// build overlay (go build -overlay) puts in place of a file: the program itself has no hooks.
 package mutants
 
 import (
@@ -13,57 +12,89 @@
 	"strings"
 )
 
-// Fault is one planted fault.
-type Fault struct {
-	Name  string
-	About string
-	File  string   // from the root of the repository
-	Edits []string // old and new text in turns; each old text stands there exactly once
-	World string   // in which it must show
-	Want  string   // the properties that may break by it
-	And   *Fault   // in another file, where two guard against the same
-	Only  bool     // it shows under other settings only: in no world that has the usual ones
+// Mutant is the program with one fault.
+type Mutant struct {
+	Name    string
+	About   string // what the fault is
+	Patches []Patch
+	World   string // the world in which the fault must show
+	// Violates names the properties that may break by it, separated by spaces.
+	Violates string
+	// OnlyInWorld says that the fault shows under the settings of its world alone: it must not be found in
+	// any world that has the usual settings.
+	OnlyInWorld bool
 }
 
+// Patch is one change of a mutant: Old is replaced by New.
+type Patch struct {
+	File string // from the root of the repository
+	Old  string // must stand in the file exactly once, after the patches before this one
+	New  string
+}
+
+// The files that most patches change.
 const (
-	reducer = "internal/scheduler/scheduler.go"
-	links   = "internal/connstate/link.go"
-	module  = "internal/dispatch/dispatcher.go"
+	schedulerFile  = "internal/scheduler/scheduler.go"
+	connStateFile  = "internal/connstate/link.go"
+	dispatcherFile = "internal/dispatch/dispatcher.go"
 )
 
-// Faults are all faults.
-func Faults() []Fault {
+// All lists all mutants: of the reducer, of connections, of decisions.
+func All() []Mutant {
 	return slices.Concat(schedulerMutants, connstateMutants, dispatchMutants)
 }
 
-// Overlay writes what `go build -overlay` takes to plant a fault, into a folder, and
-// returns its path. The error says which old text does not stand where it should.
-func (f Fault) Overlay(root, folder string) (string, error) {
+// Files lists the files that a mutant changes, each once.
+func (m Mutant) Files() []string {
+	var files []string
+	for _, p := range m.Patches {
+		if !slices.Contains(files, p.File) {
+			files = append(files, p.File)
+		}
+	}
+	return files
+}
+
+// Overlay writes the files of a mutant and the overlay that `go build -overlay` takes into a folder, and
+// returns the path of the overlay. The error says which old text does not stand where it should.
+func (m Mutant) Overlay(root, folder string) (string, error) {
 	replaced := map[string]string{}
-	for part := &f; part != nil; part = part.And {
-		from := filepath.Join(root, part.File)
-		raw, err := os.ReadFile(from)
+	for i, file := range m.Files() {
+		source := filepath.Join(root, file)
+		text, err := m.apply(source, file)
 		if err != nil {
 			return "", err
 		}
-		text := string(raw)
-		for i := 0; i+1 < len(part.Edits); i += 2 {
-			if n := strings.Count(text, part.Edits[i]); n != 1 {
-				return "", fmt.Errorf("planted fault %s: its text stands %d times in %s: %q", f.Name, n, part.File,
-					part.Edits[i])
-			}
-			text = strings.Replace(text, part.Edits[i], part.Edits[i+1], 1)
-		}
-		to := filepath.Join(folder, filepath.Base(part.File))
-		if err := os.WriteFile(to, []byte(text), 0o666); err != nil {
-			return "", err
+		// Numbered: files of two packages may have the same name.
+		patched := filepath.Join(folder, fmt.Sprintf("%d-%s", i, filepath.Base(file)))
+		if err := os.WriteFile(patched, []byte(text), 0o666); err != nil {
+			return "", fmt.Errorf("mutant %s: %w", m.Name, err)
 		}
-		replaced[from] = to
+		replaced[source] = patched
 	}
-	overlay := filepath.Join(folder, "overlay.json")
 	raw, err := json.Marshal(map[string]map[string]string{"Replace": replaced})
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("mutant %s: overlay: %w", m.Name, err)
 	}
+	overlay := filepath.Join(folder, "overlay.json")
 	return overlay, os.WriteFile(overlay, raw, 0o666)
 }
+
+// apply returns the text of a source file with the patches of the mutant that are about it.
+func (m Mutant) apply(source, file string) (string, error) {
+	raw, err := os.ReadFile(source)
+	if err != nil {
+		return "", fmt.Errorf("mutant %s: %w", m.Name, err)
+	}
+	text := string(raw)
+	for _, p := range m.Patches {
+		if p.File != file {
+			continue
+		}
+		if n := strings.Count(text, p.Old); n != 1 {
+			return "", fmt.Errorf("mutant %s: its text stands %d times in %s: %q", m.Name, n, file, p.Old)
+		}
+		text = strings.Replace(text, p.Old, p.New, 1)
+	}
+	return text, nil
+}
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -14,19 +14,19 @@
 
 // The properties.
 const (
-	Answered         Property = iota + 1 // 1: one final answer before the client gives up; none to one that left
-	OneAttempt                           // 2: one attempt outstanding, as the workers see it
-	AttemptsCapped                       // 3: as many attempts as the settings allow at most
-	RunsAsAllowed                        // 4: nothing runs twice, but a batch in its rack and window
-	DrainsKept                           // 5: nothing new over 500 ms after a drain or an end was told
-	HonestAnswers                        // 6: a refusal only where it is harmless; a result as a worker made it
-	ColdSpared                           // 7: a cold worker gets no more than its budget
-	NothingLeaks                         // 8: when all is quiet, nothing is kept beyond its time
-	CalledBack                           // 9: who may hold a given-up attempt is told, once it can be reached
-	Ends                                 // 10: time alone ends all requests
-	CancelsAsAllowed                     // 11: where that is forbidden, nothing is cancelled in its time
-	LeaversSpared                        // 12: nothing new for a client that left
-	ListTrusted                          // 13: nothing is routed by a list past the time for which it holds
+	OneFinalAnswer        Property = iota + 1 // 1: one final answer before the client gives up; none to one that left
+	OneAttemptOutstanding                     // 2: one attempt outstanding, as the workers see it
+	AttemptsCapped                            // 3: as many attempts as the settings allow at most
+	RunsAsAllowed                             // 4: nothing runs twice, but a batch in its rack and window
+	DrainsRespected                           // 5: nothing new over 500 ms after a drain or an end was told
+	HonestAnswers                             // 6: a refusal only where it is harmless; a result as a worker made it
+	SlowStartRespected                        // 7: a cold worker gets no more than its budget
+	NothingLeaks                              // 8: when all is quiet, nothing is kept beyond its time
+	OrphansCancelled                          // 9: who may hold a given-up attempt is told, once it can be reached
+	Terminates                                // 10: time alone ends all requests
+	CancelsAsAllowed                          // 11: where that is forbidden, nothing is cancelled in its time
+	NoSendAfterDisconnect                     // 12: nothing new for a client that left
+	StaleListUnused                           // 13: nothing is routed by a list past the time for which it holds
 )
 
 var propertyNames = [...]string{"", "one-final-answer", "one-attempt-outstanding", "attempts-capped",
@@ -37,21 +37,21 @@
 
 // Properties are all of them.
 func Properties() []Property {
-	return []Property{Answered, OneAttempt, AttemptsCapped, RunsAsAllowed, DrainsKept, HonestAnswers, ColdSpared,
-		NothingLeaks, CalledBack, Ends, CancelsAsAllowed, LeaversSpared, ListTrusted}
+	return []Property{OneFinalAnswer, OneAttemptOutstanding, AttemptsCapped, RunsAsAllowed, DrainsRespected, HonestAnswers, SlowStartRespected,
+		NothingLeaks, OrphansCancelled, Terminates, CancelsAsAllowed, NoSendAfterDisconnect, StaleListUnused}
 }
 
-// Broken says which property broke, and how.
-type Broken struct {
+// Violation says which property broke, and how.
+type Violation struct {
 	Property Property
 	Text     string
 }
 
-func (b *Broken) Error() string { return b.Property.String() + ": " + b.Text }
+func (b *Violation) Error() string { return b.Property.String() + ": " + b.Text }
 
 func (w *World) fail(p Property, format string, args ...any) {
 	if w.broke == nil {
-		w.broke = &Broken{p, fmt.Sprintf(format, args...)}
+		w.broke = &Violation{p, fmt.Sprintf(format, args...)}
 	}
 }
 
@@ -66,7 +66,7 @@
 		}
 	}
 	if q == nil {
-		w.fail(Answered, "an answer to nobody")
+		w.fail(OneFinalAnswer, "an answer to nobody")
 		return
 	}
 	verdict := [...]string{"serves", "refuses", "fails", "calls invalid", "calls a conflict"}[a.Verdict]
@@ -80,11 +80,11 @@
 func (w *World) oneAnswer(q *request) {
 	switch {
 	case q.state == answered:
-		w.fail(Answered, "%s is answered twice", w.txn(q.id))
+		w.fail(OneFinalAnswer, "%s is answered twice", w.txn(q.id))
 	case q.state == gone:
-		w.fail(Answered, "%s is answered though its client left", w.txn(q.id))
+		w.fail(OneFinalAnswer, "%s is answered though its client left", w.txn(q.id))
 	case w.now > q.deadline:
-		w.fail(Answered, "%s is answered %v after its client gave up", w.txn(q.id), span(w.now-q.deadline))
+		w.fail(OneFinalAnswer, "%s is answered %v after its client gave up", w.txn(q.id), span(w.now-q.deadline))
 	}
 }
 
@@ -122,7 +122,7 @@
 	}
 	for _, j := range w.jobs {
 		if j.id == r.id {
-			w.fail(OneAttempt, "an attempt of %s comes to %s while %s holds one that nobody has called back there",
+			w.fail(OneAttemptOutstanding, "an attempt of %s comes to %s while %s holds one that nobody has called back there",
 				w.txn(r.id), uid(int(r.worker)), uid(int(j.worker)))
 		}
 	}
@@ -150,7 +150,7 @@
 	}
 	for _, at := range to.fresh {
 		if gap := max(r.sent-at, at-r.sent); gap < fall {
-			w.fail(ColdSpared, "two jobs are sent to the cold %s within %v", uid(int(r.worker)), span(gap))
+			w.fail(SlowStartRespected, "two jobs are sent to the cold %s within %v", uid(int(r.worker)), span(gap))
 		}
 	}
 	to.fresh = append(to.fresh, r.sent)
@@ -162,7 +162,7 @@
 	r.cold = to.begun != 0 && to.known == to.begun && w.now-to.begun < coldFor && to.status == dispatch.Ready
 	w.leaver(r)
 	if told := w.leaves(to); told != 0 && w.now-told > drainGrace {
-		w.fail(DrainsKept, "%s is written to %s, told %v ago to leave", w.txn(r.id), uid(int(r.worker)),
+		w.fail(DrainsRespected, "%s is written to %s, told %v ago to leave", w.txn(r.id), uid(int(r.worker)),
 			span(w.now-told))
 	}
 }
@@ -181,7 +181,7 @@
 		}
 	}
 	if since >= 0 && w.now-since > leaveGrace {
-		w.fail(LeaversSpared, "%s is written to %s %v after its client left", w.txn(r.id), uid(int(r.worker)),
+		w.fail(NoSendAfterDisconnect, "%s is written to %s %v after its client left", w.txn(r.id), uid(int(r.worker)),
 			span(w.now-since))
 	}
 }
@@ -189,7 +189,7 @@
 // cancels checks property 11 when an attempt is given up. What its worker or its connection has ended,
 // and what its time has ended, is out no more.
 func (w *World) cancels(attempt scheduler.AttemptID) {
-	if !w.cfg.Rules.NoCancel {
+	if !w.cfg.Rules.CancelForbidden {
 		return
 	}
 	for i := range w.requests {
@@ -220,7 +220,7 @@
 	}
 	for i := range w.requests {
 		if w.requests[i].state == open {
-			w.fail(Answered, "the program ends and %s has no answer", w.txn(w.requests[i].id))
+			w.fail(OneFinalAnswer, "the program ends and %s has no answer", w.txn(w.requests[i].id))
 		}
 	}
 }
@@ -233,9 +233,9 @@
 			continue
 		}
 		if w.now > q.deadline+jitter {
-			w.fail(Answered, "%s has no answer %v after its client gave up", w.txn(q.id), span(w.now-q.deadline))
+			w.fail(OneFinalAnswer, "%s has no answer %v after its client gave up", w.txn(q.id), span(w.now-q.deadline))
 		} else if w.now < q.deadline && (w.wake == 0 || w.wake > q.deadline) {
-			w.fail(Ends, "%s is open, and nothing is due before its client gives up", w.txn(q.id))
+			w.fail(Terminates, "%s is open, and nothing is due before its client gives up", w.txn(q.id))
 		}
 	}
 }
@@ -252,7 +252,7 @@
 
 // settle plays a fair end on a copy: no further fault, all that is on its way arrives, no
 // worker ends a job by itself, and time passes. It checks properties 8, 9 and 10.
-func (w *World) settle() *Broken {
+func (w *World) settle() *Violation {
 	if w.broke != nil {
 		return w.broke
 	}
@@ -264,7 +264,7 @@
 			return c.broke
 		}
 		if steps > mostSettling {
-			c.fail(Ends, "it does not come to rest")
+			c.fail(Terminates, "it does not come to rest")
 			return c.broke
 		}
 		buf = c.fair(buf[:0])
@@ -275,14 +275,14 @@
 	}
 	for i := range c.requests {
 		if c.requests[i].state == open {
-			c.fail(Ends, "%s is open, and nothing more happens", w.txn(c.requests[i].id))
+			c.fail(Terminates, "%s is open, and nothing more happens", w.txn(c.requests[i].id))
 		}
 	}
 	for _, j := range c.jobs {
-		if c.gaveUp || c.exited && c.cfg.Rules.NoCancel {
+		if c.gaveUp || c.exited && c.cfg.Rules.CancelForbidden {
 			continue // nobody could reach it in the time that a program has for its end, or was allowed to
 		}
-		c.fail(CalledBack, "%s holds %s, which nobody waits for, and is never told", uid(int(j.worker)),
+		c.fail(OrphansCancelled, "%s holds %s, which nobody waits for, and is never told", uid(int(j.worker)),
 			w.txn(j.id))
 	}
 	if c.exited {
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -15,11 +15,11 @@
 // Options say how a world is searched.
 type Options struct {
 	Parallel int // goroutines; 0: one for each core
-	// Replay makes each state anew from the root, as the first version did. It is kept as
+	// ReplayStates makes each state anew from the root, as the first version did. It is kept as
 	// the yardstick for copied states, and must find the same number of them.
-	Replay bool
-	// Seen is called now and then with the numbers so far; nil: nobody looks.
-	Seen func(states, transitions int64)
+	ReplayStates bool
+	// Progress is called now and then with the numbers so far; nil: nobody looks.
+	Progress func(states, transitions int64)
 }
 
 // Result is what a search found.
@@ -29,7 +29,7 @@
 	Transitions int64
 	Depth       int  // of the longest path that was walked
 	Exhausted   bool // all states within the world's bounds were seen
-	Broken      *Broken
+	Violation   *Violation
 	Path        []Action // to the state that broke a property, made short
 	Coverage    *Coverage
 }
@@ -88,7 +88,7 @@
 	pool    []state // what a worker without work may take
 	hungry  atomic.Int32
 	working int
-	found   *Broken
+	found   *Violation
 	at      *node
 	stopped atomic.Bool
 }
@@ -127,7 +127,7 @@
 		r.Coverage.add(&covers[i])
 	}
 	if s.found != nil {
-		r.Path, r.Broken = shorten(cfg, s.at.path(), s.found)
+		r.Path, r.Violation = shorten(cfg, s.at.path(), s.found)
 	}
 	return r, nil
 }
@@ -144,8 +144,8 @@
 			s.stop()
 			return
 		case <-tick.C:
-			if s.opt.Seen != nil {
-				s.opt.Seen(s.states.Load(), s.steps.Load())
+			if s.opt.Progress != nil {
+				s.opt.Progress(s.states.Load(), s.steps.Load())
 			}
 		}
 	}
@@ -189,7 +189,7 @@
 		for i, a := range actions {
 			var next *World
 			switch {
-			case s.opt.Replay:
+			case s.opt.ReplayStates:
 				next = s.state(at)
 			case i == len(actions)-1:
 				next = w // nobody needs it any more
@@ -218,7 +218,7 @@
 					break
 				}
 			}
-			if s.opt.Replay {
+			if s.opt.ReplayStates {
 				next = nil
 			}
 			own = append(own, state{next, place})
@@ -228,7 +228,7 @@
 
 // state gives a state to expand: itself, or made anew from the root.
 func (s *search) state(at state) *World {
-	if !s.opt.Replay {
+	if !s.opt.ReplayStates {
 		return at.world
 	}
 	w, err := newWorld(s.cfg)
@@ -241,7 +241,7 @@
 	return w
 }
 
-func (s *search) report(broke *Broken, at *node) {
+func (s *search) report(broke *Violation, at *node) {
 	s.mu.Lock()
 	if s.found == nil || at.depth < s.at.depth {
 		s.found, s.at = broke, at
@@ -280,7 +280,7 @@
 
 // shorten leaves out steps of a path as long as the same property breaks: first long
 // stretches, then shorter ones, and at last pairs.
-func shorten(cfg *Config, path []Action, broke *Broken) ([]Action, *Broken) {
+func shorten(cfg *Config, path []Action, broke *Violation) ([]Action, *Violation) {
 	work := mostShortening
 	try := func(left []Action) bool {
 		if work <= 0 {
@@ -329,7 +329,7 @@
 
 // replay plays a path from the root. It tells what broke, and after how many steps; a
 // step that is not enabled ends it.
-func replay(cfg *Config, path []Action, notes *[]string) (*Broken, int) {
+func replay(cfg *Config, path []Action, notes *[]string) (*Violation, int) {
 	w, err := newWorld(cfg)
 	if err != nil {
 		return nil, 0
@@ -380,7 +380,7 @@
 		r := &w.workers[i]
 		f.Bools(r.down, r.silent)
 		f.Ints(int64(r.status), int64(r.begun), int64(r.known), int64(r.told), int64(len(r.fresh)))
-		if w.cfg.Rules.Trust {
+		if w.cfg.Rules.LimitStaleness {
 			f.Ints(int64(r.made))
 		}
 		for _, at := range r.fresh {
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -13,28 +13,28 @@
 
 // Trace is a path to a state that broke a property, in a form that can be kept.
 type Trace struct {
-	Format   int    `json:"format"`
-	World    string `json:"world"`
-	Requests int    `json:"requests,omitempty"` // 0: as the world has them
-	Workers  int    `json:"workers,omitempty"`  // 0: as the world has them
-	Faults   *int   `json:"faults,omitempty"`   // null: as the world has them
-	Property string `json:"property"`
-	Text     string `json:"text"` // how it broke
-	Steps    []Step `json:"steps"`
+	Format    int    `json:"format"`
+	World     string `json:"world"`
+	Requests  int    `json:"requests,omitempty"` // 0: as the world has them
+	Workers   int    `json:"workers,omitempty"`  // 0: as the world has them
+	MaxFaults *int   `json:"faults,omitempty"`   // null: as the world has them
+	Property  string `json:"property"`
+	Text      string `json:"text"` // how it broke
+	Steps     []Step `json:"steps"`
 }
 
 // Step is one step of a trace. Do is what is replayed; Words are for people.
 type Step struct {
-	Do    string   `json:"do"`
-	Words string   `json:"words"`
-	Then  []string `json:"then,omitempty"` // what the scheduler did
+	Action      string   `json:"do"`
+	Description string   `json:"words"`
+	Effects     []string `json:"then,omitempty"` // what the scheduler did
 }
 
 // NewTrace makes a trace of what a search or a walk found.
-func NewTrace(cfg *Config, path []Action, broke *Broken) *Trace {
-	most := int(cfg.Most)
+func NewTrace(cfg *Config, path []Action, broke *Violation) *Trace {
+	most := int(cfg.MaxFaults)
 	t := &Trace{Format: traceFormat, World: cfg.Name, Requests: len(cfg.Requests), Workers: len(cfg.Racks),
-		Faults: &most, Property: broke.Property.String(), Text: broke.Text}
+		MaxFaults: &most, Property: broke.Property.String(), Text: broke.Text}
 	w, err := newWorld(cfg)
 	if err != nil {
 		return t
@@ -42,9 +42,9 @@
 	for _, a := range path {
 		var notes []string
 		w.notes = &notes
-		step := Step{Do: a.String(), Words: w.words(a)}
+		step := Step{Action: a.String(), Description: w.words(a)}
 		w.apply(a)
-		step.Then = slices.Clone(notes[1:])
+		step.Effects = slices.Clone(notes[1:])
 		t.Steps = append(t.Steps, step)
 	}
 	return t
@@ -77,21 +77,21 @@
 }
 
 func (t *Trace) config() (*Config, error) {
-	cfg, err := ByName(t.World)
+	cfg, err := WorldByName(t.World)
 	if err != nil {
 		return nil, err
 	}
 	most := -1
-	if t.Faults != nil {
-		most = *t.Faults
+	if t.MaxFaults != nil {
+		most = *t.MaxFaults
 	}
-	return cfg.With(t.Requests, t.Workers, most)
+	return cfg.Resize(t.Requests, t.Workers, most)
 }
 
 func (t *Trace) path() ([]Action, error) {
 	var path []Action
 	for i, s := range t.Steps {
-		a, err := parseAction(s.Do)
+		a, err := parseAction(s.Action)
 		if err != nil {
 			return nil, fmt.Errorf("step %d: %w", i+1, err)
 		}
@@ -106,20 +106,20 @@
 		var a, b uint8
 		kind := slices.Index(kindNames[:], words[0])
 		if _, err := fmt.Sscanf(words[1]+" "+words[2], "%d %d", &a, &b); err == nil && kind >= 0 {
-			return Action{Kind(kind), a, b}, nil
+			return Action{ActionKind(kind), a, b}, nil
 		}
 	}
 	return Action{}, fmt.Errorf("%q is no step", text)
 }
 
-// Verdict is what became of a trace that was played again.
-type Verdict struct {
-	Broken   *Broken // what broke; nil: nothing
-	Diverged int     // the step that can no longer be taken, from 1; 0: all were
+// ReplayResult is what became of a trace that was played again.
+type ReplayResult struct {
+	Violation  *Violation // what broke; nil: nothing
+	DivergedAt int        // the step that can no longer be taken, from 1; 0: all were
 }
 
 // Replay plays a trace again. say is called for each line of the account.
-func (t *Trace) Replay(say func(string)) (*Verdict, error) {
+func (t *Trace) Replay(say func(string)) (*ReplayResult, error) {
 	path, err := t.path()
 	if err != nil {
 		return nil, err
@@ -135,8 +135,8 @@
 	began := w.now
 	for n, a := range path {
 		if !w.allows(a) {
-			say(fmt.Sprintf("%3d  cannot be taken any more: %s", n+1, t.Steps[n].Words))
-			return &Verdict{Diverged: n + 1}, nil
+			say(fmt.Sprintf("%3d  cannot be taken any more: %s", n+1, t.Steps[n].Description))
+			return &ReplayResult{DivergedAt: n + 1}, nil
 		}
 		var notes []string
 		w.notes = &notes
@@ -147,12 +147,12 @@
 			say("               -> " + note)
 		}
 		if w.broke != nil {
-			return &Verdict{Broken: w.broke}, nil
+			return &ReplayResult{Violation: w.broke}, nil
 		}
 	}
 	say("     in flight: " + w.flight())
 	if !w.over() && !w.exited {
-		return &Verdict{}, nil
+		return &ReplayResult{}, nil
 	}
 	var notes []string
 	w.notes = &notes
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	return &Verdict{Broken: broke}, nil
+	return &ReplayResult{Violation: broke}, nil
 }
 
 // flight says what is on its way or held.
--- a/internal/modelcheck/trace_format_test.go
+++ b/internal/modelcheck/trace_format_test.go
@@ -35,7 +35,7 @@
 	for f := range faults {
 		got.Faults = append(got.Faults, f.String())
 	}
-	for _, c := range append(Worlds(), Large()) {
+	for _, c := range append(Worlds(), LargeWorld()) {
 		got.Worlds = append(got.Worlds, c.Name)
 	}
 	for _, p := range Properties() {
@@ -48,7 +48,7 @@
 
 // Traces with every kind of action can be read, replayed to their end and written again with the same keys.
 func TestTraceFormatStays(t *testing.T) {
-	met := map[Kind]bool{}
+	met := map[ActionKind]bool{}
 	for _, name := range []string{"walk-large.json", "walk-large-leaves.json", "walk-large-pushed.json"} {
 		raw := readFormatFile(t, name)
 		trace, err := ReadTrace(raw)
@@ -63,14 +63,14 @@
 			met[a.Kind] = true
 		}
 		v, err := trace.Replay(func(string) {})
-		if err != nil || v.Diverged != 0 || v.Broken != nil {
+		if err != nil || v.DivergedAt != 0 || v.Violation != nil {
 			t.Errorf("%s: replay gives %+v, %v", name, v, err)
 		}
 		cfg, err := trace.config()
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		written, err := json.Marshal(NewTrace(cfg, path, &Broken{Ends, trace.Text}))
+		written, err := json.Marshal(NewTrace(cfg, path, &Violation{Terminates, trace.Text}))
 		if err != nil {
 			t.Fatal(name, err)
 		}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -41,7 +41,7 @@
 	quiet   bool   // the rest is settled: no more faults
 	rest    Micros // until when
 
-	broke  *Broken // the first property that broke
+	broke  *Violation // the first property that broke
 	cover  *Coverage
 	notes  *[]string // what the scheduler did, in words; nil: nobody reads them
 	caller scheduler.CallerID
@@ -146,7 +146,7 @@
 	if err := cfg.prepare(); err != nil {
 		return nil, err
 	}
-	w := &World{cfg: cfg, now: start, rev: 1, left: cfg.Faults, most: cfg.Most, cover: &Coverage{}}
+	w := &World{cfg: cfg, now: start, rev: 1, left: cfg.Faults, most: cfg.MaxFaults, cover: &Coverage{}}
 	var err error
 	if w.s, err = scheduler.New(cfg.settings, 1); err != nil {
 		return nil, err
@@ -199,7 +199,7 @@
 
 // told marks what of the list the scheduler has now been told.
 func (w *World) told() {
-	if w.cfg.Rules.Trust {
+	if w.cfg.Rules.LimitStaleness {
 		w.heard, w.until, w.moved = w.now, w.now+toldWithin, 0
 	}
 	for i := range w.workers {
@@ -218,7 +218,7 @@
 // run here: until when what is known holds.
 func (w *World) lost() (until Micros) {
 	if w.watching { // else nothing hung on it
-		if w.cfg.Rules.Pushed {
+		if w.cfg.Rules.EndpointsPushed {
 			w.until = min(w.until, w.now+drainGrace)
 		} else {
 			w.until = min(w.until, w.heard+w.cfg.Rules.askWithin())
@@ -229,20 +229,22 @@
 }
 
 // holdsBack is the node's last look, with the first byte in hand (told.may there).
-func (w *World) holdsBack(to *worker) bool { return w.outdated() || w.cfg.Rules.Trust && to.told != 0 }
+func (w *World) holdsBack(to *worker) bool {
+	return w.outdated() || w.cfg.Rules.LimitStaleness && to.told != 0
+}
 
 // outdated tells whether what is known holds no more.
-func (w *World) outdated() bool { return w.cfg.Rules.Trust && w.now > w.until }
+func (w *World) outdated() bool { return w.cfg.Rules.LimitStaleness && w.now > w.until }
 
 // leaves is since when a worker counts as told to leave; 0: it does not.
 func (w *World) leaves(r *worker) Micros {
 	at := r.told
-	if r.made == 0 || !w.cfg.Rules.Trust {
+	if r.made == 0 || !w.cfg.Rules.LimitStaleness {
 		return at
 	}
 	counts := r.made + toldWithin
 	switch {
-	case w.cfg.Rules.Pushed: // what the agent has counts at once
+	case w.cfg.Rules.EndpointsPushed: // what the agent has counts at once
 		counts = r.made
 	case !w.watching:
 		counts = min(counts, r.made+w.cfg.Rules.askWithin())
@@ -273,7 +275,7 @@
 		w.note("the module broke down and was started anew")
 		var err error
 		if effects, err = w.s.Recover(w.now); err != nil {
-			w.fail(Answered, "the module cannot be started anew: %v", err)
+			w.fail(OneFinalAnswer, "the module cannot be started anew: %v", err)
 		}
 	}
 	for _, effect := range effects {
@@ -285,7 +287,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			if !w.breaks {
-				w.fail(Answered, "a panic that nobody caused: %v", cause)
+				w.fail(OneFinalAnswer, "a panic that nobody caused: %v", cause)
 			}
 			broken = true
 		}
@@ -306,7 +308,7 @@
 		w.note("scheduler routes %s to %s, to be written within %v", e.ID, e.UID, span(e.WriteBy-w.now))
 		// What waited for a withdrawal was decided before, and the node's last look keeps it back.
 		if w.outdated() && e.WriteBy-connectTimeout > w.until {
-			w.fail(ListTrusted, "%s is routed to %s by a list that held until %v ago", e.ID, e.UID,
+			w.fail(StaleListUnused, "%s is routed to %s by a list that held until %v ago", e.ID, e.UID,
 				span(w.now-w.until))
 		}
 		r := route{attempt: e.Attempt, id: idOf(e.ID), worker: workerOf(e.UID), writeBy: e.WriteBy}
@@ -338,7 +340,7 @@
 		w.wake = e.At
 	case scheduler.OpenWatch:
 		w.note("scheduler opens a watch of the worker list")
-		if w.asked, w.watching = true, false; e.ValidUntil != 0 && w.cfg.Rules.Trust {
+		if w.asked, w.watching = true, false; e.ValidUntil != 0 && w.cfg.Rules.LimitStaleness {
 			w.moved, w.until = w.now, min(w.until, e.ValidUntil)
 		}
 	case scheduler.Shutdown:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -206,7 +206,7 @@
 	}
 }
 
-func (w *world) Party(name string) scenario.Party {
+func (w *world) Actor(name string) scenario.Actor {
 	if name == "node" {
 		return stopper{w.node, w}
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// Party is one that takes part. Expect returns what it saw in the form of a text.
-type Party interface {
+// Actor is one that takes part. Expect returns what it saw in the form of a text.
+type Actor interface {
 	Send(text string) error
 	Expect(want string) (got string, err error)
 	Close(text string) error
@@ -22,7 +22,7 @@
 
 // World has the parties by name, and lets time pass.
 type World interface {
-	Party(name string) Party
+	Actor(name string) Actor
 	Wait(text string) error
 }
 
@@ -42,12 +42,12 @@
 		case who == "wait":
 			err = w.Wait(rest)
 		case verb == "send":
-			err = w.Party(who).Send(text)
+			err = w.Actor(who).Send(text)
 		case verb == "close":
-			err = w.Party(who).Close(text)
+			err = w.Actor(who).Close(text)
 		case verb == "expect":
 			var got string
-			if got, err = w.Party(who).Expect(text); err == nil && got != text {
+			if got, err = w.Actor(who).Expect(text); err == nil && got != text {
 				t.Fatalf("line %d: %s: -want +got:\n%s", i+1, line, diff(text, got))
 			}
 		default:
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-func (w *world) Party(name string) scenario.Party { return party{w, name} }
+func (w *world) Actor(name string) scenario.Actor { return party{w, name} }
 
 type party struct {
 	*world
--- a/internal/simfleet/run.go
+++ b/internal/simfleet/run.go
@@ -326,7 +326,7 @@
 
 func (r *run) state(places []int, state string, boot int64, kind history.Kind, one bool) int {
 	for _, p := range places {
-		r.saw(history.Event{At: time.Now(), Kind: kind, Who: r.workers.uids[p]})
+		r.saw(history.Event{At: time.Now(), Kind: kind, Actor: r.workers.uids[p]})
 	}
 	return r.list.tell(places, func(l *fakes.Endpoint) {
 		if l.State = state; boot != 0 {
@@ -571,10 +571,10 @@
 func (r *run) check() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rules := history.Rules{Rack: map[string]string{}, Window: 10 * time.Second,
+	rules := history.Rules{RackOf: map[string]string{}, Window: 10 * time.Second,
 		DrainGrace: 550 * time.Millisecond, MaxAttempts: 4, Slack: slack, OrphanLimit: 3 * time.Second}
 	for i, uid := range r.workers.uids {
-		rules.Rack[uid] = strconv.Itoa(i / 8)
+		rules.RackOf[uid] = strconv.Itoa(i / 8)
 	}
 	r.report.CheckedEvents = len(r.history)
 	for _, f := range history.Check(rules, r.history) {
--- a/internal/simfleet/workers.go
+++ b/internal/simfleet/workers.go
@@ -101,7 +101,7 @@
 		if off[j.place] {
 			delete(w.jobs, id)
 			close(j.gone)
-			w.say(history.Event{Kind: history.WorkerDied, ID: id, Who: w.uids[j.place]})
+			w.say(history.Event{Kind: history.WorkerDied, ID: id, Actor: w.uids[j.place]})
 		}
 	}
 }
@@ -149,12 +149,12 @@
 			conn.Write(http1.AppendResponse(nil, 400, nil, nil))
 			return
 		}
-		w.say(history.Event{Kind: history.Arrived, ID: j.id, Who: w.uids[place]})
+		w.say(history.Event{Kind: history.Arrived, ID: j.id, Actor: w.uids[place]})
 		w.mu.Lock()
 		w.jobs[j.id] = j
 		w.mu.Unlock()
 		if _, err := conn.Write(http1.AppendResponse(nil, 202, nil, nil)); err != nil {
-			if w.end(j, history.Event{Kind: history.Closed, ID: j.id, Who: w.uids[place]}) {
+			if w.end(j, history.Event{Kind: history.Closed, ID: j.id, Actor: w.uids[place]}) {
 				close(j.gone)
 			}
 			return
@@ -172,7 +172,7 @@
 		status = 200
 	}
 	w.mu.Unlock()
-	w.say(history.Event{Kind: history.CancelReceived, ID: id, Who: w.uids[place], Status: status})
+	w.say(history.Event{Kind: history.CancelReceived, ID: id, Actor: w.uids[place], Status: status})
 	return status
 }
 
@@ -189,7 +189,7 @@
 }
 
 func (w *workers) run(j *hollowJob, span time.Duration) {
-	w.say(history.Event{Kind: history.Started, ID: j.id, Who: w.uids[j.place]})
+	w.say(history.Event{Kind: history.Started, ID: j.id, Actor: w.uids[j.place]})
 	w.tell(j, "started", "")
 	if span > 0 {
 		select {
@@ -201,7 +201,7 @@
 		}
 	}
 	result := "did " + j.id
-	if w.end(j, history.Event{Kind: history.Ended, ID: j.id, Who: w.uids[j.place], Ran: true, Result: result}) {
+	if w.end(j, history.Event{Kind: history.Ended, ID: j.id, Actor: w.uids[j.place], MayHaveRun: true, Result: result}) {
 		w.tell(j, "done", result)
 	}
 }
--- a/internal/store/lifecycle/world_test.go
+++ b/internal/store/lifecycle/world_test.go
@@ -245,8 +245,8 @@
 			crashes = 1 // states cost ten times as much
 		}
 		tour := modelcheck.Exhaust(&world{Effect: effect, Crashes: crashes}, 300_000)
-		if tour.Broken != nil || !tour.Exhausted || tour.States < 1000 {
-			t.Errorf("effect %d: %v, %v, by %q", effect, tour, tour.Broken, tour.Path)
+		if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
+			t.Errorf("effect %d: %v, %v, by %q", effect, tour, tour.Violation, tour.Path)
 		}
 		t.Logf("effect %d: %v", effect, tour)
 	}
@@ -256,10 +256,10 @@
 func TestWhatMustBeOnDisk(t *testing.T) {
 	for _, early := range []string{"accept", "route", "204", "answer"} {
 		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, Early: early}, 1_000_000)
-		if tour.Broken == nil {
+		if tour.Violation == nil {
 			t.Errorf("nothing breaks without the wait before %s: %v", early, tour)
 			continue
 		}
-		t.Logf("%s: %v, by %q", early, tour.Broken, tour.Path)
+		t.Logf("%s: %v, by %q", early, tour.Violation, tour.Path)
 	}
 }
--- a/internal/testcluster/attempt.go
+++ b/internal/testcluster/attempt.go
@@ -57,14 +57,14 @@
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	rules := history.Rules{AtMostOnce: map[string]bool{"post-reading": true}, Rack: map[string]string{},
+	rules := history.Rules{AtMostOnce: map[string]bool{"post-reading": true}, RackOf: map[string]string{},
 		Window: 10 * time.Second, DrainGrace: 550 * time.Millisecond,
 		MaxAttempts: 4, Slack: a.Slack, OrphanLimit: 3 * time.Second}
 	var lines []fakes.Endpoint
 	for i := range workers {
 		line := fakes.Endpoint{UID: fmt.Sprintf("s-%08x", i+1), Group: i / 2}
 		lines = append(lines, line)
-		rules.Rack[line.UID] = strconv.Itoa(line.Group)
+		rules.RackOf[line.UID] = strconv.Itoa(line.Group)
 	}
 	p, err := startSite(a.Program, folder, "n0", lines,
 		func(k int) func(fakes.Job) fakes.Script { return mischief(a.Seed, k) }, rec)
@@ -185,11 +185,11 @@
 			out.Drains++
 			line.State = []string{"draining", "gone"}[random.IntN(2)]
 			at.discovery.Update(line)
-			rec(history.Event{At: time.Now(), Kind: history.EndpointChanged, Who: line.UID})
+			rec(history.Event{At: time.Now(), Kind: history.EndpointChanged, Actor: line.UID})
 			if !rest(1200 * time.Millisecond) {
 				return
 			}
-			rec(history.Event{At: time.Now(), Kind: history.WorkerReady, Who: line.UID})
+			rec(history.Event{At: time.Now(), Kind: history.WorkerReady, Actor: line.UID})
 			at.discovery.Update(at.lines[i])
 		case 3:
 			at.discovery.ResetWatches()
@@ -203,7 +203,7 @@
 		switch e.Kind {
 		case history.Sent:
 			o.Jobs++
-		case history.ClientLeft:
+		case history.ClientDisconnected:
 			o.Disconnected++
 		case history.Arrived:
 			o.Attempts++
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -97,12 +97,12 @@
 
 // saw counts what may have run. A worker is a rack of its own.
 func (f *Fleet) saw(e history.Event) {
-	if e.Kind != history.Started && !(e.Kind == history.Ended && e.Ran) {
+	if e.Kind != history.Started && !(e.Kind == history.Ended && e.MayHaveRun) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	attempt := e.ID + " " + e.Who
+	attempt := e.ID + " " + e.Actor
 	if f.ran[attempt] {
 		return
 	}
@@ -120,8 +120,8 @@
 	}
 	rack, known := f.racks[of.name]
 	if !known {
-		f.racks[of.name] = e.Who
-	} else if rack != e.Who && rack != "" {
+		f.racks[of.name] = e.Actor
+	} else if rack != e.Actor && rack != "" {
 		f.cross++
 		f.racks[of.name] = "" // counted
 	}
