--- a/cmd/schedbench/scale.go
+++ b/cmd/schedbench/scale.go
@@ -40,7 +40,7 @@
 )
 
 func (c *scaleCmd) Run() error {
-	opt := emulator.Options{Workers: c.Workers, Schedulers: c.Schedulers, Rate: c.Rate, For: c.For, Seed: c.Seed,
+	opt := emulator.Options{Workers: c.Workers, Schedulers: c.Schedulers, Rate: c.Rate, Duration: c.For, Seed: c.Seed,
 		Day: c.Day, Task: c.Task}
 	if c.Day == "" {
 		return misuse("unknown day %q: there are %s", c.Day, strings.Join(emulator.Days(), ", "))
@@ -97,52 +97,52 @@
 		return f("%.0f / %.0f / %.0f ms", s.P50, s.P99, s.Max)
 	}
 	t := [][]string{
-		{"day", f("%s: %s", m.Day, emulator.About(m.Day))},
+		{"day", f("%s: %s", m.Day, emulator.DescribeDay(m.Day))},
 		{"fleet", f("%d workers, %d schedulers, seed %d", m.Workers, m.Schedulers, m.Seed)},
-		{"load", f("%.0f s of virtual time, %.0f jobs a second, %.1f s a task", m.Seconds, m.RatePerS, m.TaskS)},
+		{"load", f("%.0f s of virtual time, %.0f jobs a second, %.1f s a task", m.LoadSeconds, m.RatePerSecond, m.TaskSeconds)},
 		{"jobs", f("%d, of which %d served, %d failed, %d given up after refusals", m.Jobs, m.Served, m.Failed,
 			m.GaveUp)},
-		{"open at the end", f("%d, of which %d not running, %d of these at one scheduler", m.Open, m.Waiting,
-			m.AtOne)},
-		{"starts a second", f("%.0f, %d in the busiest", m.StartsPerS, m.PeakStarts)},
+		{"open at the end", f("%d, of which %d not running, %d of these at one scheduler", m.Unanswered, m.NotRunning,
+			m.MaxNotRunningAtOne)},
+		{"starts a second", f("%.0f, %d in the busiest", m.StartsPerSecond, m.PeakStartsPerSecond)},
 	}
 	for _, class := range emulator.Classes() {
 		s := m.TimeToStart[class]
 		t = append(t, []string{"time to start, " + class, f("%s (p50 / p99 / max), %d of %d, %.2f%% of them in %s",
-			spread(s), s.N, s.Of, 100*s.Aim, emulator.AimOf(class))})
+			spread(s), s.Count, s.Total, 100*s.WithinObjective, emulator.StartObjective(class))})
 	}
-	for _, slots := range slices.Sorted(maps.Keys(m.BySlots)) {
-		s := m.BySlots[slots]
-		t = append(t, []string{"with " + slots + " slots", f("%s, %d of %d", spread(s), s.N, s.Of)})
+	for _, slots := range slices.Sorted(maps.Keys(m.TimeToStartBySlots)) {
+		s := m.TimeToStartBySlots[slots]
+		t = append(t, []string{"with " + slots + " slots", f("%s, %d of %d", spread(s), s.Count, s.Total)})
 	}
 	t = append(t, [][]string{
-		{"attempts", f("%d, %d turned away, %d turned back, %d killed, %d withdrawn", m.Attempts, m.TurnedAway,
-			m.TurnedBack, m.Killed, m.Withdrawn)},
+		{"attempts", f("%d, %d turned away, %d turned back, %d killed, %d withdrawn", m.Attempts, m.RejectedAtCapacity,
+			m.NotSent, m.KilledAttempts, m.Cancelled)},
 		{"control, a scheduler", f("%.0f B/s, %.0f B/s at the most, %.1f KB in the worst second, %.2f messages/s",
-			m.Control.BytesPerS, m.Control.MostPerS, float64(m.Control.WorstSecond)/1000, m.Control.MessagesPerS)},
-		{"work, a scheduler", f("%.1f KB/s, %.1f KB/s at the most, %.0f messages/s", m.Work.BytesPerS/1000,
-			m.Work.MostPerS/1000, m.Work.MessagesPerS)},
+			m.ControlTraffic.BytesPerSecond, m.ControlTraffic.MaxBytesPerSecond, float64(m.ControlTraffic.PeakSecondBytes)/1000, m.ControlTraffic.MessagesPerSecond)},
+		{"work, a scheduler", f("%.1f KB/s, %.1f KB/s at the most, %.0f messages/s", m.JobTraffic.BytesPerSecond/1000,
+			m.JobTraffic.MaxBytesPerSecond/1000, m.JobTraffic.MessagesPerSecond)},
 		{"discovery", f("%d whole lists, %d changes asked for, %d calls refused, %d watches lost, %.2f s busy",
-			m.Discovery.Whole, m.Discovery.Deltas, m.Discovery.Refused, m.Discovery.Lost, m.Discovery.Busy)},
-		{"changes", f("%d words, %d entries; in force %s; applied %s; open %d, unread %d", m.Changes.Words,
-			m.Changes.Entries, spread(m.Changes.InForce), spread(m.Changes.Applied), m.Changes.Open,
-			m.Changes.Unread)},
-		{"rules broken", f("%v", m.Broken)},
-		{"reducer, of a core", f("%.2f%%, %.2f%% at the most; %.3f%% for control", on.Core, on.CoreMost,
-			on.Control)},
+			m.Discovery.FullLists, m.Discovery.Deltas, m.Discovery.RefusedCalls, m.Discovery.WatchesClosed, m.Discovery.BusySeconds)},
+		{"changes", f("%d words, %d entries; in force %s; applied %s; open %d, unread %d", m.Changes.Updates,
+			m.Changes.Entries, spread(m.Changes.InForce), spread(m.Changes.Applied), m.Changes.NotInForce,
+			m.Changes.Unapplied)},
+		{"rules broken", f("%v", m.Violations)},
+		{"reducer, of a core", f("%.2f%%, %.2f%% at the most; %.3f%% for control", on.CorePercent, on.MaxCorePercent,
+			on.ControlCorePercent)},
 		{"reducer behind, at the most", f("%.1f ms with a core, %.0f ms for control with 2.9%% of one",
-			on.Lag, on.LagAtPart)},
-		{"changes with that time", f("%.0f ms with a core, %.0f ms with 2.9%% of one", on.Change, on.ChangeAtPart)},
-		{"heap", f("%.0f KB a scheduler with its list, %.0f MB the whole run", on.HeapEach, on.HeapMB)},
-		{"took", f("%.1f s on %d cores, %d events", on.Seconds, on.Cores, on.Events)},
+			on.MaxLagMs, on.MaxLagMsAtControlBudget)},
+		{"changes with that time", f("%.0f ms with a core, %.0f ms with 2.9%% of one", on.MaxChangeMs, on.MaxChangeMsAtControlBudget)},
+		{"heap", f("%.0f KB a scheduler with its list, %.0f MB the whole run", on.HeapKBPerScheduler, on.MaxHeapMB)},
+		{"took", f("%.1f s on %d cores, %d events", on.WallSeconds, on.AvailableCores, on.Events)},
 		{},
 		{"kind of event", "count", "mean us", "p50", "p99", "max", "total s"}}...)
-	for _, k := range on.Kinds {
-		t = append(t, []string{k.Kind, f("%d", k.N), f("%.1f", k.MeanUs), f("%.1f", k.P50Us), f("%.1f", k.P99Us),
-			f("%.1f", k.MaxUs), f("%.2f", k.TotalS)})
+	for _, k := range on.EventCosts {
+		t = append(t, []string{k.Kind, f("%d", k.Count), f("%.1f", k.MeanUs), f("%.1f", k.P50Us), f("%.1f", k.P99Us),
+			f("%.1f", k.MaxUs), f("%.2f", k.TotalSeconds)})
 	}
-	for _, text := range slices.Sorted(maps.Keys(m.Log)) {
-		t = append(t, []string{"log: " + text, f("%d", m.Log[text])})
+	for _, text := range slices.Sorted(maps.Keys(m.LogLines)) {
+		t = append(t, []string{"log: " + text, f("%d", m.LogLines[text])})
 	}
 	for _, text := range m.Findings {
 		t = append(t, []string{"broken", text})
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -186,7 +186,7 @@
 }
 
 func (r *request) check() {
-	r.f.tally.model.Checked++
+	r.f.tally.model.CheckedRequests++
 	for _, found := range history.Check(r.f.rules, r.history) {
 		r.f.tally.found(found)
 	}
--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// About says what befalls the fleet on a day.
-func About(name string) string { return days[name].about }
+// DescribeDay says what befalls the fleet on a day.
+func DescribeDay(name string) string { return days[name].about }
 
 // on is the time at which a part of the load is over.
 func (f *fleet) on(part float64) Micros {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -146,18 +146,18 @@
 	f := d.f
 	from := max(d.free, f.now)
 	if from-f.now > callWaits {
-		f.tally.discovery.Refused++
+		f.tally.discovery.RefusedCalls++
 		f.at(f.now+callWaits, func() { f.net.send(discoveryZone, s.n.zone, answerBytes, s.lost) })
 		return
 	}
 	t := d.table.Since(rev)
 	if t.Complete {
-		f.tally.discovery.Whole++
+		f.tally.discovery.FullLists++
 	} else {
 		f.tally.discovery.Deltas++
 	}
 	d.free = from + callTakes + Micros(float64(listBytes(len(t.Endpoints)))/sendRate)
-	f.tally.discovery.Busy += float64(d.free-from) / float64(second)
+	f.tally.discovery.BusySeconds += float64(d.free-from) / float64(second)
 	life := d.life
 	d.waiting = append(d.waiting, s)
 	f.at(d.free, func() {
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -33,13 +33,13 @@
 
 // The bounds of a run.
 const (
-	MostWorkers    = 20_000
-	MostSchedulers = 2_000
-	MostRate       = 10_000    // jobs a second
-	MostPairs      = 6_000_000 // schedulers times workers: each takes about a kilobyte
-	MostRunning    = 200_000   // jobs a second times the seconds that one takes
-	MostFor        = time.Hour
-	MostTask       = 10 * time.Minute
+	MaxWorkers     = 20_000
+	MaxSchedulers  = 2_000
+	MaxRate        = 10_000    // jobs a second
+	MaxPairs       = 6_000_000 // schedulers times workers: each takes about a kilobyte
+	MaxRunningJobs = 200_000   // jobs a second times the seconds that one takes
+	MaxDuration    = time.Hour
+	MaxTask        = 10 * time.Minute
 )
 
 // Options say what is run. Zero values stand for the defaults that are given.
@@ -47,7 +47,7 @@
 	Workers    int           // 1 to MostWorkers
 	Schedulers int           // 1 to MostSchedulers; times Workers at most MostPairs
 	Rate       float64       // jobs a second that clients hand in; 0: LoadOf of what the workers carry
-	For        time.Duration // of load, in virtual time
+	Duration   time.Duration // of load, in virtual time
 	Seed       uint64
 	Day        string        // one of Days; "": calm
 	Task       time.Duration // mean run time of a job on a standard machine; 0: DefaultTask
@@ -56,26 +56,26 @@
 // The defaults.
 const (
 	DefaultTask = 13 * time.Second
-	LoadOf      = 0.6
+	DefaultLoad = 0.6
 )
 
 // Check returns an error in one line if the options make no sense, or go beyond a bound.
 func (o Options) Check() error {
 	switch {
-	case o.Workers < 1 || o.Workers > MostWorkers:
-		return fmt.Errorf("workers must be 1 to %d", MostWorkers)
-	case o.Schedulers < 1 || o.Schedulers > MostSchedulers:
-		return fmt.Errorf("schedulers must be 1 to %d", MostSchedulers)
-	case !(o.Rate >= 0 && o.Rate <= MostRate):
-		return fmt.Errorf("rate must be 0 to %d", MostRate)
-	case o.For < time.Second || o.For > MostFor:
-		return fmt.Errorf("the time must be 1s to %v", MostFor)
-	case o.Task < 0 || o.Task > MostTask || o.Task > 0 && o.Task < 10*time.Millisecond:
-		return fmt.Errorf("a task must be 10ms to %v", MostTask)
-	case o.Workers*o.Schedulers > MostPairs:
-		return fmt.Errorf("schedulers times workers must be %d at the most", MostPairs)
-	case rateOf(o.filled())*o.filled().Task.Seconds() > MostRunning:
-		return fmt.Errorf("the rate times the seconds of a task must be %d at the most", MostRunning)
+	case o.Workers < 1 || o.Workers > MaxWorkers:
+		return fmt.Errorf("workers must be 1 to %d", MaxWorkers)
+	case o.Schedulers < 1 || o.Schedulers > MaxSchedulers:
+		return fmt.Errorf("schedulers must be 1 to %d", MaxSchedulers)
+	case !(o.Rate >= 0 && o.Rate <= MaxRate):
+		return fmt.Errorf("rate must be 0 to %d", MaxRate)
+	case o.Duration < time.Second || o.Duration > MaxDuration:
+		return fmt.Errorf("the time must be 1s to %v", MaxDuration)
+	case o.Task < 0 || o.Task > MaxTask || o.Task > 0 && o.Task < 10*time.Millisecond:
+		return fmt.Errorf("a task must be 10ms to %v", MaxTask)
+	case o.Workers*o.Schedulers > MaxPairs:
+		return fmt.Errorf("schedulers times workers must be %d at the most", MaxPairs)
+	case rateOf(o.filled())*o.filled().Task.Seconds() > MaxRunningJobs:
+		return fmt.Errorf("the rate times the seconds of a task must be %d at the most", MaxRunningJobs)
 	case o.Day != "" && days[o.Day].play == nil:
 		return fmt.Errorf("unknown day %q: there are %s", o.Day, strings.Join(Days(), ", "))
 	}
@@ -158,7 +158,7 @@
 		return nil, err
 	}
 	f := &fleet{opt: opt, set: set, task: Micros(opt.Task.Microseconds()), now: began,
-		end: began + warmUp + Micros(opt.For.Microseconds()), byUID: map[string]*worker{},
+		end: began + warmUp + Micros(opt.Duration.Microseconds()), byUID: map[string]*worker{},
 		byAddr: map[string]*worker{}, requests: map[string]*request{}}
 	f.net = network{f: f, random: f.random(1), cut: -1}
 	f.tally = newTally(f)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -11,7 +11,7 @@
 
 // short is the short form of a day.
 func short(day string) Options {
-	return Options{Workers: 200, Schedulers: 20, Rate: 80, For: 12 * time.Second, Task: time.Second, Day: day,
+	return Options{Workers: 200, Schedulers: 20, Rate: 80, Duration: 12 * time.Second, Task: time.Second, Day: day,
 		Seed: 1}
 }
 
@@ -35,13 +35,13 @@
 				t.Errorf("the same seed gives another run: %s", diff)
 			}
 			if !r.OK() || m.Invalid > 0 {
-				t.Errorf("broken: %v, %d invalid; %s", m.Broken, m.Invalid, strings.Join(m.Findings, "\n"))
+				t.Errorf("broken: %v, %d invalid; %s", m.Violations, m.Invalid, strings.Join(m.Findings, "\n"))
 			}
-			if m.Starts < m.Jobs/2 || m.Served < m.Jobs/4 || m.Checked < m.Requests-3 {
-				t.Errorf("%d jobs, %d starts, %d served; %d of %d checked", m.Jobs, m.Starts, m.Served, m.Checked,
+			if m.Starts < m.Jobs/2 || m.Served < m.Jobs/4 || m.CheckedRequests < m.Requests-3 {
+				t.Errorf("%d jobs, %d starts, %d served; %d of %d checked", m.Jobs, m.Starts, m.Served, m.CheckedRequests,
 					m.Requests)
 			}
-			if m.Changes.Open > 0 || m.Changes.InForce.Max > 8000 {
+			if m.Changes.NotInForce > 0 || m.Changes.InForce.Max > 8000 {
 				t.Errorf("changes not in force in time: %+v", m.Changes)
 			}
 			befallen(t, m)
@@ -55,22 +55,22 @@
 	inZone := (m.Workers + Zones - 1) / Zones
 	schedulersInRegion := m.Schedulers / Regions
 	happened := map[string]bool{
-		"calm":      m.Changes.Words == 0 && m.Killed == 0 && m.Discovery.Lost == 0,
-		"zone":      m.Changes.Entries >= inZone && m.Killed > 0,
-		"region":    m.Discovery.Lost >= schedulersInRegion && m.Changes.Entries >= 2*(inZone-1)*ZonesInRegion,
+		"calm":      m.Changes.Updates == 0 && m.KilledAttempts == 0 && m.Discovery.WatchesClosed == 0,
+		"zone":      m.Changes.Entries >= inZone && m.KilledAttempts > 0,
+		"region":    m.Discovery.WatchesClosed >= schedulersInRegion && m.Changes.Entries >= 2*(inZone-1)*ZonesPerRegion,
 		"roll":      m.Changes.Entries >= 2*m.Workers*rolled/sizeOfDay,
-		"discovery": m.Discovery.Whole == m.Schedulers && m.Discovery.Lost >= m.Schedulers,
-		"storm":     m.Killed > 0 && m.Changes.Entries >= 2*rackSize,
+		"discovery": m.Discovery.FullLists == m.Schedulers && m.Discovery.WatchesClosed >= m.Schedulers,
+		"storm":     m.KilledAttempts > 0 && m.Changes.Entries >= 2*rackSize,
 	}
 	if !happened[m.Day] {
-		t.Errorf("the day did not befall the fleet: %d killed, %+v, %+v", m.Killed, m.Changes, m.Discovery)
+		t.Errorf("the day did not befall the fleet: %d killed, %+v, %+v", m.KilledAttempts, m.Changes, m.Discovery)
 	}
 }
 
 // Another seed is another run.
 func TestSeeds(t *testing.T) {
 	opt := short("calm")
-	opt.For = 2 * time.Second
+	opt.Duration = 2 * time.Second
 	a := play(t, opt)
 	if opt.Seed = 2; cmp.Equal(a.Model.TimeToStart, play(t, opt).Model.TimeToStart) {
 		t.Error("two seeds give the same run")
@@ -89,9 +89,9 @@
 func TestOptions(t *testing.T) {
 	for want, change := range map[string]func(*Options){
 		"workers":    func(o *Options) { o.Workers = 0 },
-		"schedulers": func(o *Options) { o.Schedulers = MostSchedulers + 1 },
+		"schedulers": func(o *Options) { o.Schedulers = MaxSchedulers + 1 },
 		"rate":       func(o *Options) { o.Rate = -1 },
-		"time":       func(o *Options) { o.For = 0 },
+		"time":       func(o *Options) { o.Duration = 0 },
 		"task":       func(o *Options) { o.Task = time.Microsecond },
 		"day":        func(o *Options) { o.Day = "doom" },
 	} {
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -4,9 +4,9 @@
 
 // The places: regions with zones. Zone i lies in region i / ZonesInRegion.
 const (
-	Regions       = 7
-	ZonesInRegion = 2
-	Zones         = Regions * ZonesInRegion
+	Regions        = 7
+	ZonesPerRegion = 2
+	Zones          = Regions * ZonesPerRegion
 )
 
 // Delays one way.
@@ -35,7 +35,7 @@
 	do       func()
 }
 
-func region(zone int) int { return zone / ZonesInRegion }
+func region(zone int) int { return zone / ZonesPerRegion }
 
 // delay is how long a message takes one way.
 func (n *network) delay(from, to int) Micros {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -161,7 +161,7 @@
 	case scheduler.ResumeWorker:
 		delete(n.left, e.UID)
 	case scheduler.Log:
-		n.f.tally.model.Log[kindOfLine(e.Text)]++
+		n.f.tally.model.LogLines[kindOfLine(e.Text)]++
 	}
 }
 
@@ -294,7 +294,7 @@
 	if s.open {
 		n.f.discovery.leave(s)
 	}
-	n.f.tally.discovery.Lost++
+	n.f.tally.discovery.WatchesClosed++
 	if s == n.before {
 		n.before = nil
 		return
@@ -495,7 +495,7 @@
 	}
 	switch {
 	case !n.may(c.uid):
-		f.tally.model.TurnedBack++
+		f.tally.model.NotSent++
 		c.failed(false, dispatch.NotSent)
 		return
 	case f.now > c.writeBy:
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -47,7 +47,7 @@
 			f.after(4*second, f.net.heal)
 		}},
 	} {
-		f, err := newFleet(Options{Workers: 1, Schedulers: 1, Rate: 1, For: 60 * 1e9, Task: 3 * 1e9, Day: "calm"})
+		f, err := newFleet(Options{Workers: 1, Schedulers: 1, Rate: 1, Duration: 60 * 1e9, Task: 3 * 1e9, Day: "calm"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -81,7 +81,7 @@
 		if c.answer != "" && answer != c.answer {
 			t.Errorf("%s: answered %q, want %s", name, answer, c.answer)
 		}
-		if len(f.tally.model.Broken) > 0 {
+		if len(f.tally.model.Violations) > 0 {
 			t.Errorf("%s: %v", name, f.tally.model.Findings)
 		}
 	}
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -145,8 +145,8 @@
 	}
 	each := callTakes + Micros(float64(messageBytes(workerList(d.table.Full())))/sendRate)
 	fit := int(callWaits/each) + 1
-	if got := d.f.tally.discovery; got.Whole != fit || got.Refused != calls-fit {
-		t.Errorf("%d answered, %d refused of %d; want %d answered", got.Whole, got.Refused, calls, fit)
+	if got := d.f.tally.discovery; got.FullLists != fit || got.RefusedCalls != calls-fit {
+		t.Errorf("%d answered, %d refused of %d; want %d answered", got.FullLists, got.RefusedCalls, calls, fit)
 	}
 	f.until(f.now + callWaits/2)
 	if open := len(d.open); open < fit/2-2 || open > fit/2+2 {
@@ -170,7 +170,7 @@
 	req.taken()
 	do(f, req)
 	var names []string
-	for name := range f.tally.model.Broken {
+	for name := range f.tally.model.Violations {
 		names = append(names, name)
 	}
 	return strings.Join(slices.Sorted(slices.Values(names)), " ")
@@ -255,8 +255,8 @@
 	for range 100 {
 		w.strain(c, &request{f: f, id: "x", item: &item{slots: 4, work: float64(f.task)}})
 	}
-	if f.tally.model.PushedOver == 0 {
-		f.tally.model.Broken["not pushed over"]++
+	if f.tally.model.OverloadCrashes == 0 {
+		f.tally.model.Violations["not pushed over"]++
 	}
 }
 
@@ -272,11 +272,11 @@
 	f.tally.applied(f.nodes[1], 2, f.now-2*second) // sent nothing for two seconds
 	f.nodes[2].until = f.now - second              // never hears of it, and sends nothing
 	m := f.report().Model.Changes
-	if m.Open != 0 || m.Unread != 1 || m.InForce.Max < 4240 || m.InForce.Max > 4260 {
+	if m.NotInForce != 0 || m.Unapplied != 1 || m.InForce.Max < 4240 || m.InForce.Max > 4260 {
 		t.Errorf("%+v", m)
 	}
 	f.nodes[2].until = f.now + second
-	if m := f.report().Model.Changes; m.Open != 1 {
+	if m := f.report().Model.Changes; m.NotInForce != 1 {
 		t.Errorf("%+v", m)
 	}
 }
@@ -294,8 +294,8 @@
 		c.Assign(scheduler.AttemptID(i+1), false)
 		w.take(c, req)
 	}
-	if w.used != 14 || len(w.queue) != 28 || f.tally.model.TurnedAway != jobs-42 {
-		t.Errorf("%v run, %d wait, %d turned away", w.used, len(w.queue), f.tally.model.TurnedAway)
+	if w.used != 14 || len(w.queue) != 28 || f.tally.model.RejectedAtCapacity != jobs-42 {
+		t.Errorf("%v run, %d wait, %d turned away", w.used, len(w.queue), f.tally.model.RejectedAtCapacity)
 	}
 	w.withdraw("A")
 	if w.used != 14 || len(w.queue) != 27 {
@@ -303,9 +303,9 @@
 	}
 	w.die()
 	f.until(f.now + second)
-	if !w.idle() || f.discovery.table.At(0).State != endpoints.Removed || f.tally.model.Killed != 41 {
+	if !w.idle() || f.discovery.table.At(0).State != endpoints.Removed || f.tally.model.KilledAttempts != 41 {
 		t.Errorf("a dead worker holds %d, is listed as %s; %d killed", len(w.held), f.discovery.table.At(0).State,
-			f.tally.model.Killed)
+			f.tally.model.KilledAttempts)
 	}
 	w.boot()
 	f.until(f.now + second)
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -21,123 +21,123 @@
 }
 
 // OK tells whether no rule was broken.
-func (r *Report) OK() bool { return len(r.Model.Broken) == 0 }
+func (r *Report) OK() bool { return len(r.Model.Violations) == 0 }
 
 // Model is what happened in virtual time, from the first job to the end.
 type Model struct {
-	Day        string  `json:"day"`
-	Workers    int     `json:"workers"`
-	Schedulers int     `json:"schedulers"`
-	Seed       uint64  `json:"seed"`
-	RatePerS   float64 `json:"rate_per_s"` // asked for
-	TaskS      float64 `json:"task_s"`     // mean run of a job on a standard machine
-	Seconds    float64 `json:"seconds"`    // of load
-
-	Jobs     int `json:"jobs"`     // that clients wanted done
-	Requests int `json:"requests"` // their tries
-	Starts   int `json:"starts"`
-	Served   int `json:"served"`
-	Refused  int `json:"refused"` // tries that were refused
-	GaveUp   int `json:"gave_up"` // jobs whose last try was refused
-	Failed   int `json:"failed"`
-	Invalid  int `json:"invalid"`        // answers that no client should get: the model would be wrong
-	Open     int `json:"open"`           // at the end
-	Waiting  int `json:"waiting"`        // of them, not running
-	AtOne    int `json:"waiting_at_one"` // the most of these at one scheduler
-	Checked  int `json:"checked"`        // requests whose history was checked
-
-	StartsPerS  float64           `json:"starts_per_s"`
-	PeakStarts  int               `json:"peak_starts_per_s"` // in the busiest second
-	TimeToStart map[string]Spread `json:"time_to_start"`     // by class, from the client's first try
-	BySlots     map[string]Spread `json:"by_slots"`          // the same by the slots that a job takes
-	Attempts    int               `json:"attempts"`
-	TurnedAway  int               `json:"turned_away"` // by a full worker
-	TurnedBack  int               `json:"turned_back"` // by the last look
-	Killed      int               `json:"killed"`      // with their worker
-	Withdrawn   int               `json:"withdrawn"`
-	PushedOver  int               `json:"pushed_over"` // cold workers that fell over
-
-	CallbacksLost int            `json:"callbacks_lost"`
-	NoConnection  int            `json:"no_connection"` // attempts and withdrawals without one, for want of room
-	Log           map[string]int `json:"log"`           // lines of the reducer's log, without their numbers
-
-	Control   Traffic   `json:"control"` // between a scheduler and discovery
-	Work      Traffic   `json:"work"`    // between a scheduler, clients and workers
-	Discovery Discovery `json:"discovery"`
-	Changes   Changes   `json:"changes"`
-
-	Broken   map[string]int `json:"broken"` // rules, by how often
-	Findings []string       `json:"findings,omitempty"`
+	Day           string  `json:"day"`
+	Workers       int     `json:"workers"`
+	Schedulers    int     `json:"schedulers"`
+	Seed          uint64  `json:"seed"`
+	RatePerSecond float64 `json:"rate_per_s"` // asked for
+	TaskSeconds   float64 `json:"task_s"`     // mean run of a job on a standard machine
+	LoadSeconds   float64 `json:"seconds"`    // of load
+
+	Jobs               int `json:"jobs"`     // that clients wanted done
+	Requests           int `json:"requests"` // their tries
+	Starts             int `json:"starts"`
+	Served             int `json:"served"`
+	Refused            int `json:"refused"` // tries that were refused
+	GaveUp             int `json:"gave_up"` // jobs whose last try was refused
+	Failed             int `json:"failed"`
+	Invalid            int `json:"invalid"`        // answers that no client should get: the model would be wrong
+	Unanswered         int `json:"open"`           // at the end
+	NotRunning         int `json:"waiting"`        // of them, not running
+	MaxNotRunningAtOne int `json:"waiting_at_one"` // the most of these at one scheduler
+	CheckedRequests    int `json:"checked"`        // requests whose history was checked
+
+	StartsPerSecond     float64           `json:"starts_per_s"`
+	PeakStartsPerSecond int               `json:"peak_starts_per_s"` // in the busiest second
+	TimeToStart         map[string]Spread `json:"time_to_start"`     // by class, from the client's first try
+	TimeToStartBySlots  map[string]Spread `json:"by_slots"`          // the same by the slots that a job takes
+	Attempts            int               `json:"attempts"`
+	RejectedAtCapacity  int               `json:"turned_away"` // by a full worker
+	NotSent             int               `json:"turned_back"` // by the last look
+	KilledAttempts      int               `json:"killed"`      // with their worker
+	Cancelled           int               `json:"withdrawn"`
+	OverloadCrashes     int               `json:"pushed_over"` // cold workers that fell over
+
+	CallbacksUndelivered int            `json:"callbacks_lost"`
+	NoConnection         int            `json:"no_connection"` // attempts and withdrawals without one, for want of room
+	LogLines             map[string]int `json:"log"`           // lines of the reducer's log, without their numbers
+
+	ControlTraffic Traffic   `json:"control"` // between a scheduler and discovery
+	JobTraffic     Traffic   `json:"work"`    // between a scheduler, clients and workers
+	Discovery      Discovery `json:"discovery"`
+	Changes        Changes   `json:"changes"`
+
+	Violations map[string]int `json:"broken"` // rules, by how often
+	Findings   []string       `json:"findings,omitempty"`
 }
 
 // Spread is a distribution, in milliseconds.
 type Spread struct {
-	Of  int     `json:"of,omitempty"` // of so many
-	N   int64   `json:"n"`
-	P50 float64 `json:"p50_ms"`
-	P99 float64 `json:"p99_ms"`
-	Max float64 `json:"max_ms"`
-	// Aim is the part that began within the class's aim, without its stretch.
-	Aim float64 `json:"in_aim,omitempty"`
+	Total int     `json:"of,omitempty"` // of so many
+	Count int64   `json:"n"`
+	P50   float64 `json:"p50_ms"`
+	P99   float64 `json:"p99_ms"`
+	Max   float64 `json:"max_ms"`
+	// WithinObjective is the part that began within the class's aim, without its stretch.
+	WithinObjective float64 `json:"in_aim,omitempty"`
 }
 
 // Traffic is what a scheduler receives and sends, bytes as the wire would have them by estimate.
 type Traffic struct {
-	BytesPerS    float64 `json:"bytes_per_s"`      // on the mean of all schedulers
-	MostPerS     float64 `json:"most_bytes_per_s"` // of the scheduler with the most
-	WorstSecond  int64   `json:"worst_second_bytes,omitempty"`
-	MessagesPerS float64 `json:"messages_per_s"`
+	BytesPerSecond    float64 `json:"bytes_per_s"`      // on the mean of all schedulers
+	MaxBytesPerSecond float64 `json:"most_bytes_per_s"` // of the scheduler with the most
+	PeakSecondBytes   int64   `json:"worst_second_bytes,omitempty"`
+	MessagesPerSecond float64 `json:"messages_per_s"`
 }
 
 // Discovery is what discovery did.
 type Discovery struct {
-	Whole   int     `json:"whole_lists"`
-	Deltas  int     `json:"deltas"`
-	Refused int     `json:"refused_calls"`
-	Lost    int     `json:"lost_watches"`
-	Busy    float64 `json:"busy_s"`
+	FullLists     int     `json:"whole_lists"`
+	Deltas        int     `json:"deltas"`
+	RefusedCalls  int     `json:"refused_calls"`
+	WatchesClosed int     `json:"lost_watches"`
+	BusySeconds   float64 `json:"busy_s"`
 }
 
 // Changes is how long words of discovery took until they were in force everywhere, from when
 // discovery knew the first change in them. A change is in force at a scheduler once it has applied
 // it, or sends nothing because it has not heard discovery for too long.
 type Changes struct {
-	Words   int    `json:"words"`
-	Entries int    `json:"entries"`
-	InForce Spread `json:"in_force"`
-	Applied Spread `json:"applied"` // until the last one has applied it
-	Open    int    `json:"open"`    // not in force everywhere at the end
-	Unread  int    `json:"unread"`  // not applied everywhere at the end
+	Updates    int    `json:"words"`
+	Entries    int    `json:"entries"`
+	InForce    Spread `json:"in_force"`
+	Applied    Spread `json:"applied"` // until the last one has applied it
+	NotInForce int    `json:"open"`    // not in force everywhere at the end
+	Unapplied  int    `json:"unread"`  // not applied everywhere at the end
 }
 
 // Measured is what was measured on the machine.
 type Measured struct {
-	Seconds   float64    `json:"seconds"`              // that the run took
-	Events    uint64     `json:"events"`               // of the model
-	Kinds     []KindCost `json:"kinds"`                // processor time of the reducer, by kind of event
-	Core      float64    `json:"core_percent"`         // of a core, by a scheduler's reducer on the mean
-	CoreMost  float64    `json:"core_percent_most"`    // by the scheduler with the most
-	Control   float64    `json:"core_percent_control"` // of the mean, for words of discovery
-	Lag       float64    `json:"lag_ms"`               // most that a reducer is behind, with a core of its own
-	LagAtPart float64    `json:"lag_at_2.9_percent_ms"`
-	// Change is the longest that a change took to the last scheduler that heard it, counting the time
+	WallSeconds             float64     `json:"seconds"`              // that the run took
+	Events                  uint64      `json:"events"`               // of the model
+	EventCosts              []EventCost `json:"kinds"`                // processor time of the reducer, by kind of event
+	CorePercent             float64     `json:"core_percent"`         // of a core, by a scheduler's reducer on the mean
+	MaxCorePercent          float64     `json:"core_percent_most"`    // by the scheduler with the most
+	ControlCorePercent      float64     `json:"core_percent_control"` // of the mean, for words of discovery
+	MaxLagMs                float64     `json:"lag_ms"`               // most that a reducer is behind, with a core of its own
+	MaxLagMsAtControlBudget float64     `json:"lag_at_2.9_percent_ms"`
+	// MaxChangeMs is the longest that a change took to the last scheduler that heard it, counting the time
 	// of the reducers.
-	Change       float64 `json:"change_ms"`
-	ChangeAtPart float64 `json:"change_at_2.9_percent_ms"`
-	HeapEach     float64 `json:"heap_kb_a_scheduler"` // once it has the list
-	HeapMB       float64 `json:"heap_mb"`             // of the whole run, at the most
-	Cores        int     `json:"cores"`               // that the run could use
+	MaxChangeMs                float64 `json:"change_ms"`
+	MaxChangeMsAtControlBudget float64 `json:"change_at_2.9_percent_ms"`
+	HeapKBPerScheduler         float64 `json:"heap_kb_a_scheduler"` // once it has the list
+	MaxHeapMB                  float64 `json:"heap_mb"`             // of the whole run, at the most
+	AvailableCores             int     `json:"cores"`               // that the run could use
 }
 
-// KindCost is the processor time of one kind of event.
-type KindCost struct {
-	Kind   string  `json:"kind"`
-	N      int64   `json:"n"`
-	MeanUs float64 `json:"mean_us"`
-	P50Us  float64 `json:"p50_us"`
-	P99Us  float64 `json:"p99_us"`
-	MaxUs  float64 `json:"max_us"`
-	TotalS float64 `json:"total_s"`
+// EventCost is the processor time of one kind of event.
+type EventCost struct {
+	Kind         string  `json:"kind"`
+	Count        int64   `json:"n"`
+	MeanUs       float64 `json:"mean_us"`
+	P50Us        float64 `json:"p50_us"`
+	P99Us        float64 `json:"p99_us"`
+	MaxUs        float64 `json:"max_us"`
+	TotalSeconds float64 `json:"total_s"`
 }
 
 // Series are figures by second of the load.
@@ -172,9 +172,9 @@
 
 func newTally(f *fleet) tally {
 	t := tally{f: f, model: Model{Day: f.opt.Day, Workers: f.opt.Workers, Schedulers: f.opt.Schedulers,
-		Seed: f.opt.Seed, RatePerS: rateOf(f.opt), TaskS: f.opt.Task.Seconds(), Seconds: f.opt.For.Seconds(),
-		TimeToStart: map[string]Spread{}, BySlots: map[string]Spread{}, Log: map[string]int{},
-		Broken: map[string]int{}}, inAim: make([]int64, len(classes)), jobs: make([]int, len(classes)),
+		Seed: f.opt.Seed, RatePerSecond: rateOf(f.opt), TaskSeconds: f.opt.Task.Seconds(), LoadSeconds: f.opt.Duration.Seconds(),
+		TimeToStart: map[string]Spread{}, TimeToStartBySlots: map[string]Spread{}, LogLines: map[string]int{},
+		Violations: map[string]int{}}, inAim: make([]int64, len(classes)), jobs: make([]int, len(classes)),
 		slotJobs: make([]int, len(gangs))}
 	for range classes {
 		t.toStart = append(t.toStart, times())
@@ -186,10 +186,12 @@
 }
 
 // times is a histogram of times up to the longest run.
-func times() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(MostFor.Microseconds()), 3) }
+func times() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, int64(MaxDuration.Microseconds()), 3)
+}
 
 func (t *tally) found(f history.Finding) {
-	t.model.Broken[f.Property]++
+	t.model.Violations[f.Property]++
 	if len(t.model.Findings) < mostFindings {
 		t.model.Findings = append(t.model.Findings, fmt.Sprintf("%.3f s: %v", seconds(t.f.now-began-warmUp), f))
 	}
@@ -228,7 +230,7 @@
 	for int64(len(t.changes)) < rev-1 {
 		t.changes = append(t.changes, &changeOf{since: since, written: t.f.now, left: len(t.f.nodes)})
 	}
-	t.model.Changes.Words++
+	t.model.Changes.Updates++
 	t.model.Changes.Entries += entries
 }
 
@@ -252,7 +254,7 @@
 
 func spread(h *hdrhistogram.Histogram) Spread {
 	ms := func(v int64) float64 { return float64(v) / 1000 }
-	return Spread{N: h.TotalCount(), P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)),
+	return Spread{Count: h.TotalCount(), P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)),
 		Max: ms(h.Max())}
 }
 
@@ -261,15 +263,15 @@
 	m := &f.tally.model
 	for i, c := range classes {
 		s := spread(f.tally.toStart[i])
-		if s.Of = f.tally.jobs[i]; s.N > 0 {
-			s.Aim = float64(f.tally.inAim[i]) / float64(s.N)
+		if s.Total = f.tally.jobs[i]; s.Count > 0 {
+			s.WithinObjective = float64(f.tally.inAim[i]) / float64(s.Count)
 		}
 		m.TimeToStart[c.name] = s
 	}
 	for i, g := range gangs {
 		s := spread(f.tally.bySlots[i])
-		s.Of = f.tally.slotJobs[i]
-		m.BySlots[fmt.Sprint(g.slots)] = s
+		s.Total = f.tally.slotJobs[i]
+		m.TimeToStartBySlots[fmt.Sprint(g.slots)] = s
 	}
 	m.Discovery = f.tally.discovery
 	f.open()
@@ -287,30 +289,30 @@
 			}
 		}
 		if waits {
-			m.Changes.Open++
+			m.Changes.NotInForce++
 		} else {
 			inForce.RecordValue(max(int64(c.inForce-c.since), 1))
 		}
 		if c.left > 0 {
-			m.Changes.Unread++
+			m.Changes.Unapplied++
 		} else {
 			applied.RecordValue(max(int64(c.applied-c.since), 1))
 		}
 	}
 	m.Changes.InForce, m.Changes.Applied = spread(inForce), spread(applied)
-	m.StartsPerS = float64(m.Starts) / m.Seconds
+	m.StartsPerSecond = float64(m.Starts) / m.LoadSeconds
 	for _, n := range f.watch.series.Starts {
-		m.PeakStarts = max(m.PeakStarts, n)
+		m.PeakStartsPerSecond = max(m.PeakStartsPerSecond, n)
 	}
 	for _, n := range f.nodes {
-		each := float64(len(f.nodes)) * m.Seconds
-		m.Control.BytesPerS += float64(n.use.control) / each
-		m.Control.MessagesPerS += float64(n.use.controlMessages) / each
-		m.Control.MostPerS = max(m.Control.MostPerS, float64(n.use.control)/m.Seconds)
-		m.Control.WorstSecond = max(m.Control.WorstSecond, n.use.worst)
-		m.Work.BytesPerS += float64(n.use.jobs) / each
-		m.Work.MessagesPerS += float64(n.use.jobMessages) / each
-		m.Work.MostPerS = max(m.Work.MostPerS, float64(n.use.jobs)/m.Seconds)
+		each := float64(len(f.nodes)) * m.LoadSeconds
+		m.ControlTraffic.BytesPerSecond += float64(n.use.control) / each
+		m.ControlTraffic.MessagesPerSecond += float64(n.use.controlMessages) / each
+		m.ControlTraffic.MaxBytesPerSecond = max(m.ControlTraffic.MaxBytesPerSecond, float64(n.use.control)/m.LoadSeconds)
+		m.ControlTraffic.PeakSecondBytes = max(m.ControlTraffic.PeakSecondBytes, n.use.worst)
+		m.JobTraffic.BytesPerSecond += float64(n.use.jobs) / each
+		m.JobTraffic.MessagesPerSecond += float64(n.use.jobMessages) / each
+		m.JobTraffic.MaxBytesPerSecond = max(m.JobTraffic.MaxBytesPerSecond, float64(n.use.jobs)/m.LoadSeconds)
 	}
 	return &Report{Model: *m, Measured: f.watch.measured(f), Series: f.watch.series}
 }
@@ -325,11 +327,11 @@
 	waiting := map[*node]int{}
 	for _, r := range all {
 		if !r.answered {
-			f.tally.model.Open++
+			f.tally.model.Unanswered++
 			if r.item.ran != r {
-				f.tally.model.Waiting++
+				f.tally.model.NotRunning++
 				waiting[r.n]++
-				f.tally.model.AtOne = max(f.tally.model.AtOne, waiting[r.n])
+				f.tally.model.MaxNotRunningAtOne = max(f.tally.model.MaxNotRunningAtOne, waiting[r.n])
 			}
 			if f.now > r.until+slack {
 				r.note(history.Event{Kind: history.Unanswered, ID: r.id})
@@ -470,21 +472,21 @@
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func (s *stopwatch) measured(f *fleet) Measured {
-	m := Measured{Seconds: time.Since(s.from).Seconds(), Events: f.events.seq, HeapEach: s.listed / 1000,
-		HeapMB: float64(s.most) / 1e6, Cores: runtime.GOMAXPROCS(0),
-		Lag: ms(s.lag), LagAtPart: ms(s.lagPart), Change: ms(s.applied), ChangeAtPart: ms(s.appliedPart)}
+	m := Measured{WallSeconds: time.Since(s.from).Seconds(), Events: f.events.seq, HeapKBPerScheduler: s.listed / 1000,
+		MaxHeapMB: float64(s.most) / 1e6, AvailableCores: runtime.GOMAXPROCS(0),
+		MaxLagMs: ms(s.lag), MaxLagMsAtControlBudget: ms(s.lagPart), MaxChangeMs: ms(s.applied), MaxChangeMsAtControlBudget: ms(s.appliedPart)}
 	for kind, k := range s.kinds {
 		us := func(v int64) float64 { return float64(v) / 1000 }
-		m.Kinds = append(m.Kinds, KindCost{Kind: kind, N: k.took.TotalCount(), MeanUs: k.took.Mean() / 1000,
+		m.EventCosts = append(m.EventCosts, EventCost{Kind: kind, Count: k.took.TotalCount(), MeanUs: k.took.Mean() / 1000,
 			P50Us: us(k.took.ValueAtQuantile(50)), P99Us: us(k.took.ValueAtQuantile(99)), MaxUs: us(k.took.Max()),
-			TotalS: k.total.Seconds()})
+			TotalSeconds: k.total.Seconds()})
 	}
-	slices.SortFunc(m.Kinds, func(a, b KindCost) int { return int(b.TotalS*1e9 - a.TotalS*1e9) })
-	load := f.opt.For.Seconds() / 100
+	slices.SortFunc(m.EventCosts, func(a, b EventCost) int { return int(b.TotalSeconds*1e9 - a.TotalSeconds*1e9) })
+	load := f.opt.Duration.Seconds() / 100
 	for _, n := range f.nodes {
-		m.Core += n.use.took.Seconds() / load / float64(len(f.nodes))
-		m.CoreMost = max(m.CoreMost, n.use.took.Seconds()/load)
-		m.Control += n.use.tookControl.Seconds() / load / float64(len(f.nodes))
+		m.CorePercent += n.use.took.Seconds() / load / float64(len(f.nodes))
+		m.MaxCorePercent = max(m.MaxCorePercent, n.use.took.Seconds()/load)
+		m.ControlCorePercent += n.use.tookControl.Seconds() / load / float64(len(f.nodes))
 	}
 	return m
 }
--- a/internal/emulator/setup.go
+++ b/internal/emulator/setup.go
@@ -48,8 +48,8 @@
 	return names
 }
 
-// AimOf is within which a job of a class is to start.
-func AimOf(class string) time.Duration {
+// StartObjective is within which a job of a class is to start.
+func StartObjective(class string) time.Duration {
 	for _, c := range classes {
 		if c.name == class {
 			return span(c.aim)
@@ -102,7 +102,7 @@
 	if opt.Rate > 0 {
 		return opt.Rate
 	}
-	return LoadOf * capacity(opt)
+	return DefaultLoad * capacity(opt)
 }
 
 // fleetSettings is the settings object of the fleet, read as the program reads it.
@@ -156,6 +156,6 @@
 	return c.deadline + Micros(c.tasks*float64(opt.Task.Microseconds()))
 }
 
-func zoneName(z int) string { return fmt.Sprintf("r%d%c", z/ZonesInRegion, 'a'+z%ZonesInRegion) }
+func zoneName(z int) string { return fmt.Sprintf("r%d%c", z/ZonesPerRegion, 'a'+z%ZonesPerRegion) }
 
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -121,7 +121,7 @@
 	}
 	if waits+req.item.slots > queueOfSlots*w.kind.slots || req.item.slots > w.kind.slots {
 		req.note(history.Event{Kind: history.Ended, ID: req.id, Who: w.uid})
-		f.tally.model.TurnedAway++
+		f.tally.model.RejectedAtCapacity++
 		w.answer(c, connstate.Answer{Status: 503, TurnedAway: true, Report: w.report()})
 		return
 	}
@@ -167,7 +167,7 @@
 	if sum <= slack+overloadFactor*warmth*w.kind.slots*w.kind.speed*float64(fallWithin) {
 		return
 	}
-	f.tally.model.PushedOver++
+	f.tally.model.OverloadCrashes++
 	if knew >= sum*2/3 {
 		f.tally.found(history.Finding{Property: "cold-spared", ID: req.id,
 			Text: fmt.Sprintf("%s falls over, with %.0f s of work within its window", w.uid, sum/1e6)})
@@ -241,7 +241,7 @@
 	}
 	f.net.send(w.zone, a.n.zone, bytes, func() {
 		if f.now-sent > callbacksFor || a.n.life != life {
-			f.tally.model.CallbacksLost++
+			f.tally.model.CallbacksUndelivered++
 			return
 		}
 		a.n.job(bytes)
@@ -257,7 +257,7 @@
 		return false
 	}
 	a.req.note(history.Event{Kind: history.CancelReceived, ID: id, Who: w.uid, Status: 200})
-	w.f.tally.model.Withdrawn++
+	w.f.tally.model.Cancelled++
 	w.free(a)
 	a.req.close()
 	w.begin()
@@ -274,7 +274,7 @@
 	w.queue = nil
 	for _, a := range all {
 		a.req.note(history.Event{Kind: history.WorkerDied, ID: a.req.id, Who: w.uid})
-		w.f.tally.model.Killed++
+		w.f.tally.model.KilledAttempts++
 		w.free(a)
 		if tell {
 			w.callback(a, scheduler.Callback{Kind: scheduler.CallbackAborted})
