--- a/internal/emulator/bytes.go
+++ b/internal/emulator/bytes.go
@@ -11,20 +11,20 @@
 	emptyAnswerBytes = 27  // 204
 	callbackBytes    = 210 // POST /callback with the object, beside its result
 	reportBytes      = 80  // a load report within it
-	withdrawBytes    = 75
-	watchBytes       = 95  // the call that opens a watch
+	cancelBytes      = 75
+	openWatchBytes   = 95  // the call that opens a watch
 	entryBytes       = 139 // of the worker list: 1,000 KB for 7,200
-	lineBytes        = 48  // round them, with the framing of the chunk
-	beatBytes        = 6   // an empty line
+	listFrameBytes   = 48  // round them, with the framing of the chunk
+	heartbeatBytes   = 6   // an empty line
 )
 
 // messageBytes is the size of a line of a watch.
 func messageBytes(list scheduler.WorkerList) int {
 	if list.Rev == 0 {
-		return beatBytes
+		return heartbeatBytes
 	}
 	return listBytes(len(list.Workers))
 }
 
 // listBytes is the size of a full list or a change with so many entries.
-func listBytes(entries int) int { return lineBytes + entryBytes*entries }
+func listBytes(entries int) int { return listFrameBytes + entryBytes*entries }
--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -8,17 +8,17 @@
 
 // The size that the counts of faults are given for; a smaller fleet gets its part of them.
 const (
-	sizeOfDay  = 7200
-	rolled     = 410 // restarted or replaced on an ordinary day
-	failed     = 130 // machines that fail on an ordinary day
-	configured = 296 // changes of configuration in an hour: 7,100 a day
-	lateLines  = 0.01
+	referenceWorkers     = 7200
+	restartsPerDay       = 410 // restarted or replaced on an ordinary day
+	failuresPerDay       = 130 // machines that fail on an ordinary day
+	configChangesPerHour = 296 // changes of configuration in an hour: 7,100 a day
+	lateLineFraction     = 0.01
 )
 
 // day is what befalls the fleet while the load is on.
 type day struct {
-	about string
-	play  func(*fleet)
+	description string
+	schedule    func(*fleet)
 }
 
 var days map[string]day
@@ -38,50 +38,50 @@
 }
 
 // DescribeDay says what befalls the fleet on a day.
-func DescribeDay(name string) string { return days[name].about }
+func DescribeDay(name string) string { return days[name].description }
 
-// on is the time at which a part of the load is over.
-func (f *fleet) on(part float64) Micros {
-	start := began + warmUp
+// atFraction is the time at which a part of the load is over.
+func (f *fleet) atFraction(part float64) Micros {
+	start := epoch + warmUp
 	return start + Micros(part*float64(f.end-start))
 }
 
-// some is a fleet's part of a count, and least at the least.
-func (f *fleet) some(of, least int) int {
-	return min(max(int(math.Ceil(float64(of)*float64(f.opt.Workers)/sizeOfDay)), least), f.opt.Workers)
+// scaledCount is a fleet's part of a count, and least at the least.
+func (f *fleet) scaledCount(of, least int) int {
+	return min(max(int(math.Ceil(float64(of)*float64(f.options.Workers)/referenceWorkers)), least), f.options.Workers)
 }
 
 func (f *fleet) zoneDay() {
 	const lost = 5
-	random := f.random(4)
+	random := f.newRandom(4)
 	for _, w := range f.workers {
 		if w.zone == lost {
-			f.at(f.on(0.25)+Micros(random.Int64N(int64(100*millisecond))), w.vanish)
-			f.at(f.on(0.5)+Micros(random.Int64N(int64(2*second))), w.boot)
+			f.at(f.atFraction(0.25)+Micros(random.Int64N(int64(100*millisecond))), w.vanish)
+			f.at(f.atFraction(0.5)+Micros(random.Int64N(int64(2*second))), w.boot)
 		}
 	}
 }
 
 func (f *fleet) regionDay() {
 	const off = 3
-	random := f.random(4)
-	f.at(f.on(0.25), func() {
-		f.net.cut = off
+	random := f.newRandom(4)
+	f.at(f.atFraction(0.25), func() {
+		f.network.cutRegion = off
 		for _, w := range f.workers {
 			if region(w.zone) == off {
-				w.unheard()
+				w.missHeartbeats()
 			}
 		}
 	})
-	f.at(f.on(0.6), func() {
-		f.net.heal()
-		for _, s := range f.discovery.open {
-			s.healed()
+	f.at(f.atFraction(0.6), func() {
+		f.network.heal()
+		for _, s := range f.discovery.watches {
+			s.flush()
 		}
 		for _, w := range f.workers {
 			if region(w.zone) == off {
 				f.after(100*millisecond+Micros(random.Int64N(int64(second))), func() {
-					if w.up {
+					if w.running {
 						f.discovery.setState(w, endpoints.Ready)
 					}
 				})
@@ -92,52 +92,52 @@
 
 func (f *fleet) rollDay() {
 	const steps = 10
-	random := f.random(4)
-	which := random.Perm(len(f.workers))[:f.some(rolled, 4)]
+	random := f.newRandom(4)
+	which := random.Perm(len(f.workers))[:f.scaledCount(restartsPerDay, 4)]
 	patience := 10*second + 3*f.task/2
 	for i, at := range which {
 		w := f.workers[at]
-		f.at(f.on(0.1+0.7*float64(i%steps)/steps), func() {
+		f.at(f.atFraction(0.1+0.7*float64(i%steps)/steps), func() {
 			f.discovery.setState(w, endpoints.Draining)
-			f.drained(w, f.now+patience, func() {
+			f.whenDrained(w, f.now+patience, func() {
 				if i%3 == 2 {
-					w.lose(true)
+					w.abortAll(true)
 					f.after(3*second, w.replace)
 					return
 				}
-				w.die()
+				w.crash()
 				f.after(3*second, w.boot)
 			})
 		})
 	}
 }
 
-// drained waits until a worker holds nothing, or for so long.
-func (f *fleet) drained(w *worker, until Micros, do func()) {
+// whenDrained waits until a worker holds nothing, or for so long.
+func (f *fleet) whenDrained(w *worker, until Micros, do func()) {
 	if w.idle() || f.now >= until {
 		do()
 		return
 	}
-	f.after(second, func() { f.drained(w, until, do) })
+	f.after(second, func() { f.whenDrained(w, until, do) })
 }
 
 func (f *fleet) discoveryDay() {
-	f.at(f.on(1./3), func() { f.discovery.restart(min(5*second, (f.end-f.now)/4)) })
+	f.at(f.atFraction(1./3), func() { f.discovery.restart(min(5*second, (f.end-f.now)/4)) })
 }
 
 func (f *fleet) stormDay() {
 	const bursts = 20
-	f.discovery.late = lateLines
-	random := f.random(4)
-	when := func() Micros { return f.on(0.1 + 0.7*float64(random.IntN(bursts))/bursts) }
+	f.discovery.lateFraction = lateLineFraction
+	random := f.newRandom(4)
+	when := func() Micros { return f.atFraction(0.1 + 0.7*float64(random.IntN(bursts))/bursts) }
 	order := random.Perm(len(f.workers))
-	broken := f.some(failed, 4)
+	broken := f.scaledCount(failuresPerDay, 4)
 	rack := f.workers[order[0]].rack
 	for i, at := range order[:broken] {
 		w := f.workers[at]
 		switch i % 4 {
 		case 0, 1:
-			f.at(when(), func() { w.die(); f.after(3*second, w.boot) })
+			f.at(when(), func() { w.crash(); f.after(3*second, w.boot) })
 		case 2:
 			f.at(when(), func() { w.vanish(); f.after(10*second, w.boot) })
 		default:
@@ -146,21 +146,21 @@
 	}
 	for _, w := range f.workers {
 		if w.rack == rack {
-			f.at(f.on(0.4), w.vanish)
-			f.at(f.on(0.7)+Micros(random.Int64N(int64(2*second))), w.boot)
+			f.at(f.atFraction(0.4), w.vanish)
+			f.at(f.atFraction(0.7)+Micros(random.Int64N(int64(2*second))), w.boot)
 		}
 	}
 	// What the worker list can carry of the configuration: a worker that is taken out of use and given back.
-	for range f.some(configured, 8) / 2 {
+	for range f.scaledCount(configChangesPerHour, 8) / 2 {
 		w := f.workers[order[random.IntN(len(order))]]
 		at := when()
 		f.at(at, func() {
-			if w.up {
+			if w.running {
 				f.discovery.setState(w, endpoints.Draining)
 			}
 		})
-		f.at(at+f.on(0.1)-f.on(0), func() {
-			if w.up {
+		f.at(at+f.atFraction(0.1)-f.atFraction(0), func() {
+			if w.running {
 				f.discovery.setState(w, endpoints.Ready)
 			}
 		})
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -26,9 +26,9 @@
 	millisecond Micros = 1000
 	second             = 1000 * millisecond
 
-	began  = 1_000_000 * second // when the clock starts
-	warmUp = 3 * second         // from the start of the schedulers to the first job
-	slack  = 50 * millisecond   // that each time limit grows by on sockets
+	epoch       = 1_000_000 * second // when the clock starts
+	warmUp      = 3 * second         // from the start of the schedulers to the first job
+	timingSlack = 50 * millisecond   // that each time limit grows by on sockets
 )
 
 // The bounds of a run.
@@ -74,16 +74,16 @@
 		return fmt.Errorf("a task must be 10ms to %v", MaxTask)
 	case o.Workers*o.Schedulers > MaxPairs:
 		return fmt.Errorf("schedulers times workers must be %d at the most", MaxPairs)
-	case rateOf(o.filled())*o.filled().Task.Seconds() > MaxRunningJobs:
+	case jobRate(o.withDefaults())*o.withDefaults().Task.Seconds() > MaxRunningJobs:
 		return fmt.Errorf("the rate times the seconds of a task must be %d at the most", MaxRunningJobs)
-	case o.Day != "" && days[o.Day].play == nil:
+	case o.Day != "" && days[o.Day].schedule == nil:
 		return fmt.Errorf("unknown day %q: there are %s", o.Day, strings.Join(Days(), ", "))
 	}
 	return nil
 }
 
-// filled returns the options with their defaults.
-func (o Options) filled() Options {
+// withDefaults returns the options with their defaults.
+func (o Options) withDefaults() Options {
 	if o.Day == "" {
 		o.Day = "calm"
 	}
@@ -95,24 +95,24 @@
 
 // fleet is one run.
 type fleet struct {
-	opt    Options
-	set    settings.Settings
-	task   Micros
-	now    Micros
-	end    Micros
-	events queue
-
-	net       network
-	discovery *discovery
-	nodes     []*node
-	workers   []*worker
-	byUID     map[string]*worker
-	byAddr    map[string]*worker
-	clients   *clients
-	requests  map[string]*request
-	rules     history.Rules
-	tally     tally
-	watch     stopwatch
+	options  Options
+	settings settings.Settings
+	task     Micros
+	now      Micros
+	end      Micros
+	events   queue
+
+	network      network
+	discovery    *discovery
+	nodes        []*node
+	workers      []*worker
+	byUID        map[string]*worker
+	byAddr       map[string]*worker
+	clients      *clients
+	requests     map[string]*request
+	historyRules history.Rules
+	tally        tally
+	meter        costMeter
 }
 
 // at has something done at a time, behind all that was asked for before for the same time.
@@ -120,25 +120,25 @@
 
 func (f *fleet) after(d Micros, do func()) { f.events.push(f.now+d, do) }
 
-// random is a source of its own for one part of the world, so that a change in one part does
+// newRandom is a source of its own for one part of the world, so that a change in one part does
 // not deal others differently.
-func (f *fleet) random(part uint64) *rand.Rand { return rand.New(rand.NewPCG(f.opt.Seed, part)) }
+func (f *fleet) newRandom(part uint64) *rand.Rand { return rand.New(rand.NewPCG(f.options.Seed, part)) }
 
 // Run plays a day. It ends when the day does, or with an error once the context ends.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	if err := opt.Check(); err != nil {
 		return nil, err
 	}
-	opt = opt.filled()
+	opt = opt.withDefaults()
 	f, err := newFleet(opt)
 	if err != nil {
 		return nil, err
 	}
-	days[opt.Day].play(f)
+	days[opt.Day].schedule(f)
 	for n := 0; ; n++ {
 		if n%4096 == 0 {
 			if err := ctx.Err(); err != nil {
-				return nil, fmt.Errorf("given up at %.1f s of virtual time: %w", seconds(f.now-began), err)
+				return nil, fmt.Errorf("given up at %.1f s of virtual time: %w", seconds(f.now-epoch), err)
 			}
 		}
 		e, any := f.events.pop()
@@ -157,68 +157,68 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{opt: opt, set: set, task: Micros(opt.Task.Microseconds()), now: began,
-		end: began + warmUp + Micros(opt.Duration.Microseconds()), byUID: map[string]*worker{},
+	f := &fleet{options: opt, settings: set, task: Micros(opt.Task.Microseconds()), now: epoch,
+		end: epoch + warmUp + Micros(opt.Duration.Microseconds()), byUID: map[string]*worker{},
 		byAddr: map[string]*worker{}, requests: map[string]*request{}}
-	f.net = network{f: f, random: f.random(1), cut: -1}
+	f.network = network{fleet: f, random: f.newRandom(1), cutRegion: -1}
 	f.tally = newTally(f)
-	f.watch.start()
-	f.rules = history.Rules{AtMostOnce: map[string]bool{}, Rack: map[string]string{},
-		MaxAttempts: set.Dispatch.MaxAttempts, DrainGrace: span(set.DrainGrace), Slack: span(slack),
+	f.meter.start()
+	f.historyRules = history.Rules{AtMostOnce: map[string]bool{}, Rack: map[string]string{},
+		MaxAttempts: set.Dispatch.MaxAttempts, DrainGrace: toDuration(set.DrainGrace), Slack: toDuration(timingSlack),
 		OrphanLimit: 20 * time.Second,
-		Window:      span(set.Dispatch.Classes[len(set.Dispatch.Classes)-1].DedupWindow)}
+		Window:      toDuration(set.Dispatch.Classes[len(set.Dispatch.Classes)-1].DedupWindow)}
 	for _, c := range classes {
-		f.rules.AtMostOnce[c.name] = c.once
+		f.historyRules.AtMostOnce[c.name] = c.atMostOnce
 	}
 	f.discovery = newDiscovery(f)
 	for i := range opt.Workers {
 		f.register(f.newWorker(i % Zones))
 	}
-	empty := heap()
+	empty := heapInUse()
 	table := workerList(f.discovery.table.Full())
 	for i := range opt.Schedulers {
-		n, err := newNode(f, i, zoneOf(i, opt.Schedulers))
+		n, err := newNode(f, i, zoneOfScheduler(i, opt.Schedulers))
 		if err != nil {
 			return nil, err
 		}
 		f.nodes = append(f.nodes, n)
 	}
 	for _, n := range f.nodes {
-		f.at(began+Micros(n.random.Int64N(int64(second/2))), func() {
+		f.at(epoch+Micros(n.random.Int64N(int64(second/2))), func() {
 			n.step(scheduler.Started{Discovery: "discovery", CachedList: table})
 		})
 	}
-	f.at(began+warmUp, func() {
-		f.watch.listed = float64(heap()-empty) / float64(opt.Schedulers)
-		f.watch.began(f)
+	f.at(epoch+warmUp, func() {
+		f.meter.heapPerScheduler = float64(heapInUse()-empty) / float64(opt.Schedulers)
+		f.meter.startLoad(f)
 	})
 	f.clients = newClients(f)
-	f.at(began+warmUp, f.clients.next)
-	f.watch.sample(f)
+	f.at(epoch+warmUp, f.clients.submitNext)
+	f.meter.sampleHeap(f)
 	return f, nil
 }
 
-// zoneOf deals schedulers out over the zones.
-func zoneOf(i, of int) int {
+// zoneOfScheduler deals schedulers out over the zones.
+func zoneOfScheduler(i, of int) int {
 	if of >= Zones {
 		return i % Zones
 	}
 	return i * Zones / of
 }
 
-// heap is what is in use, in bytes, after a collection.
-func heap() int64 {
+// heapInUse is what is in use, in bytes, after a collection.
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-func span(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func toDuration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
 func seconds(m Micros) float64 { return float64(m) / float64(second) }
 
-func (f *fleet) time() time.Time { return time.UnixMicro(int64(f.now)) }
+func (f *fleet) wallTime() time.Time { return time.UnixMicro(int64(f.now)) }
 
 // Days are the days that can be played.
 func Days() []string {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -58,7 +58,7 @@
 		"calm":      m.Changes.Updates == 0 && m.KilledAttempts == 0 && m.Discovery.WatchesClosed == 0,
 		"zone":      m.Changes.Entries >= inZone && m.KilledAttempts > 0,
 		"region":    m.Discovery.WatchesClosed >= schedulersInRegion && m.Changes.Entries >= 2*(inZone-1)*ZonesPerRegion,
-		"roll":      m.Changes.Entries >= 2*m.Workers*rolled/sizeOfDay,
+		"roll":      m.Changes.Entries >= 2*m.Workers*restartsPerDay/referenceWorkers,
 		"discovery": m.Discovery.FullLists == m.Schedulers && m.Discovery.WatchesClosed >= m.Schedulers,
 		"storm":     m.KilledAttempts > 0 && m.Changes.Entries >= 2*rackSize,
 	}
@@ -113,7 +113,7 @@
 	for _, tenant := range set.Dispatch.Tenants {
 		quota += tenant.Quota
 	}
-	if len(set.Dispatch.Tenants) != teams || quota < 1.29*80 || quota > 1.31*80 {
+	if len(set.Dispatch.Tenants) != teamCount || quota < 1.29*80 || quota > 1.31*80 {
 		t.Errorf("%d teams with %v jobs a second", len(set.Dispatch.Tenants), quota)
 	}
 	if !set.Dispatch.LoadReports || !set.Dispatch.StartReported || !set.Dispatch.CancelAllowed || !set.Dispatch.RetriesMarked {
@@ -121,9 +121,9 @@
 	}
 	part := 0.0
 	for _, c := range classes {
-		part += c.part
+		part += c.fraction
 	}
-	for _, g := range gangs {
+	for _, g := range slotMix {
 		part += g.part
 	}
 	if part < 1.999 || part > 2.001 || len(set.Zones) != Zones {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -12,161 +12,161 @@
 
 // What package node holds to.
 const (
-	answerWithin = 4 * second // until discovery has opened a watch
-	silentFor    = 3 * second // between two lines of a watch
-	keptFew      = 50 * millisecond
-	keptMany     = 2000 * millisecond
-	mostOpen     = (1024 - 32) / 4 // connections to workers
+	watchOpenTimeout      = 4 * second // until discovery has opened a watch
+	watchSilenceTimeout   = 3 * second // between two lines of a watch
+	idleTimeoutSmallFleet = 50 * millisecond
+	idleTimeoutLargeFleet = 2000 * millisecond
+	maxConnections        = (1024 - 32) / 4 // connections to workers
 )
 
 // node is a hollow scheduler: the real reducer and module, and in place of sockets what package
 // node would do on them.
 type node struct {
-	f      *fleet
-	me     int
-	zone   int
-	life   int
-	sched  *scheduler.Scheduler
-	random *rand.Rand
-
-	effects []scheduler.Effect
-	wakeAt  Micros // what the reducer asked for last; 0: nothing
-	armed   Micros // when the next look at that is; 0: none
-	present *stream
-	before  *stream // until the present one says something
-	left    map[string]bool
-	starts  map[string]Micros // of workers, as told after the first list
-	heard   Micros            // what there was to tell by then has been told
-	until   Micros            // it holds until then
-	rev     int64             // applied
-	links   map[*worker][]*conn
-	idle    []idling
-	open    int
-	tasks   map[scheduler.AttemptID]*conn
-	unsent  scheduler.AttemptID
-	callers map[scheduler.CallerID]*request
-	caller  scheduler.CallerID
-
-	use use
-}
-
-// use is what a scheduler took up since the load began.
-type use struct {
-	control, jobs                int64 // bytes, in and out
-	controlMessages, jobMessages int64
-	second                       Micros // of control bytes, for the worst one
-	inSecond, worst              int64
-	took, tookControl            time.Duration
+	fleet   *fleet
+	index   int
+	zone    int
+	life    int
+	reducer *scheduler.Scheduler
+	random  *rand.Rand
+
+	effects         []scheduler.Effect
+	wakeAt          Micros // what the reducer asked for last; 0: nothing
+	timerAt         Micros // when the next look at that is; 0: none
+	watch           *watch
+	previousWatch   *watch // until the present one says something
+	stoppedWorkers  map[string]bool
+	workerStarts    map[string]Micros // of workers, as told after the first list
+	listAsOf        Micros            // what there was to tell by then has been told
+	validUntil      Micros            // it holds until then
+	appliedRevision int64             // applied
+	idleConns       map[*worker][]*conn
+	idleOrder       []idleEntry
+	openConns       int
+	attempts        map[scheduler.AttemptID]*conn
+	lastUnsent      scheduler.AttemptID
+	callers         map[scheduler.CallerID]*request
+	lastCaller      scheduler.CallerID
+
+	usage nodeUsage
+}
+
+// nodeUsage is what a scheduler took up since the load began.
+type nodeUsage struct {
+	controlBytes, jobBytes         int64 // bytes, in and out
+	controlMessages, jobMessages   int64
+	currentSecond                  Micros // of control bytes, for the worst one
+	bytesInSecond, peakSecondBytes int64
+	reducerTime, controlTime       time.Duration
 	// Until when the reducer is busy: with a core for all, and with its part for control.
-	busy, busyPart time.Duration
+	busyUntil, controlBusyUntil time.Duration
 }
 
-type idling struct {
-	c     *conn
+type idleEntry struct {
+	conn  *conn
 	since Micros
 }
 
 // conn is a connection to a worker.
 type conn struct {
 	connstate.Conn
-	n         *node
-	w         *worker
-	life      int // of the worker's process that took it
-	connected bool
-	writing   bool // something of the errand has left
-	wroteAt   Micros
-	since     Micros // it idles
-	dropped   bool
-	req       *request
-	uid       string
-	writeBy   Micros
+	node        *node
+	worker      *worker
+	incarnation int // of the worker's process that took it
+	connected   bool
+	writing     bool // something of the errand has left
+	writtenAt   Micros
+	idleSince   Micros // it idles
+	closed      bool
+	request     *request
+	uid         string
+	writeBy     Micros
 }
 
 func newNode(f *fleet, me, zone int) (*node, error) {
-	set := f.set
+	set := f.settings
 	set.Dispatch.Index, set.Dispatch.Zone = me, zone
-	s, err := scheduler.New(set, f.opt.Seed<<20+uint64(me))
+	s, err := scheduler.New(set, f.options.Seed<<20+uint64(me))
 	if err != nil {
 		return nil, err
 	}
-	return &node{f: f, me: me, zone: zone, sched: s, random: f.random(1_000_000 + uint64(me)), rev: 1,
-		left: map[string]bool{}, starts: map[string]Micros{}, links: map[*worker][]*conn{},
-		tasks: map[scheduler.AttemptID]*conn{}, callers: map[scheduler.CallerID]*request{}}, nil
+	return &node{fleet: f, index: me, zone: zone, reducer: s, random: f.newRandom(1_000_000 + uint64(me)), appliedRevision: 1,
+		stoppedWorkers: map[string]bool{}, workerStarts: map[string]Micros{}, idleConns: map[*worker][]*conn{},
+		attempts: map[scheduler.AttemptID]*conn{}, callers: map[scheduler.CallerID]*request{}}, nil
 }
 
-// control and job count a message.
-func (n *node) control(bytes int) {
-	u := &n.use
-	u.control += int64(bytes)
+// countControlMessage and job count a message.
+func (n *node) countControlMessage(bytes int) {
+	u := &n.usage
+	u.controlBytes += int64(bytes)
 	u.controlMessages++
-	if now := n.f.now / second; now != u.second {
-		u.second, u.inSecond = now, 0
+	if now := n.fleet.now / second; now != u.currentSecond {
+		u.currentSecond, u.bytesInSecond = now, 0
 	}
-	u.inSecond += int64(bytes)
-	u.worst = max(u.worst, u.inSecond)
-	n.f.watch.bytes(n.f, bytes)
+	u.bytesInSecond += int64(bytes)
+	u.peakSecondBytes = max(u.peakSecondBytes, u.bytesInSecond)
+	n.fleet.meter.countControlBytes(n.fleet, bytes)
 }
 
-func (n *node) job(bytes int) {
-	n.use.jobs += int64(bytes)
-	n.use.jobMessages++
+func (n *node) countJobMessage(bytes int) {
+	n.usage.jobBytes += int64(bytes)
+	n.usage.jobMessages++
 }
 
 // step passes one event to the reducer and carries its effects out.
 func (n *node) step(e scheduler.Event) {
 	began := time.Now()
-	n.effects = n.sched.Step(n.f.now, e, n.effects[:0])
-	n.f.watch.step(n, e, time.Since(began))
+	n.effects = n.reducer.Step(n.fleet.now, e, n.effects[:0])
+	n.fleet.meter.recordStep(n, e, time.Since(began))
 	for _, effect := range n.effects {
-		n.carryOut(effect)
+		n.execute(effect)
 	}
 }
 
-// later has the reducer hear of something behind what happens now.
-func (n *node) later(e scheduler.Event) { n.f.after(0, func() { n.step(e) }) }
+// stepLater has the reducer hear of something behind what happens now.
+func (n *node) stepLater(e scheduler.Event) { n.fleet.after(0, func() { n.step(e) }) }
 
-func (n *node) carryOut(e scheduler.Effect) {
+func (n *node) execute(e scheduler.Effect) {
 	switch e := e.(type) {
 	case scheduler.SendAttempt:
-		n.route(e)
+		n.sendAttempt(e)
 	case scheduler.CloseConnection:
-		n.abandon(e.Attempt)
+		n.abandonAttempt(e.Attempt)
 	case scheduler.CancelUnsent:
-		if c := n.tasks[e.Attempt]; c != nil && !c.writing {
-			delete(n.tasks, e.Attempt)
-			n.drop(c)
-			n.later(scheduler.AttemptEnded{Attempt: e.Attempt, Outcome: dispatch.NotSent})
+		if c := n.attempts[e.Attempt]; c != nil && !c.writing {
+			delete(n.attempts, e.Attempt)
+			n.closeConn(c)
+			n.stepLater(scheduler.AttemptEnded{Attempt: e.Attempt, Outcome: dispatch.NotSent})
 		}
 	case scheduler.CancelAttempt:
-		n.withdraw(e)
+		n.cancelAttempt(e)
 	case scheduler.Answer:
 		if req := n.callers[e.Caller]; req != nil {
 			delete(n.callers, e.Caller)
-			n.job(answerBytes + len(e.Body))
-			req.answer(e)
-			n.f.net.send(n.zone, req.zone, answerBytes, func() { n.f.clients.answered(req, e) })
+			n.countJobMessage(answerBytes + len(e.Body))
+			req.recordAnswer(e)
+			n.fleet.network.send(n.zone, req.zone, answerBytes, func() { n.fleet.clients.handleAnswer(req, e) })
 		}
 	case scheduler.SetTimer:
 		n.wakeAt = e.At
-		n.arm()
+		n.armTimer()
 	case scheduler.OpenWatch:
 		n.openWatch(e)
 	case scheduler.StopUsingWorker:
-		n.left[e.UID] = true
-		w := n.f.byUID[e.UID]
-		for _, c := range n.links[w] {
-			n.drop(c)
+		n.stoppedWorkers[e.UID] = true
+		w := n.fleet.byUID[e.UID]
+		for _, c := range n.idleConns[w] {
+			n.closeConn(c)
 		}
-		delete(n.links, w)
+		delete(n.idleConns, w)
 	case scheduler.ResumeWorker:
-		delete(n.left, e.UID)
+		delete(n.stoppedWorkers, e.UID)
 	case scheduler.Log:
-		n.f.tally.model.LogLines[kindOfLine(e.Text)]++
+		n.fleet.tally.model.LogLines[logTemplate(e.Text)]++
 	}
 }
 
-// kindOfLine is a line of the log without its numbers.
-func kindOfLine(text string) string {
+// logTemplate is a line of the log without its numbers.
+func logTemplate(text string) string {
 	words := strings.Fields(text)
 	for i, w := range words {
 		if strings.Trim(w, "0123456789") == "" {
@@ -176,25 +176,25 @@
 	return strings.Join(words, " ")
 }
 
-// arm sets the timer, unless it rings early enough.
-func (n *node) arm() {
-	at := max(n.wakeAt, n.f.now)
-	if n.armed != 0 && n.armed <= at {
+// armTimer sets the timer, unless it rings early enough.
+func (n *node) armTimer() {
+	at := max(n.wakeAt, n.fleet.now)
+	if n.timerAt != 0 && n.timerAt <= at {
 		return
 	}
-	n.armed = at
-	n.f.at(at, func() {
-		if n.armed != at {
+	n.timerAt = at
+	n.fleet.at(at, func() {
+		if n.timerAt != at {
 			return
 		}
-		n.armed = 0
+		n.timerAt = 0
 		switch {
 		case n.wakeAt == 0:
-		case n.wakeAt <= n.f.now:
+		case n.wakeAt <= n.fleet.now:
 			n.wakeAt = 0
 			n.step(scheduler.TimerFired{})
 		default:
-			n.arm()
+			n.armTimer()
 		}
 	})
 }
@@ -203,119 +203,119 @@
 
 func (n *node) openWatch(w scheduler.OpenWatch) {
 	if w.ValidUntil != 0 {
-		n.until = min(n.until, w.ValidUntil)
+		n.validUntil = min(n.validUntil, w.ValidUntil)
 	}
-	if n.present != nil && !n.present.ended {
-		if n.before != nil {
-			n.release(n.before)
+	if n.watch != nil && !n.watch.closed {
+		if n.previousWatch != nil {
+			n.releaseWatch(n.previousWatch)
 		}
-		n.before = n.present
+		n.previousWatch = n.watch
 	}
-	s := &stream{n: n, emptyAt: n.f.now, lostAt: n.f.now + answerWithin}
-	n.present = s
-	n.control(watchBytes)
-	d := n.f.discovery
+	s := &watch{node: n, emptyAt: n.fleet.now, timeoutAt: n.fleet.now + watchOpenTimeout}
+	n.watch = s
+	n.countControlMessage(openWatchBytes)
+	d := n.fleet.discovery
 	// The connection comes up first.
-	n.f.net.send(n.zone, discoveryZone, packetBytes, func() {
-		n.f.net.send(discoveryZone, n.zone, packetBytes, func() {
-			n.f.net.send(n.zone, discoveryZone, watchBytes, func() {
-				if !s.let && !s.ended {
-					d.call(s, w.Rev)
+	n.fleet.network.send(n.zone, discoveryZone, packetBytes, func() {
+		n.fleet.network.send(discoveryZone, n.zone, packetBytes, func() {
+			n.fleet.network.send(n.zone, discoveryZone, openWatchBytes, func() {
+				if !s.released && !s.closed {
+					d.handleCall(s, w.Rev)
 				}
 			})
 		})
 	})
-	s.guard()
+	s.awaitTimeout()
 }
 
-// guard ends a watch on which nothing comes for too long.
-func (s *stream) guard() {
-	f := s.n.f
-	f.at(s.lostAt, func() {
+// awaitTimeout ends a watch on which nothing comes for too long.
+func (s *watch) awaitTimeout() {
+	f := s.node.fleet
+	f.at(s.timeoutAt, func() {
 		switch {
-		case s.ended || s.let:
-		case f.now >= s.lostAt:
-			s.lost()
+		case s.closed || s.released:
+		case f.now >= s.timeoutAt:
+			s.handleClose()
 		default:
-			s.guard()
+			s.awaitTimeout()
 		}
 	})
 }
 
-// release lets a watch go.
-func (n *node) release(s *stream) {
-	s.let, s.ended = true, true
-	if s.open {
-		n.f.discovery.leave(s)
+// releaseWatch lets a watch go.
+func (n *node) releaseWatch(s *watch) {
+	s.released, s.closed = true, true
+	if s.connected {
+		n.fleet.discovery.removeWatch(s)
 	}
 }
 
-// read takes a line.
-func (s *stream) read(t scheduler.WorkerList, bytes int) {
-	n := s.n
-	now := n.f.now
-	if s.ended || s.let {
+// receive takes a line.
+func (s *watch) receive(t scheduler.WorkerList, bytes int) {
+	n := s.node
+	now := n.fleet.now
+	if s.closed || s.released {
 		return
 	}
-	n.control(bytes)
-	e := scheduler.EndpointsUpdated{List: t, AsOf: min(now, s.emptyAt+n.f.set.DrainGrace/2)}
-	s.spoke, s.emptyAt, s.lostAt = true, now, now+silentFor
+	n.countControlMessage(bytes)
+	e := scheduler.EndpointsUpdated{List: t, AsOf: min(now, s.emptyAt+n.fleet.settings.DrainGrace/2)}
+	s.received, s.emptyAt, s.timeoutAt = true, now, now+watchSilenceTimeout
 	heard := e.AsOf
-	if s == n.present {
-		if n.before != nil {
-			n.release(n.before)
-			n.before = nil
+	if s == n.watch {
+		if n.previousWatch != nil {
+			n.releaseWatch(n.previousWatch)
+			n.previousWatch = nil
 		}
 	} else {
 		e.FromPreviousWatch, heard = true, 0
 	}
-	trusted := n.until
+	trusted := n.validUntil
 	for _, r := range t.Workers {
 		if r.Started != 0 {
-			n.starts[r.UID] = r.Started
+			n.workerStarts[r.UID] = r.Started
 		}
 	}
 	n.step(e)
 	if heard != 0 {
-		n.heard, n.until = heard, heard+toldWithin
+		n.listAsOf, n.validUntil = heard, heard+staleAfter
 	}
 	if t.Rev != 0 && !e.FromPreviousWatch {
-		n.f.tally.applied(n, t.Rev, trusted)
+		n.fleet.tally.changeApplied(n, t.Rev, trusted)
 	}
 }
 
-// lost tells the reducer of a watch's end.
-func (s *stream) lost() {
-	n := s.n
-	if s.ended || s.let {
+// handleClose tells the reducer of a watch's end.
+func (s *watch) handleClose() {
+	n := s.node
+	if s.closed || s.released {
 		return
 	}
-	s.ended = true
-	if s.open {
-		n.f.discovery.leave(s)
+	s.closed = true
+	if s.connected {
+		n.fleet.discovery.removeWatch(s)
 	}
-	n.f.tally.discovery.WatchesClosed++
-	if s == n.before {
-		n.before = nil
+	n.fleet.tally.discovery.WatchesClosed++
+	if s == n.previousWatch {
+		n.previousWatch = nil
 		return
 	}
-	if s != n.present {
+	if s != n.watch {
 		return
 	}
-	if s.spoke { // the fleet's list is asked for, see told.lost
-		n.until = min(n.until, n.heard+n.f.set.Dispatch.PollInterval)
+	if s.received { // the fleet's list is asked for, see told.lost
+		n.validUntil = min(n.validUntil, n.listAsOf+n.fleet.settings.Dispatch.PollInterval)
 	}
-	n.step(scheduler.WatchClosed{ValidUntil: n.until})
+	n.step(scheduler.WatchClosed{ValidUntil: n.validUntil})
 }
 
-// may is the last look before a task leaves.
-func (n *node) may(uid string) bool {
-	if n.left[uid] || n.f.now > n.until {
+// allowSend is the last look before a task leaves.
+func (n *node) allowSend(uid string) bool {
+	if n.stoppedWorkers[uid] || n.fleet.now > n.validUntil {
 		return false
 	}
-	for _, s := range []*stream{n.present, n.before} {
-		if s != nil && !s.ended {
-			s.emptyAt = n.f.now
+	for _, s := range []*watch{n.watch, n.previousWatch} {
+		if s != nil && !s.closed {
+			s.emptyAt = n.fleet.now
 		}
 	}
 	return true
@@ -323,143 +323,145 @@
 
 // ---- Workers
 
-// assign finds a connection for an errand: one that idles, or a new one.
-func (n *node) assign(w *worker, withdraw bool) *conn {
-	n.retireIdle()
+// acquireConn finds a connection for an errand: one that idles, or a new one.
+func (n *node) acquireConn(w *worker, withdraw bool) *conn {
+	n.closeExpiredConns()
 	if !withdraw {
-		for idle := n.links[w]; len(idle) > 0; idle = n.links[w] {
+		for idle := n.idleConns[w]; len(idle) > 0; idle = n.idleConns[w] {
 			c := idle[len(idle)-1]
-			n.links[w] = idle[:len(idle)-1]
-			if c.life != w.life && !w.gone && n.f.now >= w.diedAt+2*inRegion {
-				n.drop(c) // its end has come
+			n.idleConns[w] = idle[:len(idle)-1]
+			if c.incarnation != w.incarnation && !w.unreachable && n.fleet.now >= w.diedAt+2*regionDelay {
+				n.closeConn(c) // its end has come
 				continue
 			}
 			return c
 		}
 	}
-	if n.open >= mostOpen-mostOpen/8 {
-		n.dropOldest()
+	if n.openConns >= maxConnections-maxConnections/8 {
+		n.closeOldestIdle()
 	}
-	if n.open >= mostOpen {
-		n.f.tally.model.NoConnection++
+	if n.openConns >= maxConnections {
+		n.fleet.tally.model.NoConnection++
 		return nil
 	}
-	n.open++
-	return &conn{n: n, w: w}
+	n.openConns++
+	return &conn{node: n, worker: w}
 }
 
-func (n *node) kept() Micros {
-	if n.f.set.Dispatch.LargeFleet() {
-		return keptMany
+func (n *node) idleTimeout() Micros {
+	if n.fleet.settings.Dispatch.LargeFleet() {
+		return idleTimeoutLargeFleet
 	}
-	return keptFew
+	return idleTimeoutSmallFleet
 }
 
-func (n *node) retireIdle() {
-	for len(n.idle) > 0 && n.f.now-n.idle[0].since >= n.kept() {
-		n.dropOldest()
+func (n *node) closeExpiredConns() {
+	for len(n.idleOrder) > 0 && n.fleet.now-n.idleOrder[0].since >= n.idleTimeout() {
+		n.closeOldestIdle()
 	}
 }
 
-// dropOldest closes the connection that has idled longest.
-func (n *node) dropOldest() {
-	for len(n.idle) > 0 {
-		o := n.idle[0]
-		n.idle = n.idle[1:]
-		if o.c.Busy || o.c.Released || o.c.since != o.since {
+// closeOldestIdle closes the connection that has idled longest.
+func (n *node) closeOldestIdle() {
+	for len(n.idleOrder) > 0 {
+		o := n.idleOrder[0]
+		n.idleOrder = n.idleOrder[1:]
+		if o.conn.Busy || o.conn.Released || o.conn.idleSince != o.since {
 			continue // it was used again
 		}
-		links := n.links[o.c.w]
+		links := n.idleConns[o.conn.worker]
 		for i, c := range links {
-			if c == o.c {
+			if c == o.conn {
 				links = append(links[:i], links[i+1:]...)
 				break
 			}
 		}
-		if n.links[o.c.w] = links; len(links) == 0 {
-			delete(n.links, o.c.w)
+		if n.idleConns[o.conn.worker] = links; len(links) == 0 {
+			delete(n.idleConns, o.conn.worker)
 		}
-		n.drop(o.c)
+		n.closeConn(o.conn)
 		return
 	}
 }
 
-func (n *node) drop(c *conn) {
-	if !c.dropped {
-		n.open--
+func (n *node) closeConn(c *conn) {
+	if !c.closed {
+		n.openConns--
 	}
 	c.Release()
-	c.dropped = true
+	c.closed = true
 }
 
-func (n *node) route(r scheduler.SendAttempt) {
-	w, req := n.f.byUID[r.UID], r.Payload.(*request)
-	c := n.assign(w, false)
+func (n *node) sendAttempt(r scheduler.SendAttempt) {
+	w, req := n.fleet.byUID[r.UID], r.Payload.(*request)
+	c := n.acquireConn(w, false)
 	if c == nil {
-		n.later(scheduler.AttemptEnded{Attempt: r.Attempt, Outcome: dispatch.ConnectFailed})
+		n.stepLater(scheduler.AttemptEnded{Attempt: r.Attempt, Outcome: dispatch.ConnectFailed})
 		return
 	}
 	c.Assign(r.Attempt, false)
-	c.req, c.uid, c.writeBy, c.writing = req, r.UID, r.WriteBy, false
-	n.tasks[r.Attempt] = c
-	n.f.tally.model.Attempts++
+	c.request, c.uid, c.writeBy, c.writing = req, r.UID, r.WriteBy, false
+	n.attempts[r.Attempt] = c
+	n.fleet.tally.model.Attempts++
 	c.start()
 }
 
-func (n *node) withdraw(e scheduler.CancelAttempt) {
-	if n.unsent == e.Attempt {
-		n.later(scheduler.CancellationResult{Attempt: e.Attempt, Acknowledged: true})
+func (n *node) cancelAttempt(e scheduler.CancelAttempt) {
+	if n.lastUnsent == e.Attempt {
+		n.stepLater(scheduler.CancellationResult{Attempt: e.Attempt, Acknowledged: true})
 		return
 	}
-	c := n.assign(n.f.byAddr[e.Addr], true)
+	c := n.acquireConn(n.fleet.byAddr[e.Addr], true)
 	if c == nil {
-		n.later(scheduler.CancellationResult{Attempt: e.Attempt})
+		n.stepLater(scheduler.CancellationResult{Attempt: e.Attempt})
 		return
 	}
 	c.Assign(e.Attempt, true)
 	c.uid, c.writeBy = e.ID, e.Deadline
-	n.tasks[e.Attempt] = c
+	n.attempts[e.Attempt] = c
 	c.start()
 }
 
-func (n *node) abandon(task scheduler.AttemptID) {
-	c := n.tasks[task]
+func (n *node) abandonAttempt(task scheduler.AttemptID) {
+	c := n.attempts[task]
 	if c == nil {
 		return
 	}
-	delete(n.tasks, task)
+	delete(n.attempts, task)
 	if !c.Cancel && !c.writing {
-		n.unsent = task
+		n.lastUnsent = task
 	}
-	n.drop(c)
+	n.closeConn(c)
 }
 
-// on tells whether the connection still carries an errand.
-func (c *conn) on(task scheduler.AttemptID) bool { return !c.Released && c.Busy && c.Attempt == task }
+// carries tells whether the connection still carries an errand.
+func (c *conn) carries(task scheduler.AttemptID) bool {
+	return !c.Released && c.Busy && c.Attempt == task
+}
 
 // start brings the connection up, if it is not, and writes the errand.
 func (c *conn) start() {
-	f, task := c.n.f, c.Attempt
+	f, task := c.node.fleet, c.Attempt
 	if c.connected {
 		f.after(0, func() { c.write(task) })
 		return
 	}
 	f.at(c.writeBy, func() {
-		if c.on(task) && !c.writing {
-			c.failed(false, dispatch.ConnectFailed)
+		if c.carries(task) && !c.writing {
+			c.writeFailed(false, dispatch.ConnectFailed)
 		}
 	})
-	c.n.job(packetBytes)
-	f.net.send(c.n.zone, c.w.zone, packetBytes, func() {
-		c.w.reach(func() {
-			up, life := c.w.up, c.w.life
-			f.net.send(c.w.zone, c.n.zone, packetBytes, func() {
+	c.node.countJobMessage(packetBytes)
+	f.network.send(c.node.zone, c.worker.zone, packetBytes, func() {
+		c.worker.deliver(func() {
+			up, life := c.worker.running, c.worker.incarnation
+			f.network.send(c.worker.zone, c.node.zone, packetBytes, func() {
 				switch {
-				case !c.on(task) || c.writing:
+				case !c.carries(task) || c.writing:
 				case !up:
-					c.failed(true, dispatch.ConnectFailed)
+					c.writeFailed(true, dispatch.ConnectFailed)
 				default:
-					c.connected, c.life = true, life
+					c.connected, c.incarnation = true, life
 					c.write(task)
 				}
 			})
@@ -469,132 +471,132 @@
 
 // write sends the errand, after the last look.
 func (c *conn) write(task scheduler.AttemptID) {
-	n, f := c.n, c.n.f
-	if !c.on(task) || c.writing {
+	n, f := c.node, c.node.fleet
+	if !c.carries(task) || c.writing {
 		return
 	}
 	if c.Cancel {
 		c.writing = true
-		n.job(withdrawBytes)
+		n.countJobMessage(cancelBytes)
 		c.WriteEnded(false, false)
-		f.net.send(n.zone, c.w.zone, withdrawBytes, func() {
-			c.w.reach(func() {
+		f.network.send(n.zone, c.worker.zone, cancelBytes, func() {
+			c.worker.deliver(func() {
 				switch {
-				case c.life != c.w.life:
-					f.net.send(c.w.zone, n.zone, packetBytes, func() { c.broke(task) })
-				case c.late(): // the connection was closed before it came
-				case c.w.withdraw(c.uid):
-					c.w.answer(c, connstate.Answer{Status: 200, Close: true})
+				case c.incarnation != c.worker.incarnation:
+					f.network.send(c.worker.zone, n.zone, packetBytes, func() { c.resetByPeer(task) })
+				case c.writtenTooLongAgo(): // the connection was closed before it came
+				case c.worker.cancel(c.uid):
+					c.worker.respond(c, connstate.Answer{Status: 200, Close: true})
 				default:
-					c.w.answer(c, connstate.Answer{Status: 404, Close: true})
+					c.worker.respond(c, connstate.Answer{Status: 404, Close: true})
 				}
 			})
 		})
-		c.wroteAt = f.now
+		c.writtenAt = f.now
 		return
 	}
 	switch {
-	case !n.may(c.uid):
+	case !n.allowSend(c.uid):
 		f.tally.model.NotSent++
-		c.failed(false, dispatch.NotSent)
+		c.writeFailed(false, dispatch.NotSent)
 		return
 	case f.now > c.writeBy:
-		c.failed(false, dispatch.ConnectFailed)
+		c.writeFailed(false, dispatch.ConnectFailed)
 		return
 	}
-	req := c.req
-	f.tally.sends(n, c.w, req)
-	c.writing, c.wroteAt = true, f.now
+	req := c.request
+	f.tally.checkSend(n, c.worker, req)
+	c.writing, c.writtenAt = true, f.now
 	bytes := requestBytes
-	n.job(bytes)
-	req.open++
+	n.countJobMessage(bytes)
+	req.outstanding++
 	if next, e := c.WriteEnded(false, false); e != nil {
-		c.next(next, e)
+		c.finish(next, e)
 	}
-	life := c.life
-	f.net.send(n.zone, c.w.zone, bytes, func() {
-		c.w.reach(func() {
+	life := c.incarnation
+	f.network.send(n.zone, c.worker.zone, bytes, func() {
+		c.worker.deliver(func() {
 			switch {
-			case c.late() && c.Released: // let go with what had not left
-			case life != c.w.life || !c.w.up:
-				f.net.send(c.w.zone, n.zone, packetBytes, func() { c.broke(task) })
+			case c.writtenTooLongAgo() && c.Released: // let go with what had not left
+			case life != c.worker.incarnation || !c.worker.running:
+				f.network.send(c.worker.zone, n.zone, packetBytes, func() { c.resetByPeer(task) })
 			default:
-				c.w.take(c, req)
+				c.worker.receive(c, req)
 			}
-			req.close()
+			req.release()
 		})
 	})
 }
 
-// late tells whether what was written lay in the machine for long, with nobody to take it.
-func (c *conn) late() bool { return c.n.f.now-c.wroteAt > 300*millisecond }
+// writtenTooLongAgo tells whether what was written lay in the machine for long, with nobody to take it.
+func (c *conn) writtenTooLongAgo() bool { return c.node.fleet.now-c.writtenAt > 300*millisecond }
 
-// failed tells that the errand's last byte did not get out.
-func (c *conn) failed(refused bool, o dispatch.Outcome) {
+// writeFailed tells that the errand's last byte did not get out.
+func (c *conn) writeFailed(refused bool, o dispatch.Outcome) {
 	next, e := c.WriteEnded(true, refused)
 	if end, is := e.(scheduler.AttemptEnded); is {
-		if o == dispatch.ConnectFailed && refused && c.n.noRoom(c) {
+		if o == dispatch.ConnectFailed && refused && c.node.workerAtCapacity(c) {
 			o = dispatch.AtCapacity
 		}
 		end.Outcome = o
 		e = end
 	}
-	c.next(next, e)
+	c.finish(next, e)
 }
 
-// noRoom is what package node takes for a lack of room: refused while others of ours stand.
-func (n *node) noRoom(c *conn) bool {
-	for _, o := range n.links[c.w] {
-		if o.life == c.w.life {
+// workerAtCapacity is what package node takes for a lack of room: refused while others of ours stand.
+func (n *node) workerAtCapacity(c *conn) bool {
+	for _, o := range n.idleConns[c.worker] {
+		if o.incarnation == c.worker.incarnation {
 			return true
 		}
 	}
-	for _, o := range n.tasks {
-		if o != c && o.w == c.w && o.Written {
+	for _, o := range n.attempts {
+		if o != c && o.worker == c.worker && o.Written {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *conn) broke(task scheduler.AttemptID) {
-	if !c.on(task) {
+func (c *conn) resetByPeer(task scheduler.AttemptID) {
+	if !c.carries(task) {
 		return
 	}
 	next, e := c.ReadEnded()
-	c.next(next, e)
+	c.finish(next, e)
 }
 
-func (c *conn) answered(a connstate.Answer) {
+func (c *conn) handleAnswer(a connstate.Answer) {
 	next, e := c.Answered(a)
 	if next == connstate.Idle {
-		n := c.n
-		c.since = n.f.now
-		n.links[c.w] = append(n.links[c.w], c)
-		n.idle = append(n.idle, idling{c, c.since})
+		n := c.node
+		c.idleSince = n.fleet.now
+		n.idleConns[c.worker] = append(n.idleConns[c.worker], c)
+		n.idleOrder = append(n.idleOrder, idleEntry{c, c.idleSince})
 	}
-	c.next(next, e)
+	c.finish(next, e)
 }
 
-func (c *conn) next(next connstate.Disposition, e scheduler.Event) {
-	n := c.n
+func (c *conn) finish(next connstate.Disposition, e scheduler.Event) {
+	n := c.node
 	if next == connstate.Drop {
-		n.drop(c)
+		n.closeConn(c)
 	}
 	if e == nil {
 		return
 	}
-	delete(n.tasks, c.Attempt)
+	delete(n.attempts, c.Attempt)
 	n.step(e)
 }
 
 // submit takes a client's request.
 func (n *node) submit(req *request) {
-	n.caller++
-	n.callers[n.caller] = req
-	req.taken()
-	n.job(requestBytes)
-	n.step(scheduler.Submitted{Caller: n.caller, ID: req.id, Class: classes[req.item.class].name,
-		Tenant: teamName(req.item.team), Deadline: n.f.now + req.patience/millisecond*millisecond,
-		Slots: req.item.slots, Retry: req.item.tries > 1, Payload: req})
+	n.lastCaller++
+	n.callers[n.lastCaller] = req
+	req.received()
+	n.countJobMessage(requestBytes)
+	n.step(scheduler.Submitted{Caller: n.lastCaller, ID: req.id, Class: classes[req.job.class].name,
+		Tenant: teamName(req.job.team), Deadline: n.fleet.now + req.timeout/millisecond*millisecond,
+		Slots: req.job.slots, Retry: req.job.submissions > 1, Payload: req})
 }
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -21,48 +21,48 @@
 	}{
 		"all is well": {want: job, answer: "200"},
 		"the process died before": {want: "Submitted Ended/connect-failed", befall: func(f *fleet, w *worker) {
-			w.up = false
-			w.life++
+			w.running = false
+			w.incarnation++
 		}},
 		"it dies with the job": {want: "Submitted AttemptAccepted Told/started Told/lost", answer: "500",
-			befall: func(f *fleet, w *worker) { f.after(2*second, w.die) }},
+			befall: func(f *fleet, w *worker) { f.after(2*second, w.crash) }},
 		"its machine vanishes before": {want: "Submitted Ended/connect-failed", befall: func(f *fleet, w *worker) {
-			w.lose(false)
-			w.gone = true
+			w.abortAll(false)
+			w.unreachable = true
 		}},
 		"it is full": {want: "Submitted Ended/full", befall: func(f *fleet, w *worker) {
 			for i := range 42 {
-				req := &request{f: f, n: f.nodes[0], id: fmt.Sprint("other", i), number: i, open: 1,
-					item: &item{slots: 1, work: float64(60 * second)}}
-				w.queue = append(w.queue, &attempt{req: req, w: w, n: f.nodes[0]})
+				req := &request{fleet: f, node: f.nodes[0], id: fmt.Sprint("other", i), number: i, outstanding: 1,
+					job: &clientJob{slots: 1, work: float64(60 * second)}}
+				w.queue = append(w.queue, &attempt{request: req, worker: w, node: f.nodes[0]})
 			}
 		}},
 		"it is told off while the connection comes up": {want: "Submitted Ended/moot",
-			befall: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].left[w.uid] = true }) }},
+			befall: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].stoppedWorkers[w.uid] = true }) }},
 		"discovery has not been heard for long": {want: "Submitted Ended/moot",
-			befall: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].until = f.now - 1 }) }},
+			befall: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].validUntil = f.now - 1 }) }},
 		"its word comes late over a cut": {want: job, answer: "200", befall: func(f *fleet, w *worker) {
 			w.zone = 7
-			f.after(2*second, func() { f.net.cut = 3 })
-			f.after(4*second, f.net.heal)
+			f.after(2*second, func() { f.network.cutRegion = 3 })
+			f.after(4*second, f.network.heal)
 		}},
 	} {
 		f, err := newFleet(Options{Workers: 1, Schedulers: 1, Rate: 1, Duration: 60 * 1e9, Task: 3 * 1e9, Day: "calm"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.events, f.now = queue{}, f.on(0)
+		f.events, f.now = queue{}, f.atFraction(0)
 		n, w := f.nodes[0], f.workers[0]
 		var seen []string
-		f.watch.seen = func(e scheduler.Event) { seen = append(seen, nameOf(e)) }
+		f.meter.observe = func(e scheduler.Event) { seen = append(seen, nameOf(e)) }
 		n.step(scheduler.Started{Discovery: "discovery", CachedList: workerList(f.discovery.table.Full())})
 		f.until(f.now + 2*second)
 		seen = nil
 		if c.befall != nil {
 			c.befall(f, w)
 		}
-		req := &request{f: f, n: n, id: "a", open: 1, patience: 20 * second,
-			item: &item{class: 1, slots: 1, work: float64(3 * second)}}
+		req := &request{fleet: f, node: n, id: "a", outstanding: 1, timeout: 20 * second,
+			job: &clientJob{class: 1, slots: 1, work: float64(3 * second)}}
 		n.submit(req)
 		f.until(f.now + 10*second)
 		seen = slices.DeleteFunc(seen, func(s string) bool { return s == "" })
@@ -107,38 +107,38 @@
 	f := still(t)
 	n, w := f.nodes[0], f.workers[0]
 	idle := func() *conn {
-		c := &conn{n: n, w: w, connected: true, since: f.now}
+		c := &conn{node: n, worker: w, connected: true, idleSince: f.now}
 		c.Assign(1, false)
 		c.WriteEnded(false, false)
 		c.Busy = false
-		n.open++
-		n.links[w] = append(n.links[w], c)
-		n.idle = append(n.idle, idling{c, f.now})
+		n.openConns++
+		n.idleConns[w] = append(n.idleConns[w], c)
+		n.idleOrder = append(n.idleOrder, idleEntry{c, f.now})
 		return c
 	}
 	c := idle()
-	f.now += keptMany - 1
-	if n.assign(w, true) == c {
+	f.now += idleTimeoutLargeFleet - 1
+	if n.acquireConn(w, true) == c {
 		t.Error("a withdrawal takes a connection that idles")
 	}
-	if n.assign(w, false) != c {
+	if n.acquireConn(w, false) != c {
 		t.Error("a connection that idles is not used again")
 	}
 	c = idle()
-	f.now += keptMany
-	if n.assign(w, false) == c || !c.Released {
+	f.now += idleTimeoutLargeFleet
+	if n.acquireConn(w, false) == c || !c.Released {
 		t.Error("a connection that has idled too long is used again")
 	}
 	c = idle()
-	w.die()
+	w.crash()
 	f.now += second
-	if n.assign(w, false) == c {
+	if n.acquireConn(w, false) == c {
 		t.Error("a connection to a dead process is used again")
 	}
-	for range 2 * mostOpen {
-		n.assign(w, false)
+	for range 2 * maxConnections {
+		n.acquireConn(w, false)
 	}
-	if n.open != mostOpen || f.tally.model.NoConnection == 0 {
-		t.Errorf("%d connections, of %d at the most", n.open, mostOpen)
+	if n.openConns != maxConnections || f.tally.model.NoConnection == 0 {
+		t.Errorf("%d connections, of %d at the most", n.openConns, maxConnections)
 	}
 }
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.events, f.now = queue{}, f.on(0)
+	f.events, f.now = queue{}, f.atFraction(0)
 	return f
 }
 
@@ -63,17 +63,17 @@
 func TestCut(t *testing.T) {
 	f := still(t)
 	came := map[string]Micros{}
-	f.net.cut = 3
+	f.network.cutRegion = 3
 	for name, way := range map[string][2]int{"within": {6, 7}, "out": {6, 0}, "in": {0, 7}, "beside": {0, 13}} {
-		f.net.send(way[0], way[1], 0, func() { came[name] = f.now })
+		f.network.send(way[0], way[1], 0, func() { came[name] = f.now })
 	}
-	f.until(f.on(0) + second)
+	f.until(f.atFraction(0) + second)
 	if len(came) != 2 || came["within"] == 0 || came["beside"] == 0 {
 		t.Errorf("came during the cut: %v", came)
 	}
-	f.net.heal()
-	f.until(f.on(0) + 2*second)
-	if came["out"] < f.on(0)+second || came["in"] < f.on(0)+second {
+	f.network.heal()
+	f.until(f.atFraction(0) + 2*second)
+	if came["out"] < f.atFraction(0)+second || came["in"] < f.atFraction(0)+second {
 		t.Errorf("came after the cut: %v", came)
 	}
 }
@@ -87,7 +87,7 @@
 	}{{0, 0, 250, 300}, {0, 1, 900, 1080}, {0, 2, 17_000, 20_400}, {0, 13, 17_000, 20_400},
 		{0, 7, 39_000, 46_800}} {
 		for range 100 {
-			if d := f.net.delay(c.from, c.to); d < c.least || d > c.most {
+			if d := f.network.delay(c.from, c.to); d < c.least || d > c.most {
 				t.Errorf("from %d to %d: %d, want %d to %d", c.from, c.to, d, c.least, c.most)
 			}
 		}
@@ -105,7 +105,7 @@
 			s = endpoints.Ready
 		}
 		d.setState(w, s)
-		f.until(f.now + batchEvery)
+		f.until(f.now + batchInterval)
 	}
 	if rev := d.table.Revision(); rev != 4 {
 		t.Fatalf("version %d after three words", rev)
@@ -137,27 +137,27 @@
 	f := still(t)
 	d, n := f.discovery, f.nodes[0]
 	const calls = 600
-	var all []*stream
+	var all []*watch
 	for range calls {
-		s := &stream{n: n, let: true}
+		s := &watch{node: n, released: true}
 		all = append(all, s)
-		d.call(s, 0)
+		d.handleCall(s, 0)
 	}
-	each := callTakes + Micros(float64(messageBytes(workerList(d.table.Full())))/sendRate)
-	fit := int(callWaits/each) + 1
-	if got := d.f.tally.discovery; got.FullLists != fit || got.RefusedCalls != calls-fit {
+	each := callTime + Micros(float64(messageBytes(workerList(d.table.Full())))/bytesPerMicro)
+	fit := int(maxCallWait/each) + 1
+	if got := d.fleet.tally.discovery; got.FullLists != fit || got.RefusedCalls != calls-fit {
 		t.Errorf("%d answered, %d refused of %d; want %d answered", got.FullLists, got.RefusedCalls, calls, fit)
 	}
-	f.until(f.now + callWaits/2)
-	if open := len(d.open); open < fit/2-2 || open > fit/2+2 {
+	f.until(f.now + maxCallWait/2)
+	if open := len(d.watches); open < fit/2-2 || open > fit/2+2 {
 		t.Errorf("%d of %d open after half of the time", open, fit)
 	}
 	d.restart(second)
-	if len(d.open)+len(d.waiting) != 0 || all[0].open {
+	if len(d.watches)+len(d.queuedCalls) != 0 || all[0].connected {
 		t.Error("watches live on over a restart")
 	}
-	f.until(f.now + 3*callWaits)
-	if len(d.open) != 0 {
+	f.until(f.now + 3*maxCallWait)
+	if len(d.watches) != 0 {
 		t.Error("a call from before the restart is answered after it")
 	}
 }
@@ -166,8 +166,8 @@
 func brokenBy(t *testing.T, do func(f *fleet, req *request)) string {
 	t.Helper()
 	f := still(t)
-	req := &request{f: f, id: "a", item: &item{slots: 1, work: float64(f.task)}, open: 1, patience: 5 * second}
-	req.taken()
+	req := &request{fleet: f, id: "a", job: &clientJob{slots: 1, work: float64(f.task)}, outstanding: 1, timeout: 5 * second}
+	req.received()
 	do(f, req)
 	var names []string
 	for name := range f.tally.model.Violations {
@@ -180,59 +180,59 @@
 func TestBrokenRulesAreFound(t *testing.T) {
 	served := scheduler.Answer{Verdict: scheduler.Served, Body: []byte("a")}
 	ran := func(req *request, who string) {
-		req.note(history.Event{Kind: history.Arrived, ID: "a", Who: who})
-		req.note(history.Event{Kind: history.Started, ID: "a", Who: who})
-		req.note(history.Event{Kind: history.Ended, ID: "a", Who: who, Ran: true, Result: "a"})
+		req.record(history.Event{Kind: history.Arrived, ID: "a", Who: who})
+		req.record(history.Event{Kind: history.Started, ID: "a", Who: who})
+		req.record(history.Event{Kind: history.Ended, ID: "a", Who: who, Ran: true, Result: "a"})
 	}
 	for name, c := range map[string]struct {
 		want string
 		do   func(f *fleet, req *request)
 	}{
-		"as it should be": {"", func(f *fleet, req *request) { ran(req, "s1"); req.answer(served) }},
+		"as it should be": {"", func(f *fleet, req *request) { ran(req, "s1"); req.recordAnswer(served) }},
 		"late": {"one-final-answer", func(f *fleet, req *request) {
 			ran(req, "s1")
-			f.now += 5*second + slack + 1
-			req.answer(served)
+			f.now += 5*second + timingSlack + 1
+			req.recordAnswer(served)
 		}},
 		"never": {"one-final-answer", func(f *fleet, req *request) {
 			f.now += 6 * second
-			f.open()
+			f.checkOpenRequests()
 		}},
-		"no result": {"honest-answers", func(f *fleet, req *request) { req.answer(served) }},
+		"no result": {"honest-answers", func(f *fleet, req *request) { req.recordAnswer(served) }},
 		"refused though it ran": {"honest-answers", func(f *fleet, req *request) {
 			ran(req, "s1")
-			req.answer(scheduler.Answer{Verdict: scheduler.Refused})
+			req.recordAnswer(scheduler.Answer{Verdict: scheduler.Refused})
 		}},
 		"runs twice": {"runs-as-allowed", func(f *fleet, req *request) {
 			ran(req, "s1")
 			ran(req, "s2")
-			req.answer(served)
+			req.recordAnswer(served)
 		}},
 		"second copy": {"one-attempt-outstanding", func(f *fleet, req *request) {
-			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s1"})
-			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s2"})
-			req.answer(scheduler.Answer{Verdict: scheduler.Failed})
+			req.record(history.Event{Kind: history.Arrived, ID: "a", Who: "s1"})
+			req.record(history.Event{Kind: history.Arrived, ID: "a", Who: "s2"})
+			req.recordAnswer(scheduler.Answer{Verdict: scheduler.Failed})
 		}},
 		"another try runs, too": {"runs-as-allowed", func(f *fleet, req *request) {
-			f.clients.started(req)
-			f.clients.started(&request{f: f, id: "b", item: req.item})
+			f.clients.jobStarted(req)
+			f.clients.jobStarted(&request{fleet: f, id: "b", job: req.job})
 		}},
 		"held for nobody": {"called-back", func(f *fleet, req *request) {
-			req.note(history.Event{Kind: history.Arrived, ID: "a", Who: "s1"})
-			req.open++
-			req.answer(scheduler.Answer{Verdict: scheduler.Failed})
-			f.now += Micros(f.rules.OrphanLimit.Microseconds()) + second
-			f.open()
+			req.record(history.Event{Kind: history.Arrived, ID: "a", Who: "s1"})
+			req.outstanding++
+			req.recordAnswer(scheduler.Answer{Verdict: scheduler.Failed})
+			f.now += Micros(f.historyRules.OrphanLimit.Microseconds()) + second
+			f.checkOpenRequests()
 		}},
 		"sent to one told off": {"drains-kept", func(f *fleet, req *request) {
-			f.discovery.leftAt[3] = f.now
-			f.now += toldWithin + f.set.DrainGrace + slack + 1
-			f.tally.sends(f.nodes[0], f.workers[3], req)
+			f.discovery.notReadySince[3] = f.now
+			f.now += staleAfter + f.settings.DrainGrace + timingSlack + 1
+			f.tally.checkSend(f.nodes[0], f.workers[3], req)
 		}},
 		"sent to one that may not know": {"", func(f *fleet, req *request) {
-			f.discovery.leftAt[3] = f.now
-			f.now += toldWithin
-			f.tally.sends(f.nodes[0], f.workers[3], req)
+			f.discovery.notReadySince[3] = f.now
+			f.now += staleAfter
+			f.tally.checkSend(f.nodes[0], f.workers[3], req)
 		}},
 		"pushed over": {"cold-spared", func(f *fleet, req *request) { push(f, true) }},
 		"pushed over by those who could not know": {"", func(f *fleet, req *request) { push(f, false) }},
@@ -246,14 +246,14 @@
 // push has a cold worker sent more than it may get.
 func push(f *fleet, knew bool) {
 	w := f.workers[0]
-	w.started = f.now
+	w.startedAt = f.now
 	n := f.nodes[0]
 	if knew {
-		n.starts[w.uid] = w.started
+		n.workerStarts[w.uid] = w.startedAt
 	}
-	c := &conn{n: n, w: w}
+	c := &conn{node: n, worker: w}
 	for range 100 {
-		w.strain(c, &request{f: f, id: "x", item: &item{slots: 4, work: float64(f.task)}})
+		w.checkOverload(c, &request{fleet: f, id: "x", job: &clientJob{slots: 4, work: float64(f.task)}})
 	}
 	if f.tally.model.OverloadCrashes == 0 {
 		f.tally.model.Violations["not pushed over"]++
@@ -265,17 +265,17 @@
 	f := still(t)
 	f.nodes = f.nodes[:3]
 	f.now += second
-	f.tally.changed(2, f.now-second/4, 1)
+	f.tally.published(2, f.now-second/4, 1)
 	f.now += second
-	f.tally.applied(f.nodes[0], 2, f.now+second)
+	f.tally.changeApplied(f.nodes[0], 2, f.now+second)
 	f.now += 4 * second
-	f.tally.applied(f.nodes[1], 2, f.now-2*second) // sent nothing for two seconds
-	f.nodes[2].until = f.now - second              // never hears of it, and sends nothing
+	f.tally.changeApplied(f.nodes[1], 2, f.now-2*second) // sent nothing for two seconds
+	f.nodes[2].validUntil = f.now - second               // never hears of it, and sends nothing
 	m := f.report().Model.Changes
 	if m.NotInForce != 0 || m.Unapplied != 1 || m.InForce.Max < 4240 || m.InForce.Max > 4260 {
 		t.Errorf("%+v", m)
 	}
-	f.nodes[2].until = f.now + second
+	f.nodes[2].validUntil = f.now + second
 	if m := f.report().Model.Changes; m.NotInForce != 1 {
 		t.Errorf("%+v", m)
 	}
@@ -287,30 +287,30 @@
 	w, n := f.workers[0], f.nodes[0]
 	const jobs = 60 // of one slot: 14 run, 28 wait
 	for i := range jobs {
-		req := &request{f: f, id: string(rune('A' + i)), number: i, open: 1,
-			item: &item{slots: 1, work: float64(second)}}
-		req.taken()
-		c := &conn{n: n, w: w}
+		req := &request{fleet: f, id: string(rune('A' + i)), number: i, outstanding: 1,
+			job: &clientJob{slots: 1, work: float64(second)}}
+		req.received()
+		c := &conn{node: n, worker: w}
 		c.Assign(scheduler.AttemptID(i+1), false)
-		w.take(c, req)
+		w.receive(c, req)
 	}
-	if w.used != 14 || len(w.queue) != 28 || f.tally.model.RejectedAtCapacity != jobs-42 {
-		t.Errorf("%v run, %d wait, %d turned away", w.used, len(w.queue), f.tally.model.RejectedAtCapacity)
+	if w.usedSlots != 14 || len(w.queue) != 28 || f.tally.model.RejectedAtCapacity != jobs-42 {
+		t.Errorf("%v run, %d wait, %d turned away", w.usedSlots, len(w.queue), f.tally.model.RejectedAtCapacity)
 	}
-	w.withdraw("A")
-	if w.used != 14 || len(w.queue) != 27 {
-		t.Errorf("after a withdrawal %v run and %d wait", w.used, len(w.queue))
+	w.cancel("A")
+	if w.usedSlots != 14 || len(w.queue) != 27 {
+		t.Errorf("after a withdrawal %v run and %d wait", w.usedSlots, len(w.queue))
 	}
-	w.die()
+	w.crash()
 	f.until(f.now + second)
 	if !w.idle() || f.discovery.table.At(0).State != endpoints.Removed || f.tally.model.KilledAttempts != 41 {
-		t.Errorf("a dead worker holds %d, is listed as %s; %d killed", len(w.held), f.discovery.table.At(0).State,
+		t.Errorf("a dead worker holds %d, is listed as %s; %d killed", len(w.attempts), f.discovery.table.At(0).State,
 			f.tally.model.KilledAttempts)
 	}
 	w.boot()
 	f.until(f.now + second)
 	if l := workerList(f.discovery.table.Full()).Workers[0]; l.UID != w.uid || l.Status != dispatch.Ready ||
-		l.Started != w.started || w.warmth() >= 1 {
-		t.Errorf("after its start it is listed as %+v, with warmth %v", l, w.warmth())
+		l.Started != w.startedAt || w.speedFraction() >= 1 {
+		t.Errorf("after its start it is listed as %+v, with warmth %v", l, w.speedFraction())
 	}
 }
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -7,7 +7,7 @@
 	do  func()
 }
 
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e *event) precedes(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
 // queue is a binary heap of events, the earliest first.
 type queue struct {
@@ -21,7 +21,7 @@
 	h := q.heap
 	for i := len(h) - 1; i > 0; {
 		up := (i - 1) / 2
-		if !h[i].before(&h[up]) {
+		if !h[i].precedes(&h[up]) {
 			return
 		}
 		h[i], h[up] = h[up], h[i]
@@ -44,7 +44,7 @@
 	for i := 0; ; {
 		least := i
 		for c := 2*i + 1; c <= 2*i+2 && c < last; c++ {
-			if h[c].before(&h[least]) {
+			if h[c].precedes(&h[least]) {
 				least = c
 			}
 		}
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -149,110 +149,110 @@
 
 // ---- Counting in virtual time
 
-const mostFindings = 20
+const maxFindings = 20
 
 type tally struct {
-	f         *fleet
-	model     Model
-	discovery Discovery
-	toStart   []*hdrhistogram.Histogram // by class
-	inAim     []int64
-	jobs      []int
-	bySlots   []*hdrhistogram.Histogram // as in gangs
-	slotJobs  []int
-	changes   []*changeOf // by version from 2 on
+	fleet              *fleet
+	model              Model
+	discovery          Discovery
+	timeToStart        []*hdrhistogram.Histogram // by class
+	withinObjective    []int64
+	jobsByClass        []int
+	timeToStartBySlots []*hdrhistogram.Histogram // as in gangs
+	jobsBySlots        []int
+	changes            []*changeProgress // by version from 2 on
 }
 
-// changeOf is a word of discovery on its way into force.
-type changeOf struct {
-	since, written   Micros
-	left             int // schedulers that have not applied it
-	inForce, applied Micros
+// changeProgress is a word of discovery on its way into force.
+type changeProgress struct {
+	knownSince, publishedAt Micros
+	pendingSchedulers       int // schedulers that have not applied it
+	inForceAt, appliedAt    Micros
 }
 
 func newTally(f *fleet) tally {
-	t := tally{f: f, model: Model{Day: f.opt.Day, Workers: f.opt.Workers, Schedulers: f.opt.Schedulers,
-		Seed: f.opt.Seed, RatePerSecond: rateOf(f.opt), TaskSeconds: f.opt.Task.Seconds(), LoadSeconds: f.opt.Duration.Seconds(),
+	t := tally{fleet: f, model: Model{Day: f.options.Day, Workers: f.options.Workers, Schedulers: f.options.Schedulers,
+		Seed: f.options.Seed, RatePerSecond: jobRate(f.options), TaskSeconds: f.options.Task.Seconds(), LoadSeconds: f.options.Duration.Seconds(),
 		TimeToStart: map[string]Spread{}, TimeToStartBySlots: map[string]Spread{}, LogLines: map[string]int{},
-		Violations: map[string]int{}}, inAim: make([]int64, len(classes)), jobs: make([]int, len(classes)),
-		slotJobs: make([]int, len(gangs))}
+		Violations: map[string]int{}}, withinObjective: make([]int64, len(classes)), jobsByClass: make([]int, len(classes)),
+		jobsBySlots: make([]int, len(slotMix))}
 	for range classes {
-		t.toStart = append(t.toStart, times())
+		t.timeToStart = append(t.timeToStart, newTimeHistogram())
 	}
-	for range gangs {
-		t.bySlots = append(t.bySlots, times())
+	for range slotMix {
+		t.timeToStartBySlots = append(t.timeToStartBySlots, newTimeHistogram())
 	}
 	return t
 }
 
-// times is a histogram of times up to the longest run.
-func times() *hdrhistogram.Histogram {
+// newTimeHistogram is a histogram of times up to the longest run.
+func newTimeHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(MaxDuration.Microseconds()), 3)
 }
 
-func (t *tally) found(f history.Finding) {
+func (t *tally) addFinding(f history.Finding) {
 	t.model.Violations[f.Property]++
-	if len(t.model.Findings) < mostFindings {
-		t.model.Findings = append(t.model.Findings, fmt.Sprintf("%.3f s: %v", seconds(t.f.now-began-warmUp), f))
+	if len(t.model.Findings) < maxFindings {
+		t.model.Findings = append(t.model.Findings, fmt.Sprintf("%.3f s: %v", seconds(t.fleet.now-epoch-warmUp), f))
 	}
 }
 
-// handedIn and starts count a job, and its first start.
-func (t *tally) handedIn(i *item) {
+// jobSubmitted and starts count a job, and its first start.
+func (t *tally) jobSubmitted(i *clientJob) {
 	t.model.Jobs++
-	t.jobs[i.class]++
-	t.slotJobs[i.gang]++
+	t.jobsByClass[i.class]++
+	t.jobsBySlots[i.slotMixIndex]++
 }
 
-func (t *tally) starts(i *item, after Micros) {
-	t.toStart[i.class].RecordValue(max(int64(after), 1))
-	t.bySlots[i.gang].RecordValue(max(int64(after), 1))
-	if after <= classes[i.class].aim {
-		t.inAim[i.class]++
+func (t *tally) jobStarted(i *clientJob, after Micros) {
+	t.timeToStart[i.class].RecordValue(max(int64(after), 1))
+	t.timeToStartBySlots[i.slotMixIndex].RecordValue(max(int64(after), 1))
+	if after <= classes[i.class].objective {
+		t.withinObjective[i.class]++
 	}
 }
 
-// sends checks the rule on drains when a first byte goes out.
-func (t *tally) sends(n *node, w *worker, req *request) {
-	left := t.f.discovery.leftAt[w.number]
+// checkSend checks the rule on drains when a first byte goes out.
+func (t *tally) checkSend(n *node, w *worker, req *request) {
+	left := t.fleet.discovery.notReadySince[w.index]
 	if left == 0 {
 		return
 	}
 	// Heard words stop a send by themselves, see may. Unheard ones count as told after a while.
-	if over := t.f.now - left - toldWithin - t.f.set.DrainGrace; over > slack {
-		t.found(history.Finding{Property: "drains-kept", ID: req.id,
-			Text: fmt.Sprintf("%d writes to %s, which counts as told off since %v before", n.me, w.uid, span(over))})
+	if over := t.fleet.now - left - staleAfter - t.fleet.settings.DrainGrace; over > timingSlack {
+		t.addFinding(history.Finding{Property: "drains-kept", ID: req.id,
+			Text: fmt.Sprintf("%d writes to %s, which counts as told off since %v before", n.index, w.uid, toDuration(over))})
 	}
 }
 
-// changed notes a word that discovery writes.
-func (t *tally) changed(rev int64, since Micros, entries int) {
+// published notes a word that discovery writes.
+func (t *tally) published(rev int64, since Micros, entries int) {
 	for int64(len(t.changes)) < rev-1 {
-		t.changes = append(t.changes, &changeOf{since: since, written: t.f.now, left: len(t.f.nodes)})
+		t.changes = append(t.changes, &changeProgress{knownSince: since, publishedAt: t.fleet.now, pendingSchedulers: len(t.fleet.nodes)})
 	}
 	t.model.Changes.Updates++
 	t.model.Changes.Entries += entries
 }
 
-// applied notes that a scheduler has taken in all up to a version; trusted is until when it relied on
+// changeApplied notes that a scheduler has taken in all up to a version; trusted is until when it relied on
 // what it knew before.
-func (t *tally) applied(n *node, rev int64, trusted Micros) {
-	for r := n.rev + 1; r <= rev; r++ {
+func (t *tally) changeApplied(n *node, rev int64, trusted Micros) {
+	for r := n.appliedRevision + 1; r <= rev; r++ {
 		c := t.changes[r-2]
-		c.left--
-		c.applied = t.f.now
-		at := t.f.now
+		c.pendingSchedulers--
+		c.appliedAt = t.fleet.now
+		at := t.fleet.now
 		if trusted < at {
-			at = max(trusted, c.written)
+			at = max(trusted, c.publishedAt)
 		} else {
-			t.f.watch.change(n, c.since)
+			t.fleet.meter.recordChange(n, c.knownSince)
 		}
-		c.inForce = max(c.inForce, at)
+		c.inForceAt = max(c.inForceAt, at)
 	}
-	n.rev = max(n.rev, rev)
+	n.appliedRevision = max(n.appliedRevision, rev)
 }
 
-func spread(h *hdrhistogram.Histogram) Spread {
+func summarize(h *hdrhistogram.Histogram) Spread {
 	ms := func(v int64) float64 { return float64(v) / 1000 }
 	return Spread{Count: h.TotalCount(), P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)),
 		Max: ms(h.Max())}
@@ -262,63 +262,63 @@
 func (f *fleet) report() *Report {
 	m := &f.tally.model
 	for i, c := range classes {
-		s := spread(f.tally.toStart[i])
-		if s.Total = f.tally.jobs[i]; s.Count > 0 {
-			s.WithinObjective = float64(f.tally.inAim[i]) / float64(s.Count)
+		s := summarize(f.tally.timeToStart[i])
+		if s.Total = f.tally.jobsByClass[i]; s.Count > 0 {
+			s.WithinObjective = float64(f.tally.withinObjective[i]) / float64(s.Count)
 		}
 		m.TimeToStart[c.name] = s
 	}
-	for i, g := range gangs {
-		s := spread(f.tally.bySlots[i])
-		s.Total = f.tally.slotJobs[i]
+	for i, g := range slotMix {
+		s := summarize(f.tally.timeToStartBySlots[i])
+		s.Total = f.tally.jobsBySlots[i]
 		m.TimeToStartBySlots[fmt.Sprint(g.slots)] = s
 	}
 	m.Discovery = f.tally.discovery
-	f.open()
-	inForce, applied := times(), times()
+	f.checkOpenRequests()
+	inForce, applied := newTimeHistogram(), newTimeHistogram()
 	for i, c := range f.tally.changes {
 		rev, waits := int64(i)+2, false
 		for _, n := range f.nodes {
-			if n.rev >= rev || c.left == 0 {
+			if n.appliedRevision >= rev || c.pendingSchedulers == 0 {
 				continue
 			}
-			if n.until >= f.now {
+			if n.validUntil >= f.now {
 				waits = true
 			} else {
-				c.inForce = max(c.inForce, n.until, c.written)
+				c.inForceAt = max(c.inForceAt, n.validUntil, c.publishedAt)
 			}
 		}
 		if waits {
 			m.Changes.NotInForce++
 		} else {
-			inForce.RecordValue(max(int64(c.inForce-c.since), 1))
+			inForce.RecordValue(max(int64(c.inForceAt-c.knownSince), 1))
 		}
-		if c.left > 0 {
+		if c.pendingSchedulers > 0 {
 			m.Changes.Unapplied++
 		} else {
-			applied.RecordValue(max(int64(c.applied-c.since), 1))
+			applied.RecordValue(max(int64(c.appliedAt-c.knownSince), 1))
 		}
 	}
-	m.Changes.InForce, m.Changes.Applied = spread(inForce), spread(applied)
+	m.Changes.InForce, m.Changes.Applied = summarize(inForce), summarize(applied)
 	m.StartsPerSecond = float64(m.Starts) / m.LoadSeconds
-	for _, n := range f.watch.series.Starts {
+	for _, n := range f.meter.series.Starts {
 		m.PeakStartsPerSecond = max(m.PeakStartsPerSecond, n)
 	}
 	for _, n := range f.nodes {
 		each := float64(len(f.nodes)) * m.LoadSeconds
-		m.ControlTraffic.BytesPerSecond += float64(n.use.control) / each
-		m.ControlTraffic.MessagesPerSecond += float64(n.use.controlMessages) / each
-		m.ControlTraffic.MaxBytesPerSecond = max(m.ControlTraffic.MaxBytesPerSecond, float64(n.use.control)/m.LoadSeconds)
-		m.ControlTraffic.PeakSecondBytes = max(m.ControlTraffic.PeakSecondBytes, n.use.worst)
-		m.JobTraffic.BytesPerSecond += float64(n.use.jobs) / each
-		m.JobTraffic.MessagesPerSecond += float64(n.use.jobMessages) / each
-		m.JobTraffic.MaxBytesPerSecond = max(m.JobTraffic.MaxBytesPerSecond, float64(n.use.jobs)/m.LoadSeconds)
+		m.ControlTraffic.BytesPerSecond += float64(n.usage.controlBytes) / each
+		m.ControlTraffic.MessagesPerSecond += float64(n.usage.controlMessages) / each
+		m.ControlTraffic.MaxBytesPerSecond = max(m.ControlTraffic.MaxBytesPerSecond, float64(n.usage.controlBytes)/m.LoadSeconds)
+		m.ControlTraffic.PeakSecondBytes = max(m.ControlTraffic.PeakSecondBytes, n.usage.peakSecondBytes)
+		m.JobTraffic.BytesPerSecond += float64(n.usage.jobBytes) / each
+		m.JobTraffic.MessagesPerSecond += float64(n.usage.jobMessages) / each
+		m.JobTraffic.MaxBytesPerSecond = max(m.JobTraffic.MaxBytesPerSecond, float64(n.usage.jobBytes)/m.LoadSeconds)
 	}
-	return &Report{Model: *m, Measured: f.watch.measured(f), Series: f.watch.series}
+	return &Report{Model: *m, Measured: f.meter.results(f), Series: f.meter.series}
 }
 
-// open checks what is not over at the end.
-func (f *fleet) open() {
+// checkOpenRequests checks what is not over at the end.
+func (f *fleet) checkOpenRequests() {
 	var all []*request
 	for _, r := range f.requests {
 		all = append(all, r)
@@ -328,51 +328,51 @@
 	for _, r := range all {
 		if !r.answered {
 			f.tally.model.Unanswered++
-			if r.item.ran != r {
+			if r.job.firstStarted != r {
 				f.tally.model.NotRunning++
-				waiting[r.n]++
-				f.tally.model.MaxNotRunningAtOne = max(f.tally.model.MaxNotRunningAtOne, waiting[r.n])
+				waiting[r.node]++
+				f.tally.model.MaxNotRunningAtOne = max(f.tally.model.MaxNotRunningAtOne, waiting[r.node])
 			}
-			if f.now > r.until+slack {
-				r.note(history.Event{Kind: history.Unanswered, ID: r.id})
+			if f.now > r.deadline+timingSlack {
+				r.record(history.Event{Kind: history.Unanswered, ID: r.id})
 			}
 		}
 		// An event that says nothing tells how late it is for what is held for nobody.
-		r.note(history.Event{Kind: history.WorkerReady})
-		r.check()
+		r.record(history.Event{Kind: history.WorkerReady})
+		r.checkHistory()
 	}
 }
 
 // ---- Measuring on the machine
 
-// coreForControl is the part of a core that a scheduler may take for control.
-const coreForControl = 0.029
-
-type stopwatch struct {
-	from    time.Time
-	kinds   map[string]*kindClock
-	listed  float64 // bytes a scheduler that has the list
-	most    uint64  // heap in use
-	series  Series
-	running bool
-	seen    func(scheduler.Event) // looks on, for tests; nil: nobody does
+// controlCoreBudget is the part of a core that a scheduler may take for control.
+const controlCoreBudget = 0.029
+
+type costMeter struct {
+	startedAt        time.Time
+	byKind           map[string]*stepTimes
+	heapPerScheduler float64 // bytes a scheduler that has the list
+	maxHeap          uint64  // heap in use
+	series           Series
+	loadStarted      bool
+	observe          func(scheduler.Event) // looks on, for tests; nil: nobody does
 	// The most that a reducer is behind, and until a change is applied: with a core for all, and with the
 	// part that is for control for that alone.
-	lag, lagPart, applied, appliedPart time.Duration
+	maxLag, maxLagAtBudget, maxChangeDelay, maxChangeDelayAtBudget time.Duration
 }
 
-type kindClock struct {
-	took  *hdrhistogram.Histogram // nanoseconds
-	total time.Duration
+type stepTimes struct {
+	histogram *hdrhistogram.Histogram // nanoseconds
+	total     time.Duration
 }
 
-func (s *stopwatch) start() { s.from, s.kinds = time.Now(), map[string]*kindClock{} }
+func (s *costMeter) start() { s.startedAt, s.byKind = time.Now(), map[string]*stepTimes{} }
 
-// began starts the figures of the schedulers, with the load.
-func (s *stopwatch) began(f *fleet) {
-	s.running = true
+// startLoad starts the figures of the schedulers, with the load.
+func (s *costMeter) startLoad(f *fleet) {
+	s.loadStarted = true
 	for _, n := range f.nodes {
-		n.use = use{}
+		n.usage = nodeUsage{}
 	}
 }
 
@@ -409,84 +409,84 @@
 	return "others"
 }
 
-func (s *stopwatch) step(n *node, e scheduler.Event, took time.Duration) {
-	if s.seen != nil {
-		s.seen(e)
+func (s *costMeter) recordStep(n *node, e scheduler.Event, took time.Duration) {
+	if s.observe != nil {
+		s.observe(e)
 	}
 	kind := kindOfEvent(e)
-	k := s.kinds[kind]
+	k := s.byKind[kind]
 	if k == nil {
-		k = &kindClock{took: hdrhistogram.New(1, int64(time.Hour), 2)}
-		s.kinds[kind] = k
+		k = &stepTimes{histogram: hdrhistogram.New(1, int64(time.Hour), 2)}
+		s.byKind[kind] = k
 	}
-	k.took.RecordValue(max(int64(took), 1))
+	k.histogram.RecordValue(max(int64(took), 1))
 	k.total += took
-	if !s.running {
+	if !s.loadStarted {
 		return
 	}
-	n.use.took += took
-	now := span(n.f.now)
+	n.usage.reducerTime += took
+	now := toDuration(n.fleet.now)
 	switch e.(type) {
 	case scheduler.EndpointsUpdated, scheduler.WatchClosed:
-		n.use.tookControl += took
-		n.use.busyPart = max(n.use.busyPart, now) + time.Duration(float64(took)/coreForControl)
+		n.usage.controlTime += took
+		n.usage.controlBusyUntil = max(n.usage.controlBusyUntil, now) + time.Duration(float64(took)/controlCoreBudget)
 	}
-	n.use.busy = max(n.use.busy, now) + took
-	s.lag, s.lagPart = max(s.lag, n.use.busy-now), max(s.lagPart, n.use.busyPart-now)
-	*at(&s.series.CoreSeconds, n.f) += took.Seconds()
+	n.usage.busyUntil = max(n.usage.busyUntil, now) + took
+	s.maxLag, s.maxLagAtBudget = max(s.maxLag, n.usage.busyUntil-now), max(s.maxLagAtBudget, n.usage.controlBusyUntil-now)
+	*currentSecond(&s.series.CoreSeconds, n.fleet) += took.Seconds()
 }
 
-// change notes when a change, known to discovery since a time, is applied at a scheduler that hears
+// recordChange notes when a change, known to discovery since a time, is applied at a scheduler that hears
 // it at once: when its reducer is through with it and all before.
-func (s *stopwatch) change(n *node, since Micros) {
-	s.applied = max(s.applied, n.use.busy-span(since))
-	s.appliedPart = max(s.appliedPart, n.use.busyPart-span(since))
+func (s *costMeter) recordChange(n *node, since Micros) {
+	s.maxChangeDelay = max(s.maxChangeDelay, n.usage.busyUntil-toDuration(since))
+	s.maxChangeDelayAtBudget = max(s.maxChangeDelayAtBudget, n.usage.controlBusyUntil-toDuration(since))
 }
 
-// at is the place of the present second in a series.
-func at[T any](series *[]T, f *fleet) *T {
-	i := int((f.now - began - warmUp) / second)
+// currentSecond is the place of the present second in a series.
+func currentSecond[T any](series *[]T, f *fleet) *T {
+	i := int((f.now - epoch - warmUp) / second)
 	for len(*series) <= i {
 		*series = append(*series, *new(T))
 	}
 	return &(*series)[i]
 }
 
-func (s *stopwatch) started(f *fleet) { *at(&s.series.Starts, f)++ }
-func (s *stopwatch) refused(f *fleet) { *at(&s.series.Refused, f)++ }
+func (s *costMeter) countStart(f *fleet)   { *currentSecond(&s.series.Starts, f)++ }
+func (s *costMeter) countRefusal(f *fleet) { *currentSecond(&s.series.Refused, f)++ }
 
-func (s *stopwatch) bytes(f *fleet, n int) {
-	if s.running {
-		*at(&s.series.ControlKB, f) += float64(n) / 1000
+func (s *costMeter) countControlBytes(f *fleet, n int) {
+	if s.loadStarted {
+		*currentSecond(&s.series.ControlKB, f) += float64(n) / 1000
 	}
 }
 
-// sample looks at the heap once a second of virtual time.
-func (s *stopwatch) sample(f *fleet) {
+// sampleHeap looks at the heap once a second of virtual time.
+func (s *costMeter) sampleHeap(f *fleet) {
 	one := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(one)
-	s.most = max(s.most, one[0].Value.Uint64())
-	f.after(second, func() { s.sample(f) })
+	s.maxHeap = max(s.maxHeap, one[0].Value.Uint64())
+	f.after(second, func() { s.sampleHeap(f) })
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func (s *stopwatch) measured(f *fleet) Measured {
-	m := Measured{WallSeconds: time.Since(s.from).Seconds(), Events: f.events.seq, HeapKBPerScheduler: s.listed / 1000,
-		MaxHeapMB: float64(s.most) / 1e6, AvailableCores: runtime.GOMAXPROCS(0),
-		MaxLagMs: ms(s.lag), MaxLagMsAtControlBudget: ms(s.lagPart), MaxChangeMs: ms(s.applied), MaxChangeMsAtControlBudget: ms(s.appliedPart)}
-	for kind, k := range s.kinds {
+func (s *costMeter) results(f *fleet) Measured {
+	m := Measured{WallSeconds: time.Since(s.startedAt).Seconds(), Events: f.events.seq, HeapKBPerScheduler: s.heapPerScheduler / 1000,
+		MaxHeapMB: float64(s.maxHeap) / 1e6, AvailableCores: runtime.GOMAXPROCS(0),
+		MaxLagMs: milliseconds(s.maxLag), MaxLagMsAtControlBudget: milliseconds(s.maxLagAtBudget), MaxChangeMs: milliseconds(s.maxChangeDelay), MaxChangeMsAtControlBudget: milliseconds(s.maxChangeDelayAtBudget)}
+	for kind, k := range s.byKind {
 		us := func(v int64) float64 { return float64(v) / 1000 }
-		m.EventCosts = append(m.EventCosts, EventCost{Kind: kind, Count: k.took.TotalCount(), MeanUs: k.took.Mean() / 1000,
-			P50Us: us(k.took.ValueAtQuantile(50)), P99Us: us(k.took.ValueAtQuantile(99)), MaxUs: us(k.took.Max()),
+		m.EventCosts = append(m.EventCosts, EventCost{Kind: kind, Count: k.histogram.TotalCount(), MeanUs: k.histogram.Mean() / 1000,
+			P50Us: us(k.histogram.ValueAtQuantile(50)), P99Us: us(k.histogram.ValueAtQuantile(99)), MaxUs: us(k.histogram.Max()),
 			TotalSeconds: k.total.Seconds()})
 	}
 	slices.SortFunc(m.EventCosts, func(a, b EventCost) int { return int(b.TotalSeconds*1e9 - a.TotalSeconds*1e9) })
-	load := f.opt.Duration.Seconds() / 100
+	load := f.options.Duration.Seconds() / 100
 	for _, n := range f.nodes {
-		m.CorePercent += n.use.took.Seconds() / load / float64(len(f.nodes))
-		m.MaxCorePercent = max(m.MaxCorePercent, n.use.took.Seconds()/load)
-		m.ControlCorePercent += n.use.tookControl.Seconds() / load / float64(len(f.nodes))
+		m.CorePercent += n.usage.reducerTime.Seconds() / load / float64(len(f.nodes))
+		m.MaxCorePercent = max(m.MaxCorePercent, n.usage.reducerTime.Seconds()/load)
+		m.ControlCorePercent += n.usage.controlTime.Seconds() / load / float64(len(f.nodes))
 	}
 	return m
 }
