--- a/client/desk_test.go
+++ b/client/desk_test.go
@@ -332,7 +332,7 @@
 	}
 	defer worker.Close()
 	discovery, err := fakes.NewDiscovery("127.0.0.1:0", fakes.Endpoint{UID: "s-1", Addr: worker.Addr(),
-		Zone: "north", Model: "m1", State: "ready"})
+		Zone: "north", Kind: "m1", State: "ready"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/schedbench/chart.go
+++ b/cmd/schedbench/chart.go
@@ -46,8 +46,8 @@
 	return p.Save(20*vg.Centimeter, 9*vg.Centimeter, path)
 }
 
-// deskChart draws what was served and what was dialled, second by second.
-func deskChart(runs []*deskRun) chart {
+// clientChart draws what was served and what was dialled, second by second.
+func clientChart(runs []*clientRun) chart {
 	return func(path string) error {
 		var served, dials []line
 		for _, r := range runs {
@@ -55,7 +55,8 @@
 			dials = append(dials, bySeconds(r.name, r.dials))
 		}
 		base := strings.TrimSuffix(path, filepath.Ext(path))
-		title := fmt.Sprintf("%d desks, schedulers %d to %d and back", deskCount, deskSchedulers, deskLeft)
+		title := fmt.Sprintf("%d desks, schedulers %d to %d and back", clientCount, clientSchedulers,
+			remainingSchedulers)
 		if err := draw(base+"-served.svg", title, "jobs served in time a second", served); err != nil {
 			return err
 		}
--- a/cmd/schedbench/desks.go
+++ b/cmd/schedbench/clients.go
@@ -20,79 +20,79 @@
 // schedulers of its own, which shrink to two and come back while the desks work; and desks
 // of the library once more at a fleet whose workers do wrong what they may.
 const (
-	deskCount      = 200
-	deskSchedulers = 6
-	deskLeft       = 2  // of the schedulers
-	deskWorkers    = 12 // of each scheduler
-	deskRate       = 4. // jobs a second of each desk
-	deskGrace      = 50 * time.Millisecond
-	deskSlot       = 100 * time.Millisecond // of the figures over time
-	deskSettled    = 3 * time.Second        // until every desk has its first connections
+	clientCount         = 200
+	clientSchedulers    = 6
+	remainingSchedulers = 2  // of the schedulers
+	workersPerScheduler = 12 // of each scheduler
+	jobsPerClient       = 4. // jobs a second of each desk
+	returnGrace         = 50 * time.Millisecond
+	slotLength          = 100 * time.Millisecond // of the figures over time
+	connectTime         = 3 * time.Second        // until every desk has its first connections
 )
 
-// deskClass is what the drill hands in of a class.
-type deskClass struct {
-	name          string
-	aim, deadline time.Duration
-	effect        client.Effect
+// clientClass is what the drill hands in of a class.
+type clientClass struct {
+	name                string
+	objective, deadline time.Duration
+	effect              client.Effect
 }
 
-var deskClasses = []deskClass{{"post-reading", time.Second, 2 * time.Second, client.Once},
+var clientClasses = []clientClass{{"post-reading", time.Second, 2 * time.Second, client.Once},
 	{"district-batch", 2 * time.Second, 4 * time.Second, client.Rack}}
 
-// deskRun is one kind of desk at its own fleet, and what came of its jobs.
-type deskRun struct {
-	name  string
-	fleet *testcluster.Fleet
-	began time.Time
+// clientRun is one kind of desk at its own fleet, and what came of its jobs.
+type clientRun struct {
+	name      string
+	fleet     *testcluster.Fleet
+	startedAt time.Time
 	// submit hands a job in at a desk, and tells how it ended.
 	submit func(desk int, s fakes.Submission) (verdict string)
 	close  func()
 
-	tries  atomic.Int64
-	dials  []atomic.Int64 // by slot
-	served []atomic.Int64 // by slot, in time
+	attempts atomic.Int64
+	dials    []atomic.Int64 // by slot
+	served   []atomic.Int64 // by slot, in time
 
-	mu      sync.Mutex
-	jobs    int
-	late    int // served past the aim
-	ends    map[string]int
-	latest  time.Duration // of the returns, past the deadline
-	returns int
+	mu          sync.Mutex
+	jobs        int
+	late        int // served past the aim
+	verdicts    map[string]int
+	maxOvertime time.Duration // of the returns, past the deadline
+	returns     int
 }
 
-func slot(slots []atomic.Int64, began time.Time) *atomic.Int64 {
-	return &slots[min(int(time.Since(began)/deskSlot), len(slots)-1)]
+func slotAt(slots []atomic.Int64, began time.Time) *atomic.Int64 {
+	return &slots[min(int(time.Since(began)/slotLength), len(slots)-1)]
 }
 
-func (r *deskRun) dialled() { slot(r.dials, r.began).Add(1) }
+func (r *clientRun) dialled() { slotAt(r.dials, r.startedAt).Add(1) }
 
 // The library's word of what it does; see desk.Observer.
 
 // Tried counts the tries that were handed in: without a connection there was none.
-func (r *deskRun) Tried(_, _, outcome string, _ time.Duration) {
+func (r *clientRun) Tried(_, _, outcome string, _ time.Duration) {
 	if outcome != "no room" && outcome != "unreached" && outcome != "parted" {
-		r.tries.Add(1)
+		r.attempts.Add(1)
 	}
 }
 
 // Ended is counted by who called.
-func (r *deskRun) Ended(string, string, int, time.Duration) {}
+func (r *clientRun) Ended(string, string, int, time.Duration) {}
 
 // Connected counts new connections.
-func (r *deskRun) Connected(string, error) { r.dialled() }
+func (r *clientRun) Connected(string, error) { r.dialled() }
 
 // Throttled jobs show as refused.
-func (r *deskRun) Throttled() {}
+func (r *clientRun) Throttled() {}
 
-// library makes the desks of the library.
-func (r *deskRun) library(seed uint64) error {
+// useLibrary makes the desks of the library.
+func (r *clientRun) useLibrary(seed uint64) error {
 	classes := map[string]client.Class{}
-	for _, c := range deskClasses {
+	for _, c := range clientClasses {
 		classes[c.name] = client.Class{Deadline: c.deadline, Effect: c.effect}
 	}
 	var clients []*client.Client
-	for i := range deskCount {
+	for i := range clientCount {
 		c, err := client.New(client.Config{Schedulers: r.fleet.Schedulers(), Tenant: "sahel", Classes: classes,
 			Seed: seed<<16 + uint64(i) + 1, Observer: r})
 		if err != nil {
@@ -113,15 +113,15 @@
 	return nil
 }
 
-// plain makes desks as they were, with a first wait before a retry, or none.
-func (r *deskRun) plain(backoff time.Duration) {
+// useRetryingClients makes desks as they were, with a first wait before a retry, or none.
+func (r *clientRun) useRetryingClients(backoff time.Duration) {
 	var clients []*fakes.RetryingClient
-	for range deskCount {
+	for range clientCount {
 		clients = append(clients, fakes.NewRetryingClient(r.fleet.Schedulers(), backoff, r.dialled))
 	}
 	r.submit = func(i int, s fakes.Submission) string {
-		served, tries := clients[i].Submit(s)
-		r.tries.Add(int64(tries))
+		served, attempts := clients[i].Submit(s)
+		r.attempts.Add(int64(attempts))
 		if served {
 			return "served"
 		}
@@ -134,10 +134,10 @@
 	}
 }
 
-// work lets all desks hand in jobs until the context ends, and waits for their ends.
-func (r *deskRun) work(ctx context.Context, seed uint64) {
+// submitJobs lets all desks hand in jobs until the context ends, and waits for their ends.
+func (r *clientRun) submitJobs(ctx context.Context, seed uint64) {
 	var all sync.WaitGroup
-	for i := range deskCount {
+	for i := range clientCount {
 		all.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(i)))
 			var open sync.WaitGroup
@@ -146,9 +146,9 @@
 				select {
 				case <-ctx.Done():
 					return
-				case <-time.After(time.Duration(random.ExpFloat64() / deskRate * float64(time.Second))):
+				case <-time.After(time.Duration(random.ExpFloat64() / jobsPerClient * float64(time.Second))):
 				}
-				c := deskClasses[random.IntN(len(deskClasses))]
+				c := clientClasses[random.IntN(len(clientClasses))]
 				id := fmt.Sprintf("%d-%d", i, n)
 				name := r.fleet.JobPrefix() + id
 				s := fakes.Submission{ID: id, Class: c.name, Tenant: "sahel", Body: []byte(name),
@@ -156,35 +156,35 @@
 				if c.effect == client.Rack {
 					s.Key = name
 				}
-				open.Go(func() { r.one(i, c, s) })
+				open.Go(func() { r.submitOne(i, c, s) })
 			}
 		})
 	}
 	all.Wait()
 }
 
-func (r *deskRun) one(i int, c deskClass, s fakes.Submission) {
+func (r *clientRun) submitOne(i int, c clientClass, s fakes.Submission) {
 	r.mu.Lock()
 	r.jobs++
 	r.mu.Unlock()
 	verdict := r.submit(i, s)
 	over := time.Since(s.Deadline)
 	if verdict == "served" && over <= 0 {
-		slot(r.served, r.began).Add(1)
+		slotAt(r.served, r.startedAt).Add(1)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.returns++
-	r.ends[verdict]++
-	r.latest = max(r.latest, over)
-	if verdict == "served" && over > c.aim-c.deadline {
+	r.verdicts[verdict]++
+	r.maxOvertime = max(r.maxOvertime, over)
+	if verdict == "served" && over > c.objective-c.deadline {
 		r.late++
 	}
 }
 
 // peak is the largest number in any slot once the first connections are there.
 func peak(slots []atomic.Int64) (most int64) {
-	for i := int(deskSettled / deskSlot); i < len(slots); i++ {
+	for i := int(connectTime / slotLength); i < len(slots); i++ {
 		most = max(most, slots[i].Load())
 	}
 	return most
@@ -192,7 +192,7 @@
 
 // bySecond sums slots into seconds.
 func bySecond(slots []atomic.Int64) []int64 {
-	per := int(time.Second / deskSlot)
+	per := int(time.Second / slotLength)
 	seconds := make([]int64, (len(slots)+per-1)/per)
 	for i := range slots {
 		seconds[i/per] += slots[i].Load()
@@ -200,18 +200,18 @@
 	return seconds
 }
 
-func sum(slots []atomic.Int64) (all int64) {
+func total(slots []atomic.Int64) (all int64) {
 	for i := range slots {
 		all += slots[i].Load()
 	}
 	return all
 }
 
-// shrink takes schedulers away within a sixth of the span (10 s of a minute), every other
+// removeAndRestore takes schedulers away within a sixth of the span (10 s of a minute), every other
 // one without a word, and brings them back after a while.
-func shrink(ctx context.Context, f *testcluster.Fleet, span time.Duration) error {
+func removeAndRestore(ctx context.Context, f *testcluster.Fleet, span time.Duration) error {
 	rest := func(d time.Duration) bool { return testcluster.Sleep(ctx, d) }
-	gone := deskSchedulers - deskLeft
+	gone := clientSchedulers - remainingSchedulers
 	step := span / 6 / time.Duration(gone)
 	if !rest(span / 4) {
 		return nil
@@ -240,9 +240,9 @@
 	return nil
 }
 
-// desks runs the drill. It ends before its span does: jobs have 4 s to end.
-func desks(bin, folder string, span time.Duration, seed uint64, say sayer) (*report, error) {
-	var runs []*deskRun
+// clientDrill runs the drill. It ends before its span does: jobs have 4 s to end.
+func clientDrill(bin, folder string, span time.Duration, seed uint64, say sayer) (*report, error) {
+	var runs []*clientRun
 	defer func() {
 		for _, r := range runs {
 			if r.close != nil {
@@ -256,38 +256,38 @@
 		if err := os.Mkdir(own, 0o777); err != nil {
 			return nil, err
 		}
-		f, err := testcluster.StartFleet(bin, own, deskSchedulers, deskWorkers, seed, k == 3)
+		f, err := testcluster.StartFleet(bin, own, clientSchedulers, workersPerScheduler, seed, k == 3)
 		if err != nil {
 			return nil, err
 		}
-		slots := int((span + 10*time.Second) / deskSlot)
-		r := &deskRun{name: name, fleet: f, ends: map[string]int{}, dials: make([]atomic.Int64, slots),
+		slots := int((span + 10*time.Second) / slotLength)
+		r := &clientRun{name: name, fleet: f, verdicts: map[string]int{}, dials: make([]atomic.Int64, slots),
 			served: make([]atomic.Int64, slots)}
 		runs = append(runs, r)
 		switch k {
 		case 0, 3:
-			err = r.library(seed)
+			err = r.useLibrary(seed)
 		case 1:
-			r.plain(0)
+			r.useRetryingClients(0)
 		case 2:
-			r.plain(50 * time.Millisecond)
+			r.useRetryingClients(50 * time.Millisecond)
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	say("%d desks of each kind hand in for %v; %d of %d schedulers go and come back", deskCount,
-		span.Round(time.Second), deskSchedulers-deskLeft, deskSchedulers)
+	say("%d desks of each kind hand in for %v; %d of %d schedulers go and come back", clientCount,
+		span.Round(time.Second), clientSchedulers-remainingSchedulers, clientSchedulers)
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
 	began := time.Now()
 	var all sync.WaitGroup
 	failures := make(chan error, len(runs))
 	for _, r := range runs {
-		r.began = began
-		all.Go(func() { r.work(ctx, seed) })
+		r.startedAt = began
+		all.Go(func() { r.submitJobs(ctx, seed) })
 		all.Go(func() {
-			if err := shrink(ctx, r.fleet, span); err != nil {
+			if err := removeAndRestore(ctx, r.fleet, span); err != nil {
 				failures <- err
 			}
 		})
@@ -298,42 +298,45 @@
 		return nil, err
 	default:
 	}
-	return deskReport(runs), nil
+	return clientReport(runs), nil
 }
 
-// deskReport judges by what the library promises, and shows all kinds beside each other.
-func deskReport(runs []*deskRun) *report {
+// clientReport judges by what the library promises, and shows all kinds beside each other.
+func clientReport(runs []*clientRun) *report {
 	rep := &report{figures: map[string]any{}, table: [][]string{{"kind", "jobs", "served", "late", "tries a job",
 		"new connections", "peak in 100 ms", "post-readings twice", "keys in two racks", "latest return"}}}
 	for _, r := range runs {
 		saw := r.fleet.RunCounts()
-		tries := float64(r.tries.Load()) / float64(max(r.jobs, 1))
-		rep.table = append(rep.table, []string{r.name, fmt.Sprint(r.jobs), fmt.Sprint(r.ends["served"]),
-			fmt.Sprintf("%.1f%%", 100*float64(r.late)/float64(max(r.ends["served"], 1))), fmt.Sprintf("%.3f", tries),
-			fmt.Sprint(sum(r.dials)), fmt.Sprint(peak(r.dials)), fmt.Sprint(saw.Duplicates), fmt.Sprint(saw.CrossRack),
-			fmt.Sprint(r.latest.Round(time.Millisecond))})
-		rep.figures[r.name] = map[string]any{"jobs": r.jobs, "returns": r.returns, "ends": r.ends, "late": r.late,
-			"tries_a_job": tries, "connections": sum(r.dials), "peak_connections_100ms": peak(r.dials),
+		attempts := float64(r.attempts.Load()) / float64(max(r.jobs, 1))
+		rep.table = append(rep.table, []string{r.name, fmt.Sprint(r.jobs), fmt.Sprint(r.verdicts["served"]),
+			fmt.Sprintf("%.1f%%", 100*float64(r.late)/float64(max(r.verdicts["served"], 1))), fmt.Sprintf("%.3f",
+				attempts),
+			fmt.Sprint(total(r.dials)), fmt.Sprint(peak(r.dials)), fmt.Sprint(saw.Duplicates),
+			fmt.Sprint(saw.CrossRack),
+			fmt.Sprint(r.maxOvertime.Round(time.Millisecond))})
+		rep.figures[r.name] = map[string]any{"jobs": r.jobs, "returns": r.returns, "ends": r.verdicts,
+			"late":        r.late,
+			"tries_a_job": attempts, "connections": total(r.dials), "peak_connections_100ms": peak(r.dials),
 			"runs": saw.Total, "post_readings_twice": saw.Duplicates, "keys_in_two_racks": saw.CrossRack,
-			"latest_return_ms": r.latest.Milliseconds(), "served_in_time": sum(r.served),
+			"latest_return_ms": r.maxOvertime.Milliseconds(), "served_in_time": total(r.served),
 			"connections_by_s": bySecond(r.dials),
 			"served_by_s":      bySecond(r.served)}
 	}
 	library, plain := runs[0], runs[1:3]
-	best := slices.MaxFunc(plain, func(a, b *deskRun) int { return int(sum(a.served) - sum(b.served)) })
+	best := slices.MaxFunc(plain, func(a, b *clientRun) int { return int(total(a.served) - total(b.served)) })
 	rep.ok = true
 	for _, r := range runs {
 		if n := r.fleet.RunCounts().Foreign; n > 0 {
 			rep.figures["alien_jobs"] = n // a port went to somebody else while its scheduler was away
 		}
 	}
-	for _, r := range []*deskRun{library, runs[3]} {
+	for _, r := range []*clientRun{library, runs[3]} {
 		saw := r.fleet.RunCounts()
-		rep.ok = rep.ok && saw.Duplicates == 0 && saw.CrossRack == 0 && r.returns == r.jobs && r.latest <= deskGrace
+		rep.ok = rep.ok && saw.Duplicates == 0 && saw.CrossRack == 0 && r.returns == r.jobs && r.maxOvertime <= returnGrace
 	}
-	rep.figures["goodput_against_best"] = float64(sum(library.served)) / float64(max(library.jobs, 1)) /
-		(float64(sum(best.served)) / float64(max(best.jobs, 1)))
+	rep.figures["goodput_against_best"] = float64(total(library.served)) / float64(max(library.jobs, 1)) /
+		(float64(total(best.served)) / float64(max(best.jobs, 1)))
 	rep.figures["peak_against_at_once"] = float64(peak(plain[0].dials)) / float64(max(peak(library.dials), 1))
-	rep.chart = deskChart(runs)
+	rep.chart = clientChart(runs)
 	return rep
 }
--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -23,12 +23,12 @@
 }
 
 const (
-	keepers   = 16 // items under way at once
-	lifeSteps = 4  // accepted, routed, ended, answered
+	itemsInFlight = 16 // items under way at once
+	itemSteps     = 4  // accepted, routed, ended, answered
 )
 
-// stepsOf is how far a record has come in an item's life.
-func stepsOf(it *lifecycle.Item) int {
+// stepOf is how far a record has come in an item's life.
+func stepOf(it *lifecycle.Item) int {
 	steps := 1 + len(it.Attempts)
 	if len(it.Attempts) > 0 && !it.Outstanding() {
 		steps++
@@ -47,12 +47,13 @@
 	}
 	var out sync.Mutex
 	var all sync.WaitGroup
-	for k := range keepers {
+	for k := range itemsInFlight {
 		all.Go(func() {
 			done := make(chan error, 1)
-			for n := c.From + k; ; n += keepers {
-				it := &lifecycle.Item{ID: fmt.Sprint(n), Class: "post-reading", Body: make([]byte, 200), Deadline: 1 << 60}
-				for step := 1; step <= lifeSteps; step++ {
+			for n := c.From + k; ; n += itemsInFlight {
+				it := &lifecycle.Item{ID: fmt.Sprint(n), Class: "post-reading", Body: make([]byte, 200),
+					Deadline: 1 << 60}
+				for step := 1; step <= itemSteps; step++ {
 					var err error
 					switch step {
 					case 2:
@@ -60,7 +61,8 @@
 					case 3:
 						err = it.Apply(lifecycle.Event{Kind: lifecycle.Ended, At: 2, What: lifecycle.Done, Result: it.Body})
 					case 4:
-						err = it.Apply(lifecycle.Event{Kind: lifecycle.Answered, At: 3, Verdict: lifecycle.Served, Keep: 1 << 60})
+						err = it.Apply(lifecycle.Event{Kind: lifecycle.Answered, At: 3, Verdict: lifecycle.Served,
+							Keep: 1 << 60})
 					}
 					change := store.Change{Item: it, Done: func(err error) { done <- err }}
 					if put := s.Update; err == nil {
@@ -126,7 +128,7 @@
 		kill.Stop()
 		run.Wait()
 		kills++
-		next += 10 * keepers // past what was stored and not confirmed
+		next += 10 * itemsInFlight // past what was stored and not confirmed
 		r, err := store.Read(path)
 		if err != nil {
 			return nil, fmt.Errorf("after kill %d: %w", kills, err)
@@ -139,7 +141,7 @@
 				say("after kill %d: item %q: %v", kills, id, fault)
 				return nil
 			}
-			held[n] = stepsOf(it)
+			held[n] = stepOf(it)
 			return nil
 		})
 		if err := r.Close(); err != nil {
--- a/cmd/schedbench/drill.go
+++ b/cmd/schedbench/drill.go
@@ -45,7 +45,7 @@
 	"attempt": {"the real program against stand-ins that do wrong whatever they may; checks what all saw",
 		onProgram(15*time.Second, attempts)},
 	"desk": {"desks of the library beside plain ones, at real schedulers that go and come back",
-		onProgram(8*time.Second, desks)},
+		onProgram(8*time.Second, clientDrill)},
 	"disk": {"a process that stores items is killed at random; all that was confirmed must be there", diskKills},
 	"engines": {"embedded stores under a job store: accepts on disk, opening after a kill, space, memory",
 		engines},
--- a/cmd/schedbench/engines.go
+++ b/cmd/schedbench/engines.go
@@ -43,7 +43,7 @@
 	case "pebble":
 		cache := pebble.NewCache(8 << 20)
 		defer cache.Unref()
-		db, err := pebble.Open(folder, &pebble.Options{Cache: cache, MemTableSize: 4 << 20, Logger: quiet{}})
+		db, err := pebble.Open(folder, &pebble.Options{Cache: cache, MemTableSize: 4 << 20, Logger: silentLogger{}})
 		if err != nil {
 			return nil, err
 		}
@@ -52,11 +52,11 @@
 	return nil, misuse("unknown engine %q", name)
 }
 
-type quiet struct{}
+type silentLogger struct{}
 
-func (quiet) Infof(string, ...any)           {}
-func (quiet) Errorf(string, ...any)          {}
-func (quiet) Fatalf(format string, a ...any) { panic(fmt.Sprintf(format, a...)) }
+func (silentLogger) Infof(string, ...any)           {}
+func (silentLogger) Errorf(string, ...any)          {}
+func (silentLogger) Fatalf(format string, a ...any) { panic(fmt.Sprintf(format, a...)) }
 
 type boltEngine struct{ *bbolt.DB }
 
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -25,7 +25,7 @@
 		log.Fatal(err)
 	}
 	d, err := fakes.NewDiscovery(*discovery, fakes.Endpoint{UID: uid, Addr: r.Addr(), Zone: "sousse",
-		Model: "fast-2c", State: "ready"})
+		Kind: "fast-2c", State: "ready"})
 	if err != nil {
 		log.Fatal(err)
 	}
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -36,13 +36,13 @@
 	event := history.Event{ID: s.ID, Who: "client", Class: s.Class}
 	left := strconv.FormatInt(max(time.Until(s.Deadline).Milliseconds(), 0), 10)
 	event.Kind, event.Until = history.Sent, s.Deadline
-	rec.say(event)
+	rec.record(event)
 	if _, err := conn.Write(http1.AppendRequest(nil, "POST", "/"+s.Class+"/"+s.ID, []http1.Field{
 		{Name: "Host", Value: conn.RemoteAddr().String()}, {Name: "X-Txn", Value: s.ID},
 		{Name: "X-Lane", Value: s.Class}, {Name: "X-Org", Value: s.Tenant}, {Name: "X-Remaining-Ms", Value: left},
 		{Name: "Idempotency-Key", Value: s.Key}}, s.Body)); err != nil {
 		event.Kind = history.Unanswered
-		rec.say(event)
+		rec.record(event)
 		return nil, err
 	}
 	if !s.DisconnectAt.IsZero() && s.DisconnectAt.Before(until) {
@@ -58,7 +58,7 @@
 	default:
 		event.Kind = history.Unanswered
 	}
-	rec.say(event)
+	rec.record(event)
 	return m, err
 }
 
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -16,34 +16,34 @@
 	UID    string `json:"uid"`
 	Addr   string `json:"endpoint"`
 	Zone   string `json:"az"`
-	Model  string `json:"model"`
-	Group  int    `json:"pod_group"`
+	Kind   string `json:"model"`
+	Cell   int    `json:"pod_group"`
 	State  string `json:"state"` // ready, draining or gone
 	BootMs int64  `json:"boot_ms"`
 }
 
-type list struct {
-	Rev     int64      `json:"rev"`
-	All     bool       `json:"all"`
-	Targets []Endpoint `json:"targets"`
+type update struct {
+	Rev       int64      `json:"rev"`
+	All       bool       `json:"all"`
+	Endpoints []Endpoint `json:"targets"`
 }
 
 // Discovery serves the worker list. Changes go out to open watches at once.
 type Discovery struct {
 	server
-	list    sync.Mutex
-	rev     int64
-	lines   []Endpoint
-	watches map[chan list]bool
-	over    chan struct{}
+	mu        sync.Mutex
+	rev       int64
+	endpoints []Endpoint
+	watches   map[chan update]bool
+	closed    chan struct{}
 }
 
-// heartbeat is the time between two blank lines of a watch on which nothing changes.
-const heartbeat = 2 * time.Second
+// heartbeatInterval is the time between two blank lines of a watch on which nothing changes.
+const heartbeatInterval = 2 * time.Second
 
 // NewDiscovery opens a discovery that lists some workers.
 func NewDiscovery(addr string, lines ...Endpoint) (*Discovery, error) {
-	d := &Discovery{rev: 1, lines: lines, watches: map[chan list]bool{}, over: make(chan struct{})}
+	d := &Discovery{rev: 1, endpoints: lines, watches: map[chan update]bool{}, closed: make(chan struct{})}
 	return d, d.listen(addr, d.serve)
 }
 
@@ -52,20 +52,20 @@
 
 // Close ends it, and its watches.
 func (d *Discovery) Close() {
-	close(d.over)
+	close(d.closed)
 	d.close()
 }
 
 // ResetWatches ends all watches; they can be opened again at once.
-func (d *Discovery) ResetWatches() { d.reset() }
+func (d *Discovery) ResetWatches() { d.resetAll() }
 
 // Update changes one line, or adds it. With the state gone it is taken off the list.
 func (d *Discovery) Update(line Endpoint) {
-	d.list.Lock()
-	defer d.list.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	d.rev++
-	kept := d.lines[:0:0]
-	for _, l := range d.lines {
+	kept := d.endpoints[:0:0]
+	for _, l := range d.endpoints {
 		if l.UID != line.UID {
 			kept = append(kept, l)
 		}
@@ -73,10 +73,10 @@
 	if line.State != "gone" {
 		kept = append(kept, line)
 	}
-	d.lines = kept
+	d.endpoints = kept
 	for w := range d.watches {
 		select {
-		case w <- list{Rev: d.rev, Targets: []Endpoint{line}}:
+		case w <- update{Rev: d.rev, Endpoints: []Endpoint{line}}:
 		default: // it does not read: its watch ends, and the next one has the whole list
 			delete(d.watches, w)
 			close(w)
@@ -84,8 +84,8 @@
 	}
 }
 
-func (d *Discovery) whole() list {
-	return list{Rev: d.rev, All: true, Targets: append([]Endpoint{}, d.lines...)}
+func (d *Discovery) fullList() update {
+	return update{Rev: d.rev, All: true, Endpoints: append([]Endpoint{}, d.endpoints...)}
 }
 
 func (d *Discovery) serve(conn net.Conn) {
@@ -93,14 +93,14 @@
 	if err != nil {
 		return
 	}
-	d.list.Lock()
-	first := d.whole()
-	changes := make(chan list, 64)
+	d.mu.Lock()
+	first := d.fullList()
+	changes := make(chan update, 64)
 	watch := strings.Contains(m.Target, "watch=1")
 	if watch {
 		d.watches[changes] = true
 	}
-	d.list.Unlock()
+	d.mu.Unlock()
 	if !watch {
 		raw, err := json.Marshal(first)
 		if err == nil {
@@ -109,14 +109,14 @@
 		return
 	}
 	defer func() {
-		d.list.Lock()
+		d.mu.Lock()
 		delete(d.watches, changes)
-		d.list.Unlock()
+		d.mu.Unlock()
 	}()
 	if _, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
 		return
 	}
-	say := func(t list) bool {
+	say := func(t update) bool {
 		raw, err := json.Marshal(t)
 		if err != nil {
 			return false
@@ -127,11 +127,11 @@
 	if !say(first) {
 		return
 	}
-	beat := time.NewTicker(heartbeat)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	for {
 		select {
-		case <-d.over:
+		case <-d.closed:
 			return
 		case t, open := <-changes:
 			if !open || !say(t) {
--- a/internal/fakes/plain.go
+++ b/internal/fakes/retrying_client.go
@@ -21,9 +21,9 @@
 }
 
 const (
-	plainTries   = 10
-	plainLongest = time.Second // of its waits
-	plainIdle    = 64          // connections for each scheduler that it keeps
+	maxAttempts  = 10
+	maxBackoff   = time.Second // of its waits
+	maxIdleConns = 64          // connections for each scheduler that it keeps
 )
 
 // NewRetryingClient returns one; dialled is told of each new connection.
@@ -31,7 +31,7 @@
 	var dialer net.Dialer
 	return &RetryingClient{schedulers: schedulers, backoff: backoff,
 		http: http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: plainIdle,
+			MaxIdleConnsPerHost: maxIdleConns,
 			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				dialled()
 				return dialer.DialContext(ctx, network, addr)
@@ -43,30 +43,30 @@
 
 // Submit hands a job in until it is served. It tells how many tries were handed in: those
 // that found nobody listening do not count.
-func (p *RetryingClient) Submit(s Submission) (served bool, tries int) {
+func (p *RetryingClient) Submit(s Submission) (served bool, attempts int) {
 	ctx, cancel := context.WithDeadline(context.Background(), s.Deadline)
 	defer cancel()
 	wait := p.backoff
-	for n := 1; n <= plainTries && ctx.Err() == nil; n++ {
-		sent, done := p.try(ctx, s, n)
+	for n := 1; n <= maxAttempts && ctx.Err() == nil; n++ {
+		sent, done := p.attempt(ctx, s, n)
 		if sent {
-			tries++
+			attempts++
 		}
 		if done {
-			return true, tries
+			return true, attempts
 		}
 		if wait > 0 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(rand.N(wait)):
 			}
-			wait = min(2*wait, plainLongest)
+			wait = min(2*wait, maxBackoff)
 		}
 	}
-	return false, tries
+	return false, attempts
 }
 
-func (p *RetryingClient) try(ctx context.Context, s Submission, n int) (sent, served bool) {
+func (p *RetryingClient) attempt(ctx context.Context, s Submission, n int) (sent, served bool) {
 	addr := p.schedulers[rand.IntN(len(p.schedulers))]
 	target := "http://" + addr + "/" + s.Class + "/" + s.ID
 	r, err := http.NewRequestWithContext(ctx, "POST", target, bytes.NewReader(s.Body))
--- a/internal/fakes/standin.go
+++ b/internal/fakes/server.go
@@ -26,11 +26,11 @@
 	if err != nil {
 		return err
 	}
-	s.on(l, serve)
+	s.serveOn(l, serve)
 	return nil
 }
 
-func (s *server) on(l net.Listener, serve func(net.Conn)) {
+func (s *server) serveOn(l net.Listener, serve func(net.Conn)) {
 	s.listener, s.conns = l, map[net.Conn]bool{}
 	s.running.Go(func() {
 		for {
@@ -38,12 +38,12 @@
 			if err != nil {
 				return
 			}
-			if !s.keep(conn) {
+			if !s.track(conn) {
 				conn.Close()
 				return
 			}
 			s.running.Go(func() {
-				defer s.drop(conn)
+				defer s.untrack(conn)
 				serve(conn)
 			})
 		}
@@ -57,7 +57,7 @@
 // A connection is closed when serve returns.
 func Serve(l net.Listener, serve func(net.Conn)) *Server {
 	s := &Server{}
-	s.on(l, serve)
+	s.serveOn(l, serve)
 	return s
 }
 
@@ -68,9 +68,9 @@
 func (s *Server) Close() { s.close() }
 
 // ResetConn ends a connection as a dying process does.
-func ResetConn(conn net.Conn) { broken(conn) }
+func ResetConn(conn net.Conn) { resetConn(conn) }
 
-func (s *server) keep(conn net.Conn) bool {
+func (s *server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closed {
@@ -79,15 +79,15 @@
 	return !s.closed
 }
 
-func (s *server) drop(conn net.Conn) {
+func (s *server) untrack(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
 	delete(s.conns, conn)
 	s.mu.Unlock()
 }
 
-// reset breaks all connections as a dying process does.
-func (s *server) reset() {
+// resetAll breaks all connections as a dying process does.
+func (s *server) resetAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
@@ -104,21 +104,21 @@
 	s.closed = true
 	s.mu.Unlock()
 	s.listener.Close()
-	s.reset()
+	s.resetAll()
 	s.running.Wait()
 }
 
 func (s *server) addr() string { return s.listener.Addr().String() }
 
-func broken(conn net.Conn) {
+func resetConn(conn net.Conn) {
 	if c, ok := conn.(*net.TCPConn); ok {
 		c.SetLinger(0)
 	}
 	conn.Close()
 }
 
-// call makes one request on a connection of its own. The deadline is absolute.
-func call(addr, method, target string, fields []http1.Field, body []byte,
+// exchange makes one request on a connection of its own. The deadline is absolute.
+func exchange(addr, method, target string, fields []http1.Field, body []byte,
 	deadline time.Time) (*http1.Response, error) {
 	dialer := net.Dialer{Deadline: deadline}
 	conn, err := dialer.Dial("tcp", addr)
@@ -137,7 +137,7 @@
 // Recorder takes what a stand-in saw. It must be safe for many goroutines.
 type Recorder func(history.Event)
 
-func (r Recorder) say(e history.Event) {
+func (r Recorder) record(e history.Event) {
 	if r != nil {
 		e.At = time.Now()
 		r(e)
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -38,48 +38,48 @@
 type Worker struct {
 	UID       string
 	scheduler func() string
-	plan      func(Job) Script
+	script    func(Job) Script
 	record    Recorder
 	server
-	life  sync.Mutex
-	jobs  map[string]chan struct{} // closed when the job is withdrawn or lost
-	again sync.WaitGroup
+	jobsMu    sync.Mutex
+	jobs      map[string]chan struct{} // closed when the job is withdrawn or lost
+	callbacks sync.WaitGroup
 }
 
 // NewWorker opens a worker. scheduler says where its callbacks go at the time of each;
 // plan must be safe for many goroutines.
-func NewWorker(uid, addr string, scheduler func() string, plan func(Job) Script,
+func NewWorker(uid, addr string, scheduler func() string, script func(Job) Script,
 	rec Recorder) (*Worker, error) {
-	r := &Worker{UID: uid, scheduler: scheduler, plan: plan, record: rec, jobs: map[string]chan struct{}{}}
-	return r, r.listen(addr, r.serve)
+	w := &Worker{UID: uid, scheduler: scheduler, script: script, record: rec, jobs: map[string]chan struct{}{}}
+	return w, w.listen(addr, w.serve)
 }
 
 // Addr is where it listens.
-func (r *Worker) Addr() string { return r.addr() }
+func (w *Worker) Addr() string { return w.addr() }
 
 // Close ends the worker: its jobs are lost, its connections reset.
-func (r *Worker) Close() {
-	r.Crash()
-	r.close()
-	r.again.Wait()
+func (w *Worker) Close() {
+	w.Crash()
+	w.close()
+	w.callbacks.Wait()
 }
 
 // Crash does as a process that dies and is there again at once: connections are reset, its
 // jobs are lost, and the machine's agent says so.
-func (r *Worker) Crash() {
-	r.reset()
-	r.life.Lock()
-	lost := r.jobs
-	r.jobs = map[string]chan struct{}{}
-	r.life.Unlock()
-	for id, gone := range lost {
-		close(gone)
-		r.record.say(history.Event{Kind: history.WorkerDied, ID: id, Who: r.UID})
-		r.again.Go(func() { r.tell(id, "lost", "", 0) })
+func (w *Worker) Crash() {
+	w.resetAll()
+	w.jobsMu.Lock()
+	crashed := w.jobs
+	w.jobs = map[string]chan struct{}{}
+	w.jobsMu.Unlock()
+	for id, cancelled := range crashed {
+		close(cancelled)
+		w.record.record(history.Event{Kind: history.WorkerDied, ID: id, Who: w.UID})
+		w.callbacks.Go(func() { w.callback(id, "lost", "", 0) })
 	}
 }
 
-func (r *Worker) serve(conn net.Conn) {
+func (w *Worker) serve(conn net.Conn) {
 	read := http1.NewReader(conn)
 	for {
 		m, err := read.Request()
@@ -88,58 +88,59 @@
 		}
 		if id, ok := strings.CutPrefix(m.Target, "/jobs/"); ok && m.Method == "DELETE" {
 			status := 404
-			if r.withdraw(id) {
+			if w.cancel(id) {
 				status = 200
 			}
-			r.record.say(history.Event{Kind: history.CancelReceived, ID: id, Who: r.UID, Status: status})
+			w.record.record(history.Event{Kind: history.CancelReceived, ID: id, Who: w.UID, Status: status})
 			if _, err := conn.Write(http1.AppendResponse(nil, status, nil, nil)); err != nil {
 				return
 			}
 			continue
 		}
-		if !r.job(conn, m) {
+		if !w.acceptJob(conn, m) {
 			return
 		}
 	}
 }
 
-// job takes one job. It tells whether the connection goes on.
-func (r *Worker) job(conn net.Conn, m *http1.Request) bool {
+// acceptJob takes one job. It tells whether the connection goes on.
+func (w *Worker) acceptJob(conn net.Conn, m *http1.Request) bool {
 	j := Job{ID: m.Header.Get("X-Txn"), Method: m.Method, Target: m.Target, Key: m.Header.Get("Idempotency-Key"),
 		Body: m.Body, RemainingMs: m.Header.Get("X-Remaining-Ms")}
 	if j.ID == "" {
 		conn.Write(http1.AppendResponse(nil, 404, nil, nil))
 		return false
 	}
-	p := r.plan(j)
+	p := w.script(j)
 	status := p.Status
 	if status == 0 {
 		status = 202
 	}
 	// It holds the job from now on, whatever comes of its answer.
-	r.record.say(history.Event{Kind: history.Arrived, ID: j.ID, Who: r.UID})
-	gone := make(chan struct{})
+	w.record.record(history.Event{Kind: history.Arrived, ID: j.ID, Who: w.UID})
+	cancelled := make(chan struct{})
 	if status == 202 && !p.ResetConn {
-		r.life.Lock()
-		r.jobs[j.ID] = gone
-		r.life.Unlock()
+		w.jobsMu.Lock()
+		w.jobs[j.ID] = cancelled
+		w.jobsMu.Unlock()
 	}
 	if p.Unresponsive {
-		<-r.closes(conn)
-		r.giveUp(j.ID, gone)
+		<-w.peerClosed(conn)
+		w.abandon(j.ID, cancelled)
 		return false
 	}
 	if p.EarlyCallbacks && status == 202 && !p.ResetConn {
-		r.again.Go(func() { r.run(j, p, gone) })
+		w.callbacks.Go(func() { w.runJob(j, p, cancelled) })
 	}
 	time.Sleep(p.AnswerDelay)
 	switch {
 	case p.ResetConn:
-		r.record.say(history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: true})
-		broken(conn)
+		w.record.record(history.Event{Kind: history.Ended, ID: j.ID, Who: w.UID, Ran: true})
+		resetConn(conn)
 		return false
 	case status != 202:
-		r.record.say(history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: !p.TurnedAway && status >= 500})
+		w.record.record(history.Event{Kind: history.Ended, ID: j.ID, Who: w.UID,
+			Ran: !p.TurnedAway && status >= 500})
 		var fields []http1.Field
 		if p.TurnedAway {
 			fields = append(fields, http1.Field{Name: "X-Turned-Away", Value: "1"})
@@ -150,16 +151,16 @@
 	_, err := conn.Write(http1.AppendResponse(nil, 202, nil, nil))
 	if !p.EarlyCallbacks {
 		if err != nil { // closed before its 202: given up
-			r.giveUp(j.ID, gone)
+			w.abandon(j.ID, cancelled)
 			return false
 		}
-		r.again.Go(func() { r.run(j, p, gone) })
+		w.callbacks.Go(func() { w.runJob(j, p, cancelled) })
 	}
 	return err == nil
 }
 
-// closes waits for the other side's close, while nothing else is read.
-func (r *Worker) closes(conn net.Conn) chan struct{} {
+// peerClosed waits for the other side's close, while nothing else is read.
+func (w *Worker) peerClosed(conn net.Conn) chan struct{} {
 	over := make(chan struct{})
 	go func() {
 		conn.Read(make([]byte, 1))
@@ -168,48 +169,48 @@
 	return over
 }
 
-// giveUp drops a job whose connection ended before its 202.
-func (r *Worker) giveUp(id string, gone chan struct{}) {
-	r.life.Lock()
-	mine := r.jobs[id] == gone
+// abandon drops a job whose connection ended before its 202.
+func (w *Worker) abandon(id string, cancelled chan struct{}) {
+	w.jobsMu.Lock()
+	mine := w.jobs[id] == cancelled
 	if mine {
-		delete(r.jobs, id)
-		close(gone)
+		delete(w.jobs, id)
+		close(cancelled)
 	}
-	r.life.Unlock()
+	w.jobsMu.Unlock()
 	if mine {
-		r.record.say(history.Event{Kind: history.Closed, ID: id, Who: r.UID})
+		w.record.record(history.Event{Kind: history.Closed, ID: id, Who: w.UID})
 	}
 }
 
-func (r *Worker) withdraw(id string) bool {
-	r.life.Lock()
-	defer r.life.Unlock()
-	gone, held := r.jobs[id]
-	if held {
-		delete(r.jobs, id)
-		close(gone)
+func (w *Worker) cancel(id string) bool {
+	w.jobsMu.Lock()
+	defer w.jobsMu.Unlock()
+	cancelled, known := w.jobs[id]
+	if known {
+		delete(w.jobs, id)
+		close(cancelled)
 	}
-	return held
+	return known
 }
 
-// end takes a job off the worker, unless it has been withdrawn or lost. What it tells is
+// finish takes a job off the worker, unless it has been withdrawn or lost. What it tells is
 // recorded before, as others may act on it at once.
-func (r *Worker) end(id string, gone chan struct{}, e history.Event) bool {
-	r.life.Lock()
-	defer r.life.Unlock()
-	if r.jobs[id] != gone {
+func (w *Worker) finish(id string, cancelled chan struct{}, e history.Event) bool {
+	w.jobsMu.Lock()
+	defer w.jobsMu.Unlock()
+	if w.jobs[id] != cancelled {
 		return false
 	}
-	delete(r.jobs, id)
-	r.record.say(e)
+	delete(w.jobs, id)
+	w.record.record(e)
 	return true
 }
 
-func (r *Worker) run(j Job, p Script, gone chan struct{}) {
+func (w *Worker) runJob(j Job, p Script, cancelled chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
-		case <-gone:
+		case <-cancelled:
 			return false
 		case <-time.After(d):
 			return true
@@ -219,15 +220,15 @@
 		return
 	}
 	if p.FinalState == "returned" {
-		if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID}) {
-			r.tell(j.ID, "returned", "", p.RepeatedCallbacks)
+		if w.finish(j.ID, cancelled, history.Event{Kind: history.Ended, ID: j.ID, Who: w.UID}) {
+			w.callback(j.ID, "returned", "", p.RepeatedCallbacks)
 		}
 		return
 	}
-	r.record.say(history.Event{Kind: history.Started, ID: j.ID, Who: r.UID})
-	r.tell(j.ID, "started", "", p.RepeatedCallbacks)
+	w.record.record(history.Event{Kind: history.Started, ID: j.ID, Who: w.UID})
+	w.callback(j.ID, "started", "", p.RepeatedCallbacks)
 	if p.FinalState == "never" {
-		<-gone
+		<-cancelled
 		return
 	}
 	if !wait(p.RunTime) {
@@ -243,15 +244,16 @@
 	if state != "done" {
 		result = ""
 	}
-	if r.end(j.ID, gone, history.Event{Kind: history.Ended, ID: j.ID, Who: r.UID, Ran: true, Result: result}) {
-		r.tell(j.ID, state, result, p.RepeatedCallbacks)
+	if w.finish(j.ID, cancelled, history.Event{Kind: history.Ended, ID: j.ID, Who: w.UID, Ran: true,
+		Result: result}) {
+		w.callback(j.ID, state, result, p.RepeatedCallbacks)
 	}
 }
 
-// tell calls the scheduler back until it has an answer, ten times at most, and then so
+// callback calls the scheduler back until it has an answer, ten times at most, and then so
 // often again as the script says.
-func (r *Worker) tell(id, state, result string, repeat int) {
-	news := map[string]string{"id": id, "from": r.UID, "state": state}
+func (w *Worker) callback(id, state, result string, repeat int) {
+	news := map[string]string{"id": id, "from": w.UID, "state": state}
 	if state == "done" {
 		news["result"] = result
 	}
@@ -260,7 +262,7 @@
 		return
 	}
 	for tries := 0; tries < 10; tries++ {
-		m, err := call(r.scheduler(), "POST", "/callback", nil, body, time.Now().Add(2*time.Second))
+		m, err := exchange(w.scheduler(), "POST", "/callback", nil, body, time.Now().Add(2*time.Second))
 		if err == nil && (m.Status == 200 || m.Status == 204) {
 			if repeat--; repeat < 0 {
 				return
--- a/internal/regression/fit.go
+++ b/internal/regression/fit.go
@@ -30,8 +30,8 @@
 
 // Model is how a cost may grow.
 type Model struct {
-	Name string
-	of   func(n float64) float64
+	Name  string
+	apply func(n float64) float64
 }
 
 // Models are those that are tried.
@@ -46,11 +46,11 @@
 	Model            Model
 	Intercept, Slope float64
 	MaxResidual      float64 // the largest residual, as a part of what was measured
-	rms              float64
+	squares          float64
 }
 
 // At is the curve's value at a size.
-func (c Curve) At(n float64) float64 { return c.Intercept + c.Slope*c.Model.of(n) }
+func (c Curve) At(n float64) float64 { return c.Intercept + c.Slope*c.Model.apply(n) }
 
 // Result is what a series of points says.
 type Result struct {
@@ -91,17 +91,17 @@
 	for _, law := range Models {
 		xs := make([]float64, len(ys))
 		for i, p := range r.Points {
-			xs[i] = law.of(p.Size)
+			xs[i] = law.apply(p.Size)
 		}
 		c := Curve{Model: law}
 		c.Intercept, c.Slope = stat.LinearRegression(xs, ys, weights, false)
 		for i, p := range r.Points {
 			part := (c.At(p.Size) - ys[i]) * math.Sqrt(weights[i])
 			c.MaxResidual = max(c.MaxResidual, math.Abs(part))
-			c.rms += part * part
+			c.squares += part * part
 		}
 		r.Curves = append(r.Curves, c)
-		if c.rms < r.Curves[r.Best].rms {
+		if c.squares < r.Curves[r.Best].squares {
 			r.Best = len(r.Curves) - 1
 		}
 	}
--- a/internal/regression/fit_test.go
+++ b/internal/regression/fit_test.go
@@ -22,9 +22,9 @@
 }
 
 // Each law is told from the others although values scatter by a twentieth, and gives its rate.
-func TestLawsAreToldApart(t *testing.T) {
+func TestModelsAreDistinguished(t *testing.T) {
 	for i, law := range Models {
-		f := func(n float64) float64 { return 30 + 0.25*law.of(n) }
+		f := func(n float64) float64 { return 30 + 0.25*law.apply(n) }
 		r, err := Fit(pointsOf(0.05, f))
 		if err != nil {
 			t.Fatal(err)
@@ -50,7 +50,7 @@
 }
 
 // Two sizes fit any law, so they show none.
-func TestFewSizes(t *testing.T) {
+func TestNotEnoughSizes(t *testing.T) {
 	ps := pointsOf(0, func(n float64) float64 { return n })
 	if r, err := Fit(ps[:MinSizes-1]); !errors.Is(err, ErrNotEnoughSizes) || len(r.Curves) != 0 {
 		t.Errorf("%+v, %v", r, err)
@@ -61,7 +61,7 @@
 }
 
 // Costs of nothing are fitted, too.
-func TestNought(t *testing.T) {
+func TestZeroCost(t *testing.T) {
 	r, err := Fit(pointsOf(0, func(float64) float64 { return 0 }))
 	if c := r.Curves[r.Best]; err != nil || !r.Flat || c.At(7200) != 0 || math.IsNaN(c.MaxResidual) {
 		t.Errorf("%+v, %v", r, err)
--- a/internal/simfleet/clients.go
+++ b/internal/simfleet/clients.go
@@ -16,19 +16,19 @@
 	batchDeadline = 4 * time.Second
 	tenant        = "sahel"
 
-	mostOpen  = 128 // jobs of ours that a scheduler may have open
-	paceEvery = 5 * time.Millisecond
-	shortJob  = 40 * time.Millisecond // and up to four times that, of the jobs at a rate
+	maxOpen      = 128 // jobs of ours that a scheduler may have open
+	paceInterval = 5 * time.Millisecond
+	shortRun     = 40 * time.Millisecond // and up to four times that, of the jobs at a rate
 )
 
 // clients hand jobs in at the schedulers, on connections that they keep.
 type clients struct {
 	addrs   []string
-	idle    []chan *kept
+	idle    []chan *pooledConn
 	open    []atomic.Int64
 	record  fakes.Recorder
 	traffic *traffic
-	last    atomic.Int64
+	lastID  atomic.Int64
 
 	jobs, served, refused, failed, skipped atomic.Int64
 
@@ -36,22 +36,23 @@
 	errors []string // the first of those that ended a job without an answer
 }
 
-const mostErrors = 20
+const maxErrors = 20
 
-func (c *clients) unanswered(id string, err error) {
+func (c *clients) addError(id string, err error) {
 	c.failed.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.errors) < mostErrors {
+	if len(c.errors) < maxErrors {
 		c.errors = append(c.errors, id+": "+err.Error())
 	}
 }
 
 func newClients(addrs []string, rec fakes.Recorder, t *traffic) *clients {
-	c := &clients{addrs: addrs, idle: make([]chan *kept, len(addrs)), open: make([]atomic.Int64, len(addrs)),
+	c := &clients{addrs: addrs, idle: make([]chan *pooledConn, len(addrs)), open: make([]atomic.Int64,
+		len(addrs)),
 		record: rec, traffic: t}
 	for i := range c.idle {
-		c.idle[i] = make(chan *kept, mostOpen)
+		c.idle[i] = make(chan *pooledConn, maxOpen)
 	}
 	return c
 }
@@ -66,18 +67,18 @@
 
 // submit hands one job in at the k-th scheduler, and tells whether it was served.
 func (c *clients) submit(k int, what string, run time.Duration) bool {
-	s := fakes.Submission{ID: jobID(k, what, c.last.Add(1)), Class: batchClass, Tenant: tenant,
+	s := fakes.Submission{ID: jobID(k, what, c.lastID.Add(1)), Class: batchClass, Tenant: tenant,
 		Body: []byte(run.String()), Deadline: time.Now().Add(batchDeadline)}
 	s.Key = "k-" + s.ID
 	rec := c.record
-	if !counts(s.ID) {
+	if !isRecorded(s.ID) {
 		rec = nil
 	}
 	c.jobs.Add(1)
 	m, err := c.exchange(k, s, rec)
 	switch {
 	case err != nil:
-		c.unanswered(s.ID, err)
+		c.addError(s.ID, err)
 	case m.Status == 200:
 		c.served.Add(1)
 		return true
@@ -90,7 +91,7 @@
 }
 
 func (c *clients) exchange(k int, s fakes.Submission, rec fakes.Recorder) (*http1.Response, error) {
-	var to *kept
+	var to *pooledConn
 	select {
 	case to = <-c.idle[k]:
 	default:
@@ -99,21 +100,21 @@
 			return nil, err
 		}
 	}
-	m, err := fakes.SubmitOn(to.conn, to.read, s, rec)
+	m, err := fakes.SubmitOn(to.conn, to.reader, s, rec)
 	if err != nil || m.Close {
 		to.conn.Close()
 	} else {
-		to.park(c.idle[k])
+		to.release(c.idle[k])
 	}
 	return m, err
 }
 
-// pace hands jobs in at a rate over all schedulers in turn, until the context ends, and waits for
+// submitAtRate hands jobs in at a rate over all schedulers in turn, until the context ends, and waits for
 // their ends.
-func (c *clients) pace(ctx context.Context, rate float64, seed uint64) {
+func (c *clients) submitAtRate(ctx context.Context, rate float64, seed uint64) {
 	var open sync.WaitGroup
 	defer open.Wait()
-	tick := time.NewTicker(paceEvery)
+	tick := time.NewTicker(paceInterval)
 	defer tick.Stop()
 	began, handed := time.Now(), 0
 	for rate > 0 {
@@ -124,12 +125,12 @@
 		}
 		for due := int(time.Since(began).Seconds() * rate); handed < due; handed++ {
 			k := handed % len(c.addrs)
-			if c.open[k].Add(1) > mostOpen {
+			if c.open[k].Add(1) > maxOpen {
 				c.open[k].Add(-1)
 				c.skipped.Add(1)
 				continue
 			}
-			run := shortJob + shortJob*time.Duration((uint64(handed)*2654435761+seed)%4)
+			run := shortRun + shortRun*time.Duration((uint64(handed)*2654435761+seed)%4)
 			open.Go(func() {
 				defer c.open[k].Add(-1)
 				c.submit(k, "rate", run)
@@ -138,14 +139,14 @@
 	}
 }
 
-// busy keeps so many clients busy with jobs of no length at one scheduler until the context ends.
-func (c *clients) busy(ctx context.Context, k, n int) {
+// saturate keeps so many clients busy with jobs of no length at one scheduler until the context ends.
+func (c *clients) saturate(ctx context.Context, k, n int) {
 	var all sync.WaitGroup
 	for range n {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				if !c.submit(k, onPath, 0) {
-					rest(ctx, 10*time.Millisecond)
+				if !c.submit(k, jobPathPurpose, 0) {
+					sleep(ctx, 10*time.Millisecond)
 				}
 			}
 		})
@@ -153,8 +154,8 @@
 	all.Wait()
 }
 
-// health tells whether a scheduler says that it is ready.
-func health(addr string) bool {
+// isReady tells whether a scheduler says that it is ready.
+func isReady(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return false
--- a/internal/simfleet/address.go
+++ b/internal/simfleet/loopback.go
@@ -19,8 +19,8 @@
 // mostAddresses is how many addresses a listener tells apart.
 const mostAddresses = 1 << 22
 
-// listen opens such a listener; port 0 is any that is free.
-func listen(port int) (net.Listener, error) {
+// listenLoopback opens such a listener; port 0 is any that is free.
+func listenLoopback(port int) (net.Listener, error) {
 	loopback := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var bound error
 		if err := c.Control(func(fd uintptr) { bound = unix.BindToDevice(int(fd), "lo") }); err != nil {
@@ -37,13 +37,13 @@
 
 func portOf(l net.Listener) int { return l.Addr().(*net.TCPAddr).Port }
 
-// address is the i-th address of a port: 127.64.0.0 and what follows, as far as 127.127.255.255.
-func address(i, port int) string {
+// workerAddress is the i-th address of a port: 127.64.0.0 and what follows, as far as 127.127.255.255.
+func workerAddress(i, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+i>>16, i>>8&255, i&255, port)
 }
 
-// number is the inverse of address, for the near end of a connection; -1: it is none of ours.
-func number(conn net.Conn) int {
+// addressIndex is the inverse of address, for the near end of a connection; -1: it is none of ours.
+func addressIndex(conn net.Conn) int {
 	a, ok := conn.LocalAddr().(*net.TCPAddr)
 	if !ok {
 		return -1
@@ -58,19 +58,19 @@
 // traffic counts bytes: in to the schedulers, and out of them.
 type traffic struct{ in, out atomic.Int64 }
 
-// counted is the far end of a scheduler's connection.
-type counted struct {
+// countedConn is the far end of a scheduler's connection.
+type countedConn struct {
 	net.Conn
 	*traffic
 }
 
-func (c counted) Read(b []byte) (n int, err error) {
+func (c countedConn) Read(b []byte) (n int, err error) {
 	n, err = c.Conn.Read(b)
 	c.out.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (n int, err error) {
+func (c countedConn) Write(b []byte) (n int, err error) {
 	n, err = c.Conn.Write(b)
 	c.in.Add(int64(n))
 	return n, err
--- a/internal/simfleet/hollow.go
+++ b/internal/simfleet/options.go
@@ -19,18 +19,18 @@
 
 // The bounds of a run.
 const (
-	mostSchedulers = 64
-	mostWorkers    = 20000
-	mostZones      = 64
-	mostRate       = 2000. // jobs a second over all: they are handed in by this process, too
-	leastFor       = 3 * time.Second
-	mostFor        = 10 * time.Minute
-
-	memoryMB = 64  // that a scheduler is told it has
-	sockets  = 512 // and descriptors
+	maxSchedulers = 64
+	maxWorkers    = 20000
+	maxZones      = 64
+	maxRate       = 2000. // jobs a second over all: they are handed in by this process, too
+	minDuration   = 3 * time.Second
+	maxDuration   = 10 * time.Minute
+
+	schedulerMemoryMB = 64  // that a scheduler is told it has
+	schedulerSockets  = 512 // and descriptors
 	// ownDescriptors is what this process opens besides connections.
 	ownDescriptors = 256
-	settleWithin   = 30 * time.Second // the longest that an event's cost is waited for
+	settleTimeout  = 30 * time.Second // the longest that an event's cost is waited for
 )
 
 // Options says what is run.
@@ -48,31 +48,31 @@
 	Day      string // one of Days; storm has every event
 }
 
-func (o *Options) fleet() int { return max(o.Fleet, o.Schedulers) }
+func (o *Options) fleetSize() int { return max(o.Fleet, o.Schedulers) }
 
 // Validate tells in one line what cannot be run here. The program is looked for by Run.
 func (o *Options) Validate() error {
 	switch {
-	case o.Schedulers < 1 || o.Schedulers > mostSchedulers:
-		return fmt.Errorf("%d real schedulers: 1 to %d can be run", o.Schedulers, mostSchedulers)
+	case o.Schedulers < 1 || o.Schedulers > maxSchedulers:
+		return fmt.Errorf("%d real schedulers: 1 to %d can be run", o.Schedulers, maxSchedulers)
 	case o.Fleet < 0 || o.Fleet != 0 && o.Fleet < o.Schedulers:
 		return fmt.Errorf("a fleet of %d schedulers, %d of them real", o.Fleet, o.Schedulers)
-	case o.Workers < 1 || o.Workers > mostWorkers:
-		return fmt.Errorf("%d workers: 1 to %d can be listed", o.Workers, mostWorkers)
-	case o.Zones < 1 || o.Zones > mostZones || o.Zones > o.Workers:
-		return fmt.Errorf("%d zones: 1 to %d, and no more than workers", o.Zones, mostZones)
-	case !(o.Rate >= 0 && o.Rate <= mostRate):
-		return fmt.Errorf("%g jobs a second: 0 to %g can be handed in", o.Rate, mostRate)
-	case o.Duration < leastFor || o.Duration > mostFor:
-		return fmt.Errorf("a run of %v: %v to %v can be asked for", o.Duration, leastFor, mostFor)
+	case o.Workers < 1 || o.Workers > maxWorkers:
+		return fmt.Errorf("%d workers: 1 to %d can be listed", o.Workers, maxWorkers)
+	case o.Zones < 1 || o.Zones > maxZones || o.Zones > o.Workers:
+		return fmt.Errorf("%d zones: 1 to %d, and no more than workers", o.Zones, maxZones)
+	case !(o.Rate >= 0 && o.Rate <= maxRate):
+		return fmt.Errorf("%g jobs a second: 0 to %g can be handed in", o.Rate, maxRate)
+	case o.Duration < minDuration || o.Duration > maxDuration:
+		return fmt.Errorf("a run of %v: %v to %v can be asked for", o.Duration, minDuration, maxDuration)
 	case !slices.Contains(Days, o.Day):
 		return fmt.Errorf("no day %q: there are %s", o.Day, strings.Join(Days, ", "))
 	}
-	return o.fits()
+	return o.checkMachine()
 }
 
-// there tells whether the program is.
-func (o *Options) there() error {
+// checkProgram tells whether the program is.
+func (o *Options) checkProgram() error {
 	info, err := os.Stat(o.Program)
 	if err != nil {
 		return fmt.Errorf("no program to run: %w", err)
@@ -83,14 +83,14 @@
 	return nil
 }
 
-// fits tells whether the machine's limits allow the run as they are.
-func (o *Options) fits() error {
+// checkMachine tells whether the machine's limits allow the run as they are.
+func (o *Options) checkMachine() error {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return err
 	}
 	// Each scheduler holds at most its sockets, nearly all to this process; so do the callbacks.
-	if need := uint64(o.Schedulers*sockets*3/2 + ownDescriptors); need > files.Cur {
+	if need := uint64(o.Schedulers*schedulerSockets*3/2 + ownDescriptors); need > files.Cur {
 		return fmt.Errorf("%d real schedulers: %d descriptors may be needed, %d are allowed",
 			o.Schedulers, need, files.Cur)
 	}
@@ -99,7 +99,7 @@
 		return err
 	}
 	all := uint64(system.Totalram) * uint64(system.Unit) >> 20
-	if need := uint64(o.Schedulers*memoryMB + o.Workers/20); need > all/2 {
+	if need := uint64(o.Schedulers*schedulerMemoryMB + o.Workers/20); need > all/2 {
 		return fmt.Errorf("%d real schedulers: %d MB may be needed, half of the machine's memory is %d",
 			o.Schedulers, need, all/2)
 	}
--- a/internal/simfleet/hollow_test.go
+++ b/internal/simfleet/simfleet_test.go
@@ -20,8 +20,8 @@
 	"dahliaford/internal/http1"
 )
 
-// program builds the scheduler, as package rig's tests do.
-func program(t testing.TB) string {
+// buildScheduler builds the scheduler, as package rig's tests do.
+func buildScheduler(t testing.TB) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "dahliaford")
 	root, err := filepath.Abs("../..")
@@ -36,9 +36,9 @@
 	return bin
 }
 
-type logged struct{ testing.TB }
+type testLog struct{ testing.TB }
 
-func (l logged) Write(b []byte) (int, error) {
+func (l testLog) Write(b []byte) (int, error) {
 	l.Log(strings.TrimSuffix(string(b), "\n"))
 	return len(b), nil
 }
@@ -47,8 +47,8 @@
 // rules; no time.
 func TestStormOfTwoRealSchedulers(t *testing.T) {
 	const schedulers, workers, zones = 2, 200, 4
-	r, err := Run(t.Context(), Options{Program: program(t), Schedulers: schedulers, Workers: workers,
-		Zones: zones, Rate: 40, Duration: 4 * time.Second, Seed: 3, Day: "storm"}, logged{t})
+	r, err := Run(t.Context(), Options{Program: buildScheduler(t), Schedulers: schedulers, Workers: workers,
+		Zones: zones, Rate: 40, Duration: 4 * time.Second, Seed: 3, Day: "storm"}, testLog{t})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,8 +94,8 @@
 }
 
 // What cannot be run is said in one line, before anything is started.
-func TestBadOptions(t *testing.T) {
-	good := Options{Program: "hollow.go", Schedulers: 2, Workers: 200, Zones: 4, Rate: 1,
+func TestInvalidOptions(t *testing.T) {
+	good := Options{Program: "options.go", Schedulers: 2, Workers: 200, Zones: 4, Rate: 1,
 		Duration: 5 * time.Second,
 		Day:      "calm"}
 	if err := good.Validate(); err != nil {
@@ -119,7 +119,7 @@
 	} {
 		o := good
 		change(&o)
-		_, err := Run(t.Context(), o, logged{t})
+		_, err := Run(t.Context(), o, testLog{t})
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", want, err)
 		}
@@ -128,7 +128,7 @@
 
 // A watch from a version on gets what has changed since; one from before a restart, or from a version
 // that never was, the whole list; and a word for each line that changes.
-func TestDiscoveryTellsWhatChanged(t *testing.T) {
+func TestDiscoverySendsChangesSinceARevision(t *testing.T) {
 	lines := make([]fakes.Endpoint, 10)
 	for i := range lines {
 		lines[i] = fakes.Endpoint{UID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", State: "ready"}
@@ -153,14 +153,14 @@
 			t.Fatal(m, err)
 		}
 		for in := bufio.NewScanner(read.Chunks()); len(revs) < words && in.Scan(); {
-			var w word
+			var w update
 			if len(in.Bytes()) == 0 {
 				continue
 			}
 			if err := json.Unmarshal(in.Bytes(), &w); err != nil {
 				t.Fatal(err)
 			}
-			revs, entries, all = append(revs, int(w.Rev)), append(entries, len(w.Targets)), all || w.All
+			revs, entries, all = append(revs, int(w.Rev)), append(entries, len(w.Endpoints)), all || w.All
 		}
 		return revs, entries, all
 	}
@@ -174,10 +174,10 @@
 	}
 	check(0, []int{1}, []int{10}, true)
 	check(1, []int{1}, []int{0}, false)
-	if n := d.tell([]int{3, 4, 5}, leave, false); n != 3 {
+	if n := d.publish([]int{3, 4, 5}, leave, false); n != 3 {
 		t.Errorf("%d words of 3", n)
 	}
-	if n := d.tell([]int{6, 7}, leave, true); n != 1 {
+	if n := d.publish([]int{6, 7}, leave, true); n != 1 {
 		t.Errorf("%d words of 1", n)
 	}
 	check(1, []int{2, 3, 4, 5}, []int{1, 1, 1, 2}, false)
@@ -188,7 +188,7 @@
 		conn.Close()
 		t.Error("it takes calls while it is down")
 	}
-	d.forget()
+	d.dropHistory()
 	if err := d.open(); err != nil {
 		t.Fatal(err)
 	}
@@ -199,27 +199,27 @@
 	}
 }
 
-// cancels ends a context at the first line that is logged.
-type cancels struct {
-	logged
+// cancelOnWrite ends a context at the first line that is logged.
+type cancelOnWrite struct {
+	testLog
 	cancel func()
 }
 
-func (c cancels) Write(b []byte) (int, error) {
+func (c cancelOnWrite) Write(b []byte) (int, error) {
 	c.cancel()
-	return c.logged.Write(b)
+	return c.testLog.Write(b)
 }
 
 // A run that is ended early, or whose schedulers do not start, leaves none of them behind.
-func TestNothingIsLeftRunning(t *testing.T) {
+func TestNoSchedulerOutlivesTheRun(t *testing.T) {
 	o := Options{Schedulers: 2, Workers: 20, Zones: 2, Duration: time.Minute, Day: "calm"}
 	ctx, cancel := context.WithCancel(t.Context())
-	o.Program = program(t)
-	if _, err := Run(ctx, o, cancels{logged{t}, cancel}); !errors.Is(err, context.Canceled) {
+	o.Program = buildScheduler(t)
+	if _, err := Run(ctx, o, cancelOnWrite{testLog{t}, cancel}); !errors.Is(err, context.Canceled) {
 		t.Errorf("ended early: %v", err)
 	}
 	o.Program = "/bin/false"
-	if _, err := Run(t.Context(), o, logged{t}); err == nil || !strings.Contains(err.Error(), "ended at once") {
+	if _, err := Run(t.Context(), o, testLog{t}); err == nil || !strings.Contains(err.Error(), "ended at once") {
 		t.Errorf("a program that ends at once: %v", err)
 	}
 	of, err := filepath.Glob("/proc/self/task/*/children")
@@ -234,9 +234,9 @@
 }
 
 // The accounts of the system agree: to the nanosecond by thread, and in ticks.
-func TestAccountsAgree(t *testing.T) {
-	r, err := Run(t.Context(), Options{Program: program(t), Schedulers: 1, Workers: 8, Zones: 2,
-		Duration: 3 * time.Second, Day: "calm"}, logged{t})
+func TestCPUTimeSourcesAgree(t *testing.T) {
+	r, err := Run(t.Context(), Options{Program: buildScheduler(t), Schedulers: 1, Workers: 8, Zones: 2,
+		Duration: 3 * time.Second, Day: "calm"}, testLog{t})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simfleet/workers.go
+++ b/internal/simfleet/workers.go
@@ -16,71 +16,71 @@
 )
 
 const (
-	callbackTries  = 10
-	callbackWithin = 2 * time.Second
-	idleCallbacks  = 64 // connections to a scheduler that are kept for the next callback
+	maxCallbackAttempts  = 10
+	callbackTimeout      = 2 * time.Second
+	maxIdleCallbackConns = 64 // connections to a scheduler that are kept for the next callback
 )
 
 // workers are all hollow workers. A job says in its body how long it runs, and in its id which
 // scheduler has it.
 type workers struct {
-	http    *fakes.Server
+	server  *fakes.Server
 	uids    []string
 	down    []atomic.Bool // by place: its machine is off
 	record  fakes.Recorder
 	traffic *traffic
 
-	mu    sync.Mutex
-	jobs  map[string]*hollowJob
-	addrs []string // of the schedulers
-	idle  []chan *kept
-	again sync.WaitGroup
-	over  chan struct{}
+	mu        sync.Mutex
+	jobs      map[string]*job
+	addrs     []string // of the schedulers
+	idle      []chan *pooledConn
+	callbacks sync.WaitGroup
+	closed    chan struct{}
 }
 
-// hollowJob is a job that a worker holds.
-type hollowJob struct {
-	id    string
-	place int
-	gone  chan struct{} // closed when it is withdrawn or lost
+// job is a job that a worker holds.
+type job struct {
+	id        string
+	place     int
+	cancelled chan struct{} // closed when it is withdrawn or lost
 }
 
 func newWorkers(n, schedulers int, rec fakes.Recorder, t *traffic) (*workers, error) {
 	w := &workers{uids: make([]string, n), down: make([]atomic.Bool, n), record: rec, traffic: t,
-		jobs: map[string]*hollowJob{}, addrs: make([]string, schedulers), idle: make([]chan *kept, schedulers),
-		over: make(chan struct{})}
+		jobs: map[string]*job{}, addrs: make([]string, schedulers), idle: make([]chan *pooledConn, schedulers),
+		closed: make(chan struct{})}
 	for i := range w.uids {
 		w.uids[i] = fmt.Sprintf("s-%08x", i+1)
 	}
 	for i := range w.idle {
-		w.idle[i] = make(chan *kept, idleCallbacks)
+		w.idle[i] = make(chan *pooledConn, maxIdleCallbackConns)
 	}
-	l, err := listen(0)
+	l, err := listenLoopback(0)
 	if err != nil {
 		return nil, err
 	}
-	w.http = fakes.Serve(l, w.serve)
+	w.server = fakes.Serve(l, w.serve)
 	return w, nil
 }
 
-// entries are the workers as discovery lists them: ready, in equal parts of the zones, eight to a
+// endpoints are the workers as discovery lists them: ready, in equal parts of the zones, eight to a
 // group.
-func (w *workers) entries(zones []string) []fakes.Endpoint {
-	_, port, _ := net.SplitHostPort(w.http.Addr())
+func (w *workers) endpoints(zones []string) []fakes.Endpoint {
+	_, port, _ := net.SplitHostPort(w.server.Addr())
 	at, _ := strconv.Atoi(port)
 	lines := make([]fakes.Endpoint, len(w.uids))
 	for i := range lines {
 		zone := i * len(zones) / len(lines)
-		lines[i] = fakes.Endpoint{UID: w.uids[i], Addr: address(i, at), Zone: zones[zone], Model: "m1",
-			Group: i / 8, State: "ready"}
+		lines[i] = fakes.Endpoint{UID: w.uids[i], Addr: workerAddress(i, at), Zone: zones[zone], Kind: "m1",
+			Cell: i / 8, State: "ready"}
 	}
 	return lines
 }
 
 func (w *workers) close() {
-	close(w.over)
-	w.http.Close()
-	w.again.Wait()
+	close(w.closed)
+	w.server.Close()
+	w.callbacks.Wait()
 	for _, idle := range w.idle {
 		for len(idle) > 0 {
 			(<-idle).conn.Close()
@@ -88,8 +88,8 @@
 	}
 }
 
-// lose turns machines off: their jobs are lost, and nobody tells of them.
-func (w *workers) lose(places []int) {
+// powerOff turns machines off: their jobs are lost, and nobody tells of them.
+func (w *workers) powerOff(places []int) {
 	off := map[int]bool{}
 	for _, place := range places {
 		w.down[place].Store(true)
@@ -100,32 +100,32 @@
 	for id, j := range w.jobs {
 		if off[j.place] {
 			delete(w.jobs, id)
-			close(j.gone)
-			w.say(history.Event{Kind: history.WorkerDied, ID: id, Who: w.uids[j.place]})
+			close(j.cancelled)
+			w.recordEvent(history.Event{Kind: history.WorkerDied, ID: id, Who: w.uids[j.place]})
 		}
 	}
 }
 
-func (w *workers) back(places []int) {
+func (w *workers) powerOn(places []int) {
 	for _, place := range places {
 		w.down[place].Store(false)
 	}
 }
 
-func (w *workers) say(e history.Event) {
-	if w.record != nil && counts(e.ID) {
+func (w *workers) recordEvent(e history.Event) {
+	if w.record != nil && isRecorded(e.ID) {
 		e.At = time.Now()
 		w.record(e)
 	}
 }
 
 func (w *workers) serve(plain net.Conn) {
-	place := number(plain)
+	place := addressIndex(plain)
 	if place < 0 || place >= len(w.uids) || w.down[place].Load() {
 		fakes.ResetConn(plain)
 		return
 	}
-	conn := counted{plain, w.traffic}
+	conn := countedConn{plain, w.traffic}
 	read := http1.NewReader(conn)
 	for {
 		m, err := read.Request()
@@ -137,77 +137,78 @@
 			return
 		}
 		if id, is := strings.CutPrefix(m.Target, "/jobs/"); is && m.Method == "DELETE" {
-			status := w.withdraw(id, place)
+			status := w.cancel(id, place)
 			if _, err := conn.Write(http1.AppendResponse(nil, status, nil, nil)); err != nil {
 				return
 			}
 			continue
 		}
-		j := &hollowJob{id: m.Header.Get("X-Txn"), place: place, gone: make(chan struct{})}
-		_, run, known := schedulerOf(j.id, m.Body, len(w.addrs))
+		j := &job{id: m.Header.Get("X-Txn"), place: place, cancelled: make(chan struct{})}
+		_, run, known := parseJob(j.id, m.Body, len(w.addrs))
 		if !known {
 			conn.Write(http1.AppendResponse(nil, 400, nil, nil))
 			return
 		}
-		w.say(history.Event{Kind: history.Arrived, ID: j.id, Who: w.uids[place]})
+		w.recordEvent(history.Event{Kind: history.Arrived, ID: j.id, Who: w.uids[place]})
 		w.mu.Lock()
 		w.jobs[j.id] = j
 		w.mu.Unlock()
 		if _, err := conn.Write(http1.AppendResponse(nil, 202, nil, nil)); err != nil {
-			if w.end(j, history.Event{Kind: history.Closed, ID: j.id, Who: w.uids[place]}) {
-				close(j.gone)
+			if w.finish(j, history.Event{Kind: history.Closed, ID: j.id, Who: w.uids[place]}) {
+				close(j.cancelled)
 			}
 			return
 		}
-		w.again.Go(func() { w.run(j, run) })
+		w.callbacks.Go(func() { w.runJob(j, run) })
 	}
 }
 
-func (w *workers) withdraw(id string, place int) (status int) {
+func (w *workers) cancel(id string, place int) (status int) {
 	status = 404
 	w.mu.Lock()
 	if j := w.jobs[id]; j != nil && j.place == place {
 		delete(w.jobs, id)
-		close(j.gone)
+		close(j.cancelled)
 		status = 200
 	}
 	w.mu.Unlock()
-	w.say(history.Event{Kind: history.CancelReceived, ID: id, Who: w.uids[place], Status: status})
+	w.recordEvent(history.Event{Kind: history.CancelReceived, ID: id, Who: w.uids[place], Status: status})
 	return status
 }
 
-// end takes a job off its worker, unless it has been withdrawn or lost.
-func (w *workers) end(j *hollowJob, e history.Event) bool {
+// finish takes a job off its worker, unless it has been withdrawn or lost.
+func (w *workers) finish(j *job, e history.Event) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.jobs[j.id] != j {
 		return false
 	}
 	delete(w.jobs, j.id)
-	w.say(e)
+	w.recordEvent(e)
 	return true
 }
 
-func (w *workers) run(j *hollowJob, span time.Duration) {
-	w.say(history.Event{Kind: history.Started, ID: j.id, Who: w.uids[j.place]})
-	w.tell(j, "started", "")
+func (w *workers) runJob(j *job, span time.Duration) {
+	w.recordEvent(history.Event{Kind: history.Started, ID: j.id, Who: w.uids[j.place]})
+	w.callback(j, "started", "")
 	if span > 0 {
 		select {
 		case <-time.After(span):
-		case <-j.gone:
+		case <-j.cancelled:
 			return
-		case <-w.over:
+		case <-w.closed:
 			return
 		}
 	}
 	result := "did " + j.id
-	if w.end(j, history.Event{Kind: history.Ended, ID: j.id, Who: w.uids[j.place], Ran: true, Result: result}) {
-		w.tell(j, "done", result)
+	if w.finish(j, history.Event{Kind: history.Ended, ID: j.id, Who: w.uids[j.place], Ran: true,
+		Result: result}) {
+		w.callback(j, "done", result)
 	}
 }
 
-// tell calls the scheduler back until it has an answer, ten times at most.
-func (w *workers) tell(j *hollowJob, state, result string) {
+// callback calls the scheduler back until it has an answer, ten times at most.
+func (w *workers) callback(j *job, state, result string) {
 	news := map[string]string{"id": j.id, "from": w.uids[j.place], "state": state}
 	if result != "" {
 		news["result"] = result
@@ -216,25 +217,25 @@
 	if err != nil {
 		return
 	}
-	k, _, _ := schedulerOf(j.id, nil, len(w.addrs))
+	k, _, _ := parseJob(j.id, nil, len(w.addrs))
 	w.mu.Lock()
 	addr := w.addrs[k]
 	w.mu.Unlock()
-	for range callbackTries {
-		if w.call(k, addr, body) {
+	for range maxCallbackAttempts {
+		if w.post(k, addr, body) {
 			return
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
-		case <-w.over:
+		case <-w.closed:
 			return
 		}
 	}
 }
 
-// call makes one callback on a connection that idles, or a new one.
-func (w *workers) call(k int, addr string, body []byte) bool {
-	var c *kept
+// post makes one callback on a connection that idles, or a new one.
+func (w *workers) post(k int, addr string, body []byte) bool {
+	var c *pooledConn
 	select {
 	case c = <-w.idle[k]:
 	default:
@@ -243,14 +244,14 @@
 			return false
 		}
 	}
-	c.conn.SetDeadline(time.Now().Add(callbackWithin))
+	c.conn.SetDeadline(time.Now().Add(callbackTimeout))
 	_, err := c.conn.Write(http1.AppendRequest(nil, "POST", "/callback",
 		[]http1.Field{{Name: "Host", Value: addr}}, body))
 	if err == nil {
 		var m *http1.Response
-		if m, err = c.read.Response(); err == nil {
+		if m, err = c.reader.Response(); err == nil {
 			if !m.Close {
-				c.park(w.idle[k])
+				c.release(w.idle[k])
 			} else {
 				c.conn.Close()
 			}
@@ -261,23 +262,23 @@
 	return false
 }
 
-// kept is a connection to a scheduler that is used again.
-type kept struct {
-	conn net.Conn
-	read *http1.Reader
+// pooledConn is a connection to a scheduler that is used again.
+type pooledConn struct {
+	conn   net.Conn
+	reader *http1.Reader
 }
 
-func dial(addr string, t *traffic) (*kept, error) {
-	conn, err := net.DialTimeout("tcp", addr, callbackWithin)
+func dial(addr string, t *traffic) (*pooledConn, error) {
+	conn, err := net.DialTimeout("tcp", addr, callbackTimeout)
 	if err != nil {
 		return nil, err
 	}
-	c := counted{conn, t}
-	return &kept{c, http1.NewReader(c)}, nil
+	c := countedConn{conn, t}
+	return &pooledConn{c, http1.NewReader(c)}, nil
 }
 
-// park keeps a connection for the next one, or closes it if enough are kept.
-func (c *kept) park(idle chan *kept) {
+// release keeps a connection for the next one, or closes it if enough are kept.
+func (c *pooledConn) release(idle chan *pooledConn) {
 	select {
 	case idle <- c:
 	default:
@@ -290,14 +291,14 @@
 	return fmt.Sprintf("%d-%s-%x", scheduler, what, n)
 }
 
-// onPath marks jobs that are timed and not checked.
-const onPath = "path"
+// jobPathPurpose marks jobs that are timed and not checked.
+const jobPathPurpose = "path"
 
-// counts tells whether a job's history is kept.
-func counts(id string) bool { return !strings.Contains(id, "-"+onPath+"-") }
+// isRecorded tells whether a job's history is kept.
+func isRecorded(id string) bool { return !strings.Contains(id, "-"+jobPathPurpose+"-") }
 
-// schedulerOf reads a job's id, and from its body how long it runs.
-func schedulerOf(id string, body []byte, schedulers int) (k int, run time.Duration, known bool) {
+// parseJob reads a job's id, and from its body how long it runs.
+func parseJob(id string, body []byte, schedulers int) (k int, run time.Duration, known bool) {
 	first, _, found := strings.Cut(id, "-")
 	k, err := strconv.Atoi(first)
 	if !found || err != nil || k < 0 || k >= schedulers {
--- a/internal/testcluster/site.go
+++ b/internal/testcluster/deployment.go
@@ -8,21 +8,21 @@
 	"dahliaford/internal/fakes"
 )
 
-// site is one scheduler with its discovery and its workers, which call it back.
-type site struct {
+// deployment is one scheduler with its discovery and its workers, which call it back.
+type deployment struct {
 	*Process
 	bin, folder, name string
 	workers           []*fakes.Worker
-	lines             []fakes.Endpoint // of the workers, ready
+	endpoints         []fakes.Endpoint // of the workers, ready
 	discovery         *fakes.Discovery
 }
 
-// startSite starts a site with a worker for each line: UID and Group are told, the rest is
+// startDeployment starts a site with a worker for each line: UID and Group are told, the rest is
 // filled in. plan gives what the k-th worker does.
-func startSite(bin, folder, name string, lines []fakes.Endpoint,
+func startDeployment(bin, folder, name string, lines []fakes.Endpoint,
 	plan func(k int) func(fakes.Job) fakes.Script,
-	rec fakes.Recorder) (s *site, err error) {
-	s = &site{bin: bin, folder: folder, name: name}
+	rec fakes.Recorder) (s *deployment, err error) {
+	s = &deployment{bin: bin, folder: folder, name: name}
 	defer func() {
 		if err != nil {
 			s.close()
@@ -37,10 +37,10 @@
 			return s, err
 		}
 		s.workers = append(s.workers, r)
-		line.Addr, line.Zone, line.Model, line.State = r.Addr(), "north", "m1", "ready"
-		s.lines = append(s.lines, line)
+		line.Addr, line.Zone, line.Kind, line.State = r.Addr(), "north", "m1", "ready"
+		s.endpoints = append(s.endpoints, line)
 	}
-	if s.discovery, err = fakes.NewDiscovery("127.0.0.1:0", s.lines...); err != nil {
+	if s.discovery, err = fakes.NewDiscovery("127.0.0.1:0", s.endpoints...); err != nil {
 		return s, err
 	}
 	if s.Process, err = Start(bin, folder, name, s.discovery.Addr()); err != nil {
@@ -50,10 +50,10 @@
 	return s, nil
 }
 
-// again starts the scheduler anew, at the address that it had. That may be in use for a
+// restart starts the scheduler anew, at the address that it had. That may be in use for a
 // moment, as the near end of somebody's connection.
-func (s *site) again() error {
-	for end := time.Now().Add(startWithin); ; time.Sleep(50 * time.Millisecond) {
+func (s *deployment) restart() error {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(50 * time.Millisecond) {
 		p, err := startAt(s.bin, s.folder, s.name, s.Addr, s.discovery.Addr())
 		if err == nil {
 			s.Process = p
@@ -66,7 +66,7 @@
 }
 
 // close ends all of it, the scheduler first.
-func (s *site) close() {
+func (s *deployment) close() {
 	if s.Process != nil {
 		s.Kill()
 	}
--- a/internal/testcluster/attempt.go
+++ b/internal/testcluster/faultdrill.go
@@ -34,8 +34,8 @@
 }
 
 const (
-	workers = 4
-	rested  = 8 * time.Second // after the last job, for what is still to be called back
+	workers       = 4
+	callbackGrace = 8 * time.Second // after the last job, for what is still to be called back
 )
 
 // RunFaultDrill hands jobs in to the real program, whose four workers in two racks do wrong
@@ -62,12 +62,12 @@
 		MaxAttempts: 4, Slack: a.Slack, OrphanLimit: 3 * time.Second}
 	var lines []fakes.Endpoint
 	for i := range workers {
-		line := fakes.Endpoint{UID: fmt.Sprintf("s-%08x", i+1), Group: i / 2}
+		line := fakes.Endpoint{UID: fmt.Sprintf("s-%08x", i+1), Cell: i / 2}
 		lines = append(lines, line)
-		rules.Rack[line.UID] = strconv.Itoa(line.Group)
+		rules.Rack[line.UID] = strconv.Itoa(line.Cell)
 	}
-	p, err := startSite(a.Program, folder, "n0", lines,
-		func(k int) func(fakes.Job) fakes.Script { return mischief(a.Seed, k) }, rec)
+	p, err := startDeployment(a.Program, folder, "n0", lines,
+		func(k int) func(fakes.Job) fakes.Script { return faultyScript(a.Seed, k) }, rec)
 	if err != nil {
 		return nil, err
 	}
@@ -76,12 +76,12 @@
 	handing, cancel := context.WithTimeout(ctx, a.Duration)
 	defer cancel()
 	var troubles sync.WaitGroup
-	troubles.Go(func() { trouble(handing, a.Seed, out, p, rec) })
-	handIn(handing, a, p.Addr, rec)
+	troubles.Go(func() { injectFaults(handing, a.Seed, out, p, rec) })
+	submitJobs(handing, a, p.Addr, rec)
 	troubles.Wait()
 	select {
 	case <-ctx.Done():
-	case <-time.After(rested):
+	case <-time.After(callbackGrace):
 	}
 	if err := p.Stop(time.Now().Add(10 * time.Second)); err != nil {
 		return nil, fmt.Errorf("the scheduler's end: %w", err)
@@ -93,8 +93,8 @@
 	return out, nil
 }
 
-// handIn hands jobs in at an even pace, and waits for their ends.
-func handIn(ctx context.Context, a FaultDrill, addr string, rec fakes.Recorder) {
+// submitJobs hands jobs in at an even pace, and waits for their ends.
+func submitJobs(ctx context.Context, a FaultDrill, addr string, rec fakes.Recorder) {
 	random := rand.New(rand.NewPCG(a.Seed, 1))
 	tick := time.NewTicker(time.Duration(float64(time.Second) / a.Rate))
 	defer tick.Stop()
@@ -118,8 +118,8 @@
 	}
 }
 
-// mischief plans what a worker does with each job.
-func mischief(seed uint64, worker int) func(fakes.Job) fakes.Script {
+// faultyScript plans what a worker does with each job.
+func faultyScript(seed uint64, worker int) func(fakes.Job) fakes.Script {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, uint64(100+worker)))
 	ms := func(n int) time.Duration { return time.Duration(random.IntN(n)) * time.Millisecond }
@@ -167,19 +167,19 @@
 	}
 }
 
-// trouble crashes workers, lets them drain, and breaks the watch, one after another.
-func trouble(ctx context.Context, seed uint64, out *Outcome, at *site, rec fakes.Recorder) {
+// injectFaults crashes workers, lets them drain, and breaks the watch, one after another.
+func injectFaults(ctx context.Context, seed uint64, out *Outcome, at *deployment, rec fakes.Recorder) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	rest := func(d time.Duration) bool { return Sleep(ctx, d) }
 	for rest(400*time.Millisecond + time.Duration(random.IntN(600))*time.Millisecond) {
 		i := random.IntN(len(at.workers))
-		line := at.lines[i]
+		line := at.endpoints[i]
 		switch random.IntN(4) {
 		case 0:
 			out.Crashes++
 			at.workers[i].Crash()
 			line.BootMs = time.Now().UnixMilli()
-			at.lines[i] = line
+			at.endpoints[i] = line
 			at.discovery.Update(line)
 		case 1, 2:
 			out.Drains++
@@ -190,7 +190,7 @@
 				return
 			}
 			rec(history.Event{At: time.Now(), Kind: history.WorkerReady, Who: line.UID})
-			at.discovery.Update(at.lines[i])
+			at.discovery.Update(at.endpoints[i])
 		case 3:
 			at.discovery.ResetWatches()
 		}
--- a/internal/testcluster/rig_test.go
+++ b/internal/testcluster/faultdrill_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// program builds the scheduler once for the tests of this package.
-func program(t testing.TB, args ...string) string {
+// buildScheduler builds the scheduler once for the tests of this package.
+func buildScheduler(t testing.TB, args ...string) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "dahliaford")
 	root, err := filepath.Abs("../..")
@@ -25,8 +25,9 @@
 }
 
 // The real program keeps the properties while its workers do wrong whatever they may.
-func TestAttemptsOfTheRealProgram(t *testing.T) {
-	o, err := RunFaultDrill(t.Context(), FaultDrill{Program: program(t), Duration: 4 * time.Second, Seed: 7,
+func TestFaultDrillOfTheRealProgram(t *testing.T) {
+	o, err := RunFaultDrill(t.Context(), FaultDrill{Program: buildScheduler(t), Duration: 4 * time.Second,
+		Seed:  7,
 		Rate:  50,
 		Slack: 2 * time.Second}) // the machine may be busy with other tests
 	if err != nil {
@@ -50,7 +51,7 @@
 
 // A program that does not start says so.
 func TestStartFails(t *testing.T) {
-	bin := program(t)
+	bin := buildScheduler(t)
 	if _, err := Start(bin, t.TempDir(), "n0", ""); err == nil {
 		t.Error("it started without a discovery")
 	}
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -16,31 +16,31 @@
 // Fleet is several schedulers over workers. Each scheduler has worker doors of its own, as
 // callbacks go to whoever sent the job.
 type Fleet struct {
-	sites []*site
-
-	mu    sync.Mutex
-	job   map[string]job  // of each id that came to a worker
-	ran   map[string]bool // by id and worker: an attempt that may have run
-	posts map[string]int  // of post-readings, how often each may have run
-	racks map[string]string
-	twice int
-	cross int
-	alien int // jobs that are not of this fleet's desks
-	mark  string
+	deployments []*deployment
+
+	mu           sync.Mutex
+	jobByID      map[string]job  // of each id that came to a worker
+	ran          map[string]bool // by id and worker: an attempt that may have run
+	postReadings map[string]int  // of post-readings, how often each may have run
+	rackByKey    map[string]string
+	duplicates   int
+	crossRack    int
+	foreign      int // jobs that are not of this fleet's desks
+	prefix       string
 }
 
 // job is what a desk handed in, whatever ids its tries have.
 type job struct {
-	name string // the body of a post-reading, the key of another
-	post bool
+	name          string // the body of a post-reading, the key of another
+	isPostReading bool
 }
 
 // StartFleet starts n schedulers with so many workers each, every one a rack of its own.
 // With faults the workers do wrong whatever the protocol allows; without, they run jobs.
 func StartFleet(bin, folder string, n, each int, seed uint64, faults bool) (f *Fleet, err error) {
-	f = &Fleet{job: map[string]job{}, ran: map[string]bool{}, posts: map[string]int{},
-		racks: map[string]string{},
-		mark:  strconv.FormatUint(rand.Uint64(), 36) + "/"}
+	f = &Fleet{jobByID: map[string]job{}, ran: map[string]bool{}, postReadings: map[string]int{},
+		rackByKey: map[string]string{},
+		prefix:    strconv.FormatUint(rand.Uint64(), 36) + "/"}
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -48,9 +48,9 @@
 	}()
 	for i := range n {
 		plan := func(k int) func(fakes.Job) fakes.Script {
-			does := honest(seed, 100*i+k)
+			does := healthyScript(seed, 100*i+k)
 			if faults {
-				does = mischief(seed, 100*i+k)
+				does = faultyScript(seed, 100*i+k)
 			}
 			return func(j fakes.Job) fakes.Script {
 				of := job{name: j.Key}
@@ -58,30 +58,30 @@
 					of = job{string(j.Body), true}
 				}
 				f.mu.Lock()
-				f.job[j.ID] = of
+				f.jobByID[j.ID] = of
 				f.mu.Unlock()
 				return does(j)
 			}
 		}
 		var lines []fakes.Endpoint
 		for k := range each {
-			lines = append(lines, fakes.Endpoint{UID: fmt.Sprintf("s-%d-%d", i, k), Group: k})
+			lines = append(lines, fakes.Endpoint{UID: fmt.Sprintf("s-%d-%d", i, k), Cell: k})
 		}
-		s, err := startSite(bin, folder, fmt.Sprint("n", i), lines, plan, f.saw)
+		s, err := startDeployment(bin, folder, fmt.Sprint("n", i), lines, plan, f.record)
 		if err != nil {
 			return f, err
 		}
-		f.sites = append(f.sites, s)
+		f.deployments = append(f.deployments, s)
 	}
-	if len(f.sites) == 0 {
+	if len(f.deployments) == 0 {
 		return f, errors.New("a fleet without schedulers")
 	}
 	return f, nil
 }
 
-// honest plans what a worker does that runs all jobs: a few hundredths of a second, and now
+// healthyScript plans what a worker does that runs all jobs: a few hundredths of a second, and now
 // and then far longer.
-func honest(seed uint64, worker int) func(fakes.Job) fakes.Script {
+func healthyScript(seed uint64, worker int) func(fakes.Job) fakes.Script {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, uint64(100+worker)))
 	return func(fakes.Job) fakes.Script {
@@ -95,8 +95,8 @@
 	}
 }
 
-// saw counts what may have run. A worker is a rack of its own.
-func (f *Fleet) saw(e history.Event) {
+// record counts what may have run. A worker is a rack of its own.
+func (f *Fleet) record(e history.Event) {
 	if e.Kind != history.Started && !(e.Kind == history.Ended && e.Ran) {
 		return
 	}
@@ -107,30 +107,30 @@
 		return
 	}
 	f.ran[attempt] = true
-	of := f.job[e.ID]
-	if !strings.HasPrefix(of.name, f.mark) {
-		f.alien++
+	of := f.jobByID[e.ID]
+	if !strings.HasPrefix(of.name, f.prefix) {
+		f.foreign++
 		return
 	}
-	if of.post {
-		if f.posts[of.name]++; f.posts[of.name] == 2 {
-			f.twice++
+	if of.isPostReading {
+		if f.postReadings[of.name]++; f.postReadings[of.name] == 2 {
+			f.duplicates++
 		}
 		return
 	}
-	rack, known := f.racks[of.name]
+	rack, known := f.rackByKey[of.name]
 	if !known {
-		f.racks[of.name] = e.Who
+		f.rackByKey[of.name] = e.Who
 	} else if rack != e.Who && rack != "" {
-		f.cross++
-		f.racks[of.name] = "" // counted
+		f.crossRack++
+		f.rackByKey[of.name] = "" // counted
 	}
 }
 
 // JobPrefix begins the names of this fleet's jobs: the body of a post-reading, the key of another.
 // While a scheduler is away its port may be given to somebody else's, whose jobs must not be
 // taken for repeats of ours.
-func (f *Fleet) JobPrefix() string { return f.mark }
+func (f *Fleet) JobPrefix() string { return f.prefix }
 
 // RunCounts is what the workers of a fleet saw.
 type RunCounts struct {
@@ -144,37 +144,37 @@
 func (f *Fleet) RunCounts() RunCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return RunCounts{f.alien, len(f.ran), f.twice, f.cross}
+	return RunCounts{f.foreign, len(f.ran), f.duplicates, f.crossRack}
 }
 
 // RunsOf tells how many attempts at a post-reading with this body may have run.
 func (f *Fleet) RunsOf(body string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.posts[body]
+	return f.postReadings[body]
 }
 
 // Schedulers are the addresses of the schedulers.
 func (f *Fleet) Schedulers() []string {
 	var addrs []string
-	for _, s := range f.sites {
+	for _, s := range f.deployments {
 		addrs = append(addrs, s.Addr)
 	}
 	return addrs
 }
 
 // Kill ends a scheduler at once.
-func (f *Fleet) Kill(i int) { f.sites[i].Kill() }
+func (f *Fleet) Kill(i int) { f.deployments[i].Kill() }
 
 // Stop asks a scheduler to end in order, and waits for that until a deadline.
-func (f *Fleet) Stop(i int, deadline time.Time) error { return f.sites[i].Stop(deadline) }
+func (f *Fleet) Stop(i int, deadline time.Time) error { return f.deployments[i].Stop(deadline) }
 
 // Restart starts a scheduler that has ended, at the address that it had.
-func (f *Fleet) Restart(i int) error { return f.sites[i].again() }
+func (f *Fleet) Restart(i int) error { return f.deployments[i].restart() }
 
 // Close ends all.
 func (f *Fleet) Close() {
-	for _, s := range f.sites {
+	for _, s := range f.deployments {
 		s.close()
 	}
 }
--- a/internal/testcluster/size_test.go
+++ b/internal/testcluster/fleetsize_test.go
@@ -10,18 +10,18 @@
 	"dahliaford/internal/history"
 )
 
-// workersOf starts so many workers, named by their batch.
-func workersOf(t *testing.T, batch string, n int, scheduler func() string) []fakes.Endpoint {
+// startWorkers starts so many workers, named by their batch.
+func startWorkers(t *testing.T, batch string, n int, scheduler func() string) []fakes.Endpoint {
 	t.Helper()
 	lines := make([]fakes.Endpoint, n)
 	for i := range lines {
 		uid := fmt.Sprintf("s-%s-%d", batch, i)
-		r, err := fakes.NewWorker(uid, "127.0.0.1:0", scheduler, honest(1, i), func(history.Event) {})
+		r, err := fakes.NewWorker(uid, "127.0.0.1:0", scheduler, healthyScript(1, i), func(history.Event) {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(r.Close)
-		lines[i] = fakes.Endpoint{UID: uid, Addr: r.Addr(), Zone: "north", Model: "m1", Group: i, State: "ready"}
+		lines[i] = fakes.Endpoint{UID: uid, Addr: r.Addr(), Zone: "north", Kind: "m1", Cell: i, State: "ready"}
 	}
 	return lines
 }
@@ -29,12 +29,12 @@
 // The program starts with 1,024 workers known and 1,024 schedulers in its settings, serves within
 // 32 MB and 256 descriptors, and goes on while all workers are replaced.
 func TestTheLargestFleet(t *testing.T) {
-	bin, addr := program(t), atomic.Value{}
+	bin, addr := buildScheduler(t), atomic.Value{}
 	addr.Store("127.0.0.1:1")
 	for _, size := range []int{10, 200, 1024} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			at := func() string { return addr.Load().(string) }
-			old := workersOf(t, fmt.Sprint("old-", size), size, at)
+			old := startWorkers(t, fmt.Sprint("old-", size), size, at)
 			discovery, err := fakes.NewDiscovery("127.0.0.1:0", old...)
 			if err != nil {
 				t.Fatal(err)
@@ -62,7 +62,7 @@
 			}
 			wait := func(what string, so func() bool) {
 				t.Helper()
-				for end := time.Now().Add(startWithin); !so(); time.Sleep(20 * time.Millisecond) {
+				for end := time.Now().Add(startTimeout); !so(); time.Sleep(20 * time.Millisecond) {
 					if time.Now().After(end) {
 						t.Fatalf("in vain: %s", what)
 					}
@@ -72,7 +72,7 @@
 			if got := served("old", 40); got < 36 {
 				t.Errorf("%d of 40 jobs served", got)
 			}
-			for i, line := range workersOf(t, fmt.Sprint("new-", size), size, at) {
+			for i, line := range startWorkers(t, fmt.Sprint("new-", size), size, at) {
 				line.BootMs = time.Now().Add(-time.Minute).UnixMilli()
 				discovery.Update(line)
 				left := old[i]
--- a/internal/testcluster/crowd_test.go
+++ b/internal/testcluster/idleclients_test.go
@@ -19,13 +19,13 @@
 	const descriptors, crowd = 64, 200
 	addr := atomic.Value{}
 	addr.Store("127.0.0.1:1")
-	lines := workersOf(t, "crowd", 4, func() string { return addr.Load().(string) })
+	lines := startWorkers(t, "crowd", 4, func() string { return addr.Load().(string) })
 	discovery, err := fakes.NewDiscovery("127.0.0.1:0", lines...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	discovery.Close() // it is down from the start
-	p, err := StartConfig(program(t), t.TempDir(), Config{Name: "n0", Listen: "127.0.0.1:0",
+	p, err := StartConfig(buildScheduler(t), t.TempDir(), Config{Name: "n0", Listen: "127.0.0.1:0",
 		Discovery: discovery.Addr(), Schedulers: 1, MemoryMB: 32, MaxSockets: descriptors, KnownEndpoints: lines})
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	}
 	wait := func(what string, so func() bool) {
 		t.Helper()
-		for end := time.Now().Add(startWithin); !so(); time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(startTimeout); !so(); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("in vain: %s\n%v", what, p.Log())
 			}
--- a/internal/testcluster/jobpath_bench_test.go
+++ b/internal/testcluster/jobpath_bench_test.go
@@ -84,7 +84,7 @@
 // startRelay runs the relay in a process of its own.
 func startRelay(tb testing.TB, to string) *Process {
 	tb.Helper()
-	p := &Process{cmd: exec.Command(os.Args[0]), ends: make(chan struct{})}
+	p := &Process{cmd: exec.Command(os.Args[0]), exited: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), relayEnv+"="+to)
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
@@ -97,7 +97,7 @@
 	p.Addr = strings.TrimSpace(p.Addr)
 	go func() {
 		p.err = p.cmd.Wait()
-		close(p.ends)
+		close(p.exited)
 	}()
 	if err != nil {
 		p.Kill()
@@ -106,71 +106,71 @@
 	return p
 }
 
-// quickWorker takes jobs of no length: 202, then started and done, on connections that it keeps. It counts
+// fastWorker takes jobs of no length: 202, then started and done, on connections that it keeps. It counts
 // the bytes of its connections, and those of its callbacks. One that holds jobs never ends them.
-type quickWorker struct {
+type fastWorker struct {
 	*http.Server
-	addr     string
-	to       atomic.Pointer[string] // where callbacks go
-	out      *http.Client
-	holds    bool
-	attempts atomic.Int64
-	taken    atomic.Int64 // connections
-	bytes    atomic.Int64
+	addr          string
+	scheduler     atomic.Pointer[string] // where callbacks go
+	client        *http.Client
+	neverFinishes bool
+	attempts      atomic.Int64
+	connections   atomic.Int64 // connections
+	bytes         atomic.Int64
 }
 
-// counted counts what passes over a connection.
-type counted struct {
+// countedConn counts what passes over a connection.
+type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// counting counts what passes over the connections of a listener.
-type counting struct {
+// countingListener counts what passes over the connections of a listener.
+type countingListener struct {
 	net.Listener
-	worker *quickWorker
+	worker *fastWorker
 }
 
-func (l counting) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
-		l.worker.taken.Add(1)
-		conn = counted{conn, &l.worker.bytes}
+		l.worker.connections.Add(1)
+		conn = countedConn{conn, &l.worker.bytes}
 	}
 	return conn, err
 }
 
-func newQuickWorker(tb testing.TB) *quickWorker {
+func newFastWorker(tb testing.TB) *fastWorker {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	w := &quickWorker{addr: l.Addr().String()}
-	w.out = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024,
+	w := &fastWorker{addr: l.Addr().String()}
+	w.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-			return counted{conn, &w.bytes}, err
+			return countedConn{conn, &w.bytes}, err
 		}}}
 	w.Server = &http.Server{Handler: http.HandlerFunc(w.serve)}
-	go w.Serve(counting{l, w})
+	go w.Serve(countingListener{l, w})
 	tb.Cleanup(func() { w.Close() })
 	return w
 }
 
-func (w *quickWorker) serve(out http.ResponseWriter, r *http.Request) {
+func (w *fastWorker) serve(out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil || r.Method != "POST" {
 		return
@@ -179,14 +179,14 @@
 	out.WriteHeader(202)
 	id := r.Header.Get("X-Txn")
 	go func() {
-		w.tell(id, "started", nil)
-		if !w.holds {
-			w.tell(id, "done", body)
+		w.callback(id, "started", nil)
+		if !w.neverFinishes {
+			w.callback(id, "done", body)
 		}
 	}()
 }
 
-func (w *quickWorker) tell(id, state string, result []byte) {
+func (w *fastWorker) callback(id, state string, result []byte) {
 	said := map[string]string{"id": id, "from": "worker-0", "state": state}
 	if state == "done" {
 		said["result"] = string(result)
@@ -196,7 +196,7 @@
 		return
 	}
 	for range 10 {
-		res, err := w.out.Post("http://"+*w.to.Load()+"/callback", "application/json", bytes.NewReader(raw))
+		res, err := w.client.Post("http://"+*w.scheduler.Load()+"/callback", "application/json", bytes.NewReader(raw))
 		if err == nil {
 			io.Copy(io.Discard, res.Body)
 			if res.Body.Close(); res.StatusCode == 200 || res.StatusCode == 204 {
@@ -207,8 +207,8 @@
 	}
 }
 
-// handQuick hands a job in and reads its answer.
-func handQuick(conn net.Conn, read *http1.Reader, id string) (status int, err error) {
+// submitJob hands a job in and reads its answer.
+func submitJob(conn net.Conn, read *http1.Reader, id string) (status int, err error) {
 	_, err = conn.Write(http1.AppendRequest(nil, "POST", "/district-batch/"+id, []http1.Field{
 		{Name: "Host", Value: "api"}, {Name: "X-Txn", Value: id}, {Name: "X-Lane", Value: "district-batch"},
 		{Name: "X-Org", Value: "sahel"}, {Name: "X-Remaining-Ms", Value: "3900"},
@@ -241,11 +241,11 @@
 						if err != nil {
 							return err
 						}
-						conn = counted{raw, &t.bytes}
+						conn = countedConn{raw, &t.bytes}
 						conn.SetDeadline(time.Now().Add(60 * time.Second))
 						read = http1.NewReader(conn)
 					}
-					status, err := handQuick(conn, read, fmt.Sprintf("%08x%08x", c, time.Now().UnixNano()&0xffffffff))
+					status, err := submitJob(conn, read, fmt.Sprintf("%08x%08x", c, time.Now().UnixNano()&0xffffffff))
 					switch {
 					case err != nil:
 						return err
@@ -273,10 +273,11 @@
 	return all
 }
 
-// startQuick starts the real program with one quick worker.
-func startQuick(tb testing.TB, bin string, schedulers int) (*quickWorker, *Process, *teller) {
+// startWithFastWorker starts the real program with one quick worker.
+func startWithFastWorker(tb testing.TB, bin string, schedulers int) (*fastWorker, *Process,
+	*scriptedDiscovery) {
 	tb.Helper()
-	w, discovery := newQuickWorker(tb), newTeller(tb)
+	w, discovery := newFastWorker(tb), newScriptedDiscovery(tb)
 	p, err := StartConfig(bin, tb.TempDir(), Config{Name: "n0", Listen: "127.0.0.1:0",
 		Discovery: discovery.Addr().String(), Schedulers: schedulers, MemoryMB: 64, MaxSockets: 1024,
 		KnownEndpoints: []fakes.Endpoint{}})
@@ -284,8 +285,8 @@
 		tb.Fatal(err)
 	}
 	tb.Cleanup(p.Kill)
-	w.to.Store(&p.Addr)
-	discovery.accept(tb, []fakes.Endpoint{{UID: "worker-0", Addr: w.addr, Zone: "north", Model: "m1",
+	w.scheduler.Store(&p.Addr)
+	discovery.accept(tb, []fakes.Endpoint{{UID: "worker-0", Addr: w.addr, Zone: "north", Kind: "m1",
 		State: "ready"}})
 	stop := make(chan struct{})
 	done := make(chan struct{})
@@ -304,8 +305,8 @@
 	return w, p, discovery
 }
 
-// ticksOf is the processor time of a process in hundredths of a second, as /proc has it.
-func ticksOf(tb testing.TB, p *Process) (ticks int) {
+// cpuTicks is the processor time of a process in hundredths of a second, as /proc has it.
+func cpuTicks(tb testing.TB, p *Process) (ticks int) {
 	tb.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -318,50 +319,50 @@
 	return user + system
 }
 
-// span is how long clients load the path for each figure.
-const span = 1500 * time.Millisecond
+// loadDuration is how long clients load the path for each figure.
+const loadDuration = 1500 * time.Millisecond
 
 // BenchmarkSlopePath is the processor time of a job's whole way on sockets, one worker with jobs of no
 // length and two callbacks each: the program, with all connections kept, or new ones for each job or
 // callback, beside a relay of net/http that decides nothing.
 func BenchmarkSlopePath(b *testing.B) {
-	bin := program(b)
+	bin := buildScheduler(b)
 	b.Setenv("GOMAXPROCS", "1") // of the processes that are started
 	for _, kind := range []string{"program", "relay", "new clients", "new callbacks", "relay, new callbacks"} {
 		for _, clients := range []int{1, 4, 8, 32, 64, 128} {
 			b.Run(fmt.Sprintf("%s/%d clients", kind, clients), func(b *testing.B) {
-				var w *quickWorker
+				var w *fastWorker
 				var p *Process
 				if strings.HasPrefix(kind, "relay") {
-					w = newQuickWorker(b)
+					w = newFastWorker(b)
 					p = startRelay(b, w.addr)
-					w.to.Store(&p.Addr)
+					w.scheduler.Store(&p.Addr)
 					b.Cleanup(p.Kill)
 				} else {
-					w, p, _ = startQuick(b, bin, 300)
+					w, p, _ = startWithFastWorker(b, bin, 300)
 				}
 				if strings.HasSuffix(kind, "new callbacks") {
-					w.out.Transport.(*http.Transport).DisableKeepAlives = true
+					w.client.Transport.(*http.Transport).DisableKeepAlives = true
 				}
 				fresh := kind == "new clients"
 				var warm, t tally
-				if err := warm.clients(p.Addr, clients, time.Now().Add(span/3), fresh); err != nil {
+				if err := warm.clients(p.Addr, clients, time.Now().Add(loadDuration/3), fresh); err != nil {
 					b.Fatal(err)
 				}
-				tick := ticksOf(b, p)
-				before, attempts, taken, bytes := processor(b, p), w.attempts.Load(), w.taken.Load(), w.bytes.Load()
-				if err := t.clients(p.Addr, clients, time.Now().Add(span), fresh); err != nil {
+				tick := cpuTicks(b, p)
+				before, attempts, taken, bytes := cpuTime(b, p), w.attempts.Load(), w.connections.Load(), w.bytes.Load()
+				if err := t.clients(p.Addr, clients, time.Now().Add(loadDuration), fresh); err != nil {
 					b.Fatal(err)
 				}
-				ticks := ticksOf(b, p) - tick
-				used, served := processor(b, p)-before, float64(t.served.Load())
+				ticks := cpuTicks(b, p) - tick
+				used, served := cpuTime(b, p)-before, float64(t.served.Load())
 				b.ReportMetric(0, "ns/op")
 				b.ReportMetric(used.Seconds()*1e6/served, "cpu-us/job")
 				b.ReportMetric(float64(ticks)*1e4/served, "proc-us/job") // the other account, in hundredths of a second
-				b.ReportMetric(served/span.Seconds(), "jobs/s")
+				b.ReportMetric(served/loadDuration.Seconds(), "jobs/s")
 				b.ReportMetric(float64(t.other.Load())/served, "refused/job")
 				b.ReportMetric(float64(w.attempts.Load()-attempts)/served, "attempts/job")
-				b.ReportMetric(float64(w.taken.Load()-taken)/served, "dials/job")
+				b.ReportMetric(float64(w.connections.Load()-taken)/served, "dials/job")
 				b.ReportMetric(float64(t.bytes.Load())/served, "client-bytes/job")
 				b.ReportMetric(float64(w.bytes.Load()-bytes)/served, "worker-bytes/job")
 			})
@@ -369,14 +370,15 @@
 	}
 }
 
-// BenchmarkSlopeHeld is the memory of the real program that holds so many requests, each with its client's
+// BenchmarkSlopeInFlight is the memory of the real program that holds so many requests, each with its
+// client's
 // connection.
-func BenchmarkSlopeHeld(b *testing.B) {
-	bin := program(b)
+func BenchmarkSlopeInFlight(b *testing.B) {
+	bin := buildScheduler(b)
 	for _, n := range []int{25, 100, 200, 300, 400, 600} {
 		b.Run(fmt.Sprintf("%d held", n), func(b *testing.B) {
-			w, p, _ := startQuick(b, bin, 300)
-			w.holds = true
+			w, p, _ := startWithFastWorker(b, bin, 300)
+			w.neverFinishes = true
 			idle, err := p.Usage()
 			if err != nil {
 				b.Fatal(err)
@@ -391,7 +393,7 @@
 				conns = append(conns, conn)
 			}
 			for i, conn := range conns {
-				go handQuick(conn, http1.NewReader(conn), fmt.Sprintf("%016x", i))
+				go submitJob(conn, http1.NewReader(conn), fmt.Sprintf("%016x", i))
 			}
 			time.Sleep(time.Second) // less than their aim
 			use, err := p.Usage()
@@ -406,20 +408,20 @@
 	}
 }
 
-// BenchmarkSlopeQuiet is what the real program takes with a list of so many workers: for a line of a watch
+// BenchmarkSlopeIdle is what the real program takes with a list of so many workers: for a line of a watch
 // that tells nothing, for a second of nothing, for a SIGHUP with a file that knows them all, and for a word
 // with one change.
-func BenchmarkSlopeQuiet(b *testing.B) {
-	bin := program(b)
+func BenchmarkSlopeIdle(b *testing.B) {
+	bin := buildScheduler(b)
 	for _, n := range []int{200, 450, 800, 2400, 4800, 7200} {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
 			lines := make([]fakes.Endpoint, n)
 			for i := range lines {
 				lines[i] = fakes.Endpoint{UID: fmt.Sprintf("worker-%05d", i),
 					Addr: fmt.Sprintf("127.0.0.1:%d", 10000+i), Zone: fmt.Sprint("zone-", i%14),
-					Model: fmt.Sprint("m", i/14%4), Group: i / 40, State: "ready"}
+					Kind: fmt.Sprint("m", i/14%4), Cell: i / 40, State: "ready"}
 			}
-			discovery, folder := newTeller(b), b.TempDir()
+			discovery, folder := newScriptedDiscovery(b), b.TempDir()
 			p, err := StartConfig(bin, folder, Config{Name: "n0", Listen: "127.0.0.1:0",
 				Discovery: discovery.Addr().String(), Schedulers: 300, MemoryMB: 64, MaxSockets: 512,
 				KnownEndpoints: lines})
@@ -428,37 +430,37 @@
 			}
 			defer p.Kill()
 			discovery.accept(b, lines)
-			start := discovery.rests(b, p)
+			start := discovery.waitUntilIdle(b, p)
 			file, err := os.Stat(filepath.Join(folder, "n0.json"))
 			if err != nil {
 				b.Fatal(err)
 			}
 			const beats, signals, words, quiet = 5000, 5, 100, 2 * time.Second
-			before := processor(b, p)
+			before := cpuTime(b, p)
 			time.Sleep(quiet)
-			idle := processor(b, p) - before
+			idle := cpuTime(b, p) - before
 			for range beats {
 				if _, err := discovery.watch.Write([]byte("1\r\n\n\r\n")); err != nil {
 					b.Fatal(err)
 				}
 			}
-			beat := discovery.rests(b, p) - before - idle
-			before = processor(b, p)
+			beat := discovery.waitUntilIdle(b, p) - before - idle
+			before = cpuTime(b, p)
 			for i := range words {
 				line := lines[i/2*7919%n]
 				line.State = []string{"draining", "ready"}[i%2]
-				discovery.say(b, false, []fakes.Endpoint{line})
+				discovery.send(b, false, []fakes.Endpoint{line})
 				time.Sleep(2 * time.Millisecond) // each is a word of its own
 			}
-			word := discovery.rests(b, p) - before
-			before = processor(b, p)
+			word := discovery.waitUntilIdle(b, p) - before
+			before = cpuTime(b, p)
 			for range signals {
 				if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 					b.Fatal(err)
 				}
 				time.Sleep(100 * time.Millisecond) // signals that come together count as one
 			}
-			reload := discovery.rests(b, p) - before
+			reload := discovery.waitUntilIdle(b, p) - before
 			taken := 0
 			for _, line := range p.Log() {
 				taken += strings.Count(line, "configuration taken")
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -20,16 +20,16 @@
 
 // Process is one scheduler that runs.
 type Process struct {
-	Addr string
-	cmd  *exec.Cmd
-	ends chan struct{} // closed when it has ended
-	mu   sync.Mutex
-	log  []string
-	err  error
+	Addr   string
+	cmd    *exec.Cmd
+	exited chan struct{} // closed when it has ended
+	mu     sync.Mutex
+	log    []string
+	err    error
 }
 
-// startWithin is the longest that a scheduler may take to say that it serves.
-const startWithin = 20 * time.Second
+// startTimeout is the longest that a scheduler may take to say that it serves.
+const startTimeout = 20 * time.Second
 
 // settings of the deployments that the rig starts: deadlines of seconds, and racks.
 func settings(setup Config) map[string]any {
@@ -94,7 +94,7 @@
 	if err := os.WriteFile(path, raw, 0o666); err != nil {
 		return nil, err
 	}
-	p := &Process{cmd: exec.Command(bin), ends: make(chan struct{})}
+	p := &Process{cmd: exec.Command(bin), exited: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_NAME=", "BALANCER_LISTEN=",
 		"BALANCER_DISCOVERY=")
 	out, err := p.cmd.StderrPipe()
@@ -107,7 +107,7 @@
 	serving := make(chan string, 1)
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			p.note(lines.Text())
+			p.addLogLine(lines.Text())
 			if _, rest, ok := strings.Cut(lines.Text(), "msg=serving"); ok {
 				if _, addr, ok := strings.Cut(rest, "listen="); ok {
 					serving <- strings.Fields(addr)[0]
@@ -115,14 +115,14 @@
 			}
 		}
 		p.err = p.cmd.Wait()
-		close(p.ends)
+		close(p.exited)
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), startWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	select {
 	case p.Addr = <-serving:
 		return p, nil
-	case <-p.ends:
+	case <-p.exited:
 		return nil, fmt.Errorf("%s ended at once: %s", name, strings.Join(p.Log(), "\n"))
 	case <-ctx.Done():
 		p.Kill()
@@ -130,13 +130,13 @@
 	}
 }
 
-// mostLog is how many lines of a process's log are kept.
-const mostLog = 5000
+// maxLogLines is how many lines of a process's log are kept.
+const maxLogLines = 5000
 
-func (p *Process) note(line string) {
+func (p *Process) addLogLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.log) < mostLog {
+	if len(p.log) < maxLogLines {
 		p.log = append(p.log, line)
 	}
 }
@@ -203,8 +203,8 @@
 	return took, nil
 }
 
-// tick is the unit of /proc/PID/stat.
-const tick = 10 * time.Millisecond
+// clockTick is the unit of /proc/PID/stat.
+const clockTick = 10 * time.Millisecond
 
 // CPUTicks tells the same from /proc/PID/stat: in steps of 10 ms, with threads that have ended.
 func (p *Process) CPUTicks() (time.Duration, error) {
@@ -219,13 +219,13 @@
 	}
 	var user, system time.Duration
 	_, err = fmt.Sscan(fields[11]+" "+fields[12], &user, &system)
-	return (user + system) * tick, err
+	return (user + system) * clockTick, err
 }
 
 // Kill ends it at once.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
-	<-p.ends
+	<-p.exited
 }
 
 // Stop asks for its orderly end and waits for that until a deadline.
@@ -234,7 +234,7 @@
 		return err
 	}
 	select {
-	case <-p.ends:
+	case <-p.exited:
 		return p.err
 	case <-time.After(time.Until(deadline)):
 		p.Kill()
