--- a/internal/connstate/link_test.go
+++ b/internal/connstate/connstate_test.go
@@ -10,29 +10,33 @@
 	"dahliaford/internal/scheduler"
 )
 
-// What a connection shows, in words, and what that must mean. Each line is one life; its
-// last word says what comes of it.
-func TestLives(t *testing.T) {
-	reached := func(ok bool) scheduler.Event { return scheduler.CancellationResult{Attempt: 7, Acknowledged: ok} }
+// Each line is the lifecycle of one connection, as a sequence of steps, with the disposition and the event
+// that its last step must give.
+func TestConnectionLifecycles(t *testing.T) {
+	writeResults := map[string]WriteResult{"written": WriteComplete, "unwritten": WriteFailed,
+		"refused": ConnectRefused}
+	cancelled := func(ok bool) scheduler.Event {
+		return scheduler.CancellationResult{Attempt: 7, Acknowledged: ok}
+	}
 	ended := func(o dispatch.Outcome) scheduler.Event { return scheduler.AttemptEnded{Attempt: 7, Outcome: o} }
 	for _, c := range []struct {
-		life string
-		next Disposition
-		want scheduler.Event
+		steps string
+		next  Disposition
+		want  scheduler.Event
 	}{
 		{"attempt unwritten", Drop, ended(dispatch.ConnectFailed)},
 		{"attempt refused", Drop, ended(dispatch.ConnectFailed)},
-		{"attempt broke", KeepOpen, nil}, // whether it was written is still to come
+		{"attempt broke", KeepOpen, nil}, // the result of writing is still to come
 		{"attempt broke unwritten", Drop, ended(dispatch.ConnectFailed)},
 		{"attempt broke written", Drop, ended(dispatch.Reset)},
 		{"attempt written broke", Drop, ended(dispatch.Reset)},
 		{"attempt written 202", Idle, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt written 202close", Drop, scheduler.AttemptAccepted{Attempt: 7}},
-		// the answer overtakes the writer's word, or the last byte
+		// the response comes before the result of writing, or before the last byte is out
 		{"attempt 202", Drop, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt 503away", Drop, ended(dispatch.AtCapacity)},
 		{"attempt written 202 broke", Drop, nil},
-		{"attempt written 202 503", Drop, nil}, // an answer to nothing
+		{"attempt written 202 503", Drop, nil}, // unsolicited
 		{"202", Drop, nil},
 		{"attempt written broke 202", KeepOpen, nil},
 		{"attempt written 503", Drop, ended(dispatch.Failed)},
@@ -43,49 +47,50 @@
 		{"attempt written 429", Drop, ended(dispatch.Failed)},
 		{"attempt written 404", Drop, scheduler.AttemptRejected{Attempt: 7}},
 		{"attempt written 301", Drop, ended(dispatch.Failed)},
-		{"attempt letgo written", KeepOpen, nil},
-		{"attempt letgo broke", KeepOpen, nil},
-		{"attempt letgo 202", KeepOpen, nil},
-		{"withdrawal written 200", Drop, reached(true)},
-		{"withdrawal written 404", Drop, reached(true)},
-		{"withdrawal unwritten", Drop, reached(false)},
-		{"withdrawal refused", Drop, reached(true)},
-		{"withdrawal written broke", Drop, reached(false)},
+		{"attempt release written", KeepOpen, nil},
+		{"attempt release broke", KeepOpen, nil},
+		{"attempt release 202", KeepOpen, nil},
+		{"cancellation written 200", Drop, cancelled(true)},
+		{"cancellation written 404", Drop, cancelled(true)},
+		{"cancellation unwritten", Drop, cancelled(false)},
+		{"cancellation refused", Drop, cancelled(true)},
+		{"cancellation written broke", Drop, cancelled(false)},
 		{"attempt written 202 attempt written 202", Idle, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt written 202 attempt written 202 202", Drop, nil},
-		{"attempt written 202 attempt written 503away", Drop, ended(dispatch.Reset)}, // whose is it?
+		{"attempt written 202 attempt written 503away", Drop, ended(dispatch.Reset)}, // of which attempt?
 		{"attempt written 202 attempt written 500", Drop, ended(dispatch.Reset)},
 		{"attempt written 202 attempt written 404", Drop, ended(dispatch.Reset)},
 		{"attempt written 202 attempt 202", Drop, ended(dispatch.Reset)},
 		{"broke", Drop, nil},
 	} {
-		var l Conn
+		var conn Conn
 		var next Disposition
 		var got scheduler.Event
-		for _, word := range strings.Fields(c.life) {
-			switch word {
-			case "attempt", "withdrawal":
-				l.Assign(7, word == "withdrawal")
+		for _, step := range strings.Fields(c.steps) {
+			switch step {
+			case "attempt", "cancellation":
+				conn.Assign(7, step == "cancellation")
 			case "written", "unwritten", "refused":
-				next, got = l.WriteEnded(word != "written", word == "refused")
+				next, got = conn.WriteEnded(writeResults[step])
 			case "broke":
-				next, got = l.ReadEnded()
-			case "letgo":
-				l.Release()
+				next, got = conn.ReadEnded()
+			case "release":
+				conn.Release()
 			default:
 				status := 0
-				for _, digit := range word[:3] {
+				for _, digit := range step[:3] {
 					status = status*10 + int(digit-'0')
 				}
-				next, got = l.Answered(Answer{Status: status, TurnedAway: word[3:] == "away", Close: word[3:] == "close"})
+				answer := Answer{Status: status, TurnedAway: step[3:] == "away", Close: step[3:] == "close"}
+				next, got = conn.Answered(answer)
 			}
 		}
 		if diff := cmp.Diff([]any{c.next, c.want}, []any{next, got}); diff != "" {
-			t.Errorf("%s: %s", c.life, diff)
+			t.Errorf("%s: %s", c.steps, diff)
 		}
-		if dead := next == Drop; l.Released != (dead || strings.Contains(c.life, "letgo") ||
-			c.life == "attempt written broke 202") {
-			t.Errorf("%s: dead is %v", c.life, l.Released)
+		if dropped := next == Drop; conn.Released != (dropped || strings.Contains(c.steps, "release") ||
+			c.steps == "attempt written broke 202") {
+			t.Errorf("%s: released is %v", c.steps, conn.Released)
 		}
 	}
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -476,7 +476,7 @@
 	if c.Cancel {
 		c.writing = true
 		n.job(withdrawBytes)
-		c.WriteEnded(false, false)
+		c.WriteEnded(connstate.WriteComplete)
 		f.net.send(n.zone, c.w.zone, withdrawBytes, func() {
 			c.w.reach(func() {
 				switch {
@@ -508,7 +508,7 @@
 	bytes := requestBytes
 	n.job(bytes)
 	req.open++
-	if next, e := c.WriteEnded(false, false); e != nil {
+	if next, e := c.WriteEnded(connstate.WriteComplete); e != nil {
 		c.next(next, e)
 	}
 	life := c.life
@@ -531,7 +531,11 @@
 
 // failed tells that the errand's last byte did not get out.
 func (c *conn) failed(refused bool, o dispatch.Outcome) {
-	next, e := c.WriteEnded(true, refused)
+	result := connstate.WriteFailed
+	if refused {
+		result = connstate.ConnectRefused
+	}
+	next, e := c.WriteEnded(result)
 	if end, is := e.(scheduler.AttemptEnded); is {
 		if o == dispatch.ConnectFailed && refused && c.n.noRoom(c) {
 			o = dispatch.AtCapacity
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"dahliaford/internal/connstate"
 	"dahliaford/internal/dispatch"
 	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
@@ -109,7 +110,7 @@
 	idle := func() *conn {
 		c := &conn{n: n, w: w, connected: true, since: f.now}
 		c.Assign(1, false)
-		c.WriteEnded(false, false)
+		c.WriteEnded(connstate.WriteComplete)
 		c.Busy = false
 		n.open++
 		n.links[w] = append(n.links[w], c)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 reads and writes HTTP/1.1 messages over a byte stream, within
-// limits on size. It opens and closes nothing.
+// Package http1 reads and writes HTTP/1.1 messages over a byte stream, with limits on their size. It opens
+// and closes nothing.
 package http1
 
 import (
@@ -12,33 +12,35 @@
 	"strings"
 )
 
-// The limits on a message.
+// The size limits of a message, in bytes.
 const (
-	MaxHead = 16 << 10 // bytes of first line and headers
-	MaxBody = 64 << 10 // bytes of body
+	MaxHead = 16 << 10 // of the first line and the headers
+	MaxBody = 64 << 10 // of the body
 )
 
-// Error is a message that breaks the protocol, with the status to answer.
+// Error is the error of a message that breaks the protocol or exceeds a limit.
 type Error struct {
-	Status int
-	Text   string
+	Status int    // the status to respond with
+	Text   string // what is wrong, as a response may tell the sender
 }
 
+// Error returns the text.
 func (e *Error) Error() string { return e.Text }
 
-func wrong(status int, format string, args ...any) error {
+// protocolError returns an *Error.
+func protocolError(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// Request is a request with its whole body.
+// Request is a request with its complete body.
 type Request struct {
 	Method, Target string
 	Header         textproto.MIMEHeader
 	Body           []byte
-	Close          bool // the sender wants the connection closed after the answer
+	Close          bool // the sender wants the connection closed after the response
 }
 
-// Response is a response. Body is whole, unless only the head was read.
+// Response is a response. Body is complete, unless only the head was read.
 type Response struct {
 	Status int
 	Header textproto.MIMEHeader
@@ -48,66 +50,67 @@
 
 // Reader reads messages one after the other.
 type Reader struct {
-	// Continue, if set, is called before the body of a request whose sender waits for
-	// leave to send it.
+	// Continue, if set, is called before the body of a request whose sender waits for "100 Continue".
 	Continue func()
 
-	limit io.LimitedReader
-	buf   *bufio.Reader
-	text  *textproto.Reader
+	limited  io.LimitedReader
+	buffered *bufio.Reader
+	lines    *textproto.Reader
 }
 
 // NewReader returns a reader of the messages on a stream.
-func NewReader(r io.Reader) *Reader {
-	m := &Reader{limit: io.LimitedReader{R: r}}
-	m.buf = bufio.NewReader(&m.limit)
-	m.text = textproto.NewReader(m.buf)
-	return m
+func NewReader(stream io.Reader) *Reader {
+	r := &Reader{limited: io.LimitedReader{R: stream}}
+	r.buffered = bufio.NewReader(&r.limited)
+	r.lines = textproto.NewReader(r.buffered)
+	return r
 }
 
-// Wait blocks until the next message begins or the stream ends.
-func (m *Reader) Wait() error {
-	m.limit.N = MaxHead
-	_, err := m.buf.Peek(1)
+// Wait blocks until the next message begins or the stream ends. The error is the stream's.
+func (r *Reader) Wait() error {
+	r.limited.N = MaxHead
+	_, err := r.buffered.Peek(1)
 	return err
 }
 
-// Request reads a request.
-func (m *Reader) Request() (*Request, error) {
-	m.limit.N = MaxHead
-	line, header, err := m.head()
+// Request reads a request. The error is an *Error if the request is malformed or too long,
+// io.ErrUnexpectedEOF if the stream ends within it, and otherwise the stream's.
+func (r *Reader) Request() (*Request, error) {
+	r.limited.N = MaxHead
+	line, header, err := r.head()
 	if err != nil {
 		return nil, err
 	}
 	method, rest, _ := strings.Cut(line, " ")
 	target, version, found := strings.Cut(rest, " ")
 	switch {
-	case !found || !plain(method) || !plain(target) || target[0] != '/' || strings.ContainsAny(version, " \t"):
-		return nil, wrong(400, "malformed request line")
+	case !found || !isPrintableToken(method) || !isPrintableToken(target) || target[0] != '/' ||
+		strings.ContainsAny(version, " \t"):
+		return nil, protocolError(400, "malformed request line")
 	case version != "HTTP/1.1" && version != "HTTP/1.0":
-		return nil, wrong(505, "unsupported version")
+		return nil, protocolError(505, "unsupported version")
 	}
 	for name := range header {
-		// Kept apart from the name without the blank, which others may read it as:
-		// a length that is hidden like this would smuggle a request past us.
+		// A header whose name has a blank is not the header without it, but others may read it so: a
+		// length that is hidden like this would smuggle a request past this reader.
 		if strings.ContainsAny(name, " \t") {
-			return nil, wrong(400, "malformed header name")
+			return nil, protocolError(400, "malformed header name")
 		}
 	}
-	r := &Request{Method: method, Target: target, Header: header, Close: closes(header, version)}
-	if m.Continue != nil && strings.EqualFold(header.Get("Expect"), "100-continue") {
-		m.Continue()
+	request := &Request{Method: method, Target: target, Header: header, Close: wantsClose(header, version)}
+	if r.Continue != nil && strings.EqualFold(header.Get("Expect"), "100-continue") {
+		r.Continue()
 	}
-	if r.Body, err = m.body(header, 0); err != nil {
+	if request.Body, err = r.body(header, 0); err != nil {
 		return nil, err
 	}
-	return r, nil
+	return request, nil
 }
 
-// Head reads the first line and the headers of a response.
-func (m *Reader) Head() (*Response, error) {
-	m.limit.N = MaxHead
-	line, header, err := m.head()
+// Head reads the first line and the headers of a response. Its errors are those of Request.
+func (r *Reader) Head() (*Response, error) {
+	r.limited.N = MaxHead
+	line, header, err := r.head()
 	if err != nil {
 		return nil, err
 	}
@@ -115,182 +118,186 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || status < 100 || status > 999 || !strings.HasPrefix(version, "HTTP/1.") {
-		return nil, wrong(502, "malformed status line")
+		return nil, protocolError(502, "malformed status line")
 	}
-	return &Response{Status: status, Header: header, Close: closes(header, version)}, nil
+	return &Response{Status: status, Header: header, Close: wantsClose(header, version)}, nil
 }
 
-// mostInterim is how many interim responses are passed over before a final one.
-const mostInterim = 8
+// maxInterimResponses is how many interim responses are skipped before a final one.
+const maxInterimResponses = 8
 
-// Response reads a response with its body, past any interim ones.
-func (m *Reader) Response() (*Response, error) {
-	for range mostInterim + 1 {
-		r, err := m.Head()
+// Response reads a response with its body and skips any interim ones. Its errors are those of Request.
+func (r *Reader) Response() (*Response, error) {
+	for range maxInterimResponses + 1 {
+		response, err := r.Head()
 		if err != nil {
 			return nil, err
 		}
-		if r.Status >= 200 {
-			return r, m.Rest(r)
+		if response.Status >= 200 {
+			return response, r.Rest(response)
 		}
 	}
-	return nil, wrong(502, "over %d interim responses", mostInterim)
+	return nil, protocolError(502, "over %d interim responses", maxInterimResponses)
 }
 
-// Rest reads the body that follows the head of a final response.
-func (m *Reader) Rest(r *Response) (err error) {
+// Rest reads the body that follows the head of a final response. Its errors are those of Request.
+func (r *Reader) Rest(response *Response) (err error) {
 	switch {
-	case r.Status == 204 || r.Status == 304:
-	case r.Header.Get("Content-Length") == "" && r.Header.Get("Transfer-Encoding") == "":
-		r.Close = true // the body lasts as long as the connection
-		r.Body, err = m.body(r.Header, MaxBody)
+	case response.Status == 204 || response.Status == 304:
+	case response.Header.Get("Content-Length") == "" && response.Header.Get("Transfer-Encoding") == "":
+		response.Close = true // the body lasts as long as the connection
+		response.Body, err = r.body(response.Header, MaxBody)
 	default:
-		r.Body, err = m.body(r.Header, 0)
+		response.Body, err = r.body(response.Header, 0)
 	}
 	return err
 }
 
-// Chunks is the chunked body that follows a head, read as it comes: it may go on
-// without an end.
-func (m *Reader) Chunks() io.Reader { return &chunks{m: m, endless: true} }
+// Chunks returns the chunked body that follows a head. It is decoded as it arrives and may be endless: only
+// single chunks and their framing are limited.
+func (r *Reader) Chunks() io.Reader { return &chunkReader{reader: r, unbounded: true} }
 
-func (m *Reader) head() (line string, header textproto.MIMEHeader, err error) {
-	for tries := 0; line == "" && tries < 2 && err == nil; tries++ { // one stray blank line is allowed
-		line, err = m.text.ReadLine()
+// head reads a first line and the headers.
+func (r *Reader) head() (line string, header textproto.MIMEHeader, err error) {
+	for attempt := 0; line == "" && attempt < 2 && err == nil; attempt++ { // one blank line before is allowed
+		line, err = r.lines.ReadLine()
 	}
 	if err == nil {
-		header, err = m.text.ReadMIMEHeader()
+		header, err = r.lines.ReadMIMEHeader()
 	}
 	var malformed textproto.ProtocolError
 	switch {
 	case err == nil:
 		return line, header, nil
-	case m.limit.N <= 0:
-		return "", nil, wrong(431, "head over %d bytes", MaxHead)
+	case r.limited.N <= 0:
+		return "", nil, protocolError(431, "head over %d bytes", MaxHead)
 	case errors.As(err, &malformed):
-		return "", nil, wrong(400, "malformed head")
-	case err == io.EOF && line != "":
+		return "", nil, protocolError(400, "malformed head")
+	case errors.Is(err, io.EOF) && line != "":
 		err = io.ErrUnexpectedEOF
 	}
 	return "", nil, err
 }
 
-// body reads a body framed by its headers; without any, up to open bytes that last
-// until the stream ends.
-func (m *Reader) body(header textproto.MIMEHeader, open int64) ([]byte, error) {
+// body reads a body that is framed by its headers. Without framing it reads until the stream ends, at most
+// untilEOF bytes; with untilEOF 0 there is no body.
+func (r *Reader) body(header textproto.MIMEHeader, untilEOF int64) ([]byte, error) {
 	lengths, coding := header["Content-Length"], header["Transfer-Encoding"]
 	if len(coding) > 0 {
-		// Two framings in one message are how requests are smuggled past a front.
+		// Two framings in one message are how requests are smuggled past a front end.
 		if len(lengths) > 0 || len(coding) > 1 || !strings.EqualFold(coding[0], "chunked") {
-			return nil, wrong(400, "unsupported framing")
+			return nil, protocolError(400, "unsupported framing")
 		}
-		m.limit.N = 4 * MaxBody // data and what frames it
-		return capped(&chunks{m: m}, m)
+		r.limited.N = 4 * MaxBody // data and framing
+		return readLimited(&chunkReader{reader: r}, r)
 	}
 	if len(lengths) == 0 {
-		if open == 0 {
+		if untilEOF == 0 {
 			return nil, nil
 		}
-		m.limit.N = open + 1
-		return capped(m.buf, m)
+		r.limited.N = untilEOF + 1
+		return readLimited(r.buffered, r)
 	}
 	length, err := strconv.ParseUint(lengths[0], 10, 31)
 	if err != nil || len(lengths) > 1 {
-		return nil, wrong(400, "malformed Content-Length")
+		return nil, protocolError(400, "malformed Content-Length")
 	}
 	if length > MaxBody {
-		return nil, wrong(413, "body over %d bytes", MaxBody)
+		return nil, protocolError(413, "body over %d bytes", MaxBody)
 	}
-	// Memory is taken as the body comes, not as it is announced.
-	m.limit.N = int64(length)
-	body, err := io.ReadAll(io.LimitReader(m.buf, int64(length)))
+	// Memory is allocated as the body arrives, not for the length that is announced.
+	r.limited.N = int64(length)
+	body, err := io.ReadAll(io.LimitReader(r.buffered, int64(length)))
 	if err == nil && len(body) < int(length) {
 		err = io.ErrUnexpectedEOF
 	}
 	return body, err
 }
 
-// plain tells whether a word of the request line is whole and printable. What a worker
-// cannot read makes it close the connection.
-func plain(word string) bool {
-	for i := range len(word) {
-		if word[i] <= ' ' || word[i] >= 0x7f {
+// isPrintableToken reports whether a token of the request line is not empty and all printable ASCII. A
+// worker closes the connection on anything else.
+func isPrintableToken(token string) bool {
+	for i := range len(token) {
+		if token[i] <= ' ' || token[i] >= 0x7f {
 			return false
 		}
 	}
-	return word != ""
+	return token != ""
 }
 
-func capped(r io.Reader, m *Reader) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(r, MaxBody+1))
-	if len(body) > MaxBody || m.limit.N <= 0 && err != nil {
-		return nil, wrong(413, "body over %d bytes", MaxBody)
+// readLimited reads a body of at most MaxBody bytes.
+func readLimited(body io.Reader, r *Reader) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(body, MaxBody+1))
+	if len(data) > MaxBody || r.limited.N <= 0 && err != nil {
+		return nil, protocolError(413, "body over %d bytes", MaxBody)
 	}
-	return body, err
+	return data, err
 }
 
-// chunks decodes a chunked body.
-type chunks struct {
-	m       *Reader
-	left    uint64 // of the chunk that is being read
-	begun   bool
-	ended   bool
-	endless bool // the body as a whole has no limit
+// chunkReader decodes a chunked body.
+type chunkReader struct {
+	reader    *Reader
+	remaining uint64 // bytes of the current chunk
+	begun     bool
+	ended     bool
+	unbounded bool // the body has no limit, only each chunk has
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
-	for c.left == 0 {
+// Read reads data of the body. A stream that ends before the last chunk gives io.ErrUnexpectedEOF.
+func (c *chunkReader) Read(p []byte) (int, error) {
+	for c.remaining == 0 {
 		if c.ended {
 			return 0, io.EOF
 		}
 		if err := c.next(); err != nil {
-			if err == io.EOF {
+			if err == io.EOF { //nolint:errorlint // an EOF that is joined with a protocol error stays that error
 				err = io.ErrUnexpectedEOF
 			}
 			return 0, err
 		}
 	}
-	if c.endless {
-		c.m.limit.N = MaxBody
+	if c.unbounded {
+		c.reader.limited.N = MaxBody
 	}
-	n, err := c.m.buf.Read(p[:min(uint64(len(p)), c.left)])
-	c.left -= uint64(n)
-	if err == io.EOF {
+	n, err := c.reader.buffered.Read(p[:min(uint64(len(p)), c.remaining)])
+	c.remaining -= uint64(n)
+	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// next reads up to the data of the next chunk, or past the trailer.
-func (c *chunks) next() error {
-	if c.endless {
-		c.m.limit.N = MaxHead
+// next reads the framing up to the data of the next chunk, or to the end of the trailer.
+func (c *chunkReader) next() error {
+	if c.unbounded {
+		c.reader.limited.N = MaxHead
 	}
 	if c.begun {
-		if line, err := c.m.text.ReadLine(); err != nil || line != "" {
-			return errors.Join(err, wrong(400, "malformed chunk"))
+		if line, err := c.reader.lines.ReadLine(); err != nil || line != "" {
+			return errors.Join(err, protocolError(400, "malformed chunk"))
 		}
 	}
 	c.begun = true
-	line, err := c.m.text.ReadLine()
+	line, err := c.reader.lines.ReadLine()
 	if err != nil {
 		return err
 	}
 	size, _, _ := strings.Cut(line, ";")
-	if c.left, err = strconv.ParseUint(strings.TrimSpace(size), 16, 31); err != nil {
-		return wrong(400, "malformed chunk size")
+	if c.remaining, err = strconv.ParseUint(strings.TrimSpace(size), 16, 31); err != nil {
+		return protocolError(400, "malformed chunk size")
 	}
-	if c.left == 0 {
+	if c.remaining == 0 {
 		c.ended = true
-		_, err = c.m.text.ReadMIMEHeader()
+		_, err = c.reader.lines.ReadMIMEHeader()
 	}
 	return err
 }
 
-func closes(header textproto.MIMEHeader, version string) bool {
+// wantsClose reports whether the sender of a message wants the connection closed after the exchange.
+func wantsClose(header textproto.MIMEHeader, version string) bool {
 	for _, value := range header["Connection"] {
-		for word := range strings.SplitSeq(value, ",") {
-			switch strings.ToLower(strings.TrimSpace(word)) {
+		for option := range strings.SplitSeq(value, ",") {
+			switch strings.ToLower(strings.TrimSpace(option)) {
 			case "close":
 				return true
 			case "keep-alive":
@@ -304,20 +311,21 @@
 // Field is one header of a message to write.
 type Field struct{ Name, Value string }
 
-// AppendRequest writes a request. Fields with an empty value are left out.
+// AppendRequest appends a request to b. Fields with an empty value are left out.
 func AppendRequest(b []byte, method, target string, fields []Field, body []byte) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\n"...)
-	return appendRest(b, fields, body, method != "GET" && method != "DELETE")
+	return appendHeadersAndBody(b, fields, body, method != "GET" && method != "DELETE")
 }
 
-// AppendResponse writes a response.
+// AppendResponse appends a response to b. Fields with an empty value are left out.
 func AppendResponse(b []byte, status int, fields []Field, body []byte) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10)
-	b = append(append(append(b, ' '), reasons[status]...), "\r\n"...)
-	return appendRest(b, fields, body, status != 204)
+	b = append(append(append(b, ' '), reasonPhrases[status]...), "\r\n"...)
+	return appendHeadersAndBody(b, fields, body, status != 204)
 }
 
-func appendRest(b []byte, fields []Field, body []byte, framed bool) []byte {
+// appendHeadersAndBody appends all behind the first line. An empty body has a length only if framed.
+func appendHeadersAndBody(b []byte, fields []Field, body []byte, framed bool) []byte {
 	for _, f := range fields {
 		if f.Value != "" {
 			b = append(append(append(append(b, f.Name...), ": "...), f.Value...), "\r\n"...)
@@ -330,7 +338,7 @@
 	return append(append(b, "\r\n"...), body...)
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 503: "Service Unavailable", 505: "HTTP Version Not Supported",
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,7 +14,7 @@
 
 func crlf(s string) string { return strings.ReplaceAll(s, "\n", "\r\n") }
 
-// Each request is read byte by byte, so that every place may be a seam.
+// Each request is read byte by byte, so that reads may end at every position.
 func TestRequests(t *testing.T) {
 	head := func(h map[string][]string) textproto.MIMEHeader { return h }
 	for name, c := range map[string]struct {
@@ -62,10 +62,10 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := NewReader(iotest.OneByteReader(strings.NewReader(crlf(c.text)))).Request()
 			status := 0
-			var wrong *Error
+			var protocolErr *Error
 			switch {
-			case errors.As(err, &wrong):
-				status = wrong.Status
+			case errors.As(err, &protocolErr):
+				status = protocolErr.Status
 			case errors.Is(err, io.ErrUnexpectedEOF):
 				status = -1
 			case err != nil:
@@ -84,7 +84,7 @@
 	}
 }
 
-// Messages follow one another on a connection, whatever their framing.
+// Messages follow each other on a connection, whatever their framing.
 func TestResponsesInARow(t *testing.T) {
 	stream := crlf("HTTP/1.1 100 Continue\n\nHTTP/1.1 202 Accepted\nContent-Length: 0\n\n" +
 		"HTTP/1.1 503 No\nTransfer-Encoding: chunked\n\n1\na\n0\n\nHTTP/1.1 204 No Content\n\n" +
@@ -109,7 +109,7 @@
 	}
 }
 
-// A stream of chunks that goes on past every limit on a single message.
+// A stream of chunks may exceed every limit of a single message.
 func TestEndlessChunks(t *testing.T) {
 	const n = 40
 	chunk := crlf("1000\n" + strings.Repeat("a", 0x1000) + "\n")
@@ -140,28 +140,30 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r, err := NewReader(bytes.NewReader(data)).Request()
 		if err == nil && (len(r.Body) > MaxBody || r.Target[0] != '/') {
-			t.Errorf("taken: %+v", r)
+			t.Errorf("accepted: %+v", r)
 		}
 	})
 }
 
-// A length that is only announced must cost no memory: there may be hundreds.
+// A length that is only announced must not allocate memory: hundreds of requests may announce one.
 func TestAnnouncedLengthCostsNothing(t *testing.T) {
 	text := crlf("POST / HTTP/1.1\nContent-Length: 65536\n\nab")
 	got := testing.Benchmark(func(b *testing.B) {
 		for range b.N {
-			NewReader(strings.NewReader(text)).Request()
+			if _, err := NewReader(strings.NewReader(text)).Request(); err == nil {
+				t.Error("a request without its body is read")
+			}
 		}
 	}).AllocedBytesPerOp()
 	if got > MaxBody/4 {
-		t.Errorf("%d bytes for a request that never came", got)
+		t.Errorf("%d bytes allocated for a request that never arrived", got)
 	}
 }
 
-// Interim responses are passed over, but not without end.
+// Interim responses are skipped, but only a limited number of them.
 func TestInterimResponsesEnd(t *testing.T) {
 	const interim, final = "HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n"
-	for n, ok := range map[int]bool{0: true, mostInterim: true, mostInterim + 1: false} {
+	for n, ok := range map[int]bool{0: true, maxInterimResponses: true, maxInterimResponses + 1: false} {
 		r, err := NewReader(strings.NewReader(strings.Repeat(interim, n) + final)).Response()
 		if (err == nil) != ok || ok && r.Status != 202 {
 			t.Errorf("%d interim responses: %v, %v", n, r, err)
--- a/internal/modelcheck/actions.go
+++ b/internal/modelcheck/actions.go
@@ -501,7 +501,7 @@
 		if !w.workers[r.worker].down {
 			w.spend(Refuse)
 		}
-		_, e := r.link.WriteEnded(true, true)
+		_, e := r.link.WriteEnded(connstate.ConnectRefused)
 		w.endRoute(i, e)
 	case Arrive:
 		w.arrive(i, a.B)
@@ -548,7 +548,7 @@
 	if q := &w.requests[r.id]; q.last == r.attempt && q.stage == stageConnecting {
 		q.stage = stageWritten
 	}
-	if _, e := r.link.WriteEnded(false, false); e != nil {
+	if _, e := r.link.WriteEnded(connstate.WriteComplete); e != nil {
 		w.endRoute(i, e)
 	}
 }
@@ -639,7 +639,7 @@
 	switch a.Kind {
 	case WithdrawArrives:
 		if w.workers[wd.worker].down {
-			_, e = wd.link.WriteEnded(true, true)
+			_, e = wd.link.WriteEnded(connstate.ConnectRefused)
 			break
 		}
 		if j := w.jobOf(wd.id, wd.worker); j >= 0 {
@@ -648,11 +648,11 @@
 		wd.phase = replied
 		return
 	case WithdrawAnswered:
-		wd.link.WriteEnded(false, false)
+		wd.link.WriteEnded(connstate.WriteComplete)
 		_, e = wd.link.Answered(connstate.Answer{Status: 200})
 	case WithdrawBreaks:
 		w.spend(Break)
-		wd.link.WriteEnded(false, false)
+		wd.link.WriteEnded(connstate.WriteComplete)
 		_, e = wd.link.ReadEnded()
 	}
 	w.dropWithdraw(i)
@@ -732,7 +732,7 @@
 	w.now = max(w.now, due)
 	for i := range w.routes {
 		if r := &w.routes[i]; r.phase == connecting && r.writeBy <= w.now {
-			_, e := r.link.WriteEnded(true, false)
+			_, e := r.link.WriteEnded(connstate.WriteFailed)
 			w.endRoute(i, e)
 			return
 		}
--- a/internal/modelcheck/mutants/connstate_mutants.go
+++ b/internal/modelcheck/mutants/connstate_mutants.go
@@ -4,17 +4,17 @@
 var connstateMutants = []Fault{
 	{
 		Name: "reset-never-ran", World: "attempt",
-		About: "a connection that broke after the last byte counts as one that never came up",
+		About: "a connection that breaks after the last byte counts as one that never connected",
 		Want: "runs-as-allowed" +
 			" honest-answers" +
 			" one-attempt-outstanding" +
 			" called-back",
-		File: links,
+		File: connection,
 		Edits: []string{
-			"\tcase l.Written:\n" +
-				"\t\treturn l.lose(dispatch.Reset, false)",
-			"\tcase l.Written:\n" +
-				"\t\treturn l.lose(dispatch.ConnectFailed, false)",
+			"\tcase c.Written:\n" +
+				"\t\treturn c.end(dispatch.Reset, false)",
+			"\tcase c.Written:\n" +
+				"\t\treturn c.end(dispatch.ConnectFailed, false)",
 		},
 	},
 	{
@@ -22,21 +22,21 @@
 		About: "a worker's 500 counts as turned away",
 		Want: "runs-as-allowed" +
 			" honest-answers",
-		File: links,
+		File: connection,
 		Edits: []string{
-			"scheduler.AttemptEnded{Attempt: l.Attempt, Outcome: dispatch.Failed,",
-			"scheduler.AttemptEnded{Attempt: l.Attempt, Outcome: dispatch.AtCapacity,",
+			"scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: dispatch.Failed,",
+			"scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: dispatch.AtCapacity,",
 		},
 	},
 	{
 		Name: "broken-delete-heard", World: "attempt",
-		About: "a withdrawal that breaks off counts as heard",
+		About: "a cancellation whose connection breaks counts as acknowledged",
 		Want: "called-back" +
 			" one-attempt-outstanding",
-		File: links,
+		File: connection,
 		Edits: []string{
-			"scheduler.CancellationResult{Attempt: l.Attempt, Acknowledged: gone}",
-			"scheduler.CancellationResult{Attempt: l.Attempt, Acknowledged: true}",
+			"scheduler.CancellationResult{Attempt: c.Attempt, Acknowledged: processExited}",
+			"scheduler.CancellationResult{Attempt: c.Attempt, Acknowledged: true}",
 		},
 	},
 }
--- a/internal/modelcheck/mutants/mutants.go
+++ b/internal/modelcheck/mutants/mutants.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	reducer = "internal/scheduler/scheduler.go"
-	links   = "internal/connstate/link.go"
-	module  = "internal/dispatch/dispatcher.go"
+	reducer    = "internal/scheduler/scheduler.go"
+	connection = "internal/connstate/connstate.go"
+	module     = "internal/dispatch/dispatcher.go"
 )
 
 // Faults are all faults.
--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -163,10 +163,10 @@
 			"if k := s.byAttempt[e.Attempt]; k != nil {\n" +
 				"\t\t\tif e.Outcome == dispatch.Reset && !k.accepted {",
 		},
-		And: &Fault{File: links, Edits: []string{
-			"\tl.Busy = false\n" +
+		And: &Fault{File: connection, Edits: []string{
+			"\tc.Busy = false\n" +
 				"\tnext := Idle",
-			"\tl.Busy = a.Status == 202\n" +
+			"\tc.Busy = a.Status == 202\n" +
 				"\tnext := Idle",
 		}},
 	},
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -219,7 +219,7 @@
 }
 
 func (n *Node) linkWrote(m wrote) error {
-	next, e := m.conn.WriteEnded(m.err != nil, errors.Is(m.err, syscall.ECONNREFUSED))
+	next, e := m.conn.WriteEnded(writeResult(m.err))
 	if end, is := e.(scheduler.AttemptEnded); is && (m.err == errLeaves || m.err == errUnheard || m.err == errNobody) {
 		n.log.Info("an attempt turned back", "txn", m.conn.id, "worker", m.conn.addr, "why", m.err)
 		end.Outcome = dispatch.NotSent // the worker is not at fault
@@ -233,6 +233,16 @@
 	return n.linkNext(m.conn, next, e, m.err)
 }
 
+func writeResult(err error) connstate.WriteResult {
+	switch {
+	case err == nil:
+		return connstate.WriteComplete
+	case errors.Is(err, syscall.ECONNREFUSED):
+		return connstate.ConnectRefused
+	}
+	return connstate.WriteFailed
+}
+
 // noRoom tells whether a worker lacks room for a connection: it turns one down at once while
 // others of ours stand. A process that is gone would have reset those, and a machine that is
 // gone turns nothing down. Lack of room is no sickness: the worker is not set aside for it.
