--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -478,7 +478,7 @@
 	if c.Cancel {
 		c.writing = true
 		n.countJobMessage(cancelBytes)
-		c.WriteEnded(false, false)
+		c.WriteEnded(connstate.WriteComplete)
 		f.network.send(n.zone, c.worker.zone, cancelBytes, func() {
 			c.worker.deliver(func() {
 				switch {
@@ -510,7 +510,7 @@
 	bytes := requestBytes
 	n.countJobMessage(bytes)
 	req.outstanding++
-	if next, e := c.WriteEnded(false, false); e != nil {
+	if next, e := c.WriteEnded(connstate.WriteComplete); e != nil {
 		c.finish(next, e)
 	}
 	life := c.incarnation
@@ -533,7 +533,11 @@
 
 // writeFailed tells that the errand's last byte did not get out.
 func (c *conn) writeFailed(refused bool, o dispatch.Outcome) {
-	next, e := c.WriteEnded(true, refused)
+	result := connstate.WriteFailed
+	if refused {
+		result = connstate.ConnectRefused
+	}
+	next, e := c.WriteEnded(result)
 	if end, is := e.(scheduler.AttemptEnded); is {
 		if o == dispatch.ConnectFailed && refused && c.node.workerAtCapacity(c) {
 			o = dispatch.AtCapacity
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"dahliaford/internal/connstate"
 	"dahliaford/internal/dispatch"
 	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
@@ -109,7 +110,7 @@
 	idle := func() *conn {
 		c := &conn{node: n, worker: w, connected: true, idleSince: f.now}
 		c.Assign(1, false)
-		c.WriteEnded(false, false)
+		c.WriteEnded(connstate.WriteComplete)
 		c.Busy = false
 		n.openConns++
 		n.idleConns[w] = append(n.idleConns[w], c)
--- a/internal/modelcheck/mutants/connstate_mutants.go
+++ b/internal/modelcheck/mutants/connstate_mutants.go
@@ -4,17 +4,17 @@
 var connstateMutants = []Mutant{
 	{
 		Name: "reset-never-ran", World: "attempt",
-		About: "a connection that broke after the last byte counts as one that never came up",
+		About: "a connection that breaks after the last byte counts as one that never connected",
 		Violates: "runs-as-allowed" +
 			" honest-answers" +
 			" one-attempt-outstanding" +
 			" called-back",
 		Patches: []Patch{
 			{File: connStateFile,
-				Old: "\tcase l.Written:\n" +
-					"\t\treturn l.lose(dispatch.Reset, false)",
-				New: "\tcase l.Written:\n" +
-					"\t\treturn l.lose(dispatch.ConnectFailed, false)",
+				Old: "\tcase c.Written:\n" +
+					"\t\treturn c.end(dispatch.Reset, false)",
+				New: "\tcase c.Written:\n" +
+					"\t\treturn c.end(dispatch.ConnectFailed, false)",
 			},
 		},
 	},
@@ -25,20 +25,20 @@
 			" honest-answers",
 		Patches: []Patch{
 			{File: connStateFile,
-				Old: "scheduler.AttemptEnded{Attempt: l.Attempt, Outcome: dispatch.Failed,",
-				New: "scheduler.AttemptEnded{Attempt: l.Attempt, Outcome: dispatch.AtCapacity,",
+				Old: "scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: dispatch.Failed,",
+				New: "scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: dispatch.AtCapacity,",
 			},
 		},
 	},
 	{
 		Name: "broken-delete-heard", World: "attempt",
-		About: "a withdrawal that breaks off counts as heard",
+		About: "a cancellation whose connection breaks counts as acknowledged",
 		Violates: "called-back" +
 			" one-attempt-outstanding",
 		Patches: []Patch{
 			{File: connStateFile,
-				Old: "scheduler.CancellationResult{Attempt: l.Attempt, Acknowledged: gone}",
-				New: "scheduler.CancellationResult{Attempt: l.Attempt, Acknowledged: true}",
+				Old: "scheduler.CancellationResult{Attempt: c.Attempt, Acknowledged: processExited}",
+				New: "scheduler.CancellationResult{Attempt: c.Attempt, Acknowledged: true}",
 			},
 		},
 	},
--- a/internal/modelcheck/mutants/mutants.go
+++ b/internal/modelcheck/mutants/mutants.go
@@ -35,7 +35,7 @@
 // The files that most patches change.
 const (
 	schedulerFile  = "internal/scheduler/scheduler.go"
-	connStateFile  = "internal/connstate/link.go"
+	connStateFile  = "internal/connstate/connstate.go"
 	dispatcherFile = "internal/dispatch/dispatcher.go"
 )
 
--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -176,9 +176,9 @@
 					"\t\t\tif e.Outcome == dispatch.Reset && !k.accepted {",
 			},
 			{File: connStateFile,
-				Old: "\tl.Busy = false\n" +
+				Old: "\tc.Busy = false\n" +
 					"\tnext := Idle",
-				New: "\tl.Busy = a.Status == 202\n" +
+				New: "\tc.Busy = a.Status == 202\n" +
 					"\tnext := Idle",
 			},
 		},
