--- a/client/internal/plan/world_test.go
+++ b/client/internal/plan/model_test.go
@@ -11,48 +11,47 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// world is one desk with a few jobs, two schedulers and a network that loses: the plan that
-// serves, not a copy, in every order of what may happen to each try. The schedulers drop
-// repeats of a key as the class promises.
+// world is one client with a few jobs, two schedulers and a lossy network: the real plan, not a copy, in every
+// order of what may happen to each attempt. The schedulers drop duplicates of a key as the class promises.
 type world struct {
-	cfg  Config
-	plan *Plan
-	now  time.Time
-	jobs []life
-	down [2]bool
-	left int // faults that may still happen
-	// misjudge says what the desk takes a proof for; nil: for what it is. Planted faults.
-	misjudge func(Outcome) Outcome
+	cfg    Config
+	plan   *Plan
+	now    time.Time
+	jobs   []jobState
+	down   [2]bool
+	faults int // that may still happen
+	// misread returns the outcome that the client takes an outcome for; nil: itself. It injects a fault.
+	misread func(Outcome) Outcome
 }
 
-// life is a job, and what the schedulers saw of it.
-type life struct {
-	job      *Job
-	class    int
-	deadline time.Time
-	begun    bool
-	step     Step
-	began    time.Time
-	tries    int
-	inside   bool // a scheduler has the present try
-	runs     int
-	ranAt    time.Time // when it ran first
-	racks    [2]bool   // where it ran
-	broke    string
+// jobState is a job, and what happened to it at the schedulers.
+type jobState struct {
+	job       *Job
+	class     int
+	deadline  time.Time
+	begun     bool
+	step      Step
+	began     time.Time
+	attempts  int
+	read      bool // a scheduler has the current attempt
+	runs      int
+	ranAt     time.Time // when it first ran
+	racks     [2]bool   // where it ran
+	violation string
 }
 
-const mostFaults = 4
+const maxFaults = 4
 
 func newWorld(class int, jobs int) *world {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Schedulers, cfg.RetryBudget, cfg.MaxTokens = 2, 1, 10
 	p, err := New(cfg, 1)
 	if err != nil {
 		panic(err)
 	}
-	w := &world{cfg: cfg, plan: p, now: start, left: mostFaults}
+	w := &world{cfg: cfg, plan: p, now: start, faults: maxFaults}
 	for range jobs {
-		w.jobs = append(w.jobs, life{class: class, deadline: start.Add(1200 * time.Millisecond)})
+		w.jobs = append(w.jobs, jobState{class: class, deadline: start.Add(1200 * time.Millisecond)})
 	}
 	return w
 }
@@ -60,8 +59,8 @@
 func (w *world) clone() *world {
 	c := *w
 	p := *w.plan
-	p.scheds = slices.Clone(p.scheds)
-	// Chance must not tell apart two states that act alike.
+	p.schedulers = slices.Clone(p.schedulers)
+	// Random numbers must not distinguish two states that behave alike.
 	p.random = rand.New(rand.NewPCG(7, uint64(w.now.Sub(start))))
 	c.plan = &p
 	c.jobs = slices.Clone(w.jobs)
@@ -83,22 +82,22 @@
 	fault          bool
 }
 
-// The ends that a try may have. Before: no scheduler has read it.
-var before = []event{
+// How an attempt may end before a scheduler has read it.
+var beforeRead = []event{
 	{what: "half written", end: AttemptResult{Outcome: NotSent}, fault: true},
-	{what: "the close crosses", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
-	{what: "lost on the way", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
-	{what: "no room", end: AttemptResult{Outcome: ClientLimited}, fault: true},
-	{what: "parted", end: AttemptResult{Outcome: IdleClosed}, fault: true},
+	{what: "a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{what: "no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
+	{what: "no connection allowed", end: AttemptResult{Outcome: ClientLimited}, fault: true},
+	{what: "idle connections closed", end: AttemptResult{Outcome: IdleClosed}, fault: true},
 }
 
-// Inside: a scheduler has it. Those with runs let it run, unless the key was seen.
-var inside = []event{
+// How an attempt may end after a scheduler has read it. Those with "runs" let it run, unless it is a duplicate.
+var afterRead = []event{
 	{what: "runs, served", end: AttemptResult{Status: 200}},
 	{what: "runs, fails", end: AttemptResult{Status: 500}, fault: true},
-	{what: "runs, the answer is lost", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
-	{what: "runs, dies on a kept connection", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
-	{what: "runs, garbage", end: AttemptResult{Outcome: Malformed}, fault: true},
+	{what: "runs, no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
+	{what: "runs, a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{what: "runs, a malformed response", end: AttemptResult{Outcome: Malformed}, fault: true},
 	{what: "refused", end: AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 100 * time.Millisecond}, fault: true},
 	{what: "refused, closing", end: AttemptResult{Status: 503, ConnectionClose: true}, fault: true},
 	{what: "invalid", end: AttemptResult{Status: 400}, fault: true},
@@ -106,7 +105,7 @@
 
 func (w *world) events() (all []event) {
 	add := func(e event) {
-		if !e.fault || w.left > 0 {
+		if !e.fault || w.faults > 0 {
 			all = append(all, e)
 		}
 	}
@@ -118,31 +117,31 @@
 		case l.step.Verdict != Pending:
 		case !l.step.StartNow:
 			add(event{job: i, what: "its wait ends"})
-		case l.inside:
-			for _, e := range inside {
+		case l.read:
+			for _, e := range afterRead {
 				e.job = i
 				add(e)
 			}
 		case w.down[l.step.Scheduler]:
-			add(event{job: i, what: "nobody listens", end: AttemptResult{Outcome: ConnectFailed}})
+			add(event{job: i, what: "refuses the connection", end: AttemptResult{Outcome: ConnectFailed}})
 		default:
 			add(event{job: i, what: "is read"})
-			for _, e := range before {
+			for _, e := range beforeRead {
 				e.job = i
 				add(e)
 			}
 		}
 		if l.begun && l.step.Verdict == Pending {
-			add(event{job: i, what: "its caller leaves", fault: true})
+			add(event{job: i, what: "its caller cancels", fault: true})
 		}
 	}
 	for s := range w.down {
-		add(event{scheduler: s, what: map[bool]string{false: "goes", true: "comes"}[w.down[s]], fault: !w.down[s]})
+		add(event{scheduler: s, what: map[bool]string{false: "stops", true: "starts"}[w.down[s]], fault: !w.down[s]})
 	}
 	return all
 }
 
-// Steps implements explore.Model.
+// Steps implements modelcheck.Model.
 func (w *world) Steps() (names []string) {
 	for _, e := range w.events() {
 		names = append(names, fmt.Sprintf("job %d, scheduler %d: %s", e.job, e.scheduler, e.what))
@@ -150,17 +149,17 @@
 	return names
 }
 
-// Step implements explore.Model.
+// Step implements modelcheck.Model.
 func (w *world) Step(i int) *world {
 	e := w.events()[i]
 	w = w.clone()
 	if e.fault {
-		w.left--
+		w.faults--
 	}
 	l := &w.jobs[e.job]
 	switch e.what {
-	case "goes", "comes":
-		w.down[e.scheduler] = e.what == "goes"
+	case "stops", "starts":
+		w.down[e.scheduler] = e.what == "stops"
 	case "begins":
 		l.begun = true
 		var s Step
@@ -169,27 +168,27 @@
 	case "its wait ends":
 		w.now = latest(w.now, l.step.At)
 		w.take(l, w.plan.Start(w.now, l.job))
-	case "its caller leaves":
+	case "its caller cancels":
 		w.plan.Cancel(l.job)
-		l.step, l.inside = Step{Verdict: Unknown}, false
+		l.step, l.read = Step{Verdict: Unknown}, false
 	case "is read":
-		l.inside = true
+		l.read = true
 	default:
-		if l.inside && (e.end.Outcome != Answered || e.end.Status == 200 || e.end.Status == 500) {
+		if l.read && (e.end.Outcome != Answered || e.end.Status == 200 || e.end.Status == 500) {
 			w.run(l)
 		}
-		l.inside = false
+		l.read = false
 		w.now = w.now.Add(10*time.Millisecond + e.after)
-		if w.misjudge != nil {
-			e.end.Outcome = w.misjudge(e.end.Outcome)
+		if w.misread != nil {
+			e.end.Outcome = w.misread(e.end.Outcome)
 		}
 		w.take(l, w.plan.AttemptEnded(w.now, l.began, l.job, e.end))
 	}
 	return w
 }
 
-// run lets a job run at a scheduler, which drops a repeat as its class promises.
-func (w *world) run(l *life) {
+// run lets a job run at a scheduler, which drops a duplicate as the job's class promises.
+func (w *world) run(l *jobState) {
 	at := l.step.Scheduler
 	class := w.cfg.Classes[l.class]
 	switch {
@@ -204,28 +203,28 @@
 	l.racks[at] = true
 }
 
-// take notes what the plan wants next, and what is wrong with it.
-func (w *world) take(l *life, s Step) {
+// take records what the plan wants next, and what is invalid about it.
+func (w *world) take(l *jobState, s Step) {
 	l.step = s
 	switch {
 	case s.Verdict == Pending && s.StartNow:
-		l.tries++
+		l.attempts++
 		l.began = w.now
 		if !w.now.Before(l.deadline) {
-			l.broke = "a try starts past the deadline"
+			l.violation = "an attempt starts past the deadline"
 		}
 	case s.Verdict == Pending:
 		if !s.At.Before(l.deadline) || s.At.Before(w.now) {
-			l.broke = fmt.Sprint("it waits until ", s.At.Sub(start))
+			l.violation = fmt.Sprint("it waits until ", s.At.Sub(start))
 		}
 	case (s.Verdict == Refused || s.Verdict == Expired) && l.runs > 0:
-		l.broke = fmt.Sprint("verdict ", s.Verdict, " though it ran")
+		l.violation = fmt.Sprint("verdict ", s.Verdict, " though it ran")
 	case s.Verdict == Served && l.runs == 0:
-		l.broke = "served though it never ran"
+		l.violation = "served though it never ran"
 	}
 }
 
-// Check implements explore.Model.
+// Check implements modelcheck.Model.
 func (w *world) Check() error {
 	open := 0
 	for i := range w.jobs {
@@ -234,19 +233,19 @@
 			open++
 		}
 		switch {
-		case l.broke != "":
-			return fmt.Errorf("job %d: %s", i, l.broke)
+		case l.violation != "":
+			return fmt.Errorf("job %d: %s", i, l.violation)
 		case l.runs > 1 && w.cfg.Classes[l.class].Effect != Safe:
 			return fmt.Errorf("job %d ran %d times", i, l.runs)
 		}
 	}
 	if w.plan.InFlight() != open {
-		return fmt.Errorf("%d tries are under way, the plan counts %d", open, w.plan.InFlight())
+		return fmt.Errorf("%d attempts are in flight, the plan counts %d", open, w.plan.InFlight())
 	}
 	return nil
 }
 
-// AppendState implements explore.Model.
+// AppendState implements modelcheck.Model.
 func (w *world) AppendState(b []byte) []byte {
 	num := func(n int64) { b = binary.AppendVarint(b, n) }
 	at := func(t time.Time) {
@@ -264,52 +263,51 @@
 		}
 	}
 	at(w.now)
-	num(int64(w.left))
+	num(int64(w.faults))
 	num(int64(w.plan.tokens * 100))
 	for i := range w.down {
-		s := &w.plan.scheds[i]
+		s := &w.plan.schedulers[i]
 		flag(w.down[i])
-		num(int64(s.open))
-		num(int64(s.fails))
-		num(int64(s.refuses * 1000))
-		num(int64(s.ejected))
-		at(s.until)
-		flag(s.trial)
+		num(int64(s.inFlight))
+		num(int64(s.consecutiveFailures))
+		num(int64(s.refusalRate * 1000))
+		num(int64(s.ejection))
+		at(s.ejectedUntil)
+		flag(s.probing)
 	}
 	for i := range w.jobs {
 		l := &w.jobs[i]
 		flag(l.begun)
-		flag(l.inside)
+		flag(l.read)
 		num(int64(l.runs))
 		at(l.ranAt)
 		at(l.began)
 		flag(l.racks[0])
 		flag(l.racks[1])
-		b = append(b, l.broke...)
+		b = append(b, l.violation...)
 		num(int64(l.step.Verdict))
 		flag(l.step.StartNow)
 		num(int64(l.step.Scheduler))
 		at(l.step.At)
 		if j := l.job; j != nil {
-			num(int64(j.tries))
-			at(j.first)
-			num(int64(j.at))
-			flag(j.running)
-			num(int64(j.end))
-			flag(j.over)
+			num(int64(j.attempts))
+			at(j.firstMayHaveRun)
+			num(int64(j.scheduler))
+			flag(j.inFlight)
+			num(int64(j.fallback))
+			flag(j.done)
 		}
 	}
 	return b
 }
 
-// Every order of what may happen to one job, and to two at once with fewer faults: nothing
-// runs twice that must not, a refusal is only told of what did not run, no try starts past
-// its deadline, and nothing stays open.
+// Every order of what may happen to one job, and to two at once with fewer faults: nothing runs twice that must not,
+// only what did not run is called refused, no attempt starts past its deadline, and nothing stays in flight.
 func TestEveryOrder(t *testing.T) {
 	for class, name := range []string{"once", "rack", "anywhere", "safe"} {
 		one := newWorld(class, 1)
 		two := newWorld(class, 2)
-		two.left = 2
+		two.faults = 2
 		for _, w := range []*world{one, two} {
 			tour := modelcheck.Exhaust(w, 3_000_000)
 			if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
@@ -320,23 +318,23 @@
 	}
 }
 
-// A desk that takes one end of a try for another is found out.
-func TestMisjudgedEndsAreFound(t *testing.T) {
+// A client that takes one outcome for another violates a property.
+func TestMisjudgedOutcomesAreFound(t *testing.T) {
 	for _, c := range []struct {
 		class      int
 		was, taken Outcome
 	}{
-		{post, ReusedClosed, ConnectFailed}, // a kept connection that ended, taken for nobody listening
-		{post, ReusedClosed, NotSent},
-		{post, NoResponse, NotSent},
-		{batch, Malformed, ClientLimited},
-		{keyed, NoResponse, NotSent}, // beyond its window
+		{onceClass, ReusedClosed, ConnectFailed}, // a reused connection that closed, taken for a refused one
+		{onceClass, ReusedClosed, NotSent},
+		{onceClass, NoResponse, NotSent},
+		{rackClass, Malformed, ClientLimited},
+		{anywhereClass, NoResponse, NotSent}, // beyond its window
 	} {
 		w := newWorld(c.class, 1)
 		w.cfg.Classes = slices.Clone(w.cfg.Classes)
 		w.plan.cfg.Classes = w.cfg.Classes
-		w.cfg.Classes[keyed].Window = 200 * time.Millisecond
-		w.misjudge = func(p Outcome) Outcome {
+		w.cfg.Classes[anywhereClass].Window = 200 * time.Millisecond
+		w.misread = func(p Outcome) Outcome {
 			if p == c.was {
 				return c.taken
 			}
