--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -1,5 +1,17 @@
 package mutants
 
+// The files of the reducer but for schedulerFile.
+const (
+	attemptsFile      = "internal/scheduler/attempts.go"
+	callbacksFile     = "internal/scheduler/callbacks.go"
+	cancellationsFile = "internal/scheduler/cancellations.go"
+	endpointsFile     = "internal/scheduler/endpoints.go"
+	recoveryFile      = "internal/scheduler/recovery.go"
+	requestsFile      = "internal/scheduler/requests.go"
+	shutdownFile      = "internal/scheduler/shutdown.go"
+	workersFile       = "internal/scheduler/workers.go"
+)
+
 // schedulerMutants are the mutants of the reducer.
 var schedulerMutants = []Mutant{
 	{
@@ -10,9 +22,9 @@
 			" runs-as-allowed" +
 			" called-back",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "if k.ended || k.worker.UID != e.From {",
-				New: "if k.ended {",
+			{File: callbacksFile,
+				Old: "if a.ended || a.worker.UID != e.From {",
+				New: "if a.ended {",
 			},
 		},
 	},
@@ -24,9 +36,9 @@
 			" runs-as-allowed" +
 			" called-back",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "s.endTold(k, dispatch.HandedBack, e.Report)",
-				New: "s.endTold(k, dispatch.AtCapacity, e.Report)",
+			{File: callbacksFile,
+				Old: "s.endByCallback(a, dispatch.HandedBack, e.Report)",
+				New: "s.endByCallback(a, dispatch.AtCapacity, e.Report)",
 			},
 		},
 	},
@@ -35,11 +47,11 @@
 		About:    "a give-up is not sent",
 		Violates: "called-back",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "\t\ts.emit(CloseConnection{Attempt: k.number})\n" +
+			{File: cancellationsFile,
+				Old: "\t\ts.emit(CloseConnection{Attempt: a.id})\n" +
 					"\t}\n" +
-					"\ts.recall(k)\n",
-				New: "\t\ts.emit(CloseConnection{Attempt: k.number})\n" +
+					"\ts.startCancellation(a)\n",
+				New: "\t\ts.emit(CloseConnection{Attempt: a.id})\n" +
 					"\t}\n",
 			},
 		},
@@ -49,8 +61,8 @@
 		About:    "a give-up that does not get through is not sent again",
 		Violates: "called-back",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "if s.now+wait >= c.until {",
+			{File: cancellationsFile,
+				Old: "if s.now+wait >= c.giveUpAt {",
 				New: "if true {",
 			},
 		},
@@ -63,8 +75,8 @@
 			" attempts-capped" +
 			" honest-answers",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "\t\ts.used.add(e.ID)\n",
+			{File: requestsFile,
+				Old: "\ts.usedIDs.add(e.ID)\n",
 				New: "",
 			},
 		},
@@ -74,11 +86,11 @@
 		About:    "a served answer is not marked as given",
 		Violates: "one-final-answer",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "\t\ts.answer(t, Answer{Verdict: Served, Body: e.Result})\n" +
-					"\t\ts.endTold(",
-				New: "\t\ts.emit(Answer{Caller: t.caller, Verdict: Served, Body: e.Result})\n" +
-					"\t\ts.endTold(",
+			{File: callbacksFile,
+				Old: "\t\ts.answer(r, Answer{Verdict: Served, Body: e.Result})\n" +
+					"\t\ts.endByCallback(",
+				New: "\t\ts.emit(Answer{Caller: r.caller, Verdict: Served, Body: e.Result})\n" +
+					"\t\ts.endByCallback(",
 			},
 		},
 	},
@@ -87,8 +99,8 @@
 		About:    "a repeat does not wait until the first copy is called back",
 		Violates: "one-attempt-outstanding",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "\tif s.recalling(t) {\n" +
+			{File: attemptsFile,
+				Old: "\tif s.cancelling(r) {\n" +
 					"\t\t// A worker",
 				New: "\tif false {\n" +
 					"\t\t// A worker",
@@ -100,9 +112,9 @@
 		About:    "a worker that drains counts as ready",
 		Violates: "drains-kept",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "Kind: s.kinds.of(r.Kind), Status: r.Status,",
-				New: "Kind: s.kinds.of(r.Kind), Status: max(r.Status, 1) % 2 * r.Status + r.Status / 2,",
+			{File: workersFile,
+				Old: "Kind: s.kinds.indexOf(w.Kind), Status: w.Status,",
+				New: "Kind: s.kinds.indexOf(w.Kind), Status: max(w.Status, 1) % 2 * w.Status + w.Status / 2,",
 			},
 		},
 	},
@@ -111,7 +123,7 @@
 		About:    "a stopping scheduler ends while somebody waits",
 		Violates: "one-final-answer",
 		Patches: []Patch{
-			{File: schedulerFile,
+			{File: shutdownFile,
 				Old: "if len(s.byCaller) == 0 && (",
 				New: "if (",
 			},
@@ -125,8 +137,8 @@
 			" called-back" +
 			" honest-answers",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "\tdelete(s.byAttempt, k.number)\n",
+			{File: attemptsFile,
+				Old: "\tdelete(s.byAttempt, a.id)\n",
 				New: "",
 			},
 		},
@@ -137,13 +149,13 @@
 		Violates: "one-final-answer" +
 			" ends",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "\t\ts.answer(t, Answer{Verdict: Failed})\n" +
+			{File: recoveryFile,
+				Old: "\t\ts.answer(r, Answer{Verdict: Failed})\n" +
 					"\t}\n" +
-					"\tfor _, k",
-				New: "\t\ts.settle(t)\n" +
+					"\tfor _, a",
+				New: "\t\ts.complete(r)\n" +
 					"\t}\n" +
-					"\tfor _, k",
+					"\tfor _, a",
 			},
 		},
 	},
@@ -152,10 +164,10 @@
 		About:    "a panic leaves jobs at workers that nobody calls back",
 		Violates: "called-back",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "\t\ts.callBack(k)\n" +
-					"\t\ts.forget(k)\n",
-				New: "\t\ts.forget(k)\n",
+			{File: recoveryFile,
+				Old: "\t\ts.cancelAttempt(a)\n" +
+					"\t\ts.removeAttempt(a)\n",
+				New: "\t\ts.removeAttempt(a)\n",
 			},
 		},
 	},
@@ -169,11 +181,15 @@
 			" nothing-leaks" +
 			" called-back",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "if k := s.byAttempt[e.Attempt]; k != nil && !k.accepted {\n" +
-					"\t\t\tif e.Outcome == dispatch.Reset {",
-				New: "if k := s.byAttempt[e.Attempt]; k != nil {\n" +
-					"\t\t\tif e.Outcome == dispatch.Reset && !k.accepted {",
+			{File: attemptsFile,
+				Old: "if a == nil || a.accepted {\n" +
+					"\t\treturn\n" +
+					"\t}\n" +
+					"\tif e.Outcome == dispatch.Reset {",
+				New: "if a == nil {\n" +
+					"\t\treturn\n" +
+					"\t}\n" +
+					"\tif e.Outcome == dispatch.Reset && !a.accepted {",
 			},
 			{File: connStateFile,
 				Old: "\tc.Busy = false\n" +
@@ -188,13 +204,13 @@
 		About:    "an attempt that timed out is not called back where cancelling is forbidden",
 		Violates: "called-back",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "\t\t\t\ts.callBack(k)\n" +
-					"\t\t\t\ts.end(k, dispatch.TimedOut",
-				New: "\t\t\t\tif s.set.Dispatch.CancelAllowed {\n" +
-					"\t\t\t\t\ts.callBack(k)\n" +
-					"\t\t\t\t}\n" +
-					"\t\t\t\ts.end(k, dispatch.TimedOut",
+			{File: attemptsFile,
+				Old: "\t\ts.cancelAttempt(a)\n" +
+					"\t\ts.endAttempt(a, dispatch.TimedOut",
+				New: "\t\tif s.settings.Dispatch.CancelAllowed {\n" +
+					"\t\t\ts.cancelAttempt(a)\n" +
+					"\t\t}\n" +
+					"\t\ts.endAttempt(a, dispatch.TimedOut",
 			},
 		},
 	},
@@ -203,9 +219,9 @@
 		About:    "an attempt leaves though its client left before, where cancelling is forbidden",
 		Violates: "leavers-spared",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "\t\ts.emit(CancelUnsent{Attempt: t.attempts[n-1].number})",
-				New: "\t\t_ = n",
+			{File: requestsFile,
+				Old: "\t\ts.emit(CancelUnsent{Attempt: r.lastAttempt().id})\n",
+				New: "",
 			},
 		},
 	},
@@ -214,9 +230,9 @@
 		About:    "a pushed list is trusted without a watch as long as one that is asked for",
 		Violates: "list-trusted",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "lost.Age = s.ageAt(e.ValidUntil)",
-				New: "lost.Age = s.ageAt(max(e.ValidUntil, s.knownAt+s.set.Dispatch.PollInterval))",
+			{File: endpointsFile,
+				Old: "failed.Age = s.ageIfValidUntil(e.ValidUntil)",
+				New: "failed.Age = s.ageIfValidUntil(max(e.ValidUntil, s.listAsOf+s.settings.Dispatch.PollInterval))",
 			},
 		},
 	},
@@ -225,9 +241,9 @@
 		About:    "a list is trusted for the drain grace after its watch is lost, past a short ask_within",
 		Violates: "list-trusted",
 		Patches: []Patch{
-			{File: schedulerFile,
-				Old: "lost.Age = s.ageAt(e.ValidUntil)",
-				New: "lost.Age = s.ageAt(max(e.ValidUntil, s.now+s.set.DrainGrace))",
+			{File: endpointsFile,
+				Old: "failed.Age = s.ageIfValidUntil(e.ValidUntil)",
+				New: "failed.Age = s.ageIfValidUntil(max(e.ValidUntil, s.now+s.settings.DrainGrace))",
 			},
 		},
 	},
@@ -237,11 +253,11 @@
 		Violates: "one-attempt-outstanding",
 		Patches: []Patch{
 			{File: schedulerFile,
-				Old: "\ts.set.Dispatch.HedgingAllowed = false\n",
+				Old: "\ts.settings.Dispatch.HedgingAllowed = false\n",
 				New: "",
 			},
-			{File: schedulerFile,
-				Old: " || len(t.attempts) > 0 && !t.attempts[len(t.attempts)-1].ended {",
+			{File: attemptsFile,
+				Old: " || r.hasLiveAttempt() {",
 				New: " {",
 			},
 		},
--- /dev/null
+++ b/internal/scheduler/clone.go
@@ -0,0 +1,141 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+
+	"dahliaford/internal/dispatch"
+)
+
+// Clone, AppendState, InjectFault and Stats are what a model checker needs of the reducer: to copy a
+// state, to compare two, to make the dispatcher panic, and to see what is kept. The programs that
+// serve use none of them.
+
+// Clone copies the state between two events. Payloads are shared with the original.
+func (s *Scheduler) Clone() *Scheduler {
+	copied := *s
+	copied.effects, copied.dispatcherEvents = nil, nil
+	if s.dispatcher != nil {
+		copied.dispatcher = s.dispatcher.Clone()
+	}
+	c := cloner{from: s, to: &copied}
+	c.cloneWorkers()
+	c.cloneRequests()
+	copied.cancellationsByID = maps.Clone(s.cancellationsByID)
+	copied.usedIDs.current = maps.Clone(s.usedIDs.current)
+	copied.usedIDs.previous = maps.Clone(s.usedIDs.previous)
+	copied.zones, copied.kinds = slices.Clip(s.zones), slices.Clip(s.kinds)
+	copied.timers = slices.Clone(s.timers)
+	return &copied
+}
+
+// cloner copies the records of a scheduler with their links to each other.
+type cloner struct {
+	from, to *Scheduler
+	requests []requestCopy // few: a map would cost more than it saves
+}
+
+type requestCopy struct{ original, copied *request }
+
+func (c *cloner) cloneWorkers() {
+	from, to := c.from, c.to
+	to.workers = make(map[string]*worker, len(from.workers))
+	to.byNumber = make(map[dispatch.WorkerID]*worker, len(from.byNumber))
+	for uid, w := range from.workers {
+		copied := *w
+		to.workers[uid], to.byNumber[w.number] = &copied, &copied
+	}
+	to.pendingWorkers, to.removedWorkers = nil, nil
+	for _, w := range from.pendingWorkers {
+		if from.workers[w.UID] == w {
+			to.pendingWorkers = append(to.pendingWorkers, to.workers[w.UID])
+		}
+	}
+	for _, removed := range from.removedWorkers {
+		if w := removed.worker; from.workers[w.UID] == w {
+			to.removedWorkers = append(to.removedWorkers, removedWorker{to.workers[w.UID], removed.since})
+		}
+	}
+}
+
+func (c *cloner) cloneRequests() {
+	from, to := c.from, c.to
+	to.byCaller = make(map[CallerID]*request, len(from.byCaller))
+	to.byID = make(map[string]*request, len(from.byID))
+	to.byJob = make(map[dispatch.JobID]*request, len(from.byJob))
+	to.byAttempt = make(map[AttemptID]*attempt, len(from.byAttempt))
+	to.cancellations = make(map[AttemptID]*cancellation, len(from.cancellations))
+	for job, r := range from.byJob {
+		to.byJob[job] = c.request(r)
+	}
+	for caller, r := range from.byCaller {
+		to.byCaller[caller] = c.request(r)
+	}
+	for id, r := range from.byID {
+		to.byID[id] = c.request(r)
+	}
+	for id, a := range from.byAttempt {
+		to.byAttempt[id] = c.attempt(a)
+	}
+	for id, original := range from.cancellations {
+		copied := *original
+		copied.attempt = c.attempt(original.attempt)
+		to.cancellations[id] = &copied
+	}
+}
+
+// request is the copy of a request, made at the first call for it.
+func (c *cloner) request(r *request) *request {
+	for _, known := range c.requests {
+		if known.original == r {
+			return known.copied
+		}
+	}
+	copied := *r
+	c.requests = append(c.requests, requestCopy{r, &copied})
+	copied.attempts = make([]*attempt, len(r.attempts))
+	for i, a := range r.attempts {
+		copiedAttempt := *a
+		copiedAttempt.request, copiedAttempt.worker = &copied, c.to.byNumber[a.worker.number]
+		copied.attempts[i] = &copiedAttempt
+	}
+	return &copied
+}
+
+// attempt is the copy of an attempt.
+func (c *cloner) attempt(a *attempt) *attempt {
+	return c.request(a.request).attempts[slices.Index(a.request.attempts, a)]
+}
+
+// InjectFault makes the dispatcher panic at the next event that it gets.
+func (s *Scheduler) InjectFault() { s.dispatcher = nil }
+
+// Stats counts the records that are kept for requests, open or answered.
+type Stats struct {
+	Callers, IDs, Jobs, Attempts int // of open requests and of live attempts
+	Cancellations                int // that no worker has acknowledged
+	ReservedIDs                  int // request ids that are not accepted again
+	Timers                       int // other than the dispatcher's
+	DispatcherJobs               int // jobs that the dispatcher keeps
+}
+
+// Stats counts what is kept after the last event.
+func (s *Scheduler) Stats() Stats {
+	stats := Stats{
+		Callers:       len(s.byCaller),
+		IDs:           len(s.byID),
+		Jobs:          len(s.byJob),
+		Attempts:      len(s.byAttempt),
+		Cancellations: len(s.cancellations),
+		ReservedIDs:   len(s.usedIDs.current) + len(s.usedIDs.previous),
+	}
+	if s.dispatcher != nil {
+		stats.DispatcherJobs = s.dispatcher.Open()
+	}
+	for _, t := range s.timers {
+		if t.kind != dispatcherTimer {
+			stats.Timers++
+		}
+	}
+	return stats
+}
--- /dev/null
+++ b/internal/scheduler/dispatcher.go
@@ -0,0 +1,81 @@
+package scheduler
+
+import (
+	"slices"
+
+	"dahliaford/internal/dispatch"
+)
+
+// queueDispatcherEvent queues an event for the dispatcher behind the one that it works on.
+func (s *Scheduler) queueDispatcherEvent(e dispatch.Event) {
+	s.dispatcherEvents = append(s.dispatcherEvents, e)
+}
+
+// stepDispatcher passes an event to the dispatcher, carries out its actions, and goes on until these
+// lead to no further events. Called while the dispatcher works, it only queues the event.
+func (s *Scheduler) stepDispatcher(e dispatch.Event) {
+	s.queueDispatcherEvent(e)
+	if s.dispatching {
+		return
+	}
+	s.dispatching = true
+	for len(s.dispatcherEvents) > 0 {
+		next := s.dispatcherEvents[0]
+		s.dispatcherEvents = s.dispatcherEvents[1:]
+		for _, action := range s.dispatcher.Step(s.now, &next, nil) {
+			s.applyAction(&action)
+		}
+	}
+	s.dispatching = false
+}
+
+func (s *Scheduler) applyAction(action *dispatch.Action) {
+	switch action.Kind {
+	case dispatch.Send:
+		s.startAttempt(action)
+	case dispatch.Refuse:
+		if r := s.byJob[action.Job]; r != nil {
+			s.answer(r, Answer{Verdict: Refused, RetryAfter: action.Delay})
+		}
+	case dispatch.Fail:
+		if r := s.byJob[action.Job]; r != nil {
+			s.answer(r, Answer{Verdict: Failed})
+		}
+	case dispatch.Cancel:
+		s.cancelForDispatcher(action)
+	case dispatch.SetTimer:
+		s.addTimer(timer{at: s.now + action.Delay, kind: dispatcherTimer, id: action.Token})
+	case dispatch.WatchEndpoints:
+		s.watchForDispatcher()
+	case dispatch.Log:
+		s.log(action.Text)
+	}
+}
+
+// cancelForDispatcher cancels the attempt that the dispatcher names. It is found by the dispatcher's
+// number: an attempt that was suppressed has none here.
+func (s *Scheduler) cancelForDispatcher(action *dispatch.Action) {
+	r := s.byJob[action.Job]
+	if r == nil {
+		return
+	}
+	i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return a.ordinal == action.Attempt && !a.ended })
+	if i < 0 {
+		return
+	}
+	a := r.attempts[i]
+	s.cancelAttempt(a)
+	s.endAttempt(a, dispatch.Cancelled, dispatch.Report{})
+}
+
+// watchForDispatcher opens a watch of the worker list, if there is none. An open one shows by its
+// heartbeats that it is alive: another would only load discovery, so the dispatcher gets its answer
+// here.
+func (s *Scheduler) watchForDispatcher() {
+	if !s.watchOpen {
+		s.emit(OpenWatch{Addr: s.discoveryAddr, Rev: s.revision})
+		return
+	}
+	s.queueDispatcherEvent(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDelta,
+		Age: s.now - s.listAsOf})
+}
--- /dev/null
+++ b/internal/scheduler/endpoints.go
@@ -0,0 +1,156 @@
+package scheduler
+
+import (
+	"slices"
+
+	"dahliaford/internal/dispatch"
+)
+
+// reloadTimeout is how long after a new configuration the discovery that it names may take to answer
+// before the known list counts as stale.
+const reloadTimeout Micros = 4 * second
+
+// handleEndpoints takes an update of the worker list.
+func (s *Scheduler) handleEndpoints(e *EndpointsUpdated) {
+	if e.FromPreviousWatch {
+		s.applyDrains(e.List)
+		return
+	}
+	asOf := e.AsOf
+	if asOf == 0 {
+		asOf = s.now
+	}
+	s.watchOpen, s.listAsOf = true, asOf
+	scope := dispatch.UpdateDelta
+	if e.List.Complete {
+		scope = dispatch.UpdateFull
+	}
+	s.applyUpdate(e.List, scope, asOf)
+}
+
+func (s *Scheduler) handleWatchClosed(e *WatchClosed) {
+	s.watchOpen = false
+	failed := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateFailed}
+	if e.Unreadable || e.ValidUntil != 0 {
+		failed.Age = s.ageIfValidUntil(e.ValidUntil)
+	}
+	s.stepDispatcher(failed)
+}
+
+// reload goes over to the discovery that a new configuration names, at once and without a request of
+// the dispatcher: the list counts as known only until shortly after, and the old watch ends. Another
+// service may count its revisions otherwise, so the old revision means nothing to it. The list that
+// is known holds until it answers.
+func (s *Scheduler) reload(discovery string) {
+	s.discoveryAddr, s.revision, s.watchOpen = discovery, 0, false
+	s.epoch++
+	validUntil := s.now + reloadTimeout
+	s.emit(OpenWatch{Addr: s.discoveryAddr, Rev: s.revision, ValidUntil: validUntil})
+	s.stepDispatcher(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains,
+		Age: s.ageIfValidUntil(validUntil)})
+}
+
+// ageIfValidUntil is how old the list has to be taken for, if it holds until a time.
+func (s *Scheduler) ageIfValidUntil(until Micros) Micros {
+	return s.now - until + s.settings.Dispatch.MaxStaleness
+}
+
+// workerChanges collects the workers that an update concerns, for the dispatcher and for the record.
+type workerChanges struct {
+	entries []dispatch.WorkerEntry
+	workers []*worker
+}
+
+func (c *workerChanges) add(w *worker, entry dispatch.WorkerEntry) {
+	c.entries = append(c.entries, entry)
+	c.workers = append(c.workers, w)
+}
+
+// applyDrains takes the workers that drain or are removed from an update of a discovery that is no
+// longer the present one. All else that it says is ignored.
+func (s *Scheduler) applyDrains(list WorkerList) {
+	var changes workerChanges
+	for _, line := range list.Workers {
+		w := s.workers[line.UID]
+		if w == nil || line.Status == dispatch.Ready {
+			continue
+		}
+		w.pendingUpdate = nil
+		if w.drainingSince == 0 {
+			w.Status, w.version = line.Status, version{epoch: -1} // comparable with none
+			changes.add(w, s.entry(w))
+		}
+	}
+	if len(changes.entries) > 0 {
+		s.recordTransitions(changes.workers)
+		s.stepDispatcher(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains,
+			Workers: changes.entries})
+	}
+}
+
+// applyUpdate takes an update of the present discovery, or the list that is known at a start. It
+// holds all that there was to report by a time.
+func (s *Scheduler) applyUpdate(list WorkerList, scope dispatch.UpdateScope, asOf Micros) {
+	at := s.nextVersion(list)
+	s.updates++
+	changes := workerChanges{
+		entries: make([]dispatch.WorkerEntry, 0, len(list.Workers)),
+		workers: make([]*worker, 0, len(list.Workers)),
+	}
+	for _, line := range list.Workers {
+		w := s.workers[line.UID]
+		if w == nil {
+			w = &worker{Worker: line, version: at, number: s.assignNumber(line.UID)}
+			s.workers[line.UID], s.byNumber[w.number] = w, w
+		} else {
+			s.mergeWorker(w, line, at)
+		}
+		w.lastUpdate = s.updates
+		changes.add(w, s.entry(w)) // as it now is known
+	}
+	for _, w := range s.implicitChanges(list.Complete, at) {
+		changes.add(w, s.entry(w))
+	}
+	s.recordTransitions(changes.workers)
+	s.stepDispatcher(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope, Age: s.now - asOf,
+		Workers: changes.entries})
+}
+
+// nextVersion takes the revision of an update.
+func (s *Scheduler) nextVersion(list WorkerList) version {
+	if list.Complete && list.Rev < s.revision {
+		s.epoch++ // discovery has restarted, or another one answers: its revisions begin anew
+	}
+	s.revision = max(s.revision, list.Rev)
+	if list.Complete {
+		s.revision = list.Rev
+	}
+	return version{s.epoch, list.Rev}
+}
+
+// implicitChanges changes the workers that an update concerns without naming them, and lists them by
+// UID: a complete list lacks them, or they have a pending update and have been draining for so long
+// that it counts.
+func (s *Scheduler) implicitChanges(complete bool, at version) (changed []*worker) {
+	if complete {
+		for _, w := range s.workers {
+			if w.lastUpdate != s.updates && (w.Status != dispatch.Removed || w.pendingUpdate != nil) {
+				w.Status, w.version, w.pendingUpdate = dispatch.Removed, at, nil
+				changed = append(changed, w)
+			}
+		}
+	}
+	s.pendingWorkers = slices.DeleteFunc(s.pendingWorkers, func(w *worker) bool {
+		if w.pendingUpdate == nil || s.workers[w.UID] != w {
+			return true
+		}
+		if s.now-w.drainingSince < s.settings.Dispatch.MaxStaleness {
+			return false
+		}
+		w.Worker, w.pendingUpdate = *w.pendingUpdate, nil
+		changed = append(changed, w)
+		return true
+	})
+	slices.SortFunc(changed, compareUID)
+	return changed
+}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -1,85 +1,83 @@
-// Package scheduler keeps the requests, the attempts and the worker list,
-// and drives the decision module. It is one reducer: an event at a time goes in,
-// effects come out. It holds no lock and no clock and does no reading or writing, and
-// knows nothing of the protocol that a request came by.
+// Package scheduler keeps the requests, the attempts and the worker list, and drives the dispatcher,
+// which decides (package dispatch). It is one reducer: one event at a time goes in, effects come out.
+// It holds no lock and no clock, does no I/O, and knows nothing of the protocol that a request came by.
 package scheduler
 
 import "dahliaford/internal/dispatch"
 
-// Micros is a time on the module's clock. Here it counts from the Unix epoch, so a
-// worker's start as discovery tells it needs no mapping beyond its unit.
+// Micros is a time on the dispatcher's clock, in microseconds. Here it counts from the Unix epoch, so
+// a worker's start time from discovery needs no mapping beyond its unit.
 type Micros = dispatch.Micros
 
-// CallerID numbers a wait for one answer; whoever submits a request picks it.
+// CallerID numbers a wait for one answer. Whoever submits a request picks it: from 1 on, and no number
+// twice.
 type CallerID uint64
 
-// AttemptID numbers an attempt.
+// AttemptID numbers an attempt, from 1 on.
 type AttemptID uint64
 
-// Event is one thing that happened.
+// Event is something that happened, an input of Step.
 type Event interface{ event() }
 
 // The events.
 type (
 	// Started comes once, before all others.
 	Started struct {
-		Discovery  string // its address
-		CachedList WorkerList
+		Discovery  string     // discovery's address
+		CachedList WorkerList // known from before
 	}
-	// Reloaded says that a new configuration holds. Of it, discovery's address counts.
+	// Reloaded reports a new configuration. Only discovery's address matters here.
 	Reloaded struct{ Discovery string }
 	// Submitted is a new request.
 	Submitted struct {
 		Caller        CallerID
-		ID            string // by which the workers know it
+		ID            string // the request id that workers use
 		Class, Tenant string
-		Deadline      Micros // the caller waits until then
-		Slots         float64
-		Retry         bool // the caller says that it tried before
-		Payload       any  // handed back with each attempt, unread
+		Deadline      Micros  // the caller waits until then
+		Slots         float64 // that it takes at a worker
+		Retry         bool    // the caller has marked it as a retry
+		Payload       any     // handed back with each attempt, never read
 	}
-	// ClientDisconnected says that nobody waits for the answer any more.
+	// ClientDisconnected reports that nobody waits for the answer any more.
 	ClientDisconnected struct{ Caller CallerID }
-	// AttemptAccepted says that a worker has taken an attempt.
+	// AttemptAccepted reports that a worker has accepted an attempt.
 	AttemptAccepted struct{ Attempt AttemptID }
-	// AttemptEnded says how an attempt ended, by what its connection showed.
+	// AttemptEnded reports how an attempt ended, by what its connection showed.
 	AttemptEnded struct {
 		Attempt AttemptID
 		Outcome dispatch.Outcome
 		Report  dispatch.Report
 	}
-	// AttemptRejected says that a worker can make nothing of an attempt: not the worker
-	// is at fault but the submission.
+	// AttemptRejected reports that a worker cannot use an attempt: not the worker is at fault but
+	// the submission.
 	AttemptRejected struct{ Attempt AttemptID }
-	// Callback is what a worker says of a request on its own account. It may come
-	// early, late, or again.
+	// Callback is a worker's callback on a request. It may come early, late, or repeatedly.
 	Callback struct {
-		ID, From string
+		ID, From string // the request's id, the worker's UID
 		Kind     CallbackKind
-		Progress float64
-		Result   []byte
+		Progress float64 // with CallbackRunning
+		Result   []byte  // with CallbackDone
 		Report   dispatch.Report
 	}
-	// CancellationResult tells how a Withdraw went: Reached says that the worker has heard it, or
-	// that the process that had the attempt is gone.
+	// CancellationResult is the result of a CancelAttempt.
 	CancellationResult struct {
 		Attempt      AttemptID
-		Acknowledged bool
+		Acknowledged bool // by the worker, or the process that had the attempt is gone
 	}
-	// EndpointsUpdated is a word from discovery; one without workers is a heartbeat.
+	// EndpointsUpdated is an update from discovery; one without workers is a heartbeat.
 	EndpointsUpdated struct {
 		List              WorkerList
-		AsOf              Micros // all that there was to tell by then has been told; 0: by now
-		FromPreviousWatch bool   // of the discovery before the present one: it tells only who leaves
+		AsOf              Micros // all that there was to report by then is in it; 0: by now
+		FromPreviousWatch bool   // of the discovery before the present one: only drains and removals count
 	}
-	// WatchClosed says that the watch could not be opened, or ended.
+	// WatchClosed reports that the watch could not be opened, or ended.
 	WatchClosed struct {
-		Unreadable bool   // with a word that nobody can read: any worker may have been told to leave
-		ValidUntil Micros // what is known holds no longer than that; 0, if it was read: it holds as it did
+		Unreadable bool   // by an update that cannot be parsed: it may have drained any worker
+		ValidUntil Micros // the known list holds no longer than that; 0 and readable: it holds as it did
 	}
-	// TimerFired says that the time of the last Wake has come.
+	// TimerFired reports that the time of the last SetTimer has come.
 	TimerFired struct{}
-	// ShutdownRequested asks for an orderly end.
+	// ShutdownRequested asks for an orderly shutdown.
 	ShutdownRequested struct{}
 )
 
@@ -97,28 +95,28 @@
 func (TimerFired) event()         {}
 func (ShutdownRequested) event()  {}
 
-// CallbackKind is what a worker tells.
+// CallbackKind is what a callback reports.
 type CallbackKind uint8
 
-// The news a worker can tell.
+// The kinds of callbacks.
 const (
-	CallbackUnknown CallbackKind = iota
-	CallbackStarted
-	CallbackRunning
-	CallbackDone
-	CallbackFailed
-	CallbackHandedBack // handed back unstarted
-	CallbackAborted
+	CallbackUnknown    CallbackKind = iota // has no effect
+	CallbackStarted                        // the job runs
+	CallbackRunning                        // it has made progress
+	CallbackDone                           // it has a result
+	CallbackFailed                         // it ran and failed
+	CallbackHandedBack                     // it is handed back without having been started
+	CallbackAborted                        // it is lost, and may have run
 )
 
 // WorkerList is the worker list or a change to it.
 type WorkerList struct {
-	Rev      int64
-	Complete bool // the whole list; what it lacks is gone
+	Rev      int64 // discovery's revision
+	Complete bool  // all workers are listed: one that is missing is removed
 	Workers  []Worker
 }
 
-// Worker is one line of the worker list.
+// Worker is one entry of the worker list.
 type Worker struct {
 	UID, Addr, Zone, Kind string
 	Cell                  int
@@ -126,7 +124,7 @@
 	Started               Micros // 0: long ago
 }
 
-// Effect is one thing to carry out.
+// Effect is something to carry out, an output of Step.
 type Effect interface{ effect() }
 
 // The effects.
@@ -134,20 +132,21 @@
 	// SendAttempt sends an attempt to a worker.
 	SendAttempt struct {
 		Attempt  AttemptID
-		ID       string
-		UID      string
+		ID       string // the request's
+		UID      string // the worker's
 		Addr     string
-		WriteBy  Micros // its last byte must be out by then, or it does not go
+		WriteBy  Micros // its last byte must be out by then, or it is not sent
 		Deadline Micros // the worker may work on it until then
 		Payload  any
 	}
-	// CloseConnection breaks the connection that an attempt, or its withdrawal, is on.
+	// CloseConnection closes the connection that an attempt, or its cancellation, is on.
 	CloseConnection struct{ Attempt AttemptID }
-	// CancelUnsent keeps back an attempt that nobody waits for, if nothing of it has left yet; then
-	// Ended follows. It is no withdrawal: what has left goes on.
+	// CancelUnsent holds back an attempt that nobody waits for, if no byte of it has been sent yet;
+	// then AttemptEnded follows. It is no cancellation: what has been sent goes on.
 	CancelUnsent struct{ Attempt AttemptID }
-	// CancelAttempt tells a worker to drop an attempt that it may hold. Withdrawn must follow. If
-	// it comes with Abandon and nothing of the attempt ever got out, nobody need be told.
+	// CancelAttempt tells a worker to drop an attempt that it may hold. CancellationResult must
+	// follow. If it comes with CloseConnection and no byte of the attempt was ever sent, no worker
+	// need be notified.
 	CancelAttempt struct {
 		Attempt  AttemptID
 		ID       string
@@ -159,31 +158,31 @@
 		Caller             CallerID
 		Verdict            Verdict
 		Body               []byte
-		RetryAfter         Micros // with Refused: come back after this
+		RetryAfter         Micros // with Refused: the caller may come back after this span
 		FinalForConnection bool   // the scheduler is stopping: nothing more from this caller
 	}
-	// SetTimer asks for Woke at a time. The latest one counts.
+	// SetTimer asks for TimerFired at a time. It replaces the one before.
 	SetTimer struct{ At Micros }
-	// OpenWatch opens a watch of the worker list; an older one is dropped.
+	// OpenWatch opens a watch of the worker list. It replaces the one before.
 	OpenWatch struct {
 		Addr string
-		Rev  int64 // what changed after it is asked for; 0: the whole list
-		// ValidUntil, unless 0, is until when what is known holds, if Addr has not answered by then.
+		Rev  int64 // ask for what has changed since this revision; 0: for the complete list
+		// ValidUntil, unless 0, is until when the known list holds if Addr has not answered by then.
 		ValidUntil Micros
 	}
-	// StopUsingWorker says that nothing new may go to a worker, and closes idle connections to it.
+	// StopUsingWorker forbids new requests to a worker, and closes idle connections to it.
 	StopUsingWorker struct{ UID, Addr string }
-	// ResumeWorker takes a Retire back: the worker is there again, or forgotten.
+	// ResumeWorker takes a StopUsingWorker back: the worker is there again, or forgotten.
 	ResumeWorker struct{ UID string }
-	// CloseIdleClients lets callers go that have nothing submitted.
+	// CloseIdleClients closes the connections of clients that have nothing submitted.
 	CloseIdleClients struct{}
-	// Shutdown ends the program: nothing is owed any more. Clients may part until then.
+	// Shutdown ends the program: no answer is owed any more. Client connections may linger until By.
 	Shutdown struct{ By Micros }
 	// Log is a line for the log.
 	Log struct {
 		Warn bool // somebody should look
 		Text string
-		Args []any
+		Args []any // keys and values in turn
 	}
 )
 
@@ -205,9 +204,9 @@
 
 // The verdicts.
 const (
-	Served  Verdict = iota
-	Refused         // a refusal: trying again is harmless
-	Failed
-	Invalid  // the submission makes no sense; Body says why
-	Conflict // a request of that id is open, or was a moment ago
+	Served   Verdict = iota // Body has the result
+	Refused                 // not run: a retry is harmless
+	Failed                  // it may have run
+	Invalid                 // the submission is at fault; Body says why
+	Conflict                // a request of that id is open, or was a moment ago; Body says which
 )
--- a/internal/scheduler/job_test.go
+++ b/internal/scheduler/job_bench_test.go
@@ -8,8 +8,8 @@
 	"dahliaford/internal/settings"
 )
 
-// zonesOf starts a scheduler of a fleet whose workers are dealt out to zones, of two kinds each.
-func zonesOf(t testing.TB, schedulers, workers, zones int) *Scheduler {
+// newFleetInZones starts a scheduler of a fleet whose workers are dealt out to zones, of two kinds each.
+func newFleetInZones(t testing.TB, schedulers, workers, zones int) *Scheduler {
 	t.Helper()
 	set, err := settings.Parse([]byte(testSettings))
 	if err != nil {
@@ -38,10 +38,10 @@
 		{300, 7200, 1}, {30, 7200, 1}, {17, 7200, 1}, {7200, 7200, 1}, {300, 7200, 14}, {17, 7200, 14}} {
 		name := fmt.Sprintf("%d schedulers, %d workers, %d zones", size[0], size[1], size[2])
 		b.Run(name, func(b *testing.B) {
-			s := zonesOf(b, size[0], size[1], size[2])
+			s := newFleetInZones(b, size[0], size[1], size[2])
 			b.ReportAllocs()
 			b.ResetTimer()
-			jobs(b, s, b.N)
+			runJobs(b, s, b.N)
 		})
 	}
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"container/heap"
 	"fmt"
 	"strings"
 	"testing"
@@ -25,20 +24,20 @@
 	"guarantees":{"cold":8000000,"cold_from":0.3,"fall":2000000,"overload_factor":4,"ask_within":10000000,
 	 "drain_grace":500000}}`
 
-// world plays a scheduler on a clock of its own. Effects become lines, queued for
-// the party that they reach.
+// world runs a scheduler on a clock of its own. Effects become lines, queued for the actor that they
+// reach.
 type world struct {
-	s        *Scheduler
-	now      Micros
-	wake     Micros
-	exit     Micros // when it is to be over; 0: not yet asked for
-	seen     map[string][]string
-	attempts map[string]AttemptID // the last one, by request id
-	workers  map[AttemptID]string // where it went
-	callers  map[CallerID]string  // names
+	scheduler *Scheduler
+	now       Micros
+	timerAt   Micros
+	exitBy    Micros // what the Shutdown effect allows; 0: there has been none
+	seen      map[string][]string
+	attempts  map[string]AttemptID // the last one, by request id
+	workers   map[AttemptID]string // where it went
+	callers   map[CallerID]string  // names
 }
 
-func parsed(t *testing.T, text string) settings.Settings {
+func parseSettings(t *testing.T, text string) settings.Settings {
 	t.Helper()
 	set, err := settings.Parse([]byte(text))
 	if err != nil {
@@ -49,7 +48,7 @@
 
 func newWorld(t *testing.T) *world {
 	t.Helper()
-	return newWorldOf(t, parsed(t, testSettings))
+	return newWorldOf(t, parseSettings(t, testSettings))
 }
 
 // newWorldOf is a world with settings of its own.
@@ -59,9 +58,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{s: s, now: 1000 * second, seen: map[string][]string{}, attempts: map[string]AttemptID{},
+	w := &world{scheduler: s, now: 1000 * second, seen: map[string][]string{}, attempts: map[string]AttemptID{},
 		workers: map[AttemptID]string{}, callers: map[CallerID]string{}}
-	w.step(Started{Discovery: "d1", CachedList: WorkerList{Rev: 1, Complete: true, Workers: []Worker{line("r1", 1)}}})
+	known := WorkerList{Rev: 1, Complete: true, Workers: []Worker{line("r1", 1)}}
+	w.step(Started{Discovery: "d1", CachedList: known})
 	return w
 }
 
@@ -69,9 +69,9 @@
 	return Worker{UID: uid, Addr: uid, Zone: "north", Kind: "m1", Status: status}
 }
 
-func (w *world) step(e Event) { w.see(w.s.Step(w.now, e, nil)) }
+func (w *world) step(e Event) { w.record(w.scheduler.Step(w.now, e, nil)) }
 
-func (w *world) see(effects []Effect) {
+func (w *world) record(effects []Effect) {
 	say := func(who, format string, args ...any) {
 		w.seen[who] = append(w.seen[who], strings.TrimSpace(fmt.Sprintf(format, args...)))
 	}
@@ -79,11 +79,11 @@
 		switch e := e.(type) {
 		case SendAttempt:
 			w.attempts[e.ID], w.workers[e.Attempt] = e.Attempt, e.UID
-			say(e.UID, "%s %v written in %v done in %v", e.ID, e.Payload, w.in(e.WriteBy), w.in(e.Deadline))
+			say(e.UID, "%s %v written in %v done in %v", e.ID, e.Payload, w.until(e.WriteBy), w.until(e.Deadline))
 		case CloseConnection:
-			say(w.workers[e.Attempt], "abandoned")
+			say(w.workers[e.Attempt], "connection closed")
 		case CancelAttempt:
-			say(e.Addr, "withdrawn %s", e.ID)
+			say(e.Addr, "cancel %s", e.ID)
 		case Answer:
 			verdict := [...]string{"served", "refused", "failed", "invalid", "conflict"}[e.Verdict]
 			last := map[bool]string{true: "last"}[e.FinalForConnection]
@@ -91,9 +91,9 @@
 		case OpenWatch:
 			say("discovery", "watch %s from %d", e.Addr, e.Rev)
 		case StopUsingWorker:
-			say(e.Addr, "retired")
+			say(e.Addr, "stop using")
 		case Shutdown:
-			w.exit = e.By
+			w.exitBy = e.By
 			say("program", "%T", e)
 		case CloseIdleClients:
 			say("program", "%T", e)
@@ -102,7 +102,7 @@
 				say("log", "%s", e.Text)
 			}
 		case SetTimer:
-			w.wake = e.At
+			w.timerAt = e.At
 		}
 	}
 }
@@ -114,110 +114,118 @@
 	return " " + text
 }
 
-func (w *world) in(at Micros) time.Duration { return time.Duration(at-w.now) * time.Microsecond }
+func (w *world) until(at Micros) time.Duration { return time.Duration(at-w.now) * time.Microsecond }
 
 func (w *world) Wait(text string) error {
 	span, err := time.ParseDuration(text)
 	for end := w.now + Micros(span.Microseconds()); ; {
-		if w.wake == 0 || w.wake > end {
+		if w.timerAt == 0 || w.timerAt > end {
 			w.now = end
 			return err
 		}
-		w.now, w.wake = max(w.now, w.wake), 0
+		w.now, w.timerAt = max(w.now, w.timerAt), 0
 		w.step(TimerFired{})
 	}
 }
 
-func (w *world) Actor(name string) scenario.Actor { return party{w, name} }
+func (w *world) Actor(name string) scenario.Actor { return actor{w, name} }
 
-type party struct {
+type actor struct {
 	*world
 	name string
 }
 
-func (p party) Expect(string) (string, error) {
-	queue := p.seen[p.name]
+func (a actor) Expect(string) (string, error) {
+	queue := a.seen[a.name]
 	if len(queue) == 0 {
 		return "nothing", nil
 	}
-	p.seen[p.name] = queue[1:]
+	a.seen[a.name] = queue[1:]
 	return queue[0], nil
 }
 
-func (p party) Close(text string) error {
+func (a actor) Close(text string) error {
 	switch {
-	case p.name == "discovery":
-		p.step(WatchClosed{})
-	case p.name[0] == 'r': // the connection broke after the request was out
-		p.step(AttemptEnded{Attempt: p.attempts[text], Outcome: dispatch.Reset})
+	case a.name == "discovery":
+		a.step(WatchClosed{})
+	case a.name[0] == 'r': // the connection broke after the request was sent
+		a.step(AttemptEnded{Attempt: a.attempts[text], Outcome: dispatch.Reset})
 	default:
-		for c, name := range p.callers {
-			if name == p.name {
-				p.step(ClientDisconnected{Caller: c})
+		for caller, name := range a.callers {
+			if name == a.name {
+				a.step(ClientDisconnected{Caller: caller})
 			}
 		}
 	}
 	return nil
 }
 
-func (p party) Send(text string) error {
-	words := strings.Fields(text)
+func (a actor) Send(text string) error {
+	fields := strings.Fields(text)
 	switch {
-	case p.name == "program":
-		if words[0] == "panic" {
-			p.s.module = nil
-			p.recovered()
+	case a.name == "program":
+		if fields[0] == "panic" {
+			a.scheduler.dispatcher = nil
+			a.panicAndRecover()
 			return nil
 		}
-		p.step(ShutdownRequested{})
-	case p.name == "discovery" && strings.HasPrefix(text, "reload "):
-		p.step(Reloaded{Discovery: words[1]})
-	case p.name == "discovery":
-		t := WorkerList{Rev: 2}
-		for _, word := range words {
-			uid, state, _ := strings.Cut(word, "=")
+		a.step(ShutdownRequested{})
+	case a.name == "discovery" && strings.HasPrefix(text, "reload "):
+		a.step(Reloaded{Discovery: fields[1]})
+	case a.name == "discovery":
+		list := WorkerList{Rev: 2}
+		for _, field := range fields {
+			uid, state, _ := strings.Cut(field, "=")
 			status := map[string]dispatch.Status{"ready": 1, "draining": 2}[state]
-			t.Workers = append(t.Workers, line(uid, status))
+			list.Workers = append(list.Workers, line(uid, status))
 		}
-		p.step(EndpointsUpdated{List: t})
-	case p.name[0] == 'r':
-		p.worker(words[0], words[1])
+		a.step(EndpointsUpdated{List: list})
+	case a.name[0] == 'r':
+		a.workerEvent(fields[0], fields[1])
 	default:
-		c := CallerID(len(p.callers) + 1)
-		p.callers[c] = p.name
-		left, err := time.ParseDuration(words[3])
-		p.step(Submitted{Caller: c, ID: words[0], Class: words[1], Tenant: words[2],
-			Deadline: p.now + Micros(left.Microseconds()), Slots: 1, Payload: "payload"})
+		caller := CallerID(len(a.callers) + 1)
+		a.callers[caller] = a.name
+		patience, err := time.ParseDuration(fields[3])
+		a.step(Submitted{Caller: caller, ID: fields[0], Class: fields[1], Tenant: fields[2],
+			Deadline: a.now + Micros(patience.Microseconds()), Slots: 1, Payload: "payload"})
 		return err
 	}
 	return nil
 }
 
-// recovered does as a program does whose module has panicked.
-func (p party) recovered() {
+// panicAndRecover does as a program does whose dispatcher has panicked.
+func (a actor) panicAndRecover() {
 	defer func() {
-		recover()
-		effects, _ := p.s.Recover(p.now)
-		p.see(effects)
+		_ = recover() // the panic that the scenario asks for
+		effects, _ := a.scheduler.Recover(a.now)
+		a.record(effects)
 	}()
-	p.step(WatchClosed{})
+	a.step(WatchClosed{})
 }
 
-func (p party) worker(word, id string) {
-	ends := map[string]dispatch.Outcome{"error": dispatch.Failed, "turned-away": dispatch.AtCapacity,
-		"unreached": dispatch.ConnectFailed}
-	if outcome, ok := ends[word]; ok {
-		p.step(AttemptEnded{Attempt: p.attempts[id], Outcome: outcome})
-	} else if word == "rejected" {
-		p.step(AttemptRejected{Attempt: p.attempts[id]})
-	} else if word == "dropped" || word == "unheard" {
-		p.step(CancellationResult{Attempt: p.attempts[id], Acknowledged: word == "dropped"})
-	} else if word == "accepted" {
-		p.step(AttemptAccepted{Attempt: p.attempts[id]})
-	} else {
-		news := map[string]CallbackKind{"started": CallbackStarted, "done": CallbackDone, "failed": CallbackFailed,
-			"returned": CallbackHandedBack, "lost": CallbackAborted}[word]
-		p.step(Callback{ID: id, From: p.name, Kind: news, Result: []byte("result")})
+var outcomes = map[string]dispatch.Outcome{
+	"error": dispatch.Failed, "at-capacity": dispatch.AtCapacity, "connect-failed": dispatch.ConnectFailed,
+}
+
+var callbackKinds = map[string]CallbackKind{
+	"started": CallbackStarted, "done": CallbackDone, "failed": CallbackFailed,
+	"handed-back": CallbackHandedBack, "aborted": CallbackAborted,
+}
+
+func (a actor) workerEvent(name, id string) {
+	if outcome, ok := outcomes[name]; ok {
+		a.step(AttemptEnded{Attempt: a.attempts[id], Outcome: outcome})
+		return
+	}
+	switch name {
+	case "rejected":
+		a.step(AttemptRejected{Attempt: a.attempts[id]})
+	case "acknowledged", "unacknowledged":
+		a.step(CancellationResult{Attempt: a.attempts[id], Acknowledged: name == "acknowledged"})
+	case "accepted":
+		a.step(AttemptAccepted{Attempt: a.attempts[id]})
+	default:
+		a.step(Callback{ID: id, From: a.name, Kind: callbackKinds[name], Result: []byte("result")})
 	}
 }
 
@@ -231,7 +239,7 @@
 		c1 send a1 batch sahel 20s
 		r1 expect a1 payload written in 250ms done in 19.996s
 		discovery send r2=ready`
-	const again = "\nr2 expect a1 payload written in 250ms done in 19.996s"
+	const retried = "\nr2 expect a1 payload written in 250ms done in 19.996s"
 	for name, script := range map[string]string{
 		"a request is served once": submit + begun + `
 			r1 send done a1
@@ -239,14 +247,14 @@
 			r1 send done a1
 			r1 send failed a1
 			c1 expect nothing`,
-		"the end may be told before the start and the acceptance": submit + `
+		"the end may be reported before the start and the acceptance": submit + `
 			r1 send done a1
 			c1 expect served result
 			r1 send started a1
 			r1 send accepted a1
-			r1 expect abandoned
+			r1 expect connection closed
 			r1 expect nothing`,
-		"only the worker that has the attempt is heard": submit + begun + `
+		"callbacks count only from the worker that has the attempt": submit + begun + `
 			r9 send done a1
 			c1 expect nothing
 			r1 send done a1
@@ -262,18 +270,18 @@
 		"an error may have run: no refusal": submit + `
 			r1 send error a1
 			c1 expect failed`,
-		"a lost job may have run": submit + begun + `
-			r1 send lost a1
+		"an aborted job may have run": submit + begun + `
+			r1 send aborted a1
 			c1 expect failed`,
-		"a job that never ran goes elsewhere, and no caller hears of it": batch + `
-			r1 send turned-away a1` + again + `
+		"a job that never ran goes to another worker, without an answer to its caller": batch + `
+			r1 send at-capacity a1` + retried + `
 			c1 expect nothing`,
 		"so does one that was handed back": batch + `
 			r1 send accepted a1
-			r1 send returned a1` + again,
+			r1 send handed-back a1` + retried,
 		"so does one whose worker was not reached": batch + `
-			r1 send unreached a1` + again,
-		"what the module gives up is answered at once": `
+			r1 send connect-failed a1` + retried,
+		"what the dispatcher gives up is answered at once": `
 			discovery send r1=draining
 			c1 send a1 post sahel 5s
 			c1 expect nothing
@@ -283,74 +291,74 @@
 			c1 send a1 post sahel 0s
 			c1 expect refused
 			r1 expect nothing`,
-		"a caller that leaves before the acceptance, which may cross the close": submit + `
+		"a caller that disconnects before the acceptance, which may cross the close": submit + `
 			c1 close
-			r1 expect abandoned
-			r1 expect withdrawn a1
-			r1 send dropped a1
+			r1 expect connection closed
+			r1 expect cancel a1
+			r1 send acknowledged a1
 			wait 5s
 			r1 expect nothing`,
-		"a withdrawal that does not get through is tried again, and not for ever": submit + begun + `
+		"a cancellation that fails is retried, and not for ever": submit + begun + `
 			c1 close
-			r1 expect withdrawn a1
-			r1 send unheard a1
+			r1 expect cancel a1
+			r1 send unacknowledged a1
 			r1 expect nothing
 			wait 250ms
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			wait 1s
-			r1 expect abandoned
+			r1 expect connection closed
 			wait 500ms
-			r1 expect withdrawn a1
-			r1 send dropped a1
+			r1 expect cancel a1
+			r1 send acknowledged a1
 			wait 30s
 			r1 expect nothing`,
-		"a repeat waits until the worker that may hold the first is told": batch + `
+		"a retry is deferred until the worker that may hold the first has acknowledged": batch + `
 			r1 close a1
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			r2 expect nothing
-			r1 send dropped a1
+			r1 send acknowledged a1
 			r2 expect a1 payload written in 250ms done in 19.996s`,
-		"or until that worker says how it ended": batch + `
+		"or until that worker reports how it ended": batch + `
 			r1 close a1
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			r1 send done a1
 			c1 expect served result
-			r1 expect abandoned
+			r1 expect connection closed
 			r2 expect nothing`,
-		"it does not wait past its time to be sent": batch + `
+		"it is not deferred past its time to be sent": batch + `
 			r1 close a1
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			wait 260ms
-			r1 send dropped a1
+			r1 send acknowledged a1
 			r2 expect a1 payload written in 240ms done in 19.736s`,
-		"a program that ends calls back first, and waits 2s for that at most": submit + begun + `
+		"a shutdown cancels first, and waits 2s for that at most": submit + begun + `
 			program send stop
 			c1 close
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			wait 600ms
 			program expect scheduler.CloseIdleClients
 			program expect nothing
 			wait 3s
 			program expect scheduler.Shutdown`,
-		"a caller that leaves after it": submit + begun + `
+		"a caller that disconnects after the acceptance": submit + begun + `
 			c1 close
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			r1 send done a1
 			c1 expect nothing`,
-		"a start told before the acceptance: the worker may have taken it": submit + `
+		"a start reported before the acceptance: the worker may have accepted it": submit + `
 			r1 send started a1
 			c1 close
-			r1 expect abandoned
-			r1 expect withdrawn a1`,
-		"a worker that says nothing": submit + begun + `
+			r1 expect connection closed
+			r1 expect cancel a1`,
+		"a worker that reports nothing": submit + begun + `
 			wait 4.9s
 			c1 expect nothing
 			wait 97ms
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			c1 expect failed
 			wait 1s
 			c1 expect nothing`,
-		"two requests of one id would mix their news": submit + `
+		"two requests of one id would mix their callbacks": submit + `
 			c2 send a1 post sahel 5s
 			c2 expect conflict a request of that id is open
 			r1 send done a1
@@ -376,21 +384,21 @@
 			c1 expect invalid the worker cannot use it
 			c1 send b3 batch sahel 20s
 			r1 expect b3 payload written in 250ms done in 19.996s`,
-		"what makes no sense": `
+		"invalid submissions": `
 			c1 send a1 nothing sahel 5s
 			c1 expect invalid unknown class "nothing"
 			c2 send a2 post nobody 5s
 			c2 expect invalid unknown tenant "nobody"`,
-		"a drained worker gets nothing new, one that is gone is let go": `
+		"a draining worker gets nothing new, a removed one is forgotten": `
 			discovery send r1=draining r2=ready
 			c1 send a1 post sahel 5s
-			r1 expect retired
+			r1 expect stop using
 			r1 expect nothing
 			r2 expect a1 payload written in 250ms done in 4.996s
 			discovery send r1=gone
 			discovery send
 			r1 expect nothing`,
-		"who still waits as the kill comes near gets an answer": `
+		"a request that is open shortly before the kill gets an answer": `
 			c1 send a1 batch sahel 20s
 			r1 expect a1 payload written in 250ms done in 19.996s
 			r1 send accepted a1
@@ -400,7 +408,7 @@
 			c1 expect nothing
 			wait 1ms
 			c1 expect failed last
-			r1 expect withdrawn a1`,
+			r1 expect cancel a1`,
 		"a dead watch is opened again from where it stood": `
 			discovery expect watch d1 from 1
 			discovery send r2=ready
@@ -408,12 +416,12 @@
 			discovery expect nothing
 			wait 2s
 			discovery expect watch d1 from 2`,
-		"a watch that lives is not opened twice": `
+		"a watch that is alive is not opened twice": `
 			discovery expect watch d1 from 1
 			discovery send
 			wait 60s
 			discovery expect nothing`,
-		"a reload asks another discovery for the whole list at once, and again": submit + begun + `
+		"a reload asks another discovery for the complete list at once, and retries": submit + begun + `
 			discovery expect watch d1 from 1
 			discovery send r2=ready
 			discovery send reload d2
@@ -426,7 +434,7 @@
 			discovery expect watch d3 from 0
 			r1 send done a1
 			c1 expect served result`,
-		"a stopping scheduler serves on, then refuses, and ends with the last answer": submit + begun + `
+		"a stopping scheduler goes on serving, then refuses, and ends with the last answer": submit + begun + `
 			program send stop
 			wait 500ms
 			c2 send a2 batch sahel 20s
@@ -439,12 +447,12 @@
 			c1 expect served result last
 			program expect nothing
 			c2 close
-			r1 send dropped a2
+			r1 send acknowledged a2
 			program expect scheduler.Shutdown`,
-		"a panic loses nobody silently, and the next is served": submit + begun + `
+		"a panic leaves no request without an answer, and the next is served": submit + begun + `
 			program send panic
 			c1 expect failed
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			c2 send a2 post sahel 5s
 			r1 expect a2 payload written in 250ms done in 4.996s
 			r1 send done a2
@@ -456,10 +464,11 @@
 	}
 }
 
-// Where settings allow a second copy, the module would have one of a job whose worker falls silent.
-// One attempt is out at a time here, so it must not ask: each time would use up an attempt.
-func TestSecondCopiesAreNotAskedFor(t *testing.T) {
-	set := parsed(t, strings.Replace(testSettings, `"cancel":true`, `"cancel":true,"may_duplicate":true`, 1))
+// Where settings allow hedged attempts, the dispatcher would ask for one of a job whose worker sends no
+// more progress. One attempt is live at a time here, so it must not: each time would use up an attempt.
+func TestHedgedAttemptsAreNotRequested(t *testing.T) {
+	text := strings.Replace(testSettings, `"cancel":true`, `"cancel":true,"may_duplicate":true`, 1)
+	set := parseSettings(t, text)
 	scenario.Run(t, newWorldOf(t, set), `
 		discovery send r1=ready r2=ready
 		c1 send a1 batch sahel 20s
@@ -469,57 +478,57 @@
 		wait 12s
 		log expect nothing
 		c1 close
-		r1 expect withdrawn a1`, func(want, got string) string { return cmp.Diff(want, got) })
+		r1 expect cancel a1`, func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// A stopping scheduler is gone before the kill, whatever its deadlines are and whether or not its
-// workers hear withdrawals. Until it is gone, clients send on.
-func TestTheEndComesBeforeTheKill(t *testing.T) {
+// A stopping scheduler ends before the kill, whatever its deadlines are and whether or not its workers
+// acknowledge cancellations. Until it ends, clients go on sending.
+func TestShutdownEndsBeforeKill(t *testing.T) {
 	for _, longest := range []time.Duration{200 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second,
 		20 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
-			set := parsed(t, testSettings)
+			set := parseSettings(t, testSettings)
 			for i := range set.Dispatch.Classes {
 				set.Dispatch.Classes[i].Deadline = Micros(longest.Microseconds())
 			}
 			w := newWorldOf(t, set)
-			kill := w.now + Micros(min(longest, 3*time.Second).Microseconds()) + killedAfter
+			kill := w.now + Micros(min(longest, 3*time.Second).Microseconds()) + killGrace
 			scenario.Run(t, w, `
 				discovery send
 				c1 send a1 post sahel `+longest.String()+`
 				r1 send accepted a1
 				program send stop
-				c1 close`, nil) // its withdrawal is never heard
-			for w.exit == 0 && w.now < kill {
+				c1 close`, nil) // its cancellation is never acknowledged
+			for w.exitBy == 0 && w.now < kill {
 				if err := w.Wait("10ms"); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if w.exit == 0 || w.now >= kill || w.exit >= kill {
-				t.Errorf("exit asked for by %v, at %v, with the kill at %v", w.exit, w.now, kill)
+			if w.exitBy == 0 || w.now >= kill || w.exitBy >= kill {
+				t.Errorf("exit asked for by %v, at %v, with the kill at %v", w.exitBy, w.now, kill)
 			}
 		})
 	}
 }
 
-// A module that never answers must not cost the caller its answer.
-func TestDeadlineHoldsWithoutADecision(t *testing.T) {
+// A dispatcher that never decides must not cost the caller its answer.
+func TestDeadlineHoldsWithoutDecision(t *testing.T) {
 	w := newWorld(t)
 	w.step(EndpointsUpdated{List: WorkerList{Workers: []Worker{line("r1", 2)}}})
 	w.callers[7] = "c1"
 	late := &request{caller: 7, id: "x", job: 99, deadline: w.now + second}
-	w.s.byCaller[7], w.s.byID["x"], w.s.byJob[99] = late, late, late
-	heap.Push(&w.s.due, due{at: late.deadline, caller: 7})
+	w.scheduler.byCaller[7], w.scheduler.byID["x"], w.scheduler.byJob[99] = late, late, late
+	w.scheduler.addTimer(timer{at: late.deadline, kind: requestDeadline, id: 7})
 	w.step(EndpointsUpdated{})
 	scenario.Run(t, w, "wait 1s\nc1 expect failed", func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// Schedulers share nothing, yet must give a worker the same number, whatever order
-// they met it in: the module reckons the owner of a cold one by it.
-func TestNumbersHangOnNamesAlone(t *testing.T) {
-	a, b := newWorld(t).s, newWorld(t).s
-	a.apply(WorkerList{Workers: []Worker{line("s-1", 1), line("s-2", 1)}}, dispatch.UpdateDelta, 1)
-	b.apply(WorkerList{Workers: []Worker{line("s-2", 1), line("s-1", 1)}}, dispatch.UpdateDelta, 1)
+// Schedulers share no state, yet must give a worker the same number, in whatever order they learned of
+// the workers: the dispatcher computes the owner of a worker in slow start by it.
+func TestWorkerNumberDependsOnUIDOnly(t *testing.T) {
+	a, b := newWorld(t).scheduler, newWorld(t).scheduler
+	a.applyUpdate(WorkerList{Workers: []Worker{line("s-1", 1), line("s-2", 1)}}, dispatch.UpdateDelta, 1)
+	b.applyUpdate(WorkerList{Workers: []Worker{line("s-2", 1), line("s-1", 1)}}, dispatch.UpdateDelta, 1)
 	for _, uid := range []string{"s-1", "s-2"} {
 		if diff := cmp.Diff(a.workers[uid].number, b.workers[uid].number); diff != "" {
 			t.Errorf("%s: %s", uid, diff)
@@ -527,40 +536,41 @@
 	}
 }
 
-// A connection may come up late. A repeat that leaves after its class's window has passed would run
-// again beside the first, so it must be out by then, the time for which it waits for a recall included.
-func TestARepeatLeavesWithinItsWindow(t *testing.T) {
+// A connection may come up late. A retry that is sent after its class's deduplication window would run
+// again beside the first attempt, so it must be out by then, the time for which it is deferred by a
+// cancellation included.
+func TestRetryIsSentWithinDedupWindow(t *testing.T) {
 	const short = `"memory_span":1000000`
 	for name, script := range map[string]string{
 		"early": `
 			wait 100ms
 			r1 close a1
-			r1 expect withdrawn a1
-			r1 send dropped a1
+			r1 expect cancel a1
+			r1 send acknowledged a1
 			r2 expect a1 payload written in 250ms done in 19.896s`,
 		"shortly before its end": `
 			wait 900ms
 			r1 close a1
-			r1 expect withdrawn a1
-			r1 send dropped a1
+			r1 expect cancel a1
+			r1 send acknowledged a1
 			r2 expect a1 payload written in 88ms done in 19.096s`,
-		"the recall is heard late": `
+		"the cancellation is acknowledged late": `
 			wait 900ms
 			r1 close a1
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			wait 60ms
-			r1 send dropped a1
+			r1 send acknowledged a1
 			r2 expect a1 payload written in 28ms done in 19.036s`,
-		"the recall is heard after the window": `
+		"the cancellation is acknowledged after the window": `
 			wait 900ms
 			r1 close a1
-			r1 expect withdrawn a1
+			r1 expect cancel a1
 			wait 95ms
-			r1 send dropped a1
+			r1 send acknowledged a1
 			r2 expect nothing`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorldOf(t, parsed(t, strings.Replace(testSettings, `"memory_span":30000000`, short, 1)))
+			w := newWorldOf(t, parseSettings(t, strings.Replace(testSettings, `"memory_span":30000000`, short, 1)))
 			scenario.Run(t, w, `
 				c1 send a1 batch sahel 20s
 				r1 expect a1 payload written in 250ms done in 19.996s
--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -27,7 +27,7 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1000
 }
 
-// heapBytes is what lives after a collection.
+// heapBytes is the heap that is in use after a collection.
 func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -36,7 +36,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// slopeList is a whole list in 14 zones, and slopeLine one line of it.
+// slopeList is a complete list in 14 zones, and slopeLine one entry of it.
 func slopeList(workers int) WorkerList {
 	list := WorkerList{Rev: 1, Complete: true}
 	for i := range workers {
@@ -53,7 +53,7 @@
 
 const slopeZones = 14
 
-// slopeStart starts a scheduler of a zone that knows a list.
+// slopeStart starts a scheduler of one zone with a known list.
 func slopeStart(tb testing.TB, schedulers int, list WorkerList) *Scheduler {
 	tb.Helper()
 	set, err := settings.Parse([]byte(testSettings))
@@ -87,8 +87,8 @@
 	}
 }
 
-// BenchmarkSlopeWord is one changed entry a word.
-func BenchmarkSlopeWord(b *testing.B) {
+// BenchmarkSlopeUpdate is one changed entry an update.
+func BenchmarkSlopeUpdate(b *testing.B) {
 	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 		s := slopeStart(b, slopeSchedulers, slopeList(n))
 		list, out := WorkerList{Workers: make([]Worker, 1)}, []Effect(nil)
@@ -102,7 +102,7 @@
 	})
 }
 
-// BenchmarkSlopeStart is a start with a whole list, and what a scheduler then holds.
+// BenchmarkSlopeStart is a start with a complete list, and the heap that a scheduler then uses.
 func BenchmarkSlopeStart(b *testing.B) {
 	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 		list := slopeList(n)
@@ -120,8 +120,8 @@
 	})
 }
 
-// BenchmarkSlopeWhole is a whole list that equals what is known but for one entry.
-func BenchmarkSlopeWhole(b *testing.B) {
+// BenchmarkSlopeFullList is a complete list that equals the known one but for one entry.
+func BenchmarkSlopeFullList(b *testing.B) {
 	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 		s, list, out := slopeStart(b, slopeSchedulers, slopeList(n)), slopeList(n), []Effect(nil)
 		before := processorMicros(b)
@@ -134,24 +134,24 @@
 	})
 }
 
-// BenchmarkSlopeZone is a zone that goes, each of its workers in a word of its own.
+// BenchmarkSlopeZone is a zone that is removed, each of its workers by an update of its own.
 func BenchmarkSlopeZone(b *testing.B) {
 	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
-		list, out, took := slopeList(n), []Effect(nil), 0.0
+		list, out, micros := slopeList(n), []Effect(nil), 0.0
 		for range b.N {
 			s := slopeStart(b, slopeSchedulers, list)
 			before := processorMicros(b)
 			for i := 0; i < n; i += slopeZones {
-				word := WorkerList{Rev: int64(i) + 2, Workers: []Worker{slopeLine(i, dispatch.Removed)}}
-				out = s.Step(s.now+1000, EndpointsUpdated{List: word}, out[:0])
+				update := WorkerList{Rev: int64(i) + 2, Workers: []Worker{slopeLine(i, dispatch.Removed)}}
+				out = s.Step(s.now+1000, EndpointsUpdated{List: update}, out[:0])
 			}
-			took += processorMicros(b) - before
+			micros += processorMicros(b) - before
 		}
-		return took / float64(b.N)
+		return micros / float64(b.N)
 	})
 }
 
-// slopeOpen brings requests that are out at workers, with no end, at a scheduler of 300.
+// slopeOpen submits n requests that run at workers without an end, at a scheduler of 300.
 func slopeOpen(tb testing.TB, s *Scheduler, from, n int) {
 	tb.Helper()
 	var out []Effect
@@ -168,27 +168,27 @@
 	}
 }
 
-// BenchmarkSlopeOpen is one more request, to its start, at a scheduler that has so many open, and what it
-// holds of each.
+// BenchmarkSlopeOpen is one more request, until it runs, at a scheduler that has n open, and the heap that
+// it uses for each.
 func BenchmarkSlopeOpen(b *testing.B) {
 	const more = 100
 	slope(b, []int{50, 100, 200, 400, 800, 1600}, "open", func(b *testing.B, n int) float64 {
-		list, took, held := slopeList(7200), 0.0, 0.0
+		list, micros, heapBytesUsed := slopeList(7200), 0.0, 0.0
 		for range b.N {
 			s := slopeStart(b, slopeSchedulers, list)
-			slopeOpen(b, s, 0, 20) // tables that grow by doubling have begun to
+			slopeOpen(b, s, 0, 20) // maps that grow by doubling have begun to
 			empty := heapBytes()
 			slopeOpen(b, s, 20, n)
-			held += heapBytes() - empty
+			heapBytesUsed += heapBytes() - empty
 			before := processorMicros(b)
 			slopeOpen(b, s, 20+n, more)
-			took += processorMicros(b) - before
+			micros += processorMicros(b) - before
 			if s.PendingRequests() != 20+n+more {
 				b.Fatalf("%d open, want %d", s.PendingRequests(), 20+n+more)
 			}
 		}
-		b.ReportMetric(held/float64(b.N), "heap-bytes")
-		return took / float64(b.N) / more
+		b.ReportMetric(heapBytesUsed/float64(b.N), "heap-bytes")
+		return micros / float64(b.N) / more
 	})
 }
 
@@ -199,25 +199,25 @@
 			slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 				s := slopeStart(b, schedulers, slopeList(n))
 				slopeOpen(b, s, 0, 240)
-				jobs(b, s, 20)
+				runJobs(b, s, 20)
 				before := processorMicros(b)
-				jobs(b, s, b.N)
+				runJobs(b, s, b.N)
 				return (processorMicros(b) - before) / float64(b.N)
 			})
 		})
 	}
 }
 
-// steady is a scheduler at the peak: a job comes each 54 ms, runs for 13 s, and 241 run at once. Timers go
-// off when they were asked for.
-type steady struct {
-	s       *Scheduler
-	wake    Micros
-	running []Callback // their ends, the oldest first
-	n       int
-	wakes   int
-	refused int
-	out     []Effect
+// steadyLoad is a scheduler at peak load: a job arrives each 54 ms and runs for 13 s, so 241 run at once.
+// Timers fire when they were asked for.
+type steadyLoad struct {
+	s           *Scheduler
+	timerAt     Micros
+	running     []Callback // the callbacks that will end them, the oldest first
+	n           int
+	timersFired int
+	refused     int
+	out         []Effect
 }
 
 const (
@@ -225,22 +225,22 @@
 	steadyRunning = 241
 )
 
-func (w *steady) step(now Micros, e Event) {
+func (w *steadyLoad) step(now Micros, e Event) {
 	w.out = w.s.Step(now, e, w.out[:0])
-	routes := []SendAttempt(nil)
+	sent := []SendAttempt(nil)
 	for _, e := range w.out {
 		switch e := e.(type) {
 		case SetTimer:
-			w.wake = e.At
+			w.timerAt = e.At
 		case SendAttempt:
-			routes = append(routes, e)
+			sent = append(sent, e)
 		case Answer:
 			if e.Verdict != Served {
 				w.refused++
 			}
 		}
 	}
-	for _, r := range routes {
+	for _, r := range sent {
 		w.step(now+300, AttemptAccepted{Attempt: r.Attempt})
 		w.step(now+500, Callback{ID: r.ID, From: r.UID, Kind: CallbackStarted})
 		w.running = append(w.running, Callback{ID: r.ID, From: r.UID, Kind: CallbackDone})
@@ -248,16 +248,16 @@
 }
 
 // pass lets the time of one job pass.
-func (w *steady) pass() {
+func (w *steadyLoad) pass() {
 	now := w.s.now
 	for next := now + steadyEvery; ; {
-		if w.wake == 0 || w.wake > next {
+		if w.timerAt == 0 || w.timerAt > next {
 			now = next
 			break
 		}
-		at := max(w.wake, now)
-		w.wake, now = 0, at
-		w.wakes++
+		at := max(w.timerAt, now)
+		w.timerAt, now = 0, at
+		w.timersFired++
 		w.step(at, TimerFired{})
 	}
 	w.n++
@@ -269,25 +269,25 @@
 	}
 }
 
-// BenchmarkSlopeSteady is a job at the peak with all its events and timers, at one scheduler alone, and at
-// 24 that take turns, as on a machine that they share: each finds the processor's caches cold.
+// BenchmarkSlopeSteady is a job at peak load with all its events and timers, at one scheduler alone, and at
+// 24 in turn, as on a machine that they share: each finds the processor's caches cold.
 func BenchmarkSlopeSteady(b *testing.B) {
 	for _, beside := range []int{1, 24} {
 		b.Run(fmt.Sprint(beside, " in turn"), func(b *testing.B) {
 			slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
-				all, list := []*steady(nil), slopeList(n)
+				all, list := []*steadyLoad(nil), slopeList(n)
 				for range beside {
-					w := &steady{s: slopeStart(b, 336, list)}
-					w.step(w.s.now+second, EndpointsUpdated{List: list}) // a list that a start knew lets nothing go
+					w := &steadyLoad{s: slopeStart(b, 336, list)}
+					w.step(w.s.now+second, EndpointsUpdated{List: list}) // a list known at the start alone sends no job
 					for range steadyRunning + 50 {
 						w.pass()
 						w.step(w.s.now, EndpointsUpdated{List: WorkerList{Rev: 2}})
 					}
 					all = append(all, w)
 				}
-				wakes, refused := 0, 0
+				timersFired, refused := 0, 0
 				for _, w := range all {
-					w.wakes, w.refused = 0, 0
+					w.timersFired, w.refused = 0, 0
 				}
 				before := processorMicros(b)
 				for i := range b.N {
@@ -295,9 +295,9 @@
 				}
 				us := (processorMicros(b) - before) / float64(b.N)
 				for _, w := range all {
-					wakes, refused = wakes+w.wakes, refused+w.refused
+					timersFired, refused = timersFired+w.timersFired, refused+w.refused
 				}
-				b.ReportMetric(float64(wakes)/float64(b.N), "timers/job")
+				b.ReportMetric(float64(timersFired)/float64(b.N), "timers/job")
 				b.ReportMetric(float64(refused)/float64(b.N), "refused/job")
 				return us
 			})
--- /dev/null
+++ b/internal/scheduler/update_bench_test.go
@@ -0,0 +1,54 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+
+	"dahliaford/internal/dispatch"
+)
+
+// BenchmarkUpdate is one changed entry an update, through the reducer and the dispatcher: workers drain
+// and become ready again in turn, spread over the fleet.
+func BenchmarkUpdate(b *testing.B) {
+	for _, size := range [][2]int{{300, 200}, {300, 800}, {300, 2400}, {300, 7200}, {30, 7200}, {17, 7200},
+		{7200, 7200}} {
+		b.Run(fmt.Sprintf("%d schedulers, %d workers", size[0], size[1]), func(b *testing.B) {
+			s := newFleet(b, size[0], size[1])
+			feed := newUpdateFeed(size[1])
+			b.ReportAllocs()
+			b.ResetTimer()
+			for range b.N {
+				feed.step(s)
+			}
+		})
+	}
+}
+
+// updateFeed updates one worker after another, spread over a fleet of newFleet.
+type updateFeed struct {
+	workers, at int
+	out         []Effect
+	rev         int64
+	list        WorkerList
+}
+
+func newUpdateFeed(workers int) *updateFeed {
+	f := &updateFeed{workers: workers, rev: 1}
+	f.list.Workers = make([]Worker, 1)
+	return f
+}
+
+func (f *updateFeed) step(s *Scheduler) {
+	i := f.at / 2 * 7919 % f.workers
+	status := dispatch.Draining
+	if f.at%2 == 1 {
+		status = dispatch.Ready
+	}
+	f.at++
+	f.rev++
+	f.list.Rev = f.rev
+	w := line(fmt.Sprintf("r%d", i), status)
+	w.Kind = fmt.Sprintf("m%d", i%2)
+	f.list.Workers[0] = w
+	f.out = s.Step(s.now+second, EndpointsUpdated{List: f.list}, f.out[:0])
+}
--- /dev/null
+++ b/internal/scheduler/update_reference_test.go
@@ -0,0 +1,291 @@
+package scheduler
+
+import (
+	"bytes"
+	"fmt"
+	"reflect"
+	"runtime"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"dahliaford/internal/dispatch"
+	"dahliaford/internal/settings"
+)
+
+// A reference implementation of the worker list: at each update it visits all workers. The reducer,
+// which visits only those that an update changes, must act like it.
+
+// stepReference takes an update, or the end of the watch, like Step.
+func (s *Scheduler) stepReference(now Micros, e Event) []Effect {
+	s.now, s.effects = now, nil
+	s.usedIDs.rotate(now, s.maxDeadline)
+	switch e := e.(type) {
+	case EndpointsUpdated:
+		if e.FromPreviousWatch {
+			s.applyDrainsReference(e.List)
+			break
+		}
+		s.watchOpen, s.listAsOf = true, now
+		scope := dispatch.UpdateDelta
+		if e.List.Complete {
+			scope = dispatch.UpdateFull
+		}
+		s.applyUpdateReference(e.List, scope)
+	default:
+		return s.Step(now, e, nil)
+	}
+	s.fireTimers()
+	s.armTimer()
+	return s.effects
+}
+
+func (s *Scheduler) applyDrainsReference(list WorkerList) {
+	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains}
+	for _, line := range list.Workers {
+		w := s.workers[line.UID]
+		if w == nil || line.Status == dispatch.Ready {
+			continue
+		}
+		if w.pendingUpdate = nil; w.drainingSince == 0 {
+			w.Status, w.version = line.Status, version{epoch: -1}
+			e.Workers = append(e.Workers, s.entry(w))
+		}
+	}
+	if len(e.Workers) > 0 {
+		s.recordTransitionsReference()
+		s.stepDispatcher(e)
+	}
+}
+
+func (s *Scheduler) applyUpdateReference(list WorkerList, scope dispatch.UpdateScope) {
+	if list.Complete && list.Rev < s.revision {
+		s.epoch++
+	}
+	if s.revision = max(s.revision, list.Rev); list.Complete {
+		s.revision = list.Rev
+	}
+	at := version{s.epoch, list.Rev}
+	named := map[string]bool{}
+	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope}
+	for _, line := range list.Workers {
+		named[line.UID] = true
+		w := s.workers[line.UID]
+		if w == nil {
+			w = &worker{Worker: line, version: at, number: s.assignNumber(line.UID)}
+			s.workers[line.UID], s.byNumber[w.number] = w, w
+		} else {
+			s.mergeWorker(w, line, at)
+		}
+		e.Workers = append(e.Workers, s.entry(w))
+	}
+	for _, w := range sortedValues(s.workers) {
+		switch {
+		case list.Complete && !named[w.UID] && (w.Status != dispatch.Removed || w.pendingUpdate != nil):
+			w.Status, w.version, w.pendingUpdate = dispatch.Removed, at, nil
+		case w.pendingUpdate != nil && s.now-w.drainingSince >= s.settings.Dispatch.MaxStaleness:
+			w.Worker, w.pendingUpdate = *w.pendingUpdate, nil
+		default:
+			continue
+		}
+		e.Workers = append(e.Workers, s.entry(w))
+	}
+	s.recordTransitionsReference()
+	s.stepDispatcher(e)
+}
+
+func (s *Scheduler) recordTransitionsReference() {
+	retention := s.settings.Dispatch.RemovedRetention()
+	for _, w := range sortedValues(s.workers) {
+		switch {
+		case w.Status != dispatch.Ready && w.drainingSince == 0:
+			w.drainingSince = max(s.now, 1)
+			s.emit(StopUsingWorker{UID: w.UID, Addr: w.Addr})
+		case w.Status == dispatch.Ready && w.drainingSince != 0:
+			w.drainingSince = 0
+			s.emit(ResumeWorker{UID: w.UID})
+		}
+		switch {
+		case w.Status != dispatch.Removed:
+			w.removedSince = 0
+		case w.removedSince == 0:
+			w.removedSince = max(s.now, 1)
+		case s.now-w.removedSince >= retention:
+			delete(s.workers, w.UID)
+			delete(s.byNumber, w.number)
+			s.emit(ResumeWorker{UID: w.UID})
+		}
+	}
+}
+
+// Any sequence of updates, complete lists, updates of the previous discovery and changes to another
+// one, with revisions that repeat and go back and workers at one address, has the effects and leaves
+// the state of the reference implementation.
+func TestUpdatesMatchReferenceImplementation(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s, reference := schedulerForUpdates(), schedulerForUpdates()
+		now, rev := s.now, int64(1)
+		maxWorkers := rapid.SampledFrom([]int{2, 10, 40}).Draw(t, "workers")
+		worker := rapid.Custom(func(t *rapid.T) Worker {
+			i := rapid.IntRange(0, maxWorkers-1).Draw(t, "worker")
+			r := line(fmt.Sprint("r", i), rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready,
+				dispatch.Ready, dispatch.Draining, dispatch.Removed}).Draw(t, "status"))
+			r.Kind, r.Zone = fmt.Sprint("m", i%2), fmt.Sprint("z", i%3)
+			r.Addr = fmt.Sprint("a", i/2) // two have one address
+			if r.Status == dispatch.Removed && rapid.Bool().Draw(t, "bare") {
+				r = Worker{UID: r.UID} // an update that removes it need not say more
+			}
+			if rapid.IntRange(0, 3).Draw(t, "restarted") == 0 {
+				r.Started = max(0, now-Micros(rapid.Int64Range(0, 60*second).Draw(t, "age")))
+			}
+			return r
+		})
+		var trace []string
+		for range rapid.IntRange(1, 20).Draw(t, "events") {
+			now += rapid.SampledFrom([]Micros{0, second / 10, 2 * second, 6 * second, 300 * second,
+				600 * second}).Draw(t, "passed")
+			var e Event
+			switch rapid.IntRange(0, 12).Draw(t, "event") {
+			case 0:
+				e = Reloaded{Discovery: "d2"}
+			case 1:
+				e = WatchClosed{}
+			default:
+				rev += rapid.SampledFrom([]int64{1, 1, 1, 1, 0, -1, -3}).Draw(t, "rev")
+				n := rapid.SampledFrom([]int{0, 1, 1, 1, 2, maxWorkers}).Draw(t, "lines")
+				e = EndpointsUpdated{List: WorkerList{Rev: rev, Complete: rapid.IntRange(0, 3).Draw(t, "complete") == 0,
+					Workers: rapid.SliceOfN(worker, n, n).Draw(t, "list")},
+					FromPreviousWatch: rapid.IntRange(0, 6).Draw(t, "from previous watch") == 0}
+			}
+			trace = append(trace, fmt.Sprintf("%d %T%+v", now, e, e))
+			got, want := s.Step(now, e, nil), reference.stepReference(now, e)
+			if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
+				t.Fatalf("after %v\neffects %+v\nof the reference %+v", trace, got, want)
+			}
+			requireSameState(t, s, reference, trace)
+			requireSameState(t, s.Clone(), reference, trace)
+			if rapid.IntRange(0, 4).Draw(t, "copied") == 0 {
+				s = s.Clone() // and goes on from there
+			}
+		}
+	})
+}
+
+func requireSameState(t *rapid.T, a, b *Scheduler, trace []string) {
+	t.Helper()
+	if !bytes.Equal(a.AppendState(nil), b.AppendState(nil)) {
+		t.Fatalf("after %v\nthe states differ", trace)
+	}
+}
+
+func schedulerForUpdates() *Scheduler {
+	set, err := settings.Parse([]byte(testSettings))
+	if err != nil {
+		panic(err)
+	}
+	set.Dispatch.Dispatchers, set.Dispatch.MaxStaleness = 17, 6*second
+	s, err := New(set, 1)
+	if err != nil {
+		panic(err)
+	}
+	s.Step(1000*second, Started{Discovery: "d1"}, nil)
+	return s
+}
+
+// A zone is removed by an update for each worker, by one update, and by both at once while its workers
+// are added again after a restart.
+func TestZoneRemovedByUpdates(t *testing.T) {
+	const zones, each = 14, 20
+	of := func(zone int, status dispatch.Status, started Micros) (lines []Worker) {
+		for i := range each {
+			r := line(fmt.Sprintf("r%d-%d", zone, i), status)
+			r.Zone, r.Started = fmt.Sprint("z", zone), started
+			lines = append(lines, r)
+		}
+		return lines
+	}
+	var workers []Worker
+	for zone := range zones {
+		workers = append(workers, of(zone, dispatch.Ready, 0)...)
+	}
+	removed, restarted := of(3, dispatch.Removed, 0), of(3, dispatch.Ready, 1002*second)
+	draining := of(3, dispatch.Draining, 0)
+	update := func(lines ...Worker) WorkerList { return WorkerList{Workers: lines} }
+	singly := func(lines []Worker) (updates []WorkerList) {
+		for _, w := range lines {
+			updates = append(updates, update(w))
+		}
+		return updates
+	}
+	var mixed []WorkerList
+	for i := range removed {
+		mixed = append(mixed, update(removed[i]), update(restarted[i/2]))
+	}
+	known := slices.Clone(workers)
+	known[17].Status = dispatch.Draining
+	for name, updates := range map[string][]WorkerList{
+		"an update each": singly(removed),
+		"draining first": append(singly(draining), singly(removed)...),
+		"one update":     {update(removed...)},
+		"missing from the complete list": {{Complete: true,
+			Workers: slices.Concat(workers[:3*each], workers[4*each:])}},
+		"both at once": append(singly(removed), update(removed...), update(restarted...)),
+		"both mixed, restarted": append(mixed,
+			update(removed...), WorkerList{Complete: true, Workers: workers}, update(restarted...)),
+		"known but for one":        {{Complete: true, Workers: known}},
+		"known, and by an old one": {{Complete: true, Workers: workers}, {Complete: true, Rev: -5, Workers: known}},
+		"the whole fleet":          {{Complete: true}, {Complete: true, Workers: workers}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, reference := schedulerForUpdates(), schedulerForUpdates()
+			now, rev := Micros(1001*second), int64(10)
+			apply := func(list WorkerList) {
+				now += second / 100
+				rev++
+				list.Rev += rev
+				e := EndpointsUpdated{List: list}
+				got, want := s.Step(now, e, nil), reference.stepReference(now, e)
+				if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
+					t.Fatalf("effects %+v\nof the reference %+v", got, want)
+				}
+				if !bytes.Equal(s.AppendState(nil), reference.AppendState(nil)) {
+					t.Fatal("the states differ")
+				}
+			}
+			apply(WorkerList{Complete: true, Workers: workers})
+			for _, list := range updates {
+				apply(list)
+			}
+			now += 600 * second
+			apply(WorkerList{}) // removed workers are forgotten
+			apply(WorkerList{Complete: true, Workers: workers})
+		})
+	}
+}
+
+// What an update allocates does not grow with the fleet: any code that visited all workers made a list
+// of them first. BenchmarkUpdate measures the time.
+func TestUpdateAllocationIndependentOfFleetSize(t *testing.T) {
+	bytesPerUpdate := func(schedulers, workers int) (bytes uint64) {
+		s, updates := newFleet(t, schedulers, workers), newUpdateFeed(workers)
+		for range 200 { // until the reused memory has grown
+			updates.step(s)
+		}
+		const n = 400
+		var before, after runtime.MemStats
+		runtime.ReadMemStats(&before)
+		for range n {
+			updates.step(s)
+		}
+		runtime.ReadMemStats(&after)
+		return (after.TotalAlloc - before.TotalAlloc) / n
+	}
+	small := bytesPerUpdate(300, 200)
+	for _, size := range [][2]int{{300, 800}, {300, 2400}, {300, 7200}, {30, 7200}, {17, 7200}, {7200, 7200}} {
+		if large := bytesPerUpdate(size[0], size[1]); large > 2*small {
+			t.Errorf("an update takes %d bytes of 300 schedulers with 200 workers, %d of %d with %d", small, large,
+				size[0], size[1])
+		}
+	}
+}
