--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost speaks the simulator's wire on standard input and output.
+// Command simhost hosts dispatchers for the simulator: it reads batches of events from standard input and
+// writes the actions to standard output, in the format of package wire.
 package main
 
 import (
@@ -10,7 +11,7 @@
 	"dahliaford/internal/wire"
 )
 
-// gcPercent trades memory, of which little is used, for time.
+// gcPercent trades memory, of which little is used, for processor time.
 const gcPercent = 800
 
 func main() {
--- a/internal/bucketqueue/bucket_test.go
+++ b/internal/bucketqueue/queue_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is put, moved and taken out, the queue holds what a plain map holds, and what it
-// calls the least are the least.
+// Whatever is put, moved and removed, the queue has the nodes that a plain map has, and the smallest that
+// it returns are the smallest.
 func TestQueueAgainstAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queues := [2]Queue[int]{}
@@ -26,29 +26,29 @@
 			queues[q].Put(&nodes[i], key)
 			want[i] = place{q, min(max(key, 0), Buckets-1)}
 		}
-		most, upTo := rapid.IntRange(0, 50).Draw(t, "most"), rapid.IntRange(0, Buckets).Draw(t, "up to")
+		limit, maxKey := rapid.IntRange(0, 50).Draw(t, "limit"), rapid.IntRange(0, Buckets).Draw(t, "max key")
 		for q := range queues {
-			held, below := 0, 0
+			size, below := 0, 0
 			for i, p := range want {
 				if n := &nodes[i]; n.Queue() != &queues[p.queue] || n.Key() != p.key {
 					t.Fatalf("node %d is under %d, put under %v", i, n.Key(), p)
 				}
 				if p.queue == q {
-					held++
-					if p.key <= upTo {
+					size++
+					if p.key <= maxKey {
 						below++
 					}
 				}
 			}
-			if queues[q].Len() != held {
-				t.Fatalf("%d held, want %d", queues[q].Len(), held)
+			if queues[q].Len() != size {
+				t.Fatalf("%d nodes, want %d", queues[q].Len(), size)
 			}
-			least := queues[q].Smallest(nil, most, upTo, rapid.Uint().Draw(t, "turn"))
-			if len(least) != min(most, below) {
-				t.Fatalf("%d of the least, want %d", len(least), min(most, below))
+			smallest := queues[q].Smallest(nil, limit, maxKey, rapid.Uint().Draw(t, "rotation"))
+			if len(smallest) != min(limit, below) {
+				t.Fatalf("%d of the smallest, want %d", len(smallest), min(limit, below))
 			}
 			seen, highest := map[*Node[int]]bool{}, 0
-			for _, n := range least {
+			for _, n := range smallest {
 				if seen[n] || n.Queue() != &queues[q] || n.Key() < highest {
 					t.Fatal("one twice, of another queue, or out of order")
 				}
--- /dev/null
+++ b/internal/subset/ring_test.go
@@ -0,0 +1,127 @@
+package subset
+
+import (
+	"maps"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+type item struct {
+	zone, kind int
+	number     uint32
+	group      *Group[*item]
+	covered    bool
+}
+
+// After any sequence of changes and intervals, the members whose positions, computed from scratch, lie in
+// the interval are covered, and each that enters or leaves it is reported once.
+func TestCoverMatchesRecomputation(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var r Ring[*item]
+		items := map[uint32]*item{}
+		start, length := rapid.Float64Range(0, 0.999).Draw(t, "start"), 0.0
+		for range rapid.IntRange(1, 30).Draw(t, "steps") {
+			for range rapid.IntRange(0, 8).Draw(t, "changes") {
+				number := uint32(rapid.IntRange(0, 40).Draw(t, "number"))
+				if it := items[number]; it != nil {
+					r.Remove(it.group, number)
+					delete(items, number)
+					continue
+				}
+				it := &item{zone: int(number % 3), kind: int(number / 3 % 2), number: number}
+				items[number] = it
+				it.group, it.covered = r.Add(it.zone, it.kind, number, it)
+			}
+			switch rapid.IntRange(0, 3).Draw(t, "interval") {
+			case 0:
+				length = rapid.SampledFrom([]float64{0, 0.01, 0.1, 0.5, 0.9, 1}).Draw(t, "length")
+			case 1:
+				start = rapid.SampledFrom([]float64{0, 0.05, 0.25, 0.5, 0.75, 0.999}).Draw(t, "new start")
+			}
+			r.Cover(start, length, func(it *item, in bool) {
+				if it.covered == in {
+					t.Fatalf("%d is reported twice as covered: %v", it.number, in)
+				}
+				it.covered = in
+			})
+			copies := map[*item]*item{}
+			copied := r.Clone(func(it *item) *item { copied := *it; copies[it] = &copied; return &copied },
+				func(it *item, group *Group[*item]) { it.group = group })
+			copied.Cover(start, length, func(it *item, _ bool) { t.Fatalf("%d changes in a copy", it.number) })
+			check(t, &r, items, start, length)
+			byNumber := map[uint32]*item{}
+			for _, it := range items {
+				byNumber[it.number] = copies[it]
+			}
+			check(t, &copied, byNumber, start, length)
+		}
+	})
+}
+
+// check computes the positions and what is covered from scratch.
+func check(t *rapid.T, r *Ring[*item], items map[uint32]*item, start, length float64) {
+	t.Helper()
+	groups, zones := map[[2]int][]uint32{}, map[int]bool{}
+	for _, number := range slices.Sorted(maps.Keys(items)) {
+		it := items[number]
+		key := [2]int{it.zone, it.kind}
+		groups[key], zones[it.zone] = append(groups[key], number), true
+	}
+	if r.Len() != len(items) || r.Zones() != len(zones) {
+		t.Fatalf("%d members of %d zones, want %d of %d", r.Len(), r.Zones(), len(items), len(zones))
+	}
+	for _, numbers := range groups {
+		for rank, number := range numbers {
+			it, position := items[number], (float64(rank)+0.5)/float64(len(numbers))
+			if got := it.group.Position(number); got != position {
+				t.Fatalf("%d at %v, want %v", number, got, position)
+			}
+			distance := position - start
+			if distance < 0 {
+				distance++
+			}
+			if it.covered != (distance < length) {
+				t.Fatalf("%d, %v behind %v, is covered: %v, by an interval of %v", number, distance, start,
+					it.covered, length)
+			}
+		}
+	}
+}
+
+// The removal of a member moves the interval of its group by one member at each end at most, and that of
+// no other group, however large the groups are.
+func TestRemovalChangesOneMemberAtEachEnd(t *testing.T) {
+	for _, n := range []int{3, 50, 400, 7200} {
+		for _, length := range []float64{8.0 / 7200, 8.0 / 300, 8.0 / 17, 0.9} {
+			var r Ring[int]
+			groups := [2]*Group[int]{}
+			for i := range 2 * n {
+				groups[i%2], _ = r.Add(0, i%2, uint32(i), i)
+			}
+			moved, removed, start := 0, 0, 0.618
+			count := func(i int, _ bool) {
+				if i%2 != 0 {
+					t.Errorf("%d of the other group changes", i)
+				}
+				if i != removed {
+					moved++
+				}
+			}
+			r.Cover(start, length, func(int, bool) {})
+			for ; removed < 2*n; removed += 2 * (1 + n/40) {
+				for _, add := range []bool{false, true} {
+					if moved = 0; add {
+						r.Add(0, 0, uint32(removed), removed)
+					} else {
+						r.Remove(groups[0], uint32(removed))
+					}
+					if r.Cover(start, length, count); moved > 2 {
+						t.Fatalf("%d of %d move for one, by an interval of %v", moved, n, length)
+					}
+				}
+			}
+		}
+	}
+}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,22 +1,23 @@
-// Package wire joins the decision module to the simulator's wire: it decodes
-// batches of events, hosts one dispatcher for each instance and encodes their
-// actions. It decides nothing.
+// Package wire connects dispatchers to the simulator's wire format: it decodes batches of events, hosts one
+// dispatcher for each instance and encodes their actions. It decides nothing.
 package wire
 
 import (
 	"encoding/hex"
-	"fmt"
+	"errors"
 
 	"github.com/mailru/easyjson/jlexer"
 
 	"dahliaford/internal/dispatch"
 )
 
-// message is one event of a batch, as it stands on the wire. Which fields count
-// depends on its name; absent ones are zero.
+var errNoClock = errors.New("batch without a clock")
+
+// message is one event of a batch as it is on the wire. Which fields count depends on its name; absent ones
+// are zero.
 type message struct {
 	name     string
-	who      int
+	who      int // the instance
 	job      uint64
 	class    int
 	tenant   int
@@ -26,7 +27,7 @@
 	needs    float64
 	memory   float64
 	worker   uint32
-	try      int
+	attempt  int
 	status   int
 	terminal bool
 	sort     int
@@ -42,8 +43,8 @@
 	workers  []dispatch.WorkerEntry
 }
 
-// decodeBatch reads one line into the reused slice. Strings and raw fields of
-// the messages point into the line.
+// decodeBatch reads one line into the reused slice. Strings and raw fields of the messages point into the
+// line.
 func decodeBatch(line []byte, into []message) (now int64, messages []message, err error) {
 	in := jlexer.Lexer{Data: line}
 	messages = into[:0]
@@ -65,7 +66,7 @@
 	in.Delim('}')
 	in.Consumed()
 	if err = in.Error(); err == nil && !seenTime {
-		err = fmt.Errorf("batch without a clock")
+		err = errNoClock
 	}
 	return now, messages, err
 }
@@ -96,66 +97,18 @@
 	return messages
 }
 
-// decodeFields reads the fields of any event; names mean the same in all.
+// decodeFields reads the fields of any event; a name means the same in all.
 func decodeFields(in *jlexer.Lexer, m *message) {
 	in.Delim('{')
 	for !in.IsDelim('}') {
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
-		if in.IsNull() {
+		switch {
+		case in.IsNull():
 			in.Skip()
-			in.WantComma()
-			continue
-		}
-		switch key {
-		case "who":
-			m.who = in.Int()
-		case "op_id":
-			m.job = in.Uint64()
-		case "class":
-			m.class = in.Int()
-		case "tenant":
-			m.tenant = in.Int()
-		case "patience_left":
-			m.patience = in.Int64()
-		case "estimate":
-			m.estimate = in.Int64()
-		case "retry":
-			m.retry = in.Bool()
-		case "needs":
-			m.needs = in.Float64()
-		case "memory":
-			m.memory = in.Float64()
-		case "worker":
-			m.worker = in.Uint32()
-		case "try":
-			m.try = in.Int()
-		case "status":
-			m.status = in.Int()
-		case "terminal":
-			m.terminal = in.Bool()
-		case "sort":
-			m.sort = in.Int()
-		case "value":
-			m.value = in.Float64()
-		case "scope":
-			m.scope = in.Int()
-		case "ref":
-			m.ref = in.Int()
-		case "tag":
-			m.tag = in.Uint64()
-		case "from":
-			m.from = in.Int()
-		case "blob":
-			m.blob = in.UnsafeString()
-		case "rng_seed":
-			m.seed = in.Uint64()
-		case "params":
-			m.params = in.Raw()
-		case "telemetry":
-			decodeReport(in, m)
-		case "nodes_list":
-			m.workers = decodeWorkers(in)
+		case m.decodeJobField(in, key):
+		case m.decodeAttemptField(in, key):
+		case m.decodeInstanceField(in, key):
 		default:
 			in.SkipRecursive()
 		}
@@ -164,6 +117,81 @@
 	in.Delim('}')
 }
 
+// decodeJobField reads a field that describes a job; false: the key names none.
+func (m *message) decodeJobField(in *jlexer.Lexer, key string) bool {
+	switch key {
+	case "op_id":
+		m.job = in.Uint64()
+	case "class":
+		m.class = in.Int()
+	case "tenant":
+		m.tenant = in.Int()
+	case "patience_left":
+		m.patience = in.Int64()
+	case "estimate":
+		m.estimate = in.Int64()
+	case "retry":
+		m.retry = in.Bool()
+	case "needs":
+		m.needs = in.Float64()
+	case "memory":
+		m.memory = in.Float64()
+	default:
+		return false
+	}
+	return true
+}
+
+// decodeAttemptField reads a field that describes an attempt; false: the key names none.
+func (m *message) decodeAttemptField(in *jlexer.Lexer, key string) bool {
+	switch key {
+	case "worker":
+		m.worker = in.Uint32()
+	case "try":
+		m.attempt = in.Int()
+	case "status":
+		m.status = in.Int()
+	case "terminal":
+		m.terminal = in.Bool()
+	case "sort":
+		m.sort = in.Int()
+	case "value":
+		m.value = in.Float64()
+	case "telemetry":
+		decodeReport(in, m)
+	default:
+		return false
+	}
+	return true
+}
+
+// decodeInstanceField reads a field that concerns an instance as such; false: the key names none.
+func (m *message) decodeInstanceField(in *jlexer.Lexer, key string) bool {
+	switch key {
+	case "who":
+		m.who = in.Int()
+	case "scope":
+		m.scope = in.Int()
+	case "ref":
+		m.ref = in.Int()
+	case "tag":
+		m.tag = in.Uint64()
+	case "from":
+		m.from = in.Int()
+	case "blob":
+		m.blob = in.UnsafeString()
+	case "rng_seed":
+		m.seed = in.Uint64()
+	case "params":
+		m.params = in.Raw()
+	case "nodes_list":
+		m.workers = decodeWorkers(in)
+	default:
+		return false
+	}
+	return true
+}
+
 func decodeReport(in *jlexer.Lexer, m *message) {
 	m.report.Outstanding = -1
 	in.Delim('{')
@@ -244,17 +272,17 @@
 	return dispatch.Removed
 }
 
+// outcomes are the outcomes of an attempt by the wire's status codes.
 var outcomes = map[int]dispatch.Outcome{
 	0: dispatch.OK, 5: dispatch.Failed, 11: dispatch.AtCapacity, 110: dispatch.TimedOut,
 	111: dispatch.ConnectFailed,
 	104: dispatch.Reset, 125: dispatch.Cancelled, 114: dispatch.NotSent,
 }
 
-// event fills e with what a message means; false for one that means nothing to
-// a dispatcher.
+// event fills e with the event that a message stands for; false: it has no meaning for a dispatcher.
 func (m *message) event(e *dispatch.Event) bool {
 	*e = dispatch.Event{Job: dispatch.JobID(m.job), Worker: dispatch.WorkerID(m.worker),
-		Attempt: m.try, Report: m.report}
+		Attempt: m.attempt, Report: m.report}
 	switch m.name {
 	case "knock":
 		e.Kind, e.Class, e.Tenant = dispatch.JobArrived, m.class, m.tenant
@@ -265,7 +293,7 @@
 		e.Kind, e.Final = dispatch.AttemptEnded, m.terminal
 		outcome, known := outcomes[m.status]
 		if !known {
-			outcome = dispatch.Failed // it may have run: the careful reading of a new code
+			outcome = dispatch.Failed // it may have run: the safe reading of a new code
 		}
 		e.Outcome = outcome
 	case "status_note":
@@ -284,7 +312,7 @@
 		e.Kind, e.Token = dispatch.TimerFired, m.tag
 	case "whisper":
 		e.Kind, e.Peer = dispatch.GossipReceived, m.from
-		e.Message, _ = hex.DecodeString(m.blob)
+		e.Message, _ = hex.DecodeString(m.blob) // the dispatcher ignores a message that it cannot read
 	default:
 		return false
 	}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -12,39 +12,40 @@
 func appendAction(b []byte, who int, a *dispatch.Action) []byte {
 	switch a.Kind {
 	case dispatch.Send:
-		b = appendJob(open(b, "transmit", who), a)
+		b = appendJob(openObject(b, "transmit", who), a)
 		b = appendInt(b, `,"worker":`, int64(a.Worker))
 		b = appendInt(b, `,"abandon_at":`, int64(a.Deadline))
 	case dispatch.Refuse:
-		b = appendJob(open(b, "reject", who), a)
+		b = appendJob(openObject(b, "reject", who), a)
 		b = appendInt(b, `,"hold_off":`, int64(a.Delay))
 	case dispatch.Fail:
-		b = appendJob(open(b, "respond_error", who), a)
+		b = appendJob(openObject(b, "respond_error", who), a)
 	case dispatch.Cancel:
-		b = appendJob(open(b, "retract", who), a)
+		b = appendJob(openObject(b, "retract", who), a)
 		b = appendInt(b, `,"try":`, int64(a.Attempt))
 	case dispatch.SetTimer:
-		b = appendInt(open(b, "set_timer", who), `,"span":`, int64(a.Delay))
+		b = appendInt(openObject(b, "set_timer", who), `,"span":`, int64(a.Delay))
 		b = strconv.AppendUint(append(b, `,"tag":`...), a.Token, 10)
 	case dispatch.WatchEndpoints:
-		b = append(open(b, "watch", who), `,"enable":true`...)
+		b = append(openObject(b, "watch", who), `,"enable":true`...)
 	case dispatch.SendGossip:
-		b = appendInt(open(b, "write_peer", who), `,"dst":`, int64(a.Peer))
+		b = appendInt(openObject(b, "write_peer", who), `,"dst":`, int64(a.Peer))
 		b = append(hex.AppendEncode(append(b, `,"blob":"`...), a.Message), '"')
 	case dispatch.Log:
-		b = appendText(open(b, "write_log", who), a.Text)
+		b = appendText(openObject(b, "write_log", who), a.Text)
 	default:
 		return b
 	}
 	return append(b, '}', '}', ',')
 }
 
-// appendFault reports that the decision code of an instance broke down.
+// appendFault writes that the dispatcher of an instance panicked or could not be started.
 func appendFault(b []byte, who int, text string) []byte {
-	return append(appendText(open(b, "exception", who), text), '}', '}', ',')
+	return append(appendText(openObject(b, "exception", who), text), '}', '}', ',')
 }
 
-func open(b []byte, name string, who int) []byte {
+// openObject writes the start of an action, up to the instance.
+func openObject(b []byte, name string, who int) []byte {
 	b = append(append(append(b, '{', '"'), name...), `":{"who":`...)
 	return strconv.AppendInt(b, int64(who), 10)
 }
@@ -58,6 +59,6 @@
 }
 
 func appendText(b []byte, text string) []byte {
-	quoted, _ := json.Marshal(text) // a string always marshals
+	quoted, _ := json.Marshal(text) // marshalling a string never fails
 	return append(append(b, `,"line":`...), quoted...)
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	lists       = 16      // list numbers run below this
-	readBuffer  = 1 << 20 // bytes; most batches fit
-	longestLine = 1 << 30 // bytes
+	maxLists      = 16      // list numbers run below this
+	readBuffer    = 1 << 20 // bytes; most batches fit
+	maxLineLength = 1 << 30 // bytes
 )
 
-// Host runs the dispatchers of many instances. They share nothing but the list
-// texts that the wire numbers for the whole process.
+// Host runs the dispatchers of many instances. They share nothing but the worker lists that the wire
+// numbers for the process as a unit. A Host is not safe for concurrent use.
 type Host struct {
-	dispatchers map[int]*dispatch.Dispatcher
-	lists       [lists][]dispatch.WorkerEntry
+	dispatchers map[int]*dispatch.Dispatcher // by instance
+	lists       [maxLists][]dispatch.WorkerEntry
 	messages    []message
 	actions     []dispatch.Action
 	event       dispatch.Event
@@ -31,21 +31,24 @@
 	return &Host{dispatchers: map[int]*dispatch.Dispatcher{}}
 }
 
-// Serve answers batches, one a line, until the input ends. It fails on a line
-// that is not a batch.
+// Serve answers batches, one a line, until the input ends. It fails on a line that is not a batch; the error
+// has the line's number, from 1 on.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, readBuffer), longestLine)
+	scanner.Buffer(make([]byte, readBuffer), maxLineLength)
 	for n := 1; scanner.Scan(); n++ {
 		reply, err := h.HandleBatch(scanner.Bytes())
 		if err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		if _, err := w.Write(reply); err != nil {
-			return err
+			return fmt.Errorf("write the reply to line %d: %w", n, err)
 		}
 	}
-	return scanner.Err()
+	if err := scanner.Err(); err != nil {
+		return fmt.Errorf("read batches: %w", err)
+	}
+	return nil
 }
 
 // HandleBatch answers one batch. The reply is valid until the next call.
@@ -66,8 +69,8 @@
 	return h.reply, nil
 }
 
-// handle passes one message on. A breakdown of the decision code is reported
-// for the instance that it hit.
+// handle passes one message to its dispatcher. A panic in that is reported for the instance, which is then
+// no longer hosted.
 func (h *Host) handle(now dispatch.Micros, m *message) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -77,15 +80,15 @@
 	}()
 	switch m.name {
 	case "register":
-		if m.ref >= 0 && m.ref < lists {
+		if m.ref >= 0 && m.ref < maxLists {
 			h.lists[m.ref] = m.workers
 		}
 	case "enlist":
-		h.enlist(now, m)
+		h.startInstance(now, m)
 	case "exit":
 		delete(h.dispatchers, m.who)
 	case "update":
-		h.update(now, m)
+		h.updateEndpoints(now, m)
 	default:
 		if m.event(&h.event) {
 			h.step(now, m.who)
@@ -93,11 +96,11 @@
 	}
 }
 
-func (h *Host) enlist(now dispatch.Micros, m *message) {
-	told, err := settings.Parse(m.params)
+func (h *Host) startInstance(now dispatch.Micros, m *message) {
+	parsed, err := settings.Parse(m.params)
 	var d *dispatch.Dispatcher
 	if err == nil {
-		d, err = dispatch.New(told.Dispatch, m.seed)
+		d, err = dispatch.New(parsed.Dispatch, m.seed)
 	}
 	if err != nil {
 		h.reply = appendFault(h.reply, m.who, err.Error())
@@ -112,13 +115,13 @@
 	0: dispatch.UpdateDelta, 1: dispatch.UpdateCached, 2: dispatch.UpdateFailed, 3: dispatch.UpdateFull,
 }
 
-func (h *Host) update(now dispatch.Micros, m *message) {
+func (h *Host) updateEndpoints(now dispatch.Micros, m *message) {
 	scope, known := scopes[m.scope]
 	if !known {
 		return
 	}
 	h.event = dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope}
-	if scope != dispatch.UpdateFailed && m.ref >= 0 && m.ref < lists {
+	if scope != dispatch.UpdateFailed && m.ref >= 0 && m.ref < maxLists {
 		h.event.Workers = h.lists[m.ref]
 	}
 	h.step(now, m.who)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -50,11 +50,11 @@
 }
 
 func TestSettingsFromTheWire(t *testing.T) {
-	told, err := settings.Parse([]byte(flat(testSettings)))
+	parsed, err := settings.Parse([]byte(flat(testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := told.Dispatch
+	s := parsed.Dispatch
 	if s.Classes[0].ObjectiveStretch != 1.5 || s.Classes[1].ObjectiveStretch != 0.5 || s.Classes[1].DedupScope != 1 ||
 		s.Classes[1].Effect != 1 || s.Classes[0].Kind != -1 {
 		t.Errorf("classes: %+v", s.Classes)
@@ -74,8 +74,8 @@
 	}
 }
 
-// A job's way over the wire, with a list number that is used again in the same
-// batch, another instance, unknown keys, events and ids, and a restart.
+// A job over the wire, with a list number that is reused in the same batch, another instance, unknown
+// keys, events and ids, and a restart.
 func TestEventsAndActions(t *testing.T) {
 	list := func(ref, worker string) string {
 		return `{"register":{"ref":` + ref + `,"nodes_list":[{"generation_hw":0,"power_hint":1,"cohort":0,` +
@@ -121,8 +121,8 @@
 	}
 }
 
-// What an instance does hangs on its own events alone.
-func TestInstancesShareNothing(t *testing.T) {
+// The actions of an instance depend on its own events alone.
+func TestInstancesAreIndependent(t *testing.T) {
 	knock := func(who string) string {
 		return `{"knock":{"who":` + who + `,"op_id":1` + who + `,"class":0,"patience_left":10000,"needs":1}}`
 	}
@@ -131,9 +131,9 @@
 	for _, who := range []string{"0", "1"} {
 		alone, _ := serve(t, `{"t":1,"inbox":[`+enlist(who)+`]}`, `{"t":2,"inbox":[`+knock(who)+`]}`)
 		for _, line := range strings.Split(strings.TrimSpace(alone), "\n") {
-			part := strings.TrimSuffix(strings.TrimPrefix(line, `{"do":[`), `]}`)
-			if !strings.Contains(both, part) {
-				t.Errorf("alone %s, together %s", part, both)
+			want := strings.TrimSuffix(strings.TrimPrefix(line, `{"do":[`), `]}`)
+			if !strings.Contains(both, want) {
+				t.Errorf("alone %s, together %s", want, both)
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-// The wire's mark of a repeat reaches the module.
+// The wire's mark of a retry reaches the dispatcher.
 func TestRepeatsAreMarked(t *testing.T) {
 	marks := map[string]bool{`"retry":true`: true, `"retry":false`: false, `"retry":null`: false}
 	for mark, want := range marks {
@@ -171,7 +171,7 @@
 	}
 }
 
-// A breakdown of the decision code is reported for the instance that it hit.
+// A panic in a dispatcher is reported for its instance.
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost()
 	h.dispatchers[2] = &dispatch.Dispatcher{} // not made by New: its maps are missing
