--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -16,7 +16,7 @@
 var schedulerMutants = []Mutant{
 	{
 		Name: "earlier-callback", World: "keyed",
-		About: "a callback of an earlier attempt is taken for the present one",
+		About: "a callback of an earlier attempt is taken for one of the present attempt",
 		Violates: "honest-answers" +
 			" one-attempt-outstanding" +
 			" runs-as-allowed" +
@@ -30,7 +30,7 @@
 	},
 	{
 		Name: "returned-is-full", World: "attempt",
-		About: "a job handed back may go to the same worker, which may say so again",
+		About: "a job handed back may go to the same worker, which may hand it back again",
 		Violates: "honest-answers" +
 			" one-attempt-outstanding" +
 			" runs-as-allowed" +
@@ -44,7 +44,7 @@
 	},
 	{
 		Name: "no-call-back", World: "attempt",
-		About:    "a give-up is not sent",
+		About:    "a cancellation is not sent",
 		Violates: "called-back",
 		Patches: []Patch{
 			{File: cancellationsFile,
@@ -58,7 +58,7 @@
 	},
 	{
 		Name: "one-try", World: "attempt",
-		About:    "a give-up that does not get through is not sent again",
+		About:    "a cancellation that fails is not retried",
 		Violates: "called-back",
 		Patches: []Patch{
 			{File: cancellationsFile,
@@ -96,7 +96,7 @@
 	},
 	{
 		Name: "no-waiting", World: "keyed",
-		About:    "a repeat does not wait until the first copy is called back",
+		About:    "a retry is not deferred until the first attempt is cancelled",
 		Violates: "one-attempt-outstanding",
 		Patches: []Patch{
 			{File: attemptsFile,
@@ -120,7 +120,7 @@
 	},
 	{
 		Name: "early-exit", World: "crash",
-		About:    "a stopping scheduler ends while somebody waits",
+		About:    "a stopping scheduler ends while a caller waits",
 		Violates: "one-final-answer",
 		Patches: []Patch{
 			{File: shutdownFile,
@@ -131,7 +131,7 @@
 	},
 	{
 		Name: "attempt-kept", World: "attempt",
-		About: "an attempt that ended stays in the books",
+		About: "an attempt that has ended stays recorded",
 		Violates: "nothing-leaks" +
 			" one-final-answer" +
 			" called-back" +
@@ -161,7 +161,7 @@
 	},
 	{
 		Name: "recovery-forgets", World: "crash",
-		About:    "a panic leaves jobs at workers that nobody calls back",
+		About:    "a panic leaves jobs at workers that nobody cancels",
 		Violates: "called-back",
 		Patches: []Patch{
 			{File: recoveryFile,
@@ -201,7 +201,7 @@
 	},
 	{
 		Name: "time-out-untold", World: "forbidden", OnlyInWorld: true,
-		About:    "an attempt that timed out is not called back where cancelling is forbidden",
+		About:    "an attempt that timed out is not cancelled where cancelling by the dispatcher is forbidden",
 		Violates: "called-back",
 		Patches: []Patch{
 			{File: attemptsFile,
@@ -216,7 +216,7 @@
 	},
 	{
 		Name: "sent-for-nobody", World: "leaves", OnlyInWorld: true,
-		About:    "an attempt leaves though its client left before, where cancelling is forbidden",
+		About:    "an attempt is sent though its client has disconnected, where cancelling is forbidden",
 		Violates: "leavers-spared",
 		Patches: []Patch{
 			{File: requestsFile,
@@ -227,7 +227,7 @@
 	},
 	{
 		Name: "pushed-as-asked", World: "pushed", OnlyInWorld: true,
-		About:    "a pushed list is trusted without a watch as long as one that is asked for",
+		About:    "a pushed list is trusted without a watch for as long as a polled one",
 		Violates: "list-trusted",
 		Patches: []Patch{
 			{File: endpointsFile,
@@ -238,7 +238,7 @@
 	},
 	{
 		Name: "asked-as-pushed", World: "asked", OnlyInWorld: true,
-		About:    "a list is trusted for the drain grace after its watch is lost, past a short ask_within",
+		About:    "a list is trusted for the drain grace after its watch has closed, past a short ask_within",
 		Violates: "list-trusted",
 		Patches: []Patch{
 			{File: endpointsFile,
@@ -249,7 +249,7 @@
 	},
 	{
 		Name: "second-copy", World: "copies", OnlyInWorld: true,
-		About:    "a second copy leaves while the first is out, where the settings allow copies",
+		About:    "a hedged attempt is sent while the first is live, where the settings allow hedging",
 		Violates: "one-attempt-outstanding",
 		Patches: []Patch{
 			{File: schedulerFile,
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -312,7 +312,7 @@
 		e.Kind, e.Token = dispatch.TimerFired, m.tag
 	case "whisper":
 		e.Kind, e.Peer = dispatch.GossipReceived, m.from
-		e.Message, _ = hex.DecodeString(m.blob) // the dispatcher ignores a message that it cannot read
+		e.Message, _ = hex.DecodeString(m.blob) // an invalid one is cut short, and the dispatcher checks its length
 	default:
 		return false
 	}
