--- /dev/null
+++ b/internal/emulator/connection_pool.go
@@ -0,0 +1,125 @@
+package emulator
+
+// The connections that a scheduler keeps to workers, as package node has them.
+const (
+	idleTimeoutSmallFleet = 50 * millisecond
+	idleTimeoutLargeFleet = 2000 * millisecond
+	maxConnections        = (1024 - 32) / 4 // a quarter of the descriptors, but for 32
+)
+
+// idleEntry is a connection that became idle at a time. The entry does not count any more if the
+// connection was used since.
+type idleEntry struct {
+	conn  *conn
+	since Micros
+}
+
+// acquireIdle returns the connection to a worker that became idle last, or nil. It closes those that
+// the worker's dead process has closed, as the scheduler has seen by now.
+func (n *node) acquireIdle(w *worker) *conn {
+	for idle := n.idleConns[w]; len(idle) > 0; idle = n.idleConns[w] {
+		c := idle[len(idle)-1]
+		n.idleConns[w] = idle[:len(idle)-1]
+		if c.incarnation != w.incarnation && !w.unreachable && n.fleet.now >= w.diedAt+2*regionDelay {
+			n.closeConn(c)
+			continue
+		}
+		return c
+	}
+	return nil
+}
+
+// acquireConn returns a connection for an attempt: an idle one, or else a new one. It returns nil if
+// there are too many.
+func (n *node) acquireConn(w *worker) *conn {
+	n.closeExpired()
+	if c := n.acquireIdle(w); c != nil {
+		return c
+	}
+	return n.newConn(w)
+}
+
+// acquireNewConn returns a connection for a cancellation, which is never sent on a used one. It returns
+// nil if there are too many.
+func (n *node) acquireNewConn(w *worker) *conn {
+	n.closeExpired()
+	return n.newConn(w)
+}
+
+// newConn returns a new connection, or nil. When nearly all are in use the oldest idle one is closed.
+func (n *node) newConn(w *worker) *conn {
+	if n.openConns >= maxConnections-maxConnections/8 {
+		n.closeOldestIdle()
+	}
+	if n.openConns >= maxConnections {
+		n.fleet.tally.model.NoConnection++
+		return nil
+	}
+	n.openConns++
+	return &conn{node: n, worker: w}
+}
+
+// addIdle makes a connection available for the next attempt.
+func (n *node) addIdle(c *conn) {
+	c.idleSince = n.fleet.now
+	n.idleConns[c.worker] = append(n.idleConns[c.worker], c)
+	n.idleOrder = append(n.idleOrder, idleEntry{c, c.idleSince})
+}
+
+func (n *node) idleTimeout() Micros {
+	if n.fleet.settings.Dispatch.LargeFleet() {
+		return idleTimeoutLargeFleet
+	}
+	return idleTimeoutSmallFleet
+}
+
+// closeExpired closes the connections that have been idle for the timeout.
+func (n *node) closeExpired() {
+	for len(n.idleOrder) > 0 && n.fleet.now-n.idleOrder[0].since >= n.idleTimeout() {
+		n.closeOldestIdle()
+	}
+}
+
+// closeOldestIdle closes the connection that has been idle for longest.
+func (n *node) closeOldestIdle() {
+	for len(n.idleOrder) > 0 {
+		oldest := n.idleOrder[0]
+		n.idleOrder = n.idleOrder[1:]
+		c := oldest.conn
+		if c.Busy || c.Released || c.idleSince != oldest.since {
+			continue // it was used since
+		}
+		n.removeIdle(c)
+		n.closeConn(c)
+		return
+	}
+}
+
+func (n *node) removeIdle(c *conn) {
+	idle := n.idleConns[c.worker]
+	for i, o := range idle {
+		if o == c {
+			idle = append(idle[:i], idle[i+1:]...)
+			break
+		}
+	}
+	if n.idleConns[c.worker] = idle; len(idle) == 0 {
+		delete(n.idleConns, c.worker)
+	}
+}
+
+// closeIdleTo closes the idle connections to a worker.
+func (n *node) closeIdleTo(w *worker) {
+	for _, c := range n.idleConns[w] {
+		n.closeConn(c)
+	}
+	delete(n.idleConns, w)
+}
+
+func (n *node) closeConn(c *conn) {
+	if !c.closed {
+		n.openConns--
+	}
+	c.Release()
+	c.closed = true
+}
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -11,66 +11,59 @@
 )
 
 const (
-	// batchInterval is how long discovery gathers changes into one word.
+	// batchInterval is how long discovery gathers changes before it publishes them as one revision.
 	batchInterval     = 250 * millisecond
 	heartbeatInterval = Micros(endpoints.HeartbeatInterval / time.Microsecond)
-	// callTime is the work of a call beside what it has to send; calls are worked through in turn.
+
+	// callTime is the processing time of a call, in addition to that of its list; calls are processed one
+	// after the other.
 	callTime      = 5 * millisecond
-	bytesPerMicro = 100.0 // bytes a microsecond that it can make of a list
-	// maxCallWait is how long a call may wait for its turn.
-	maxCallWait = 2 * second
-	// livenessTimeout is how long discovery does not hear a worker before it is gone, less and more by half
+	bytesPerMicro = 100.0 // of a list, that discovery can write in a microsecond
+	maxCallWait   = 2 * second
+
+	// livenessTimeout is how long a worker must be silent before discovery removes it, give or take half
 	// a second.
 	livenessTimeout   = 3 * second
-	agentReportDelay  = 20 * millisecond  // until the agent of a machine has told that a process died
+	agentReportDelay  = 20 * millisecond  // until a machine's agent has reported that a process died
 	registrationDelay = 200 * millisecond // until a worker that has started is listed
-	maxLateness       = 2 * second        // that a late line comes later
-	maxHistory        = 4096              // versions for which discovery still knows what changed
+
+	maxLateness = 2 * second // that a late line is delayed by
+	maxHistory  = 4096       // revisions for which discovery still knows what changed
 
 	discoveryZone = 0
 )
 
-// discovery is the hollow service of the worker list.
+// discovery is the simulated service of the worker list.
 type discovery struct {
 	fleet         *fleet
 	down          bool
-	table         *endpoints.Table       // workers by number
-	notReadySince []Micros               // since when it is listed as leaving; 0: it is not
-	pending       map[int]*pendingChange // not yet told
-	watches       []*watch               // in the order of their schedulers
+	table         *endpoints.Table       // a worker's place is its index
+	notReadySince []Micros               // by index; 0: listed as ready
+	pending       map[int]*pendingChange // not published yet, by index
+	watches       []*watch               // ordered by the index of their schedulers
 	queuedCalls   []*watch               // calls that are not answered yet
 	incarnation   int                    // of its process
-	busyUntil     Micros                 // when the calls that wait are done
+	busyUntil     Micros                 // the queued calls are answered by then
 	random        func() float64
-	lateFraction  float64 // the part of its lines that come late
+	lateFraction  float64 // of the lines of watches
 }
 
-// pendingChange is what a worker's entry is to be with the next word, and since when that is known.
+// pendingChange is the entry of a worker as it is to be published next.
 type pendingChange struct {
 	endpoint endpoints.Endpoint
-	since    Micros
-}
-
-// watch is a watch, seen from both ends.
-type watch struct {
-	node        *node
-	connected   bool   // discovery still writes to it
-	closed      bool   // its scheduler has taken its end in
-	released    bool   // its scheduler has let it go
-	lastWrite   Micros // when the last line was written
-	lastArrival Micros // when it comes: lines keep their order
-	received    bool
-	buffered    []scheduler.WorkerList // written during a cut
-	emptyAt     Micros                 // nothing lay in the socket then
-	timeoutAt   Micros                 // it counts as dead then, unless something comes
+	since    Micros // discovery has known of the change
 }
 
 func newDiscovery(f *fleet) *discovery {
-	return &discovery{fleet: f, table: endpoints.NewTable(maxHistory), pending: map[int]*pendingChange{},
-		random: f.newRandom(2).Float64}
+	return &discovery{
+		fleet:   f,
+		table:   endpoints.NewTable(maxHistory),
+		pending: map[int]*pendingChange{},
+		random:  f.newRandom(discoveryStream).Float64,
+	}
 }
 
-// workerList is a message as the reducer gets it.
+// workerList is a message in the form that the reducer takes.
 func workerList(m endpoints.Message) scheduler.WorkerList {
 	list := scheduler.WorkerList{Rev: m.Revision, Complete: m.Complete}
 	if len(m.Endpoints) > 0 {
@@ -78,12 +71,12 @@
 	}
 	for i, e := range m.Endpoints {
 		list.Workers[i] = scheduler.Worker{UID: e.UID, Addr: e.Addr, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
-			Status: statusOf(e.State), Started: Micros(e.BootMs) * millisecond}
+			Status: workerStatus(e.State), Started: Micros(e.BootMs) * millisecond}
 	}
 	return list
 }
 
-func statusOf(state endpoints.State) dispatch.Status {
+func workerStatus(state endpoints.State) dispatch.Status {
 	switch state {
 	case endpoints.Ready:
 		return dispatch.Ready
@@ -94,87 +87,102 @@
 	}
 }
 
+// add lists a new worker, without a message to the watches.
+func (d *discovery) add(w *worker) {
+	state := endpoints.Ready
+	if !w.running {
+		state = endpoints.Removed
+	}
+	d.table.Add(endpoints.Endpoint{UID: w.uid, Addr: w.addr, Zone: zoneName(w.zone), Kind: w.kind.name,
+		Cell: w.rack, State: state})
+	d.notReadySince = append(d.notReadySince, 0)
+}
+
 // setState changes the state of a worker's entry with the next message.
 func (d *discovery) setState(w *worker, state endpoints.State) {
-	n := d.pending[w.index]
-	if n == nil {
-		n = &pendingChange{endpoint: d.table.At(w.index), since: d.fleet.now}
+	change := d.pending[w.index]
+	if change == nil {
+		change = &pendingChange{endpoint: d.table.At(w.index), since: d.fleet.now}
 	}
-	was := n.endpoint
-	if n.endpoint.State = state; state == endpoints.Ready {
-		n.endpoint.BootMs = int64(w.startedAt / millisecond)
+	before := change.endpoint
+	change.endpoint.State = state
+	if state == endpoints.Ready {
+		change.endpoint.BootMs = int64(w.startedAt / millisecond)
 	}
-	if n.endpoint == was {
+	if change.endpoint == before {
 		return
 	}
 	if len(d.pending) == 0 {
 		d.fleet.after(batchInterval, d.publish)
 	}
-	d.pending[w.index] = n
+	d.pending[w.index] = change
 }
 
-// publish publishes the changes that have come together as one revision, and writes it to all watches.
+// publish puts the pending changes into the list as one revision, and writes it to all watches.
 func (d *discovery) publish() {
 	if d.down || len(d.pending) == 0 {
 		return
 	}
 	var published []endpoints.Endpoint
 	since := d.fleet.now
-	for _, number := range slices.Sorted(maps.Keys(d.pending)) {
-		n := d.pending[number]
-		published, since = append(published, n.endpoint), min(since, n.since)
-		if n.endpoint.State == endpoints.Ready {
-			d.notReadySince[number] = 0
-		} else if d.notReadySince[number] == 0 {
-			d.notReadySince[number] = n.since
+	for _, index := range slices.Sorted(maps.Keys(d.pending)) {
+		change := d.pending[index]
+		published = append(published, change.endpoint)
+		since = min(since, change.since)
+		if change.endpoint.State == endpoints.Ready {
+			d.notReadySince[index] = 0
+		} else if d.notReadySince[index] == 0 {
+			d.notReadySince[index] = change.since
 		}
 	}
 	clear(d.pending)
-	change := workerList(d.table.Publish(published...))
-	d.fleet.tally.published(change.Rev, since, len(published))
+	list := workerList(d.table.Publish(published...))
+	d.fleet.tally.published(list.Rev, since, len(published))
 	for _, s := range d.watches {
-		s.write(change)
+		s.write(list)
 	}
 }
 
-// handleCall takes the call that opens a watch.
+// handleCall handles the call that opens a watch from a revision on. It is refused while discovery is
+// down, and fails if it would have to wait for too long.
 func (d *discovery) handleCall(s *watch, rev int64) {
+	f := d.fleet
 	if d.down {
-		d.fleet.network.send(discoveryZone, s.node.zone, packetBytes, s.handleClose) // the connection is refused
+		f.network.send(discoveryZone, s.node.zone, packetBytes, s.handleClose)
 		return
 	}
-	f := d.fleet
-	from := max(d.busyUntil, f.now)
-	if from-f.now > maxCallWait {
+	start := max(d.busyUntil, f.now)
+	if start-f.now > maxCallWait {
 		f.tally.discovery.RefusedCalls++
 		f.at(f.now+maxCallWait, func() { f.network.send(discoveryZone, s.node.zone, answerBytes, s.handleClose) })
 		return
 	}
-	t := d.table.Since(rev)
-	if t.Complete {
+	answer := d.table.Since(rev)
+	if answer.Complete {
 		f.tally.discovery.FullLists++
 	} else {
 		f.tally.discovery.Deltas++
 	}
-	d.busyUntil = from + callTime + Micros(float64(listBytes(len(t.Endpoints)))/bytesPerMicro)
-	f.tally.discovery.BusySeconds += float64(d.busyUntil-from) / float64(second)
-	life := d.incarnation
+	d.busyUntil = start + callTime + Micros(float64(listBytes(len(answer.Endpoints)))/bytesPerMicro)
+	f.tally.discovery.BusySeconds += float64(d.busyUntil-start) / float64(second)
+	incarnation := d.incarnation
 	d.queuedCalls = append(d.queuedCalls, s)
 	f.at(d.busyUntil, func() {
-		if d.incarnation != life {
-			return // its end has been sent by then
+		if d.incarnation == incarnation { // else the watch was closed by the restart
+			d.open(s, rev)
 		}
-		d.queuedCalls = slices.DeleteFunc(d.queuedCalls, func(o *watch) bool { return o == s })
-		d.addWatch(s)
-		s.write(workerList(d.table.Since(rev))) // as it is now
-		s.heartbeat()
 	})
 }
 
-func (d *discovery) addWatch(s *watch) {
+// open answers a queued call: the watch begins with what changed since a revision, as it is now.
+func (d *discovery) open(s *watch, rev int64) {
+	d.queuedCalls = slices.DeleteFunc(d.queuedCalls, func(o *watch) bool { return o == s })
 	s.connected = true
-	i, _ := slices.BinarySearchFunc(d.watches, s.node.index, func(o *watch, me int) int { return o.node.index - me })
-	d.watches = slices.Insert(d.watches, i, s)
+	place, _ := slices.BinarySearchFunc(d.watches, s.node.index,
+		func(o *watch, index int) int { return o.node.index - index })
+	d.watches = slices.Insert(d.watches, place, s)
+	s.write(workerList(d.table.Since(rev)))
+	s.heartbeat()
 }
 
 func (d *discovery) removeWatch(s *watch) {
@@ -182,49 +190,9 @@
 	d.watches = slices.DeleteFunc(d.watches, func(o *watch) bool { return o == s })
 }
 
-// write sends a line. Lines keep their order on the way.
-func (s *watch) write(t scheduler.WorkerList) {
-	f := s.node.fleet
-	if !s.connected {
-		return
-	}
-	s.lastWrite = f.now
-	bytes := messageBytes(t)
-	if f.network.separated(discoveryZone, s.node.zone) {
-		s.buffered = append(s.buffered, t)
-		return
-	}
-	s.lastArrival = max(s.lastArrival, f.now+f.network.delay(discoveryZone, s.node.zone)+Micros(float64(bytes)*microsPerByte))
-	if d := f.discovery; d.lateFraction > 0 && d.random() < d.lateFraction {
-		s.lastArrival += Micros(d.random() * float64(maxLateness))
-	}
-	f.at(s.lastArrival, func() { s.receive(t, bytes) })
-}
-
-// flush sends what a cut has kept back.
-func (s *watch) flush() {
-	kept := s.buffered
-	s.buffered = nil
-	for _, t := range kept {
-		s.write(t)
-	}
-}
-
-// heartbeat writes empty lines while nothing changes.
-func (s *watch) heartbeat() {
-	f := s.node.fleet
-	if !s.connected {
-		return
-	}
-	if f.now-s.lastWrite >= heartbeatInterval {
-		s.write(scheduler.WorkerList{})
-	}
-	f.at(s.lastWrite+heartbeatInterval, s.heartbeat)
-}
-
-// restart takes discovery down for a while. Its watches end; it keeps the list, and no longer knows
-// what changed when.
-func (d *discovery) restart(span Micros) {
+// restart takes discovery down for a while. Its watches end. It keeps the list, but not the history of
+// changes.
+func (d *discovery) restart(outage Micros) {
 	d.down = true
 	d.incarnation++
 	for _, s := range slices.Concat(d.watches, d.queuedCalls) {
@@ -232,9 +200,9 @@
 		d.fleet.network.send(discoveryZone, s.node.zone, packetBytes, s.handleClose)
 	}
 	d.watches, d.queuedCalls = nil, nil
-	d.fleet.after(span, func() {
+	d.fleet.after(outage, func() {
 		d.down, d.busyUntil = false, 0
-		d.table.Publish() // so that no revision from before is the present one
+		d.table.Publish() // so that no revision from before the restart is the present one
 		d.table.Forget()
 		d.fleet.tally.published(d.table.Revision(), d.fleet.now, 0)
 		d.publish()
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,8 +1,8 @@
-// Package emulator runs a fleet in virtual time: hundreds of hollow schedulers, each the real
-// reducer and decision module, among hollow workers, clients, one discovery and a network that
-// are written here. There is no socket and no sleep: one queue of events, in the order of their
-// times, moves the clock. The same options give the same run, except for what is measured on the
-// machine (see Measured). docs/design-emulator.md says what is left out.
+// Package emulator runs a fleet in virtual time: hundreds of simulated schedulers, each with the real
+// reducer and decision module, among simulated workers, clients, one discovery service and a network,
+// which are written here. There is no socket and no sleep: one queue of events, ordered by time, moves
+// the clock. The same options give the same run, except for what is measured on the machine (see
+// Measured). docs/design-emulator.md says what is left out.
 package emulator
 
 import (
@@ -10,8 +10,6 @@
 	"fmt"
 	"math/rand/v2"
 	"runtime"
-	"slices"
-	"strings"
 	"time"
 
 	"dahliaford/internal/history"
@@ -19,88 +17,17 @@
 	"dahliaford/internal/settings"
 )
 
-// Micros is a time or a span in microseconds of virtual time.
-type Micros = scheduler.Micros
+// orphanLimit is how long a worker may hold a job that no scheduler waits for.
+const orphanLimit = 20 * time.Second
 
-const (
-	millisecond Micros = 1000
-	second             = 1000 * millisecond
-
-	epoch       = 1_000_000 * second // when the clock starts
-	warmUp      = 3 * second         // from the start of the schedulers to the first job
-	timingSlack = 50 * millisecond   // that each time limit grows by on sockets
-)
-
-// The bounds of a run.
-const (
-	MaxWorkers     = 20_000
-	MaxSchedulers  = 2_000
-	MaxRate        = 10_000    // jobs a second
-	MaxPairs       = 6_000_000 // schedulers times workers: each takes about a kilobyte
-	MaxRunningJobs = 200_000   // jobs a second times the seconds that one takes
-	MaxDuration    = time.Hour
-	MaxTask        = 10 * time.Minute
-)
-
-// Options say what is run. Zero values stand for the defaults that are given.
-type Options struct {
-	Workers    int           // 1 to MostWorkers
-	Schedulers int           // 1 to MostSchedulers; times Workers at most MostPairs
-	Rate       float64       // jobs a second that clients hand in; 0: LoadOf of what the workers carry
-	Duration   time.Duration // of load, in virtual time
-	Seed       uint64
-	Day        string        // one of Days; "": calm
-	Task       time.Duration // mean run time of a job on a standard machine; 0: DefaultTask
-}
-
-// The defaults.
-const (
-	DefaultTask = 13 * time.Second
-	DefaultLoad = 0.6
-)
-
-// Check returns an error in one line if the options make no sense, or go beyond a bound.
-func (o Options) Check() error {
-	switch {
-	case o.Workers < 1 || o.Workers > MaxWorkers:
-		return fmt.Errorf("workers must be 1 to %d", MaxWorkers)
-	case o.Schedulers < 1 || o.Schedulers > MaxSchedulers:
-		return fmt.Errorf("schedulers must be 1 to %d", MaxSchedulers)
-	case !(o.Rate >= 0 && o.Rate <= MaxRate):
-		return fmt.Errorf("rate must be 0 to %d", MaxRate)
-	case o.Duration < time.Second || o.Duration > MaxDuration:
-		return fmt.Errorf("the time must be 1s to %v", MaxDuration)
-	case o.Task < 0 || o.Task > MaxTask || o.Task > 0 && o.Task < 10*time.Millisecond:
-		return fmt.Errorf("a task must be 10ms to %v", MaxTask)
-	case o.Workers*o.Schedulers > MaxPairs:
-		return fmt.Errorf("schedulers times workers must be %d at the most", MaxPairs)
-	case jobRate(o.withDefaults())*o.withDefaults().Task.Seconds() > MaxRunningJobs:
-		return fmt.Errorf("the rate times the seconds of a task must be %d at the most", MaxRunningJobs)
-	case o.Day != "" && days[o.Day].schedule == nil:
-		return fmt.Errorf("unknown day %q: there are %s", o.Day, strings.Join(Days(), ", "))
-	}
-	return nil
-}
-
-// withDefaults returns the options with their defaults.
-func (o Options) withDefaults() Options {
-	if o.Day == "" {
-		o.Day = "calm"
-	}
-	if o.Task == 0 {
-		o.Task = DefaultTask
-	}
-	return o
-}
-
-// fleet is one run.
+// fleet is one run: all simulated actors, the clock and what is counted.
 type fleet struct {
 	options  Options
-	settings settings.Settings
-	task     Micros
+	settings settings.Settings // of all schedulers; their index and zone are set in a copy each
+	task     Micros            // mean run time of a job on a standard machine
 	now      Micros
 	end      Micros
-	events   queue
+	events   eventQueue
 
 	network      network
 	discovery    *discovery
@@ -109,22 +36,39 @@
 	byUID        map[string]*worker
 	byAddr       map[string]*worker
 	clients      *clients
-	requests     map[string]*request
+	requests     map[string]*request // with something outstanding, by id
 	historyRules history.Rules
 	tally        tally
 	meter        costMeter
 }
 
-// at has something done at a time, behind all that was asked for before for the same time.
-func (f *fleet) at(t Micros, do func()) { f.events.push(max(t, f.now), do) }
+// at schedules an action for a time, behind all actions that were scheduled before for that time.
+func (f *fleet) at(t Micros, action func()) { f.events.push(max(t, f.now), action) }
 
-func (f *fleet) after(d Micros, do func()) { f.events.push(f.now+d, do) }
+// after schedules an action for so much later.
+func (f *fleet) after(d Micros, action func()) { f.events.push(f.now+d, action) }
 
-// newRandom is a source of its own for one part of the world, so that a change in one part does
-// not deal others differently.
-func (f *fleet) newRandom(part uint64) *rand.Rand { return rand.New(rand.NewPCG(f.options.Seed, part)) }
+// The streams of random numbers. Each actor draws from a stream of its own, so that a change in one
+// actor does not change what the others draw. The numbers are part of what a seed means.
+const (
+	networkStream   = 1
+	discoveryStream = 2
+	clientStream    = 3
+	dayStream       = 4
+	workerStreams   = 1000      // plus the worker's index
+	nodeStreams     = 1_000_000 // plus the scheduler's index
+)
+
+// newRandom returns the random source of a stream.
+func (f *fleet) newRandom(stream uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(f.options.Seed, stream))
+}
+
+// wallTime is the present virtual time as a time.Time.
+func (f *fleet) wallTime() time.Time { return time.UnixMicro(int64(f.now)) }
 
-// Run plays a day. It ends when the day does, or with an error once the context ends.
+// Run plays a day and returns its report. It fails with the error of Check for bad options, and with
+// the context's error, wrapped, if the context ends first.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	if err := opt.Check(); err != nil {
 		return nil, err
@@ -135,61 +79,65 @@
 		return nil, err
 	}
 	days[opt.Day].schedule(f)
+	if err := f.play(ctx); err != nil {
+		return nil, err
+	}
+	return f.report(), nil
+}
+
+// eventsPerContextCheck keeps the check of the context out of the profile.
+const eventsPerContextCheck = 4096
+
+// play runs all events up to the end of the run.
+func (f *fleet) play(ctx context.Context) error {
 	for n := 0; ; n++ {
-		if n%4096 == 0 {
+		if n%eventsPerContextCheck == 0 {
 			if err := ctx.Err(); err != nil {
-				return nil, fmt.Errorf("given up at %.1f s of virtual time: %w", seconds(f.now-epoch), err)
+				return fmt.Errorf("given up at %.1f s of virtual time: %w", seconds(f.now-epoch), err)
 			}
 		}
-		e, any := f.events.pop()
-		if !any || e.at > f.end {
+		e, ok := f.events.pop()
+		if !ok || e.at > f.end {
 			break
 		}
 		f.now = e.at
-		e.do()
+		e.action()
 	}
 	f.now = f.end
-	return f.report(), nil
+	return nil
 }
 
+// newFleet returns a fleet whose first events are scheduled: the schedulers start, and the load begins
+// after the warm-up.
 func newFleet(opt Options) (*fleet, error) {
 	set, err := fleetSettings(opt)
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{options: opt, settings: set, task: Micros(opt.Task.Microseconds()), now: epoch,
-		end: epoch + warmUp + Micros(opt.Duration.Microseconds()), byUID: map[string]*worker{},
-		byAddr: map[string]*worker{}, requests: map[string]*request{}}
-	f.network = network{fleet: f, random: f.newRandom(1), cutRegion: -1}
+	f := &fleet{
+		options:  opt,
+		settings: set,
+		task:     Micros(opt.Task.Microseconds()),
+		now:      epoch,
+		end:      epoch + warmUp + Micros(opt.Duration.Microseconds()),
+		byUID:    map[string]*worker{},
+		byAddr:   map[string]*worker{},
+		requests: map[string]*request{},
+	}
+	f.network = network{fleet: f, random: f.newRandom(networkStream), cutRegion: noRegion}
 	f.tally = newTally(f)
 	f.meter.start()
-	f.historyRules = history.Rules{AtMostOnce: map[string]bool{}, RackOf: map[string]string{},
-		MaxAttempts: set.Dispatch.MaxAttempts, DrainGrace: toDuration(set.DrainGrace), Slack: toDuration(timingSlack),
-		OrphanLimit: 20 * time.Second,
-		Window:      toDuration(set.Dispatch.Classes[len(set.Dispatch.Classes)-1].DedupWindow)}
-	for _, c := range classes {
-		f.historyRules.AtMostOnce[c.name] = c.atMostOnce
-	}
+	f.historyRules = newHistoryRules(set)
 	f.discovery = newDiscovery(f)
 	for i := range opt.Workers {
 		f.register(f.newWorker(i % Zones))
 	}
-	empty := heapInUse()
-	table := workerList(f.discovery.table.Full())
-	for i := range opt.Schedulers {
-		n, err := newNode(f, i, zoneOfScheduler(i, opt.Schedulers))
-		if err != nil {
-			return nil, err
-		}
-		f.nodes = append(f.nodes, n)
-	}
-	for _, n := range f.nodes {
-		f.at(epoch+Micros(n.random.Int64N(int64(second/2))), func() {
-			n.step(scheduler.Started{Discovery: "discovery", CachedList: table})
-		})
+	heapBefore := heapInUse()
+	if err := f.startSchedulers(); err != nil {
+		return nil, err
 	}
 	f.at(epoch+warmUp, func() {
-		f.meter.heapPerScheduler = float64(heapInUse()-empty) / float64(opt.Schedulers)
+		f.meter.heapPerScheduler = float64(heapInUse()-heapBefore) / float64(opt.Schedulers)
 		f.meter.startLoad(f)
 	})
 	f.clients = newClients(f)
@@ -198,34 +146,55 @@
 	return f, nil
 }
 
-// zoneOfScheduler deals schedulers out over the zones.
-func zoneOfScheduler(i, of int) int {
-	if of >= Zones {
+// newHistoryRules returns the rules that each request's history is checked by.
+func newHistoryRules(set settings.Settings) history.Rules {
+	keyedClass := set.Dispatch.Classes[len(set.Dispatch.Classes)-1]
+	rules := history.Rules{
+		AtMostOnce:  map[string]bool{},
+		RackOf:      map[string]string{},
+		MaxAttempts: set.Dispatch.MaxAttempts,
+		DrainGrace:  toDuration(set.DrainGrace),
+		Slack:       toDuration(timingSlack),
+		OrphanLimit: orphanLimit,
+		Window:      toDuration(keyedClass.DedupWindow),
+	}
+	for _, c := range classes {
+		rules.AtMostOnce[c.name] = c.atMostOnce
+	}
+	return rules
+}
+
+// startSchedulers creates the schedulers and starts them within the first half second, each with the
+// worker list as it is now.
+func (f *fleet) startSchedulers() error {
+	list := workerList(f.discovery.table.Full())
+	for i := range f.options.Schedulers {
+		n, err := newNode(f, i, zoneOfScheduler(i, f.options.Schedulers))
+		if err != nil {
+			return err
+		}
+		f.nodes = append(f.nodes, n)
+	}
+	for _, n := range f.nodes {
+		f.at(epoch+Micros(n.random.Int64N(int64(second/2))), func() {
+			n.step(scheduler.Started{Discovery: "discovery", CachedList: list})
+		})
+	}
+	return nil
+}
+
+// zoneOfScheduler spreads the schedulers evenly over the zones.
+func zoneOfScheduler(i, schedulers int) int {
+	if schedulers >= Zones {
 		return i % Zones
 	}
-	return i * Zones / of
+	return i * Zones / schedulers
 }
 
-// heapInUse is what is in use, in bytes, after a collection.
+// heapInUse is the heap in use after a collection, in bytes.
 func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
-
-func toDuration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
-
-func seconds(m Micros) float64 { return float64(m) / float64(second) }
-
-func (f *fleet) wallTime() time.Time { return time.UnixMicro(int64(f.now)) }
-
-// Days are the days that can be played.
-func Days() []string {
-	var names []string
-	for name := range days {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -124,7 +124,7 @@
 		part += c.fraction
 	}
 	for _, g := range slotMix {
-		part += g.part
+		part += g.fraction
 	}
 	if part < 1.999 || part > 2.001 || len(set.Zones) != Zones {
 		t.Errorf("the parts come to %v", part)
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -27,7 +27,7 @@
 		"it dies with the job": {want: "Submitted AttemptAccepted Told/started Told/lost", answer: "500",
 			befall: func(f *fleet, w *worker) { f.after(2*second, w.crash) }},
 		"its machine vanishes before": {want: "Submitted Ended/connect-failed", befall: func(f *fleet, w *worker) {
-			w.abortAll(false)
+			w.stop(unreported)
 			w.unreachable = true
 		}},
 		"it is full": {want: "Submitted Ended/full", befall: func(f *fleet, w *worker) {
@@ -51,7 +51,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.events, f.now = queue{}, f.atFraction(0)
+		f.events, f.now = eventQueue{}, f.atFraction(0)
 		n, w := f.nodes[0], f.workers[0]
 		var seen []string
 		f.meter.observe = func(e scheduler.Event) { seen = append(seen, nameOf(e)) }
@@ -118,25 +118,25 @@
 	}
 	c := idle()
 	f.now += idleTimeoutLargeFleet - 1
-	if n.acquireConn(w, true) == c {
+	if n.acquireNewConn(w) == c {
 		t.Error("a withdrawal takes a connection that idles")
 	}
-	if n.acquireConn(w, false) != c {
+	if n.acquireConn(w) != c {
 		t.Error("a connection that idles is not used again")
 	}
 	c = idle()
 	f.now += idleTimeoutLargeFleet
-	if n.acquireConn(w, false) == c || !c.Released {
+	if n.acquireConn(w) == c || !c.Released {
 		t.Error("a connection that has idled too long is used again")
 	}
 	c = idle()
 	w.crash()
 	f.now += second
-	if n.acquireConn(w, false) == c {
+	if n.acquireConn(w) == c {
 		t.Error("a connection to a dead process is used again")
 	}
 	for range 2 * maxConnections {
-		n.acquireConn(w, false)
+		n.acquireConn(w)
 	}
 	if n.openConns != maxConnections || f.tally.model.NoConnection == 0 {
 		t.Errorf("%d connections, of %d at the most", n.openConns, maxConnections)
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -21,7 +21,7 @@
 			at Micros
 			n  int
 		}
-		var q queue
+		var q eventQueue
 		var want, got []asked
 		for n, at := range rapid.SliceOfN(rapid.Int64Range(0, 20), 0, 200).Draw(t, "times") {
 			e := asked{Micros(at), n}
@@ -29,8 +29,8 @@
 			q.push(e.at, func() { got = append(got, e) })
 		}
 		slices.SortStableFunc(want, func(a, b asked) int { return cmp.Compare(a.at, b.at) })
-		for e, any := q.pop(); any; e, any = q.pop() {
-			e.do()
+		for e, ok := q.pop(); ok; e, ok = q.pop() {
+			e.action()
 		}
 		if !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.events, f.now = queue{}, f.atFraction(0)
+	f.events, f.now = eventQueue{}, f.atFraction(0)
 	return f
 }
 
@@ -54,7 +54,7 @@
 	for len(f.events.heap) > 0 && f.events.heap[0].at <= at {
 		e, _ := f.events.pop()
 		f.now = e.at
-		e.do()
+		e.action()
 	}
 	f.now = at
 }
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -1,36 +1,36 @@
 package emulator
 
-// event is something that happens at a time.
+// event is an action at a time.
 type event struct {
-	at  Micros
-	seq uint64 // in the order in which they were asked for: it breaks ties
-	do  func()
+	at     Micros
+	seq    uint64 // number of the event in the order of scheduling: it breaks ties
+	action func()
 }
 
 func (e *event) precedes(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// queue is a binary heap of events, the earliest first.
-type queue struct {
+// eventQueue is a binary heap of events, the earliest first.
+type eventQueue struct {
 	heap []event
-	seq  uint64
+	seq  uint64 // of the event scheduled last
 }
 
-func (q *queue) push(at Micros, do func()) {
+func (q *eventQueue) push(at Micros, action func()) {
 	q.seq++
-	q.heap = append(q.heap, event{at, q.seq, do})
+	q.heap = append(q.heap, event{at, q.seq, action})
 	h := q.heap
 	for i := len(h) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !h[i].precedes(&h[up]) {
+		parent := (i - 1) / 2
+		if !h[i].precedes(&h[parent]) {
 			return
 		}
-		h[i], h[up] = h[up], h[i]
-		i = up
+		h[i], h[parent] = h[parent], h[i]
+		i = parent
 	}
 }
 
-// pop takes the earliest event; any is false if there is none.
-func (q *queue) pop() (first event, any bool) {
+// pop removes the earliest event; ok is false if there is none.
+func (q *eventQueue) pop() (first event, ok bool) {
 	if len(q.heap) == 0 {
 		return event{}, false
 	}
@@ -38,20 +38,20 @@
 	first = h[0]
 	last := len(h) - 1
 	h[0] = h[last]
-	h[last] = event{} // lets what it holds go
+	h[last] = event{} // so that the action can be collected
 	h = h[:last]
 	q.heap = h
 	for i := 0; ; {
-		least := i
-		for c := 2*i + 1; c <= 2*i+2 && c < last; c++ {
-			if h[c].precedes(&h[least]) {
-				least = c
+		smallest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
+			if h[child].precedes(&h[smallest]) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return first, true
 		}
-		h[i], h[least] = h[least], h[i]
-		i = least
+		h[i], h[smallest] = h[smallest], h[i]
+		i = smallest
 	}
 }
--- /dev/null
+++ b/internal/emulator/summary.go
@@ -0,0 +1,124 @@
+package emulator
+
+import (
+	"fmt"
+	"slices"
+
+	"dahliaford/internal/history"
+)
+
+// report sums up the run.
+func (f *fleet) report() *Report {
+	f.summarizeTimeToStart()
+	f.tally.model.Discovery = f.tally.discovery
+	f.checkOpenRequests()
+	f.summarizeChanges()
+	f.summarizeTraffic()
+	return &Report{Model: f.tally.model, Measured: f.meter.results(f), Series: f.meter.series}
+}
+
+func (f *fleet) summarizeTimeToStart() {
+	m := &f.tally.model
+	for i, c := range classes {
+		s := summarize(f.tally.timeToStart[i])
+		s.Total = f.tally.jobsByClass[i]
+		if s.Count > 0 {
+			s.WithinObjective = float64(f.tally.withinObjective[i]) / float64(s.Count)
+		}
+		m.TimeToStart[c.name] = s
+	}
+	for i, mix := range slotMix {
+		s := summarize(f.tally.timeToStartBySlots[i])
+		s.Total = f.tally.jobsBySlots[i]
+		m.TimeToStartBySlots[fmt.Sprint(mix.slots)] = s
+	}
+	m.StartsPerSecond = float64(m.Starts) / m.LoadSeconds
+	for _, starts := range f.meter.series.Starts {
+		m.PeakStartsPerSecond = max(m.PeakStartsPerSecond, starts)
+	}
+}
+
+// checkOpenRequests checks the requests with something outstanding at the end.
+func (f *fleet) checkOpenRequests() {
+	var open []*request
+	for _, r := range f.requests {
+		open = append(open, r)
+	}
+	slices.SortFunc(open, func(a, b *request) int { return a.number - b.number })
+	notRunning := map[*node]int{}
+	m := &f.tally.model
+	for _, r := range open {
+		if !r.answered {
+			m.Unanswered++
+			if r.job.firstStarted != r {
+				m.NotRunning++
+				notRunning[r.node]++
+				m.MaxNotRunningAtOne = max(m.MaxNotRunningAtOne, notRunning[r.node])
+			}
+			if f.now > r.deadline+timingSlack {
+				r.record(history.Event{Kind: history.Unanswered, ID: r.id})
+			}
+		}
+		// An event without meaning ends the history now: attempts that nobody waits for are overdue
+		// relative to its last event.
+		r.record(history.Event{Kind: history.WorkerReady})
+		r.checkHistory()
+	}
+}
+
+// summarizeChanges sums up how long changes took until all schedulers had applied them, and until they
+// were in force everywhere: applied, or the scheduler's list was stale so that it sent nothing.
+func (f *fleet) summarizeChanges() {
+	m := &f.tally.model
+	inForce, applied := newTimeHistogram(), newTimeHistogram()
+	for i, c := range f.tally.changes {
+		if f.checkInForce(c, int64(i)+firstChange) {
+			recordTime(inForce, c.inForceAt-c.knownSince)
+		} else {
+			m.Changes.NotInForce++
+		}
+		if c.pendingSchedulers == 0 {
+			recordTime(applied, c.appliedAt-c.knownSince)
+		} else {
+			m.Changes.Unapplied++
+		}
+	}
+	m.Changes.InForce, m.Changes.Applied = summarize(inForce), summarize(applied)
+}
+
+// checkInForce tells whether a change is in force at all schedulers at the end, and counts those whose
+// list became stale before they applied it.
+func (f *fleet) checkInForce(c *changeProgress, rev int64) bool {
+	if c.pendingSchedulers == 0 {
+		return true
+	}
+	everywhere := true
+	for _, n := range f.nodes {
+		switch {
+		case n.appliedRevision >= rev:
+		case n.validUntil >= f.now:
+			everywhere = false
+		default:
+			c.inForceAt = max(c.inForceAt, n.validUntil, c.publishedAt)
+		}
+	}
+	return everywhere
+}
+
+func (f *fleet) summarizeTraffic() {
+	m := &f.tally.model
+	for _, n := range f.nodes {
+		u := &n.usage
+		m.ControlTraffic.add(u.controlBytes, u.controlMessages, len(f.nodes), m.LoadSeconds)
+		m.ControlTraffic.PeakSecondBytes = max(m.ControlTraffic.PeakSecondBytes, u.peakSecondBytes)
+		m.JobTraffic.add(u.jobBytes, u.jobMessages, len(f.nodes), m.LoadSeconds)
+	}
+}
+
+// add adds one of the schedulers, with its bytes and messages over a time in seconds.
+func (t *Traffic) add(bytes, messages int64, schedulers int, duration float64) {
+	schedulerSeconds := float64(schedulers) * duration
+	t.BytesPerSecond += float64(bytes) / schedulerSeconds
+	t.MessagesPerSecond += float64(messages) / schedulerSeconds
+	t.MaxBytesPerSecond = max(t.MaxBytesPerSecond, float64(bytes)/duration)
+}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -8,20 +8,20 @@
 
 	"dahliaford/internal/connstate"
 	"dahliaford/internal/dispatch"
-	"dahliaford/internal/endpoints"
 	"dahliaford/internal/history"
 	"dahliaford/internal/scheduler"
 )
 
 const (
-	queueFactor = 2.0    // a worker's queue holds so many times its slots
-	failureRate = 0.0005 // of runs that fail by themselves
-	// callbackTimeout is how long a worker tries a callback: ten times, a second apart.
-	callbackTimeout  = 10 * second
-	overloadDowntime = 5 * second // a worker that was pushed over is down for so long
+	queueFactor = 2.0    // the queue of a worker holds so many times its slots
+	failureRate = 0.0005 // fraction of runs that fail by themselves
+	// callbackTimeout is how long a worker retries a callback: ten times, a second apart.
+	callbackTimeout = 10 * second
+	// errorWindow is how long an error counts in the load report, less and less.
+	errorWindow = 10 * second
 )
 
-// worker is a hollow worker.
+// worker is a simulated worker: a machine with one process on it.
 type worker struct {
 	fleet  *fleet
 	index  int
@@ -32,47 +32,50 @@
 	kind   *machineKind
 	random *rand.Rand
 
-	running     bool // its process runs
-	unreachable bool // its machine has vanished, and says nothing
-	retired     bool // it is not to come back
-	incarnation int  // of its process: connections are to one
+	running     bool // its process
+	unreachable bool // the machine has vanished and answers nothing
+	retired     bool // it does not come back
+	incarnation int  // of the process: a connection is to one
 	diedAt      Micros
-	startedAt   Micros // 0: long ago
-	deferred    []func()
+	startedAt   Micros   // 0: long ago
+	deferred    []func() // deliveries to an unreachable machine
 
-	attempts       map[string]*attempt
+	attempts       map[string]*attempt // by id of the request
 	queue          []*attempt
 	usedSlots      float64
-	recentArrivals []arrival // while it is cold
-	errorRate      float64   // recent errors a second
+	recentArrivals []arrival // during slow start
+	errorRate      float64   // errors a second, at errorRateAt
 	errorRateAt    Micros
 }
 
-// attempt is a job that a worker holds.
+// attempt is a job that a worker has accepted.
 type attempt struct {
 	request *request
 	worker  *worker
 	node    *node
-	running bool
+	running bool // it has slots; else it is queued
 	ended   bool
 }
 
-type arrival struct {
-	at       Micros
-	work     float64 // micros on a standard machine, times slots
-	informed bool    // its scheduler had been told of the start
-}
-
-// newWorker is one more worker, in a zone. It runs, but nobody knows of it before it is registered.
+// newWorker returns one more worker, in a zone. It runs, but is not part of the fleet before it is
+// registered.
 func (f *fleet) newWorker(zone int) *worker {
-	number := len(f.workers)
+	index := len(f.workers)
 	hash := fnv.New32a()
-	_, _ = fmt.Fprintf(hash, "worker %d", number) // a hash takes all that is written
-	place := number / Zones
-	w := &worker{fleet: f, index: number, uid: fmt.Sprintf("s-%08x", hash.Sum32()), zone: zone,
-		rack: zone*1000 + place/rackSize, addr: fmt.Sprintf("10.%d.%d.%d:8443", zone, place/250, place%250),
-		kind: &kinds[place%len(kinds)], running: true, attempts: map[string]*attempt{},
-		random: f.newRandom(1000 + uint64(number))}
+	_, _ = fmt.Fprintf(hash, "worker %d", index) // writing to a hash cannot fail
+	place := index / Zones
+	w := &worker{
+		fleet:    f,
+		index:    index,
+		uid:      fmt.Sprintf("s-%08x", hash.Sum32()),
+		zone:     zone,
+		rack:     zone*1000 + place/rackSize,
+		addr:     fmt.Sprintf("10.%d.%d.%d:8443", zone, place/250, place%250),
+		kind:     &kinds[place%len(kinds)],
+		running:  true,
+		attempts: map[string]*attempt{},
+		random:   f.newRandom(workerStreams + uint64(index)),
+	}
 	for f.byUID[w.uid] != nil {
 		w.uid += "x"
 	}
@@ -84,47 +87,28 @@
 	f.workers = append(f.workers, w)
 	f.byUID[w.uid], f.byAddr[w.addr] = w, w
 	f.historyRules.RackOf[w.uid] = fmt.Sprint(w.rack)
-	state := endpoints.Ready
-	if !w.running {
-		state = endpoints.Removed
-	}
-	f.discovery.table.Add(endpoints.Endpoint{UID: w.uid, Addr: w.addr, Zone: zoneName(w.zone),
-		Kind: w.kind.name, Cell: w.rack, State: state})
-	f.discovery.notReadySince = append(f.discovery.notReadySince, 0)
+	f.discovery.add(w)
 }
 
-// deliver has something done at the worker's machine, or once it is back.
-func (w *worker) deliver(do func()) {
+// deliver runs an action at the worker's machine: now, or once the machine is reachable again.
+func (w *worker) deliver(action func()) {
 	if w.unreachable {
-		w.deferred = append(w.deferred, do)
+		w.deferred = append(w.deferred, action)
 		return
 	}
-	do()
-}
-
-// speedFraction is the part of its capacity that a worker has.
-func (w *worker) speedFraction() float64 {
-	if w.startedAt == 0 || w.fleet.now-w.startedAt >= slowStartTime {
-		return 1
-	}
-	return slowStartInitial + (1-slowStartInitial)*float64(w.fleet.now-w.startedAt)/float64(slowStartTime)
+	action()
 }
 
-// receive takes a request whose last byte has come, and answers.
+// receive handles a request whose last byte has arrived, and answers it.
 func (w *worker) receive(c *conn, req *request) {
-	f := w.fleet
 	req.record(history.Event{Kind: history.Arrived, ID: req.id, Actor: w.uid})
-	a := &attempt{request: req, worker: w, node: c.node}
-	waits := 0.0
-	for _, q := range w.queue {
-		waits += q.request.job.slots
-	}
-	if waits+req.job.slots > queueFactor*w.kind.slots || req.job.slots > w.kind.slots {
+	if !w.hasCapacity(req.job.slots) {
 		req.record(history.Event{Kind: history.Ended, ID: req.id, Actor: w.uid})
-		f.tally.model.RejectedAtCapacity++
+		w.fleet.tally.model.RejectedAtCapacity++
 		w.respond(c, connstate.Answer{Status: 503, TurnedAway: true, Report: w.loadReport()})
 		return
 	}
+	a := &attempt{request: req, worker: w, node: c.node}
 	w.attempts[req.id] = a
 	req.outstanding++
 	w.respond(c, connstate.Answer{Status: 202})
@@ -135,48 +119,27 @@
 	}
 }
 
+// hasCapacity tells whether a job of so many slots fits into the queue, and can run here at all.
+func (w *worker) hasCapacity(slots float64) bool {
+	queued := 0.0
+	for _, a := range w.queue {
+		queued += a.request.job.slots
+	}
+	return queued+slots <= queueFactor*w.kind.slots && slots <= w.kind.slots
+}
+
+// respond sends an answer on a connection.
 func (w *worker) respond(c *conn, a connstate.Answer) {
-	task := c.Attempt
+	attempt := c.Attempt
 	w.fleet.network.send(w.zone, c.node.zone, answerBytes, func() {
-		if c.carries(task) {
+		if c.carries(attempt) {
 			c.node.countJobMessage(answerBytes)
 			c.handleAnswer(a)
 		}
 	})
 }
 
-// checkOverload is the rule on cold workers: one that is sent more than it allows falls over.
-func (w *worker) checkOverload(c *conn, req *request) {
-	f := w.fleet
-	warmth := w.speedFraction()
-	if warmth == 1 {
-		w.recentArrivals = nil
-		return
-	}
-	// A start counts as told after a while, heard or not.
-	told := c.node.workerStarts[w.uid] == w.startedAt || f.now-w.startedAt > registrationDelay+batchInterval+staleAfter
-	w.recentArrivals = append(w.recentArrivals, arrival{f.now, req.job.work * req.job.slots, told})
-	w.recentArrivals = slices.DeleteFunc(w.recentArrivals, func(a arrival) bool { return f.now-a.at > overloadWindow })
-	sum, knew := 0.0, 0.0
-	for _, a := range w.recentArrivals {
-		if sum += a.work; a.informed {
-			knew += a.work
-		}
-	}
-	slack := 2 * float64(f.task)
-	if sum <= slack+overloadFactor*warmth*w.kind.slots*w.kind.speed*float64(overloadWindow) {
-		return
-	}
-	f.tally.model.OverloadCrashes++
-	if knew >= sum*2/3 {
-		f.tally.addFinding(history.Finding{Property: "cold-spared", ID: req.id,
-			Text: fmt.Sprintf("%s falls over, with %.0f s of work within its window", w.uid, sum/1e6)})
-	}
-	w.crash()
-	f.after(overloadDowntime, w.boot)
-}
-
-// startQueued starts what there are slots for.
+// startQueued starts the queued attempts that there are slots for, in order.
 func (w *worker) startQueued() {
 	f := w.fleet
 	for len(w.queue) > 0 && w.usedSlots+w.queue[0].request.job.slots <= w.kind.slots {
@@ -187,30 +150,32 @@
 		a.request.record(history.Event{Kind: history.Started, ID: a.request.id, Actor: w.uid})
 		f.clients.jobStarted(a.request)
 		w.sendCallback(a, scheduler.Callback{Kind: scheduler.CallbackStarted})
-		run := Micros(a.request.job.work / w.kind.speed / w.speedFraction())
-		f.after(run, func() { w.finish(a) })
+		runTime := Micros(a.request.job.work / w.kind.speed / w.speedFraction())
+		f.after(runTime, func() { w.finish(a) })
 	}
 }
 
+// finish ends the run of an attempt, successfully or with an error.
 func (w *worker) finish(a *attempt) {
 	if a.ended {
 		return
 	}
-	told := scheduler.Callback{Kind: scheduler.CallbackDone, Result: []byte(a.request.id)}
-	ended := history.Event{Kind: history.Ended, ID: a.request.id, Actor: w.uid, MayHaveRun: true, Result: a.request.id}
+	callback := scheduler.Callback{Kind: scheduler.CallbackDone, Result: []byte(a.request.id)}
+	ended := history.Event{Kind: history.Ended, ID: a.request.id, Actor: w.uid, MayHaveRun: true,
+		Result: a.request.id}
 	if w.random.Float64() < failureRate {
-		told.Kind, told.Result, ended.Result = scheduler.CallbackFailed, nil, ""
+		callback.Kind, callback.Result, ended.Result = scheduler.CallbackFailed, nil, ""
 		w.errorRate, w.errorRateAt = w.recentErrors()+0.1, w.fleet.now
 	}
 	a.request.record(ended)
 	w.remove(a)
-	told.Report = w.loadReport()
-	w.sendCallback(a, told)
+	callback.Report = w.loadReport()
+	w.sendCallback(a, callback)
 	a.request.release()
 	w.startQueued()
 }
 
-// remove takes an attempt out of the books.
+// remove ends an attempt and frees its slots or its place in the queue.
 func (w *worker) remove(a *attempt) {
 	a.ended = true
 	delete(w.attempts, a.request.id)
@@ -221,9 +186,9 @@
 	}
 }
 
-// recentErrors is the recent errors a second; they wear off within ten seconds.
+// recentErrors is the rate of errors, per second. It falls to zero within the error window.
 func (w *worker) recentErrors() float64 {
-	return w.errorRate * max(0, 1-float64(w.fleet.now-w.errorRateAt)/float64(10*second))
+	return w.errorRate * max(0, 1-float64(w.fleet.now-w.errorRateAt)/float64(errorWindow))
 }
 
 func (w *worker) loadReport() dispatch.Report {
@@ -231,32 +196,33 @@
 		Errors: w.recentErrors()}
 }
 
-// sendCallback tells the attempt's scheduler something, and tries for a while.
-func (w *worker) sendCallback(a *attempt, t scheduler.Callback) {
-	f, sent, life := w.fleet, w.fleet.now, a.node.life
-	t.ID, t.From = a.request.id, w.uid
-	bytes := callbackBytes + len(t.Result)
-	if t.Report.Known {
+// sendCallback sends a callback to the attempt's scheduler. One that a cut holds up for longer than the
+// timeout is undelivered: the worker has stopped retrying.
+func (w *worker) sendCallback(a *attempt, callback scheduler.Callback) {
+	f, sentAt := w.fleet, w.fleet.now
+	callback.ID, callback.From = a.request.id, w.uid
+	bytes := callbackBytes + len(callback.Result)
+	if callback.Report.Known {
 		bytes += reportBytes
 	}
 	f.network.send(w.zone, a.node.zone, bytes, func() {
-		if f.now-sent > callbackTimeout || a.node.life != life {
+		if f.now-sentAt > callbackTimeout {
 			f.tally.model.CallbacksUndelivered++
 			return
 		}
 		a.node.countJobMessage(bytes)
 		a.node.countJobMessage(emptyAnswerBytes)
-		a.node.step(t)
+		a.node.step(callback)
 	})
 }
 
-// cancel drops a job, and tells whether it was there.
-func (w *worker) cancel(id string) bool {
-	a := w.attempts[id]
+// cancel ends the attempt of a request, and tells whether there was one.
+func (w *worker) cancel(requestID string) bool {
+	a := w.attempts[requestID]
 	if a == nil {
 		return false
 	}
-	a.request.record(history.Event{Kind: history.CancelReceived, ID: id, Actor: w.uid, Status: 200})
+	a.request.record(history.Event{Kind: history.CancelReceived, ID: requestID, Actor: w.uid, Status: 200})
 	w.fleet.tally.model.Cancelled++
 	w.remove(a)
 	a.request.release()
@@ -264,91 +230,5 @@
 	return true
 }
 
-// abortAll ends all that the worker holds.
-func (w *worker) abortAll(tell bool) {
-	var all []*attempt
-	for _, a := range w.attempts {
-		all = append(all, a)
-	}
-	slices.SortFunc(all, func(a, b *attempt) int { return a.request.number - b.request.number })
-	w.queue = nil
-	for _, a := range all {
-		a.request.record(history.Event{Kind: history.WorkerDied, ID: a.request.id, Actor: w.uid})
-		w.fleet.tally.model.KilledAttempts++
-		w.remove(a)
-		if tell {
-			w.sendCallback(a, scheduler.Callback{Kind: scheduler.CallbackAborted})
-		}
-		a.request.release()
-	}
-	w.running, w.diedAt, w.recentArrivals, w.usedSlots = false, w.fleet.now, nil, 0
-	w.incarnation++
-}
-
-// crash ends the process. Its machine's agent tells the schedulers and discovery.
-func (w *worker) crash() {
-	if !w.running {
-		return
-	}
-	w.abortAll(true)
-	life := w.incarnation
-	w.fleet.after(agentReportDelay, func() {
-		if w.incarnation == life {
-			w.fleet.discovery.setState(w, endpoints.Removed)
-		}
-	})
-}
-
-// vanish takes the machine away without a word.
-func (w *worker) vanish() {
-	if w.unreachable {
-		return
-	}
-	w.abortAll(false)
-	w.unreachable = true
-	w.missHeartbeats()
-}
-
-// missHeartbeats has discovery find out that it does not hear a worker any more.
-func (w *worker) missHeartbeats() {
-	d := w.fleet.discovery
-	w.fleet.after(livenessTimeout+Micros((d.random()-0.5)*float64(second)), func() {
-		if w.unreachable || w.fleet.network.separated(w.zone, discoveryZone) {
-			d.setState(w, endpoints.Removed)
-		}
-	})
-}
-
-// boot starts the process, and the machine if it is away.
-func (w *worker) boot() {
-	if w.running || w.retired {
-		return
-	}
-	f := w.fleet
-	w.running, w.unreachable = true, false
-	w.startedAt = f.now / millisecond * millisecond
-	life := w.incarnation
-	waiting := w.deferred
-	w.deferred = nil
-	for _, do := range waiting {
-		do()
-	}
-	f.after(registrationDelay, func() {
-		if w.incarnation == life && !f.network.separated(w.zone, discoveryZone) {
-			f.discovery.setState(w, endpoints.Ready)
-		}
-	})
-}
-
-// replace has another worker come in this one's place.
-func (w *worker) replace() {
-	w.retired = true
-	w.fleet.discovery.setState(w, endpoints.Removed)
-	n := w.fleet.newWorker(w.zone)
-	n.rack, n.running = w.rack, false
-	w.fleet.register(n)
-	n.boot()
-}
-
-// idle tells whether nothing is held.
+// idle tells whether the worker has no attempt.
 func (w *worker) idle() bool { return len(w.attempts) == 0 }
