--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -14,7 +14,7 @@
 
 // The calm path: a job that is served at once, through the library and by a bare net/http
 // call, against the same scheduler in the same run.
-func BenchmarkCalm(b *testing.B) {
+func BenchmarkServedJob(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/client/desk.go
+++ b/client/client.go
@@ -91,9 +91,9 @@
 
 func (e *RefusedError) Error() string {
 	if e.Cause != nil {
-		return "desk: not sent: " + e.Cause.Error()
+		return "client: not sent: " + e.Cause.Error()
 	}
-	return "desk: refused"
+	return "client: refused"
 }
 
 // Unwrap returns the cause.
@@ -102,16 +102,16 @@
 // FailedError says that a job failed. It may have run.
 type FailedError struct{ Status int }
 
-func (e *FailedError) Error() string { return fmt.Sprintf("desk: failed, status %d", e.Status) }
+func (e *FailedError) Error() string { return fmt.Sprintf("client: failed, status %d", e.Status) }
 
 // UnknownOutcomeError says that a job may have run, and that nobody can say how it ended.
 type UnknownOutcomeError struct{ Cause error }
 
 func (e *UnknownOutcomeError) Error() string {
 	if e.Cause == nil {
-		return "desk: may have run"
+		return "client: may have run"
 	}
-	return "desk: may have run: " + e.Cause.Error()
+	return "client: may have run: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
@@ -123,12 +123,12 @@
 	Text   string
 }
 
-func (e *InvalidJobError) Error() string { return "desk: invalid: " + e.Text }
+func (e *InvalidJobError) Error() string { return "client: invalid: " + e.Text }
 
 // ExpiredError says that no time was left to hand a job in. It did not run.
 type ExpiredError struct{}
 
-func (e *ExpiredError) Error() string { return "desk: no time left" }
+func (e *ExpiredError) Error() string { return "client: no time left" }
 
 // Client hands jobs in. It is safe for many goroutines.
 type Client struct {
@@ -137,16 +137,16 @@
 	log     *slog.Logger
 	pool    *pool
 
-	mu   sync.Mutex // guards what follows
-	plan *plan.Plan
-	back chan struct{} // closed when a scheduler can be reached again, and then replaced
+	mu        sync.Mutex // guards what follows
+	plan      *plan.Plan
+	available chan struct{} // closed when a scheduler can be reached again, and then replaced
 }
 
 // The figures that a desk does not choose.
 const (
-	defaultTries       = 3
+	defaultMaxAttempts = 3
 	defaultBudget      = 0.1
-	spareRetries       = 10
+	maxRetryTokens     = 10
 	defaultConnections = 64
 	defaultReconnects  = 50
 )
@@ -159,7 +159,7 @@
 	if cfg.RetryBudget == 0 {
 		cfg.RetryBudget = defaultBudget
 	}
-	spare := float64(spareRetries)
+	spare := float64(maxRetryTokens)
 	if cfg.RetryBudget < 0 {
 		cfg.RetryBudget, spare = 0, 0
 	}
@@ -176,12 +176,12 @@
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	if cfg.MaxConnections < 0 || cfg.ConnectRate < 0 {
-		return nil, errors.New("desk: connections and reconnects must not be negative")
+		return nil, errors.New("client: connections and reconnects must not be negative")
 	}
 	if cfg.Observer == nil {
-		cfg.Observer = nobody{}
+		cfg.Observer = noObserver{}
 	}
-	c := &Client{cfg: cfg, classes: map[string]int{}, log: cfg.Log, back: make(chan struct{})}
+	c := &Client{cfg: cfg, classes: map[string]int{}, log: cfg.Log, available: make(chan struct{})}
 	p := plan.Config{Schedulers: len(cfg.Schedulers), RetryBudget: cfg.RetryBudget, MaxTokens: spare,
 		Backoff: 50 * time.Millisecond, MaxBackoff: time.Second, EjectAfter: 3, BaseEjection: time.Second,
 		MaxEjection: 30 * time.Second}
@@ -190,22 +190,22 @@
 		effect, known := effects[class.Effect]
 		switch {
 		case !known:
-			return nil, fmt.Errorf("desk: classes.%s.effect: unknown effect %q", name, class.Effect)
+			return nil, fmt.Errorf("client: classes.%s.effect: unknown effect %q", name, class.Effect)
 		case class.Deadline <= 0:
-			return nil, fmt.Errorf("desk: classes.%s.deadline: it must be positive", name)
+			return nil, fmt.Errorf("client: classes.%s.deadline: it must be positive", name)
 		case class.MaxAttempts < 0:
-			return nil, fmt.Errorf("desk: classes.%s.tries: it must not be negative", name)
+			return nil, fmt.Errorf("client: classes.%s.tries: it must not be negative", name)
 		case class.Effect == Anywhere && class.Window <= 0:
-			return nil, fmt.Errorf("desk: classes.%s.window: it must be positive", name)
+			return nil, fmt.Errorf("client: classes.%s.window: it must be positive", name)
 		case class.MaxAttempts == 0:
-			class.MaxAttempts = defaultTries
+			class.MaxAttempts = defaultMaxAttempts
 		}
 		c.classes[name] = len(p.Classes)
 		p.Classes = append(p.Classes, plan.Class{Effect: effect, Window: class.Window, MaxAttempts: class.MaxAttempts})
 	}
 	var err error
 	if c.plan, err = plan.New(p, cfg.Seed); err != nil {
-		return nil, fmt.Errorf("desk: %w", err)
+		return nil, fmt.Errorf("client: %w", err)
 	}
 	c.pool = newPool(cfg.Schedulers, cfg.MaxConnections, cfg.ConnectRate,
 		func(i int, err error) { cfg.Observer.Connected(cfg.Schedulers[i], err) })
@@ -234,55 +234,55 @@
 		deadline = at
 	}
 	began := time.Now()
-	result, err := c.carry(ctx, &job, class, deadline)
-	tries := 0
+	result, err := c.run(ctx, &job, class, deadline)
+	attempts := 0
 	if result != nil {
-		tries = result.Attempts
+		attempts = result.Attempts
 	}
-	c.cfg.Observer.JobEnded(job.Class, Verdict(err), tries, time.Since(began))
+	c.cfg.Observer.JobEnded(job.Class, Verdict(err), attempts, time.Since(began))
 	return result, err
 }
 
-// carry takes a job through its tries to its end.
-func (c *Client) carry(ctx context.Context, job *Job, class int, deadline time.Time) (*Result, error) {
+// run takes a job through its tries to its end.
+func (c *Client) run(ctx context.Context, job *Job, class int, deadline time.Time) (*Result, error) {
 	c.mu.Lock()
 	planned, step := c.plan.Begin(time.Now(), class, deadline)
-	back := c.back
+	back := c.available
 	c.mu.Unlock()
-	ran, tries := false, 0
-	var last outcome
+	ran, attempts := false, 0
+	var last attemptResult
 	for step.Verdict == plan.Pending {
 		if !step.StartNow {
 			if !step.AllEjected {
 				back = nil // this wait is for its own sake
 			}
-			if err := rest(ctx, step.At, back); err != nil {
-				return nil, c.leave(planned, ran, err)
+			if err := sleepUntil(ctx, step.At, back); err != nil {
+				return nil, c.cancel(planned, ran, err)
 			}
 			c.mu.Lock()
-			step, back = c.plan.Start(time.Now(), planned), c.back
+			step, back = c.plan.Start(time.Now(), planned), c.available
 			c.mu.Unlock()
 			continue
 		}
 		began := time.Now()
-		last = c.try(ctx, job, step, deadline)
-		if last.handedIn() {
-			tries++
+		last = c.attempt(ctx, job, step, deadline)
+		if last.submitted() {
+			attempts++
 			ran = ran || last.Outcome != plan.NotSent
 		}
 		if err := ctx.Err(); err != nil && last.Outcome != plan.Answered && time.Now().Before(deadline) {
-			return nil, c.leave(planned, ran, err)
+			return nil, c.cancel(planned, ran, err)
 		}
 		scheduler := c.cfg.Schedulers[step.Scheduler]
 		if last.err != nil {
 			c.log.Info("a try failed", "scheduler", scheduler, "class", job.Class, "error", last.err)
 		}
-		c.cfg.Observer.AttemptEnded(scheduler, job.Class, last.word(), time.Since(began))
-		step, back = c.ended(began, planned, last)
+		c.cfg.Observer.AttemptEnded(scheduler, job.Class, last.label(), time.Since(began))
+		step, back = c.attemptEnded(began, planned, last)
 	}
 	switch step.Verdict {
 	case plan.Served:
-		return &Result{Body: last.body, Attempts: tries}, nil
+		return &Result{Body: last.body, Attempts: attempts}, nil
 	case plan.Refused:
 		return nil, &RefusedError{RetryAfter: step.At, Cause: last.err}
 	case plan.Failed:
@@ -295,24 +295,24 @@
 	return nil, &UnknownOutcomeError{Cause: last.err}
 }
 
-// ended tells the plan of a try's end, and wakes those who wait if a scheduler is back.
-func (c *Client) ended(began time.Time, j *plan.Job, o outcome) (plan.Step, chan struct{}) {
+// attemptEnded tells the plan of a try's end, and wakes those who wait if a scheduler is back.
+func (c *Client) attemptEnded(began time.Time, j *plan.Job, o attemptResult) (plan.Step, chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	well, throttled := c.plan.Available(), c.plan.Throttled()
 	step := c.plan.AttemptEnded(time.Now(), began, j, o.AttemptResult)
 	if well == 0 && c.plan.Available() > 0 {
-		close(c.back)
-		c.back = make(chan struct{})
+		close(c.available)
+		c.available = make(chan struct{})
 	}
 	if c.plan.Throttled() > throttled {
 		c.cfg.Observer.Throttled()
 	}
-	return step, c.back
+	return step, c.available
 }
 
-// leave ends a job whose caller has gone.
-func (c *Client) leave(j *plan.Job, ran bool, cause error) error {
+// cancel ends a job whose caller has gone.
+func (c *Client) cancel(j *plan.Job, ran bool, cause error) error {
 	c.mu.Lock()
 	c.plan.Cancel(j)
 	c.mu.Unlock()
@@ -322,8 +322,8 @@
 	return &RefusedError{RetryAfter: time.Now(), Cause: cause}
 }
 
-// rest waits until a time or a word, or for the context's end, which is the error.
-func rest(ctx context.Context, until time.Time, word <-chan struct{}) error {
+// sleepUntil waits until a time or a word, or for the context's end, which is the error.
+func sleepUntil(ctx context.Context, until time.Time, wake <-chan struct{}) error {
 	wait := time.Until(until)
 	if wait <= 0 {
 		return ctx.Err()
@@ -333,7 +333,7 @@
 	select {
 	case <-timer.C:
 		return nil
-	case <-word:
+	case <-wake:
 		return ctx.Err()
 	case <-ctx.Done():
 		return ctx.Err()
--- a/client/desk_test.go
+++ b/client/client_test.go
@@ -20,21 +20,21 @@
 	"dahliaford/internal/testcluster"
 )
 
-// scripted is a scheduler that answers each request with the bytes that a test says, and
+// scriptedScheduler is a scheduler that answers each request with the bytes that a test says, and
 // then does as the last word says: keep, close, reset or silent.
-type scripted struct {
+type scriptedScheduler struct {
 	net.Listener
-	took atomic.Int64 // requests that were read whole
-	seen chan *http1.Request
+	received atomic.Int64 // requests that were read whole
+	requests chan *http1.Request
 }
 
-func script(t *testing.T, answer func(n int64) (text, then string)) *scripted {
+func startScripted(t *testing.T, answer func(n int64) (text, then string)) *scriptedScheduler {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{Listener: l, seen: make(chan *http1.Request, 1000)}
+	s := &scriptedScheduler{Listener: l, requests: make(chan *http1.Request, 1000)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -49,8 +49,8 @@
 					if err != nil {
 						return
 					}
-					n := s.took.Add(1)
-					s.seen <- r
+					n := s.received.Add(1)
+					s.requests <- r
 					text, then := answer(n)
 					conn.Write([]byte(text))
 					switch then {
@@ -77,7 +77,7 @@
 	return s
 }
 
-func client(t *testing.T, schedulers ...string) *Client {
+func newTestClient(t *testing.T, schedulers ...string) *Client {
 	t.Helper()
 	c, err := New(Config{Schedulers: schedulers, Tenant: "sahel", Seed: 1, RetryBudget: 1, Classes: map[string]Class{
 		"post-reading":   {Deadline: 5 * time.Second, Effect: Once},
@@ -93,11 +93,11 @@
 const served = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nresult"
 
 // An answer that is lost at every byte: a job that must not run twice is handed in once.
-func TestAnswerLostAtEveryByte(t *testing.T) {
+func TestResponseCutAtEveryByte(t *testing.T) {
 	for cut := range len(served) + 1 {
 		for _, then := range []string{"reset", "close"} {
-			s := script(t, func(int64) (string, string) { return served[:cut], then })
-			c := client(t, s.Addr().String())
+			s := startScripted(t, func(int64) (string, string) { return served[:cut], then })
+			c := newTestClient(t, s.Addr().String())
 			result, err := c.Do(t.Context(), Job{Class: "post-reading", Body: []byte("x")})
 			want := "unknown"
 			if cut == len(served) {
@@ -110,7 +110,7 @@
 			if err == nil && string(result.Body) != "result" {
 				t.Errorf("cut after %d bytes: %q", cut, result.Body)
 			}
-			if n := s.took.Load(); n != 1 {
+			if n := s.received.Load(); n != 1 {
 				t.Errorf("cut after %d bytes, %s: handed in %d times", cut, then, n)
 			}
 		}
@@ -118,7 +118,7 @@
 }
 
 // Broken answers end in time, and never as served.
-func TestBrokenAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"no length":    {"HTTP/1.1 200 OK\r\n\r\nresult", "unknown"},
 		"garbage":      {"result\r\n\r\n", "unknown"},
@@ -136,10 +136,10 @@
 			"served"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := script(t, func(int64) (string, string) { return c.text, "close" })
-			_, err := client(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
-			if got := Verdict(err); got != c.want || s.took.Load() != 1 {
-				t.Errorf("%s (%v) after %d requests, want %s", got, err, s.took.Load(), c.want)
+			s := startScripted(t, func(int64) (string, string) { return c.text, "close" })
+			_, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
+			if got := Verdict(err); got != c.want || s.received.Load() != 1 {
+				t.Errorf("%s (%v) after %d requests, want %s", got, err, s.received.Load(), c.want)
 			}
 		})
 	}
@@ -148,20 +148,20 @@
 // A refusal is honoured: the next try comes no sooner, with a new id and marked, and the
 // last refusal goes to the caller.
 func TestRefusals(t *testing.T) {
-	s := script(t, func(n int64) (string, string) {
+	s := startScripted(t, func(n int64) (string, string) {
 		if n < 3 {
 			return "HTTP/1.1 503 Busy\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n", "keep"
 		}
 		return served, "keep"
 	})
 	began := time.Now()
-	r, err := client(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading", Key: "k"})
+	r, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading", Key: "k"})
 	if err != nil || r.Attempts != 3 || time.Since(began) < 100*time.Millisecond {
 		t.Fatalf("%+v, %v after %v", r, err, time.Since(began))
 	}
 	ids := map[string]bool{}
 	for n := range 3 {
-		m := <-s.seen
+		m := <-s.requests
 		ids[m.Header.Get("X-Txn")] = true
 		want := map[bool]string{true: "1"}[n > 0]
 		if diff := cmp.Diff([]string{want, "k", "sahel"}, []string{m.Header.Get("X-Resent"),
@@ -173,29 +173,29 @@
 		t.Errorf("%d ids in 3 tries", len(ids))
 	}
 	var refused *RefusedError
-	never := script(t, func(int64) (string, string) {
+	never := startScripted(t, func(int64) (string, string) {
 		return "HTTP/1.1 503 Busy\r\nRetry-After: 0.01\r\nContent-Length: 0\r\n\r\n", "keep"
 	})
-	_, err = client(t, never.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
-	if !errors.As(err, &refused) || never.took.Load() != 3 {
-		t.Errorf("%v after %d tries", err, never.took.Load())
+	_, err = newTestClient(t, never.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
+	if !errors.As(err, &refused) || never.received.Load() != 3 {
+		t.Errorf("%v after %d tries", err, never.received.Load())
 	}
 }
 
 // Nobody listens: the job did not run, another scheduler gets it, and without one the
 // caller may hand it in again.
-func TestNobodyListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dead.Close()
-	if _, err := client(t, dead.Addr().String()).Do(t.Context(),
+	if _, err := newTestClient(t, dead.Addr().String()).Do(t.Context(),
 		Job{Class: "post-reading"}); Verdict(err) != "refused" {
 		t.Error(err)
 	}
-	s := script(t, func(int64) (string, string) { return served, "keep" })
-	c := client(t, dead.Addr().String(), s.Addr().String())
+	s := startScripted(t, func(int64) (string, string) { return served, "keep" })
+	c := newTestClient(t, dead.Addr().String(), s.Addr().String())
 	for range 30 {
 		if _, err := c.Do(t.Context(), Job{Class: "post-reading"}); err != nil {
 			t.Fatal(err)
@@ -205,16 +205,16 @@
 
 // A kept connection that ends as the next request crosses it: for what must not run twice
 // nobody can say, and what is safe is repeated.
-func TestKeptConnectionEnds(t *testing.T) {
+func TestReusedConnectionCloses(t *testing.T) {
 	for class, want := range map[string]string{"post-reading": "unknown", "district-batch": "unknown",
 		"look": "served"} {
-		s := script(t, func(n int64) (string, string) {
+		s := startScripted(t, func(n int64) (string, string) {
 			if n == 2 {
 				return "", "reset"
 			}
 			return served, "keep"
 		})
-		c := client(t, s.Addr().String())
+		c := newTestClient(t, s.Addr().String())
 		if _, err := c.Do(t.Context(), Job{Class: class}); err != nil {
 			t.Fatal(err)
 		}
@@ -226,10 +226,10 @@
 
 // A kept connection that has ended before the next request is not used for it: a scheduler
 // closes idle ones when it runs short of sockets, and that must not cost a job its answer.
-func TestKeptConnectionHasEnded(t *testing.T) {
+func TestIdleConnectionAlreadyClosed(t *testing.T) {
 	for _, then := range []string{"reset", "close"} {
-		s := script(t, func(int64) (string, string) { return served, then })
-		c := client(t, s.Addr().String())
+		s := startScripted(t, func(int64) (string, string) { return served, then })
+		c := newTestClient(t, s.Addr().String())
 		for n := range 5 {
 			// A reset may overtake the answer before it: that is another matter.
 			if _, err := c.Do(t.Context(), Job{Class: "post-reading"}); err != nil && then == "close" {
@@ -255,9 +255,9 @@
 
 // A scheduler that says nothing: the caller has its end by the deadline. A caller that
 // leaves closes the connection at once.
-func TestSilence(t *testing.T) {
-	s := script(t, func(int64) (string, string) { return "", "silent" })
-	c := client(t, s.Addr().String())
+func TestNoResponse(t *testing.T) {
+	s := startScripted(t, func(int64) (string, string) { return "", "silent" })
+	c := newTestClient(t, s.Addr().String())
 	deadline := time.Now().Add(200 * time.Millisecond)
 	_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline})
 	if late := time.Since(deadline); Verdict(err) != "unknown" || late < 0 || late > 2*time.Second {
@@ -265,8 +265,8 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-s.seen
-		<-s.seen
+		<-s.requests
+		<-s.requests
 		cancel()
 	}()
 	began := time.Now()
@@ -280,8 +280,8 @@
 	}
 }
 
-func TestWrongJobsAndSettings(t *testing.T) {
-	c := client(t, "127.0.0.1:1")
+func TestInvalidJobsAndSettings(t *testing.T) {
+	c := newTestClient(t, "127.0.0.1:1")
 	for _, job := range []Job{{Class: "nothing"}, {Class: "look", Body: make([]byte, 65<<10)}} {
 		if _, err := c.Do(t.Context(), job); Verdict(err) != "invalid" {
 			t.Error(err)
@@ -300,7 +300,7 @@
 		"budget":      {Schedulers: []string{"x"}, Classes: map[string]Class{"a": good}, RetryBudget: 2},
 		"connections": {Schedulers: []string{"x"}, Classes: map[string]Class{"a": good}, MaxConnections: -1},
 	} {
-		if _, err := New(cfg); err == nil || !strings.HasPrefix(err.Error(), "desk: "+want) {
+		if _, err := New(cfg); err == nil || !strings.HasPrefix(err.Error(), "client: "+want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
 	}
@@ -309,7 +309,7 @@
 // Desks against the real program: what is served is what the worker made, nothing that must
 // not run twice does, and every call returns once.
 func TestAgainstTheRealProgram(t *testing.T) {
-	bin, err := program()
+	bin, err := buildScheduler()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/client/config.go
+++ b/client/configfile.go
@@ -35,11 +35,11 @@
 // names the field by its path.
 func ParseConfig(raw []byte) (Config, error) {
 	if err := checker.Check(raw); err != nil {
-		return Config{}, fmt.Errorf("desk: %w", err)
+		return Config{}, fmt.Errorf("client: %w", err)
 	}
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return Config{}, fmt.Errorf("desk: %w", err)
+		return Config{}, fmt.Errorf("client: %w", err)
 	}
 	cfg := Config{Schedulers: f.Schedulers, Tenant: f.Tenant, MaxConnections: f.Connections,
 		ConnectRate: f.Reconnects,
--- a/client/config_test.go
+++ b/client/configfile_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestExampleConfig(t *testing.T) {
-	raw, err := os.ReadFile("../examples/desk.json")
+	raw, err := os.ReadFile("../examples/client.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 }
 
 // A wrong file gets one line with the path of the field.
-func TestWrongConfigs(t *testing.T) {
+func TestInvalidConfigs(t *testing.T) {
 	const head, class = `{"schedulers":["a:1"],"classes":`, `{"post":{"deadline_ms":1,"effect":"once"}}`
 	for raw, want := range map[string]string{
 		``:   "not JSON",
@@ -50,7 +50,7 @@
 		head + class + `,"color":2}`:                                    "the file: Additional property color",
 	} {
 		_, err := ParseConfig([]byte(raw))
-		if err == nil || !strings.HasPrefix(err.Error(), "desk: "+want) || strings.Contains(err.Error(), "\n") {
+		if err == nil || !strings.HasPrefix(err.Error(), "client: "+want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want one line with %q", raw, err, want)
 		}
 	}
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -47,7 +47,7 @@
 	fmt.Println(err)
 	// Output:
 	// [127.0.0.1:8443] 5s <nil>
-	// desk: classes.a: deadline_ms is required
+	// client: classes.a: deadline_ms is required
 }
 
 // The words for how a job ended are few, and fit for a counter's label.
@@ -66,5 +66,5 @@
 	_, err := client.New(client.Config{Schedulers: []string{"127.0.0.1:8443"},
 		Classes: map[string]client.Class{"post-reading": {Deadline: 5 * time.Second}}})
 	fmt.Println(err)
-	// Output: desk: classes.post-reading.effect: unknown effect ""
+	// Output: client: classes.post-reading.effect: unknown effect ""
 }
--- a/client/hard_test.go
+++ b/client/failure_test.go
@@ -18,8 +18,8 @@
 	"dahliaford/internal/testcluster"
 )
 
-// program is the real scheduler, built once for all tests.
-var program = sync.OnceValues(func() (string, error) {
+// buildScheduler is the real scheduler, built once for all tests.
+var buildScheduler = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "desk")
 	if err != nil {
 		return "", err
@@ -35,15 +35,15 @@
 
 func TestMain(m *testing.M) {
 	status := m.Run()
-	if bin, err := program(); err == nil {
+	if bin, err := buildScheduler(); err == nil {
 		os.RemoveAll(filepath.Dir(bin))
 	}
 	os.Exit(status)
 }
 
-func fleet(t *testing.T, schedulers int) *testcluster.Fleet {
+func startFleet(t *testing.T, schedulers int) *testcluster.Fleet {
 	t.Helper()
-	bin, err := program()
+	bin, err := buildScheduler()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,19 +55,19 @@
 	return f
 }
 
-// slack is what a busy machine may add to the deadline in a test; the drill keeps to 50 ms.
-const slack = 2 * time.Second
+// latenessAllowed is what a busy machine may add to the deadline in a test; the drill keeps to 50 ms.
+const latenessAllowed = 2 * time.Second
 
 // cutter passes connections on to a scheduler, and breaks each after so many bytes of one
 // direction.
 type cutter struct {
 	net.Listener
-	to       string
-	requests bool // the bytes that are counted are those of requests, not of answers
-	after    int64
+	target      string
+	cutRequests bool // the bytes that are counted are those of requests, not of answers
+	limit       int64
 }
 
-func cut(t *testing.T, to string, requests bool, after int64) *cutter {
+func startCutter(t *testing.T, to string, requests bool, after int64) *cutter {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,15 +80,15 @@
 			if err != nil {
 				return
 			}
-			go c.pass(conn)
+			go c.proxy(conn)
 		}
 	}()
 	return c
 }
 
-func (c *cutter) pass(desk net.Conn) {
-	defer desk.Close()
-	scheduler, err := net.Dial("tcp", c.to)
+func (c *cutter) proxy(caller net.Conn) {
+	defer caller.Close()
+	scheduler, err := net.Dial("tcp", c.target)
 	if err != nil {
 		return
 	}
@@ -96,26 +96,25 @@
 	over := make(chan bool, 2)
 	relay := func(to, from net.Conn, limited bool) {
 		if limited {
-			io.CopyN(to, from, c.after)
+			io.CopyN(to, from, c.limit)
 		} else {
 			io.Copy(to, from)
 		}
 		over <- true
 	}
-	go relay(scheduler, desk, c.requests)
-	go relay(desk, scheduler, !c.requests)
+	go relay(scheduler, caller, c.cutRequests)
+	go relay(caller, scheduler, !c.cutRequests)
 	<-over
 }
 
 // The exchange of a post-reading with the real program breaks at every byte, of the request
 // and of the answer: it runs once at most, and what ran is never called refused.
-func TestLostAtEveryByteOfTheExchange(t *testing.T) {
-	f := fleet(t, 1)
+func TestExchangeCutAtEveryByte(t *testing.T) {
+	f := startFleet(t, 1)
 	addr := f.Schedulers()[0]
 	var lengths [2]int64 // of a request and of an answer
-	l := client(t, addr)
-	if _, err := l.Do(t.Context(), Job{Class: "post-reading",
-		Body: []byte(f.JobPrefix() + "first")}); err != nil {
+	l := newTestClient(t, addr)
+	if _, err := l.Do(t.Context(), Job{Class: "post-reading", Body: []byte(f.JobPrefix() + "first")}); err != nil {
 		t.Fatal(err)
 	}
 	body := f.JobPrefix() + "post-reading true 100"
@@ -123,15 +122,15 @@
 	lengths[1] = int64(len(http1.AppendResponse(nil, 200,
 		[]http1.Field{{Name: "Connection", Value: "keep-alive"}}, []byte(body))))
 	var all sync.WaitGroup
-	room := make(chan bool, 16)
+	parallel := make(chan bool, 16)
 	var mu sync.Mutex
 	ends := map[string]int{}
 	for way, length := range lengths {
 		for after := range length + 2 {
-			room <- true
+			parallel <- true
 			all.Go(func() {
-				defer func() { <-room }()
-				c := cut(t, addr, way == 0, after)
+				defer func() { <-parallel }()
+				c := startCutter(t, addr, way == 0, after)
 				defer c.Close()
 				body := fmt.Sprint(f.JobPrefix(), "post-reading ", way == 0, " ", after)
 				client, err := New(Config{Schedulers: []string{c.Addr().String()}, Tenant: "sahel", RetryBudget: 1,
@@ -164,7 +163,7 @@
 // Schedulers end in order, then without a word, and at last all at once, under load, and
 // are back within 2 s: jobs wait for them rather than fail, and nothing runs twice.
 func TestRestarts(t *testing.T) {
-	f := fleet(t, 2)
+	f := startFleet(t, 2)
 	c, err := New(Config{Schedulers: f.Schedulers(), Tenant: "sahel", Classes: map[string]Class{
 		"post-reading": {Deadline: 6 * time.Second, Effect: Once}}})
 	if err != nil {
@@ -191,7 +190,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				ends[Verdict(err)]++
-				if late := time.Since(deadline); late > slack {
+				if late := time.Since(deadline); late > latenessAllowed {
 					t.Errorf("job %d returned %v late", n, late)
 				}
 			})
@@ -233,14 +232,14 @@
 		all += n
 	}
 	// Only what a killed scheduler held is lost; what was refused in between found another one.
-	if lost := all - ends["served"]; lost > all/4 {
+	if notServed := all - ends["served"]; notServed > all/4 {
 		t.Errorf("%v", ends)
 	}
 }
 
 // What Retry-After says, as a scheduler may say it: when the next try comes.
 func TestRetryAfter(t *testing.T) {
-	for text, least := range map[string]time.Duration{
+	for text, minWait := range map[string]time.Duration{
 		"0": 0, "0.05": 50 * time.Millisecond, "2": 2 * time.Second, "-3": 0, "Wed, 21 Oct 2026 07:28:00 GMT": 0,
 		"soon": 0, "NaN": 0, "": 0,
 		"1e300": -1, "Inf": -1, "86400": -1, // beyond the deadline: refused at once, with the time
@@ -248,25 +247,25 @@
 		t.Run(text, func(t *testing.T) {
 			t.Parallel()
 			var first atomic.Int64
-			var gap atomic.Int64
-			s := script(t, func(n int64) (string, string) {
+			var wait atomic.Int64
+			s := startScripted(t, func(n int64) (string, string) {
 				if n == 1 {
 					first.Store(time.Now().UnixNano())
 					return "HTTP/1.1 503 Busy\r\nRetry-After: " + text + "\r\nContent-Length: 0\r\n\r\n", "keep"
 				}
-				gap.Store(time.Now().UnixNano() - first.Load())
+				wait.Store(time.Now().UnixNano() - first.Load())
 				return served, "keep"
 			})
-			_, err := client(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
-			if least < 0 {
+			_, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
+			if minWait < 0 {
 				refused, ok := err.(*RefusedError)
-				if !ok || time.Until(refused.RetryAfter) < 30*time.Second || s.took.Load() != 1 {
-					t.Errorf("%v after %d tries", err, s.took.Load())
+				if !ok || time.Until(refused.RetryAfter) < 30*time.Second || s.received.Load() != 1 {
+					t.Errorf("%v after %d tries", err, s.received.Load())
 				}
 				return
 			}
-			if err != nil || time.Duration(gap.Load()) < least || time.Duration(gap.Load()) > least+slack {
-				t.Errorf("%v, the next try came after %v, want %v at least", err, time.Duration(gap.Load()), least)
+			if err != nil || time.Duration(wait.Load()) < minWait || time.Duration(wait.Load()) > minWait+latenessAllowed {
+				t.Errorf("%v, the next try came after %v, want %v at least", err, time.Duration(wait.Load()), minWait)
 			}
 		})
 	}
@@ -274,8 +273,8 @@
 
 // Beside one that is well: a scheduler that says nothing, one that answers a byte at a time,
 // and one that refuses all in a moment. Most jobs must be served, and all return in time.
-func TestBadSchedulerBesideAGoodOne(t *testing.T) {
-	f := fleet(t, 1)
+func TestUnhealthySchedulerBesideHealthyOne(t *testing.T) {
+	f := startFleet(t, 1)
 	for name, answer := range map[string]func(int64) (string, string){
 		"silent":  func(int64) (string, string) { return "", "silent" },
 		"trickle": func(int64) (string, string) { return "", "trickle" },
@@ -284,7 +283,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bad := script(t, answer)
+			bad := startScripted(t, answer)
 			c, err := New(Config{Schedulers: []string{bad.Addr().String(), f.Schedulers()[0]}, Tenant: "sahel",
 				Seed: 3, Classes: map[string]Class{"post-reading": {Deadline: 700 * time.Millisecond, Effect: Once}}})
 			if err != nil {
@@ -297,12 +296,12 @@
 				_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline,
 					Body: fmt.Append(nil, f.JobPrefix(), name, n)})
 				ends[Verdict(err)]++
-				if late := time.Since(deadline); late > slack {
+				if late := time.Since(deadline); late > latenessAllowed {
 					t.Errorf("job %d returned %v late", n, late)
 				}
 			}
 			if ends["served"] < 20 { // half: a slow machine may miss some of the short deadlines
-				t.Errorf("%v, %d went to the bad one", ends, bad.took.Load())
+				t.Errorf("%v, %d went to the bad one", ends, bad.received.Load())
 			}
 		})
 	}
@@ -311,8 +310,8 @@
 // Ten thousand jobs wait at a desk when its only scheduler vanishes: no more goroutines than
 // their callers, memory within bounds, and each call returns by its deadline.
 func TestTenThousandWaiting(t *testing.T) {
-	const jobs = mostCallers
-	s := script(t, func(int64) (string, string) { return "", "silent" })
+	const jobs = maxCallers
+	s := startScripted(t, func(int64) (string, string) { return "", "silent" })
 	c, err := New(Config{Schedulers: []string{s.Addr().String()}, Tenant: "sahel", Classes: map[string]Class{
 		"post-reading": {Deadline: 3 * time.Second, Effect: Once}}})
 	if err != nil {
@@ -334,14 +333,14 @@
 			case "refused", "expired": // either way it did not run; the deadline may come first
 				ends[1].Add(1)
 			}
-			if time.Since(deadline) > slack {
+			if time.Since(deadline) > latenessAllowed {
 				late.Add(1)
 			}
 		})
 	}
-	waitFor(t, func() bool { return s.took.Load() > 0 })
+	waitFor(t, func() bool { return s.received.Load() > 0 })
 	s.Close() // nobody listens any more; what is open stays silent
-	if most := before + jobs + 1000; runtime.NumGoroutine() > most {
+	if maxGoroutines := before + jobs + 1000; runtime.NumGoroutine() > maxGoroutines {
 		t.Errorf("%d goroutines for %d callers", runtime.NumGoroutine(), jobs)
 	}
 	var m runtime.MemStats
--- a/client/internal/plan/world_test.go
+++ b/client/internal/plan/model_test.go
@@ -15,44 +15,44 @@
 // serves, not a copy, in every order of what may happen to each try. The schedulers drop
 // repeats of a key as the class promises.
 type world struct {
-	cfg  Config
-	plan *Plan
-	now  time.Time
-	jobs []life
-	down [2]bool
-	left int // faults that may still happen
-	// misjudge says what the desk takes a proof for; nil: for what it is. Planted faults.
-	misjudge func(Outcome) Outcome
+	cfg        Config
+	plan       *Plan
+	now        time.Time
+	jobs       []jobState
+	down       [2]bool
+	faultsLeft int // faults that may still happen
+	// misread says what the desk takes a proof for; nil: for what it is. Planted faults.
+	misread func(Outcome) Outcome
 }
 
-// life is a job, and what the schedulers saw of it.
-type life struct {
-	job      *Job
-	class    int
-	deadline time.Time
-	begun    bool
-	step     Step
-	began    time.Time
-	tries    int
-	inside   bool // a scheduler has the present try
-	runs     int
-	ranAt    time.Time // when it ran first
-	racks    [2]bool   // where it ran
-	broke    string
+// jobState is a job, and what the schedulers saw of it.
+type jobState struct {
+	job       *Job
+	class     int
+	deadline  time.Time
+	begun     bool
+	step      Step
+	began     time.Time
+	attempts  int
+	read      bool // a scheduler has the present try
+	runs      int
+	ranAt     time.Time // when it ran first
+	racks     [2]bool   // where it ran
+	violation string
 }
 
-const mostFaults = 4
+const maxFaults = 4
 
 func newWorld(class int, jobs int) *world {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Schedulers, cfg.RetryBudget, cfg.MaxTokens = 2, 1, 10
 	p, err := New(cfg, 1)
 	if err != nil {
 		panic(err)
 	}
-	w := &world{cfg: cfg, plan: p, now: start, left: mostFaults}
+	w := &world{cfg: cfg, plan: p, now: start, faultsLeft: maxFaults}
 	for range jobs {
-		w.jobs = append(w.jobs, life{class: class, deadline: start.Add(1200 * time.Millisecond)})
+		w.jobs = append(w.jobs, jobState{class: class, deadline: start.Add(1200 * time.Millisecond)})
 	}
 	return w
 }
@@ -60,7 +60,7 @@
 func (w *world) clone() *world {
 	c := *w
 	p := *w.plan
-	p.scheds = slices.Clone(p.scheds)
+	p.schedulers = slices.Clone(p.schedulers)
 	// Chance must not tell apart two states that act alike.
 	p.random = rand.New(rand.NewPCG(7, uint64(w.now.Sub(start))))
 	c.plan = &p
@@ -84,7 +84,7 @@
 }
 
 // The ends that a try may have. Before: no scheduler has read it.
-var before = []event{
+var beforeRead = []event{
 	{what: "half written", end: AttemptResult{Outcome: NotSent}, fault: true},
 	{what: "the close crosses", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
 	{what: "lost on the way", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
@@ -93,7 +93,7 @@
 }
 
 // Inside: a scheduler has it. Those with runs let it run, unless the key was seen.
-var inside = []event{
+var afterRead = []event{
 	{what: "runs, served", end: AttemptResult{Status: 200}},
 	{what: "runs, fails", end: AttemptResult{Status: 500}, fault: true},
 	{what: "runs, the answer is lost", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
@@ -106,7 +106,7 @@
 
 func (w *world) events() (all []event) {
 	add := func(e event) {
-		if !e.fault || w.left > 0 {
+		if !e.fault || w.faultsLeft > 0 {
 			all = append(all, e)
 		}
 	}
@@ -118,8 +118,8 @@
 		case l.step.Verdict != Pending:
 		case !l.step.StartNow:
 			add(event{job: i, what: "its wait ends"})
-		case l.inside:
-			for _, e := range inside {
+		case l.read:
+			for _, e := range afterRead {
 				e.job = i
 				add(e)
 			}
@@ -127,7 +127,7 @@
 			add(event{job: i, what: "nobody listens", end: AttemptResult{Outcome: ConnectFailed}})
 		default:
 			add(event{job: i, what: "is read"})
-			for _, e := range before {
+			for _, e := range beforeRead {
 				e.job = i
 				add(e)
 			}
@@ -155,7 +155,7 @@
 	e := w.events()[i]
 	w = w.clone()
 	if e.fault {
-		w.left--
+		w.faultsLeft--
 	}
 	l := &w.jobs[e.job]
 	switch e.what {
@@ -171,17 +171,17 @@
 		w.take(l, w.plan.Start(w.now, l.job))
 	case "its caller leaves":
 		w.plan.Cancel(l.job)
-		l.step, l.inside = Step{Verdict: Unknown}, false
+		l.step, l.read = Step{Verdict: Unknown}, false
 	case "is read":
-		l.inside = true
+		l.read = true
 	default:
-		if l.inside && (e.end.Outcome != Answered || e.end.Status == 200 || e.end.Status == 500) {
+		if l.read && (e.end.Outcome != Answered || e.end.Status == 200 || e.end.Status == 500) {
 			w.run(l)
 		}
-		l.inside = false
+		l.read = false
 		w.now = w.now.Add(10*time.Millisecond + e.after)
-		if w.misjudge != nil {
-			e.end.Outcome = w.misjudge(e.end.Outcome)
+		if w.misread != nil {
+			e.end.Outcome = w.misread(e.end.Outcome)
 		}
 		w.take(l, w.plan.AttemptEnded(w.now, l.began, l.job, e.end))
 	}
@@ -189,7 +189,7 @@
 }
 
 // run lets a job run at a scheduler, which drops a repeat as its class promises.
-func (w *world) run(l *life) {
+func (w *world) run(l *jobState) {
 	at := l.step.Scheduler
 	class := w.cfg.Classes[l.class]
 	switch {
@@ -205,23 +205,23 @@
 }
 
 // take notes what the plan wants next, and what is wrong with it.
-func (w *world) take(l *life, s Step) {
+func (w *world) take(l *jobState, s Step) {
 	l.step = s
 	switch {
 	case s.Verdict == Pending && s.StartNow:
-		l.tries++
+		l.attempts++
 		l.began = w.now
 		if !w.now.Before(l.deadline) {
-			l.broke = "a try starts past the deadline"
+			l.violation = "a try starts past the deadline"
 		}
 	case s.Verdict == Pending:
 		if !s.At.Before(l.deadline) || s.At.Before(w.now) {
-			l.broke = fmt.Sprint("it waits until ", s.At.Sub(start))
+			l.violation = fmt.Sprint("it waits until ", s.At.Sub(start))
 		}
 	case (s.Verdict == Refused || s.Verdict == Expired) && l.runs > 0:
-		l.broke = fmt.Sprint("verdict ", s.Verdict, " though it ran")
+		l.violation = fmt.Sprint("verdict ", s.Verdict, " though it ran")
 	case s.Verdict == Served && l.runs == 0:
-		l.broke = "served though it never ran"
+		l.violation = "served though it never ran"
 	}
 }
 
@@ -234,8 +234,8 @@
 			open++
 		}
 		switch {
-		case l.broke != "":
-			return fmt.Errorf("job %d: %s", i, l.broke)
+		case l.violation != "":
+			return fmt.Errorf("job %d: %s", i, l.violation)
 		case l.runs > 1 && w.cfg.Classes[l.class].Effect != Safe:
 			return fmt.Errorf("job %d ran %d times", i, l.runs)
 		}
@@ -264,39 +264,39 @@
 		}
 	}
 	at(w.now)
-	num(int64(w.left))
+	num(int64(w.faultsLeft))
 	num(int64(w.plan.tokens * 100))
 	for i := range w.down {
-		s := &w.plan.scheds[i]
+		s := &w.plan.schedulers[i]
 		flag(w.down[i])
-		num(int64(s.open))
-		num(int64(s.fails))
-		num(int64(s.refuses * 1000))
-		num(int64(s.ejected))
-		at(s.until)
-		flag(s.trial)
+		num(int64(s.inFlight))
+		num(int64(s.consecutiveFailures))
+		num(int64(s.refusalRate * 1000))
+		num(int64(s.ejection))
+		at(s.ejectedUntil)
+		flag(s.probing)
 	}
 	for i := range w.jobs {
 		l := &w.jobs[i]
 		flag(l.begun)
-		flag(l.inside)
+		flag(l.read)
 		num(int64(l.runs))
 		at(l.ranAt)
 		at(l.began)
 		flag(l.racks[0])
 		flag(l.racks[1])
-		b = append(b, l.broke...)
+		b = append(b, l.violation...)
 		num(int64(l.step.Verdict))
 		flag(l.step.StartNow)
 		num(int64(l.step.Scheduler))
 		at(l.step.At)
 		if j := l.job; j != nil {
-			num(int64(j.tries))
-			at(j.first)
-			num(int64(j.at))
-			flag(j.running)
-			num(int64(j.end))
-			flag(j.over)
+			num(int64(j.attempts))
+			at(j.firstMayHaveRun)
+			num(int64(j.scheduler))
+			flag(j.inFlight)
+			num(int64(j.fallback))
+			flag(j.done)
 		}
 	}
 	return b
@@ -309,7 +309,7 @@
 	for class, name := range []string{"once", "rack", "anywhere", "safe"} {
 		one := newWorld(class, 1)
 		two := newWorld(class, 2)
-		two.left = 2
+		two.faultsLeft = 2
 		for _, w := range []*world{one, two} {
 			tour := modelcheck.Exhaust(w, 3_000_000)
 			if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
@@ -321,22 +321,22 @@
 }
 
 // A desk that takes one end of a try for another is found out.
-func TestMisjudgedEndsAreFound(t *testing.T) {
+func TestMisjudgedOutcomesAreFound(t *testing.T) {
 	for _, c := range []struct {
 		class      int
 		was, taken Outcome
 	}{
-		{post, ReusedClosed, ConnectFailed}, // a kept connection that ended, taken for nobody listening
-		{post, ReusedClosed, NotSent},
-		{post, NoResponse, NotSent},
-		{batch, Malformed, ClientLimited},
-		{keyed, NoResponse, NotSent}, // beyond its window
+		{onceClass, ReusedClosed, ConnectFailed}, // a kept connection that ended, taken for nobody listening
+		{onceClass, ReusedClosed, NotSent},
+		{onceClass, NoResponse, NotSent},
+		{rackClass, Malformed, ClientLimited},
+		{anywhereClass, NoResponse, NotSent}, // beyond its window
 	} {
 		w := newWorld(c.class, 1)
 		w.cfg.Classes = slices.Clone(w.cfg.Classes)
 		w.plan.cfg.Classes = w.cfg.Classes
-		w.cfg.Classes[keyed].Window = 200 * time.Millisecond
-		w.misjudge = func(p Outcome) Outcome {
+		w.cfg.Classes[anywhereClass].Window = 200 * time.Millisecond
+		w.misread = func(p Outcome) Outcome {
 			if p == c.was {
 				return c.taken
 			}
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -125,35 +125,35 @@
 
 // Job is one job from its arrival to its verdict. It belongs to whoever began it.
 type Job struct {
-	class    *Class
-	deadline time.Time
-	tries    int
-	first    time.Time // when the first try started that may have run; zero: none may have
-	at       int       // the scheduler of the present or last try; -1: none yet
-	running  bool      // a try is under way
-	end      Verdict   // its verdict if no further try begins
-	over     bool
+	class           *Class
+	deadline        time.Time
+	attempts        int
+	firstMayHaveRun time.Time // when the first try started that may have run; zero: none may have
+	scheduler       int       // the scheduler of the present or last try; -1: none yet
+	inFlight        bool      // a try is under way
+	fallback        Verdict   // its verdict if no further try begins
+	done            bool
 }
 
 // Plan holds what a desk knows of its schedulers, and its budget. It is not safe for
 // several goroutines: its owner calls it one event at a time.
 type Plan struct {
-	cfg    Config
-	random *rand.Rand
-	tokens float64
-	scheds []sched
-	order  []int // in which this desk turns to them
+	cfg        Config
+	random     *rand.Rand
+	tokens     float64
+	schedulers []scheduler
+	preference []int // in which this desk turns to them
 
 	throttled int
 }
 
-type sched struct {
-	open    int     // tries under way
-	fails   int     // in a row
-	refuses float64 // the share of refusals among its last answers, roughly
-	ejected time.Duration
-	until   time.Time // set aside until then; zero: it is well
-	trial   bool      // it was set aside, and one try finds out whether it is back
+type scheduler struct {
+	inFlight            int     // tries under way
+	consecutiveFailures int     // in a row
+	refusalRate         float64 // the share of refusals among its last answers, roughly
+	ejection            time.Duration
+	ejectedUntil        time.Time // set aside until then; zero: it is well
+	probing             bool      // it was set aside, and one try finds out whether it is back
 }
 
 // New returns a plan. The seed decides all that is left to chance.
@@ -183,67 +183,67 @@
 		}
 	}
 	random := rand.New(rand.NewPCG(seed, 0))
-	return &Plan{cfg: cfg, random: random, tokens: min(1, cfg.MaxTokens), scheds: make([]sched, cfg.Schedulers),
-		order: random.Perm(cfg.Schedulers)}, nil
+	return &Plan{cfg: cfg, random: random, tokens: min(1, cfg.MaxTokens), schedulers: make([]scheduler, cfg.Schedulers),
+		preference: random.Perm(cfg.Schedulers)}, nil
 }
 
 // Begin takes a new job. Its deadline is set here once and for all.
 func (p *Plan) Begin(now time.Time, class int, deadline time.Time) (*Job, Step) {
 	p.tokens = min(p.tokens+p.cfg.RetryBudget, p.cfg.MaxTokens)
-	j := &Job{class: &p.cfg.Classes[class], deadline: deadline, at: -1, end: Expired}
+	j := &Job{class: &p.cfg.Classes[class], deadline: deadline, scheduler: -1, fallback: Expired}
 	return j, p.Start(now, j)
 }
 
 // Start begins the next try of a job, if there is a scheduler for it. The choice is made
 // now, by what is known now, and not when the try was planned.
 func (p *Plan) Start(now time.Time, j *Job) Step {
-	if j.over || j.running || !now.Before(j.deadline) || !mayRepeat(j, now) {
-		return p.finish(j, Step{Verdict: j.end, At: now})
+	if j.done || j.inFlight || !now.Before(j.deadline) || !retryAllowed(j, now) {
+		return p.finish(j, Step{Verdict: j.fallback, At: now})
 	}
-	i, back := p.pick(now, j.at)
-	if i < 0 && back.Before(j.deadline) {
-		return Step{At: back, AllEjected: true}
+	i, returnAt := p.pickScheduler(now, j.scheduler)
+	if i < 0 && returnAt.Before(j.deadline) {
+		return Step{At: returnAt, AllEjected: true}
 	}
 	if i < 0 {
-		if j.end == Expired {
-			j.end = Refused // it did not run, and no scheduler can be reached in time
+		if j.fallback == Expired {
+			j.fallback = Refused // it did not run, and no scheduler can be reached in time
 		}
-		return p.finish(j, Step{Verdict: j.end, At: back})
+		return p.finish(j, Step{Verdict: j.fallback, At: returnAt})
 	}
-	j.at, j.running = i, true
-	j.tries++
-	p.scheds[i].open++
-	return Step{StartNow: true, Scheduler: i, At: now, Retry: j.tries > 1}
+	j.scheduler, j.inFlight = i, true
+	j.attempts++
+	p.schedulers[i].inFlight++
+	return Step{StartNow: true, Scheduler: i, At: now, Retry: j.attempts > 1}
 }
 
 func (p *Plan) finish(j *Job, s Step) Step {
-	j.over = true
+	j.done = true
 	return s
 }
 
 // Cancel ends a job whose caller has gone, with a try under way or waiting to begin.
 func (p *Plan) Cancel(j *Job) {
-	j.over = true
+	j.done = true
 	p.release(j)
 }
 
 func (p *Plan) release(j *Job) {
-	if j.running {
-		j.running = false
-		p.scheds[j.at].open--
-		p.scheds[j.at].trial = false
+	if j.inFlight {
+		j.inFlight = false
+		p.schedulers[j.scheduler].inFlight--
+		p.schedulers[j.scheduler].probing = false
 	}
 }
 
 // AttemptEnded takes the end of a try that began at a time, and says what is next.
 func (p *Plan) AttemptEnded(now, began time.Time, j *Job, r AttemptResult) Step {
-	if j.over || !j.running {
+	if j.done || !j.inFlight {
 		return Step{Verdict: Unknown}
 	}
-	p.judge(now, j.at, r)
+	p.recordOutcome(now, j.scheduler, r)
 	p.release(j)
-	if mayHaveRun(r) && j.first.IsZero() {
-		j.first = began
+	if mayHaveRun(r) && j.firstMayHaveRun.IsZero() {
+		j.firstMayHaveRun = began
 	}
 	switch {
 	case r.Outcome == Answered && r.Status == 200:
@@ -251,46 +251,46 @@
 	case r.Invalid():
 		return p.finish(j, Step{Verdict: Invalid})
 	}
-	j.end = verdict(r)
-	if !j.first.IsZero() && j.end == Refused {
-		j.end = Unknown // this try did not run; an earlier one may have
+	j.fallback = finalVerdict(r)
+	if !j.firstMayHaveRun.IsZero() && j.fallback == Refused {
+		j.fallback = Unknown // this try did not run; an earlier one may have
 	}
 	if r.Outcome == ConnectFailed || r.Outcome == IdleClosed {
 		// That was no try: nobody had the job, and it costs no scheduler anything. Its number
 		// is bounded, as the scheduler is set aside.
-		j.tries--
+		j.attempts--
 		if now.Before(j.deadline) {
 			return Step{At: now}
 		}
-		return p.finish(j, Step{Verdict: j.end, At: now})
+		return p.finish(j, Step{Verdict: j.fallback, At: now})
 	}
-	back := p.comeBack(now, j, r)
+	returnAt := p.retryAt(now, j, r)
 	switch {
 	case r.Outcome == ClientLimited:
-		return p.finish(j, Step{Verdict: j.end, At: back})
-	case j.tries >= j.class.MaxAttempts, !back.Before(j.deadline), !mayRepeat(j, back):
-		return p.finish(j, Step{Verdict: j.end, At: back})
+		return p.finish(j, Step{Verdict: j.fallback, At: returnAt})
+	case j.attempts >= j.class.MaxAttempts, !returnAt.Before(j.deadline), !retryAllowed(j, returnAt):
+		return p.finish(j, Step{Verdict: j.fallback, At: returnAt})
 	case p.tokens < 1:
 		p.throttled++
-		return p.finish(j, Step{Verdict: j.end, At: back})
+		return p.finish(j, Step{Verdict: j.fallback, At: returnAt})
 	}
 	p.tokens--
-	return Step{At: back}
+	return Step{At: returnAt}
 }
 
 // Throttled counts the jobs that got no further try because the budget was used up.
 func (p *Plan) Throttled() int { return p.throttled }
 
-// mayRepeat tells whether what is known of a job allows a try at a time.
-func mayRepeat(j *Job, at time.Time) bool {
-	if j.first.IsZero() {
+// retryAllowed tells whether what is known of a job allows a try at a time.
+func retryAllowed(j *Job, at time.Time) bool {
+	if j.firstMayHaveRun.IsZero() {
 		return true
 	}
 	switch j.class.Effect {
 	case Safe:
 		return true
 	case Anywhere:
-		return at.Sub(j.first) < j.class.Window
+		return at.Sub(j.firstMayHaveRun) < j.class.Window
 	}
 	return false
 }
@@ -306,8 +306,8 @@
 	return true
 }
 
-// verdict is what the end of a try means for a job that gets no further one.
-func verdict(r AttemptResult) Verdict {
+// finalVerdict is what the end of a try means for a job that gets no further one.
+func finalVerdict(r AttemptResult) Verdict {
 	switch r.Outcome {
 	case Answered:
 		if r.Refused() {
@@ -320,11 +320,11 @@
 	return Unknown
 }
 
-// comeBack is when a next try may begin: never before the scheduler's advice, and spread
+// retryAt is when a next try may begin: never before the scheduler's advice, and spread
 // beyond it, as all that were refused together would come back together.
-func (p *Plan) comeBack(now time.Time, j *Job, r AttemptResult) time.Time {
+func (p *Plan) retryAt(now time.Time, j *Job, r AttemptResult) time.Time {
 	limit := p.cfg.Backoff
-	for range j.tries - 1 {
+	for range j.attempts - 1 {
 		limit = min(2*limit, p.cfg.MaxBackoff)
 	}
 	jitter := time.Duration(p.random.Float64() * float64(limit))
@@ -336,40 +336,40 @@
 
 // ---- Schedulers
 
-// judge draws from the end of a try what it tells of its scheduler. A refusal is the word
+// recordOutcome draws from the end of a try what it tells of its scheduler. A refusal is the word
 // of one that is well, though others may be the better choice.
-func (p *Plan) judge(now time.Time, i int, r AttemptResult) {
-	s := &p.scheds[i]
+func (p *Plan) recordOutcome(now time.Time, i int, r AttemptResult) {
+	s := &p.schedulers[i]
 	switch r.Outcome {
 	case ClientLimited:
 		return
 	case IdleClosed:
-		if s.until.IsZero() && p.Available() > 1 {
+		if s.ejectedUntil.IsZero() && p.Available() > 1 {
 			p.eject(now, s)
 		}
 		return
 	case Answered:
-		s.fails, s.ejected, s.until = 0, 0, time.Time{}
+		s.consecutiveFailures, s.ejection, s.ejectedUntil = 0, 0, time.Time{}
 		refused := 0.0
 		if r.Refused() {
 			refused = 1
 		}
-		s.refuses += refusalWeight * (refused - s.refuses)
-		if r.Refused() && r.ConnectionClose && 2*(p.aside()+1) <= len(p.scheds) {
+		s.refusalRate += refusalWeight * (refused - s.refusalRate)
+		if r.Refused() && r.ConnectionClose && 2*(p.ejectedCount()+1) <= len(p.schedulers) {
 			p.eject(now, s)
 		}
 		return
 	}
-	s.fails++
+	s.consecutiveFailures++
 	if r.Outcome != ConnectFailed {
-		if s.fails < p.cfg.EjectAfter && !s.trial {
+		if s.consecutiveFailures < p.cfg.EjectAfter && !s.probing {
 			return
 		}
-		if s.until.IsZero() && 2*(p.aside()+1) > len(p.scheds) {
+		if s.ejectedUntil.IsZero() && 2*(p.ejectedCount()+1) > len(p.schedulers) {
 			return // more than half look ill: the evidence is at fault, or there is nowhere else
 		}
 	}
-	if now.Before(s.until) {
+	if now.Before(s.ejectedUntil) {
 		return // several tries that were under way tell the same
 	}
 	p.eject(now, s)
@@ -377,9 +377,9 @@
 
 // eject sets a scheduler aside, for a time that is spread: all desks lose one at the same
 // moment.
-func (p *Plan) eject(now time.Time, s *sched) {
-	s.ejected = min(max(2*s.ejected, p.cfg.BaseEjection), p.cfg.MaxEjection)
-	s.until = now.Add(s.ejected/2 + time.Duration(p.random.Float64()*float64(s.ejected)))
+func (p *Plan) eject(now time.Time, s *scheduler) {
+	s.ejection = min(max(2*s.ejection, p.cfg.BaseEjection), p.cfg.MaxEjection)
+	s.ejectedUntil = now.Add(s.ejection/2 + time.Duration(p.random.Float64()*float64(s.ejection)))
 }
 
 const (
@@ -390,80 +390,80 @@
 )
 
 // Available counts the schedulers that are not set aside.
-func (p *Plan) Available() int { return len(p.scheds) - p.aside() }
+func (p *Plan) Available() int { return len(p.schedulers) - p.ejectedCount() }
 
-// aside counts the schedulers that are set aside.
-func (p *Plan) aside() int {
+// ejectedCount counts the schedulers that are set aside.
+func (p *Plan) ejectedCount() int {
 	n := 0
-	for i := range p.scheds {
-		if !p.scheds[i].until.IsZero() {
+	for i := range p.schedulers {
+		if !p.schedulers[i].ejectedUntil.IsZero() {
 			n++
 		}
 	}
 	return n
 }
 
-// mostOfOwn is the load beyond which a desk turns to further schedulers. Below it, it keeps
+// spreadLoad is the load beyond which a desk turns to further schedulers. Below it, it keeps
 // to the first of its order that are well: kept connections are used again only if jobs come
 // to the same ones, and a scheduler has no sockets for a connection from every desk.
-const mostOfOwn = 4
+const spreadLoad = 4
 
-// pick takes a scheduler of those that are well, and another one than the last if it can.
+// pickScheduler takes a scheduler of those that are well, and another one than the last if it can.
 // One whose time aside is over gets a single try first. With none it tells when there may
 // be one.
-func (p *Plan) pick(now time.Time, last int) (int, time.Time) {
-	var well []int
-	var back time.Time
-	for _, i := range p.order {
-		s := &p.scheds[i]
+func (p *Plan) pickScheduler(now time.Time, last int) (int, time.Time) {
+	var available []int
+	var returnAt time.Time
+	for _, i := range p.preference {
+		s := &p.schedulers[i]
 		switch {
-		case s.until.IsZero():
+		case s.ejectedUntil.IsZero():
 			if i != last {
-				well = append(well, i)
+				available = append(available, i)
 			}
-		case !now.Before(s.until) && !s.trial && len(well) == 0: // it would be the desk's own
-			s.trial = true
+		case !now.Before(s.ejectedUntil) && !s.probing && len(available) == 0: // it would be the desk's own
+			s.probing = true
 			return i, now
 		default:
-			at := s.until
-			if s.trial {
+			at := s.ejectedUntil
+			if s.probing {
 				at = now.Add(p.cfg.BaseEjection)
 			}
-			if back.IsZero() || at.Before(back) {
-				back = at
+			if returnAt.IsZero() || at.Before(returnAt) {
+				returnAt = at
 			}
 		}
 	}
-	if len(well) == 0 && last >= 0 && p.scheds[last].until.IsZero() {
+	if len(available) == 0 && last >= 0 && p.schedulers[last].ejectedUntil.IsZero() {
 		return last, now
 	}
-	if len(well) == 0 {
-		return -1, back.Add(time.Duration(p.random.Float64() * float64(p.cfg.BaseEjection) / 4))
+	if len(available) == 0 {
+		return -1, returnAt.Add(time.Duration(p.random.Float64() * float64(p.cfg.BaseEjection) / 4))
 	}
-	for own := 1; ; own *= 2 {
-		best := p.lessBusy(well[:min(own, len(well))])
-		if own >= len(well) || p.scheds[best].load() <= mostOfOwn {
+	for subset := 1; ; subset *= 2 {
+		best := p.lessLoaded(available[:min(subset, len(available))])
+		if subset >= len(available) || p.schedulers[best].load() <= spreadLoad {
 			return best, now
 		}
 	}
 }
 
-// lessBusy takes the less busy of two that are drawn.
-func (p *Plan) lessBusy(of []int) int {
+// lessLoaded takes the less busy of two that are drawn.
+func (p *Plan) lessLoaded(of []int) int {
 	a, b := of[p.random.IntN(len(of))], of[p.random.IntN(len(of))]
-	if p.scheds[b].load() < p.scheds[a].load() {
+	if p.schedulers[b].load() < p.schedulers[a].load() {
 		return b
 	}
 	return a
 }
 
-func (s *sched) load() float64 { return float64(s.open+1) * (1 + refusalCost*s.refuses) }
+func (s *scheduler) load() float64 { return float64(s.inFlight+1) * (1 + refusalCost*s.refusalRate) }
 
 // InFlight is the number of tries that are under way.
 func (p *Plan) InFlight() int {
 	n := 0
-	for i := range p.scheds {
-		n += p.scheds[i].open
+	for i := range p.schedulers {
+		n += p.schedulers[i].inFlight
 	}
 	return n
 }
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	post = iota
-	batch
-	keyed
-	safe
+	onceClass = iota
+	rackClass
+	anywhereClass
+	safeClass
 )
 
-func config() Config {
+func testConfig() Config {
 	return Config{Schedulers: 3, RetryBudget: 0.1, MaxTokens: 10, Backoff: 50 * time.Millisecond, MaxBackoff: time.Second,
 		EjectAfter: 3, BaseEjection: time.Second, MaxEjection: 30 * time.Second,
 		Classes: []Class{{Effect: Once, MaxAttempts: 3}, {Effect: Rack, MaxAttempts: 3},
@@ -35,7 +35,7 @@
 }
 
 // What a try's end means for each class: another try, or which verdict.
-func TestEnds(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	again := [4]Verdict{Pending, Pending, Pending, Pending}
 	for _, c := range []struct {
 		name string
@@ -57,7 +57,7 @@
 	} {
 		var got [4]Verdict
 		for class := range got {
-			p := newPlan(t, config())
+			p := newPlan(t, testConfig())
 			j, s := p.Begin(start, class, start.Add(5*time.Second))
 			if s.Verdict != Pending || s.Retry || !s.At.Equal(start) {
 				t.Fatalf("the first try: %+v", s)
@@ -80,11 +80,11 @@
 }
 
 // A refusal after a try that may have run proves nothing about that one.
-func TestARefusalLaterIsNoProof(t *testing.T) {
-	cfg := config()
-	cfg.Classes[keyed].MaxAttempts = 2
+func TestLaterRefusalProvesNothing(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes[anywhereClass].MaxAttempts = 2
 	p := newPlan(t, cfg)
-	j, _ := p.Begin(start, keyed, start.Add(5*time.Second))
+	j, _ := p.Begin(start, anywhereClass, start.Add(5*time.Second))
 	s := p.AttemptEnded(start, start, j, AttemptResult{Outcome: NoResponse})
 	if s = p.Start(s.At, j); !s.StartNow {
 		t.Fatal(s)
@@ -95,7 +95,7 @@
 }
 
 // Advice is a minimum, whatever it says; without any, waits are bounded and spread.
-func TestWhenToComeBack(t *testing.T) {
+func TestRetryTimes(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		end         AttemptResult
@@ -113,12 +113,12 @@
 	} {
 		seen := map[time.Duration]bool{}
 		for range 50 {
-			p := newPlan(t, config())
+			p := newPlan(t, testConfig())
 			p.random.Uint64()
 			for range len(seen) {
 				p.random.Float64()
 			}
-			j, _ := p.Begin(start, post, start.Add(time.Hour))
+			j, _ := p.Begin(start, onceClass, start.Add(time.Hour))
 			s := p.AttemptEnded(start, start, j, c.end)
 			wait := s.At.Sub(start)
 			if s.Verdict != Pending || wait < c.least || wait > c.most {
@@ -135,10 +135,10 @@
 // Refusals may wear the budget out: then a caller gets its refusal at once, and the time to
 // come back with it. Fresh jobs earn it again.
 func TestBudget(t *testing.T) {
-	p := newPlan(t, config())
+	p := newPlan(t, testConfig())
 	retries := 0
 	for range 1000 {
-		j, s := p.Begin(start, safe, start.Add(time.Hour))
+		j, s := p.Begin(start, safeClass, start.Add(time.Hour))
 		for s.Verdict == Pending {
 			s = p.AttemptEnded(start, start, j, AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: time.Second})
 			if s.Verdict == Pending {
@@ -156,15 +156,15 @@
 
 // Desks that have little to do keep to one scheduler each, and all desks together spread
 // over all; one that has much to do uses all of them.
-func TestOwnSchedulers(t *testing.T) {
-	cfg := config()
+func TestSchedulerSubsets(t *testing.T) {
+	cfg := testConfig()
 	cfg.Schedulers = 6
 	total := make([]int, cfg.Schedulers)
 	for seed := range uint64(200) {
 		p, _ := New(cfg, seed)
 		used := map[int]bool{}
 		for range 50 {
-			j, s := p.Begin(start, post, start.Add(time.Hour))
+			j, s := p.Begin(start, onceClass, start.Add(time.Hour))
 			used[s.Scheduler] = true
 			p.AttemptEnded(start, start, j, AttemptResult{Status: 200})
 		}
@@ -183,7 +183,7 @@
 	p, _ := New(cfg, 1)
 	used := map[int]int{}
 	for range 120 {
-		_, s := p.Begin(start, post, start.Add(time.Hour))
+		_, s := p.Begin(start, onceClass, start.Add(time.Hour))
 		used[s.Scheduler]++
 	}
 	for i := range cfg.Schedulers {
@@ -194,11 +194,11 @@
 	}
 }
 
-// ends plays the first tries of n jobs: those at scheduler i end as fail says, others are
+// playFirstAttempts plays the first tries of n jobs: those at scheduler i end as fail says, others are
 // served. It counts the tries at i, which must be one of the desk's own.
-func ends(p *Plan, at time.Time, n, i int, fail AttemptResult) (tries int) {
+func playFirstAttempts(p *Plan, at time.Time, n, i int, fail AttemptResult) (tries int) {
 	for range n {
-		j, s := p.Begin(at, safe, at.Add(time.Hour))
+		j, s := p.Begin(at, safeClass, at.Add(time.Hour))
 		end := AttemptResult{Status: 200}
 		if s.StartNow && s.Scheduler == i {
 			tries++
@@ -217,15 +217,15 @@
 		end  AttemptResult
 		want int
 	}{{AttemptResult{Outcome: ConnectFailed}, 1}, {AttemptResult{Outcome: NoResponse}, 3}, {AttemptResult{Outcome: Malformed}, 3}} {
-		p := newPlan(t, config())
-		if got := ends(p, start, 100, p.order[0], c.end); got != c.want || p.Available() != 2 {
+		p := newPlan(t, testConfig())
+		if got := playFirstAttempts(p, start, 100, p.preference[0], c.end); got != c.want || p.Available() != 2 {
 			t.Errorf("%+v: %d tries before it was set aside, %d are well", c.end, got, p.Available())
 		}
 		later := start.Add(2 * time.Second)
 		trials := 0
 		var trial *Job
 		for range 100 {
-			if j, s := p.Begin(later, safe, later.Add(time.Hour)); s.Scheduler == p.order[0] {
+			if j, s := p.Begin(later, safeClass, later.Add(time.Hour)); s.Scheduler == p.preference[0] {
 				trials++
 				trial = j
 			}
@@ -240,38 +240,38 @@
 		}
 	}
 	// One that refuses and closes is about to end: it is set aside at once, for a moment.
-	p := newPlan(t, config())
-	if got := ends(p, start, 100, p.order[0], AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
+	p := newPlan(t, testConfig())
+	if got := playFirstAttempts(p, start, 100, p.preference[0], AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
 		t.Errorf("%d jobs went to a scheduler that ends, %d are well", got, p.Available())
 	}
-	p = newPlan(t, config())
-	if got := ends(p, start, 100, p.order[0], AttemptResult{Outcome: IdleClosed}); got != 1 || p.Available() != 2 {
+	p = newPlan(t, testConfig())
+	if got := playFirstAttempts(p, start, 100, p.preference[0], AttemptResult{Outcome: IdleClosed}); got != 1 || p.Available() != 2 {
 		t.Errorf("%d jobs went to one that closed its connections, %d are well", got, p.Available())
 	}
 	for range 9 { // but never the last one
-		for i := range p.scheds {
-			p.judge(start, i, AttemptResult{Outcome: IdleClosed})
+		for i := range p.schedulers {
+			p.recordOutcome(start, i, AttemptResult{Outcome: IdleClosed})
 		}
 	}
 	if p.Available() != 1 {
 		t.Errorf("%d are well after all closed connections, want 1", p.Available())
 	}
-	p = newPlan(t, config())
-	if got := ends(p, start, 100, p.order[0], AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
+	p = newPlan(t, testConfig())
+	if got := playFirstAttempts(p, start, 100, p.preference[0], AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
 		t.Errorf("for want of room in the desk a scheduler was set aside after %d tries", got)
 	}
 }
 
 // Where nobody listens a job goes elsewhere at once: it was not handed in, so that this is
 // no retry, neither marked nor paid for.
-func TestNobodyListensIsNoTry(t *testing.T) {
-	cfg := config()
+func TestRefusedConnectionIsNoAttempt(t *testing.T) {
+	cfg := testConfig()
 	cfg.RetryBudget, cfg.MaxTokens = 0, 0
 	for i := range cfg.Classes {
 		cfg.Classes[i].MaxAttempts = 1
 	}
 	p := newPlan(t, cfg)
-	j, s := p.Begin(start, post, start.Add(5*time.Second))
+	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	for n := range cfg.Schedulers {
 		if !s.StartNow || s.Retry || p.InFlight() != 1 {
 			t.Fatalf("scheduler %d: %+v, %d open", n, s, p.InFlight())
@@ -285,8 +285,8 @@
 		t.Errorf("%+v, %d are well", s, p.Available())
 	}
 	// An earlier try may have run: then nobody listening is no refusal.
-	p = newPlan(t, config())
-	j, _ = p.Begin(start, safe, start.Add(time.Second))
+	p = newPlan(t, testConfig())
+	j, _ = p.Begin(start, safeClass, start.Add(time.Second))
 	s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: NoResponse})
 	for n := 0; n < 9 && s.Verdict == Pending; n++ {
 		if s = p.Start(s.At, j); s.StartNow {
@@ -300,38 +300,38 @@
 
 // At most half are set aside by answers that do not come; all may be by nobody listening.
 // Then jobs wait for one to be back, or are refused at once if that is too late for them.
-func TestFloor(t *testing.T) {
-	p := newPlan(t, config())
-	for i := range p.scheds {
+func TestEjectionFloor(t *testing.T) {
+	p := newPlan(t, testConfig())
+	for i := range p.schedulers {
 		for range 5 {
-			p.judge(start, i, AttemptResult{Outcome: NoResponse})
+			p.recordOutcome(start, i, AttemptResult{Outcome: NoResponse})
 		}
 	}
 	if n := p.Available(); n != 2 {
 		t.Errorf("%d of 3 are well, want at least half", n)
 	}
-	for i := range p.scheds {
-		p.judge(start, i, AttemptResult{Outcome: ConnectFailed})
+	for i := range p.schedulers {
+		p.recordOutcome(start, i, AttemptResult{Outcome: ConnectFailed})
 	}
 	if n := p.Available(); n != 0 {
 		t.Errorf("%d are well where nobody listens", n)
 	}
-	j, s := p.Begin(start, post, start.Add(5*time.Second))
+	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	if s.Verdict != Pending || s.StartNow || !s.AllEjected || s.At.Before(start.Add(400*time.Millisecond)) {
 		t.Fatalf("%+v, want to wait", s)
 	}
 	if s = p.Start(s.At, j); !s.StartNow {
 		t.Errorf("no trial after the wait: %+v", s)
 	}
-	if _, s = p.Begin(start, post, start.Add(100*time.Millisecond)); s.Verdict != Refused || s.At.IsZero() {
+	if _, s = p.Begin(start, onceClass, start.Add(100*time.Millisecond)); s.Verdict != Refused || s.At.IsZero() {
 		t.Errorf("%+v, want to be refused at once, with a time", s)
 	}
 	// The times aside are spread, as all desks lose a scheduler at once.
 	seen := map[time.Time]bool{}
 	for seed := range uint64(50) {
-		p, _ := New(config(), seed)
-		p.judge(start, 0, AttemptResult{Outcome: ConnectFailed})
-		seen[p.scheds[0].until.Truncate(50*time.Millisecond)] = true
+		p, _ := New(testConfig(), seed)
+		p.recordOutcome(start, 0, AttemptResult{Outcome: ConnectFailed})
+		seen[p.schedulers[0].ejectedUntil.Truncate(50*time.Millisecond)] = true
 	}
 	if len(seen) < 10 {
 		t.Errorf("50 desks come back in %d slots of 50 ms", len(seen))
@@ -339,15 +339,15 @@
 }
 
 // A scheduler that refuses all at once looks idle: it must not draw the jobs.
-func TestOneThatRefusesAll(t *testing.T) {
-	p := newPlan(t, config())
+func TestSchedulerThatRefusesAll(t *testing.T) {
+	p := newPlan(t, testConfig())
 	refusal := AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: time.Second}
-	if got := ends(p, start, 1000, p.order[0], refusal); got > 200 {
+	if got := playFirstAttempts(p, start, 1000, p.preference[0], refusal); got > 200 {
 		t.Errorf("%d of 1,000 jobs went to it", got)
 	}
 	// And a retry goes elsewhere.
 	for range 50 {
-		j, s := p.Begin(start, safe, start.Add(time.Hour))
+		j, s := p.Begin(start, safeClass, start.Add(time.Hour))
 		was := s.Scheduler
 		if s = p.AttemptEnded(start, start, j, AttemptResult{Status: 503}); s.Verdict == Pending {
 			if s = p.Start(s.At, j); s.Scheduler == was {
@@ -358,7 +358,7 @@
 	}
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		"schedulers":        func(c *Config) { c.Schedulers = 0 },
 		"classes: none":     func(c *Config) { c.Classes = nil },
@@ -370,7 +370,7 @@
 		"classes[1].effect": func(c *Config) { c.Classes[1].Effect = 9 },
 		"classes[2].window": func(c *Config) { c.Classes[2].Window = 0 },
 	} {
-		cfg := config()
+		cfg := testConfig()
 		spoil(&cfg)
 		if _, err := New(cfg, 1); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
@@ -383,7 +383,7 @@
 // budget, and nothing stays open.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Schedulers = rapid.IntRange(1, 4).Draw(t, "schedulers")
 		p, err := New(cfg, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
--- a/client/observer.go
+++ b/client/observer.go
@@ -23,15 +23,15 @@
 	Throttled()
 }
 
-type nobody struct{}
+type noObserver struct{}
 
-func (nobody) AttemptEnded(string, string, string, time.Duration) {}
-func (nobody) JobEnded(string, string, int, time.Duration)        {}
-func (nobody) Connected(string, error)                            {}
-func (nobody) Throttled()                                         {}
+func (noObserver) AttemptEnded(string, string, string, time.Duration) {}
+func (noObserver) JobEnded(string, string, int, time.Duration)        {}
+func (noObserver) Connected(string, error)                            {}
+func (noObserver) Throttled()                                         {}
 
-// word says how a try ended.
-func (o outcome) word() string {
+// label says how a try ended.
+func (o attemptResult) label() string {
 	switch o.Outcome {
 	case plan.ConnectFailed:
 		return "unreached"
--- a/client/prom/prom.go
+++ b/client/prom/prom.go
@@ -24,23 +24,23 @@
 // New registers the metrics of one client, or of several that share them. The error is the
 // registerer's: two observers cannot be registered at one place.
 //
-//	desk_tries_total{scheduler,class,outcome}   tries, by how they ended
-//	desk_jobs_total{class,verdict}              jobs, by how they ended
-//	desk_job_seconds{class,verdict}             from Do's call to its return
-//	desk_connections_total{scheduler,result}    new connections: up or failed
-//	desk_throttled_total                        jobs that the budget kept from a retry
+//	client_attempts_total{scheduler,class,outcome}   tries, by how they ended
+//	client_jobs_total{class,verdict}              jobs, by how they ended
+//	client_job_seconds{class,verdict}             from Do's call to its return
+//	client_connections_total{scheduler,result}    new connections: up or failed
+//	client_throttled_total                        jobs that the budget kept from a retry
 func New(r prometheus.Registerer) (*Observer, error) {
 	o := &Observer{
-		tries: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "desk_tries_total",
-			Help: "Tries, by scheduler, class and how they ended."}, []string{"scheduler", "class", "outcome"}),
-		jobs: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "desk_jobs_total",
+		tries: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "client_attempts_total",
+			Help: "Attempts, by scheduler, class and how they ended."}, []string{"scheduler", "class", "outcome"}),
+		jobs: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "client_jobs_total",
 			Help: "Jobs, by class and how they ended."}, []string{"class", "verdict"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "desk_job_seconds",
+		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "client_job_seconds",
 			Help:    "From a job's arrival at the client to its end, in seconds.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 16)}, []string{"class", "verdict"}),
-		opened: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "desk_connections_total",
+		opened: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "client_connections_total",
 			Help: "New connections, by scheduler and whether they came up."}, []string{"scheduler", "result"}),
-		throttled: prometheus.NewCounter(prometheus.CounterOpts{Name: "desk_throttled_total",
+		throttled: prometheus.NewCounter(prometheus.CounterOpts{Name: "client_throttled_total",
 			Help: "Jobs that got no retry because the budget was used up."}),
 	}
 	for _, c := range []prometheus.Collector{o.tries, o.jobs, o.took, o.opened, o.throttled} {
--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -55,21 +55,29 @@
 	l.Close()
 	do(l.Addr().String(), "refused")
 	want := strings.ReplaceAll(`
-# HELP desk_jobs_total Jobs, by class and how they ended.
-# TYPE desk_jobs_total counter
-desk_jobs_total{class="a",verdict="refused"} 2
-desk_jobs_total{class="a",verdict="served"} 1
-# HELP desk_throttled_total Jobs that got no retry because the budget was used up.
-# TYPE desk_throttled_total counter
-desk_throttled_total 1
-# HELP desk_connections_total New connections, by scheduler and whether they came up.
-# TYPE desk_connections_total counter
-desk_connections_total{result="failed",scheduler="DEAD"} 1
-desk_connections_total{result="up",scheduler="LIVE"} 2
+# HELP client_jobs_total Jobs, by class and how they ended.
+# TYPE client_jobs_total counter
+client_jobs_total{class="a",verdict="refused"} 2
+client_jobs_total{class="a",verdict="served"} 1
+# HELP client_throttled_total Jobs that got no retry because the budget was used up.
+# TYPE client_throttled_total counter
+client_throttled_total 1
+# HELP client_connections_total New connections, by scheduler and whether they came up.
+# TYPE client_connections_total counter
+client_connections_total{result="failed",scheduler="DEAD"} 1
+client_connections_total{result="up",scheduler="LIVE"} 2
+# HELP client_attempts_total Attempts, by scheduler, class and how they ended.
+# TYPE client_attempts_total counter
+client_attempts_total{class="a",outcome="refused",scheduler="LIVE"} 1
+client_attempts_total{class="a",outcome="served",scheduler="LIVE"} 1
+client_attempts_total{class="a",outcome="unreached",scheduler="DEAD"} 1
 `, "LIVE", addr)
 	want = strings.ReplaceAll(want, "DEAD", l.Addr().String())
-	if err := testutil.GatherAndCompare(registry, strings.NewReader(want), "desk_jobs_total",
-		"desk_throttled_total", "desk_connections_total"); err != nil {
+	if err := testutil.GatherAndCompare(registry, strings.NewReader(want), "client_jobs_total",
+		"client_throttled_total", "client_connections_total", "client_attempts_total"); err != nil {
 		t.Error(err)
 	}
+	if n, err := testutil.GatherAndCount(registry, "client_job_seconds"); err != nil || n != 2 {
+		t.Errorf("%d histograms of client_job_seconds, %v, want one for each verdict", n, err)
+	}
 }
--- a/client/race_off_test.go
+++ b/client/race_off_test.go
@@ -2,4 +2,4 @@
 
 package client
 
-const mostCallers = 10_000
+const maxCallers = 10_000
--- a/client/race_on_test.go
+++ b/client/race_on_test.go
@@ -3,4 +3,4 @@
 package client
 
 // The race detector knows no more than 8,128 goroutines.
-const mostCallers = 5_000
+const maxCallers = 5_000
--- a/cmd/dahliaford/check.go
+++ b/cmd/dahliaford/check.go
@@ -12,7 +12,7 @@
 
 // Run says that a file is in order, or in one line what is wrong with it.
 func (c *checkFileCmd) Run(s *streams) error {
-	raw, err := readFile(c.File, mostFile)
+	raw, err := readFile(c.File, maxFileBytes)
 	if err != nil {
 		return err
 	}
--- a/cmd/dahliaford/config.go
+++ b/cmd/dahliaford/config.go
@@ -78,8 +78,8 @@
 	}
 	if len(known) > 0 {
 		// It may be old, and nothing is sent by it alone: what is no use of it ends no start.
-		known, odd, err := node.DecodeList(known)
-		if cfg.Known, cfg.InvalidKnown = known, odd; err != nil {
+		known, invalid, err := node.DecodeList(known)
+		if cfg.Known, cfg.InvalidKnown = known, invalid; err != nil {
 			cfg.Known.Workers, cfg.InvalidKnown = nil, err
 		}
 	}
@@ -90,9 +90,9 @@
 	return cfg, err
 }
 
-// fixed tells whether a configuration differs from the one that the process started
+// needsRestart tells whether a configuration differs from the one that the process started
 // with in something that a reload does not apply.
-func fixed(old, now node.Config) bool {
+func needsRestart(old, now node.Config) bool {
 	return old.Name != now.Name || old.Listen != now.Listen || old.Sockets != now.Sockets ||
 		old.MemoryMB != now.MemoryMB || !reflect.DeepEqual(old.Settings, now.Settings)
 }
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -12,16 +12,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
 	"seed":"8c1f30d27a5be964","new":{},
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"rev":41,"all":true,"targets":[]},
 	"settings":{"discovery":"on_request","grades":[{"name":"a","semantics":"idempotent","deadline":5}]}}`
 
-func configured(t *testing.T, text string, env map[string]string) (string, error) {
-	return configuredOn(t, text, env, false)
+func readConfiguration(t *testing.T, text string, env map[string]string) (string, error) {
+	return readConfigurationOn(t, text, env, false)
 }
 
-func configuredOn(t *testing.T, text string, env map[string]string, reload bool) (string, error) {
+func readConfigurationOn(t *testing.T, text string, env map[string]string, reload bool) (string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -38,11 +38,11 @@
 }
 
 func TestConfiguration(t *testing.T) {
-	got, err := configured(t, good, map[string]string{"BALANCER_NAME": "n4"})
+	got, err := readConfiguration(t, validConfig, map[string]string{"BALANCER_NAME": "n4"})
 	if diff := cmp.Diff("n4 127.0.0.1:0 127.0.0.1:1 a", got); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
-	cfg, err := parse([]byte(good))
+	cfg, err := parse([]byte(validConfig))
 	if diff := cmp.Diff([]int{1024, 192, 41}, []int{cfg.Sockets, cfg.MemoryMB, int(cfg.Known.Rev)}); diff != "" {
 		t.Error(diff, err)
 	}
@@ -53,7 +53,7 @@
 	const text = `{"settings":{"limits":null,"new":[{}],"customers":null,"guarantees":null,"family_info":null,
 		"grades":[{"deadline":5,"dedup_scope":null,"semantics":"idempotent","name":"a"}]},"limits":null,"seed":null,
 		"known":null,"later":{"x":[null]},"discovery":"127.0.0.1:1","listen":"127.0.0.1:0","name":null}`
-	if got, err := configured(t, text, nil); err != nil || got != " 127.0.0.1:0 127.0.0.1:1 a" {
+	if got, err := readConfiguration(t, text, nil); err != nil || got != " 127.0.0.1:0 127.0.0.1:1 a" {
 		t.Errorf("%q, %v", got, err)
 	}
 	within := strings.Replace(text, `"limits":null,"seed"`, `"limits":{"sockets":null,"x":1},"seed"`, 1)
@@ -64,7 +64,7 @@
 }
 
 // Each mistake is told in one line that names its place.
-func TestMistakesInTheConfiguration(t *testing.T) {
+func TestInvalidConfigurations(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"not JSON":       {`{"name"`, `name`, "parse error"},
 		"broken off":     {`"idempotent","deadline":5}]}}`, ``, "EOF"},
@@ -76,7 +76,7 @@
 		"words for sums": {`1024`, `"many"`, "parse error"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := configured(t, strings.Replace(good, c.old, c.new, 1), nil)
+			_, err := readConfiguration(t, strings.Replace(validConfig, c.old, c.new, 1), nil)
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got %v, want one line with %q", err, c.want)
 			}
@@ -85,25 +85,25 @@
 }
 
 // What is known may be of any age. If it makes no sense, the start goes on without it.
-func TestAnOddListEndsNoStart(t *testing.T) {
+func TestInvalidKnownListEndsNoStart(t *testing.T) {
 	const whole = `{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"ready"}`
 	for targets, want := range map[string]int{
 		`[]`: 0, `[` + whole + `]`: 1, `[{"state":"odd"},` + whole + `]`: 1, `[3,` + whole + `]`: 1, `3`: 0,
 	} {
-		cfg, err := parse([]byte(strings.Replace(good, `"targets":[]`, `"targets":`+targets, 1)))
-		if odd := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
-			(cfg.InvalidKnown != nil) != odd || len(cfg.Known.Workers) != want {
+		cfg, err := parse([]byte(strings.Replace(validConfig, `"targets":[]`, `"targets":`+targets, 1)))
+		if invalid := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
+			(cfg.InvalidKnown != nil) != invalid || len(cfg.Known.Workers) != want {
 			t.Errorf("%s: %v, odd %v, %d workers", targets, err, cfg.InvalidKnown, len(cfg.Known.Workers))
 		}
 	}
 }
 
 // On a reload the file says where discovery is, whatever the process was started with.
-func TestTheFileWinsOnAReload(t *testing.T) {
+func TestFileWinsOnReload(t *testing.T) {
 	env := map[string]string{"BALANCER_NAME": "n4", "BALANCER_DISCOVERY": "127.0.0.1:9"}
 	for reload, want := range map[bool]string{false: "n4 127.0.0.1:0 127.0.0.1:9 a",
 		true: "n4 127.0.0.1:0 127.0.0.1:1 a"} {
-		got, err := configuredOn(t, good, env, reload)
+		got, err := readConfigurationOn(t, validConfig, env, reload)
 		if diff := cmp.Diff(want, got); diff != "" || err != nil {
 			t.Error(diff, err)
 		}
@@ -117,13 +117,13 @@
 	t.Setenv("BALANCER_CONFIG", path)
 	t.Setenv("BALANCER_DISCOVERY", "")
 	var half string
-	turn := func(signal syscall.Signal) net.Listener {
+	nextDiscovery := func(signal syscall.Signal) net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		text := strings.Replace(good, "127.0.0.1:1", l.Addr().String(), 1)
+		text := strings.Replace(validConfig, "127.0.0.1:1", l.Addr().String(), 1)
 		for _, text := range []string{half, text} {
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
@@ -135,10 +135,10 @@
 		half = text[:len(text)/2]
 		return l
 	}
-	first := turn(0)
+	first := nextDiscovery(0)
 	done := make(chan error, 1)
 	go func() { done <- (serveCmd{}).Run() }()
-	asked := func(l net.Listener) {
+	expectPoll := func(l net.Listener) {
 		l.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Second))
 		conn, err := l.Accept()
 		if err != nil {
@@ -146,9 +146,9 @@
 		}
 		conn.Close()
 	}
-	asked(first)
-	asked(turn(syscall.SIGHUP))
-	asked(turn(syscall.SIGHUP))
+	expectPoll(first)
+	expectPoll(nextDiscovery(syscall.SIGHUP))
+	expectPoll(nextDiscovery(syscall.SIGHUP))
 	// The signal comes once, while the file is being written: it is read again by itself.
 	whole, err := os.ReadFile(path)
 	if err != nil {
@@ -159,7 +159,7 @@
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
-	asked(turn(0))
+	expectPoll(nextDiscovery(0))
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	if err := <-done; err != nil {
 		t.Error(err)
--- a/cmd/dahliaford/log.go
+++ b/cmd/dahliaford/log.go
@@ -9,57 +9,59 @@
 
 // How many lines of one kind the log takes in a while.
 const (
-	mostLines = 20
-	lineSpan  = 5 * time.Second
+	maxLines   = 20
+	lineWindow = 5 * time.Second
 )
 
-// calm passes on so many lines of one message in a while and counts the rest, so that
+// rateLimitedHandler passes on so many lines of one message in a while and counts the rest, so that
 // whoever sends nonsense at full speed neither fills the log nor takes the core.
-type calm struct {
+type rateLimitedHandler struct {
 	slog.Handler
-	seen *seen
+	counts *messageCounts
 }
 
-type seen struct {
+type messageCounts struct {
 	sync.Mutex
-	lines map[string]*count // by message: those are few
+	byMessage map[string]*window // by message: those are few
 }
 
-type count struct {
-	since         time.Time
-	passed, swept int
+type window struct {
+	since            time.Time
+	written, dropped int
 }
 
-func newCalm(h slog.Handler) calm { return calm{h, &seen{lines: map[string]*count{}}} }
+func newRateLimitedHandler(h slog.Handler) rateLimitedHandler {
+	return rateLimitedHandler{h, &messageCounts{byMessage: map[string]*window{}}}
+}
 
-func (c calm) Handle(ctx context.Context, r slog.Record) error {
-	swept, pass := c.seen.note(r.Message, r.Time)
+func (c rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
+	dropped, pass := c.counts.note(r.Message, r.Time)
 	if !pass {
 		return nil
 	}
-	if swept > 0 {
-		r.AddAttrs(slog.Int("left_out", swept))
+	if dropped > 0 {
+		r.AddAttrs(slog.Int("left_out", dropped))
 	}
 	return c.Handler.Handle(ctx, r)
 }
 
 // note counts a line. It tells whether the line passes, and how many before did not.
-func (s *seen) note(message string, at time.Time) (swept int, pass bool) {
+func (s *messageCounts) note(message string, at time.Time) (dropped int, pass bool) {
 	s.Lock()
 	defer s.Unlock()
-	n := s.lines[message]
+	n := s.byMessage[message]
 	if n == nil {
-		n = &count{since: at}
-		s.lines[message] = n
+		n = &window{since: at}
+		s.byMessage[message] = n
 	}
-	if at.Sub(n.since) > lineSpan {
-		swept = n.swept
-		*n = count{since: at}
+	if at.Sub(n.since) > lineWindow {
+		dropped = n.dropped
+		*n = window{since: at}
 	}
-	if n.passed == mostLines {
-		n.swept++
+	if n.written == maxLines {
+		n.dropped++
 		return 0, false
 	}
-	n.passed++
-	return swept, true
+	n.written++
+	return dropped, true
 }
--- a/cmd/dahliaford/log_test.go
+++ b/cmd/dahliaford/log_test.go
@@ -12,9 +12,9 @@
 )
 
 // Bad requests by the thousand must not make a line each; others are not hidden by them.
-func TestLogIsCalm(t *testing.T) {
+func TestLogIsRateLimited(t *testing.T) {
 	var out bytes.Buffer
-	h := newCalm(slog.NewTextHandler(&out, nil))
+	h := newRateLimitedHandler(slog.NewTextHandler(&out, nil))
 	say := func(text string, at int64) {
 		h.Handle(context.Background(), slog.NewRecord(time.Unix(at, 0), slog.LevelWarn, text, 0))
 	}
@@ -24,10 +24,10 @@
 	say("other", 100)
 	say("bad", 106)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if diff := cmp.Diff(mostLines+2, len(lines)); diff != "" {
+	if diff := cmp.Diff(maxLines+2, len(lines)); diff != "" {
 		t.Fatal(diff)
 	}
-	if last := lines[mostLines+1]; !strings.HasSuffix(last, "left_out=980") {
+	if last := lines[maxLines+1]; !strings.HasSuffix(last, "left_out=980") {
 		t.Error(last)
 	}
 }
--- a/cmd/dahliaford/main.go
+++ b/cmd/dahliaford/main.go
@@ -1,4 +1,4 @@
-// Command dahliaford is one scheduler on real sockets, and the desk's way to hand jobs in.
+// Command dahliaford serves as one scheduler on sockets, submits jobs to schedulers, and maintains job stores.
 package main
 
 import (
@@ -13,10 +13,10 @@
 
 // The exit statuses.
 const (
-	fine    = 0
-	failed  = 1
-	misused = 2
-	refused = 75 // EX_TEMPFAIL: it did not run, trying again is harmless
+	exitOK       = 0
+	exitFailed   = 1
+	exitUsage    = 2
+	exitTempFail = 75 // EX_TEMPFAIL: it did not run, trying again is harmless
 )
 
 type commands struct {
@@ -28,26 +28,28 @@
 	Help    helpCmd      `cmd:"" help:"Print this help."`
 }
 
-// exit is an end with a status of its own; without a text nothing is said.
-type exit struct {
+// exitError is an end with a status of its own; without a text nothing is said.
+type exitError struct {
 	status int
 	text   string
 }
 
-func (e exit) Error() string { return e.text }
+func (e exitError) Error() string { return e.text }
 
-func misuse(format string, args ...any) error { return exit{misused, fmt.Sprintf(format, args...)} }
+func usageError(format string, args ...any) error {
+	return exitError{exitUsage, fmt.Sprintf(format, args...)}
+}
 
 func main() { os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
 
 func run(args []string, in io.Reader, out, errs io.Writer) int {
 	err := command(args, in, out, errs)
-	var e exit
+	var e exitError
 	switch {
 	case err == nil:
-		return fine
+		return exitOK
 	case !errors.As(err, &e):
-		e = exit{failed, err.Error()}
+		e = exitError{exitFailed, err.Error()}
 	}
 	if e.text != "" {
 		fmt.Fprintln(errs, "dahliaford:", e.text)
@@ -75,7 +77,7 @@
 	case ended >= 0: // help was asked for
 		return nil
 	case err != nil:
-		return misuse("%v", err)
+		return usageError("%v", err)
 	}
 	return ctx.Run(&streams{in, out, errs})
 }
--- a/cmd/dahliaford/send.go
+++ b/cmd/dahliaford/send.go
@@ -21,10 +21,11 @@
 )
 
 type sendCmd struct {
-	Desk      string        `help:"The desk's configuration file." placeholder:"FILE"`
+	// The flag was called desk once: scripts that still say so go on working.
+	Config    string        `help:"The client's configuration file." placeholder:"FILE" aliases:"desk"`
 	Scheduler []string      `help:"Instead of the file's; repeatable." sep:"none" placeholder:"ADDR"`
 	Class     string        `help:"The job's class."`
-	Tenant    string        `help:"Whose job it is, in place of the desk's tenant."`
+	Tenant    string        `help:"Whose job it is, in place of the file's tenant."`
 	Object    string        `help:"What it is about: the last part of the path."`
 	Key       string        `help:"The idempotency key of a keyed class."`
 	Within    time.Duration `help:"How long to wait for its end, in place of the class's deadline."`
@@ -34,25 +35,25 @@
 }
 
 const (
-	mostAtOnce = 1024
-	mostFile   = 1 << 20 // bytes of a desk's configuration
-	// mostLine is the longest line of a file of jobs: a body of 64 KiB may be escaped.
-	mostLine = 512 << 10
-	// withoutFile is the deadline of a class that no file describes.
-	withoutFile = 5 * time.Second
+	maxAtOnce    = 1024
+	maxFileBytes = 1 << 20 // bytes of a configuration file
+	// maxLineBytes is the longest line of a file of jobs: a body of 64 KiB may be escaped.
+	maxLineBytes = 512 << 10
+	// defaultDeadline is the deadline of a class that no file describes.
+	defaultDeadline = 5 * time.Second
 )
 
 // Run hands in what the arguments say.
 func (c *sendCmd) Run(s *streams) error {
 	switch {
 	case c.Within < 0:
-		return misuse("--within must be longer than nothing")
-	case c.AtOnce < 1 || c.AtOnce > mostAtOnce:
-		return misuse("--at-once must be between 1 and %d", mostAtOnce)
+		return usageError("--within must be longer than nothing")
+	case c.AtOnce < 1 || c.AtOnce > maxAtOnce:
+		return usageError("--at-once must be between 1 and %d", maxAtOnce)
 	case c.Jobs != "" && (c.Class != "" || c.Data != "" || c.Object != "" || c.Key != ""):
-		return misuse("--jobs names the jobs: --class, --data, --object and --key do not go with it")
+		return usageError("--jobs names the jobs: --class, --data, --object and --key do not go with it")
 	case c.Jobs == "" && c.Class == "":
-		return misuse("--class or --jobs must say what to hand in")
+		return usageError("--class or --jobs must say what to hand in")
 	}
 	cfg, err := c.config()
 	if err != nil {
@@ -75,28 +76,28 @@
 	r, err := jobClient.Do(ctx, client.Job{Class: c.Class, Tenant: c.Tenant, Object: c.Object, Key: c.Key,
 		Body: body, Deadline: c.deadline("")})
 	if err != nil {
-		return exit{status(client.Verdict(err)), sentence(err)}
+		return exitError{exitStatus(client.Verdict(err)), describe(err)}
 	}
 	_, err = s.out.Write(r.Body)
 	return err
 }
 
-// config is the desk's configuration, as the file and the arguments say.
+// config is the client's configuration, as the file and the arguments say.
 func (c *sendCmd) config() (cfg client.Config, err error) {
-	if c.Desk != "" {
-		raw, err := readFile(c.Desk, mostFile)
+	if c.Config != "" {
+		raw, err := readFile(c.Config, maxFileBytes)
 		if err != nil {
-			return cfg, misuse("--desk: %v", err)
+			return cfg, usageError("--config: %v", err)
 		}
 		if cfg, err = client.ParseConfig(raw); err != nil {
-			return cfg, misuse("%s: %v", c.Desk, err)
+			return cfg, usageError("%s: %v", c.Config, err)
 		}
 	}
 	if len(c.Scheduler) > 0 {
 		cfg.Schedulers = c.Scheduler
 	}
 	if len(cfg.Schedulers) == 0 {
-		return cfg, misuse("--desk or --scheduler must name a scheduler")
+		return cfg, usageError("--config or --scheduler must name a scheduler")
 	}
 	return cfg, nil
 }
@@ -107,12 +108,12 @@
 	if cfg.Classes == nil {
 		cfg.Classes = map[string]client.Class{}
 		for _, name := range classes {
-			cfg.Classes[name] = client.Class{Deadline: withoutFile, Effect: client.Once}
+			cfg.Classes[name] = client.Class{Deadline: defaultDeadline, Effect: client.Once}
 		}
 	}
 	c, err := client.New(cfg)
 	if err != nil {
-		return nil, misuse("%v", err)
+		return nil, usageError("%v", err)
 	}
 	return c, nil
 }
@@ -124,7 +125,7 @@
 	case strings.HasPrefix(c.Data, "@"):
 		b, err := readFile(c.Data[1:], client.MaxBodyBytes)
 		if err != nil {
-			return nil, misuse("--data: %v", err)
+			return nil, usageError("--data: %v", err)
 		}
 		return b, nil
 	}
@@ -143,7 +144,7 @@
 func limited(in io.Reader, name string, most int) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(in, int64(most)+1))
 	if err == nil && len(b) > most {
-		err = misuse("%s: over %d bytes", name, most)
+		err = usageError("%s: over %d bytes", name, most)
 	}
 	return b, err
 }
@@ -160,21 +161,21 @@
 	return time.Now().Add(span)
 }
 
-// status is the exit status for how a job ended. What did not run is EX_TEMPFAIL.
-func status(verdict string) int {
+// exitStatus is the exit status for how a job ended. What did not run is EX_TEMPFAIL.
+func exitStatus(verdict string) int {
 	switch verdict {
 	case "served":
-		return fine
+		return exitOK
 	case "refused", "expired":
-		return refused
+		return exitTempFail
 	case "invalid":
-		return misused
+		return exitUsage
 	}
-	return failed
+	return exitFailed
 }
 
-// sentence says how a job ended, and when to come back where that is known.
-func sentence(err error) string {
+// describe says how a job ended, and when to come back where that is known.
+func describe(err error) string {
 	var r *client.RefusedError
 	if errors.As(err, &r) {
 		if wait := time.Until(r.RetryAfter); wait > 0 {
@@ -195,8 +196,8 @@
 	Slots  int    `json:"slots"`
 }
 
-// ended is one line of what is printed: how the job of that line of the file ended.
-type ended struct {
+// jobOutcome is one line of what is printed: how the job of that line of the file ended.
+type jobOutcome struct {
 	Line    int    `json:"line"`
 	Class   string `json:"class"`
 	Outcome string `json:"outcome"`
@@ -205,10 +206,10 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// eachJob reads a file of jobs. Blank lines are passed over.
-func eachJob(in io.Reader, do func(line int, j fileJob) error) error {
+// forEachJob reads a file of jobs. Blank lines are passed over.
+func forEachJob(in io.Reader, do func(line int, j fileJob) error) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLineBytes)
 	n := 0
 	for lines.Scan() {
 		n++
@@ -233,14 +234,14 @@
 			err = errors.New("no class")
 		}
 		if err != nil {
-			return misuse("line %d: %v", n, err)
+			return usageError("line %d: %v", n, err)
 		}
 		if err := do(n, j); err != nil {
 			return err
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return misuse("line %d: %v", n+1, err)
+		return usageError("line %d: %v", n+1, err)
 	}
 	return nil
 }
@@ -250,15 +251,15 @@
 func (c *sendCmd) sendFile(ctx context.Context, cfg client.Config, s *streams) error {
 	f, err := os.Open(c.Jobs)
 	if err != nil {
-		return misuse("--jobs: %v", err)
+		return usageError("--jobs: %v", err)
 	}
 	defer f.Close()
 	total := 0
 	var classes []string
-	if err := eachJob(f, func(n int, j fileJob) error {
+	if err := forEachJob(f, func(n int, j fileJob) error {
 		total++
 		if _, known := cfg.Classes[j.Class]; cfg.Classes != nil && !known {
-			return misuse("line %d: unknown class %q", n, j.Class)
+			return usageError("line %d: unknown class %q", n, j.Class)
 		}
 		if !slices.Contains(classes, j.Class) {
 			classes = append(classes, j.Class)
@@ -268,7 +269,7 @@
 		return err
 	}
 	if _, err := f.Seek(0, io.SeekStart); err != nil {
-		return misuse("--jobs: %v", err)
+		return usageError("--jobs: %v", err)
 	}
 	jobClient, err := newClient(cfg, classes...)
 	if err != nil {
@@ -285,7 +286,7 @@
 			}
 		})
 	}
-	err = eachJob(f, func(n int, j fileJob) error {
+	err = forEachJob(f, func(n int, j fileJob) error {
 		do := func() {
 			tenant := j.Tenant
 			if tenant == "" {
@@ -293,9 +294,9 @@
 			}
 			r, err := jobClient.Do(ctx, client.Job{Class: j.Class, Tenant: tenant, Object: j.Object, Key: j.Key,
 				Body: []byte(j.Data), Slots: j.Slots, Deadline: c.deadline(j.Within)})
-			e := ended{Line: n, Class: j.Class, Outcome: client.Verdict(err)}
+			e := jobOutcome{Line: n, Class: j.Class, Outcome: client.Verdict(err)}
 			if err != nil {
-				e.Error = sentence(err)
+				e.Error = describe(err)
 			} else {
 				e.Tries, e.Result = r.Attempts, string(r.Body)
 			}
@@ -305,7 +306,7 @@
 		case jobs <- do:
 			return nil
 		case <-ctx.Done():
-			return exit{failed, fmt.Sprintf("stopped before line %d", n)}
+			return exitError{exitFailed, fmt.Sprintf("stopped before line %d", n)}
 		}
 	})
 	close(jobs)
@@ -323,17 +324,17 @@
 	total int
 	tick  *time.Ticker
 
-	mu     sync.Mutex
-	done   int
-	counts map[[2]string]int // by class and outcome
-	werr   error             // the first that kept a line from being written
+	mu       sync.Mutex
+	done     int
+	counts   map[[2]string]int // by class and outcome
+	writeErr error             // the first that kept a line from being written
 }
 
 func newTally(s *streams, total int) *tally {
 	return &tally{streams: s, total: total, counts: map[[2]string]int{}, tick: time.NewTicker(time.Second)}
 }
 
-func (t *tally) note(e ended) {
+func (t *tally) note(e jobOutcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.done++
@@ -342,8 +343,8 @@
 	if err == nil {
 		_, err = t.out.Write(append(raw, '\n'))
 	}
-	if t.werr == nil {
-		t.werr = err
+	if t.writeErr == nil {
+		t.writeErr = err
 	}
 	select {
 	case <-t.tick.C:
@@ -364,21 +365,21 @@
 	})
 	table := tabwriter.NewWriter(t.errs, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "class\toutcome\tjobs")
-	worst := fine
+	worst := exitOK
 	for _, k := range keys {
 		fmt.Fprintf(table, "%s\t%s\t%d\n", k[0], k[1], t.counts[k])
 		// Failed goes before wrong use, and that before refused: it is what has to be looked into.
-		order := []int{fine, refused, misused, failed}
-		if got := status(k[1]); slices.Index(order, got) > slices.Index(order, worst) {
+		order := []int{exitOK, exitTempFail, exitUsage, exitFailed}
+		if got := exitStatus(k[1]); slices.Index(order, got) > slices.Index(order, worst) {
 			worst = got
 		}
 	}
 	table.Flush()
-	if t.werr != nil {
-		return t.werr
+	if t.writeErr != nil {
+		return t.writeErr
 	}
-	if worst != fine {
-		return exit{status: worst}
+	if worst != exitOK {
+		return exitError{status: worst}
 	}
 	return nil
 }
--- a/cmd/dahliaford/send_test.go
+++ b/cmd/dahliaford/send_test.go
@@ -16,9 +16,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// scheduler answers by the body of a job: "busy", "broken" and "odd" fail in their ways,
+// startScheduler answers by the body of a job: "busy", "broken" and "odd" fail in their ways,
 // all else is served in capitals.
-func scheduler(t *testing.T) (addr string, seen chan http.Header) {
+func startScheduler(t *testing.T) (addr string, seen chan http.Header) {
 	t.Helper()
 	seen = make(chan http.Header, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +42,7 @@
 	return s.Listener.Addr().String(), seen
 }
 
-func file(t *testing.T, text string) string {
+func tempFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(path, []byte(text), 0o666); err != nil {
@@ -52,13 +52,13 @@
 }
 
 func TestSendOne(t *testing.T) {
-	addr, _ := scheduler(t)
+	addr, _ := startScheduler(t)
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dead.Close()
-	desk := file(t, `{"schedulers":["`+dead.Addr().String()+`"],"tenant":"sahel",
+	config := tempFile(t, `{"schedulers":["`+dead.Addr().String()+`"],"tenant":"sahel",
 		"classes":{"post-reading":{"deadline_ms":2000,"effect":"once"}}}`)
 	at := "--scheduler=" + addr
 	for _, c := range []struct {
@@ -71,32 +71,36 @@
 	}{
 		{name: "text", args: []string{at, "--class=a", "--data=4211x"}, out: "4211X"},
 		{name: "standard input", args: []string{at, "--class=a", "--data=-"}, in: "in", out: "IN"},
-		{name: "a file", args: []string{at, "--class=a", "--data=@" + file(t, "filed")}, out: "FILED"},
-		{name: "a scheduler goes before the file's", args: []string{"--desk=" + desk, at, "--class=post-reading",
+		{name: "a file", args: []string{at, "--class=a", "--data=@" + tempFile(t, "filed")}, out: "FILED"},
+		{name: "a scheduler goes before the file's", args: []string{"--config=" + config, at, "--class=post-reading",
 			"--data=x"}, out: "X"},
-		{name: "refused", args: []string{at, "--class=a", "--data=busy"}, status: refused, errs: "come back in"},
-		{name: "nobody listens", args: []string{"--desk=" + desk, "--class=post-reading"}, status: refused,
+		{name: "the configuration by the flag's former name", args: []string{"--desk=" + config, at,
+			"--class=post-reading", "--data=x"}, out: "X"},
+		{name: "both names of the flag", args: []string{"--desk=/nowhere/x", "--config=" + config, at,
+			"--class=post-reading", "--data=x"}, out: "X"},
+		{name: "refused", args: []string{at, "--class=a", "--data=busy"}, status: exitTempFail, errs: "come back in"},
+		{name: "nobody listens", args: []string{"--config=" + config, "--class=post-reading"}, status: exitTempFail,
 			errs: "not sent"},
-		{name: "failed", args: []string{at, "--class=a", "--data=broken"}, status: failed, errs: "status 500"},
-		{name: "makes no sense there", args: []string{at, "--class=a", "--data=odd"}, status: misused,
+		{name: "failed", args: []string{at, "--class=a", "--data=broken"}, status: exitFailed, errs: "status 500"},
+		{name: "makes no sense there", args: []string{at, "--class=a", "--data=odd"}, status: exitUsage,
 			errs: "no such thing"},
-		{name: "unknown class", args: []string{"--desk=" + desk, "--class=b"}, status: misused,
+		{name: "unknown class", args: []string{"--config=" + config, "--class=b"}, status: exitUsage,
 			errs: `unknown class "b"`},
-		{name: "no scheduler", args: []string{"--class=a"}, status: misused, errs: "must name a scheduler"},
-		{name: "no class", args: []string{at}, status: misused, errs: "--class or --jobs"},
-		{name: "both", args: []string{at, "--class=a", "--jobs=x"}, status: misused, errs: "do not go with it"},
-		{name: "no such file", args: []string{at, "--class=a", "--data=@/nowhere/x"}, status: misused,
+		{name: "no scheduler", args: []string{"--class=a"}, status: exitUsage, errs: "must name a scheduler"},
+		{name: "no class", args: []string{at}, status: exitUsage, errs: "--class or --jobs"},
+		{name: "both", args: []string{at, "--class=a", "--jobs=x"}, status: exitUsage, errs: "do not go with it"},
+		{name: "no such file", args: []string{at, "--class=a", "--data=@/nowhere/x"}, status: exitUsage,
 			errs: "--data: open /nowhere/x"},
-		{name: "no such desk", args: []string{"--desk=/nowhere/x", "--class=a"}, status: misused,
-			errs: "--desk: open"},
-		{name: "a wrong desk", args: []string{"--desk=" + file(t, "{}"), "--class=a"}, status: misused,
+		{name: "no such configuration", args: []string{"--config=/nowhere/x", "--class=a"}, status: exitUsage,
+			errs: "--config: open"},
+		{name: "an invalid configuration", args: []string{"--config=" + tempFile(t, "{}"), "--class=a"}, status: exitUsage,
 			errs: "classes is required"},
 		{name: "too long", args: []string{at, "--class=a", "--data=-"}, in: strings.Repeat("x", 65<<10),
-			status: misused, errs: "over 65536 bytes"},
-		{name: "a wrong span", args: []string{at, "--class=a", "--within=5"}, status: misused, errs: "--within"},
-		{name: "a negative span", args: []string{at, "--class=a", "--within=-5s"}, status: misused,
+			status: exitUsage, errs: "over 65536 bytes"},
+		{name: "a wrong span", args: []string{at, "--class=a", "--within=5"}, status: exitUsage, errs: "--within"},
+		{name: "a negative span", args: []string{at, "--class=a", "--within=-5s"}, status: exitUsage,
 			errs: "--within"},
-		{name: "an unknown flag", args: []string{at, "--color=a"}, status: misused, errs: "--color"},
+		{name: "an unknown flag", args: []string{at, "--color=a"}, status: exitUsage, errs: "--color"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out, errs bytes.Buffer
@@ -112,9 +116,9 @@
 
 // What the arguments say is what a scheduler is told.
 func TestSendHeaders(t *testing.T) {
-	addr, seen := scheduler(t)
+	addr, seen := startScheduler(t)
 	if got := run([]string{"send", "--scheduler", addr, "--class", "district-batch", "--tenant", "north",
-		"--object", "17", "--key", "k1", "--within", "3s"}, nil, io.Discard, io.Discard); got != fine {
+		"--object", "17", "--key", "k1", "--within", "3s"}, nil, io.Discard, io.Discard); got != exitOK {
 		t.Fatal(got)
 	}
 	h := <-seen
@@ -122,15 +126,15 @@
 	if diff := cmp.Diff([]string{"/district-batch/17", "district-batch", "north", "k1"}, got); diff != "" {
 		t.Error(diff)
 	}
-	var left int
-	if fmt.Sscan(h.Get("X-Remaining-Ms"), &left); left < 1000 || left > 3000 {
-		t.Errorf("%d ms left of 3 s", left)
+	var remaining int
+	if fmt.Sscan(h.Get("X-Remaining-Ms"), &remaining); remaining < 1000 || remaining > 3000 {
+		t.Errorf("%d ms left of 3 s", remaining)
 	}
 }
 
 func TestSendFile(t *testing.T) {
-	addr, seen := scheduler(t)
-	jobs := file(t, `{"class":"a","data":"one"}
+	addr, seen := startScheduler(t)
+	jobs := tempFile(t, `{"class":"a","data":"one"}
 
 {"class":"a","data":"busy"}
 {"class":"b","data":"two","object":"7","within":"2s"}
@@ -138,19 +142,19 @@
 `)
 	var out, errs bytes.Buffer
 	got := run([]string{"send", "--scheduler", addr, "--jobs", jobs, "--at-once", "1"}, nil, &out, &errs)
-	if got != failed {
+	if got != exitFailed {
 		t.Errorf("status %d", got)
 	}
-	var ends []ended
+	var ends []jobOutcome
 	for d := json.NewDecoder(&out); d.More(); {
-		var e ended
+		var e jobOutcome
 		if err := d.Decode(&e); err != nil {
 			t.Fatal(err)
 		}
 		e.Error = ""
 		ends = append(ends, e)
 	}
-	want := []ended{{Line: 1, Class: "a", Outcome: "served", Tries: 1, Result: "ONE"},
+	want := []jobOutcome{{Line: 1, Class: "a", Outcome: "served", Tries: 1, Result: "ONE"},
 		{Line: 3, Class: "a", Outcome: "refused"},
 		{Line: 4, Class: "b", Outcome: "served", Tries: 1, Result: "TWO"},
 		{Line: 5, Class: "b", Outcome: "failed"}}
@@ -173,8 +177,8 @@
 		`{"class":"` + strings.Repeat("a", 600<<10): "line 1: bufio.Scanner: token too long",
 	} {
 		var errs bytes.Buffer
-		if got := run([]string{"send", "--scheduler", addr, "--jobs", file(t, text)}, nil, io.Discard,
-			&errs); got != misused || !strings.Contains(errs.String(), want) {
+		if got := run([]string{"send", "--scheduler", addr, "--jobs", tempFile(t, text)}, nil, io.Discard,
+			&errs); got != exitUsage || !strings.Contains(errs.String(), want) {
 			t.Errorf("%.40s: status %d, %q, want %q", text, got, errs.String(), want)
 		}
 	}
@@ -183,6 +187,17 @@
 	}
 }
 
+// The flag's former name works and is not offered any more.
+func TestHelpHidesTheFormerFlag(t *testing.T) {
+	var out bytes.Buffer
+	if got := run([]string{"help", "send"}, nil, &out, io.Discard); got != exitOK {
+		t.Fatalf("status %d", got)
+	}
+	if text := out.String(); !strings.Contains(text, "--config=FILE") || strings.Contains(text, "desk") {
+		t.Error(text)
+	}
+}
+
 func TestCommandLine(t *testing.T) {
 	for _, c := range []struct {
 		args   []string
@@ -190,15 +205,15 @@
 		out    string // parts of what is printed
 		errs   string
 	}{
-		{[]string{"version"}, fine, "dahliaford ", ""},
-		{[]string{"help"}, fine, "Usage: dahliaford", ""},
-		{[]string{"help", "send"}, fine, "--jobs", ""},
-		{[]string{"send", "--help"}, fine, "--at-once", ""},
-		{[]string{"check", "../../deploy/appliance.json"}, fine, "in order: job store in /var/lib", ""},
-		{[]string{"check", "../../examples/desk.json"}, failed, "", "the file: Additional property"},
-		{[]string{"dance"}, misused, "", "unexpected argument dance"},
-		{[]string{"serve"}, failed, "", "BALANCER_CONFIG names no file"},
-		{nil, failed, "", "BALANCER_CONFIG names no file"},
+		{[]string{"version"}, exitOK, "dahliaford ", ""},
+		{[]string{"help"}, exitOK, "Usage: dahliaford", ""},
+		{[]string{"help", "send"}, exitOK, "--jobs", ""},
+		{[]string{"send", "--help"}, exitOK, "--at-once", ""},
+		{[]string{"check", "../../deploy/appliance.json"}, exitOK, "in order: job store in /var/lib", ""},
+		{[]string{"check", "../../examples/client.json"}, exitFailed, "", "the file: Additional property"},
+		{[]string{"dance"}, exitUsage, "", "unexpected argument dance"},
+		{[]string{"serve"}, exitFailed, "", "BALANCER_CONFIG names no file"},
+		{nil, exitFailed, "", "BALANCER_CONFIG names no file"},
 	} {
 		t.Setenv("BALANCER_CONFIG", "")
 		var out, errs bytes.Buffer
--- a/cmd/dahliaford/serve.go
+++ b/cmd/dahliaford/serve.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	defaultMemory = 192 // MB
-	softShare     = 0.7 // of the limit: from there on the collector works harder
+	defaultMemory       = 192 // MB
+	memoryLimitFraction = 0.7 // of the limit: from there on the collector works harder
 
 	// A signal comes once, and may find the file being written: it is read again after
 	// reloadAgain, which doubles, so many times.
-	reloadAgain = 100 * time.Millisecond
-	reloadTries = 8
+	reloadBackoff    = 100 * time.Millisecond
+	maxReloadRetries = 8
 )
 
 type serveCmd struct{}
@@ -40,8 +40,8 @@
 	if memory <= 0 {
 		memory = defaultMemory
 	}
-	debug.SetMemoryLimit(int64(softShare * float64(memory<<20)))
-	log := slog.New(newCalm(slog.NewTextHandler(os.Stderr, nil)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(memory<<20)))
+	log := slog.New(newRateLimitedHandler(slog.NewTextHandler(os.Stderr, nil)))
 	n, err := node.Listen(cfg, log)
 	if err != nil {
 		return err
@@ -63,8 +63,8 @@
 			case <-ended:
 				return
 			}
-			if again = nil; !reload(n, cfg, log) && tries < reloadTries {
-				again = time.After(reloadAgain << tries)
+			if again = nil; !reload(n, cfg, log) && tries < maxReloadRetries {
+				again = time.After(reloadBackoff << tries)
 				tries++
 			}
 		}
@@ -81,7 +81,7 @@
 		return false
 	}
 	log.Info("configuration taken", "discovery", cfg.Discovery)
-	if fixed(old, cfg) {
+	if needsRestart(old, cfg) {
 		log.Warn("only discovery's address is applied: the rest needs a restart")
 	}
 	n.Reload(cfg)
--- a/cmd/dahliaford/signal_test.go
+++ b/cmd/dahliaford/signal_test.go
@@ -13,7 +13,7 @@
 
 // A signal that comes between the end of serving and the end of the process does not kill it: by its
 // status that would look like a crash.
-func TestSignalsBehindTheEnd(t *testing.T) {
+func TestSignalsAfterServing(t *testing.T) {
 	if os.Getenv("BEHIND_THE_END") != "" { // the process of its own
 		err := (serveCmd{}).Run()
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
@@ -22,10 +22,10 @@
 		os.Exit(0)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	child := exec.Command(os.Args[0], "-test.run=^TestSignalsBehindTheEnd$")
+	child := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
 	child.Env = append(os.Environ(), "BEHIND_THE_END=1", "BALANCER_CONFIG="+path)
 	out := &strings.Builder{}
 	child.Stdout = out
--- a/cmd/dahliaford/store.go
+++ b/cmd/dahliaford/store.go
@@ -33,7 +33,7 @@
 	}
 	fmt.Fprintf(s.out, "%d items in order, %d faults\n", items, len(faults))
 	if len(faults) > 0 {
-		return exit{status: failed}
+		return exitError{status: exitFailed}
 	}
 	return nil
 }
--- a/cmd/dahliaford/store_test.go
+++ b/cmd/dahliaford/store_test.go
@@ -42,22 +42,22 @@
 		}
 	}
 	put(s.Update, store.Change{Item: it})
-	wrong := &lifecycle.Item{ID: "b2", Attempts: []lifecycle.Attempt{{At: 5, Outcome: lifecycle.MayHaveRun}, {At: 6}}, Deadline: 9}
-	put(s.Accept, store.Change{Item: wrong})
+	invalid := &lifecycle.Item{ID: "b2", Attempts: []lifecycle.Attempt{{At: 5, Outcome: lifecycle.MayHaveRun}, {At: 6}}, Deadline: 9}
+	put(s.Accept, store.Change{Item: invalid})
 
 	call := func(args ...string) (int, string, string) {
 		var out, errs bytes.Buffer
 		status := run(append([]string{"store"}, args...), nil, &out, &errs)
 		return status, out.String(), errs.String()
 	}
-	if status, _, errs := call("check", path); status != failed || !strings.Contains(errs, "another process") {
+	if status, _, errs := call("check", path); status != exitFailed || !strings.Contains(errs, "another process") {
 		t.Errorf("a store in use: %d, %q", status, errs)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	status, out, _ := call("check", path)
-	if status != failed || !strings.Contains(out, `item "b2": attempt 2: an attempt may have run`) ||
+	if status != exitFailed || !strings.Contains(out, `item "b2": attempt 2: an attempt may have run`) ||
 		!strings.Contains(out, "1 items in order, 1 faults") {
 		t.Errorf("check: %d, %q", status, out)
 	}
@@ -65,21 +65,21 @@
 	for _, want := range []string{"00:00:01.000000  accepted: class post-reading",
 		"00:00:02.000000  attempt 1: routed to s-1, rack north/0", "00:00:03.000000  attempt 1: it may have run",
 		"00:00:04.000000  answered: failed"} {
-		if !strings.Contains(out, want) || status != fine {
+		if !strings.Contains(out, want) || status != exitOK {
 			t.Errorf("show: status %d, no %q in\n%s", status, want, out)
 		}
 	}
-	if status, _, errs := call("show", path, "zz"); status != failed || !strings.Contains(errs, "no such item") {
+	if status, _, errs := call("show", path, "zz"); status != exitFailed || !strings.Contains(errs, "no such item") {
 		t.Errorf("show of nothing: %d, %q", status, errs)
 	}
 	backup, other := filepath.Join(folder, "backup"), filepath.Join(folder, "other")
-	if status, _, errs := call("backup", path, backup); status != fine {
+	if status, _, errs := call("backup", path, backup); status != exitOK {
 		t.Fatalf("backup: %d, %q", status, errs)
 	}
-	if status, _, errs := call("backup", path, backup); status != failed || !strings.Contains(errs, "exists") {
+	if status, _, errs := call("backup", path, backup); status != exitFailed || !strings.Contains(errs, "exists") {
 		t.Errorf("backup over a file: %d, %q", status, errs)
 	}
-	if status, _, errs := call("restore", backup, other); status != failed ||
+	if status, _, errs := call("restore", backup, other); status != exitFailed ||
 		!strings.Contains(errs, "not in order") {
 		t.Errorf("restore of what is not in order: %d, %q", status, errs)
 	}
@@ -87,22 +87,22 @@
 	if s, err = store.Open(store.Config{Path: path}); err != nil {
 		t.Fatal(err)
 	}
-	put(s.Update, store.Change{Item: wrong, Delete: true})
+	put(s.Update, store.Change{Item: invalid, Delete: true})
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	os.Remove(backup)
 	for _, args := range [][]string{{"backup", path, backup}, {"restore", backup, other}, {"compact", other},
 		{"check", other}} {
-		if status, out, errs := call(args...); status != fine {
+		if status, out, errs := call(args...); status != exitOK {
 			t.Errorf("%v: %d, %q, %q", args, status, out, errs)
 		}
 	}
-	if status, out, _ := call("show", other, "a1"); status != fine ||
+	if status, out, _ := call("show", other, "a1"); status != exitOK ||
 		!strings.Contains(out, "answered: failed") {
 		t.Errorf("after restore and compact: %d, %q", status, out)
 	}
-	if status, _, errs := call("check", filepath.Join(folder, "none")); status != failed ||
+	if status, _, errs := call("check", filepath.Join(folder, "none")); status != exitFailed ||
 		!strings.Contains(errs, "no such file") {
 		t.Errorf("no file: %d, %q", status, errs)
 	}
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -34,9 +34,9 @@
 }
 
 const (
-	storeFile   = "jobs.db"
-	defaultKeep = time.Hour
-	defaultAsk  = 5 * time.Second
+	storeFile              = "jobs.db"
+	defaultAnswerRetention = time.Hour
+	defaultCallbackWait    = 5 * time.Second
 )
 
 // Parse reads a file. The error is one line and names the field by its path.
@@ -62,7 +62,7 @@
 	}
 	s := &Store{Config: store.Config{Path: filepath.Join(f.Store.Directory, storeFile),
 		MaxItems: f.Store.MostItems, MaxBytes: f.Store.MostMB << 20},
-		AnswerRetention: defaultKeep, CallbackWait: defaultAsk, ExitOnDiskError: f.Store.OnFailure == "end"}
+		AnswerRetention: defaultAnswerRetention, CallbackWait: defaultCallbackWait, ExitOnDiskError: f.Store.OnFailure == "end"}
 	if f.Store.KeepS != nil {
 		s.AnswerRetention = time.Duration(*f.Store.KeepS * float64(time.Second))
 	}
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -33,7 +33,7 @@
 }
 
 // A wrong file gets one line with the path of the field.
-func TestWrongFiles(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	for raw, want := range map[string]string{
 		`{`:                          "not JSON",
 		`[]`:                         "the file: ",
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -15,8 +15,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// bare writes what accepts would, straight to the engine, in batches of the same size.
-func bare(b *testing.B, batch int) float64 {
+// engineRate writes what accepts would, straight to the engine, in batches of the same size.
+func engineRate(b *testing.B, batch int) float64 {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "bare"), 0o600, &bbolt.Options{
 		FreelistType: bbolt.FreelistMapType})
 	if err != nil {
@@ -50,7 +50,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			c := &counting{disk: d}
+			c := &countingDisk{disk: d}
 			s, err := start(Config{MaxItems: defaultItems, MaxBytes: 8 << 30}, c)
 			if err != nil {
 				b.Fatal(err)
@@ -86,7 +86,7 @@
 			batch := float64(len(took)) / float64(c.commits)
 			b.ReportMetric(rate, "accepts/s")
 			b.ReportMetric(batch, "a-commit")
-			b.ReportMetric(rate/bare(b, int(math.Round(batch))), "of-engine")
+			b.ReportMetric(rate/engineRate(b, int(math.Round(batch))), "of-engine")
 			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
 		})
 	}
@@ -98,12 +98,12 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			path := filepath.Join(b.TempDir(), "jobs")
 			s := open(b, Config{Path: path, MaxItems: 2_000_000, MaxBytes: 8 << 30})
-			room := make(chan bool, 1024)
+			inFlight := make(chan bool, 1024)
 			for i := range n {
-				room <- true
+				inFlight <- true
 				it := item(i)
 				it.Body = make([]byte, 200)
-				if err := s.Accept(Change{Item: it, Done: func(error) { <-room }}); err != nil {
+				if err := s.Accept(Change{Item: it, Done: func(error) { <-inFlight }}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -29,27 +29,27 @@
 	countKey    = []byte("count") // of items: a record that is missing shows by it
 )
 
-// castagnoli is made at its first use: a program that only links the store does not pay for it.
-var castagnoli = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
+// castagnoliTable is made at its first use: a program that only links the store does not pay for it.
+var castagnoliTable = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
 
-// lockWithin is the longest that an opening waits for another process to let go.
-const lockWithin = 200 * time.Millisecond
+// lockTimeout is the longest that an opening waits for another process to let go.
+const lockTimeout = 200 * time.Millisecond
 
 type bolt struct {
 	db *bbolt.DB
-	// behind says that the newest of the two pages that tell which state holds may be the
+	// metaFault says that the newest of the two pages that tell which state holds may be the
 	// broken one: the engine then goes back by a commit without a word.
-	behind error
+	metaFault error
 }
 
-var errBroken = errors.New("the record is broken: its checksum does not fit")
+var errCorrupt = errors.New("the record is broken: its checksum does not fit")
 
 func openBolt(path string, readOnly bool) (*bolt, error) {
 	// The list of free pages is kept in the file: without it, opening walks all pages in a
 	// goroutine of the engine's own, where a broken one ends the process.
 	var db *bbolt.DB
-	err := guard(func() (err error) {
-		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWithin, ReadOnly: readOnly,
+	err := catchPanics(func() (err error) {
+		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly,
 			FreelistType: bbolt.FreelistMapType})
 		return err
 	})
@@ -59,9 +59,9 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &bolt{db: db, behind: checkMetas(path, db.Info().PageSize)}
-	if err = b.view(known); err != nil && !readOnly { // nothing is written to one that is in order
-		err = guard(func() error { return db.Update(prepare) })
+	b := &bolt{db: db, metaFault: checkMetaPages(path, db.Info().PageSize)}
+	if err = b.view(checkFormat); err != nil && !readOnly { // nothing is written to one that is in order
+		err = catchPanics(func() error { return db.Update(prepare) })
 	}
 	if err != nil {
 		return nil, errors.Join(err, db.Close())
@@ -69,9 +69,9 @@
 	return b, nil
 }
 
-// checkMetas tells whether one of the file's two meta pages is broken. A crash does not break
+// checkMetaPages tells whether one of the file's two meta pages is broken. A crash does not break
 // one: it lies within a sector, which is written whole or not at all.
-func checkMetas(path string, pageSize int) error {
+func checkMetaPages(path string, pageSize int) error {
 	const (
 		head   = 16 // of a page
 		summed = 56 // bytes of the meta before its checksum, which is FNV-1a
@@ -95,9 +95,9 @@
 	return nil
 }
 
-// guard turns the engine's panic over a broken page, and the fault of reading past the file's
+// catchPanics turns the engine's panic over a broken page, and the fault of reading past the file's
 // end, into an error.
-func guard(do func() error) (err error) {
+func catchPanics(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if broke := recover(); broke != nil {
@@ -108,24 +108,24 @@
 }
 
 func (b *bolt) view(do func(*bbolt.Tx) error) error {
-	return guard(func() error { return b.db.View(do) })
+	return catchPanics(func() error { return b.db.View(do) })
 }
 
-func number(b []byte) uint64 {
+func decodeUint(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
 	}
 	return binary.BigEndian.Uint64(b)
 }
 
-func bytesOf(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-func known(tx *bbolt.Tx) error {
+func checkFormat(tx *bbolt.Tx) error {
 	meta := tx.Bucket(metaBucket)
 	if meta == nil || tx.Bucket(itemsBucket) == nil {
 		return errors.New("this is no job store")
 	}
-	if v := number(meta.Get(versionKey)); v != version {
+	if v := decodeUint(meta.Get(versionKey)); v != version {
 		return fmt.Errorf("format version %d, this program knows %d", v, version)
 	}
 	return nil
@@ -143,11 +143,11 @@
 	}
 	switch v := meta.Get(versionKey); {
 	case v == nil:
-		return errors.Join(meta.Put(versionKey, bytesOf(version)), meta.Put(countKey, bytesOf(0)))
-	case number(v) == 1:
+		return errors.Join(meta.Put(versionKey, encodeUint(version)), meta.Put(countKey, encodeUint(0)))
+	case decodeUint(v) == 1:
 		return migrate(items, meta)
 	}
-	return known(tx)
+	return checkFormat(tx)
 }
 
 // migrate seals the records of version 1, and counts them. A crash in it leaves version 1.
@@ -168,32 +168,32 @@
 			return err
 		}
 	}
-	return errors.Join(meta.Put(versionKey, bytesOf(version)), meta.Put(countKey, bytesOf(uint64(len(old)))))
+	return errors.Join(meta.Put(versionKey, encodeUint(version)), meta.Put(countKey, encodeUint(uint64(len(old)))))
 }
 
-func sum(key, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum(key, castagnoli()), castagnoli(), payload)
+func checksum(key, payload []byte) uint32 {
+	return crc32.Update(crc32.Checksum(key, castagnoliTable()), castagnoliTable(), payload)
 }
 
 // seal puts a record's checksum before it. It covers the key: a record under another's key is
 // as broken as a flipped bit.
 func seal(key, payload []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(nil, sum(key, payload)), payload...)
+	return append(binary.BigEndian.AppendUint32(nil, checksum(key, payload)), payload...)
 }
 
 func unseal(key, record []byte) (*lifecycle.Item, error) {
-	if len(record) < 4 || binary.BigEndian.Uint32(record) != sum(key, record[4:]) {
-		return nil, errBroken
+	if len(record) < 4 || binary.BigEndian.Uint32(record) != checksum(key, record[4:]) {
+		return nil, errCorrupt
 	}
 	it := &lifecycle.Item{}
 	if err := json.Unmarshal(record[4:], it); err != nil || it.ID != string(key) {
-		return nil, errBroken
+		return nil, errCorrupt
 	}
 	return it, nil
 }
 
 func (b *bolt) commit(seen lifecycle.Micros, batch []Change) (count int, size int64, err error) {
-	err = guard(func() (err error) {
+	err = catchPanics(func() (err error) {
 		count, size, err = b.update(seen, batch)
 		return err
 	})
@@ -203,12 +203,12 @@
 func (b *bolt) update(seen lifecycle.Micros, batch []Change) (n int, size int64, err error) {
 	err = b.db.Update(func(tx *bbolt.Tx) error {
 		items, meta := tx.Bucket(itemsBucket), tx.Bucket(metaBucket)
-		count := number(meta.Get(countKey))
+		count := decodeUint(meta.Get(countKey))
 		for _, c := range batch {
 			key := []byte(c.Item.ID)
-			held := items.Get(key) != nil
+			exists := items.Get(key) != nil
 			if c.Delete {
-				if held {
+				if exists {
 					count--
 				}
 				if err := items.Delete(key); err != nil {
@@ -216,7 +216,7 @@
 				}
 				continue
 			}
-			if !held {
+			if !exists {
 				count++
 			}
 			if err := items.Put(key, c.record); err != nil {
@@ -224,24 +224,24 @@
 			}
 		}
 		n, size = int(count), tx.Size()
-		if err := meta.Put(countKey, bytesOf(count)); err != nil {
+		if err := meta.Put(countKey, encodeUint(count)); err != nil {
 			return err
 		}
-		if old := number(meta.Get(seenKey)); uint64(seen) > old {
-			return meta.Put(seenKey, bytesOf(uint64(seen)))
+		if old := decodeUint(meta.Get(seenKey)); uint64(seen) > old {
+			return meta.Put(seenKey, encodeUint(uint64(seen)))
 		}
 		return nil
 	})
 	return n, size, err
 }
 
-// each reads all records. broken says what is wrong with one, by its checksum or by what an
+// forEach reads all records. broken says what is wrong with one, by its checksum or by what an
 // item may become; without an id it is about the store as a whole.
-func (b *bolt) each(do func(id string, it *lifecycle.Item, broken error) error) error {
+func (b *bolt) forEach(do func(id string, it *lifecycle.Item, broken error) error) error {
 	return b.view(func(tx *bbolt.Tx) error {
 		n := uint64(0)
-		if b.behind != nil {
-			if err := do("", nil, b.behind); err != nil {
+		if b.metaFault != nil {
+			if err := do("", nil, b.metaFault); err != nil {
 				return err
 			}
 		}
@@ -255,7 +255,7 @@
 		}); err != nil {
 			return err
 		}
-		if want := number(tx.Bucket(metaBucket).Get(countKey)); want != n {
+		if want := decodeUint(tx.Bucket(metaBucket).Get(countKey)); want != n {
 			return do("", nil, fmt.Errorf("%d records, and %d are counted", n, want))
 		}
 		return nil
@@ -264,7 +264,7 @@
 
 func (b *bolt) seen() (at lifecycle.Micros, err error) {
 	err = b.view(func(tx *bbolt.Tx) error {
-		at = lifecycle.Micros(number(tx.Bucket(metaBucket).Get(seenKey)))
+		at = lifecycle.Micros(decodeUint(tx.Bucket(metaBucket).Get(seenKey)))
 		return nil
 	})
 	return at, err
@@ -274,7 +274,7 @@
 // free in it is used again before it grows.
 func (b *bolt) size() (items int, bytes int64, err error) {
 	err = b.view(func(tx *bbolt.Tx) error {
-		items = int(number(tx.Bucket(metaBucket).Get(countKey)))
+		items = int(decodeUint(tx.Bucket(metaBucket).Get(countKey)))
 		bytes = tx.Size()
 		return nil
 	})
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("%d items, %d expected, faults %v, %v", items, len(want), faults, err)
 	}
 	s := open(t, Config{Path: path})
-	if diff := cmp.Diff(want, held(t, s)); diff != "" {
+	if diff := cmp.Diff(want, readAll(t, s)); diff != "" {
 		t.Error(diff)
 	}
 	if seen, err := s.disk.seen(); err != nil || seen < 1_700_000_000_000_000 {
--- a/internal/store/lifecycle/life.go
+++ b/internal/store/lifecycle/item.go
@@ -39,15 +39,15 @@
 )
 
 func (o Outcome) String() string {
-	return word(int(o), "not ended", "it never ran", "it may have run", "done")
+	return nameOf(int(o), "not ended", "it never ran", "it may have run", "done")
 }
 
-// word is a word for a number, which a broken record may have as it likes.
-func word(n int, words ...string) string {
-	if n >= len(words) {
+// nameOf is a word for a number, which a broken record may have as it likes.
+func nameOf(n int, names ...string) string {
+	if n >= len(names) {
 		return fmt.Sprint("unknown: ", n)
 	}
-	return words[n]
+	return names[n]
 }
 
 // Verdict is an item's final answer.
@@ -61,7 +61,7 @@
 	Expired         // its deadline passed, and it never ran
 )
 
-func (v Verdict) String() string { return word(int(v), "none", "served", "failed", "expired") }
+func (v Verdict) String() string { return nameOf(int(v), "none", "served", "failed", "expired") }
 
 // MaxAttempts is how often an item may be routed in all.
 const MaxAttempts = 4
@@ -150,7 +150,7 @@
 			it.Result = e.Result
 		}
 	case Answered:
-		if !it.fits(e.Verdict) {
+		if !it.proves(e.Verdict) {
 			return ErrUnprovenVerdict
 		}
 		it.Verdict, it.Answered, it.KeepUntil = e.Verdict, e.At, e.KeepUntil
@@ -160,13 +160,13 @@
 	return nil
 }
 
-// fits tells whether the attempts bear a verdict out.
-func (it *Item) fits(v Verdict) bool {
+// proves tells whether the attempts bear a verdict out.
+func (it *Item) proves(v Verdict) bool {
 	switch v {
 	case Served:
 		return len(it.Attempts) > 0 && it.Attempts[len(it.Attempts)-1].Outcome == Done
 	case Expired:
-		_, ran := it.firstRan()
+		_, ran := it.firstMayHaveRun()
 		return !ran
 	case Failed:
 		return true
@@ -179,8 +179,8 @@
 	return len(it.Attempts) > 0 && it.Attempts[len(it.Attempts)-1].Outcome == Unfinished
 }
 
-// firstRan is the first attempt that may have run.
-func (it *Item) firstRan() (Attempt, bool) {
+// firstMayHaveRun is the first attempt that may have run.
+func (it *Item) firstMayHaveRun() (Attempt, bool) {
 	for _, a := range it.Attempts {
 		if a.Outcome != NeverRan {
 			return a, true
@@ -201,7 +201,7 @@
 	case at >= it.Deadline:
 		return ErrDeadlinePassed
 	}
-	first, ran := it.firstRan()
+	first, ran := it.firstMayHaveRun()
 	if !ran {
 		return nil
 	}
@@ -215,25 +215,25 @@
 
 // Check tells what is wrong with a record that no run of this package can have made.
 func (it *Item) Check() error {
-	again := Item{ID: it.ID, Effect: it.Effect, Window: it.Window, Accepted: it.Accepted, Deadline: it.Deadline}
+	replay := Item{ID: it.ID, Effect: it.Effect, Window: it.Window, Accepted: it.Accepted, Deadline: it.Deadline}
 	if it.ID == "" || it.Effect > Safe {
 		return errors.New("no id, or an unknown effect")
 	}
 	for i, a := range it.Attempts {
-		if err := again.Apply(Event{Kind: Routed, At: a.At, Worker: a.Worker, Rack: a.Rack}); err != nil {
+		if err := replay.Apply(Event{Kind: Routed, At: a.At, Worker: a.Worker, Rack: a.Rack}); err != nil {
 			return fmt.Errorf("attempt %d: %w", i+1, err)
 		}
 		if a.Outcome == Unfinished {
 			continue
 		}
-		if err := again.Apply(Event{Kind: AttemptEnded, At: a.Ended, Outcome: a.Outcome}); err != nil || a.Outcome > Done {
+		if err := replay.Apply(Event{Kind: AttemptEnded, At: a.Ended, Outcome: a.Outcome}); err != nil || a.Outcome > Done {
 			return fmt.Errorf("attempt %d: its end does not fit", i+1)
 		}
 	}
 	if it.Verdict == None {
 		return nil
 	}
-	if err := again.Apply(Event{Kind: Answered, Verdict: it.Verdict}); err != nil {
+	if err := replay.Apply(Event{Kind: Answered, Verdict: it.Verdict}); err != nil {
 		return fmt.Errorf("answer %d: %w", it.Verdict, err)
 	}
 	return nil
--- a/internal/store/lifecycle/life_test.go
+++ b/internal/store/lifecycle/item_test.go
@@ -10,15 +10,17 @@
 
 const second Micros = 1_000_000
 
-func fresh(e Effect) Item {
+func newItem(e Effect) Item {
 	return Item{ID: "a", Class: "c", Effect: e, Window: 10 * second, Accepted: 0, Deadline: 100 * second}
 }
 
-func routed(at Micros, rack string) Event {
+func routedEvent(at Micros, rack string) Event {
 	return Event{Kind: Routed, At: at, Worker: "s-" + rack, Rack: rack}
 }
 
-func ended(what Outcome) Event { return Event{Kind: AttemptEnded, At: 2 * second, Outcome: what} }
+func attemptEndedEvent(what Outcome) Event {
+	return Event{Kind: AttemptEnded, At: 2 * second, Outcome: what}
+}
 
 // Where another attempt may go, by effect and by how the last one ended.
 func TestMayRoute(t *testing.T) {
@@ -38,12 +40,12 @@
 			ErrOutstanding}},
 	} {
 		for effect, want := range c.want {
-			it := fresh(Effect(effect))
-			if err := it.Apply(routed(second, "a")); err != nil {
+			it := newItem(Effect(effect))
+			if err := it.Apply(routedEvent(second, "a")); err != nil {
 				t.Fatal(err)
 			}
 			if c.what != Unfinished {
-				if err := it.Apply(ended(c.what)); err != nil {
+				if err := it.Apply(attemptEndedEvent(c.what)); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -56,8 +58,8 @@
 
 // What recovery does, by what was on disk.
 func TestRecover(t *testing.T) {
-	open := []Event{routed(second, "a")}
-	ran := append(open, ended(MayHaveRun))
+	open := []Event{routedEvent(second, "a")}
+	ran := append(open, attemptEndedEvent(MayHaveRun))
 	done := append(open, Event{Kind: AttemptEnded, At: 2 * second, Outcome: Done, Result: []byte("r")})
 	over := append(done, Event{Kind: Answered, At: 2 * second, Verdict: Served, KeepUntil: 20 * second})
 	for _, c := range []struct {
@@ -88,7 +90,7 @@
 		{"answered", Once, over, Clock{At: 5 * second}, KeepAnswer, Event{}},
 		{"answered long ago", Once, over, Clock{At: 20 * second}, Delete, Event{}},
 	} {
-		it := fresh(c.effect)
+		it := newItem(c.effect)
 		for _, e := range c.events {
 			if err := it.Apply(e); err != nil {
 				t.Fatalf("%s: %v", c.name, err)
@@ -124,7 +126,7 @@
 // made passes Check, recovery ends from any of them, and one that was tampered with is found.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		it := fresh(Effect(rapid.IntRange(0, 3).Draw(t, "effect")))
+		it := newItem(Effect(rapid.IntRange(0, 3).Draw(t, "effect")))
 		now := Micros(0)
 		for range rapid.IntRange(0, 14).Draw(t, "events") {
 			now += Micros(rapid.IntRange(0, 5_000_000).Draw(t, "time"))
--- a/internal/store/lifecycle/world_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -12,36 +12,36 @@
 // point and recovers, and two regions in two racks. What the process does follows Apply and
 // Recover; what it must wait for is what the package's comment says.
 type world struct {
-	Effect  Effect
-	Now     Micros
-	Mem     *Item   // what the process holds; nil: nothing, or it is dead
-	Disk    *Item   // what a crash leaves
-	Unsaved []*Item // written and not synced, in order: a crash loses any number of the last ones
-	Told    bool    // the client has heard that the item is accepted
-	Heard   Verdict // and its answer
-	Acked   bool    // a region has had its 204 for the result
-	Begun   bool
-	Dead    bool
-	Asked   bool // recovery has waited for callbacks
-	Back    bool // the clock is behind what the store had seen
-	Sent    bool // the present attempt has gone out
-	Regions [2]regionState
-	Crashes int
-	Runs    int
-	RanIn   [2]bool
-	Wrong   string
-	// Early leaves out one of the waits: a planted fault.
-	Early string
+	Effect           Effect
+	Now              Micros
+	Mem              *Item   // what the process holds; nil: nothing, or it is dead
+	Disk             *Item   // what a crash leaves
+	Unsaved          []*Item // written and not synced, in order: a crash loses any number of the last ones
+	AcceptConfirmed  bool    // the client has heard that the item is accepted
+	ClientVerdict    Verdict // and its answer
+	ResultAcked      bool    // a region has had its 204 for the result
+	Submitted        bool
+	Dead             bool
+	CallbackWaitOver bool // recovery has waited for callbacks
+	ClockWentBack    bool // the clock is behind what the store had seen
+	Sent             bool // the present attempt has gone out
+	Workers          [2]workerState
+	Crashes          int
+	Runs             int
+	RanIn            [2]bool
+	Violation        string
+	// SkippedWait leaves out one of the waits: a planted fault.
+	SkippedWait string
 }
 
-type regionState struct {
-	Holds bool // a job that has not run
-	Calls bool // it ran, and calls back until it is answered
+type workerState struct {
+	HasJob    bool // a job that has not run
+	CallsBack bool // it ran, and calls back until it is answered
 }
 
-const mostTries = 2
+const maxModelAttempts = 2
 
-const worldKeep = 50 * second
+const keepFor = 50 * second
 
 func (w *world) clone() *world {
 	raw, err := json.Marshal(w)
@@ -61,75 +61,75 @@
 // note takes an event in the process, which writes it.
 func (w *world) note(e Event) {
 	if err := w.Mem.Apply(e); err != nil {
-		w.Wrong = fmt.Sprintf("event %d at %d: %v", e.Kind, e.At, err)
+		w.Violation = fmt.Sprintf("event %d at %d: %v", e.Kind, e.At, err)
 		return
 	}
 	it := *w.Mem
 	w.Unsaved = append(w.Unsaved, &it)
 }
 
-type act struct {
+type action struct {
 	name string
 	do   func(*world)
 }
 
-func (w *world) acts() (all []act) {
-	add := func(name string, do func(*world)) { all = append(all, act{name, do}) }
-	if w.Crashes > 0 && !w.Dead && w.Begun {
+func (w *world) actions() (all []action) {
+	add := func(name string, do func(*world)) { all = append(all, action{name, do}) }
+	if w.Crashes > 0 && !w.Dead && w.Submitted {
 		for n := range len(w.Unsaved) + 1 {
 			add(fmt.Sprint("killed, ", n, " writes survive"), func(w *world) {
 				for _, it := range w.Unsaved[:n] {
 					w.Disk = it
 				}
 				w.Crashes--
-				w.Dead, w.Mem, w.Unsaved, w.Sent, w.Asked = true, nil, nil, false, false
+				w.Dead, w.Mem, w.Unsaved, w.Sent, w.CallbackWaitOver = true, nil, nil, false, false
 			})
 		}
 	}
-	for i, r := range w.Regions {
-		if r.Holds {
+	for i, r := range w.Workers {
+		if r.HasJob {
 			add(fmt.Sprint("region ", i, " runs it"), func(w *world) {
 				if !(w.Effect == Anywhere && w.Runs > 0 || w.Effect == Rack && w.RanIn[i]) {
 					w.Runs++
 				}
 				w.RanIn[i] = true
-				w.Regions[i] = regionState{Calls: true}
+				w.Workers[i] = workerState{CallsBack: true}
 			})
 		}
-		if r.Calls && !w.Dead && w.Mem != nil && w.Mem.Outstanding() {
+		if r.CallsBack && !w.Dead && w.Mem != nil && w.Mem.Outstanding() {
 			add(fmt.Sprint("region ", i, " calls back"), func(w *world) {
 				w.note(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
-				if w.Early == "204" {
-					w.Regions[i].Calls, w.Acked = false, true // before its record is on disk
+				if w.SkippedWait == "204" {
+					w.Workers[i].CallsBack, w.ResultAcked = false, true // before its record is on disk
 				}
 			})
 		}
-		if r.Calls && !w.Dead && w.Mem != nil && !w.Mem.Outstanding() && w.saved() {
+		if r.CallsBack && !w.Dead && w.Mem != nil && !w.Mem.Outstanding() && w.saved() {
 			add(fmt.Sprint("region ", i, " gets its 204"), func(w *world) {
-				w.Regions[i].Calls = false
+				w.Workers[i].CallsBack = false
 				// One that comes after all was concluded is told so, and proves nothing more.
 				n := len(w.Mem.Attempts)
-				w.Acked = w.Acked || n > 0 && w.Mem.Attempts[n-1].Outcome == Done
+				w.ResultAcked = w.ResultAcked || n > 0 && w.Mem.Attempts[n-1].Outcome == Done
 			})
 		}
 	}
 	switch {
-	case !w.Begun:
+	case !w.Submitted:
 		add("a client hands in", func(w *world) {
-			w.Begun = true
-			it := fresh(w.Effect)
+			w.Submitted = true
+			it := newItem(w.Effect)
 			w.Mem = &it
 			copied := it
 			w.Unsaved = append(w.Unsaved, &copied)
-			if w.Early == "accept" {
-				w.Told = true
+			if w.SkippedWait == "accept" {
+				w.AcceptConfirmed = true
 			}
 		})
 		return all
 	case w.Dead:
 		for _, back := range []bool{false, true} {
 			add(fmt.Sprint("starts again, the clock went back: ", back), func(w *world) {
-				w.Dead, w.Back = false, back
+				w.Dead, w.ClockWentBack = false, back
 				if w.Disk != nil {
 					it := *w.Disk
 					w.Mem, w.Sent = &it, it.Outstanding() // it may have gone out before
@@ -141,44 +141,44 @@
 	if len(w.Unsaved) > 0 {
 		add("a sync", func(w *world) {
 			w.Disk, w.Unsaved = w.Unsaved[len(w.Unsaved)-1], nil
-			w.Told = true
+			w.AcceptConfirmed = true
 		})
 	}
 	if w.Mem == nil {
 		return all
 	}
-	if !w.Asked {
-		add("regions have had their while", func(w *world) { w.Asked = true })
+	if !w.CallbackWaitOver {
+		add("regions have had their while", func(w *world) { w.CallbackWaitOver = true })
 	}
-	step, event := Recover(w.Mem, Clock{At: w.Now, WentBack: w.Back, CallbackWaitOver: w.Asked}, worldKeep)
+	step, event := Recover(w.Mem, Clock{At: w.Now, WentBack: w.ClockWentBack, CallbackWaitOver: w.CallbackWaitOver}, keepFor)
 	switch {
 	case step == Apply && w.saved():
 		add("it is concluded", func(w *world) { w.note(event) })
-	case step == Resume && w.saved() && len(w.Mem.Attempts) < mostTries: // fewer than allowed: fewer states
+	case step == Resume && w.saved() && len(w.Mem.Attempts) < maxModelAttempts: // fewer than allowed: fewer states
 		for i, rack := range []string{"a", "b"} {
 			if w.Mem.MayRoute(w.Now, rack) == nil {
 				add("it is routed to "+rack, func(w *world) {
 					w.note(Event{Kind: Routed, At: w.Now, Worker: rack, Rack: rack})
-					if w.Early == "route" {
+					if w.SkippedWait == "route" {
 						w.Sent = true
-						w.Regions[i].Holds = true
+						w.Workers[i].HasJob = true
 					}
 				})
 			}
 		}
 	}
-	if w.Mem.Outstanding() && !w.Sent && w.saved() && !w.Asked {
+	if w.Mem.Outstanding() && !w.Sent && w.saved() && !w.CallbackWaitOver {
 		i := 0
 		if w.Mem.Attempts[len(w.Mem.Attempts)-1].Rack == "b" {
 			i = 1
 		}
 		add("it goes out", func(w *world) {
 			w.Sent = true
-			w.Regions[i].Holds = true
+			w.Workers[i].HasJob = true
 		})
 	}
-	if w.Mem.Verdict != None && (w.saved() || w.Early == "answer") && w.Heard == None {
-		add("its client hears the answer", func(w *world) { w.Heard = w.Mem.Verdict })
+	if w.Mem.Verdict != None && (w.saved() || w.SkippedWait == "answer") && w.ClientVerdict == None {
+		add("its client hears the answer", func(w *world) { w.ClientVerdict = w.Mem.Verdict })
 	}
 	if w.Now < 4*second {
 		add("time passes", func(w *world) { w.Now += 4 * second })
@@ -188,7 +188,7 @@
 
 // Steps implements explore.Model.
 func (w *world) Steps() (names []string) {
-	for _, a := range w.acts() {
+	for _, a := range w.actions() {
 		names = append(names, a.name)
 	}
 	return names
@@ -196,7 +196,7 @@
 
 // Step implements explore.Model.
 func (w *world) Step(i int) *world {
-	a := w.acts()[i]
+	a := w.actions()[i]
 	w = w.clone()
 	a.do(w)
 	return w
@@ -214,17 +214,17 @@
 // Check implements explore.Model.
 func (w *world) Check() error {
 	switch {
-	case w.Wrong != "":
-		return fmt.Errorf("%s", w.Wrong)
+	case w.Violation != "":
+		return fmt.Errorf("%s", w.Violation)
 	case w.Runs > 1 && w.Effect != Safe:
 		return fmt.Errorf("it ran %d times", w.Runs)
-	case w.Told && w.Disk == nil:
+	case w.AcceptConfirmed && w.Disk == nil:
 		return fmt.Errorf("an accepted item is lost")
-	case w.Heard != None && w.Disk != nil && w.Mem != nil && w.Mem.Verdict != w.Heard:
-		return fmt.Errorf("heard %v, and now it is %v", w.Heard, w.Mem.Verdict)
-	case w.Acked && w.Heard == Failed:
+	case w.ClientVerdict != None && w.Disk != nil && w.Mem != nil && w.Mem.Verdict != w.ClientVerdict:
+		return fmt.Errorf("heard %v, and now it is %v", w.ClientVerdict, w.Mem.Verdict)
+	case w.ResultAcked && w.ClientVerdict == Failed:
 		return fmt.Errorf("a result that a region got its 204 for is lost")
-	case w.Heard == Expired && w.Runs > 0:
+	case w.ClientVerdict == Expired && w.Runs > 0:
 		return fmt.Errorf("it expired, and ran")
 	}
 	if w.Disk != nil {
@@ -253,9 +253,9 @@
 }
 
 // Each of the waits is needed: without any one of them a promise breaks.
-func TestWhatMustBeOnDisk(t *testing.T) {
+func TestEachWaitIsNeeded(t *testing.T) {
 	for _, early := range []string{"accept", "route", "204", "answer"} {
-		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, Early: early}, 1_000_000)
+		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, SkippedWait: early}, 1_000_000)
 		if tour.Violation == nil {
 			t.Errorf("nothing breaks without the wait before %s: %v", early, tour)
 			continue
--- a/internal/store/lifecycle/recover.go
+++ b/internal/store/lifecycle/recover.go
@@ -55,7 +55,7 @@
 		}
 		return Apply, Event{Kind: AttemptEnded, At: now.At, Outcome: MayHaveRun}
 	}
-	first, ran := it.firstRan()
+	first, ran := it.firstMayHaveRun()
 	switch {
 	case !ran && now.At >= it.Deadline:
 		return answer(Expired)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -24,11 +24,11 @@
 const (
 	defaultItems = 1_000_000
 	defaultBytes = 1 << 30
-	mostQueue    = 4096 // changes that wait for the disk
-	mostBatch    = 1024 // changes in a commit
-	// slack is the part of the quota that only changes to known items may use: what was
+	maxQueue     = 4096 // changes that wait for the disk
+	maxBatch     = 1024 // changes in a commit
+	// updateReserve is the part of the quota that only changes to known items may use: what was
 	// accepted must be able to end.
-	slack = 8 // one in so many
+	updateReserve = 8 // one in so many
 )
 
 // Change is an item's new state, or its end: the item is forgotten.
@@ -39,7 +39,7 @@
 	// the change is on disk. It must not block.
 	Done func(error)
 
-	fresh  bool
+	isNew  bool
 	record []byte // the item as it is written, made by the caller and not by the one writer
 }
 
@@ -67,7 +67,7 @@
 // disk is what a store needs of its engine. A commit is on disk, whole, when it returns nil.
 type disk interface {
 	commit(seen lifecycle.Micros, batch []Change) (items int, bytes int64, err error)
-	each(func(id string, it *lifecycle.Item, broken error) error) error
+	forEach(func(id string, it *lifecycle.Item, broken error) error) error
 	seen() (lifecycle.Micros, error)
 	size() (items int, bytes int64, err error)
 	writeTo(w io.Writer) error
@@ -76,17 +76,17 @@
 
 // Store is an open store. It is safe for many goroutines.
 type Store struct {
-	cfg   Config
-	disk  disk
-	queue chan Change
-	ended sync.WaitGroup
+	cfg    Config
+	disk   disk
+	queue  chan Change
+	writer sync.WaitGroup
 
-	mu     sync.Mutex
-	closed bool
-	failed error
-	items  int // on disk
-	fresh  int // accepted, and on their way there
-	bytes  int64
+	mu         sync.Mutex
+	closed     bool
+	diskErr    error
+	items      int // on disk
+	pendingNew int // accepted, and on their way there
+	bytes      int64
 }
 
 // Open opens a store, or makes one. Another process that has it open, a version that this
@@ -109,12 +109,12 @@
 }
 
 func start(cfg Config, d disk) (*Store, error) {
-	s := &Store{cfg: cfg, disk: d, queue: make(chan Change, mostQueue)}
+	s := &Store{cfg: cfg, disk: d, queue: make(chan Change, maxQueue)}
 	var err error
 	if s.items, s.bytes, err = d.size(); err != nil {
 		return nil, errors.Join(err, d.close())
 	}
-	s.ended.Go(s.write)
+	s.writer.Go(s.writeLoop)
 	return s, nil
 }
 
@@ -132,9 +132,9 @@
 		return nil, err
 	}
 	r := &Recovered{Clock: lifecycle.ClockSince(clock, seen)}
-	err = s.disk.each(func(id string, it *lifecycle.Item, broken error) error {
+	err = s.disk.forEach(func(id string, it *lifecycle.Item, broken error) error {
 		if broken != nil {
-			r.Corrupt = append(r.Corrupt, named(id, broken))
+			r.Corrupt = append(r.Corrupt, withID(id, broken))
 		} else {
 			r.Items = append(r.Items, it)
 		}
@@ -143,8 +143,8 @@
 	return r, err
 }
 
-// named puts the item's name before what is wrong with it, where it is about one item.
-func named(id string, broken error) error {
+// withID puts the item's name before what is wrong with it, where it is about one item.
+func withID(id string, broken error) error {
 	if id == "" {
 		return broken
 	}
@@ -159,18 +159,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spare := s.cfg.MaxBytes / slack
-	if s.items+s.fresh >= s.cfg.MaxItems || s.bytes+int64(len(c.Item.Body)) > s.cfg.MaxBytes-spare {
+	spare := s.cfg.MaxBytes / updateReserve
+	if s.items+s.pendingNew >= s.cfg.MaxItems || s.bytes+int64(len(c.Item.Body)) > s.cfg.MaxBytes-spare {
 		return ErrFull
 	}
 	// Room in the queue is kept for the ends of what was accepted.
-	if len(s.queue) > mostQueue/2 {
+	if len(s.queue) > maxQueue/2 {
 		return ErrBusy
 	}
-	c.fresh = true
-	err := s.put(c)
+	c.isNew = true
+	err := s.enqueue(c)
 	if err == nil {
-		s.fresh++
+		s.pendingNew++
 	}
 	return err
 }
@@ -182,7 +182,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.put(c)
+	return s.enqueue(c)
 }
 
 func (c *Change) encode() error {
@@ -194,11 +194,11 @@
 	return err
 }
 
-// put queues a change. It never waits for the disk.
-func (s *Store) put(c Change) error {
+// enqueue queues a change. It never waits for the disk.
+func (s *Store) enqueue(c Change) error {
 	switch {
-	case s.failed != nil:
-		return s.failed
+	case s.diskErr != nil:
+		return s.diskErr
 	case s.closed:
 		return ErrClosed
 	}
@@ -210,11 +210,11 @@
 	}
 }
 
-// write carries changes to the disk, all that have come during one commit with the next.
-func (s *Store) write() {
+// writeLoop carries changes to the disk, all that have come during one commit with the next.
+func (s *Store) writeLoop() {
 	for first := range s.queue {
-		batch := append(make([]Change, 0, mostBatch), first)
-		for more := true; more && len(batch) < mostBatch; {
+		batch := append(make([]Change, 0, maxBatch), first)
+		for more := true; more && len(batch) < maxBatch; {
 			select {
 			case c, open := <-s.queue:
 				if more = open; open {
@@ -233,7 +233,7 @@
 
 func (s *Store) commit(batch []Change) error {
 	s.mu.Lock()
-	failed := s.failed
+	failed := s.diskErr
 	s.mu.Unlock()
 	if failed != nil {
 		return failed
@@ -242,12 +242,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.failed = &DiskError{err}
-		return s.failed
+		s.diskErr = &DiskError{err}
+		return s.diskErr
 	}
 	for _, c := range batch {
-		if c.fresh {
-			s.fresh--
+		if c.isNew {
+			s.pendingNew--
 		}
 	}
 	s.items, s.bytes = items, bytes
@@ -258,7 +258,7 @@
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failed
+	return s.diskErr
 }
 
 // Backup writes a whole copy, as of one moment, while the store goes on.
@@ -274,6 +274,6 @@
 	s.closed = true
 	close(s.queue)
 	s.mu.Unlock()
-	s.ended.Wait()
+	s.writer.Wait()
 	return s.disk.close()
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -52,7 +52,7 @@
 	return <-done
 }
 
-func held(t testing.TB, s *Store) map[string]*lifecycle.Item {
+func readAll(t testing.TB, s *Store) map[string]*lifecycle.Item {
 	t.Helper()
 	r, err := s.Recover(1)
 	if err != nil || len(r.Corrupt) > 0 {
@@ -99,7 +99,7 @@
 		t.Errorf("%v after the close", err)
 	}
 	s = open(t, Config{Path: path})
-	if diff := cmp.Diff(want, held(t, s)); diff != "" {
+	if diff := cmp.Diff(want, readAll(t, s)); diff != "" {
 		t.Error(diff)
 	}
 	hourAgo := lifecycle.Micros(time.Now().Add(-time.Hour).UnixMicro())
@@ -108,19 +108,19 @@
 	}
 }
 
-// counting is a disk that counts commits, takes its time, and fails from one on.
-type counting struct {
+// countingDisk is a disk that counts commits, takes its time, and fails from one on.
+type countingDisk struct {
 	disk
 	sync.Mutex
 	commits, failAt int
-	hold            chan bool // a commit waits for a word; nil: none does
+	gate            chan bool // a commit waits for a word; nil: none does
 }
 
 var errIO = errors.New("input/output error")
 
-func (c *counting) commit(seen lifecycle.Micros, batch []Change) (int, int64, error) {
-	if c.hold != nil {
-		<-c.hold
+func (c *countingDisk) commit(seen lifecycle.Micros, batch []Change) (int, int64, error) {
+	if c.gate != nil {
+		<-c.gate
 	}
 	c.Lock()
 	c.commits++
@@ -132,7 +132,7 @@
 	return c.disk.commit(seen, batch)
 }
 
-func over(t *testing.T, c *counting, cfg Config) *Store {
+func startOn(t *testing.T, c *countingDisk, cfg Config) *Store {
 	t.Helper()
 	d, err := openBolt(cfg.Path, false)
 	if err != nil {
@@ -152,8 +152,8 @@
 
 // What comes during one commit shares the next; nobody waits for the disk to hand in.
 func TestGroupCommit(t *testing.T) {
-	c := &counting{hold: make(chan bool)}
-	s := over(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
+	c := &countingDisk{gate: make(chan bool)}
+	s := startOn(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
 	var done sync.WaitGroup
 	for n := range 500 {
 		done.Add(1)
@@ -166,29 +166,29 @@
 			t.Fatal(err)
 		}
 	}
-	close(c.hold)
+	close(c.gate)
 	done.Wait()
-	if c.commits > 3 || len(held(t, s)) != 500 {
+	if c.commits > 3 || len(readAll(t, s)) != 500 {
 		t.Errorf("%d commits for 500 items that came during the first", c.commits)
 	}
 }
 
 // A disk that does not keep up: new items are refused, the ends of old ones still fit.
 func TestSlowDisk(t *testing.T) {
-	c := &counting{hold: make(chan bool)}
-	s := over(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
+	c := &countingDisk{gate: make(chan bool)}
+	s := startOn(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
 	taken := 0
 	for ; ; taken++ {
 		if err := s.Accept(Change{Item: item(taken), Done: func(error) {}}); errors.Is(err, ErrBusy) {
 			break
-		} else if err != nil || taken > mostQueue {
+		} else if err != nil || taken > maxQueue {
 			t.Fatalf("%v after %d", err, taken)
 		}
 	}
 	if err := s.Update(Change{Item: item(0), Delete: true, Done: func(error) {}}); err != nil {
 		t.Errorf("the end of an item is refused: %v", err)
 	}
-	close(c.hold)
+	close(c.gate)
 }
 
 // The disk fails at any commit: that one and all later ones end with the failure, and what was
@@ -196,7 +196,7 @@
 func TestDiskFails(t *testing.T) {
 	for failAt := 1; failAt <= 6; failAt++ {
 		path := filepath.Join(t.TempDir(), "jobs")
-		s := over(t, &counting{failAt: failAt}, Config{Path: path})
+		s := startOn(t, &countingDisk{failAt: failAt}, Config{Path: path})
 		want := map[string]*lifecycle.Item{}
 		for n := range 8 {
 			it := item(n)
@@ -215,7 +215,7 @@
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(want, held(t, open(t, Config{Path: path}))); diff != "" {
+		if diff := cmp.Diff(want, readAll(t, open(t, Config{Path: path}))); diff != "" {
 			t.Errorf("commit %d fails: %s", failAt, diff)
 		}
 	}
@@ -269,7 +269,7 @@
 		return b
 	}
 	random := rand.New(rand.NewPCG(1, 2))
-	before, state := image(), held(t, s)
+	before, state := image(), readAll(t, s)
 	for n := range 25 {
 		c := Change{Item: item(n)}
 		if n%5 == 4 {
@@ -278,7 +278,7 @@
 		if err := update(s, c); err != nil {
 			t.Fatal(err)
 		}
-		after, next := image(), held(t, s)
+		after, next := image(), readAll(t, s)
 		for range 8 {
 			torn := bytes.Clone(before)
 			if len(torn) < len(after) && random.IntN(2) == 0 {
@@ -307,7 +307,7 @@
 			if err != nil {
 				t.Fatalf("commit %d, torn: %v", n, err)
 			}
-			if got := held(t, o); cmp.Diff(state, got) != "" && cmp.Diff(next, got) != "" {
+			if got := readAll(t, o); cmp.Diff(state, got) != "" && cmp.Diff(next, got) != "" {
 				t.Fatalf("commit %d, torn: neither the old state nor the new: %s", n, cmp.Diff(state, got))
 			}
 			o.Close()
@@ -330,18 +330,18 @@
 			t.Fatal(err)
 		}
 	}
-	want := held(t, s)
+	want := readAll(t, s)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	random := rand.New(rand.NewPCG(3, 4))
-	told := 0
+	detected := 0
 	for range 600 {
-		flipped := bytes.Clone(whole)
+		flipped := bytes.Clone(intact)
 		at := random.IntN(len(flipped))
 		flipped[at] ^= 1 << random.IntN(8)
 		own := filepath.Join(folder, "flipped")
@@ -350,7 +350,7 @@
 		}
 		o, err := Open(Config{Path: own})
 		if err != nil {
-			told++
+			detected++
 			continue
 		}
 		r, err := o.Recover(1)
@@ -360,14 +360,14 @@
 			}
 		}
 		if err != nil || len(r.Corrupt) > 0 {
-			told++
+			detected++
 		} else if len(r.Items) != len(want) {
 			t.Errorf("byte %d: %d of %d items, and not a word", at, len(r.Items), len(want))
 		}
 		o.Close()
 	}
-	if told < 20 {
-		t.Errorf("%d of 600 flipped bits were told: the file is hardly used", told)
+	if detected < 20 {
+		t.Errorf("%d of 600 flipped bits were told: the file is hardly used", detected)
 	}
 }
 
@@ -391,7 +391,7 @@
 	}
 	for range 2 { // the second opening finds it done
 		s := open(t, Config{Path: path})
-		got := held(t, s)
+		got := readAll(t, s)
 		if len(got) != 3 || cmp.Diff(item(2), got["item-0002"]) != "" {
 			t.Errorf("%d items, %+v", len(got), got["item-0002"])
 		}
@@ -401,7 +401,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(versionKey, bytesOf(3)) })
+	err = db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(versionKey, encodeUint(3)) })
 	if err := errors.Join(err, db.Close()); err != nil {
 		t.Fatal(err)
 	}
@@ -449,7 +449,7 @@
 	}
 	close(stop)
 	<-stopped
-	got := held(t, open(t, Config{Path: f.Name()}))
+	got := readAll(t, open(t, Config{Path: f.Name()}))
 	for n := range 50 {
 		if cmp.Diff(item(n), got[item(n).ID]) != "" {
 			t.Fatalf("item %d is not in the backup", n)
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -33,7 +33,7 @@
 // Each reads all items. broken says what is wrong with a record, by its checksum or by what
 // an item may become; then there may be no item.
 func (r *Reader) Each(do func(id string, it *lifecycle.Item, broken error) error) error {
-	return r.disk.each(do)
+	return r.disk.forEach(do)
 }
 
 // ErrNotFound: there is no such item.
@@ -64,7 +64,7 @@
 	defer r.Close()
 	err = r.Each(func(id string, it *lifecycle.Item, broken error) error {
 		if broken != nil {
-			faults = append(faults, named(id, broken))
+			faults = append(faults, withID(id, broken))
 		} else {
 			items++
 		}
@@ -73,8 +73,8 @@
 	return items, faults, err
 }
 
-// create fills a new file in one step: under another name, on disk, and then renamed.
-func create(path string, fill func(temporary string) error) error {
+// replaceFile fills a new file in one step: under another name, on disk, and then renamed.
+func replaceFile(path string, fill func(temporary string) error) error {
 	temporary := path + ".new"
 	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -107,7 +107,7 @@
 		return err
 	}
 	defer r.Close()
-	return createNew(backup, func(temporary string) error {
+	return createFile(backup, func(temporary string) error {
 		f, err := os.OpenFile(temporary, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 		if err != nil {
 			return err
@@ -116,11 +116,11 @@
 	})
 }
 
-func createNew(path string, fill func(temporary string) error) error {
+func createFile(path string, fill func(temporary string) error) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		return errors.Join(err, fmt.Errorf("%s exists: it is not replaced", path))
 	}
-	return create(path, fill)
+	return replaceFile(path, fill)
 }
 
 // Restore makes a store of a backup that is in order, where there is none yet.
@@ -147,15 +147,15 @@
 		return 0, 0, fmt.Errorf("store %s: %w", path, err)
 	}
 	defer source.close()
-	if source.behind != nil {
-		return 0, 0, fmt.Errorf("store %s: %w", path, source.behind)
+	if source.metaFault != nil {
+		return 0, 0, fmt.Errorf("store %s: %w", path, source.metaFault)
 	}
-	err = create(path, func(temporary string) error {
+	err = replaceFile(path, func(temporary string) error {
 		target, err := bbolt.Open(temporary, 0o600, &bbolt.Options{FreelistType: bbolt.FreelistMapType})
 		if err != nil {
 			return err
 		}
-		err = guard(func() error { return bbolt.Compact(target, source.db, 1<<20) })
+		err = catchPanics(func() error { return bbolt.Compact(target, source.db, 1<<20) })
 		return errors.Join(err, target.Close())
 	})
 	if err != nil {
