--- a/client/alive_unix.go
+++ b/client/alive_unix.go
@@ -3,28 +3,28 @@
 package client
 
 import (
+	"errors"
 	"net"
 	"syscall"
 )
 
-// alive tells whether a connection that idles is still whole as far as this side has heard:
-// no end has come, and no byte that nobody asked for. What may cross the next request on its
-// way cannot be seen.
+// alive reports whether an idle connection is still open as far as this side can see: neither its end nor an
+// unexpected byte has arrived. A close that crosses the next request on its way cannot be seen.
 func alive(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	fd, err := raw.SyscallConn()
+	socket, err := raw.SyscallConn()
 	if err != nil {
 		return false
 	}
-	waiting := false
-	err = fd.Read(func(fd uintptr) bool {
-		var b [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waiting = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
-		return true
+	nothingToRead := false
+	err = socket.Read(func(fd uintptr) bool {
+		var next [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		nothingToRead = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK)
+		return true // do not wait for something to read
 	})
-	return err == nil && waiting
+	return err == nil && nothingToRead
 }
--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -12,8 +12,8 @@
 	"dahliaford/internal/http1"
 )
 
-// The calm path: a job that is served at once, through the library and by a bare net/http
-// call, against the same scheduler in the same run.
+// A job that is served at once, through the library and by a bare net/http call, against the same scheduler in the
+// same run.
 func BenchmarkServedJob(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,7 +39,7 @@
 			}()
 		}
 	}()
-	b.Run("desk", func(b *testing.B) {
+	b.Run("client", func(b *testing.B) {
 		c, err := New(Config{Schedulers: []string{l.Addr().String()}, Tenant: "sahel",
 			Classes: map[string]Class{"post-reading": {Deadline: defaultDeadline, Effect: Once}}})
 		if err != nil {
@@ -83,7 +83,7 @@
 			if _, err := io.ReadAll(answer.Body); err != nil {
 				b.Fatal(err)
 			}
-			answer.Body.Close()
+			_ = answer.Body.Close() // it was read to its end
 			took = append(took, time.Since(began))
 		}
 	})
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -20,11 +20,11 @@
 	"dahliaford/internal/testcluster"
 )
 
-// scriptedScheduler is a scheduler that answers each request with the bytes that a test says, and
-// then does as the last word says: keep, close, reset or silent.
+// scriptedScheduler is a scheduler that answers each request with the bytes that a test gives, and then does as then
+// says: keep, close, reset, trickle or silent.
 type scriptedScheduler struct {
 	net.Listener
-	received atomic.Int64 // requests that were read whole
+	received atomic.Int64 // complete requests
 	requests chan *http1.Request
 }
 
@@ -52,10 +52,10 @@
 					n := s.received.Add(1)
 					s.requests <- r
 					text, then := answer(n)
-					conn.Write([]byte(text))
+					_, _ = io.WriteString(conn, text) // the client may be gone: the next read shows it
 					switch then {
 					case "reset":
-						conn.(*net.TCPConn).SetLinger(0)
+						_ = conn.(*net.TCPConn).SetLinger(0) // on an open socket it cannot fail
 						return
 					case "close":
 						return
@@ -67,7 +67,7 @@
 							time.Sleep(time.Second)
 						}
 					case "silent":
-						read.Request() // until the other side ends
+						_, _ = read.Request() // returns when the client closes the connection
 						return
 					}
 				}
@@ -92,7 +92,7 @@
 
 const served = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nresult"
 
-// An answer that is lost at every byte: a job that must not run twice is handed in once.
+// A response that is cut off after each byte: a job that must not run twice is submitted once.
 func TestResponseCutAtEveryByte(t *testing.T) {
 	for cut := range len(served) + 1 {
 		for _, then := range []string{"reset", "close"} {
@@ -104,20 +104,20 @@
 				want = "served"
 			}
 			// A reset may overtake what was written before it.
-			if got := Verdict(err); got != want && !(then == "reset" && got == "unknown") {
+			if got := Verdict(err); got != want && (then != "reset" || got != "unknown") {
 				t.Errorf("cut after %d bytes, %s: %s, want %s (%v)", cut, then, got, want, err)
 			}
 			if err == nil && string(result.Body) != "result" {
 				t.Errorf("cut after %d bytes: %q", cut, result.Body)
 			}
 			if n := s.received.Load(); n != 1 {
-				t.Errorf("cut after %d bytes, %s: handed in %d times", cut, then, n)
+				t.Errorf("cut after %d bytes, %s: submitted %d times", cut, then, n)
 			}
 		}
 	}
 }
 
-// Broken answers end in time, and never as served.
+// Malformed responses end in time, and never as served.
 func TestMalformedResponses(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"no length":    {"HTTP/1.1 200 OK\r\n\r\nresult", "unknown"},
@@ -145,8 +145,8 @@
 	}
 }
 
-// A refusal is honoured: the next try comes no sooner, with a new id and marked, and the
-// last refusal goes to the caller.
+// A refusal is honoured: the next attempt comes no sooner, with a new id and marked as a retry, and the last refusal
+// is returned to the caller.
 func TestRefusals(t *testing.T) {
 	s := startScripted(t, func(n int64) (string, string) {
 		if n < 3 {
@@ -166,11 +166,11 @@
 		want := map[bool]string{true: "1"}[n > 0]
 		if diff := cmp.Diff([]string{want, "k", "sahel"}, []string{m.Header.Get("X-Resent"),
 			m.Header.Get("Idempotency-Key"), m.Header.Get("X-Org")}); diff != "" {
-			t.Errorf("try %d: %s", n+1, diff)
+			t.Errorf("attempt %d: %s", n+1, diff)
 		}
 	}
 	if len(ids) != 3 {
-		t.Errorf("%d ids in 3 tries", len(ids))
+		t.Errorf("%d ids in 3 attempts", len(ids))
 	}
 	var refused *RefusedError
 	never := startScripted(t, func(int64) (string, string) {
@@ -178,12 +178,12 @@
 	})
 	_, err = newTestClient(t, never.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 	if !errors.As(err, &refused) || never.received.Load() != 3 {
-		t.Errorf("%v after %d tries", err, never.received.Load())
+		t.Errorf("%v after %d attempts", err, never.received.Load())
 	}
 }
 
-// Nobody listens: the job did not run, another scheduler gets it, and without one the
-// caller may hand it in again.
+// A scheduler that refuses connections: the job did not run, another scheduler gets it, and without one the caller
+// may submit it again.
 func TestConnectionRefused(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -203,8 +203,8 @@
 	}
 }
 
-// A kept connection that ends as the next request crosses it: for what must not run twice
-// nobody can say, and what is safe is repeated.
+// A reused connection that closes as the next request crosses it: for what must not run twice the outcome is unknown,
+// and what is safe is repeated.
 func TestReusedConnectionCloses(t *testing.T) {
 	for class, want := range map[string]string{"post-reading": "unknown", "district-batch": "unknown",
 		"look": "served"} {
@@ -224,8 +224,8 @@
 	}
 }
 
-// A kept connection that has ended before the next request is not used for it: a scheduler
-// closes idle ones when it runs short of sockets, and that must not cost a job its answer.
+// An idle connection that has closed before the next request is not used for it: a scheduler closes idle ones when it
+// runs short of sockets, and that must not cost a job its result.
 func TestIdleConnectionAlreadyClosed(t *testing.T) {
 	for _, then := range []string{"reset", "close"} {
 		s := startScripted(t, func(int64) (string, string) { return served, then })
@@ -248,13 +248,13 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it does not come about")
+			t.Fatal("the condition did not become true within 10 s")
 		}
 	}
 }
 
-// A scheduler that says nothing: the caller has its end by the deadline. A caller that
-// leaves closes the connection at once.
+// A scheduler that does not respond: the call returns by the deadline. A caller that cancels closes the connection at
+// once.
 func TestNoResponse(t *testing.T) {
 	s := startScripted(t, func(int64) (string, string) { return "", "silent" })
 	c := newTestClient(t, s.Addr().String())
@@ -306,8 +306,8 @@
 	}
 }
 
-// Desks against the real program: what is served is what the worker made, nothing that must
-// not run twice does, and every call returns once.
+// Clients against the real program: what is served is what the worker returned, nothing that must not run twice does,
+// and every call returns once.
 func TestAgainstTheRealProgram(t *testing.T) {
 	bin, err := buildScheduler()
 	if err != nil {
@@ -367,7 +367,7 @@
 	done.Wait()
 	for body, n := range runs {
 		if n > 1 {
-			t.Errorf("%s came to the worker %d times", body, n)
+			t.Errorf("%s reached the worker %d times", body, n)
 		}
 	}
 	if ends["served"] == 0 {
--- a/client/configfile_test.go
+++ b/client/configfile_test.go
@@ -32,7 +32,7 @@
 	c.Close()
 }
 
-// A wrong file gets one line with the path of the field.
+// An invalid file gets one line with the path of the field.
 func TestInvalidConfigs(t *testing.T) {
 	const head, class = `{"schedulers":["a:1"],"classes":`, `{"post":{"deadline_ms":1,"effect":"once"}}`
 	for raw, want := range map[string]string{
@@ -56,6 +56,6 @@
 	}
 	cfg, err := ParseConfig([]byte(head + class + `,"budget":0}`))
 	if err != nil || cfg.RetryBudget != -1 {
-		t.Errorf("%+v, %v: a budget of 0 must mean none", cfg, err)
+		t.Errorf("%+v, %v: a budget of 0 must mean no retries", cfg, err)
 	}
 }
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -9,8 +9,7 @@
 	"dahliaford/client"
 )
 
-// A job whose scheduler does not listen did not run: the caller may hand it in again, and
-// is told when.
+// A job whose scheduler refuses connections did not run: the caller may submit it again, and the error says when.
 func ExampleClient_Do() {
 	c, err := client.New(client.Config{
 		Schedulers: []string{"127.0.0.1:1"},
@@ -29,14 +28,14 @@
 	var unknown *client.UnknownOutcomeError
 	switch {
 	case errors.As(err, &refused):
-		fmt.Println("not run: hand it in again")
+		fmt.Println("not run: submit it again")
 	case errors.As(err, &unknown):
-		fmt.Println("it may have run: ask before handing it in again")
+		fmt.Println("it may have run: find out before submitting it again")
 	}
-	// Output: not run: hand it in again
+	// Output: not run: submit it again
 }
 
-// A configuration file is checked as it is read; a fault names its field.
+// A configuration file is checked as it is read; the error names the field.
 func ExampleParseConfig() {
 	cfg, err := client.ParseConfig([]byte(`{
 		"schedulers": ["127.0.0.1:8443"],
@@ -50,7 +49,7 @@
 	// client: classes.a: deadline_ms is required
 }
 
-// The words for how a job ended are few, and fit for a counter's label.
+// The names of how a job ended are few, and fit for a metric's label.
 func ExampleVerdict() {
 	fmt.Println(client.Verdict(nil))
 	fmt.Println(client.Verdict(&client.RefusedError{RetryAfter: time.Now().Add(time.Second)}))
@@ -61,7 +60,7 @@
 	// unknown
 }
 
-// A configuration that makes no sense is refused with the name of the field.
+// An invalid configuration is rejected with the name of the field.
 func ExampleNew() {
 	_, err := client.New(client.Config{Schedulers: []string{"127.0.0.1:8443"},
 		Classes: map[string]client.Class{"post-reading": {Deadline: 5 * time.Second}}})
--- /dev/null
+++ b/client/execution.go
@@ -0,0 +1,150 @@
+package client
+
+import (
+	"context"
+	"time"
+
+	"dahliaford/client/internal/plan"
+)
+
+// execution takes one job through its attempts to its end. The plan decides, it carries out.
+type execution struct {
+	client   *Client
+	job      *Job
+	deadline time.Time
+
+	planned   *plan.Job
+	step      plan.Step     // what the plan wants next
+	available chan struct{} // Client.available as of that step
+
+	mayHaveRun bool // an attempt so far may have run
+	attempts   int  // that were submitted to a scheduler
+	last       attemptResult
+}
+
+func (c *Client) newExecution(job *Job, class int, deadline time.Time) *execution {
+	e := &execution{client: c, job: job, deadline: deadline}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e.planned, e.step = c.plan.Begin(time.Now(), class, deadline)
+	e.available = c.available
+	return e
+}
+
+// run makes attempts as the plan wants them. It ends early when the caller's context does.
+func (e *execution) run(ctx context.Context) (*Result, error) {
+	for e.step.Verdict == plan.Pending {
+		next := e.wait
+		if e.step.StartNow {
+			next = e.attempt
+		}
+		if err := next(ctx); err != nil {
+			return nil, e.cancel(err)
+		}
+	}
+	return e.result()
+}
+
+// wait waits until the next attempt may start, or until a scheduler is available again if it waits for one.
+// The error is the context's.
+func (e *execution) wait(ctx context.Context) error {
+	wake := e.available
+	if !e.step.AllEjected {
+		wake = nil // a backoff is not cut short
+	}
+	if err := sleepUntil(ctx, e.step.At, wake); err != nil {
+		return err
+	}
+	c := e.client
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e.step, e.available = c.plan.Start(time.Now(), e.planned), c.available
+	return nil
+}
+
+// attempt makes one attempt and reports its end to the plan. The error is the context's, where it cut the
+// attempt short.
+func (e *execution) attempt(ctx context.Context) error {
+	c := e.client
+	start := time.Now()
+	e.last = c.attempt(ctx, e.job, e.step, e.deadline)
+	if e.last.submitted() {
+		e.attempts++
+		e.mayHaveRun = e.mayHaveRun || e.last.Outcome != plan.NotSent
+	}
+	// At the deadline the context of the attempt ends, too: that is an ordinary end and not a cancellation.
+	if err := ctx.Err(); err != nil && e.last.Outcome != plan.Answered && time.Now().Before(e.deadline) {
+		return err
+	}
+	scheduler := c.cfg.Schedulers[e.step.Scheduler]
+	if e.last.err != nil {
+		c.log.Info("attempt failed", "scheduler", scheduler, "class", e.job.Class, "error", e.last.err)
+	}
+	c.cfg.Observer.AttemptEnded(scheduler, e.job.Class, e.last.label(), time.Since(start))
+	e.step, e.available = c.attemptEnded(start, e.planned, e.last)
+	return nil
+}
+
+// attemptEnded reports the end of an attempt to the plan, and wakes the jobs that wait for a scheduler if this
+// one is the first to be available again.
+func (c *Client) attemptEnded(start time.Time, job *plan.Job, ended attemptResult) (plan.Step, chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	available, throttled := c.plan.Available(), c.plan.Throttled()
+	step := c.plan.AttemptEnded(time.Now(), start, job, ended.AttemptResult)
+	if available == 0 && c.plan.Available() > 0 {
+		close(c.available)
+		c.available = make(chan struct{})
+	}
+	if c.plan.Throttled() > throttled {
+		c.cfg.Observer.Throttled()
+	}
+	return step, c.available
+}
+
+// cancel ends a job whose caller has given up, and returns the error for it.
+func (e *execution) cancel(cause error) error {
+	c := e.client
+	c.mu.Lock()
+	c.plan.Cancel(e.planned)
+	c.mu.Unlock()
+	if e.mayHaveRun {
+		return &UnknownOutcomeError{Cause: cause}
+	}
+	return &RefusedError{RetryAfter: time.Now(), Cause: cause}
+}
+
+// result turns the plan's verdict into what Do returns.
+func (e *execution) result() (*Result, error) {
+	switch e.step.Verdict {
+	case plan.Served:
+		return &Result{Body: e.last.body, Attempts: e.attempts}, nil
+	case plan.Refused:
+		return nil, &RefusedError{RetryAfter: e.step.At, Cause: e.last.err}
+	case plan.Failed:
+		return nil, &FailedError{Status: e.last.Status}
+	case plan.Invalid:
+		return nil, &InvalidJobError{Status: e.last.Status, Text: string(e.last.body)}
+	case plan.Expired:
+		return nil, &ExpiredError{}
+	}
+	return nil, &UnknownOutcomeError{Cause: e.last.err}
+}
+
+// sleepUntil waits until a time or until wake is closed. The error is the context's, if that ended first.
+func sleepUntil(ctx context.Context, until time.Time, wake <-chan struct{}) error {
+	wait := time.Until(until)
+	if wait <= 0 {
+		return ctx.Err()
+	}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-wake:
+		return ctx.Err()
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -1,6 +1,7 @@
 package client
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,9 +19,9 @@
 	"dahliaford/internal/testcluster"
 )
 
-// buildScheduler is the real scheduler, built once for all tests.
+// buildScheduler builds the real scheduler, once for all tests, and returns its path.
 var buildScheduler = sync.OnceValues(func() (string, error) {
-	folder, err := os.MkdirTemp("", "desk")
+	folder, err := os.MkdirTemp("", "client")
 	if err != nil {
 		return "", err
 	}
@@ -36,7 +37,7 @@
 func TestMain(m *testing.M) {
 	status := m.Run()
 	if bin, err := buildScheduler(); err == nil {
-		os.RemoveAll(filepath.Dir(bin))
+		_ = os.RemoveAll(filepath.Dir(bin)) // a leftover in the temporary folder fails no test
 	}
 	os.Exit(status)
 }
@@ -55,15 +56,14 @@
 	return f
 }
 
-// latenessAllowed is what a busy machine may add to the deadline in a test; the drill keeps to 50 ms.
+// latenessAllowed is how late after the deadline a call may return on a busy machine; the drill allows 50 ms.
 const latenessAllowed = 2 * time.Second
 
-// cutter passes connections on to a scheduler, and breaks each after so many bytes of one
-// direction.
+// cutter forwards connections to a scheduler, and closes each after so many bytes of one direction.
 type cutter struct {
 	net.Listener
 	target      string
-	cutRequests bool // the bytes that are counted are those of requests, not of answers
+	cutRequests bool // the limit is on the bytes of requests, not of responses
 	limit       int64
 }
 
@@ -96,9 +96,9 @@
 	over := make(chan bool, 2)
 	relay := func(to, from net.Conn, limited bool) {
 		if limited {
-			io.CopyN(to, from, c.limit)
+			_, _ = io.CopyN(to, from, c.limit) // either side may close it before that
 		} else {
-			io.Copy(to, from)
+			_, _ = io.Copy(to, from) // either side may close it
 		}
 		over <- true
 	}
@@ -107,12 +107,12 @@
 	<-over
 }
 
-// The exchange of a post-reading with the real program breaks at every byte, of the request
-// and of the answer: it runs once at most, and what ran is never called refused.
+// The exchange of a post-reading with the real program is cut off after each byte of the request and of the response:
+// the job runs once at most, and what ran is never called refused.
 func TestExchangeCutAtEveryByte(t *testing.T) {
 	f := startFleet(t, 1)
 	addr := f.Schedulers()[0]
-	var lengths [2]int64 // of a request and of an answer
+	var lengths [2]int64 // of a request and of a response
 	l := newTestClient(t, addr)
 	if _, err := l.Do(t.Context(), Job{Class: "post-reading", Body: []byte(f.JobPrefix() + "first")}); err != nil {
 		t.Fatal(err)
@@ -156,12 +156,12 @@
 		t.Errorf("%d post-readings ran twice", saw.Duplicates)
 	}
 	if ends["unknown"] < int(lengths[1])/2 {
-		t.Errorf("the ends were %v: the answers were not lost", ends)
+		t.Errorf("the ends were %v: the responses were not cut off", ends)
 	}
 }
 
-// Schedulers end in order, then without a word, and at last all at once, under load, and
-// are back within 2 s: jobs wait for them rather than fail, and nothing runs twice.
+// Schedulers stop in order, then are killed, and at last all at once, under load, and are back within 2 s: jobs wait
+// for them rather than fail, and nothing runs twice.
 func TestRestarts(t *testing.T) {
 	f := startFleet(t, 2)
 	c, err := New(Config{Schedulers: f.Schedulers(), Tenant: "sahel", Classes: map[string]Class{
@@ -231,13 +231,13 @@
 	for _, n := range ends {
 		all += n
 	}
-	// Only what a killed scheduler held is lost; what was refused in between found another one.
+	// Only jobs in flight at a killed scheduler fail; what was refused in between found another one.
 	if notServed := all - ends["served"]; notServed > all/4 {
 		t.Errorf("%v", ends)
 	}
 }
 
-// What Retry-After says, as a scheduler may say it: when the next try comes.
+// Each form that Retry-After may have: when the next attempt starts.
 func TestRetryAfter(t *testing.T) {
 	for text, minWait := range map[string]time.Duration{
 		"0": 0, "0.05": 50 * time.Millisecond, "2": 2 * time.Second, "-3": 0, "Wed, 21 Oct 2026 07:28:00 GMT": 0,
@@ -258,21 +258,21 @@
 			})
 			_, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 			if minWait < 0 {
-				refused, ok := err.(*RefusedError)
-				if !ok || time.Until(refused.RetryAfter) < 30*time.Second || s.received.Load() != 1 {
-					t.Errorf("%v after %d tries", err, s.received.Load())
+				var refused *RefusedError
+				if !errors.As(err, &refused) || time.Until(refused.RetryAfter) < 30*time.Second || s.received.Load() != 1 {
+					t.Errorf("%v after %d attempts", err, s.received.Load())
 				}
 				return
 			}
 			if err != nil || time.Duration(wait.Load()) < minWait || time.Duration(wait.Load()) > minWait+latenessAllowed {
-				t.Errorf("%v, the next try came after %v, want %v at least", err, time.Duration(wait.Load()), minWait)
+				t.Errorf("%v, the next attempt came after %v, want %v at least", err, time.Duration(wait.Load()), minWait)
 			}
 		})
 	}
 }
 
-// Beside one that is well: a scheduler that says nothing, one that answers a byte at a time,
-// and one that refuses all in a moment. Most jobs must be served, and all return in time.
+// Beside a healthy one: a scheduler that does not respond, one that responds a byte at a time, and one that refuses
+// everything at once. Most jobs must be served, and all calls return in time.
 func TestUnhealthySchedulerBesideHealthyOne(t *testing.T) {
 	f := startFleet(t, 1)
 	for name, answer := range map[string]func(int64) (string, string){
@@ -301,14 +301,14 @@
 				}
 			}
 			if ends["served"] < 20 { // half: a slow machine may miss some of the short deadlines
-				t.Errorf("%v, %d went to the bad one", ends, bad.received.Load())
+				t.Errorf("%v, %d went to the unhealthy one", ends, bad.received.Load())
 			}
 		})
 	}
 }
 
-// Ten thousand jobs wait at a desk when its only scheduler vanishes: no more goroutines than
-// their callers, memory within bounds, and each call returns by its deadline.
+// Ten thousand jobs wait in a client when its only scheduler vanishes: no more goroutines than their callers, memory
+// within bounds, and each call returns by its deadline.
 func TestTenThousandWaiting(t *testing.T) {
 	const jobs = maxCallers
 	s := startScripted(t, func(int64) (string, string) { return "", "silent" })
@@ -339,7 +339,7 @@
 		})
 	}
 	waitFor(t, func() bool { return s.received.Load() > 0 })
-	s.Close() // nobody listens any more; what is open stays silent
+	s.Close() // new connections are refused; open ones get no response
 	if maxGoroutines := before + jobs + 1000; runtime.NumGoroutine() > maxGoroutines {
 		t.Errorf("%d goroutines for %d callers", runtime.NumGoroutine(), jobs)
 	}
--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -11,21 +11,20 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// world is one desk with a few jobs, two schedulers and a network that loses: the plan that
-// serves, not a copy, in every order of what may happen to each try. The schedulers drop
-// repeats of a key as the class promises.
+// world is one client with a few jobs, two schedulers and a lossy network: the real plan, not a copy, in every
+// order of what may happen to each attempt. The schedulers drop duplicates of a key as the class promises.
 type world struct {
-	cfg        Config
-	plan       *Plan
-	now        time.Time
-	jobs       []jobState
-	down       [2]bool
-	faultsLeft int // faults that may still happen
-	// misread says what the desk takes a proof for; nil: for what it is. Planted faults.
+	cfg    Config
+	plan   *Plan
+	now    time.Time
+	jobs   []jobState
+	down   [2]bool
+	faults int // that may still happen
+	// misread returns the outcome that the client takes an outcome for; nil: itself. It injects a fault.
 	misread func(Outcome) Outcome
 }
 
-// jobState is a job, and what the schedulers saw of it.
+// jobState is a job, and what happened to it at the schedulers.
 type jobState struct {
 	job       *Job
 	class     int
@@ -34,9 +33,9 @@
 	step      Step
 	began     time.Time
 	attempts  int
-	read      bool // a scheduler has the present try
+	read      bool // a scheduler has the current attempt
 	runs      int
-	ranAt     time.Time // when it ran first
+	ranAt     time.Time // when it first ran
 	racks     [2]bool   // where it ran
 	violation string
 }
@@ -50,7 +49,7 @@
 	if err != nil {
 		panic(err)
 	}
-	w := &world{cfg: cfg, plan: p, now: start, faultsLeft: maxFaults}
+	w := &world{cfg: cfg, plan: p, now: start, faults: maxFaults}
 	for range jobs {
 		w.jobs = append(w.jobs, jobState{class: class, deadline: start.Add(1200 * time.Millisecond)})
 	}
@@ -61,7 +60,7 @@
 	c := *w
 	p := *w.plan
 	p.schedulers = slices.Clone(p.schedulers)
-	// Chance must not tell apart two states that act alike.
+	// Random numbers must not distinguish two states that behave alike.
 	p.random = rand.New(rand.NewPCG(7, uint64(w.now.Sub(start))))
 	c.plan = &p
 	c.jobs = slices.Clone(w.jobs)
@@ -83,22 +82,22 @@
 	fault          bool
 }
 
-// The ends that a try may have. Before: no scheduler has read it.
+// How an attempt may end before a scheduler has read it.
 var beforeRead = []event{
 	{what: "half written", end: AttemptResult{Outcome: NotSent}, fault: true},
-	{what: "the close crosses", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
-	{what: "lost on the way", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
-	{what: "no room", end: AttemptResult{Outcome: ClientLimited}, fault: true},
-	{what: "parted", end: AttemptResult{Outcome: IdleClosed}, fault: true},
+	{what: "a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{what: "no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
+	{what: "no connection allowed", end: AttemptResult{Outcome: ClientLimited}, fault: true},
+	{what: "idle connections closed", end: AttemptResult{Outcome: IdleClosed}, fault: true},
 }
 
-// Inside: a scheduler has it. Those with runs let it run, unless the key was seen.
+// How an attempt may end after a scheduler has read it. Those with "runs" let it run, unless it is a duplicate.
 var afterRead = []event{
 	{what: "runs, served", end: AttemptResult{Status: 200}},
 	{what: "runs, fails", end: AttemptResult{Status: 500}, fault: true},
-	{what: "runs, the answer is lost", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
-	{what: "runs, dies on a kept connection", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
-	{what: "runs, garbage", end: AttemptResult{Outcome: Malformed}, fault: true},
+	{what: "runs, no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
+	{what: "runs, a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{what: "runs, a malformed response", end: AttemptResult{Outcome: Malformed}, fault: true},
 	{what: "refused", end: AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 100 * time.Millisecond}, fault: true},
 	{what: "refused, closing", end: AttemptResult{Status: 503, ConnectionClose: true}, fault: true},
 	{what: "invalid", end: AttemptResult{Status: 400}, fault: true},
@@ -106,7 +105,7 @@
 
 func (w *world) events() (all []event) {
 	add := func(e event) {
-		if !e.fault || w.faultsLeft > 0 {
+		if !e.fault || w.faults > 0 {
 			all = append(all, e)
 		}
 	}
@@ -124,7 +123,7 @@
 				add(e)
 			}
 		case w.down[l.step.Scheduler]:
-			add(event{job: i, what: "nobody listens", end: AttemptResult{Outcome: ConnectFailed}})
+			add(event{job: i, what: "refuses the connection", end: AttemptResult{Outcome: ConnectFailed}})
 		default:
 			add(event{job: i, what: "is read"})
 			for _, e := range beforeRead {
@@ -133,16 +132,16 @@
 			}
 		}
 		if l.begun && l.step.Verdict == Pending {
-			add(event{job: i, what: "its caller leaves", fault: true})
+			add(event{job: i, what: "its caller cancels", fault: true})
 		}
 	}
 	for s := range w.down {
-		add(event{scheduler: s, what: map[bool]string{false: "goes", true: "comes"}[w.down[s]], fault: !w.down[s]})
+		add(event{scheduler: s, what: map[bool]string{false: "stops", true: "starts"}[w.down[s]], fault: !w.down[s]})
 	}
 	return all
 }
 
-// Steps implements explore.Model.
+// Steps implements modelcheck.Model.
 func (w *world) Steps() (names []string) {
 	for _, e := range w.events() {
 		names = append(names, fmt.Sprintf("job %d, scheduler %d: %s", e.job, e.scheduler, e.what))
@@ -150,17 +149,17 @@
 	return names
 }
 
-// Step implements explore.Model.
+// Step implements modelcheck.Model.
 func (w *world) Step(i int) *world {
 	e := w.events()[i]
 	w = w.clone()
 	if e.fault {
-		w.faultsLeft--
+		w.faults--
 	}
 	l := &w.jobs[e.job]
 	switch e.what {
-	case "goes", "comes":
-		w.down[e.scheduler] = e.what == "goes"
+	case "stops", "starts":
+		w.down[e.scheduler] = e.what == "stops"
 	case "begins":
 		l.begun = true
 		var s Step
@@ -169,7 +168,7 @@
 	case "its wait ends":
 		w.now = latest(w.now, l.step.At)
 		w.take(l, w.plan.Start(w.now, l.job))
-	case "its caller leaves":
+	case "its caller cancels":
 		w.plan.Cancel(l.job)
 		l.step, l.read = Step{Verdict: Unknown}, false
 	case "is read":
@@ -188,7 +187,7 @@
 	return w
 }
 
-// run lets a job run at a scheduler, which drops a repeat as its class promises.
+// run lets a job run at a scheduler, which drops a duplicate as the job's class promises.
 func (w *world) run(l *jobState) {
 	at := l.step.Scheduler
 	class := w.cfg.Classes[l.class]
@@ -204,7 +203,7 @@
 	l.racks[at] = true
 }
 
-// take notes what the plan wants next, and what is wrong with it.
+// take records what the plan wants next, and what is invalid about it.
 func (w *world) take(l *jobState, s Step) {
 	l.step = s
 	switch {
@@ -212,7 +211,7 @@
 		l.attempts++
 		l.began = w.now
 		if !w.now.Before(l.deadline) {
-			l.violation = "a try starts past the deadline"
+			l.violation = "an attempt starts past the deadline"
 		}
 	case s.Verdict == Pending:
 		if !s.At.Before(l.deadline) || s.At.Before(w.now) {
@@ -225,7 +224,7 @@
 	}
 }
 
-// Check implements explore.Model.
+// Check implements modelcheck.Model.
 func (w *world) Check() error {
 	open := 0
 	for i := range w.jobs {
@@ -241,12 +240,12 @@
 		}
 	}
 	if w.plan.InFlight() != open {
-		return fmt.Errorf("%d tries are under way, the plan counts %d", open, w.plan.InFlight())
+		return fmt.Errorf("%d attempts are in flight, the plan counts %d", open, w.plan.InFlight())
 	}
 	return nil
 }
 
-// AppendState implements explore.Model.
+// AppendState implements modelcheck.Model.
 func (w *world) AppendState(b []byte) []byte {
 	num := func(n int64) { b = binary.AppendVarint(b, n) }
 	at := func(t time.Time) {
@@ -264,7 +263,7 @@
 		}
 	}
 	at(w.now)
-	num(int64(w.faultsLeft))
+	num(int64(w.faults))
 	num(int64(w.plan.tokens * 100))
 	for i := range w.down {
 		s := &w.plan.schedulers[i]
@@ -302,14 +301,13 @@
 	return b
 }
 
-// Every order of what may happen to one job, and to two at once with fewer faults: nothing
-// runs twice that must not, a refusal is only told of what did not run, no try starts past
-// its deadline, and nothing stays open.
+// Every order of what may happen to one job, and to two at once with fewer faults: nothing runs twice that must not,
+// only what did not run is called refused, no attempt starts past its deadline, and nothing stays in flight.
 func TestEveryOrder(t *testing.T) {
 	for class, name := range []string{"once", "rack", "anywhere", "safe"} {
 		one := newWorld(class, 1)
 		two := newWorld(class, 2)
-		two.faultsLeft = 2
+		two.faults = 2
 		for _, w := range []*world{one, two} {
 			tour := modelcheck.Exhaust(w, 3_000_000)
 			if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
@@ -320,13 +318,13 @@
 	}
 }
 
-// A desk that takes one end of a try for another is found out.
+// A client that takes one outcome for another violates a property.
 func TestMisjudgedOutcomesAreFound(t *testing.T) {
 	for _, c := range []struct {
 		class      int
 		was, taken Outcome
 	}{
-		{onceClass, ReusedClosed, ConnectFailed}, // a kept connection that ended, taken for nobody listening
+		{onceClass, ReusedClosed, ConnectFailed}, // a reused connection that closed, taken for a refused one
 		{onceClass, ReusedClosed, NotSent},
 		{onceClass, NoResponse, NotSent},
 		{rackClass, Malformed, ClientLimited},
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan decides for a desk: what to do with a job after each try, at which
-// scheduler and when the next one starts, and when to give up. It has no I/O and no clock:
-// what happened goes in with its time, what to do comes out. Package desk carries it out.
+// Package plan makes the decisions of a client: what to do with a job after each attempt, at which scheduler and
+// when the next one starts, and when to give up. It has no I/O and no clock: what happened goes in with its time,
+// what to do comes out. Package client carries it out.
 package plan
 
 import (
@@ -10,223 +10,187 @@
 	"time"
 )
 
-// Effect says what may be done once a try may have run.
+// Effect says what may be done once an attempt may have run.
 type Effect uint8
 
-// The effects. Rack: repeats are dropped within one rack only, and a desk cannot say which
-// rack a repeat goes to, so for a desk it is as strict as Once.
+// The effects of a class.
 const (
-	Once     Effect = iota // must never run twice
-	Rack                   // repeats are dropped within a rack
-	Anywhere               // repeats are dropped everywhere, within the window
-	Safe                   // may be repeated at will
+	// Once marks jobs that must never run twice.
+	Once Effect = iota
+	// Rack marks jobs whose duplicates are dropped within one rack only. A client cannot choose the rack that a
+	// retry goes to, so for a client this is as strict as Once.
+	Rack
+	// Anywhere marks jobs whose duplicates are dropped everywhere, within the window.
+	Anywhere
+	// Safe marks jobs that may be repeated at will.
+	Safe
 )
 
 // Class is a class of jobs.
 type Class struct {
 	Effect      Effect
-	Window      time.Duration // for Anywhere: how long repeats are dropped, from the first try on
-	MaxAttempts int           // at most, the first one included; those count that were handed in
+	Window      time.Duration // for Anywhere: how long duplicates are dropped, from the first attempt on
+	MaxAttempts int           // for one job, the first included; only those that were submitted count
 }
 
-// Config is what a desk is told.
+// Config is the configuration of a plan.
 type Config struct {
 	Schedulers int     // how many there are; they are numbered from 0
 	Classes    []Class // by number
-	// RetryBudget is the share of fresh jobs that retries may amount to, and Spare how many may
-	// be saved up; the first one is given. When it is used up, a caller gets the refusal at
-	// once.
+	// RetryBudget is the tokens that each fresh job earns, and MaxTokens how many may be saved up; one is there
+	// at the start. A retry costs one. Without a token a refusal is returned at once.
 	RetryBudget float64
 	MaxTokens   float64
-	// Backoff is the first wait after a refusal that names none, doubling up to Longest.
+	// Backoff is the range of the first wait after a refusal without Retry-After. It doubles up to MaxBackoff.
 	Backoff, MaxBackoff time.Duration
-	// EjectAfter failures in a row set a scheduler aside, for about Eject, doubling up to
-	// EjectMost. Never more than half of them are, but for those that nobody listens at:
-	// one failure tells these, and all of them may be.
+	// EjectAfter failed attempts in a row eject a scheduler, for about BaseEjection, which doubles up to
+	// MaxEjection. At most half of the schedulers are ejected so. Those that refuse connections do not count
+	// towards that half: one such failure is proof enough, and all of them may be ejected.
 	EjectAfter                int
 	BaseEjection, MaxEjection time.Duration
 }
 
-// MaxRetryAfter bounds what a scheduler may say about when to come back: an absurd figure is
-// an error somewhere, not a reason to hold a job for a day.
+// MaxRetryAfter bounds the Retry-After that is honoured: a longer one is an error somewhere, and no reason to
+// hold a job for a day.
 const MaxRetryAfter = time.Minute
 
-// Outcome says how a try ended, by what it proves about the job.
-type Outcome uint8
-
-// The proofs.
-const (
-	Answered Outcome = iota // there is a whole answer: see Status
-	// ConnectFailed: the connection was refused, or never came up. Nobody has taken the job.
-	ConnectFailed
-	// IdleClosed: the scheduler had closed the kept connections while they idled; no other was
-	// opened. It is ending, or short of sockets.
-	IdleClosed
-	// NotSent: the connection broke before the last byte of the request was out. Nobody can
-	// have read the job whole.
-	NotSent
-	// ClientLimited: the desk had no connection for it in time, by its own bounds. That tells
-	// nothing of the scheduler.
-	ClientLimited
-	// ReusedClosed: a kept connection ended with no byte of an answer. The scheduler may have
-	// closed it between requests, before it read this one; or it took the job and died. The
-	// two cannot be told apart, so for what must never run twice this is as Lost.
-	ReusedClosed
-	NoResponse // the request was out, and no whole answer came
-	Malformed  // what came is no answer: its framing is broken, or it is too large
-)
-
-// AttemptResult is the end of a try.
-type AttemptResult struct {
-	Outcome Outcome
-	Status  int
-	// Advice is when the scheduler said to come back, counted from the answer; with Advised.
-	HasRetryAfter bool
-	RetryAfter    time.Duration
-	// ConnectionClose: the scheduler closes the connection after its answer. With a refusal it is
-	// about to end, or short of sockets.
-	ConnectionClose bool
-}
-
-// Refused tells whether a scheduler refused the job: it did not run there.
-func (r AttemptResult) Refused() bool {
-	return r.Outcome == Answered && (r.Status == 429 || r.Status == 503)
-}
-
-// Invalid tells whether a scheduler said that the job makes no sense.
-func (r AttemptResult) Invalid() bool {
-	return r.Outcome == Answered && r.Status >= 400 && r.Status < 500 && r.Status != 429
-}
-
 // Verdict is the end of a job.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Pending Verdict = iota // not over: try again
+	Pending Verdict = iota // the job has not ended: there will be another attempt
 	Served
-	Refused // it did not run; Step.At says when to come back, if anybody knows
+	Refused // it did not run; Step.At is when to submit it again
 	Failed  // it may have run, and failed
-	Unknown // it may have run; nobody can say
-	Invalid // the submission makes no sense
-	Expired // no time is left for a try, and none may have run
+	Unknown // it may have run; its result cannot be determined
+	Invalid // a scheduler rejected it as invalid
+	Expired // there is no time for an attempt, and none may have run
 )
 
-// Step is what to do next. With Pending and Go: make a try at the scheduler, now. With
-// Pending alone: call Start at that time, or with Away as soon as Well is no longer zero.
+// Step is what to do next. While the verdict is Pending: with StartNow, make an attempt at the scheduler at once;
+// otherwise call Start at the time At, or with AllEjected as soon as Available is no longer zero.
 type Step struct {
 	Verdict    Verdict
 	StartNow   bool
 	Scheduler  int
-	Retry      bool
+	Retry      bool // the attempt is not the first one that is submitted
 	At         time.Time
-	AllEjected bool // no scheduler can be reached
+	AllEjected bool // no scheduler is available
 }
 
-// Job is one job from its arrival to its verdict. It belongs to whoever began it.
+// Job is one job from its arrival to its verdict. It belongs to the caller of Begin.
 type Job struct {
 	class           *Class
 	deadline        time.Time
-	attempts        int
-	firstMayHaveRun time.Time // when the first try started that may have run; zero: none may have
-	scheduler       int       // the scheduler of the present or last try; -1: none yet
-	inFlight        bool      // a try is under way
-	fallback        Verdict   // its verdict if no further try begins
+	attempts        int       // that were submitted, or are in flight
+	firstMayHaveRun time.Time // when the first attempt that may have run started; zero: none may have
+	scheduler       int       // of the current or last attempt; -1: none yet
+	inFlight        bool      // an attempt is in flight
+	fallback        Verdict   // the verdict if no further attempt starts
 	done            bool
 }
 
-// Plan holds what a desk knows of its schedulers, and its budget. It is not safe for
-// several goroutines: its owner calls it one event at a time.
+// Plan holds what a client knows of its schedulers, and its retry budget. It is not safe for concurrent use: its
+// owner calls it with one event at a time.
 type Plan struct {
 	cfg        Config
 	random     *rand.Rand
-	tokens     float64
+	tokens     float64 // retries that the budget allows now
 	schedulers []scheduler
-	preference []int // in which this desk turns to them
-
-	throttled int
+	preference []int // the order in which this client uses the schedulers
+	throttled  int
 }
 
-type scheduler struct {
-	inFlight            int     // tries under way
-	consecutiveFailures int     // in a row
-	refusalRate         float64 // the share of refusals among its last answers, roughly
-	ejection            time.Duration
-	ejectedUntil        time.Time // set aside until then; zero: it is well
-	probing             bool      // it was set aside, and one try finds out whether it is back
+// New returns a plan. The seed determines all random choices. The error names the field that is invalid.
+func New(cfg Config, seed uint64) (*Plan, error) {
+	if err := cfg.validate(); err != nil {
+		return nil, err
+	}
+	random := rand.New(rand.NewPCG(seed, 0))
+	return &Plan{
+		cfg:        cfg,
+		random:     random,
+		tokens:     min(1, cfg.MaxTokens),
+		schedulers: make([]scheduler, cfg.Schedulers),
+		preference: random.Perm(cfg.Schedulers),
+	}, nil
 }
 
-// New returns a plan. The seed decides all that is left to chance.
-func New(cfg Config, seed uint64) (*Plan, error) {
+func (cfg Config) validate() error {
 	switch {
 	case cfg.Schedulers <= 0:
-		return nil, errors.New("schedulers: none is named")
+		return errors.New("schedulers: none is named")
 	case len(cfg.Classes) == 0:
-		return nil, errors.New("classes: none is named")
-	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1):
-		return nil, fmt.Errorf("budget: %v is not within 0 and 1", cfg.RetryBudget)
+		return errors.New("classes: none is named")
+	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1): // NaN is neither
+		return fmt.Errorf("budget: %v is not within 0 and 1", cfg.RetryBudget)
 	case !(cfg.MaxTokens >= 0):
-		return nil, fmt.Errorf("spare: %v is negative", cfg.MaxTokens)
+		return fmt.Errorf("max tokens: %v is negative", cfg.MaxTokens)
 	case cfg.Backoff <= 0 || cfg.MaxBackoff < cfg.Backoff:
-		return nil, errors.New("backoff: it must be positive, and no longer than the longest")
+		return errors.New("backoff: it must be positive, and no longer than the longest")
 	case cfg.EjectAfter <= 0 || cfg.BaseEjection <= 0 || cfg.MaxEjection < cfg.BaseEjection:
-		return nil, errors.New("eject: its figures must be positive, and its time no longer than the longest")
+		return errors.New("eject: its figures must be positive, and its time no longer than the longest")
 	}
-	for i, c := range cfg.Classes {
+	for i, class := range cfg.Classes {
 		switch {
-		case c.MaxAttempts <= 0:
-			return nil, fmt.Errorf("classes[%d].tries: %d is not positive", i, c.MaxAttempts)
-		case c.Effect > Safe:
-			return nil, fmt.Errorf("classes[%d].effect: unknown", i)
-		case c.Effect == Anywhere && c.Window <= 0:
-			return nil, fmt.Errorf("classes[%d].window: it must be positive", i)
+		case class.MaxAttempts <= 0:
+			return fmt.Errorf("classes[%d].tries: %d is not positive", i, class.MaxAttempts)
+		case class.Effect > Safe:
+			return fmt.Errorf("classes[%d].effect: unknown", i)
+		case class.Effect == Anywhere && class.Window <= 0:
+			return fmt.Errorf("classes[%d].window: it must be positive", i)
 		}
 	}
-	random := rand.New(rand.NewPCG(seed, 0))
-	return &Plan{cfg: cfg, random: random, tokens: min(1, cfg.MaxTokens), schedulers: make([]scheduler, cfg.Schedulers),
-		preference: random.Perm(cfg.Schedulers)}, nil
+	return nil
 }
 
-// Begin takes a new job. Its deadline is set here once and for all.
+// Begin accepts a new job and starts its first attempt. Its deadline is fixed here.
 func (p *Plan) Begin(now time.Time, class int, deadline time.Time) (*Job, Step) {
 	p.tokens = min(p.tokens+p.cfg.RetryBudget, p.cfg.MaxTokens)
 	j := &Job{class: &p.cfg.Classes[class], deadline: deadline, scheduler: -1, fallback: Expired}
 	return j, p.Start(now, j)
 }
 
-// Start begins the next try of a job, if there is a scheduler for it. The choice is made
-// now, by what is known now, and not when the try was planned.
+// Start begins the next attempt of a job, if there is a scheduler for it. The scheduler is chosen now, by what is
+// known now, and not when the retry was planned.
 func (p *Plan) Start(now time.Time, j *Job) Step {
 	if j.done || j.inFlight || !now.Before(j.deadline) || !retryAllowed(j, now) {
-		return p.finish(j, Step{Verdict: j.fallback, At: now})
-	}
-	i, returnAt := p.pickScheduler(now, j.scheduler)
-	if i < 0 && returnAt.Before(j.deadline) {
-		return Step{At: returnAt, AllEjected: true}
+		return p.finish(j, j.fallback, now)
 	}
-	if i < 0 {
-		if j.fallback == Expired {
-			j.fallback = Refused // it did not run, and no scheduler can be reached in time
-		}
-		return p.finish(j, Step{Verdict: j.fallback, At: returnAt})
+	number, availableAt := p.pickScheduler(now, j.scheduler)
+	if number < 0 {
+		return p.waitForScheduler(j, availableAt)
 	}
-	j.scheduler, j.inFlight = i, true
+	j.scheduler, j.inFlight = number, true
 	j.attempts++
-	p.schedulers[i].inFlight++
-	return Step{StartNow: true, Scheduler: i, At: now, Retry: j.attempts > 1}
+	p.schedulers[number].inFlight++
+	return Step{StartNow: true, Scheduler: number, At: now, Retry: j.attempts > 1}
 }
 
-func (p *Plan) finish(j *Job, s Step) Step {
+// waitForScheduler lets a job wait until a scheduler may be available, or ends it if that is too late for it.
+func (p *Plan) waitForScheduler(j *Job, availableAt time.Time) Step {
+	if availableAt.Before(j.deadline) {
+		return Step{At: availableAt, AllEjected: true}
+	}
+	if j.fallback == Expired {
+		j.fallback = Refused // it did not run, and no scheduler is available in time
+	}
+	return p.finish(j, j.fallback, availableAt)
+}
+
+func (p *Plan) finish(j *Job, verdict Verdict, at time.Time) Step {
 	j.done = true
-	return s
+	return Step{Verdict: verdict, At: at}
 }
 
-// Cancel ends a job whose caller has gone, with a try under way or waiting to begin.
+// Cancel ends a job whose caller has given up, whether an attempt is in flight or about to start.
 func (p *Plan) Cancel(j *Job) {
 	j.done = true
 	p.release(j)
 }
 
+// release ends the attempt in flight, if there is one.
 func (p *Plan) release(j *Job) {
 	if j.inFlight {
 		j.inFlight = false
@@ -235,53 +199,61 @@
 	}
 }
 
-// AttemptEnded takes the end of a try that began at a time, and says what is next.
-func (p *Plan) AttemptEnded(now, began time.Time, j *Job, r AttemptResult) Step {
+// AttemptEnded takes the end of an attempt and the time when it started, and says what is next.
+func (p *Plan) AttemptEnded(now, started time.Time, j *Job, r AttemptResult) Step {
 	if j.done || !j.inFlight {
 		return Step{Verdict: Unknown}
 	}
 	p.recordOutcome(now, j.scheduler, r)
 	p.release(j)
 	if mayHaveRun(r) && j.firstMayHaveRun.IsZero() {
-		j.firstMayHaveRun = began
+		j.firstMayHaveRun = started
 	}
 	switch {
-	case r.Outcome == Answered && r.Status == 200:
-		return p.finish(j, Step{Verdict: Served})
+	case r.Outcome == Answered && r.Status == statusOK:
+		return p.finish(j, Served, time.Time{})
 	case r.Invalid():
-		return p.finish(j, Step{Verdict: Invalid})
+		return p.finish(j, Invalid, time.Time{})
 	}
 	j.fallback = finalVerdict(r)
 	if !j.firstMayHaveRun.IsZero() && j.fallback == Refused {
-		j.fallback = Unknown // this try did not run; an earlier one may have
+		j.fallback = Unknown // this attempt did not run; an earlier one may have
 	}
-	if r.Outcome == ConnectFailed || r.Outcome == IdleClosed {
-		// That was no try: nobody had the job, and it costs no scheduler anything. Its number
-		// is bounded, as the scheduler is set aside.
-		j.attempts--
-		if now.Before(j.deadline) {
-			return Step{At: now}
-		}
-		return p.finish(j, Step{Verdict: j.fallback, At: now})
+	if !r.submitted() {
+		return p.failOver(now, j)
 	}
-	returnAt := p.retryAt(now, j, r)
+	return p.planRetry(now, j, r)
+}
+
+// failOver follows an attempt that no scheduler received. It does not count, as it adds no load to any. The
+// number of such attempts is bounded, as their schedulers are ejected.
+func (p *Plan) failOver(now time.Time, j *Job) Step {
+	j.attempts--
+	if now.Before(j.deadline) {
+		return Step{At: now}
+	}
+	return p.finish(j, j.fallback, now)
+}
+
+// planRetry plans the next attempt, if the job's class, its deadline and the budget allow one.
+func (p *Plan) planRetry(now time.Time, j *Job, r AttemptResult) Step {
+	at := p.retryAt(now, j, r)
 	switch {
-	case r.Outcome == ClientLimited:
-		return p.finish(j, Step{Verdict: j.fallback, At: returnAt})
-	case j.attempts >= j.class.MaxAttempts, !returnAt.Before(j.deadline), !retryAllowed(j, returnAt):
-		return p.finish(j, Step{Verdict: j.fallback, At: returnAt})
+	case r.Outcome == ClientLimited, j.attempts >= j.class.MaxAttempts, !at.Before(j.deadline), !retryAllowed(j, at):
+		return p.finish(j, j.fallback, at)
 	case p.tokens < 1:
 		p.throttled++
-		return p.finish(j, Step{Verdict: j.fallback, At: returnAt})
+		return p.finish(j, j.fallback, at)
 	}
 	p.tokens--
-	return Step{At: returnAt}
+	return Step{At: at}
 }
 
-// Throttled counts the jobs that got no further try because the budget was used up.
+// Throttled counts the jobs that got no further attempt because the retry budget was used up.
 func (p *Plan) Throttled() int { return p.throttled }
 
-// retryAllowed tells whether what is known of a job allows a try at a time.
+// retryAllowed reports whether the class of a job allows an attempt at a time, by what is known of its earlier
+// ones.
 func retryAllowed(j *Job, at time.Time) bool {
 	if j.firstMayHaveRun.IsZero() {
 		return true
@@ -295,175 +267,16 @@
 	return false
 }
 
-// mayHaveRun tells what the end of a try leaves open.
-func mayHaveRun(r AttemptResult) bool {
-	switch r.Outcome {
-	case ConnectFailed, IdleClosed, NotSent, ClientLimited:
-		return false
-	case Answered:
-		return !r.Refused() && !r.Invalid()
-	}
-	return true
-}
-
-// finalVerdict is what the end of a try means for a job that gets no further one.
-func finalVerdict(r AttemptResult) Verdict {
-	switch r.Outcome {
-	case Answered:
-		if r.Refused() {
-			return Refused
-		}
-		return Failed
-	case ConnectFailed, IdleClosed, NotSent, ClientLimited:
-		return Refused // nobody took it: a repeat is harmless
-	}
-	return Unknown
-}
-
-// retryAt is when a next try may begin: never before the scheduler's advice, and spread
-// beyond it, as all that were refused together would come back together.
+// retryAt is when the next attempt may start: never before the scheduler's Retry-After, and at a random time after
+// it, as all jobs that were refused together would return together.
 func (p *Plan) retryAt(now time.Time, j *Job, r AttemptResult) time.Time {
 	limit := p.cfg.Backoff
 	for range j.attempts - 1 {
 		limit = min(2*limit, p.cfg.MaxBackoff)
 	}
-	jitter := time.Duration(p.random.Float64() * float64(limit))
+	jitter := p.randomPart(limit)
 	if r.Outcome == Answered && r.HasRetryAfter && r.RetryAfter >= 0 {
 		return now.Add(min(r.RetryAfter, MaxRetryAfter) + jitter)
 	}
 	return now.Add(jitter)
 }
-
-// ---- Schedulers
-
-// recordOutcome draws from the end of a try what it tells of its scheduler. A refusal is the word
-// of one that is well, though others may be the better choice.
-func (p *Plan) recordOutcome(now time.Time, i int, r AttemptResult) {
-	s := &p.schedulers[i]
-	switch r.Outcome {
-	case ClientLimited:
-		return
-	case IdleClosed:
-		if s.ejectedUntil.IsZero() && p.Available() > 1 {
-			p.eject(now, s)
-		}
-		return
-	case Answered:
-		s.consecutiveFailures, s.ejection, s.ejectedUntil = 0, 0, time.Time{}
-		refused := 0.0
-		if r.Refused() {
-			refused = 1
-		}
-		s.refusalRate += refusalWeight * (refused - s.refusalRate)
-		if r.Refused() && r.ConnectionClose && 2*(p.ejectedCount()+1) <= len(p.schedulers) {
-			p.eject(now, s)
-		}
-		return
-	}
-	s.consecutiveFailures++
-	if r.Outcome != ConnectFailed {
-		if s.consecutiveFailures < p.cfg.EjectAfter && !s.probing {
-			return
-		}
-		if s.ejectedUntil.IsZero() && 2*(p.ejectedCount()+1) > len(p.schedulers) {
-			return // more than half look ill: the evidence is at fault, or there is nowhere else
-		}
-	}
-	if now.Before(s.ejectedUntil) {
-		return // several tries that were under way tell the same
-	}
-	p.eject(now, s)
-}
-
-// eject sets a scheduler aside, for a time that is spread: all desks lose one at the same
-// moment.
-func (p *Plan) eject(now time.Time, s *scheduler) {
-	s.ejection = min(max(2*s.ejection, p.cfg.BaseEjection), p.cfg.MaxEjection)
-	s.ejectedUntil = now.Add(s.ejection/2 + time.Duration(p.random.Float64()*float64(s.ejection)))
-}
-
-const (
-	refusalWeight = 0.2 // of the last answer in the share of refusals
-	// refusalCost is how much busier one counts that refuses all: it would look idle, as it
-	// is done at once, and draw everything. Where all refuse alike it changes nothing.
-	refusalCost = 8
-)
-
-// Available counts the schedulers that are not set aside.
-func (p *Plan) Available() int { return len(p.schedulers) - p.ejectedCount() }
-
-// ejectedCount counts the schedulers that are set aside.
-func (p *Plan) ejectedCount() int {
-	n := 0
-	for i := range p.schedulers {
-		if !p.schedulers[i].ejectedUntil.IsZero() {
-			n++
-		}
-	}
-	return n
-}
-
-// spreadLoad is the load beyond which a desk turns to further schedulers. Below it, it keeps
-// to the first of its order that are well: kept connections are used again only if jobs come
-// to the same ones, and a scheduler has no sockets for a connection from every desk.
-const spreadLoad = 4
-
-// pickScheduler takes a scheduler of those that are well, and another one than the last if it can.
-// One whose time aside is over gets a single try first. With none it tells when there may
-// be one.
-func (p *Plan) pickScheduler(now time.Time, last int) (int, time.Time) {
-	var available []int
-	var returnAt time.Time
-	for _, i := range p.preference {
-		s := &p.schedulers[i]
-		switch {
-		case s.ejectedUntil.IsZero():
-			if i != last {
-				available = append(available, i)
-			}
-		case !now.Before(s.ejectedUntil) && !s.probing && len(available) == 0: // it would be the desk's own
-			s.probing = true
-			return i, now
-		default:
-			at := s.ejectedUntil
-			if s.probing {
-				at = now.Add(p.cfg.BaseEjection)
-			}
-			if returnAt.IsZero() || at.Before(returnAt) {
-				returnAt = at
-			}
-		}
-	}
-	if len(available) == 0 && last >= 0 && p.schedulers[last].ejectedUntil.IsZero() {
-		return last, now
-	}
-	if len(available) == 0 {
-		return -1, returnAt.Add(time.Duration(p.random.Float64() * float64(p.cfg.BaseEjection) / 4))
-	}
-	for subset := 1; ; subset *= 2 {
-		best := p.lessLoaded(available[:min(subset, len(available))])
-		if subset >= len(available) || p.schedulers[best].load() <= spreadLoad {
-			return best, now
-		}
-	}
-}
-
-// lessLoaded takes the less busy of two that are drawn.
-func (p *Plan) lessLoaded(of []int) int {
-	a, b := of[p.random.IntN(len(of))], of[p.random.IntN(len(of))]
-	if p.schedulers[b].load() < p.schedulers[a].load() {
-		return b
-	}
-	return a
-}
-
-func (s *scheduler) load() float64 { return float64(s.inFlight+1) * (1 + refusalCost*s.refusalRate) }
-
-// InFlight is the number of tries that are under way.
-func (p *Plan) InFlight() int {
-	n := 0
-	for i := range p.schedulers {
-		n += p.schedulers[i].inFlight
-	}
-	return n
-}
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -34,38 +34,38 @@
 	return p
 }
 
-// What a try's end means for each class: another try, or which verdict.
+// What the outcome of an attempt means for each class: another attempt, or which verdict.
 func TestAttemptOutcomes(t *testing.T) {
-	again := [4]Verdict{Pending, Pending, Pending, Pending}
+	retry := [4]Verdict{Pending, Pending, Pending, Pending}
 	for _, c := range []struct {
 		name string
 		end  AttemptResult
-		want [4]Verdict // post, batch, keyed, safe
+		want [4]Verdict // once, rack, anywhere, safe
 	}{
 		{"served", AttemptResult{Status: 200}, [4]Verdict{Served, Served, Served, Served}},
-		{"refused", AttemptResult{Status: 503}, again},
-		{"refused with another status", AttemptResult{Status: 429}, again},
+		{"refused", AttemptResult{Status: 503}, retry},
+		{"refused with another status", AttemptResult{Status: 429}, retry},
 		{"failed", AttemptResult{Status: 500}, [4]Verdict{Failed, Failed, Pending, Pending}},
-		{"an answer that nobody gives", AttemptResult{Status: 302}, [4]Verdict{Failed, Failed, Pending, Pending}},
+		{"an unexpected status", AttemptResult{Status: 302}, [4]Verdict{Failed, Failed, Pending, Pending}},
 		{"invalid", AttemptResult{Status: 400}, [4]Verdict{Invalid, Invalid, Invalid, Invalid}},
 		{"a conflict", AttemptResult{Status: 409}, [4]Verdict{Invalid, Invalid, Invalid, Invalid}},
-		{"half written", AttemptResult{Outcome: NotSent}, again},
-		{"no room", AttemptResult{Outcome: ClientLimited}, [4]Verdict{Refused, Refused, Refused, Refused}},
-		{"a kept connection ended", AttemptResult{Outcome: ReusedClosed}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
-		{"the answer is lost", AttemptResult{Outcome: NoResponse}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
-		{"the answer is garbage", AttemptResult{Outcome: Malformed}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
+		{"half written", AttemptResult{Outcome: NotSent}, retry},
+		{"no connection allowed", AttemptResult{Outcome: ClientLimited}, [4]Verdict{Refused, Refused, Refused, Refused}},
+		{"a reused connection closed", AttemptResult{Outcome: ReusedClosed}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
+		{"no response", AttemptResult{Outcome: NoResponse}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
+		{"a malformed response", AttemptResult{Outcome: Malformed}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
 	} {
 		var got [4]Verdict
 		for class := range got {
 			p := newPlan(t, testConfig())
 			j, s := p.Begin(start, class, start.Add(5*time.Second))
 			if s.Verdict != Pending || s.Retry || !s.At.Equal(start) {
-				t.Fatalf("the first try: %+v", s)
+				t.Fatalf("the first attempt: %+v", s)
 			}
 			s = p.AttemptEnded(start.Add(time.Millisecond), start, j, c.end)
 			got[class] = s.Verdict
 			if open := p.InFlight(); open != 0 {
-				t.Errorf("%s: %d tries are open after %v", c.name, open, s.Verdict)
+				t.Errorf("%s: %d attempts are in flight after %v", c.name, open, s.Verdict)
 			}
 			if s.Verdict == Pending {
 				if s = p.Start(s.At, j); !s.StartNow || !s.Retry || p.InFlight() != 1 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A refusal after a try that may have run proves nothing about that one.
+// A refusal after an attempt that may have run proves nothing about that one.
 func TestLaterRefusalProvesNothing(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[anywhereClass].MaxAttempts = 2
@@ -94,12 +94,12 @@
 	}
 }
 
-// Advice is a minimum, whatever it says; without any, waits are bounded and spread.
+// Retry-After is a minimum, whatever it says; without one, waits are bounded and spread.
 func TestRetryTimes(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		end         AttemptResult
-		least, most time.Duration
+		name             string
+		end              AttemptResult
+		minWait, maxWait time.Duration
 	}{
 		{"at once", AttemptResult{Status: 503, HasRetryAfter: true}, 0, 50 * time.Millisecond},
 		{"a moment", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 50 * time.Millisecond}, 50 * time.Millisecond,
@@ -121,8 +121,8 @@
 			j, _ := p.Begin(start, onceClass, start.Add(time.Hour))
 			s := p.AttemptEnded(start, start, j, c.end)
 			wait := s.At.Sub(start)
-			if s.Verdict != Pending || wait < c.least || wait > c.most {
-				t.Fatalf("%s: %v after %v, want %v to %v", c.name, s.Verdict, wait, c.least, c.most)
+			if s.Verdict != Pending || wait < c.minWait || wait > c.maxWait {
+				t.Fatalf("%s: %v after %v, want %v to %v", c.name, s.Verdict, wait, c.minWait, c.maxWait)
 			}
 			seen[wait] = true
 		}
@@ -132,8 +132,8 @@
 	}
 }
 
-// Refusals may wear the budget out: then a caller gets its refusal at once, and the time to
-// come back with it. Fresh jobs earn it again.
+// Refusals may use up the budget: then a caller gets its refusal at once, with the time of the retry. Fresh jobs
+// earn the budget again.
 func TestBudget(t *testing.T) {
 	p := newPlan(t, testConfig())
 	retries := 0
@@ -154,8 +154,8 @@
 	}
 }
 
-// Desks that have little to do keep to one scheduler each, and all desks together spread
-// over all; one that has much to do uses all of them.
+// Clients with little load keep to one scheduler each, and all clients together spread over all schedulers; one
+// with much load uses all of them.
 func TestSchedulerSubsets(t *testing.T) {
 	cfg := testConfig()
 	cfg.Schedulers = 6
@@ -169,7 +169,7 @@
 			p.AttemptEnded(start, start, j, AttemptResult{Status: 200})
 		}
 		if len(used) != 1 {
-			t.Fatalf("a desk uses %d schedulers for one job at a time", len(used))
+			t.Fatalf("a client uses %d schedulers for one job at a time", len(used))
 		}
 		for i := range used {
 			total[i]++
@@ -177,7 +177,7 @@
 	}
 	for i, n := range total {
 		if n < 15 || n > 55 {
-			t.Errorf("scheduler %d has %d of 200 desks, want about 33", i, n)
+			t.Errorf("scheduler %d has %d of 200 clients, want about 33", i, n)
 		}
 	}
 	p, _ := New(cfg, 1)
@@ -194,24 +194,24 @@
 	}
 }
 
-// playFirstAttempts plays the first tries of n jobs: those at scheduler i end as fail says, others are
-// served. It counts the tries at i, which must be one of the desk's own.
-func playFirstAttempts(p *Plan, at time.Time, n, i int, fail AttemptResult) (tries int) {
+// playFirstAttempts plays the first attempts of n jobs: those at scheduler i end as fail says, others are served.
+// It counts the attempts at i, which must be the one that the client prefers.
+func playFirstAttempts(p *Plan, at time.Time, n, i int, fail AttemptResult) (attempts int) {
 	for range n {
 		j, s := p.Begin(at, safeClass, at.Add(time.Hour))
 		end := AttemptResult{Status: 200}
 		if s.StartNow && s.Scheduler == i {
-			tries++
+			attempts++
 			end = fail
 		}
 		p.AttemptEnded(at, at, j, end)
 		p.Cancel(j)
 	}
-	return tries
+	return attempts
 }
 
-// A scheduler that fails is set aside after some failures, at once if nobody listens there;
-// a single try then finds out whether it is back. A desk without room says nothing of it.
+// A scheduler that fails is ejected after some failures, at once if it refuses connections; a single attempt then
+// finds out whether it is back. A client that reaches its own limits proves nothing about it.
 func TestEjection(t *testing.T) {
 	for _, c := range []struct {
 		end  AttemptResult
@@ -219,34 +219,34 @@
 	}{{AttemptResult{Outcome: ConnectFailed}, 1}, {AttemptResult{Outcome: NoResponse}, 3}, {AttemptResult{Outcome: Malformed}, 3}} {
 		p := newPlan(t, testConfig())
 		if got := playFirstAttempts(p, start, 100, p.preference[0], c.end); got != c.want || p.Available() != 2 {
-			t.Errorf("%+v: %d tries before it was set aside, %d are well", c.end, got, p.Available())
+			t.Errorf("%+v: %d attempts before it was ejected, %d are available", c.end, got, p.Available())
 		}
 		later := start.Add(2 * time.Second)
-		trials := 0
-		var trial *Job
+		probes := 0
+		var probe *Job
 		for range 100 {
 			if j, s := p.Begin(later, safeClass, later.Add(time.Hour)); s.Scheduler == p.preference[0] {
-				trials++
-				trial = j
+				probes++
+				probe = j
 			}
 		}
-		if trials != 1 {
-			t.Errorf("%d trials at once", trials)
+		if probes != 1 {
+			t.Errorf("%d probes at once", probes)
 			continue
 		}
-		// A refusal is the word of one that is well.
-		if p.AttemptEnded(later, later, trial, AttemptResult{Status: 503}); p.Available() != 3 {
-			t.Error("it is still set aside")
+		// A refusal is a response, and so the scheduler is healthy.
+		if p.AttemptEnded(later, later, probe, AttemptResult{Status: 503}); p.Available() != 3 {
+			t.Error("it is still ejected")
 		}
 	}
-	// One that refuses and closes is about to end: it is set aside at once, for a moment.
+	// One that refuses and closes the connection is about to end: it is ejected at once, for a moment.
 	p := newPlan(t, testConfig())
 	if got := playFirstAttempts(p, start, 100, p.preference[0], AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
-		t.Errorf("%d jobs went to a scheduler that ends, %d are well", got, p.Available())
+		t.Errorf("%d jobs went to a scheduler that ends, %d are available", got, p.Available())
 	}
 	p = newPlan(t, testConfig())
 	if got := playFirstAttempts(p, start, 100, p.preference[0], AttemptResult{Outcome: IdleClosed}); got != 1 || p.Available() != 2 {
-		t.Errorf("%d jobs went to one that closed its connections, %d are well", got, p.Available())
+		t.Errorf("%d jobs went to one that closed its connections, %d are available", got, p.Available())
 	}
 	for range 9 { // but never the last one
 		for i := range p.schedulers {
@@ -254,16 +254,16 @@
 		}
 	}
 	if p.Available() != 1 {
-		t.Errorf("%d are well after all closed connections, want 1", p.Available())
+		t.Errorf("%d are available after all closed connections, want 1", p.Available())
 	}
 	p = newPlan(t, testConfig())
 	if got := playFirstAttempts(p, start, 100, p.preference[0], AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
-		t.Errorf("for want of room in the desk a scheduler was set aside after %d tries", got)
+		t.Errorf("by the client's own limits a scheduler was ejected after %d attempts", got)
 	}
 }
 
-// Where nobody listens a job goes elsewhere at once: it was not handed in, so that this is
-// no retry, neither marked nor paid for.
+// Where a scheduler refuses connections a job goes to another one at once: it was not submitted, so that this is no
+// retry, neither marked nor charged to the budget.
 func TestRefusedConnectionIsNoAttempt(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryBudget, cfg.MaxTokens = 0, 0
@@ -274,7 +274,7 @@
 	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	for n := range cfg.Schedulers {
 		if !s.StartNow || s.Retry || p.InFlight() != 1 {
-			t.Fatalf("scheduler %d: %+v, %d open", n, s, p.InFlight())
+			t.Fatalf("scheduler %d: %+v, %d in flight", n, s, p.InFlight())
 		}
 		if s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: ConnectFailed}); s.Verdict != Pending || !s.At.Equal(start) {
 			t.Fatalf("%+v", s)
@@ -282,9 +282,9 @@
 		s = p.Start(start, j)
 	}
 	if !s.AllEjected || p.Available() != 0 {
-		t.Errorf("%+v, %d are well", s, p.Available())
+		t.Errorf("%+v, %d are available", s, p.Available())
 	}
-	// An earlier try may have run: then nobody listening is no refusal.
+	// An earlier attempt may have run: then a refused connection is no refusal.
 	p = newPlan(t, testConfig())
 	j, _ = p.Begin(start, safeClass, start.Add(time.Second))
 	s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: NoResponse})
@@ -298,8 +298,8 @@
 	}
 }
 
-// At most half are set aside by answers that do not come; all may be by nobody listening.
-// Then jobs wait for one to be back, or are refused at once if that is too late for them.
+// At most half are ejected for missing responses; all may be for refused connections. Then jobs wait for one to be
+// back, or are refused at once if that is too late for them.
 func TestEjectionFloor(t *testing.T) {
 	p := newPlan(t, testConfig())
 	for i := range p.schedulers {
@@ -308,25 +308,25 @@
 		}
 	}
 	if n := p.Available(); n != 2 {
-		t.Errorf("%d of 3 are well, want at least half", n)
+		t.Errorf("%d of 3 are available, want at least half", n)
 	}
 	for i := range p.schedulers {
 		p.recordOutcome(start, i, AttemptResult{Outcome: ConnectFailed})
 	}
 	if n := p.Available(); n != 0 {
-		t.Errorf("%d are well where nobody listens", n)
+		t.Errorf("%d are available where all refuse connections", n)
 	}
 	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	if s.Verdict != Pending || s.StartNow || !s.AllEjected || s.At.Before(start.Add(400*time.Millisecond)) {
 		t.Fatalf("%+v, want to wait", s)
 	}
 	if s = p.Start(s.At, j); !s.StartNow {
-		t.Errorf("no trial after the wait: %+v", s)
+		t.Errorf("no probe after the wait: %+v", s)
 	}
 	if _, s = p.Begin(start, onceClass, start.Add(100*time.Millisecond)); s.Verdict != Refused || s.At.IsZero() {
 		t.Errorf("%+v, want to be refused at once, with a time", s)
 	}
-	// The times aside are spread, as all desks lose a scheduler at once.
+	// The ejections are spread, as all clients lose a scheduler at once.
 	seen := map[time.Time]bool{}
 	for seed := range uint64(50) {
 		p, _ := New(testConfig(), seed)
@@ -334,18 +334,18 @@
 		seen[p.schedulers[0].ejectedUntil.Truncate(50*time.Millisecond)] = true
 	}
 	if len(seen) < 10 {
-		t.Errorf("50 desks come back in %d slots of 50 ms", len(seen))
+		t.Errorf("50 clients come back in %d slots of 50 ms", len(seen))
 	}
 }
 
-// A scheduler that refuses all at once looks idle: it must not draw the jobs.
+// A scheduler that refuses everything at once looks idle: it must not attract the jobs.
 func TestSchedulerThatRefusesAll(t *testing.T) {
 	p := newPlan(t, testConfig())
 	refusal := AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: time.Second}
 	if got := playFirstAttempts(p, start, 1000, p.preference[0], refusal); got > 200 {
 		t.Errorf("%d of 1,000 jobs went to it", got)
 	}
-	// And a retry goes elsewhere.
+	// And a retry goes to another one.
 	for range 50 {
 		j, s := p.Begin(start, safeClass, start.Add(time.Hour))
 		was := s.Scheduler
@@ -363,7 +363,7 @@
 		"schedulers":        func(c *Config) { c.Schedulers = 0 },
 		"classes: none":     func(c *Config) { c.Classes = nil },
 		"budget":            func(c *Config) { c.RetryBudget = 1.5 },
-		"spare":             func(c *Config) { c.MaxTokens = -1 },
+		"max tokens":        func(c *Config) { c.MaxTokens = -1 },
 		"backoff":           func(c *Config) { c.MaxBackoff = time.Millisecond },
 		"eject":             func(c *Config) { c.EjectAfter = 0 },
 		"classes[0].tries":  func(c *Config) { c.Classes[0].MaxAttempts = 0 },
@@ -378,9 +378,8 @@
 	}
 }
 
-// Whatever happens: no try starts at or past its deadline, none beyond the class's number,
-// nothing that may have run is repeated unless its class allows it, retries keep to the
-// budget, and nothing stays open.
+// Whatever happens: no attempt starts at or past the deadline, none beyond the class's number, nothing that may have
+// run is repeated unless its class allows it, retries keep to the budget, and nothing stays in flight.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
@@ -389,17 +388,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		type life struct {
+		type trackedJob struct {
 			job      *Job
 			class    int
 			deadline time.Time
 			began    time.Time
-			tries    int
+			attempts int
 			ran      time.Time
 		}
 		now, fresh, retries := start, 0, 0
-		var open []*life
-		take := func(l *life, s Step) bool {
+		var open []*trackedJob
+		take := func(l *trackedJob, s Step) bool {
 			for s.Verdict == Pending && !s.StartNow {
 				if s.At.Before(now) {
 					t.Fatal("a wait ends in the past")
@@ -409,26 +408,26 @@
 			if s.Verdict != Pending {
 				return false
 			}
-			l.tries++
+			l.attempts++
 			l.began = s.At
 			class := cfg.Classes[l.class]
 			switch {
 			case !s.At.Before(l.deadline):
-				t.Fatalf("a try starts %v past its deadline", s.At.Sub(l.deadline))
+				t.Fatalf("an attempt starts %v past its deadline", s.At.Sub(l.deadline))
 			case s.At.Before(now):
-				t.Fatal("a try starts in the past")
-			case l.tries > class.MaxAttempts:
-				t.Fatalf("try %d", l.tries)
-			case s.Retry != (l.tries > 1):
-				t.Fatal("a retry is marked wrongly")
+				t.Fatal("an attempt starts in the past")
+			case l.attempts > class.MaxAttempts:
+				t.Fatalf("attempt %d", l.attempts)
+			case s.Retry != (l.attempts > 1):
+				t.Fatal("a retry is not marked as one")
 			case s.Scheduler < 0 || s.Scheduler >= cfg.Schedulers:
 				t.Fatalf("scheduler %d", s.Scheduler)
 			}
 			if !l.ran.IsZero() && (class.Effect <= Rack || class.Effect == Anywhere &&
 				s.At.Sub(l.ran) >= class.Window) {
-				t.Fatalf("a job of effect %d that may have run is tried again", class.Effect)
+				t.Fatalf("a job of effect %d that may have run is repeated", class.Effect)
 			}
-			if l.tries > 1 {
+			if l.attempts > 1 {
 				retries++
 			}
 			return true
@@ -436,7 +435,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if n := rapid.IntRange(0, len(open)).Draw(t, "which"); n == len(open) {
-				l := &life{class: rapid.IntRange(0, 3).Draw(t, "class")}
+				l := &trackedJob{class: rapid.IntRange(0, 3).Draw(t, "class")}
 				l.deadline = now.Add(time.Duration(rapid.IntRange(-1, 3000).Draw(t, "within")) * time.Millisecond)
 				fresh++
 				var s Step
@@ -459,7 +458,7 @@
 					l.ran = l.began
 				}
 				if r.Outcome == ConnectFailed || r.Outcome == IdleClosed {
-					if l.tries--; l.tries > 0 {
+					if l.attempts--; l.attempts > 0 {
 						retries--
 					}
 				}
@@ -472,11 +471,11 @@
 				}
 			}
 		}
-		if most := 1 + cfg.RetryBudget*float64(fresh); float64(retries) > most {
-			t.Fatalf("%d retries of %d jobs, at most %v", retries, fresh, most)
+		if limit := 1 + cfg.RetryBudget*float64(fresh); float64(retries) > limit {
+			t.Fatalf("%d retries of %d jobs, at most %v", retries, fresh, limit)
 		}
 		if p.InFlight() != len(open) {
-			t.Fatalf("%d tries are open, the plan counts %d", len(open), p.InFlight())
+			t.Fatalf("%d attempts are in flight, the plan counts %d", len(open), p.InFlight())
 		}
 	})
 }
--- a/client/observer.go
+++ b/client/observer.go
@@ -6,54 +6,60 @@
 	"dahliaford/client/internal/plan"
 )
 
-// Observer is told what a client does, for counters and histograms. Its methods must be
-// safe for many goroutines, return at once and not call the client. Package
-// dahliaford/desk/prom has one for Prometheus.
+// Observer receives what a client does, for counters and histograms. Its methods must be safe for concurrent
+// use, return at once and not call the client. Package dahliaford/client/prom has one for Prometheus.
 type Observer interface {
-	// AttemptEnded is told of each try, and of each that came to nothing for want of a connection
-	// (unreached, parted, no room): its scheduler, how it ended (served, refused, failed,
-	// invalid, unreached, parted, not sent, no room, crossed, lost or garbled), and what it took.
+	// AttemptEnded is called after each attempt, and after each one that did not begin for lack of a
+	// connection (unreached, parted, no room). outcome is one of served, refused, failed, invalid, unreached,
+	// parted, not sent, no room, crossed, lost and garbled.
 	AttemptEnded(scheduler, class, outcome string, took time.Duration)
-	// JobEnded is told of each job: its Verdict, the tries that a result took (0 without a
-	// result), and what it took in all.
-	JobEnded(class, verdict string, tries int, took time.Duration)
-	// Connected is told of each new connection, and of each that did not come up.
+	// JobEnded is called for each job, with its Verdict, the attempts that the result took (0 without a
+	// result) and the time from the call of Do to its return.
+	JobEnded(class, verdict string, attempts int, took time.Duration)
+	// Connected is called for each new connection; err is why it could not be opened.
 	Connected(scheduler string, err error)
-	// Throttled is told when a job got no retry because the budget was used up.
+	// Throttled is called when a job got no retry because the retry budget was used up.
 	Throttled()
 }
 
+// noObserver ignores all events.
 type noObserver struct{}
 
+// AttemptEnded implements Observer.
 func (noObserver) AttemptEnded(string, string, string, time.Duration) {}
-func (noObserver) JobEnded(string, string, int, time.Duration)        {}
-func (noObserver) Connected(string, error)                            {}
-func (noObserver) Throttled()                                         {}
-
-// label says how a try ended.
-func (o attemptResult) label() string {
-	switch o.Outcome {
-	case plan.ConnectFailed:
-		return "unreached"
-	case plan.IdleClosed:
-		return "parted"
-	case plan.NotSent:
-		return "not sent"
-	case plan.ClientLimited:
-		return "no room"
-	case plan.ReusedClosed:
-		return "crossed"
-	case plan.NoResponse:
-		return "lost"
-	case plan.Malformed:
-		return "garbled"
+
+// JobEnded implements Observer.
+func (noObserver) JobEnded(string, string, int, time.Duration) {}
+
+// Connected implements Observer.
+func (noObserver) Connected(string, error) {}
+
+// Throttled implements Observer.
+func (noObserver) Throttled() {}
+
+// failureLabels name the outcomes without a response. Metrics have them as label values, so that they stay as
+// they are whatever the constants are called.
+var failureLabels = map[plan.Outcome]string{
+	plan.ConnectFailed: "unreached",
+	plan.IdleClosed:    "parted",
+	plan.NotSent:       "not sent",
+	plan.ClientLimited: "no room",
+	plan.ReusedClosed:  "crossed",
+	plan.NoResponse:    "lost",
+	plan.Malformed:     "garbled",
+}
+
+// label names how an attempt ended, for Observer.
+func (r attemptResult) label() string {
+	if label, failed := failureLabels[r.Outcome]; failed {
+		return label
 	}
 	switch {
-	case o.Status == 200:
+	case r.Status == statusOK:
 		return "served"
-	case o.Refused():
+	case r.Refused():
 		return "refused"
-	case o.Invalid():
+	case r.Invalid():
 		return "invalid"
 	}
 	return "failed"
--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -16,11 +16,10 @@
 	"dahliaford/client/prom"
 )
 
-// What a client does shows in its counters: a refusal, a retry, a result, and one job that
-// nobody listened to.
+// What a client does shows in its counters: a refusal, a result, and one job whose scheduler refused the connection.
 func TestCounts(t *testing.T) {
 	var n atomic.Int64
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if n.Add(1) == 1 {
 			w.WriteHeader(503)
 		}
@@ -33,7 +32,7 @@
 		t.Fatal(err)
 	}
 	if _, err := prom.New(registry); err == nil {
-		t.Error("registered twice")
+		t.Error("two observers were registered at one place")
 	}
 	do := func(addr string, want string) {
 		c, err := client.New(client.Config{Schedulers: []string{addr}, Observer: o, RetryBudget: -1,
