--- a/cmd/dahliaford/check.go
+++ b/cmd/dahliaford/check.go
@@ -10,7 +10,7 @@
 	File string `arg:"" type:"path" help:"An appliance's file, such as deploy/appliance.json."`
 }
 
-// Run says that a file is in order, or in one line what is wrong with it.
+// Run says that a file is in order, or in one line what is invalid in it.
 func (c *checkFileCmd) Run(s *streams) error {
 	raw, err := readFile(c.File, maxFileBytes)
 	if err != nil {
@@ -20,10 +20,10 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	what := "no job store"
+	configured := "no job store"
 	if cfg.Store != nil {
-		what = "job store in " + cfg.Store.Path
+		configured = "job store in " + cfg.Store.Path
 	}
-	_, err = fmt.Fprintf(s.out, "%s is in order: %s\n", c.File, what)
+	_, err = fmt.Fprintf(s.out, "%s is in order: %s\n", c.File, configured)
 	return err
 }
--- a/cmd/dahliaford/compat_test.go
+++ b/cmd/dahliaford/compat_test.go
@@ -10,19 +10,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// leaves lists the values within v in the order of their fields, whatever the fields are called and
+// scalars lists the values within v in the order of their fields, whatever the fields are called and
 // however their types print themselves.
-func leaves(v reflect.Value) []string {
+func scalars(v reflect.Value) []string {
 	var all []string
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			all = append(all, leaves(v.Field(i))...)
+			all = append(all, scalars(v.Field(i))...)
 		}
 	case reflect.Slice, reflect.Array:
 		all = append(all, fmt.Sprint("#", v.Len()))
 		for i := range v.Len() {
-			all = append(all, leaves(v.Index(i))...)
+			all = append(all, scalars(v.Index(i))...)
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		all = append(all, fmt.Sprint(v.Int()))
@@ -38,7 +38,7 @@
 		if v.IsNil() {
 			return []string{"nil"}
 		}
-		all = append(all, leaves(v.Elem())...)
+		all = append(all, scalars(v.Elem())...)
 	default:
 		panic("no way to list a " + v.Type().String())
 	}
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := strings.Join(leaves(reflect.ValueOf(cfg)), "\n") + "\n"
+	got := strings.Join(scalars(reflect.ValueOf(cfg)), "\n") + "\n"
 	if diff := cmp.Diff(string(want), got); diff != "" {
 		t.Error(diff)
 	}
--- a/cmd/dahliaford/config.go
+++ b/cmd/dahliaford/config.go
@@ -13,10 +13,18 @@
 	"dahliaford/internal/settings"
 )
 
-// configuration reads the file that BALANCER_CONFIG names. The other variables,
-// where set, go before it. On a reload the file alone says where discovery is: the
-// variables are as old as the process, and could never be replaced.
-func configuration(env func(string) string, reload bool) (node.Config, error) {
+// readOccasion says why the configuration is read.
+type readOccasion int
+
+const (
+	atStart readOccasion = iota
+	onReload
+)
+
+// configuration reads the file that BALANCER_CONFIG names. The other variables take precedence over it where they
+// are set. On a reload the file alone says where discovery is: the variables are as old as the process, and could
+// never be changed.
+func configuration(env func(string) string, occasion readOccasion) (node.Config, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
 		return node.Config{}, errors.New("BALANCER_CONFIG names no file")
@@ -29,12 +37,10 @@
 	if err != nil {
 		return cfg, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	for name, field := range map[string]*string{
-		"BALANCER_NAME": &cfg.Name, "BALANCER_LISTEN": &cfg.Listen, "BALANCER_DISCOVERY": &cfg.Discovery,
-	} {
-		if value := env(name); value != "" && !(reload && name == "BALANCER_DISCOVERY") {
-			*field = value
-		}
+	override(&cfg.Name, env("BALANCER_NAME"))
+	override(&cfg.Listen, env("BALANCER_LISTEN"))
+	if occasion == atStart {
+		override(&cfg.Discovery, env("BALANCER_DISCOVERY"))
 	}
 	switch {
 	case cfg.Listen == "":
@@ -45,8 +51,16 @@
 	return cfg, err
 }
 
+// override sets a field to the value of a variable, where that is set.
+func override(field *string, value string) {
+	if value != "" {
+		*field = value
+	}
+}
+
+// parse reads the text of a configuration. Unknown fields are skipped, and null is the same as absent.
 func parse(raw []byte) (cfg node.Config, err error) {
-	var known, set []byte
+	var known, settingsObject []byte
 	var seed string
 	in := jlexer.Lexer{Data: raw}
 	node.Fields(&in, func(key string) {
@@ -60,11 +74,11 @@
 		case "seed":
 			seed = in.String()
 		case "limits":
-			cfg.Sockets, cfg.MemoryMB = limits(&in)
+			cfg.Sockets, cfg.MemoryMB = parseLimits(&in)
 		case "known":
 			known = in.Raw()
 		case "settings":
-			set = in.Raw()
+			settingsObject = in.Raw()
 		default:
 			in.SkipRecursive()
 		}
@@ -73,31 +87,38 @@
 	if err := in.Error(); err != nil {
 		return cfg, err
 	}
-	if cfg.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil && seed != "" {
-		return cfg, fmt.Errorf("seed %q is not a hexadecimal number", seed)
+	if cfg.Seed, err = parseSeed(seed); err != nil {
+		return cfg, err
 	}
 	if len(known) > 0 {
-		// It may be old, and nothing is sent by it alone: what is no use of it ends no start.
+		// It may be of any age, and nothing is sent to a worker because of it alone: an invalid one does not keep
+		// the program from starting.
 		known, invalid, err := node.DecodeList(known)
-		if cfg.Known, cfg.InvalidKnown = known, invalid; err != nil {
+		cfg.Known, cfg.InvalidKnown = known, invalid
+		if err != nil {
 			cfg.Known.Workers, cfg.InvalidKnown = nil, err
 		}
 	}
-	if len(set) == 0 {
+	if len(settingsObject) == 0 {
 		return cfg, errors.New("no settings")
 	}
-	cfg.Settings, err = settings.Parse(set)
+	cfg.Settings, err = settings.Parse(settingsObject)
 	return cfg, err
 }
 
-// needsRestart tells whether a configuration differs from the one that the process started
-// with in something that a reload does not apply.
-func needsRestart(old, now node.Config) bool {
-	return old.Name != now.Name || old.Listen != now.Listen || old.Sockets != now.Sockets ||
-		old.MemoryMB != now.MemoryMB || !reflect.DeepEqual(old.Settings, now.Settings)
+// parseSeed reads a hexadecimal number; without one the seed is 0.
+func parseSeed(text string) (uint64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return 0, fmt.Errorf("seed %q is not a hexadecimal number", text)
+	}
+	return seed, nil
 }
 
-func limits(in *jlexer.Lexer) (sockets, memoryMB int) {
+func parseLimits(in *jlexer.Lexer) (sockets, memoryMB int) {
 	node.Fields(in, func(key string) {
 		switch key {
 		case "sockets":
@@ -110,3 +131,10 @@
 	})
 	return sockets, memoryMB
 }
+
+// needsRestart reports whether a configuration differs from the one that the process started with in a field that a
+// reload does not apply.
+func needsRestart(started, now node.Config) bool {
+	return started.Name != now.Name || started.Listen != now.Listen || started.Sockets != now.Sockets ||
+		started.MemoryMB != now.MemoryMB || !reflect.DeepEqual(started.Settings, now.Settings)
+}
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -18,10 +18,10 @@
 	"settings":{"discovery":"on_request","grades":[{"name":"a","semantics":"idempotent","deadline":5}]}}`
 
 func readConfiguration(t *testing.T, text string, env map[string]string) (string, error) {
-	return readConfigurationOn(t, text, env, false)
+	return readConfigurationOn(t, text, env, atStart)
 }
 
-func readConfigurationOn(t *testing.T, text string, env map[string]string, reload bool) (string, error) {
+func readConfigurationOn(t *testing.T, text string, env map[string]string, occasion readOccasion) (string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -32,7 +32,7 @@
 			return path
 		}
 		return env[name]
-	}, reload)
+	}, occasion)
 	read := append([]string{cfg.Name, cfg.Listen, cfg.Discovery}, cfg.Settings.Classes...)
 	return strings.Join(read, " "), err
 }
@@ -48,7 +48,7 @@
 	}
 }
 
-// A field that is null is as one that is absent, whatever the order, and unknown ones are passed over.
+// A field that is null is the same as one that is absent, whatever the order, and unknown ones are skipped.
 func TestNullIsAbsent(t *testing.T) {
 	const text = `{"settings":{"limits":null,"new":[{}],"customers":null,"guarantees":null,"family_info":null,
 		"grades":[{"deadline":5,"dedup_scope":null,"semantics":"idempotent","name":"a"}]},"limits":null,"seed":null,
@@ -63,17 +63,17 @@
 	}
 }
 
-// Each mistake is told in one line that names its place.
+// Each mistake gets an error of one line that names its place.
 func TestInvalidConfigurations(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
-		"not JSON":       {`{"name"`, `name`, "parse error"},
-		"broken off":     {`"idempotent","deadline":5}]}}`, ``, "EOF"},
-		"odd seed":       {`8c1f`, `xyz`, "seed"},
-		"no settings":    {`"settings"`, `"sett"`, "no settings"},
-		"odd settings":   {`idempotent`, `often`, "grades[0].semantics"},
-		"no listener":    {`"listen"`, `"l"`, "no listen address"},
-		"no discovery":   {`"discovery"`, `"d"`, "no discovery address"},
-		"words for sums": {`1024`, `"many"`, "parse error"},
+		"not JSON":            {`{"name"`, `name`, "parse error"},
+		"cut off":             {`"idempotent","deadline":5}]}}`, ``, "EOF"},
+		"invalid seed":        {`8c1f`, `xyz`, "seed"},
+		"no settings":         {`"settings"`, `"sett"`, "no settings"},
+		"invalid settings":    {`idempotent`, `often`, "grades[0].semantics"},
+		"no listener":         {`"listen"`, `"l"`, "no listen address"},
+		"no discovery":        {`"discovery"`, `"d"`, "no discovery address"},
+		"a text for a number": {`1024`, `"many"`, "parse error"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := readConfiguration(t, strings.Replace(validConfig, c.old, c.new, 1), nil)
@@ -84,16 +84,16 @@
 	}
 }
 
-// What is known may be of any age. If it makes no sense, the start goes on without it.
+// The known list may be of any age. If it is invalid, the start goes on without it.
 func TestInvalidKnownListEndsNoStart(t *testing.T) {
-	const whole = `{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"ready"}`
+	const valid = `{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"ready"}`
 	for targets, want := range map[string]int{
-		`[]`: 0, `[` + whole + `]`: 1, `[{"state":"odd"},` + whole + `]`: 1, `[3,` + whole + `]`: 1, `3`: 0,
+		`[]`: 0, `[` + valid + `]`: 1, `[{"state":"odd"},` + valid + `]`: 1, `[3,` + valid + `]`: 1, `3`: 0,
 	} {
 		cfg, err := parse([]byte(strings.Replace(validConfig, `"targets":[]`, `"targets":`+targets, 1)))
 		if invalid := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
 			(cfg.InvalidKnown != nil) != invalid || len(cfg.Known.Workers) != want {
-			t.Errorf("%s: %v, odd %v, %d workers", targets, err, cfg.InvalidKnown, len(cfg.Known.Workers))
+			t.Errorf("%s: %v, invalid %v, %d workers", targets, err, cfg.InvalidKnown, len(cfg.Known.Workers))
 		}
 	}
 }
@@ -101,17 +101,25 @@
 // On a reload the file says where discovery is, whatever the process was started with.
 func TestFileWinsOnReload(t *testing.T) {
 	env := map[string]string{"BALANCER_NAME": "n4", "BALANCER_DISCOVERY": "127.0.0.1:9"}
-	for reload, want := range map[bool]string{false: "n4 127.0.0.1:0 127.0.0.1:9 a",
-		true: "n4 127.0.0.1:0 127.0.0.1:1 a"} {
-		got, err := readConfigurationOn(t, validConfig, env, reload)
+	for occasion, want := range map[readOccasion]string{atStart: "n4 127.0.0.1:0 127.0.0.1:9 a",
+		onReload: "n4 127.0.0.1:0 127.0.0.1:1 a"} {
+		got, err := readConfigurationOn(t, validConfig, env, occasion)
 		if diff := cmp.Diff(want, got); diff != "" || err != nil {
 			t.Error(diff, err)
 		}
 	}
 }
 
-// SIGHUP goes over to the discovery that the file now names, more than once, and a
-// half-written file changes nothing: the next whole one does. SIGTERM still ends it.
+// sendSignal sends a signal to the test's own process.
+func sendSignal(t *testing.T, signal syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), signal); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// SIGHUP moves the watch to the discovery that the file now names, more than once, and a half-written file changes
+// nothing: the next complete one does. SIGTERM still ends the program.
 func TestSIGHUP(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("BALANCER_CONFIG", path)
@@ -129,7 +137,7 @@
 				t.Fatal(err)
 			}
 			if signal != 0 {
-				syscall.Kill(os.Getpid(), signal)
+				sendSignal(t, signal)
 			}
 		}
 		half = text[:len(text)/2]
@@ -139,7 +147,9 @@
 	done := make(chan error, 1)
 	go func() { done <- (serveCmd{}).Run() }()
 	expectPoll := func(l net.Listener) {
-		l.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Second))
+		if err := l.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
 		conn, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -149,18 +159,18 @@
 	expectPoll(first)
 	expectPoll(nextDiscovery(syscall.SIGHUP))
 	expectPoll(nextDiscovery(syscall.SIGHUP))
-	// The signal comes once, while the file is being written: it is read again by itself.
-	whole, err := os.ReadFile(path)
+	// The signal comes once, while the file is being written: it is read again without another signal.
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, whole[:len(whole)/2], 0o600); err != nil {
+	if err := os.WriteFile(path, complete[:len(complete)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	syscall.Kill(os.Getpid(), syscall.SIGHUP)
+	sendSignal(t, syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
 	expectPoll(nextDiscovery(0))
-	syscall.Kill(os.Getpid(), syscall.SIGTERM)
+	sendSignal(t, syscall.SIGTERM)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
--- a/cmd/dahliaford/log_test.go
+++ b/cmd/dahliaford/log_test.go
@@ -11,18 +11,22 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Bad requests by the thousand must not make a line each; others are not hidden by them.
+// Thousands of invalid requests must not make a line each, and must not hide lines with another message.
 func TestLogIsRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	h := newRateLimitedHandler(slog.NewTextHandler(&out, nil))
-	say := func(text string, at int64) {
-		h.Handle(context.Background(), slog.NewRecord(time.Unix(at, 0), slog.LevelWarn, text, 0))
+	log := func(text string, at int64) {
+		t.Helper()
+		record := slog.NewRecord(time.Unix(at, 0), slog.LevelWarn, text, 0)
+		if err := h.Handle(context.Background(), record); err != nil {
+			t.Error(err)
+		}
 	}
 	for range 1000 {
-		say("bad", 100)
+		log("bad", 100)
 	}
-	say("other", 100)
-	say("bad", 106)
+	log("other", 100)
+	log("bad", 106)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if diff := cmp.Diff(maxLines+2, len(lines)); diff != "" {
 		t.Fatal(diff)
--- a/cmd/dahliaford/send_test.go
+++ b/cmd/dahliaford/send_test.go
@@ -16,8 +16,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// startScheduler answers by the body of a job: "busy", "broken" and "odd" fail in their ways,
-// all else is served in capitals.
+// startScheduler starts a scheduler that answers by the body of a job: "busy" is refused, "broken" fails, "odd" is
+// invalid, and all else is served in capitals.
 func startScheduler(t *testing.T) (addr string, seen chan http.Header) {
 	t.Helper()
 	seen = make(chan http.Header, 100)
@@ -33,9 +33,9 @@
 			w.WriteHeader(500)
 		case "odd":
 			w.WriteHeader(400)
-			io.WriteString(w, "no such thing")
+			_, _ = io.WriteString(w, "no such thing") // a client that is gone shows in the test itself
 		default:
-			io.WriteString(w, strings.ToUpper(string(body)))
+			_, _ = io.WriteString(w, strings.ToUpper(string(body)))
 		}
 	}))
 	t.Cleanup(s.Close)
@@ -72,17 +72,17 @@
 		{name: "text", args: []string{at, "--class=a", "--data=4211x"}, out: "4211X"},
 		{name: "standard input", args: []string{at, "--class=a", "--data=-"}, in: "in", out: "IN"},
 		{name: "a file", args: []string{at, "--class=a", "--data=@" + tempFile(t, "filed")}, out: "FILED"},
-		{name: "a scheduler goes before the file's", args: []string{"--config=" + config, at, "--class=post-reading",
+		{name: "a scheduler takes precedence over the file's", args: []string{"--config=" + config, at, "--class=post-reading",
 			"--data=x"}, out: "X"},
 		{name: "the configuration by the flag's former name", args: []string{"--desk=" + config, at,
 			"--class=post-reading", "--data=x"}, out: "X"},
 		{name: "both names of the flag", args: []string{"--desk=/nowhere/x", "--config=" + config, at,
 			"--class=post-reading", "--data=x"}, out: "X"},
 		{name: "refused", args: []string{at, "--class=a", "--data=busy"}, status: exitTempFail, errs: "come back in"},
-		{name: "nobody listens", args: []string{"--config=" + config, "--class=post-reading"}, status: exitTempFail,
+		{name: "connection refused", args: []string{"--config=" + config, "--class=post-reading"}, status: exitTempFail,
 			errs: "not sent"},
 		{name: "failed", args: []string{at, "--class=a", "--data=broken"}, status: exitFailed, errs: "status 500"},
-		{name: "makes no sense there", args: []string{at, "--class=a", "--data=odd"}, status: exitUsage,
+		{name: "invalid at the scheduler", args: []string{at, "--class=a", "--data=odd"}, status: exitUsage,
 			errs: "no such thing"},
 		{name: "unknown class", args: []string{"--config=" + config, "--class=b"}, status: exitUsage,
 			errs: `unknown class "b"`},
@@ -97,8 +97,8 @@
 			errs: "classes is required"},
 		{name: "too long", args: []string{at, "--class=a", "--data=-"}, in: strings.Repeat("x", 65<<10),
 			status: exitUsage, errs: "over 65536 bytes"},
-		{name: "a wrong span", args: []string{at, "--class=a", "--within=5"}, status: exitUsage, errs: "--within"},
-		{name: "a negative span", args: []string{at, "--class=a", "--within=-5s"}, status: exitUsage,
+		{name: "an invalid duration", args: []string{at, "--class=a", "--within=5"}, status: exitUsage, errs: "--within"},
+		{name: "a negative duration", args: []string{at, "--class=a", "--within=-5s"}, status: exitUsage,
 			errs: "--within"},
 		{name: "an unknown flag", args: []string{at, "--color=a"}, status: exitUsage, errs: "--color"},
 	} {
@@ -127,8 +127,8 @@
 		t.Error(diff)
 	}
 	var remaining int
-	if fmt.Sscan(h.Get("X-Remaining-Ms"), &remaining); remaining < 1000 || remaining > 3000 {
-		t.Errorf("%d ms left of 3 s", remaining)
+	if _, err := fmt.Sscan(h.Get("X-Remaining-Ms"), &remaining); err != nil || remaining < 1000 || remaining > 3000 {
+		t.Errorf("%d ms remain of 3 s", remaining)
 	}
 }
 
@@ -154,9 +154,9 @@
 		e.Error = ""
 		ends = append(ends, e)
 	}
-	want := []jobOutcome{{Line: 1, Class: "a", Outcome: "served", Tries: 1, Result: "ONE"},
+	want := []jobOutcome{{Line: 1, Class: "a", Outcome: "served", Attempts: 1, Result: "ONE"},
 		{Line: 3, Class: "a", Outcome: "refused"},
-		{Line: 4, Class: "b", Outcome: "served", Tries: 1, Result: "TWO"},
+		{Line: 4, Class: "b", Outcome: "served", Attempts: 1, Result: "TWO"},
 		{Line: 5, Class: "b", Outcome: "failed"}}
 	if diff := cmp.Diff(want, ends); diff != "" {
 		t.Error(diff)
@@ -183,7 +183,7 @@
 		}
 	}
 	if len(seen) != sent {
-		t.Error("jobs of a file that makes no sense were handed in")
+		t.Error("jobs of an invalid file were submitted")
 	}
 }
 
--- a/cmd/dahliaford/signal_test.go
+++ b/cmd/dahliaford/signal_test.go
@@ -11,13 +11,13 @@
 	"testing"
 )
 
-// A signal that comes between the end of serving and the end of the process does not kill it: by its
-// status that would look like a crash.
+// A signal that comes between the end of serving and the end of the process does not kill it: by its status that would
+// look like a crash.
 func TestSignalsAfterServing(t *testing.T) {
-	if os.Getenv("BEHIND_THE_END") != "" { // the process of its own
+	if os.Getenv("DAHLIAFORD_TEST_CHILD") != "" { // this is the child process
 		err := (serveCmd{}).Run()
-		syscall.Kill(os.Getpid(), syscall.SIGHUP)
-		syscall.Kill(os.Getpid(), syscall.SIGTERM)
+		sendSignal(t, syscall.SIGHUP)
+		sendSignal(t, syscall.SIGTERM)
 		fmt.Println("ended:", err)
 		os.Exit(0)
 	}
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	child := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
-	child.Env = append(os.Environ(), "BEHIND_THE_END=1", "BALANCER_CONFIG="+path)
+	child.Env = append(os.Environ(), "DAHLIAFORD_TEST_CHILD=1", "BALANCER_CONFIG="+path)
 	out := &strings.Builder{}
 	child.Stdout = out
 	log, err := child.StderrPipe()
@@ -36,10 +36,12 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer child.Process.Kill()
+	defer func() { _ = child.Process.Kill() }() // it has ended, unless the test failed
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		if strings.Contains(lines.Text(), "msg=serving") {
-			child.Process.Signal(syscall.SIGTERM)
+			if err := child.Process.Signal(syscall.SIGTERM); err != nil {
+				t.Error(err)
+			}
 		}
 	}
 	if err := child.Wait(); err != nil || !strings.Contains(out.String(), "ended: <nil>") {
--- a/cmd/dahliaford/store.go
+++ b/cmd/dahliaford/store.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"text/tabwriter"
 	"time"
 
@@ -12,26 +13,26 @@
 
 type storeCmd struct {
 	Check   checkCmd   `cmd:"" help:"Check each record, and name what is broken."`
-	Show    showCmd    `cmd:"" help:"Tell an item's life in order."`
+	Show    showCmd    `cmd:"" help:"Print the history of an item."`
 	Backup  backupCmd  `cmd:"" help:"Copy a store that no process has open into a new file."`
 	Restore restoreCmd `cmd:"" help:"Make a store of a backup, where there is none yet."`
-	Compact compactCmd `cmd:"" help:"Give space back that deleted items took."`
+	Compact compactCmd `cmd:"" help:"Give back the space of deleted items."`
 }
 
 type checkCmd struct {
 	File string `arg:"" type:"path" help:"The store."`
 }
 
-// Run prints a line for each fault. Status 1: there are some.
+// Run prints a line for each fault. The status is 1 if there is one.
 func (c *checkCmd) Run(s *streams) error {
 	items, faults, err := store.Check(c.File)
 	if err != nil {
 		return err
 	}
-	for _, f := range faults {
-		fmt.Fprintln(s.out, f)
+	for _, fault := range faults {
+		s.printf("%v\n", fault)
 	}
-	fmt.Fprintf(s.out, "%d items in order, %d faults\n", items, len(faults))
+	s.printf("%d items in order, %d faults\n", items, len(faults))
 	if len(faults) > 0 {
 		return exitError{status: exitFailed}
 	}
@@ -43,39 +44,55 @@
 	ID   string `arg:"" help:"The item's id."`
 }
 
-// Run prints what the record says, in the order in which it came about.
+// Run prints what the record says, in the order of the events. The error is the first fault of the record.
 func (c *showCmd) Run(s *streams) error {
 	r, err := store.OpenReader(c.File)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
+	defer closeReadOnly(r)
 	it, err := r.Find(c.ID)
 	if err != nil {
 		return fmt.Errorf("item %q: %w", c.ID, err)
 	}
-	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	line := func(at lifecycle.Micros, format string, args ...any) {
-		fmt.Fprintf(t, "%s\t%s\n", time.UnixMicro(int64(at)).UTC().Format("2006-01-02 15:04:05.000000"),
-			fmt.Sprintf(format, args...))
-	}
-	line(it.Accepted, "accepted: class %s, tenant %q, key %q, %d bytes, until %s", it.Class, it.Tenant, it.Key,
-		len(it.Body), time.UnixMicro(int64(it.Deadline)).UTC().Format("2006-01-02 15:04:05.000"))
-	for i, a := range it.Attempts {
-		line(a.At, "attempt %d: routed to %s, rack %s", i+1, a.Worker, a.Rack)
-		if a.Outcome != lifecycle.Unfinished {
-			line(a.Ended, "attempt %d: %v", i+1, a.Outcome)
+	h := history{tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)}
+	h.print(it)
+	return errors.Join(h.Flush(), it.Check())
+}
+
+// history prints an item as a table. Its lines are kept in memory: Flush reports an error of the output.
+type history struct{ *tabwriter.Writer }
+
+func (h history) line(label, format string, args ...any) {
+	_, _ = io.WriteString(h, label+"\t"+fmt.Sprintf(format, args...)+"\n")
+}
+
+func (h history) print(it *lifecycle.Item) {
+	h.line(showTime(it.Accepted), "accepted: class %s, tenant %q, key %q, %d bytes, until %s", it.Class, it.Tenant,
+		it.Key, len(it.Body), showMillis(it.Deadline))
+	for i, attempt := range it.Attempts {
+		h.line(showTime(attempt.At), "attempt %d: routed to %s, rack %s", i+1, attempt.Worker, attempt.Rack)
+		if attempt.Outcome != lifecycle.Unfinished {
+			h.line(showTime(attempt.Ended), "attempt %d: %v", i+1, attempt.Outcome)
 		}
 	}
-	if it.Verdict != lifecycle.None {
-		line(it.Answered, "answered: %v, %d bytes, kept until %s", it.Verdict, len(it.Result),
-			time.UnixMicro(int64(it.KeepUntil)).UTC().Format("2006-01-02 15:04:05.000"))
-	} else if it.Outstanding() {
-		fmt.Fprintln(t, "now\tthe attempt has not ended, as far as the store knows")
-	} else {
-		fmt.Fprintln(t, "now\tit waits")
+	switch {
+	case it.Verdict != lifecycle.None:
+		h.line(showTime(it.Answered), "answered: %v, %d bytes, readable until %s", it.Verdict, len(it.Result),
+			showMillis(it.KeepUntil))
+	case it.Outstanding():
+		h.line("now", "the attempt is in flight, as far as the store knows")
+	default:
+		h.line("now", "it waits")
 	}
-	return errors.Join(t.Flush(), it.Check())
+}
+
+func showTime(at lifecycle.Micros) string {
+	return time.UnixMicro(int64(at)).UTC().Format("2006-01-02 15:04:05.000000")
+}
+
+func showMillis(at lifecycle.Micros) string {
+	return time.UnixMicro(int64(at)).UTC().Format("2006-01-02 15:04:05.000")
 }
 
 type backupCmd struct {
@@ -91,24 +108,26 @@
 	File   string `arg:"" type:"path" help:"The new store."`
 }
 
-// Run makes the store.
+// Run makes the store and prints how many items it has.
 func (c *restoreCmd) Run(s *streams) error {
 	n, err := store.Restore(c.Backup, c.File)
-	if err == nil {
-		fmt.Fprintf(s.out, "%d items restored\n", n)
+	if err != nil {
+		return err
 	}
-	return err
+	s.printf("%d items restored\n", n)
+	return nil
 }
 
 type compactCmd struct {
 	File string `arg:"" type:"path" help:"The store."`
 }
 
-// Run compacts.
+// Run compacts the store and prints its size, and what it was before.
 func (c *compactCmd) Run(s *streams) error {
 	before, after, err := store.Compact(c.File)
-	if err == nil {
-		fmt.Fprintf(s.out, "%d bytes, %d before\n", after, before)
+	if err != nil {
+		return err
 	}
-	return err
+	s.printf("%d bytes, %d before\n", after, before)
+	return nil
 }
--- a/cmd/dahliaford/store_test.go
+++ b/cmd/dahliaford/store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -11,8 +12,8 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// The commands as somebody on call would use them: check, show, back up, restore, compact;
-// and what they say where something is wrong.
+// The commands as somebody on call would use them: check, show, back up, restore, compact; and what they print where
+// something is invalid.
 func TestStoreCommands(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "jobs")
@@ -83,7 +84,7 @@
 		!strings.Contains(errs, "not in order") {
 		t.Errorf("restore of what is not in order: %d, %q", status, errs)
 	}
-	// Without the wrong one all goes through, and the copy holds what the store held.
+	// Without the invalid item all commands succeed, and the copy has what the store had.
 	if s, err = store.Open(store.Config{Path: path}); err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +92,9 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	os.Remove(backup)
+	if err := os.Remove(backup); err != nil && !errors.Is(err, os.ErrNotExist) {
+		t.Fatal(err)
+	}
 	for _, args := range [][]string{{"backup", path, backup}, {"restore", backup, other}, {"compact", other},
 		{"check", other}} {
 		if status, out, errs := call(args...); status != exitOK {
