--- a/client/attempt.go
+++ b/client/attempt.go
@@ -184,8 +184,8 @@
 	return failedAttempt(plan.NoResponse, err)
 }
 
-// parseRetryAfter reads Retry-After: seconds, whole or decimal, plan.MaxRetryAfter at most. A date, or what is
-// no number, counts as no advice.
+// parseRetryAfter reads Retry-After: seconds, whole or decimal, plan.MaxRetryAfter at most. A date, or what
+// is no number, counts as no advice.
 func parseRetryAfter(text string) (time.Duration, bool) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds >= 0) { // NaN is not, either
--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -12,8 +12,8 @@
 	"dahliaford/internal/http1"
 )
 
-// A job that is served at once, through the library and by a bare net/http call, against the same scheduler in the
-// same run.
+// A job that is served at once, through the library and by a bare net/http call, against the same scheduler
+// in the same run.
 func BenchmarkServedJob(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,7 @@
 // Package client is the client library of dahliaford: it submits jobs to the schedulers and waits for their
-// results. It keeps a job's deadline over all its attempts, marks retries as such, honours refusals with their
-// Retry-After, repeats nothing that the job's class does not allow, and bounds the load that retries add.
+// results. It keeps a job's deadline over all its attempts, marks retries as such, honours refusals with
+// their Retry-After, repeats nothing that the job's class does not allow, and bounds the load that retries
+// add.
 package client
 
 import (
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -20,8 +20,8 @@
 	"dahliaford/internal/testcluster"
 )
 
-// scriptedScheduler is a scheduler that answers each request with the bytes that a test gives, and then does as then
-// says: keep, close, reset, trickle or silent.
+// scriptedScheduler is a scheduler that answers each request with the bytes that a test gives, and then
+// does as then says: keep, close, reset, trickle or silent.
 type scriptedScheduler struct {
 	net.Listener
 	received atomic.Int64 // complete requests
@@ -79,10 +79,11 @@
 
 func newTestClient(t *testing.T, schedulers ...string) *Client {
 	t.Helper()
-	c, err := New(Config{Schedulers: schedulers, Tenant: "sahel", Seed: 1, RetryBudget: 1, Classes: map[string]Class{
-		"post-reading":   {Deadline: 5 * time.Second, Effect: Once},
-		"district-batch": {Deadline: 20 * time.Second, Effect: Rack},
-		"look":           {Deadline: 5 * time.Second, Effect: Safe, MaxAttempts: 3}}})
+	c, err := New(Config{Schedulers: schedulers, Tenant: "sahel", Seed: 1, RetryBudget: 1,
+		Classes: map[string]Class{
+			"post-reading":   {Deadline: 5 * time.Second, Effect: Once},
+			"district-batch": {Deadline: 20 * time.Second, Effect: Rack},
+			"look":           {Deadline: 5 * time.Second, Effect: Safe, MaxAttempts: 3}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,8 +146,8 @@
 	}
 }
 
-// A refusal is honoured: the next attempt comes no sooner, with a new id and marked as a retry, and the last refusal
-// is returned to the caller.
+// A refusal is honoured: the next attempt comes no sooner, with a new id and marked as a retry, and the
+// last refusal is returned to the caller.
 func TestRefusals(t *testing.T) {
 	s := startScripted(t, func(n int64) (string, string) {
 		if n < 3 {
@@ -182,8 +183,8 @@
 	}
 }
 
-// A scheduler that refuses connections: the job did not run, another scheduler gets it, and without one the caller
-// may submit it again.
+// A scheduler that refuses connections: the job did not run, another scheduler gets it, and without one the
+// caller may submit it again.
 func TestConnectionRefused(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -203,8 +204,8 @@
 	}
 }
 
-// A reused connection that closes as the next request crosses it: for what must not run twice the outcome is unknown,
-// and what is safe is repeated.
+// A reused connection that closes as the next request crosses it: for what must not run twice the outcome
+// is unknown, and what is safe is repeated.
 func TestReusedConnectionCloses(t *testing.T) {
 	for class, want := range map[string]string{"post-reading": "unknown", "district-batch": "unknown",
 		"look": "served"} {
@@ -224,8 +225,8 @@
 	}
 }
 
-// An idle connection that has closed before the next request is not used for it: a scheduler closes idle ones when it
-// runs short of sockets, and that must not cost a job its result.
+// An idle connection that has closed before the next request is not used for it: a scheduler closes idle
+// ones when it runs short of sockets, and that must not cost a job its result.
 func TestIdleConnectionAlreadyClosed(t *testing.T) {
 	for _, then := range []string{"reset", "close"} {
 		s := startScripted(t, func(int64) (string, string) { return served, then })
@@ -253,8 +254,8 @@
 	}
 }
 
-// A scheduler that does not respond: the call returns by the deadline. A caller that cancels closes the connection at
-// once.
+// A scheduler that does not respond: the call returns by the deadline. A caller that cancels closes the
+// connection at once.
 func TestNoResponse(t *testing.T) {
 	s := startScripted(t, func(int64) (string, string) { return "", "silent" })
 	c := newTestClient(t, s.Addr().String())
@@ -306,8 +307,8 @@
 	}
 }
 
-// Clients against the real program: what is served is what the worker returned, nothing that must not run twice does,
-// and every call returns once.
+// Clients against the real program: what is served is what the worker returned, nothing that must not run
+// twice does, and every call returns once.
 func TestAgainstTheRealProgram(t *testing.T) {
 	bin, err := buildScheduler()
 	if err != nil {
--- a/client/config.go
+++ b/client/config.go
@@ -27,7 +27,8 @@
 	Safe Effect = "safe"
 )
 
-var effects = map[Effect]plan.Effect{Once: plan.Once, Rack: plan.Rack, Anywhere: plan.Anywhere, Safe: plan.Safe}
+var effects = map[Effect]plan.Effect{Once: plan.Once, Rack: plan.Rack, Anywhere: plan.Anywhere,
+	Safe: plan.Safe}
 
 // Class describes a class of jobs. It must agree with the schedulers' settings of that class.
 type Class struct {
--- a/client/errors.go
+++ b/client/errors.go
@@ -30,7 +30,9 @@
 func (e *FailedError) Error() string { return fmt.Sprintf("client: failed, status %d", e.Status) }
 
 // UnknownOutcomeError says that a job may have run and that its result cannot be determined.
-type UnknownOutcomeError struct{ Cause error } // nil: an earlier attempt may have run, the last one was refused
+type UnknownOutcomeError struct {
+	Cause error // nil: an earlier attempt may have run, the last one was refused
+}
 
 // Error implements error.
 func (e *UnknownOutcomeError) Error() string {
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -9,7 +9,8 @@
 	"dahliaford/client"
 )
 
-// A job whose scheduler refuses connections did not run: the caller may submit it again, and the error says when.
+// A job whose scheduler refuses connections did not run: the caller may submit it again, and the error says
+// when.
 func ExampleClient_Do() {
 	c, err := client.New(client.Config{
 		Schedulers: []string{"127.0.0.1:1"},
@@ -42,7 +43,8 @@
 		"classes": {"post-reading": {"deadline_ms": 5000, "effect": "once"}}
 	}`))
 	fmt.Println(cfg.Schedulers, cfg.Classes["post-reading"].Deadline, err)
-	_, err = client.ParseConfig([]byte(`{"schedulers": ["127.0.0.1:8443"], "classes": {"a": {"effect": "once"}}}`))
+	_, err = client.ParseConfig([]byte(
+		`{"schedulers": ["127.0.0.1:8443"], "classes": {"a": {"effect": "once"}}}`))
 	fmt.Println(err)
 	// Output:
 	// [127.0.0.1:8443] 5s <nil>
--- a/client/execution.go
+++ b/client/execution.go
@@ -85,14 +85,15 @@
 	return nil
 }
 
-// attemptEnded reports the end of an attempt to the plan, and wakes the jobs that wait for a scheduler if this
-// one is the first to be available again.
-func (c *Client) attemptEnded(start time.Time, job *plan.Job, ended attemptResult) (plan.Step, chan struct{}) {
+// attemptEnded reports the end of an attempt to the plan, and wakes the jobs that wait for a scheduler if
+// this one is the first to be available again.
+func (c *Client) attemptEnded(start time.Time, job *plan.Job, ended attemptResult) (
+	step plan.Step, available chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	available, throttled := c.plan.Available(), c.plan.Throttled()
-	step := c.plan.AttemptEnded(time.Now(), start, job, ended.AttemptResult)
-	if available == 0 && c.plan.Available() > 0 {
+	availableBefore, throttled := c.plan.Available(), c.plan.Throttled()
+	step = c.plan.AttemptEnded(time.Now(), start, job, ended.AttemptResult)
+	if availableBefore == 0 && c.plan.Available() > 0 {
 		close(c.available)
 		c.available = make(chan struct{})
 	}
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -107,14 +107,15 @@
 	<-over
 }
 
-// The exchange of a post-reading with the real program is cut off after each byte of the request and of the response:
-// the job runs once at most, and what ran is never called refused.
+// The exchange of a post-reading with the real program is cut off after each byte of the request and of the
+// response: the job runs once at most, and what ran is never called refused.
 func TestExchangeCutAtEveryByte(t *testing.T) {
 	f := startFleet(t, 1)
 	addr := f.Schedulers()[0]
 	var lengths [2]int64 // of a request and of a response
 	l := newTestClient(t, addr)
-	if _, err := l.Do(t.Context(), Job{Class: "post-reading", Body: []byte(f.JobPrefix() + "first")}); err != nil {
+	if _, err := l.Do(t.Context(), Job{Class: "post-reading",
+		Body: []byte(f.JobPrefix() + "first")}); err != nil {
 		t.Fatal(err)
 	}
 	body := f.JobPrefix() + "post-reading true 100"
@@ -160,8 +161,8 @@
 	}
 }
 
-// Schedulers stop in order, then are killed, and at last all at once, under load, and are back within 2 s: jobs wait
-// for them rather than fail, and nothing runs twice.
+// Schedulers stop in order, then are killed, and at last all at once, under load, and are back within 2 s:
+// jobs wait for them rather than fail, and nothing runs twice.
 func TestRestarts(t *testing.T) {
 	f := startFleet(t, 2)
 	c, err := New(Config{Schedulers: f.Schedulers(), Tenant: "sahel", Classes: map[string]Class{
@@ -259,20 +260,22 @@
 			_, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 			if minWait < 0 {
 				var refused *RefusedError
-				if !errors.As(err, &refused) || time.Until(refused.RetryAfter) < 30*time.Second || s.received.Load() != 1 {
+				if !errors.As(err, &refused) || time.Until(refused.RetryAfter) < 30*time.Second ||
+					s.received.Load() != 1 {
 					t.Errorf("%v after %d attempts", err, s.received.Load())
 				}
 				return
 			}
-			if err != nil || time.Duration(wait.Load()) < minWait || time.Duration(wait.Load()) > minWait+latenessAllowed {
+			if err != nil || time.Duration(wait.Load()) < minWait ||
+				time.Duration(wait.Load()) > minWait+latenessAllowed {
 				t.Errorf("%v, the next attempt came after %v, want %v at least", err, time.Duration(wait.Load()), minWait)
 			}
 		})
 	}
 }
 
-// Beside a healthy one: a scheduler that does not respond, one that responds a byte at a time, and one that refuses
-// everything at once. Most jobs must be served, and all calls return in time.
+// Beside a healthy one: a scheduler that does not respond, one that responds a byte at a time, and one that
+// refuses everything at once. Most jobs must be served, and all calls return in time.
 func TestUnhealthySchedulerBesideHealthyOne(t *testing.T) {
 	f := startFleet(t, 1)
 	for name, answer := range map[string]func(int64) (string, string){
@@ -307,8 +310,8 @@
 	}
 }
 
-// Ten thousand jobs wait in a client when its only scheduler vanishes: no more goroutines than their callers, memory
-// within bounds, and each call returns by its deadline.
+// Ten thousand jobs wait in a client when its only scheduler vanishes: no more goroutines than their
+// callers, memory within bounds, and each call returns by its deadline.
 func TestTenThousandWaiting(t *testing.T) {
 	const jobs = maxCallers
 	s := startScripted(t, func(int64) (string, string) { return "", "silent" })
--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -11,8 +11,9 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// world is one client with a few jobs, two schedulers and a lossy network: the real plan, not a copy, in every
-// order of what may happen to each attempt. The schedulers drop duplicates of a key as the class promises.
+// world is one client with a few jobs, two schedulers and a lossy network: the real plan, not a copy, in
+// every order of what may happen to each attempt. The schedulers drop duplicates of a key as the class
+// promises.
 type world struct {
 	cfg    Config
 	plan   *Plan
@@ -91,14 +92,17 @@
 	{what: "idle connections closed", end: AttemptResult{Outcome: IdleClosed}, fault: true},
 }
 
-// How an attempt may end after a scheduler has read it. Those with "runs" let it run, unless it is a duplicate.
+// How an attempt may end after a scheduler has read it. Those with "runs" let it run, unless it is a
+// duplicate.
 var afterRead = []event{
 	{what: "runs, served", end: AttemptResult{Status: 200}},
 	{what: "runs, fails", end: AttemptResult{Status: 500}, fault: true},
-	{what: "runs, no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
+	{what: "runs, no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond,
+		fault: true},
 	{what: "runs, a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
 	{what: "runs, a malformed response", end: AttemptResult{Outcome: Malformed}, fault: true},
-	{what: "refused", end: AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 100 * time.Millisecond}, fault: true},
+	{what: "refused", end: AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 100 * time.Millisecond},
+		fault: true},
 	{what: "refused, closing", end: AttemptResult{Status: 503, ConnectionClose: true}, fault: true},
 	{what: "invalid", end: AttemptResult{Status: 400}, fault: true},
 }
@@ -136,7 +140,8 @@
 		}
 	}
 	for s := range w.down {
-		add(event{scheduler: s, what: map[bool]string{false: "stops", true: "starts"}[w.down[s]], fault: !w.down[s]})
+		add(event{scheduler: s, what: map[bool]string{false: "stops", true: "starts"}[w.down[s]],
+			fault: !w.down[s]})
 	}
 	return all
 }
@@ -301,8 +306,9 @@
 	return b
 }
 
-// Every order of what may happen to one job, and to two at once with fewer faults: nothing runs twice that must not,
-// only what did not run is called refused, no attempt starts past its deadline, and nothing stays in flight.
+// Every order of what may happen to one job, and to two at once with fewer faults: nothing runs twice that
+// must not, only what did not run is called refused, no attempt starts past its deadline, and nothing stays
+// in flight.
 func TestEveryOrder(t *testing.T) {
 	for class, name := range []string{"once", "rack", "anywhere", "safe"} {
 		one := newWorld(class, 1)
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan makes the decisions of a client: what to do with a job after each attempt, at which scheduler and
-// when the next one starts, and when to give up. It has no I/O and no clock: what happened goes in with its time,
-// what to do comes out. Package client carries it out.
+// Package plan makes the decisions of a client: what to do with a job after each attempt, at which
+// scheduler and when the next one starts, and when to give up. It has no I/O and no clock: what happened
+// goes in with its time, what to do comes out. Package client carries it out.
 package plan
 
 import (
@@ -68,8 +68,8 @@
 	Expired // there is no time for an attempt, and none may have run
 )
 
-// Step is what to do next. While the verdict is Pending: with StartNow, make an attempt at the scheduler at once;
-// otherwise call Start at the time At, or with AllEjected as soon as Available is no longer zero.
+// Step is what to do next. While the verdict is Pending: with StartNow, make an attempt at the scheduler at
+// once; otherwise call Start at the time At, or with AllEjected as soon as Available is no longer zero.
 type Step struct {
 	Verdict    Verdict
 	StartNow   bool
@@ -91,8 +91,8 @@
 	done            bool
 }
 
-// Plan holds what a client knows of its schedulers, and its retry budget. It is not safe for concurrent use: its
-// owner calls it with one event at a time.
+// Plan holds what a client knows of its schedulers, and its retry budget. It is not safe for concurrent
+// use: its owner calls it with one event at a time.
 type Plan struct {
 	cfg        Config
 	random     *rand.Rand
@@ -152,8 +152,8 @@
 	return j, p.Start(now, j)
 }
 
-// Start begins the next attempt of a job, if there is a scheduler for it. The scheduler is chosen now, by what is
-// known now, and not when the retry was planned.
+// Start begins the next attempt of a job, if there is a scheduler for it. The scheduler is chosen now, by
+// what is known now, and not when the retry was planned.
 func (p *Plan) Start(now time.Time, j *Job) Step {
 	if j.done || j.inFlight || !now.Before(j.deadline) || !retryAllowed(j, now) {
 		return p.finish(j, j.fallback, now)
@@ -239,7 +239,8 @@
 func (p *Plan) planRetry(now time.Time, j *Job, r AttemptResult) Step {
 	at := p.retryAt(now, j, r)
 	switch {
-	case r.Outcome == ClientLimited, j.attempts >= j.class.MaxAttempts, !at.Before(j.deadline), !retryAllowed(j, at):
+	case r.Outcome == ClientLimited, j.attempts >= j.class.MaxAttempts,
+		!at.Before(j.deadline), !retryAllowed(j, at):
 		return p.finish(j, j.fallback, at)
 	case p.tokens < 1:
 		p.throttled++
@@ -252,8 +253,8 @@
 // Throttled counts the jobs that got no further attempt because the retry budget was used up.
 func (p *Plan) Throttled() int { return p.throttled }
 
-// retryAllowed reports whether the class of a job allows an attempt at a time, by what is known of its earlier
-// ones.
+// retryAllowed reports whether the class of a job allows an attempt at a time, by what is known of its
+// earlier ones.
 func retryAllowed(j *Job, at time.Time) bool {
 	if j.firstMayHaveRun.IsZero() {
 		return true
@@ -267,8 +268,8 @@
 	return false
 }
 
-// retryAt is when the next attempt may start: never before the scheduler's Retry-After, and at a random time after
-// it, as all jobs that were refused together would return together.
+// retryAt is when the next attempt may start: never before the scheduler's Retry-After, and at a random
+// time after it, as all jobs that were refused together would return together.
 func (p *Plan) retryAt(now time.Time, j *Job, r AttemptResult) time.Time {
 	limit := p.cfg.Backoff
 	for range j.attempts - 1 {
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -17,7 +17,8 @@
 )
 
 func testConfig() Config {
-	return Config{Schedulers: 3, RetryBudget: 0.1, MaxTokens: 10, Backoff: 50 * time.Millisecond, MaxBackoff: time.Second,
+	return Config{Schedulers: 3, RetryBudget: 0.1, MaxTokens: 10, Backoff: 50 * time.Millisecond,
+		MaxBackoff: time.Second,
 		EjectAfter: 3, BaseEjection: time.Second, MaxEjection: 30 * time.Second,
 		Classes: []Class{{Effect: Once, MaxAttempts: 3}, {Effect: Rack, MaxAttempts: 3},
 			{Effect: Anywhere, Window: time.Second, MaxAttempts: 3}, {Effect: Safe, MaxAttempts: 3}}}
@@ -50,8 +51,10 @@
 		{"invalid", AttemptResult{Status: 400}, [4]Verdict{Invalid, Invalid, Invalid, Invalid}},
 		{"a conflict", AttemptResult{Status: 409}, [4]Verdict{Invalid, Invalid, Invalid, Invalid}},
 		{"half written", AttemptResult{Outcome: NotSent}, retry},
-		{"no connection allowed", AttemptResult{Outcome: ClientLimited}, [4]Verdict{Refused, Refused, Refused, Refused}},
-		{"a reused connection closed", AttemptResult{Outcome: ReusedClosed}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
+		{"no connection allowed", AttemptResult{Outcome: ClientLimited},
+			[4]Verdict{Refused, Refused, Refused, Refused}},
+		{"a reused connection closed", AttemptResult{Outcome: ReusedClosed},
+			[4]Verdict{Unknown, Unknown, Pending, Pending}},
 		{"no response", AttemptResult{Outcome: NoResponse}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
 		{"a malformed response", AttemptResult{Outcome: Malformed}, [4]Verdict{Unknown, Unknown, Pending, Pending}},
 	} {
@@ -102,13 +105,14 @@
 		minWait, maxWait time.Duration
 	}{
 		{"at once", AttemptResult{Status: 503, HasRetryAfter: true}, 0, 50 * time.Millisecond},
-		{"a moment", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 50 * time.Millisecond}, 50 * time.Millisecond,
-			100 * time.Millisecond},
-		{"two seconds", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 2 * time.Second}, 2 * time.Second,
-			2050 * time.Millisecond},
+		{"a moment", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 50 * time.Millisecond},
+			50 * time.Millisecond, 100 * time.Millisecond},
+		{"two seconds", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 2 * time.Second},
+			2 * time.Second, 2050 * time.Millisecond},
 		{"absurd", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 1 << 60}, MaxRetryAfter,
 			MaxRetryAfter + 50*time.Millisecond},
-		{"negative", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: -time.Hour}, 0, 50 * time.Millisecond},
+		{"negative", AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: -time.Hour},
+			0, 50 * time.Millisecond},
 		{"none", AttemptResult{Status: 503}, 0, 50 * time.Millisecond},
 	} {
 		seen := map[time.Duration]bool{}
@@ -132,15 +136,16 @@
 	}
 }
 
-// Refusals may use up the budget: then a caller gets its refusal at once, with the time of the retry. Fresh jobs
-// earn the budget again.
+// Refusals may use up the budget: then a caller gets its refusal at once, with the time of the retry. Fresh
+// jobs earn the budget again.
 func TestBudget(t *testing.T) {
 	p := newPlan(t, testConfig())
 	retries := 0
 	for range 1000 {
 		j, s := p.Begin(start, safeClass, start.Add(time.Hour))
 		for s.Verdict == Pending {
-			s = p.AttemptEnded(start, start, j, AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: time.Second})
+			s = p.AttemptEnded(start, start, j, AttemptResult{Status: 503, HasRetryAfter: true,
+				RetryAfter: time.Second})
 			if s.Verdict == Pending {
 				retries++
 				s = p.Start(s.At, j)
@@ -154,8 +159,8 @@
 	}
 }
 
-// Clients with little load keep to one scheduler each, and all clients together spread over all schedulers; one
-// with much load uses all of them.
+// Clients with little load keep to one scheduler each, and all clients together spread over all schedulers;
+// one with much load uses all of them.
 func TestSchedulerSubsets(t *testing.T) {
 	cfg := testConfig()
 	cfg.Schedulers = 6
@@ -194,8 +199,8 @@
 	}
 }
 
-// playFirstAttempts plays the first attempts of n jobs: those at scheduler i end as fail says, others are served.
-// It counts the attempts at i, which must be the one that the client prefers.
+// playFirstAttempts plays the first attempts of n jobs: those at scheduler i end as fail says, others are
+// served. It counts the attempts at i, which must be the one that the client prefers.
 func playFirstAttempts(p *Plan, at time.Time, n, i int, fail AttemptResult) (attempts int) {
 	for range n {
 		j, s := p.Begin(at, safeClass, at.Add(time.Hour))
@@ -210,13 +215,14 @@
 	return attempts
 }
 
-// A scheduler that fails is ejected after some failures, at once if it refuses connections; a single attempt then
-// finds out whether it is back. A client that reaches its own limits proves nothing about it.
+// A scheduler that fails is ejected after some failures, at once if it refuses connections; a single
+// attempt then finds out whether it is back. A client that reaches its own limits proves nothing about it.
 func TestEjection(t *testing.T) {
 	for _, c := range []struct {
 		end  AttemptResult
 		want int
-	}{{AttemptResult{Outcome: ConnectFailed}, 1}, {AttemptResult{Outcome: NoResponse}, 3}, {AttemptResult{Outcome: Malformed}, 3}} {
+	}{{AttemptResult{Outcome: ConnectFailed}, 1}, {AttemptResult{Outcome: NoResponse}, 3},
+		{AttemptResult{Outcome: Malformed}, 3}} {
 		p := newPlan(t, testConfig())
 		if got := playFirstAttempts(p, start, 100, p.preference[0], c.end); got != c.want || p.Available() != 2 {
 			t.Errorf("%+v: %d attempts before it was ejected, %d are available", c.end, got, p.Available())
@@ -241,11 +247,13 @@
 	}
 	// One that refuses and closes the connection is about to end: it is ejected at once, for a moment.
 	p := newPlan(t, testConfig())
-	if got := playFirstAttempts(p, start, 100, p.preference[0], AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
+	if got := playFirstAttempts(p, start, 100, p.preference[0],
+		AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
 		t.Errorf("%d jobs went to a scheduler that ends, %d are available", got, p.Available())
 	}
 	p = newPlan(t, testConfig())
-	if got := playFirstAttempts(p, start, 100, p.preference[0], AttemptResult{Outcome: IdleClosed}); got != 1 || p.Available() != 2 {
+	if got := playFirstAttempts(p, start, 100, p.preference[0],
+		AttemptResult{Outcome: IdleClosed}); got != 1 || p.Available() != 2 {
 		t.Errorf("%d jobs went to one that closed its connections, %d are available", got, p.Available())
 	}
 	for range 9 { // but never the last one
@@ -257,13 +265,14 @@
 		t.Errorf("%d are available after all closed connections, want 1", p.Available())
 	}
 	p = newPlan(t, testConfig())
-	if got := playFirstAttempts(p, start, 100, p.preference[0], AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
+	if got := playFirstAttempts(p, start, 100, p.preference[0],
+		AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
 		t.Errorf("by the client's own limits a scheduler was ejected after %d attempts", got)
 	}
 }
 
-// Where a scheduler refuses connections a job goes to another one at once: it was not submitted, so that this is no
-// retry, neither marked nor charged to the budget.
+// Where a scheduler refuses connections a job goes to another one at once: it was not submitted, so that
+// this is no retry, neither marked nor charged to the budget.
 func TestRefusedConnectionIsNoAttempt(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryBudget, cfg.MaxTokens = 0, 0
@@ -276,7 +285,8 @@
 		if !s.StartNow || s.Retry || p.InFlight() != 1 {
 			t.Fatalf("scheduler %d: %+v, %d in flight", n, s, p.InFlight())
 		}
-		if s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: ConnectFailed}); s.Verdict != Pending || !s.At.Equal(start) {
+		if s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: ConnectFailed}); s.Verdict != Pending ||
+			!s.At.Equal(start) {
 			t.Fatalf("%+v", s)
 		}
 		s = p.Start(start, j)
@@ -298,8 +308,8 @@
 	}
 }
 
-// At most half are ejected for missing responses; all may be for refused connections. Then jobs wait for one to be
-// back, or are refused at once if that is too late for them.
+// At most half are ejected for missing responses; all may be for refused connections. Then jobs wait for
+// one to be back, or are refused at once if that is too late for them.
 func TestEjectionFloor(t *testing.T) {
 	p := newPlan(t, testConfig())
 	for i := range p.schedulers {
@@ -378,8 +388,9 @@
 	}
 }
 
-// Whatever happens: no attempt starts at or past the deadline, none beyond the class's number, nothing that may have
-// run is repeated unless its class allows it, retries keep to the budget, and nothing stays in flight.
+// Whatever happens: no attempt starts at or past the deadline, none beyond the class's number, nothing that
+// may have run is repeated unless its class allows it, retries keep to the budget, and nothing stays in
+// flight.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
--- a/client/internal/plan/schedulers.go
+++ b/client/internal/plan/schedulers.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// recordResponse takes a response as the sign of a healthy scheduler, even if it is a refusal: then others may
-// be the better choice.
+// recordResponse takes a response as the sign of a healthy scheduler, even if it is a refusal: then others
+// may be the better choice.
 func (p *Plan) recordResponse(now time.Time, s *scheduler, r AttemptResult) {
 	s.consecutiveFailures, s.ejection, s.ejectedUntil = 0, 0, time.Time{}
 	refused := 0.0
--- a/client/pool.go
+++ b/client/pool.go
@@ -73,8 +73,8 @@
 	return p
 }
 
-// get takes an idle connection to a scheduler, or opens one as the limits allow. The error is a limitError when
-// they did not in time, errIdleClosed, or that of the dial.
+// get takes an idle connection to a scheduler, or opens one as the limits allow. The error is a limitError
+// when they did not in time, errIdleClosed, or that of the dial.
 func (p *pool) get(ctx context.Context, scheduler int) (*conn, error) {
 	select {
 	case p.slots[scheduler] <- struct{}{}:
--- a/client/prom/prom.go
+++ b/client/prom/prom.go
@@ -10,8 +10,8 @@
 	"dahliaford/client"
 )
 
-// Observer is a client.Observer whose counters and histograms are registered with Prometheus. Label values are
-// names from the configuration and from fixed sets, so that their number is bounded.
+// Observer is a client.Observer whose counters and histograms are registered with Prometheus. Label values
+// are names from the configuration and from fixed sets, so that their number is bounded.
 type Observer struct {
 	attempts    *prometheus.CounterVec
 	jobs        *prometheus.CounterVec
@@ -22,8 +22,8 @@
 
 var _ client.Observer = (*Observer)(nil)
 
-// New registers the metrics of one client, or of several that share them. The error wraps the registerer's: two
-// observers cannot be registered at one place.
+// New registers the metrics of one client, or of several that share them. The error wraps the registerer's:
+// two observers cannot be registered at one place.
 //
 //	client_attempts_total{scheduler,class,outcome}  attempts, by how they ended
 //	client_jobs_total{class,verdict}                jobs, by how they ended
--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -16,7 +16,8 @@
 	"dahliaford/client/prom"
 )
 
-// What a client does shows in its counters: a refusal, a result, and one job whose scheduler refused the connection.
+// What a client does shows in its counters: a refusal, a result, and one job whose scheduler refused the
+// connection.
 func TestCounts(t *testing.T) {
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/cmd/dahliaford/config.go
+++ b/cmd/dahliaford/config.go
@@ -21,9 +21,9 @@
 	onReload
 )
 
-// configuration reads the file that BALANCER_CONFIG names. The other variables take precedence over it where they
-// are set. On a reload the file alone says where discovery is: the variables are as old as the process, and could
-// never be changed.
+// configuration reads the file that BALANCER_CONFIG names. The other variables take precedence over it
+// where they are set. On a reload the file alone says where discovery is: the variables are as old as the
+// process, and could never be changed.
 func configuration(env func(string) string, occasion readOccasion) (node.Config, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
@@ -132,8 +132,8 @@
 	return sockets, memoryMB
 }
 
-// needsRestart reports whether a configuration differs from the one that the process started with in a field that a
-// reload does not apply.
+// needsRestart reports whether a configuration differs from the one that the process started with in a
+// field that a reload does not apply.
 func needsRestart(started, now node.Config) bool {
 	return started.Name != now.Name || started.Listen != now.Listen || started.Sockets != now.Sockets ||
 		started.MemoryMB != now.MemoryMB || !reflect.DeepEqual(started.Settings, now.Settings)
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -21,7 +21,8 @@
 	return readConfigurationOn(t, text, env, atStart)
 }
 
-func readConfigurationOn(t *testing.T, text string, env map[string]string, occasion readOccasion) (string, error) {
+func readConfigurationOn(t *testing.T, text string, env map[string]string, occasion readOccasion) (
+	string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -118,8 +119,8 @@
 	}
 }
 
-// SIGHUP moves the watch to the discovery that the file now names, more than once, and a half-written file changes
-// nothing: the next complete one does. SIGTERM still ends the program.
+// SIGHUP moves the watch to the discovery that the file now names, more than once, and a half-written file
+// changes nothing: the next complete one does. SIGTERM still ends the program.
 func TestSIGHUP(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("BALANCER_CONFIG", path)
--- a/cmd/dahliaford/log.go
+++ b/cmd/dahliaford/log.go
@@ -13,8 +13,8 @@
 	lineWindow = 5 * time.Second
 )
 
-// rateLimitedHandler limits the lines of each message and counts the dropped ones, so that a client that sends
-// invalid requests at full speed neither fills the log nor uses up the core.
+// rateLimitedHandler limits the lines of each message and counts the dropped ones, so that a client that
+// sends invalid requests at full speed neither fills the log nor uses up the core.
 type rateLimitedHandler struct {
 	slog.Handler
 	counts *messageCounts
--- a/cmd/dahliaford/main.go
+++ b/cmd/dahliaford/main.go
@@ -1,4 +1,5 @@
-// Command dahliaford serves as one scheduler on sockets, submits jobs to schedulers, and maintains job stores.
+// Command dahliaford serves as one scheduler on sockets, submits jobs to schedulers, and maintains job
+// stores.
 package main
 
 import (
@@ -59,8 +60,8 @@
 	return exit.status
 }
 
-// command runs one command. Without arguments that is to serve, and nothing else is set up for it: schedulers are
-// started often, all at once, on part of a core.
+// command runs one command. Without arguments that is to serve, and nothing else is set up for it:
+// schedulers are started often, all at once, on part of a core.
 func command(args []string, in io.Reader, out, errs io.Writer) error {
 	if len(args) == 0 {
 		return serveCmd{}.Run()
@@ -90,8 +91,8 @@
 	out, errs io.Writer
 }
 
-// printf writes to standard output. An error is ignored: nobody reads, and the exit status says how the command
-// ended.
+// printf writes to standard output. An error is ignored: nobody reads, and the exit status says how the
+// command ended.
 func (s *streams) printf(format string, args ...any) { _, _ = fmt.Fprintf(s.out, format, args...) }
 
 // reportf writes to standard error. An error is ignored, as in printf.
--- a/cmd/dahliaford/send.go
+++ b/cmd/dahliaford/send.go
@@ -107,8 +107,8 @@
 	return cfg, nil
 }
 
-// newClient makes the client. Without a file it is unknown what the classes allow: then their jobs are never repeated
-// once they may have run.
+// newClient makes the client. Without a file it is unknown what the classes allow: then their jobs are
+// never repeated once they may have run.
 func newClient(cfg client.Config, classes ...string) (*client.Client, error) {
 	if cfg.Classes == nil {
 		cfg.Classes = map[string]client.Class{}
@@ -158,8 +158,8 @@
 	return b, err
 }
 
-// deadline is when a job's caller gives up, by the span of its line or else by --within; zero: the class's own
-// deadline holds.
+// deadline is when a job's caller gives up, by the span of its line or else by --within; zero: the class's
+// own deadline holds.
 func (c *sendCmd) deadline(within string) time.Time {
 	span := c.Within
 	if d, err := time.ParseDuration(within); err == nil {
--- a/cmd/dahliaford/send_test.go
+++ b/cmd/dahliaford/send_test.go
@@ -16,8 +16,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// startScheduler starts a scheduler that answers by the body of a job: "busy" is refused, "broken" fails, "odd" is
-// invalid, and all else is served in capitals.
+// startScheduler starts a scheduler that answers by the body of a job: "busy" is refused, "broken" fails,
+// "odd" is invalid, and all else is served in capitals.
 func startScheduler(t *testing.T) (addr string, seen chan http.Header) {
 	t.Helper()
 	seen = make(chan http.Header, 100)
@@ -72,15 +72,16 @@
 		{name: "text", args: []string{at, "--class=a", "--data=4211x"}, out: "4211X"},
 		{name: "standard input", args: []string{at, "--class=a", "--data=-"}, in: "in", out: "IN"},
 		{name: "a file", args: []string{at, "--class=a", "--data=@" + tempFile(t, "filed")}, out: "FILED"},
-		{name: "a scheduler takes precedence over the file's", args: []string{"--config=" + config, at, "--class=post-reading",
-			"--data=x"}, out: "X"},
+		{name: "a scheduler takes precedence over the file's", args: []string{"--config=" + config, at,
+			"--class=post-reading", "--data=x"}, out: "X"},
 		{name: "the configuration by the flag's former name", args: []string{"--desk=" + config, at,
 			"--class=post-reading", "--data=x"}, out: "X"},
 		{name: "both names of the flag", args: []string{"--desk=/nowhere/x", "--config=" + config, at,
 			"--class=post-reading", "--data=x"}, out: "X"},
-		{name: "refused", args: []string{at, "--class=a", "--data=busy"}, status: exitTempFail, errs: "come back in"},
-		{name: "connection refused", args: []string{"--config=" + config, "--class=post-reading"}, status: exitTempFail,
-			errs: "not sent"},
+		{name: "refused", args: []string{at, "--class=a", "--data=busy"}, status: exitTempFail,
+			errs: "come back in"},
+		{name: "connection refused", args: []string{"--config=" + config, "--class=post-reading"},
+			status: exitTempFail, errs: "not sent"},
 		{name: "failed", args: []string{at, "--class=a", "--data=broken"}, status: exitFailed, errs: "status 500"},
 		{name: "invalid at the scheduler", args: []string{at, "--class=a", "--data=odd"}, status: exitUsage,
 			errs: "no such thing"},
@@ -93,11 +94,12 @@
 			errs: "--data: open /nowhere/x"},
 		{name: "no such configuration", args: []string{"--config=/nowhere/x", "--class=a"}, status: exitUsage,
 			errs: "--config: open"},
-		{name: "an invalid configuration", args: []string{"--config=" + tempFile(t, "{}"), "--class=a"}, status: exitUsage,
-			errs: "classes is required"},
+		{name: "an invalid configuration", args: []string{"--config=" + tempFile(t, "{}"), "--class=a"},
+			status: exitUsage, errs: "classes is required"},
 		{name: "too long", args: []string{at, "--class=a", "--data=-"}, in: strings.Repeat("x", 65<<10),
 			status: exitUsage, errs: "over 65536 bytes"},
-		{name: "an invalid duration", args: []string{at, "--class=a", "--within=5"}, status: exitUsage, errs: "--within"},
+		{name: "an invalid duration", args: []string{at, "--class=a", "--within=5"}, status: exitUsage,
+			errs: "--within"},
 		{name: "a negative duration", args: []string{at, "--class=a", "--within=-5s"}, status: exitUsage,
 			errs: "--within"},
 		{name: "an unknown flag", args: []string{at, "--color=a"}, status: exitUsage, errs: "--color"},
@@ -127,7 +129,8 @@
 		t.Error(diff)
 	}
 	var remaining int
-	if _, err := fmt.Sscan(h.Get("X-Remaining-Ms"), &remaining); err != nil || remaining < 1000 || remaining > 3000 {
+	if _, err := fmt.Sscan(h.Get("X-Remaining-Ms"), &remaining); err != nil || remaining < 1000 ||
+		remaining > 3000 {
 		t.Errorf("%d ms remain of 3 s", remaining)
 	}
 }
--- a/cmd/dahliaford/sendfile.go
+++ b/cmd/dahliaford/sendfile.go
@@ -55,8 +55,8 @@
 	return job, nil
 }
 
-// forEachJob reads a file of jobs and calls do with each and the number of its line. Blank lines are skipped. The
-// error names the line.
+// forEachJob reads a file of jobs and calls do with each and the number of its line. Blank lines are
+// skipped. The error names the line.
 func forEachJob(in io.Reader, do func(line int, j fileJob) error) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLineBytes)
@@ -96,8 +96,8 @@
 	return total, classes, err
 }
 
-// sendFile submits the jobs of a file. Nothing is sent before the whole file has been read and found valid: half a
-// batch is worse than none.
+// sendFile submits the jobs of a file. Nothing is sent before the whole file has been read and found valid:
+// half a batch is worse than none.
 func (c *sendCmd) sendFile(ctx context.Context, cfg client.Config, s *streams) error {
 	f, err := os.Open(c.Jobs)
 	if err != nil {
@@ -117,7 +117,7 @@
 	}
 	defer jobClient.Close()
 	tally := newTally(s, total)
-	err = c.submitAll(ctx, f, min(c.AtOnce, total), func(line int, job fileJob) {
+	err = submitAll(ctx, f, min(c.AtOnce, total), func(line int, job fileJob) {
 		tally.add(c.submit(ctx, jobClient, line, job))
 	})
 	if worst := tally.close(); err == nil {
@@ -126,9 +126,9 @@
 	return err
 }
 
-// submitAll calls submit for each job of a file, with so many calls at once, and waits for all of them. It stops
-// reading when the context ends.
-func (c *sendCmd) submitAll(ctx context.Context, in io.Reader, parallel int, submit func(int, fileJob)) error {
+// submitAll calls submit for each job of a file, with so many calls at once, and waits for all of them. It
+// stops reading when the context ends.
+func submitAll(ctx context.Context, in io.Reader, parallel int, submit func(int, fileJob)) error {
 	calls := make(chan func())
 	var callers sync.WaitGroup
 	for range parallel {
@@ -157,8 +157,8 @@
 	if tenant == "" {
 		tenant = c.Tenant
 	}
-	result, err := jobClient.Do(ctx, client.Job{Class: job.Class, Tenant: tenant, Object: job.Object, Key: job.Key,
-		Body: []byte(job.Data), Slots: job.Slots, Deadline: c.deadline(job.Within)})
+	result, err := jobClient.Do(ctx, client.Job{Class: job.Class, Tenant: tenant, Object: job.Object,
+		Key: job.Key, Body: []byte(job.Data), Slots: job.Slots, Deadline: c.deadline(job.Within)})
 	outcome := jobOutcome{Line: line, Class: job.Class, Outcome: client.Verdict(err)}
 	if err != nil {
 		outcome.Error = describe(err)
--- a/cmd/dahliaford/serve.go
+++ b/cmd/dahliaford/serve.go
@@ -53,8 +53,8 @@
 	return n.Run()
 }
 
-// handleSignals stops the node or reloads its configuration as signals ask for, until ended is closed. A reload
-// that finds no complete configuration is retried.
+// handleSignals stops the node or reloads its configuration as signals ask for, until ended is closed. A
+// reload that finds no complete configuration is retried.
 func handleSignals(n *node.Node, cfg node.Config, log *slog.Logger, stop, reloads <-chan os.Signal,
 	ended <-chan struct{}) {
 	var retry <-chan time.Time
--- a/cmd/dahliaford/signal_test.go
+++ b/cmd/dahliaford/signal_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// A signal that comes between the end of serving and the end of the process does not kill it: by its status that would
-// look like a crash.
+// A signal that comes between the end of serving and the end of the process does not kill it: by its status
+// that would look like a crash.
 func TestSignalsAfterServing(t *testing.T) {
 	if os.Getenv("DAHLIAFORD_TEST_CHILD") != "" { // this is the child process
 		err := (serveCmd{}).Run()
--- a/cmd/dahliaford/store.go
+++ b/cmd/dahliaford/store.go
@@ -68,8 +68,8 @@
 }
 
 func (h history) print(it *lifecycle.Item) {
-	h.line(showTime(it.Accepted), "accepted: class %s, tenant %q, key %q, %d bytes, until %s", it.Class, it.Tenant,
-		it.Key, len(it.Body), showMillis(it.Deadline))
+	h.line(showTime(it.Accepted), "accepted: class %s, tenant %q, key %q, %d bytes, until %s", it.Class,
+		it.Tenant, it.Key, len(it.Body), showMillis(it.Deadline))
 	for i, attempt := range it.Attempts {
 		h.line(showTime(attempt.At), "attempt %d: routed to %s, rack %s", i+1, attempt.Worker, attempt.Rack)
 		if attempt.Outcome != lifecycle.Unfinished {
--- a/cmd/dahliaford/store_test.go
+++ b/cmd/dahliaford/store_test.go
@@ -12,8 +12,8 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// The commands as somebody on call would use them: check, show, back up, restore, compact; and what they print where
-// something is invalid.
+// The commands as somebody on call would use them: check, show, back up, restore, compact; and what they
+// print where something is invalid.
 func TestStoreCommands(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "jobs")
@@ -43,7 +43,8 @@
 		}
 	}
 	put(s.Update, store.Change{Item: it})
-	invalid := &lifecycle.Item{ID: "b2", Attempts: []lifecycle.Attempt{{At: 5, Outcome: lifecycle.MayHaveRun}, {At: 6}}, Deadline: 9}
+	invalid := &lifecycle.Item{ID: "b2", Deadline: 9,
+		Attempts: []lifecycle.Attempt{{At: 5, Outcome: lifecycle.MayHaveRun}, {At: 6}}}
 	put(s.Accept, store.Change{Item: invalid})
 
 	call := func(args ...string) (int, string, string) {
@@ -51,7 +52,8 @@
 		status := run(append([]string{"store"}, args...), nil, &out, &errs)
 		return status, out.String(), errs.String()
 	}
-	if status, _, errs := call("check", path); status != exitFailed || !strings.Contains(errs, "another process") {
+	if status, _, errs := call("check", path); status != exitFailed ||
+		!strings.Contains(errs, "another process") {
 		t.Errorf("a store in use: %d, %q", status, errs)
 	}
 	if err := s.Close(); err != nil {
@@ -70,14 +72,16 @@
 			t.Errorf("show: status %d, no %q in\n%s", status, want, out)
 		}
 	}
-	if status, _, errs := call("show", path, "zz"); status != exitFailed || !strings.Contains(errs, "no such item") {
+	if status, _, errs := call("show", path, "zz"); status != exitFailed ||
+		!strings.Contains(errs, "no such item") {
 		t.Errorf("show of nothing: %d, %q", status, errs)
 	}
 	backup, other := filepath.Join(folder, "backup"), filepath.Join(folder, "other")
 	if status, _, errs := call("backup", path, backup); status != exitOK {
 		t.Fatalf("backup: %d, %q", status, errs)
 	}
-	if status, _, errs := call("backup", path, backup); status != exitFailed || !strings.Contains(errs, "exists") {
+	if status, _, errs := call("backup", path, backup); status != exitFailed ||
+		!strings.Contains(errs, "exists") {
 		t.Errorf("backup over a file: %d, %q", status, errs)
 	}
 	if status, _, errs := call("restore", backup, other); status != exitFailed ||
--- a/cmd/dahliaford/tally.go
+++ b/cmd/dahliaford/tally.go
@@ -21,8 +21,8 @@
 	Error    string `json:"error,omitempty"`
 }
 
-// tally prints how a file's jobs end: a line for each, progress now and then, and a summary by class and outcome. It
-// is safe for concurrent use.
+// tally prints how a file's jobs end: a line for each, progress now and then, and a summary by class and
+// outcome. It is safe for concurrent use.
 type tally struct {
 	*streams
 	total    int
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// worse returns the worse of two exit statuses. A failure goes before a usage error, and that before a refusal: it is
-// what somebody has to look into.
+// worse returns the worse of two exit statuses. A failure goes before a usage error, and that before a
+// refusal: it is what somebody has to look into.
 func worse(a, b int) int {
 	order := []int{exitOK, exitTempFail, exitUsage, exitFailed}
 	if slices.Index(order, b) > slices.Index(order, a) {
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -62,7 +62,8 @@
 	}
 	s := &Store{Config: store.Config{Path: filepath.Join(f.Store.Directory, storeFile),
 		MaxItems: f.Store.MostItems, MaxBytes: f.Store.MostMB << 20},
-		AnswerRetention: defaultAnswerRetention, CallbackWait: defaultCallbackWait, ExitOnDiskError: f.Store.OnFailure == "end"}
+		AnswerRetention: defaultAnswerRetention, CallbackWait: defaultCallbackWait,
+		ExitOnDiskError: f.Store.OnFailure == "end"}
 	if f.Store.KeepS != nil {
 		s.AnswerRetention = time.Duration(*f.Store.KeepS * float64(time.Second))
 	}
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -18,8 +18,8 @@
 	}
 	for raw, want := range map[string]Config{
 		`{}`: {},
-		`{"store":{"directory":"d"}}`: {Store: &Store{Config: store.Config{Path: "d/jobs.db"}, AnswerRetention: time.Hour,
-			CallbackWait: 5 * time.Second}},
+		`{"store":{"directory":"d"}}`: {Store: &Store{Config: store.Config{Path: "d/jobs.db"},
+			AnswerRetention: time.Hour, CallbackWait: 5 * time.Second}},
 		`{"store":{"directory":"d","ask_ms":0,"keep_s":0.5,"on_failure":"end"}}`: {Store: &Store{
 			Config: store.Config{Path: "d/jobs.db"}, AnswerRetention: time.Second / 2, ExitOnDiskError: true}},
 		string(shipped): {Store: &Store{Config: store.Config{Path: "/var/lib/dahliaford/jobs.db",
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -11,18 +11,20 @@
 	"testing"
 	"time"
 
-	"dahliaford/internal/store/lifecycle"
 	"go.etcd.io/bbolt"
+
+	"dahliaford/internal/store/lifecycle"
 )
 
-// engineRate writes what accepts would, straight to the engine, in batches of the same size.
+// engineRate writes what accepts would, directly to the engine, in batches of the same size, and returns
+// the records per second.
 func engineRate(b *testing.B, batch int) float64 {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "bare"), 0o600, &bbolt.Options{
 		FreelistType: bbolt.FreelistMapType})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer db.Close()
+	defer closeReadOnly(db) // its records are thrown away
 	value := make([]byte, 400)
 	n := 0
 	began := time.Now()
@@ -42,11 +44,11 @@
 	return float64(n) / time.Since(began).Seconds()
 }
 
-// Durable accepts with so many callers, each waiting for its own, beside the engine alone.
+// Durable accepts with so many callers, each waiting for its own, compared with the engine alone.
 func BenchmarkAccept(b *testing.B) {
 	for _, callers := range []int{1, 4, 16, 64, 256} {
 		b.Run(fmt.Sprint(callers), func(b *testing.B) {
-			d, err := openBolt(filepath.Join(b.TempDir(), "jobs"), false)
+			d, err := openBolt(filepath.Join(b.TempDir(), "jobs"), readWrite)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -55,7 +57,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer s.Close()
+			defer closeStore(b, s)
 			var mu sync.Mutex
 			var took []time.Duration
 			var all sync.WaitGroup
@@ -92,7 +94,7 @@
 	}
 }
 
-// Opening after a kill, with all items open.
+// Opening after a kill, with all items unfinished.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -123,7 +125,7 @@
 				runtime.ReadMemStats(&m)
 				heap = m.HeapAlloc
 				runtime.KeepAlive(r)
-				s.Close()
+				closeStore(b, s)
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(heap)/(1<<20), "heap-MB")
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -20,16 +20,16 @@
 	}
 	all := map[string]*lifecycle.Item{}
 	for _, it := range []*lifecycle.Item{
-		{ID: "accepted", Class: "post-reading", Tenant: "sahel", Object: "17", Key: "k-1", Body: []byte("4211\x00\xff"),
-			Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000},
+		{ID: "accepted", Class: "post-reading", Tenant: "sahel", Object: "17", Key: "k-1",
+			Body: []byte("4211\x00\xff"), Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000},
 		{ID: "bare", Deadline: 1},
 		{ID: "routed", Class: "post-reading", Effect: lifecycle.Once, Accepted: 1_000_000, Deadline: 9_000_000,
 			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 0, lifecycle.Unfinished)}},
 		{ID: "never-ran", Class: "district-batch", Effect: lifecycle.Rack, Window: 30_000_000, Accepted: 1_000_000,
 			Deadline: 9_000_000,
 			Attempts: []lifecycle.Attempt{attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.NeverRan)}},
-		{ID: "may-have-run", Class: "district-batch", Effect: lifecycle.Rack, Window: 30_000_000, Accepted: 1_000_000,
-			Deadline: 9_000_000, Attempts: []lifecycle.Attempt{
+		{ID: "may-have-run", Class: "district-batch", Effect: lifecycle.Rack, Window: 30_000_000,
+			Accepted: 1_000_000, Deadline: 9_000_000, Attempts: []lifecycle.Attempt{
 				attempt("s-1", "north/0", 2_000_000, 3_000_000, lifecycle.MayHaveRun),
 				attempt("s-2", "north/0", 4_000_000, 0, lifecycle.Unfinished)}},
 		{ID: "done", Class: "invoice", Effect: lifecycle.Anywhere, Window: 30_000_000, Accepted: 1_000_000,
--- a/internal/store/lifecycle/item.go
+++ b/internal/store/lifecycle/item.go
@@ -1,11 +1,11 @@
-// Package lifecycle says what may become of a stored item, and what recovery concludes from its
-// record. It has no I/O and no clock: events go in with their times, a changed item or a
+// Package lifecycle is the state machine of a stored item: what may happen to it, and what recovery
+// concludes from its record. It has no I/O and no clock: events go in with their times, a changed item or a
 // conclusion comes out. Package store keeps the items on disk.
 //
-// Three things must be on disk before they are said or done, or a crash in between breaks a
-// promise: that an item was accepted, before its client hears so; that an attempt is routed,
-// before its first byte goes out; that a region called back with an end, before the region's
-// 204. And an answer, before anybody hears it.
+// Four things must be on disk before they are acknowledged or acted on, or a crash in between breaks a
+// promise: that an item was accepted, before its client gets the confirmation; that an attempt is routed,
+// before its first byte is sent; that a worker called back with an end, before the worker gets its 204; and
+// an answer, before anybody gets it.
 package lifecycle
 
 import (
@@ -13,41 +13,42 @@
 	"fmt"
 )
 
-// Micros is a time: microseconds since 1970, as the wall clock said.
+// Micros is a time of the wall clock: microseconds since 1970.
 type Micros int64
 
 // Effect says what a class allows once an attempt may have run.
 type Effect uint8
 
-// The effects.
+// The effects of a class.
 const (
 	Once     Effect = iota // must never run twice
-	Rack                   // repeats are dropped within a rack, for the window
-	Anywhere               // repeats are dropped everywhere, for the window
+	Rack                   // duplicates are dropped within a rack, for the window
+	Anywhere               // duplicates are dropped everywhere, for the window
 	Safe                   // may be repeated at will
 )
 
 // Outcome is how an attempt ended.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of an attempt.
 const (
-	Unfinished Outcome = iota // it has not ended, as far as the record knows
+	Unfinished Outcome = iota // it has not ended, as far as the record shows
 	NeverRan                  // it did not run, and never will
 	MayHaveRun                // it may have run, or may yet
 	Done                      // it ran, and its result is known
 )
 
+// String describes the outcome.
 func (o Outcome) String() string {
 	return nameOf(int(o), "not ended", "it never ran", "it may have run", "done")
 }
 
-// nameOf is a word for a number, which a broken record may have as it likes.
-func nameOf(n int, names ...string) string {
-	if n >= len(names) {
-		return fmt.Sprint("unknown: ", n)
+// nameOf returns the name of a value. A corrupt record may have any.
+func nameOf(value int, names ...string) string {
+	if value >= len(names) {
+		return fmt.Sprint("unknown: ", value)
 	}
-	return names[n]
+	return names[value]
 }
 
 // Verdict is an item's final answer.
@@ -57,31 +58,33 @@
 const (
 	None    Verdict = iota
 	Served          // with a result
-	Failed          // it may have run; nobody can say more
+	Failed          // it may have run; more cannot be said
 	Expired         // its deadline passed, and it never ran
 )
 
+// String names the verdict.
 func (v Verdict) String() string { return nameOf(int(v), "none", "served", "failed", "expired") }
 
 // MaxAttempts is how often an item may be routed in all.
 const MaxAttempts = 4
 
-// Attempt is one routing of an item.
+// Attempt is one routing of an item. Keys of its JSON are the store's format: region is its former word for
+// a worker.
 type Attempt struct {
 	Worker  string  `json:"region"`
-	Rack    string  `json:"rack"`
+	Rack    string  `json:"rack"` // of the worker
 	At      Micros  `json:"at"`
-	Ended   Micros  `json:"ended,omitempty"`
+	Ended   Micros  `json:"ended,omitempty"` // 0: it has not
 	Outcome Outcome `json:"outcome"`
 }
 
-// Item is a job from its acceptance until it is forgotten.
+// Item is a job from its acceptance until it is deleted. Keys of its JSON are the store's format.
 type Item struct {
 	ID        string    `json:"id"`
 	Class     string    `json:"class"`
 	Tenant    string    `json:"tenant,omitempty"`
 	Object    string    `json:"object,omitempty"`
-	Key       string    `json:"key,omitempty"`
+	Key       string    `json:"key,omitempty"` // the idempotency key
 	Body      []byte    `json:"body,omitempty"`
 	Effect    Effect    `json:"effect"`
 	Window    Micros    `json:"window,omitempty"` // for Rack and Anywhere: since an attempt first may have run
@@ -91,7 +94,7 @@
 	Verdict   Verdict   `json:"verdict,omitempty"`
 	Result    []byte    `json:"result,omitempty"`
 	Answered  Micros    `json:"answered,omitempty"`
-	KeepUntil Micros    `json:"keep,omitempty"` // the answer may be read until then
+	KeepUntil Micros    `json:"keep,omitempty"` // the answer can be read until then
 }
 
 // Kind is what happens to an item.
@@ -99,12 +102,12 @@
 
 // The kinds of events. An item begins with its acceptance, which is no event.
 const (
-	Routed       Kind = iota // an attempt is about to go out: Region, Rack
-	AttemptEnded             // the last attempt ended: What, and Result with Done
-	Answered                 // the final answer: Verdict, and Keep
+	Routed       Kind = iota // an attempt is about to be sent: Worker, Rack
+	AttemptEnded             // the last attempt ended: Outcome, and Result with Done
+	Answered                 // the final answer: Verdict, and KeepUntil
 )
 
-// Event is something that happens to an item.
+// Event is something that happens to an item. Which fields it has depends on its kind.
 type Event struct {
 	Kind      Kind
 	At        Micros
@@ -116,51 +119,65 @@
 	KeepUntil Micros
 }
 
-// The errors of events that cannot be.
+// The errors of events that an item does not allow.
 var (
 	ErrAnswered        = errors.New("the item has its answer")
 	ErrOutstanding     = errors.New("an attempt is outstanding")
 	ErrNoAttempt       = errors.New("no attempt is outstanding")
-	ErrNoAttemptsLeft  = errors.New("no attempt is left")
+	ErrTooManyAttempts = errors.New("no attempt is left")
 	ErrMayHaveRun      = errors.New("an attempt may have run, and the class allows no repeat there")
 	ErrDeadlinePassed  = errors.New("the deadline has passed")
 	ErrUnprovenVerdict = errors.New("the answer is not what the attempts prove")
 )
 
-// Apply takes an event. An item that it does not fit stays as it was.
+// Apply applies an event. An item that does not allow it is not changed, and the error is one of those above.
 func (it *Item) Apply(e Event) error {
 	if it.Verdict != None {
 		return ErrAnswered
 	}
 	switch e.Kind {
 	case Routed:
-		if err := it.MayRoute(e.At, e.Rack); err != nil {
-			return err
-		}
-		it.Attempts = append(it.Attempts[:len(it.Attempts):len(it.Attempts)],
-			Attempt{Worker: e.Worker, Rack: e.Rack, At: e.At})
+		return it.route(e)
 	case AttemptEnded:
-		if !it.Outstanding() || e.Outcome == Unfinished {
-			return ErrNoAttempt
-		}
-		it.Attempts = append([]Attempt(nil), it.Attempts...)
-		last := &it.Attempts[len(it.Attempts)-1]
-		last.Ended, last.Outcome = e.At, e.Outcome
-		if e.Outcome == Done {
-			it.Result = e.Result
-		}
+		return it.endAttempt(e)
 	case Answered:
-		if !it.proves(e.Verdict) {
-			return ErrUnprovenVerdict
-		}
-		it.Verdict, it.Answered, it.KeepUntil = e.Verdict, e.At, e.KeepUntil
-	default:
-		return fmt.Errorf("unknown event %d", e.Kind)
+		return it.answer(e)
+	}
+	return fmt.Errorf("unknown event %d", e.Kind)
+}
+
+func (it *Item) route(e Event) error {
+	if err := it.MayRoute(e.At, e.Rack); err != nil {
+		return err
+	}
+	// A copy of the slice: copies of the item may share these attempts.
+	it.Attempts = append(it.Attempts[:len(it.Attempts):len(it.Attempts)],
+		Attempt{Worker: e.Worker, Rack: e.Rack, At: e.At})
+	return nil
+}
+
+func (it *Item) endAttempt(e Event) error {
+	if !it.Outstanding() || e.Outcome == Unfinished {
+		return ErrNoAttempt
+	}
+	it.Attempts = append([]Attempt(nil), it.Attempts...) // copied, as in route
+	last := &it.Attempts[len(it.Attempts)-1]
+	last.Ended, last.Outcome = e.At, e.Outcome
+	if e.Outcome == Done {
+		it.Result = e.Result
 	}
 	return nil
 }
 
-// proves tells whether the attempts bear a verdict out.
+func (it *Item) answer(e Event) error {
+	if !it.proves(e.Verdict) {
+		return ErrUnprovenVerdict
+	}
+	it.Verdict, it.Answered, it.KeepUntil = e.Verdict, e.At, e.KeepUntil
+	return nil
+}
+
+// proves reports whether the attempts justify a verdict.
 func (it *Item) proves(v Verdict) bool {
 	switch v {
 	case Served:
@@ -174,22 +191,22 @@
 	return false
 }
 
-// Outstanding tells whether an attempt is under way, as far as the record knows.
+// Outstanding reports whether an attempt is in flight, as far as the record shows.
 func (it *Item) Outstanding() bool {
 	return len(it.Attempts) > 0 && it.Attempts[len(it.Attempts)-1].Outcome == Unfinished
 }
 
 // firstMayHaveRun is the first attempt that may have run.
 func (it *Item) firstMayHaveRun() (Attempt, bool) {
-	for _, a := range it.Attempts {
-		if a.Outcome != NeverRan {
-			return a, true
+	for _, attempt := range it.Attempts {
+		if attempt.Outcome != NeverRan {
+			return attempt, true
 		}
 	}
 	return Attempt{}, false
 }
 
-// MayRoute tells whether another attempt may go out at a time to a rack.
+// MayRoute reports why no further attempt may be sent to a rack at a time; nil: it may.
 func (it *Item) MayRoute(at Micros, rack string) error {
 	switch {
 	case it.Verdict != None:
@@ -197,7 +214,7 @@
 	case it.Outstanding():
 		return ErrOutstanding
 	case len(it.Attempts) >= MaxAttempts:
-		return ErrNoAttemptsLeft
+		return ErrTooManyAttempts
 	case at >= it.Deadline:
 		return ErrDeadlinePassed
 	}
@@ -205,28 +222,32 @@
 	if !ran {
 		return nil
 	}
-	within := at >= first.At && at < first.At+it.Window
+	inWindow := at >= first.At && at < first.At+it.Window
 	switch {
-	case it.Effect == Safe, it.Effect == Anywhere && within, it.Effect == Rack && within && rack == first.Rack:
+	case it.Effect == Safe, it.Effect == Anywhere && inWindow,
+		it.Effect == Rack && inWindow && rack == first.Rack:
 		return nil
 	}
 	return ErrMayHaveRun
 }
 
-// Check tells what is wrong with a record that no run of this package can have made.
+// Check reports what is invalid about a record, which then no run of this package can have made. It replays
+// the record's events.
 func (it *Item) Check() error {
-	replay := Item{ID: it.ID, Effect: it.Effect, Window: it.Window, Accepted: it.Accepted, Deadline: it.Deadline}
 	if it.ID == "" || it.Effect > Safe {
 		return errors.New("no id, or an unknown effect")
 	}
-	for i, a := range it.Attempts {
-		if err := replay.Apply(Event{Kind: Routed, At: a.At, Worker: a.Worker, Rack: a.Rack}); err != nil {
+	replay := Item{ID: it.ID, Effect: it.Effect, Window: it.Window, Accepted: it.Accepted, Deadline: it.Deadline}
+	for i, attempt := range it.Attempts {
+		routed := Event{Kind: Routed, At: attempt.At, Worker: attempt.Worker, Rack: attempt.Rack}
+		if err := replay.Apply(routed); err != nil {
 			return fmt.Errorf("attempt %d: %w", i+1, err)
 		}
-		if a.Outcome == Unfinished {
+		if attempt.Outcome == Unfinished {
 			continue
 		}
-		if err := replay.Apply(Event{Kind: AttemptEnded, At: a.Ended, Outcome: a.Outcome}); err != nil || a.Outcome > Done {
+		ended := Event{Kind: AttemptEnded, At: attempt.Ended, Outcome: attempt.Outcome}
+		if err := replay.Apply(ended); err != nil || attempt.Outcome > Done {
 			return fmt.Errorf("attempt %d: its end does not fit", i+1)
 		}
 	}
--- a/internal/store/lifecycle/item_test.go
+++ b/internal/store/lifecycle/item_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -34,8 +35,10 @@
 		{"it never ran", NeverRan, 5 * second, "b", [4]error{}},
 		{"it may have run, same rack", MayHaveRun, 5 * second, "a", [4]error{ErrMayHaveRun, nil, nil, nil}},
 		{"it may have run, another rack", MayHaveRun, 5 * second, "b", [4]error{ErrMayHaveRun, ErrMayHaveRun}},
-		{"past the window", MayHaveRun, 11 * second, "a", [4]error{ErrMayHaveRun, ErrMayHaveRun, ErrMayHaveRun, nil}},
-		{"past the deadline", NeverRan, 100 * second, "a", [4]error{ErrDeadlinePassed, ErrDeadlinePassed, ErrDeadlinePassed, ErrDeadlinePassed}},
+		{"past the window", MayHaveRun, 11 * second, "a",
+			[4]error{ErrMayHaveRun, ErrMayHaveRun, ErrMayHaveRun, nil}},
+		{"past the deadline", NeverRan, 100 * second, "a",
+			[4]error{ErrDeadlinePassed, ErrDeadlinePassed, ErrDeadlinePassed, ErrDeadlinePassed}},
 		{"outstanding", Unfinished, 5 * second, "a", [4]error{ErrOutstanding, ErrOutstanding, ErrOutstanding,
 			ErrOutstanding}},
 	} {
@@ -59,9 +62,11 @@
 // What recovery does, by what was on disk.
 func TestRecover(t *testing.T) {
 	open := []Event{routedEvent(second, "a")}
-	ran := append(open, attemptEndedEvent(MayHaveRun))
-	done := append(open, Event{Kind: AttemptEnded, At: 2 * second, Outcome: Done, Result: []byte("r")})
-	over := append(done, Event{Kind: Answered, At: 2 * second, Verdict: Served, KeepUntil: 20 * second})
+	ran := append(slices.Clone(open), attemptEndedEvent(MayHaveRun))
+	done := append(slices.Clone(open), Event{Kind: AttemptEnded, At: 2 * second, Outcome: Done,
+		Result: []byte("r")})
+	over := append(slices.Clone(done), Event{Kind: Answered, At: 2 * second, Verdict: Served,
+		KeepUntil: 20 * second})
 	for _, c := range []struct {
 		name   string
 		effect Effect
@@ -73,9 +78,9 @@
 		{"never sent", Once, nil, Clock{At: 5 * second}, Resume, Event{}},
 		{"never sent, too late", Once, nil, Clock{At: 100 * second}, Apply,
 			Event{Kind: Answered, At: 100 * second, Verdict: Expired, KeepUntil: 107 * second}},
-		{"on its way, regions may call", Once, open, Clock{At: 5 * second}, Wait, Event{}},
-		{"on its way, too late, regions may call", Once, open, Clock{At: 200 * second}, Wait, Event{}},
-		{"on its way, nobody called", Once, open, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
+		{"in flight, workers may call back", Once, open, Clock{At: 5 * second}, Wait, Event{}},
+		{"in flight, too late, workers may call back", Once, open, Clock{At: 200 * second}, Wait, Event{}},
+		{"in flight, no worker called back", Once, open, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
 			Event{Kind: AttemptEnded, At: 5 * second, Outcome: MayHaveRun}},
 		{"may have run, once", Once, ran, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
 			Event{Kind: Answered, At: 5 * second, Verdict: Failed, KeepUntil: 12 * second}},
@@ -84,7 +89,8 @@
 			Event{Kind: Answered, At: 15 * second, Verdict: Failed, KeepUntil: 22 * second}},
 		{"may have run, the clock went back", Anywhere, ran, Clock{At: 5 * second, WentBack: true}, Apply,
 			Event{Kind: Answered, At: 5 * second, Verdict: Failed, KeepUntil: 12 * second}},
-		{"may have run, safe, the clock went back", Safe, ran, Clock{At: 5 * second, WentBack: true}, Resume, Event{}},
+		{"may have run, safe, the clock went back", Safe, ran, Clock{At: 5 * second, WentBack: true}, Resume,
+			Event{}},
 		{"done, not answered", Once, done, Clock{At: 200 * second}, Apply,
 			Event{Kind: Answered, At: 200 * second, Verdict: Served, KeepUntil: 207 * second}},
 		{"answered", Once, over, Clock{At: 5 * second}, KeepAnswer, Event{}},
@@ -122,8 +128,8 @@
 	}
 }
 
-// Whatever events come in whatever order: the item keeps its promises, a record that Apply
-// made passes Check, recovery ends from any of them, and one that was tampered with is found.
+// Whatever events come in whatever order: the item keeps its promises, a record that Apply made passes
+// Check, recovery ends from any of them, and a record that was changed otherwise is found.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		it := newItem(Effect(rapid.IntRange(0, 3).Draw(t, "effect")))
@@ -132,12 +138,13 @@
 			now += Micros(rapid.IntRange(0, 5_000_000).Draw(t, "time"))
 			e := Event{Kind: Kind(rapid.IntRange(0, 2).Draw(t, "kind")), At: now,
 				Rack:    rapid.SampledFrom([]string{"a", "b"}).Draw(t, "rack"),
-				Outcome: Outcome(rapid.IntRange(0, 3).Draw(t, "what")), Verdict: Verdict(rapid.IntRange(0, 3).Draw(t, "v"))}
+				Outcome: Outcome(rapid.IntRange(0, 3).Draw(t, "what")), Verdict: Verdict(rapid.IntRange(0, 3).Draw(t,
+					"v"))}
 			before := it
 			before.Attempts = append([]Attempt(nil), it.Attempts...)
 			if err := it.Apply(e); err != nil {
 				if diff := cmp.Diff(before, it); diff != "" {
-					t.Fatalf("refused, %v, and yet changed: %s", err, diff)
+					t.Fatalf("rejected, %v, and yet changed: %s", err, diff)
 				}
 			}
 			if err := it.Check(); err != nil {
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -8,29 +8,29 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// world is one item, a store that loses what was not synced, a process that is killed at any
-// point and recovers, and two regions in two racks. What the process does follows Apply and
-// Recover; what it must wait for is what the package's comment says.
+// world is one item, a store that loses what was not synced, a process that is killed at any point and
+// recovers, and two workers in two racks. What the process does follows Apply and Recover; what it must
+// wait for is in the package's comment.
 type world struct {
 	Effect           Effect
 	Now              Micros
-	Mem              *Item   // what the process holds; nil: nothing, or it is dead
+	Mem              *Item   // the item in the process's memory; nil: none, or the process is dead
 	Disk             *Item   // what a crash leaves
 	Unsaved          []*Item // written and not synced, in order: a crash loses any number of the last ones
-	AcceptConfirmed  bool    // the client has heard that the item is accepted
-	ClientVerdict    Verdict // and its answer
-	ResultAcked      bool    // a region has had its 204 for the result
+	AcceptConfirmed  bool    // the client got the confirmation that the item is accepted
+	ClientVerdict    Verdict // the answer that the client got
+	ResultAcked      bool    // a worker got its 204 for the result
 	Submitted        bool
 	Dead             bool
 	CallbackWaitOver bool // recovery has waited for callbacks
-	ClockWentBack    bool // the clock is behind what the store had seen
-	Sent             bool // the present attempt has gone out
+	ClockWentBack    bool // the clock shows less than the store has seen
+	Sent             bool // the current attempt was sent
 	Workers          [2]workerState
 	Crashes          int
 	Runs             int
 	RanIn            [2]bool
 	Violation        string
-	// SkippedWait leaves out one of the waits: a planted fault.
+	// SkippedWait names one of the waits that the process leaves out: an injected fault.
 	SkippedWait string
 }
 
@@ -55,10 +55,10 @@
 	return c
 }
 
-// saved tells whether what the process holds is on disk.
+// saved reports whether the process's item is on disk as it is in memory.
 func (w *world) saved() bool { return len(w.Unsaved) == 0 }
 
-// note takes an event in the process, which writes it.
+// note applies an event in the process, which writes the item.
 func (w *world) note(e Event) {
 	if err := w.Mem.Apply(e); err != nil {
 		w.Violation = fmt.Sprintf("event %d at %d: %v", e.Kind, e.At, err)
@@ -88,8 +88,9 @@
 	}
 	for i, r := range w.Workers {
 		if r.HasJob {
-			add(fmt.Sprint("region ", i, " runs it"), func(w *world) {
-				if !(w.Effect == Anywhere && w.Runs > 0 || w.Effect == Rack && w.RanIn[i]) {
+			add(fmt.Sprint("worker ", i, " runs it"), func(w *world) {
+				duplicate := w.Effect == Anywhere && w.Runs > 0 || w.Effect == Rack && w.RanIn[i]
+				if !duplicate {
 					w.Runs++
 				}
 				w.RanIn[i] = true
@@ -97,7 +98,7 @@
 			})
 		}
 		if r.CallsBack && !w.Dead && w.Mem != nil && w.Mem.Outstanding() {
-			add(fmt.Sprint("region ", i, " calls back"), func(w *world) {
+			add(fmt.Sprint("worker ", i, " calls back"), func(w *world) {
 				w.note(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
 				if w.SkippedWait == "204" {
 					w.Workers[i].CallsBack, w.ResultAcked = false, true // before its record is on disk
@@ -105,9 +106,9 @@
 			})
 		}
 		if r.CallsBack && !w.Dead && w.Mem != nil && !w.Mem.Outstanding() && w.saved() {
-			add(fmt.Sprint("region ", i, " gets its 204"), func(w *world) {
+			add(fmt.Sprint("worker ", i, " gets its 204"), func(w *world) {
 				w.Workers[i].CallsBack = false
-				// One that comes after all was concluded is told so, and proves nothing more.
+				// A callback after the answer gets a status that says so, and proves nothing more.
 				n := len(w.Mem.Attempts)
 				w.ResultAcked = w.ResultAcked || n > 0 && w.Mem.Attempts[n-1].Outcome == Done
 			})
@@ -115,7 +116,7 @@
 	}
 	switch {
 	case !w.Submitted:
-		add("a client hands in", func(w *world) {
+		add("a client submits it", func(w *world) {
 			w.Submitted = true
 			it := newItem(w.Effect)
 			w.Mem = &it
@@ -148,13 +149,15 @@
 		return all
 	}
 	if !w.CallbackWaitOver {
-		add("regions have had their while", func(w *world) { w.CallbackWaitOver = true })
+		add("the wait for callbacks is over", func(w *world) { w.CallbackWaitOver = true })
 	}
-	step, event := Recover(w.Mem, Clock{At: w.Now, WentBack: w.ClockWentBack, CallbackWaitOver: w.CallbackWaitOver}, keepFor)
+	step, event := Recover(w.Mem, Clock{At: w.Now, WentBack: w.ClockWentBack,
+		CallbackWaitOver: w.CallbackWaitOver}, keepFor)
 	switch {
 	case step == Apply && w.saved():
 		add("it is concluded", func(w *world) { w.note(event) })
-	case step == Resume && w.saved() && len(w.Mem.Attempts) < maxModelAttempts: // fewer than allowed: fewer states
+	case step == Resume && w.saved() &&
+		len(w.Mem.Attempts) < maxModelAttempts: // fewer than allowed: fewer states
 		for i, rack := range []string{"a", "b"} {
 			if w.Mem.MayRoute(w.Now, rack) == nil {
 				add("it is routed to "+rack, func(w *world) {
@@ -172,13 +175,13 @@
 		if w.Mem.Attempts[len(w.Mem.Attempts)-1].Rack == "b" {
 			i = 1
 		}
-		add("it goes out", func(w *world) {
+		add("it is sent", func(w *world) {
 			w.Sent = true
 			w.Workers[i].HasJob = true
 		})
 	}
 	if w.Mem.Verdict != None && (w.saved() || w.SkippedWait == "answer") && w.ClientVerdict == None {
-		add("its client hears the answer", func(w *world) { w.ClientVerdict = w.Mem.Verdict })
+		add("its client gets the answer", func(w *world) { w.ClientVerdict = w.Mem.Verdict })
 	}
 	if w.Now < 4*second {
 		add("time passes", func(w *world) { w.Now += 4 * second })
@@ -186,7 +189,7 @@
 	return all
 }
 
-// Steps implements explore.Model.
+// Steps implements modelcheck.Model.
 func (w *world) Steps() (names []string) {
 	for _, a := range w.actions() {
 		names = append(names, a.name)
@@ -194,7 +197,7 @@
 	return names
 }
 
-// Step implements explore.Model.
+// Step implements modelcheck.Model.
 func (w *world) Step(i int) *world {
 	a := w.actions()[i]
 	w = w.clone()
@@ -202,7 +205,7 @@
 	return w
 }
 
-// AppendState implements explore.Model.
+// AppendState implements modelcheck.Model.
 func (w *world) AppendState(b []byte) []byte {
 	raw, err := json.Marshal(w)
 	if err != nil {
@@ -211,7 +214,7 @@
 	return append(b, raw...)
 }
 
-// Check implements explore.Model.
+// Check implements modelcheck.Model.
 func (w *world) Check() error {
 	switch {
 	case w.Violation != "":
@@ -219,11 +222,11 @@
 	case w.Runs > 1 && w.Effect != Safe:
 		return fmt.Errorf("it ran %d times", w.Runs)
 	case w.AcceptConfirmed && w.Disk == nil:
-		return fmt.Errorf("an accepted item is lost")
+		return fmt.Errorf("an accepted item is missing")
 	case w.ClientVerdict != None && w.Disk != nil && w.Mem != nil && w.Mem.Verdict != w.ClientVerdict:
-		return fmt.Errorf("heard %v, and now it is %v", w.ClientVerdict, w.Mem.Verdict)
+		return fmt.Errorf("the client got %v, and now it is %v", w.ClientVerdict, w.Mem.Verdict)
 	case w.ResultAcked && w.ClientVerdict == Failed:
-		return fmt.Errorf("a result that a region got its 204 for is lost")
+		return fmt.Errorf("a result that a worker got its 204 for is missing")
 	case w.ClientVerdict == Expired && w.Runs > 0:
 		return fmt.Errorf("it expired, and ran")
 	}
@@ -233,13 +236,13 @@
 	return nil
 }
 
-// Every order of events, with crashes at any point, one during recovery and one more: an
-// accepted item is never lost, none runs twice that must not, no answer changes.
+// Every order of events, with crashes at any point, one during recovery and one more: an accepted item is
+// never missing, none runs twice that must not, no answer changes.
 func TestCrashesInEveryOrder(t *testing.T) {
 	for effect := Once; effect <= Safe; effect++ {
 		crashes := 3
 		if effect >= Anywhere || testing.Short() {
-			crashes = 1 // repeats multiply the states
+			crashes = 1 // retries multiply the states
 		}
 		if raceOn {
 			crashes = 1 // states cost ten times as much
@@ -254,12 +257,12 @@
 
 // Each of the waits is needed: without any one of them a promise breaks.
 func TestEachWaitIsNeeded(t *testing.T) {
-	for _, early := range []string{"accept", "route", "204", "answer"} {
-		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, SkippedWait: early}, 1_000_000)
+	for _, skipped := range []string{"accept", "route", "204", "answer"} {
+		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, SkippedWait: skipped}, 1_000_000)
 		if tour.Violation == nil {
-			t.Errorf("nothing breaks without the wait before %s: %v", early, tour)
+			t.Errorf("nothing breaks without the wait before %s: %v", skipped, tour)
 			continue
 		}
-		t.Logf("%s: %v, by %q", early, tour.Violation, tour.Path)
+		t.Logf("%s: %v, by %q", skipped, tour.Violation, tour.Path)
 	}
 }
--- a/internal/store/lifecycle/recover.go
+++ b/internal/store/lifecycle/recover.go
@@ -3,17 +3,17 @@
 // Clock is what recovery knows of the time.
 type Clock struct {
 	At Micros
-	// WentBack says that the clock is behind what it showed before the stop. Nobody knows then
-	// how long the stop was: no window can be trusted.
+	// WentBack says that the clock shows less than before the stop. How long the stop was is then unknown: no
+	// window can be trusted.
 	WentBack bool
-	// CallbackWaitOver says that regions have had their while to call back: what may have run and was
-	// not heard of can be concluded now.
+	// CallbackWaitOver says that workers have had their time to call back: an attempt without a callback may
+	// have run, and that can be concluded now.
 	CallbackWaitOver bool
 }
 
-// ClockSince makes Now from the clock at a start, and the latest time that the store had seen
-// before. Time never runs backwards for an item: a clock that was put back an hour must not
-// make deadlines an hour longer.
+// ClockSince returns the Clock of a start, by what the clock shows and by the latest time that the store
+// has seen. Time never runs backwards for an item: a clock that was put back an hour must not make
+// deadlines an hour longer.
 func ClockSince(clock, seen Micros) Clock {
 	if clock < seen {
 		return Clock{At: seen, WentBack: true}
@@ -24,34 +24,34 @@
 // Step is what recovery does with an item.
 type Step uint8
 
-// The steps.
+// The steps of recovery.
 const (
-	Wait       Step = iota // for callbacks, until Asked
-	Resume                 // route it, where MayRoute allows
-	Apply                  // the event that Recover gives
+	Wait       Step = iota // for callbacks, until CallbackWaitOver
+	Resume                 // route the item, where MayRoute allows
+	Apply                  // apply the event that Recover returns
 	Delete                 // its answer has been kept long enough
-	KeepAnswer             // it has its answer, which is kept
+	KeepAnswer             // it has its answer, which can still be read
 )
 
-// Recover says what to do with an item that the store holds at a start. Each conclusion is an
-// event, to be on disk before anything follows from it: after a crash during recovery, and
-// one during that, the same record leads to the same end.
+// Recover says what to do with an item that the store has at a start, and how long its answer is kept if it
+// gets one now. Each conclusion is an event, which must be on disk before anything follows from it: then
+// after a crash during recovery, and one during that, the same record leads to the same end.
 func Recover(it *Item, now Clock, keep Micros) (Step, Event) {
-	answer := func(v Verdict) (Step, Event) {
-		return Apply, Event{Kind: Answered, At: now.At, Verdict: v, KeepUntil: now.At + keep}
-	}
 	if it.Verdict != None {
 		if now.At >= it.KeepUntil {
 			return Delete, Event{}
 		}
 		return KeepAnswer, Event{}
 	}
+	answer := func(v Verdict) (Step, Event) {
+		return Apply, Event{Kind: Answered, At: now.At, Verdict: v, KeepUntil: now.At + keep}
+	}
 	if n := len(it.Attempts); n > 0 && it.Attempts[n-1].Outcome == Done {
-		return answer(Served) // its end was on disk, its answer was not
+		return answer(Served) // the end of the attempt was on disk, the answer was not
 	}
 	if it.Outstanding() {
 		if !now.CallbackWaitOver {
-			return Wait, Event{} // its region may still call back, whatever the deadline says
+			return Wait, Event{} // its worker may still call back, whatever the deadline says
 		}
 		return Apply, Event{Kind: AttemptEnded, At: now.At, Outcome: MayHaveRun}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps items on disk, on bbolt, with many changes to a sync. What an item may
-// become is for package life to say; this one only promises that what it has confirmed is
-// there after a crash, whole or told as broken.
+// Package store keeps items on disk, in bbolt, with many changes to a sync. What may happen to an item is
+// decided by package lifecycle; this one promises that what it has confirmed is there after a crash,
+// complete or reported as corrupt.
 package store
 
 import (
@@ -14,10 +14,10 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// Config says how a store is kept.
+// Config is the configuration of a store.
 type Config struct {
 	Path     string // of its file
-	MaxItems int    // open and answered ones together; 0: a million
+	MaxItems int    // unfinished and answered ones together; 0: a million
 	MaxBytes int64  // of the file; 0: 1 GiB
 }
 
@@ -26,37 +26,38 @@
 	defaultBytes = 1 << 30
 	maxQueue     = 4096 // changes that wait for the disk
 	maxBatch     = 1024 // changes in a commit
-	// updateReserve is the part of the quota that only changes to known items may use: what was
+	// updateReserve is the part of MaxBytes, one in so many, that only changes to known items may use: what was
 	// accepted must be able to end.
-	updateReserve = 8 // one in so many
+	updateReserve = 8
 )
 
-// Change is an item's new state, or its end: the item is forgotten.
+// Change is an item's new state, or its deletion.
 type Change struct {
 	Item   *lifecycle.Item
 	Delete bool
-	// Done is told once, from the writer's goroutine, in the order of the changes: nil when
-	// the change is on disk. It must not block.
+	// Done is called once, from the writer's goroutine, in the order of the changes. The error is nil when the
+	// change is on disk. It must not block.
 	Done func(error)
 
 	isNew  bool
-	record []byte // the item as it is written, made by the caller and not by the one writer
+	record []byte // the encoded item, made by the caller so that the one writer does not have to
 }
 
-// The errors that a change ends with.
+// The errors of a change that is not stored.
 var (
-	// ErrFull: the quota is used up. Nothing new is accepted until items are forgotten.
+	// ErrFull says that a quota is used up. No new item is accepted until others are deleted.
 	ErrFull = errors.New("the store is full")
-	// ErrBusy: the disk does not keep up; changes wait already.
+	// ErrBusy says that the disk does not keep up: too many changes are waiting.
 	ErrBusy = errors.New("the disk does not keep up")
-	// ErrClosed: the store is closed.
+	// ErrClosed says that the store is closed.
 	ErrClosed = errors.New("the store is closed")
 )
 
-// DiskError ends all changes after one that the disk did not take: after a failed sync nobody
-// knows what of the unsynced is there. The store takes nothing more until it is opened anew.
+// DiskError ends all changes from the first one on that the disk did not take: after a failed sync it is
+// unknown which of the unsynced writes are there. The store takes nothing more until it is opened anew.
 type DiskError struct{ Cause error }
 
+// Error implements error.
 func (e *DiskError) Error() string {
 	return "the disk failed, nothing more is stored: " + e.Cause.Error()
 }
@@ -64,33 +65,33 @@
 // Unwrap returns the cause.
 func (e *DiskError) Unwrap() error { return e.Cause }
 
-// disk is what a store needs of its engine. A commit is on disk, whole, when it returns nil.
+// disk is what a store needs of its engine. A commit is on disk as a whole when it returns nil.
 type disk interface {
 	commit(seen lifecycle.Micros, batch []Change) (items int, bytes int64, err error)
-	forEach(func(id string, it *lifecycle.Item, broken error) error) error
+	forEach(func(id string, it *lifecycle.Item, fault error) error) error
 	seen() (lifecycle.Micros, error)
 	size() (items int, bytes int64, err error)
 	writeTo(w io.Writer) error
 	close() error
 }
 
-// Store is an open store. It is safe for many goroutines.
+// Store is an open store. It is safe for concurrent use.
 type Store struct {
 	cfg    Config
 	disk   disk
 	queue  chan Change
 	writer sync.WaitGroup
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the fields below
 	closed     bool
-	diskErr    error
-	items      int // on disk
-	pendingNew int // accepted, and on their way there
+	diskErr    error // the first failure; nothing is stored after it
+	items      int   // on disk
+	pendingNew int   // accepted, and not on disk yet
 	bytes      int64
 }
 
-// Open opens a store, or makes one. Another process that has it open, a version that this
-// program does not know, and a file that is none are one clear line each.
+// Open opens a store, or creates one. A file that another process has open, one of an unknown version and
+// one that is no store are errors of one clear line each.
 func Open(cfg Config) (*Store, error) {
 	if cfg.MaxItems == 0 {
 		cfg.MaxItems = defaultItems
@@ -101,7 +102,7 @@
 	if cfg.MaxItems < 0 || cfg.MaxBytes < 0 {
 		return nil, errors.New("store: a quota must not be negative")
 	}
-	d, err := openBolt(cfg.Path, false)
+	d, err := openBolt(cfg.Path, readWrite)
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", cfg.Path, err)
 	}
@@ -118,23 +119,23 @@
 	return s, nil
 }
 
-// Recovered is what a store held when it was opened.
+// Recovered is what a store had when it was opened.
 type Recovered struct {
 	Items   []*lifecycle.Item
-	Corrupt []error // a line for each record that cannot be trusted; none of them is in Items
+	Corrupt []error // one for each record that cannot be trusted; none of those is in Items
 	Clock   lifecycle.Clock
 }
 
-// Recover reads all items. The clock is what it shows now.
+// Recover reads all items. The argument is what the clock shows now.
 func (s *Store) Recover(clock lifecycle.Micros) (*Recovered, error) {
 	seen, err := s.disk.seen()
 	if err != nil {
 		return nil, err
 	}
 	r := &Recovered{Clock: lifecycle.ClockSince(clock, seen)}
-	err = s.disk.forEach(func(id string, it *lifecycle.Item, broken error) error {
-		if broken != nil {
-			r.Corrupt = append(r.Corrupt, withID(id, broken))
+	err = s.disk.forEach(func(id string, it *lifecycle.Item, fault error) error {
+		if fault != nil {
+			r.Corrupt = append(r.Corrupt, withID(id, fault))
 		} else {
 			r.Items = append(r.Items, it)
 		}
@@ -143,27 +144,27 @@
 	return r, err
 }
 
-// withID puts the item's name before what is wrong with it, where it is about one item.
-func withID(id string, broken error) error {
+// withID puts the item's id before a fault, where it concerns one item.
+func withID(id string, fault error) error {
 	if id == "" {
-		return broken
+		return fault
 	}
-	return fmt.Errorf("item %q: %w", id, broken)
+	return fmt.Errorf("item %q: %w", id, fault)
 }
 
-// Accept stores a new item. When the store is full or the disk does not keep up, that is the
-// error, and Done is not called.
+// Accept stores a new item. The error is ErrFull or ErrBusy when the store is full or the disk does not
+// keep up, a DiskError or ErrClosed when it takes nothing more; then Done is not called.
 func (s *Store) Accept(c Change) error {
 	if err := c.encode(); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	spare := s.cfg.MaxBytes / updateReserve
-	if s.items+s.pendingNew >= s.cfg.MaxItems || s.bytes+int64(len(c.Item.Body)) > s.cfg.MaxBytes-spare {
+	maxBytes := s.cfg.MaxBytes - s.cfg.MaxBytes/updateReserve
+	if s.items+s.pendingNew >= s.cfg.MaxItems || s.bytes+int64(len(c.Item.Body)) > maxBytes {
 		return ErrFull
 	}
-	// Room in the queue is kept for the ends of what was accepted.
+	// The rest of the queue is reserved for the ends of accepted items.
 	if len(s.queue) > maxQueue/2 {
 		return ErrBusy
 	}
@@ -175,7 +176,7 @@
 	return err
 }
 
-// Update stores what has become of an item, or forgets it.
+// Update stores the new state of an item, or deletes it. The error is as in Accept, but never ErrFull.
 func (s *Store) Update(c Change) error {
 	if err := c.encode(); err != nil {
 		return err
@@ -190,8 +191,11 @@
 		return nil
 	}
 	payload, err := json.Marshal(c.Item)
+	if err != nil {
+		return fmt.Errorf("encoding item %q: %w", c.Item.ID, err)
+	}
 	c.record = seal([]byte(c.Item.ID), payload)
-	return err
+	return nil
 }
 
 // enqueue queues a change. It never waits for the disk.
@@ -210,20 +214,11 @@
 	}
 }
 
-// writeLoop carries changes to the disk, all that have come during one commit with the next.
+// writeLoop commits changes until the queue is closed. Those that arrive during one commit go together with
+// the next.
 func (s *Store) writeLoop() {
 	for first := range s.queue {
-		batch := append(make([]Change, 0, maxBatch), first)
-		for more := true; more && len(batch) < maxBatch; {
-			select {
-			case c, open := <-s.queue:
-				if more = open; open {
-					batch = append(batch, c)
-				}
-			default:
-				more = false
-			}
-		}
+		batch := s.fillBatch(first)
 		err := s.commit(batch)
 		for _, c := range batch {
 			c.Done(err)
@@ -231,12 +226,26 @@
 	}
 }
 
+// fillBatch takes the changes that are queued behind the first, without waiting for more.
+func (s *Store) fillBatch(first Change) []Change {
+	batch := append(make([]Change, 0, maxBatch), first)
+	for len(batch) < maxBatch {
+		select {
+		case c, open := <-s.queue:
+			if !open {
+				return batch
+			}
+			batch = append(batch, c)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
 func (s *Store) commit(batch []Change) error {
-	s.mu.Lock()
-	failed := s.diskErr
-	s.mu.Unlock()
-	if failed != nil {
-		return failed
+	if err := s.Err(); err != nil {
+		return err
 	}
 	items, bytes, err := s.disk.commit(lifecycle.Micros(time.Now().UnixMicro()), batch)
 	s.mu.Lock()
@@ -254,17 +263,17 @@
 	return nil
 }
 
-// Err tells why the store takes nothing more; nil: it does.
+// Err returns the DiskError after which the store takes nothing more; nil: there was none.
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.diskErr
 }
 
-// Backup writes a whole copy, as of one moment, while the store goes on.
+// Backup writes a complete copy, as of one moment, while the store goes on.
 func (s *Store) Backup(w io.Writer) error { return s.disk.writeTo(w) }
 
-// Close writes what waits, and closes the store.
+// Close writes the queued changes and closes the store. A second call does nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -30,10 +30,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.Close() })
+	t.Cleanup(func() { closeStore(t, s) })
 	return s
 }
 
+func closeStore(t testing.TB, s *Store) {
+	t.Helper()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
 // accept stores an item and waits until it is on disk.
 func accept(s *Store, it *lifecycle.Item) error {
 	done := make(chan error, 1)
@@ -65,8 +72,8 @@
 	return all
 }
 
-// What was confirmed is there after the store is opened again; a second process gets one
-// line; a clock that went back is told.
+// What was confirmed is there after the store is opened again; a second process gets an error of one line;
+// a clock that went back is reported.
 func TestReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "jobs")
 	s := open(t, Config{Path: path})
@@ -79,7 +86,8 @@
 		want[it.ID] = it
 	}
 	changed := *want["item-0003"]
-	if err := changed.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 5, Worker: "s-1", Rack: "a"}); err != nil {
+	if err := changed.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 5, Worker: "s-1",
+		Rack: "a"}); err != nil {
 		t.Fatal(err)
 	}
 	if err := errors.Join(update(s, Change{Item: &changed}),
@@ -108,12 +116,12 @@
 	}
 }
 
-// countingDisk is a disk that counts commits, takes its time, and fails from one on.
+// countingDisk is a disk that counts commits, can be made slow, and fails from a commit on.
 type countingDisk struct {
 	disk
 	sync.Mutex
 	commits, failAt int
-	gate            chan bool // a commit waits for a word; nil: none does
+	gate            chan bool // a commit waits for a value; nil: none does
 }
 
 var errIO = errors.New("input/output error")
@@ -134,7 +142,7 @@
 
 func startOn(t *testing.T, c *countingDisk, cfg Config) *Store {
 	t.Helper()
-	d, err := openBolt(cfg.Path, false)
+	d, err := openBolt(cfg.Path, readWrite)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,11 +154,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.Close() })
+	t.Cleanup(func() { closeStore(t, s) })
 	return s
 }
 
-// What comes during one commit shares the next; nobody waits for the disk to hand in.
+// What arrives during one commit shares the next; no caller waits for the disk.
 func TestGroupCommit(t *testing.T) {
 	c := &countingDisk{gate: make(chan bool)}
 	s := startOn(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
@@ -169,11 +177,11 @@
 	close(c.gate)
 	done.Wait()
 	if c.commits > 3 || len(readAll(t, s)) != 500 {
-		t.Errorf("%d commits for 500 items that came during the first", c.commits)
+		t.Errorf("%d commits for 500 items that arrived during the first", c.commits)
 	}
 }
 
-// A disk that does not keep up: new items are refused, the ends of old ones still fit.
+// A disk that does not keep up: new items are refused, changes to known ones still fit.
 func TestSlowDisk(t *testing.T) {
 	c := &countingDisk{gate: make(chan bool)}
 	s := startOn(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
@@ -191,8 +199,8 @@
 	close(c.gate)
 }
 
-// The disk fails at any commit: that one and all later ones end with the failure, and what was
-// confirmed before is there when the store is opened again.
+// The disk fails at any commit: that one and all later ones end with the error, and what was confirmed
+// before is there when the store is opened again.
 func TestDiskFails(t *testing.T) {
 	for failAt := 1; failAt <= 6; failAt++ {
 		path := filepath.Join(t.TempDir(), "jobs")
@@ -221,7 +229,7 @@
 	}
 }
 
-// The quota refuses new items and not what becomes of known ones; forgetting makes room.
+// The quota refuses new items and not changes to known ones; a deletion frees space for others.
 func TestQuota(t *testing.T) {
 	s := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MaxItems: 3})
 	for n := range 3 {
@@ -254,9 +262,9 @@
 // pageSize is the engine's, which is the machine's.
 var pageSize = os.Getpagesize()
 
-// A crash within any commit: any of its writes may be missing, cut off or zeros, those behind
-// the sync only once all before it are there. The store then holds what was confirmed, and
-// the commit under way whole or not at all.
+// A crash within any commit: any of its writes may be missing, cut off or zeros, those after the sync only
+// once all before it are there. The store then has what was confirmed, and the interrupted commit
+// completely or not at all.
 func TestTornWrites(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "jobs")
@@ -297,7 +305,7 @@
 				}
 			}
 			if metaToo && len(torn) == len(after) {
-				copy(torn, after[:512*random.IntN(2*pageSize/512)]) // a sector is whole
+				copy(torn, after[:512*random.IntN(2*pageSize/512)]) // a sector is written completely
 			}
 			own := filepath.Join(folder, "torn")
 			if err := os.WriteFile(own, torn, 0o600); err != nil {
@@ -310,14 +318,14 @@
 			if got := readAll(t, o); cmp.Diff(state, got) != "" && cmp.Diff(next, got) != "" {
 				t.Fatalf("commit %d, torn: neither the old state nor the new: %s", n, cmp.Diff(state, got))
 			}
-			o.Close()
+			closeStore(t, o)
 		}
 		before, state = after, next
 	}
 }
 
-// A bit that is flipped anywhere is told, or lay where it matters to nobody: no item comes
-// back changed, and none is missing without a word.
+// A bit that is flipped anywhere is reported, or lies where it has no effect: no item comes back changed,
+// and none is missing without an error.
 func TestFlippedBits(t *testing.T) {
 	if raceOn {
 		t.Skip("the race detector ends the process where the engine reads a page beyond its bounds")
@@ -362,12 +370,12 @@
 		if err != nil || len(r.Corrupt) > 0 {
 			detected++
 		} else if len(r.Items) != len(want) {
-			t.Errorf("byte %d: %d of %d items, and not a word", at, len(r.Items), len(want))
+			t.Errorf("byte %d: %d of %d items, and no error", at, len(r.Items), len(want))
 		}
-		o.Close()
+		_ = o.Close() // the file is corrupt, and was only read
 	}
 	if detected < 20 {
-		t.Errorf("%d of 600 flipped bits were told: the file is hardly used", detected)
+		t.Errorf("%d of 600 flipped bits were reported: the file is hardly used", detected)
 	}
 }
 
@@ -378,8 +386,8 @@
 	return r.Items
 }
 
-// A file of version 1, kept as it was, is brought up to this version with all its items; one
-// of a later version is left alone.
+// A file of version 1, as an old release wrote it, is migrated to this version with all its items; one of a
+// later version is not changed.
 func TestVersions(t *testing.T) {
 	raw, err := os.ReadFile("testdata/v1.db")
 	if err != nil {
@@ -395,7 +403,7 @@
 		if len(got) != 3 || cmp.Diff(item(2), got["item-0002"]) != "" {
 			t.Errorf("%d items, %+v", len(got), got["item-0002"])
 		}
-		s.Close()
+		closeStore(t, s)
 	}
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -416,7 +424,7 @@
 	}
 }
 
-// A backup that is made while items come is a whole store.
+// A backup that is made while items are stored is a complete store.
 func TestBackup(t *testing.T) {
 	folder := t.TempDir()
 	s := open(t, Config{Path: filepath.Join(folder, "jobs")})
