--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -3,17 +3,22 @@
 //
 // The package holds no clock, no network and no goroutines. Feed a Dispatcher
 // one Event at a time and carry out the actions that it appends.
+//
+// It queues jobs by latest start, tests conditions (4) and (6) of a paper on overload control, gaps
+// tenants when they fail and releases jobs to workers with free slots. docs/design.md says what departs
+// from the paper, when and why. The files that hold decisions are listed under policy in
+// deploy/balancer.toml; state.go and records.go have the state, the estimate files what decisions rest on.
 package dispatch
 
 // Micros is a time or a span in microseconds. Times count from an arbitrary
 // start and never run backwards.
 type Micros int64
 
-// JobID names a job; WorkerID names a worker. Neither tells anything else.
-type (
-	JobID    uint64
-	WorkerID uint32
-)
+// JobID identifies a job. Nothing is read from its value.
+type JobID uint64
+
+// WorkerID identifies a worker. Dispatchers compute the worker's owner in slow start from its value.
+type WorkerID uint32
 
 // Effect says what a class allows once an attempt may have run.
 type Effect uint8
@@ -37,11 +42,11 @@
 
 // Class describes one class of jobs.
 type Class struct {
-	LatencyObjective Micros  // an answer within this earns the full worth
-	ObjectiveStretch float64 // the aim grows by this multiple of the job's own work
-	Deadline         Micros  // the client's whole wait, over all its tries
-	PriorityWeight   float64 // worth of a job, or of a unit of its work
-	LateWeight       float64 // fraction of the worth earned after the aim
+	LatencyObjective Micros  // an answer within this earns the full weight
+	ObjectiveStretch float64 // the objective grows by this multiple of the job's own work
+	Deadline         Micros  // the client's total wait, over all its tries
+	PriorityWeight   float64 // weight of a job, or of a unit of its work
+	LateWeight       float64 // fraction of the weight earned after the objective
 	Effect           Effect
 	DedupScope       DedupScope // for Keyed
 	DedupWindow      Micros     // for Keyed: how long repeats are dropped
@@ -51,45 +56,45 @@
 
 // Tenant is one of those who share the fleet.
 type Tenant struct {
-	Quota float64 // jobs a second within its share, over all dispatchers; 0: no quota
+	Quota float64 // jobs a second, over all dispatchers; 0: no quota
 }
 
-// Settings is what a dispatcher is told at its start.
+// Settings configures a dispatcher. They do not change while it runs.
 type Settings struct {
 	Index       int // this dispatcher's number
 	Dispatchers int // how many dispatchers there are
-	Zone        int // the zone it sits in
+	Zone        int // the zone it is in
 
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // worth of a job beyond its tenant's share, as a fraction
-	WeightByWork    bool    // worth counts for each unit of work
+	OverQuotaWeight float64 // fraction of the weight for a job over its tenant's quota
+	WeightByWork    bool    // the weight counts for each unit of work
 
-	PollEndpoints  bool   // the worker list must be asked for
-	PollInterval   Micros // longest time without asking, where it must be asked for
-	MaxStaleness   Micros // what there is to tell counts as told this long after, heard or not; 0: once heard
-	UnmeteredPolls bool   // calls for the list cost nobody anything, so none is spread or put off
+	PollEndpoints  bool   // the worker list must be polled
+	PollInterval   Micros // longest time without a poll, where it must be polled; 0: 10 s
+	MaxStaleness   Micros // a change counts as known this long after, received or not; 0: once received
+	UnmeteredPolls bool   // polls cost nobody anything, so none is spread or put off
 
-	Granularity Micros // least time between two batches of events
+	Granularity Micros // shortest time between two batches of events; 1 ms at least
 
-	SlowStart        Micros  // a started worker is warm after this
+	SlowStart        Micros  // a worker is in slow start for so long after its start
 	SlowStartInitial float64 // the fraction of its capacity that it starts with
 	OverloadFactor   float64 // more than this multiple of its present capacity ...
-	OverloadWindow   Micros  // ... over this long makes a cold worker fall over
+	OverloadWindow   Micros  // ... over this long overloads a worker in slow start
 
 	MaxAttempts    int
 	CancelAllowed  bool
-	HedgingAllowed bool // two attempts of a job may be out together
+	HedgingAllowed bool // two attempts of a job may be in flight together
 	GossipAllowed  bool
-	MaxRetryAfter  Micros // longest advice to wait that clients obey; 0: none
+	MaxRetryAfter  Micros // longest Retry-After that clients obey; 0: none
 	RetriesMarked  bool   // clients mark their tries after the first
 	ConnectTimeout Micros
 
-	StartReported    bool   // workers tell when a job starts
-	ProgressInterval Micros // workers tell a running job's progress this often; 0: never
+	StartReported    bool   // workers report when a job starts
+	ProgressInterval Micros // workers report a running job's progress this often; 0: never
 	LoadReports      bool   // answers carry load reports
 
-	CrossZonePrice float64 // of an attempt that leaves the zone, in mean jobs' worth
+	CrossZonePrice float64 // of an attempt that leaves the zone, in mean jobs' weight
 }
 
 // Status is what the list says of a worker.
@@ -112,12 +117,12 @@
 	Started Micros // its latest start; 0: long ago
 }
 
-// EventKind tells what an event is about.
+// EventKind says what an event is about.
 type EventKind uint8
 
 // The kinds of events, with the fields that each uses.
 const (
-	JobArrived         EventKind = iota // Job, Class, Tenant, Patience, Repeat, Work, Slots
+	JobArrived         EventKind = iota // Job, Class, Tenant, Patience, Retry, Work, Slots
 	AttemptEnded                        // Job, Attempt, Worker, Outcome, Final, Report
 	AttemptReported                     // Job, Attempt, Worker, Note, Value
 	StreamStarted                       // Job, Attempt, Worker
@@ -131,7 +136,7 @@
 // Outcome is how an attempt ended.
 type Outcome uint8
 
-// The outcomes. Full, ConnectFailed, Moot and Returned prove that nothing ran.
+// The outcomes. AtCapacity, ConnectFailed, NotSent and HandedBack prove that nothing ran.
 const (
 	OK Outcome = iota
 	Failed
@@ -141,10 +146,10 @@
 	Reset
 	Cancelled
 	NotSent
-	HandedBack // like Full, but told later and perhaps told again: see fits
+	HandedBack // like AtCapacity, but reported later and perhaps again: see eligible
 )
 
-// Note is the kind of news about a running attempt.
+// Note is the kind of a report about a running attempt.
 type Note uint8
 
 // The notes.
@@ -160,8 +165,8 @@
 // The scopes of list events.
 const (
 	UpdateDelta  UpdateScope = iota // changed entries only
-	UpdateFull                      // the whole list
-	UpdateCached                    // the whole list as last seen, perhaps stale
+	UpdateFull                      // the complete list
+	UpdateCached                    // the complete list as last seen, perhaps stale
 	UpdateFailed                    // a call failed or the subscription dropped; what is known may be older: Age
 	UpdateDrains                    // entries that leave, from elsewhere than the list itself; Age likewise
 )
@@ -170,7 +175,7 @@
 type Report struct {
 	Known       bool // there is a count of free slots
 	Free        float64
-	Outstanding float64 // jobs held there, waiting ones too; negative: not told
+	Outstanding float64 // jobs in flight there, waiting ones too; negative: not known
 	Errors      float64 // errors a second, of all dispatchers' jobs
 }
 
@@ -193,22 +198,22 @@
 	Value    float64
 	Report   Report
 	Workers  []WorkerEntry
-	Age      Micros // how long ago the list was as it is told
+	Age      Micros // how long ago the list was so
 	Peer     int
 	Message  []byte
 	Token    uint64
 }
 
-// ActionKind tells what to do.
+// ActionKind says what to do.
 type ActionKind uint8
 
 // The kinds of actions, with the fields that each uses.
 const (
-	Send           ActionKind = iota // Job, Attempt (its number), Worker, At (abandon it then), By (leave by then)
-	Refuse                           // Job, Wait (advice to the client)
+	Send           ActionKind = iota // Job, Attempt (its number), Worker, Deadline (abandon it then), SendBy
+	Refuse                           // Job, Delay (Retry-After for the client)
 	Fail                             // Job
 	Cancel                           // Job, Attempt
-	SetTimer                         // Wait, Token
+	SetTimer                         // Delay, Token
 	WatchEndpoints                   // subscribe to the worker list
 	SendGossip                       // Peer, Message
 	Log                              // Text
@@ -221,7 +226,7 @@
 	Worker   WorkerID
 	Attempt  int
 	Deadline Micros
-	SendBy   Micros // of a Send: nothing may leave from then on, or it would come outside its class's Window
+	SendBy   Micros // of a Send: nothing may leave from then on, or it comes outside its DedupWindow
 	Delay    Micros
 	Token    uint64
 	Peer     int
--- /dev/null
+++ b/internal/dispatch/bookkeeping.go
@@ -0,0 +1,44 @@
+package dispatch
+
+import "slices"
+
+// Bookkeeping of attempts. Nothing here decides.
+
+// attempt finds the attempt in flight that an event is about, or nil.
+func (d *Dispatcher) attempt(e *Event) *attempt {
+	j := d.jobs[e.Job]
+	if j == nil || e.Attempt < 0 || e.Attempt >= len(j.attempts) || !j.attempts[e.Attempt].inFlight {
+		return nil
+	}
+	return j.attempts[e.Attempt]
+}
+
+// detach takes an attempt off its worker.
+func (d *Dispatcher) detach(a *attempt) {
+	a.inFlight = false
+	a.job.inFlight--
+	d.clearOverdue(a)
+	w := a.worker
+	w.ownSlots -= a.job.slots
+	if a.startedAt == 0 {
+		w.unstarted--
+	}
+	d.queueGossip(w)
+	w.attempts = without(w.attempts, a)
+	if len(w.attempts) == 0 {
+		d.busy = without(d.busy, w)
+	}
+}
+
+// without removes one value from a list.
+func without[T comparable](list []T, value T) []T {
+	if i := slices.Index(list, value); i >= 0 {
+		return slices.Delete(list, i, i+1)
+	}
+	return list
+}
+
+// mayHaveRun reports whether an outcome leaves open that the job ran.
+func mayHaveRun(o Outcome) bool {
+	return o != AtCapacity && o != ConnectFailed && o != NotSent && o != HandedBack
+}
--- /dev/null
+++ b/internal/dispatch/clone.go
@@ -0,0 +1,118 @@
+package dispatch
+
+import (
+	"slices"
+
+	"dahliaford/internal/bucketqueue"
+	"dahliaford/internal/subset"
+)
+
+// What a model checker needs of the module: to copy a state (here) and to compare two (state_form.go).
+// Nothing here decides, and the programs that serve use none of it.
+
+// Open is the number of jobs that the module keeps.
+func (d *Dispatcher) Open() int { return len(d.jobs) }
+
+// Clone copies the state between two events. The copy shares nothing with the original that either changes.
+func (d *Dispatcher) Clone() *Dispatcher {
+	c := *d
+	c.actions = nil
+	c.cloneKnowledge(d)
+	c.cloneWorkers(d)
+	c.cloneOrders(d)
+	c.cloneJobs(d)
+	c.neighbours, c.peers = slices.Clone(d.neighbours), slices.Clone(d.peers)
+	c.quotaTokens, c.quotaRefilledAt = slices.Clone(d.quotaTokens), slices.Clone(d.quotaRefilledAt)
+	c.classes, c.flows = slices.Clone(d.classes), slices.Clone(d.flows)
+	c.ranks, c.classesByTarget = slices.Clone(d.ranks), slices.Clone(d.classesByTarget)
+	return &c
+}
+
+// cloneKnowledge copies what is known of kinds and groups.
+func (d *Dispatcher) cloneKnowledge(from *Dispatcher) {
+	d.kinds = make(map[int]*kind, len(from.kinds))
+	for number, known := range from.kinds {
+		copied := *known
+		d.kinds[number] = &copied
+	}
+	d.groups = make(map[groupKey]*group, len(from.groups))
+	for key, known := range from.groups {
+		copied := *known
+		d.groups[key] = &copied
+	}
+}
+
+// cloneWorkers copies the workers, without their attempts and their ring groups.
+func (d *Dispatcher) cloneWorkers(from *Dispatcher) {
+	d.workers = make(map[WorkerID]*worker, len(from.workers))
+	for id, w := range from.workers {
+		copied := *w
+		copied.group = nil // looked up anew
+		copied.indexNode, copied.dirty = bucketqueue.Node[*worker]{}, false
+		if w.kind != nil {
+			copied.kind = d.kinds[w.entry.Kind]
+		}
+		if w.starts != nil {
+			starts := *w.starts
+			copied.starts = &starts
+		}
+		copied.peerUses, copied.attempts, copied.ringGroup = slices.Clone(w.peerUses), nil, nil
+		d.workers[id] = &copied
+	}
+}
+
+// cloneOrders copies the lists of workers and the ring, with the copies of the workers.
+func (d *Dispatcher) cloneOrders(from *Dispatcher) {
+	workers := func(list []*worker) []*worker {
+		copied := make([]*worker, len(list))
+		for i, w := range list {
+			copied[i] = d.workers[w.entry.Worker]
+		}
+		return copied
+	}
+	d.ordered, d.subset, d.ownedOutside = workers(from.ordered), workers(from.subset), workers(from.ownedOutside)
+	d.busy, d.gossipQueue, d.suspects = workers(from.busy), workers(from.gossipQueue), workers(from.suspects)
+	d.updatedBuffer, d.removed = nil, nil
+	for _, r := range from.removed {
+		w := d.workers[r.worker.entry.Worker]
+		if w != nil && from.workers[w.entry.Worker] == r.worker {
+			d.removed = append(d.removed, removedWorker{w, r.since})
+		}
+	}
+	d.ring = from.ring.Clone(func(w *worker) *worker { return d.workers[w.entry.Worker] },
+		func(w *worker, group *subset.Group[*worker]) { w.ringGroup = group })
+	d.index, d.fastestWorker, d.overdueInOrder = nil, nil, nil // made anew
+	d.dedupGroups = [ScopeCell + 1]map[int][]*worker{}
+}
+
+// cloneJobs copies the jobs with their attempts, and what refers to them.
+func (d *Dispatcher) cloneJobs(from *Dispatcher) {
+	d.jobs = make(map[JobID]*job, len(from.jobs))
+	for id, j := range from.jobs {
+		d.jobs[id] = d.cloneJob(j)
+	}
+	for id, w := range from.workers {
+		for _, a := range w.attempts {
+			d.workers[id].attempts = append(d.workers[id].attempts, d.jobs[a.job.id].attempts[a.number])
+		}
+	}
+	d.overdueStarts = make([]*attempt, len(from.overdueStarts))
+	for i, a := range from.overdueStarts {
+		d.overdueStarts[i] = d.jobs[a.job.id].attempts[a.number]
+	}
+	d.queue = make([]*job, len(from.queue))
+	for i, j := range from.queue {
+		d.queue[i] = d.jobs[j.id]
+	}
+}
+
+func (d *Dispatcher) cloneJob(from *job) *job {
+	j := *from
+	j.attempts = make([]*attempt, len(from.attempts))
+	for i, a := range from.attempts {
+		copied := *a
+		copied.job, copied.worker = &j, d.workers[a.worker.entry.Worker]
+		j.attempts[i] = &copied
+	}
+	return &j
+}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -7,15 +7,17 @@
 )
 
 // testSettings has one class of each effect, in this order: safe, keyed (cell),
-// unsafe. Aims are short enough to be lost and long enough to wait.
+// unsafe. Objectives are short enough to be missed and long enough to wait.
 func testSettings() Settings {
 	return Settings{
 		Index: 1, Dispatchers: 2, OverQuotaWeight: 0.2, WeightByWork: true, Granularity: 5000,
 		Classes: []Class{
-			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 6 * second, PriorityWeight: 1, LateWeight: 0.3, Kind: -1},
-			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 8 * second, PriorityWeight: 3, Effect: Keyed, DedupScope: ScopeCell,
-				DedupWindow: 5 * second, Kind: -1},
-			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 8 * second, PriorityWeight: 2, Effect: Unsafe, Kind: -1},
+			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 6 * second, PriorityWeight: 1, Kind: -1,
+				LateWeight: 0.3},
+			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 8 * second, PriorityWeight: 3, Kind: -1,
+				Effect: Keyed, DedupScope: ScopeCell, DedupWindow: 5 * second},
+			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 8 * second, PriorityWeight: 2, Kind: -1,
+				Effect: Unsafe},
 		},
 		Tenants:   []Tenant{{Quota: 20}, {Quota: 20}},
 		SlowStart: 10 * second, SlowStartInitial: 0.2, OverloadFactor: 3, OverloadWindow: 2 * second,
@@ -24,21 +26,21 @@
 	}
 }
 
-// bench drives one dispatcher and keeps what it did.
-type bench struct {
+// harness drives one dispatcher and keeps what it did.
+type harness struct {
 	t   testing.TB
 	d   *Dispatcher
 	now Micros
 	out []Action
 }
 
-func newBench(t *testing.T, s Settings, workers ...WorkerEntry) *bench {
+func newHarness(t *testing.T, s Settings, workers ...WorkerEntry) *harness {
 	t.Helper()
 	d, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, d: d, now: 100 * second}
+	b := &harness{t: t, d: d, now: 100 * second}
 	b.do(Event{Kind: Started})
 	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: workers})
 	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: workers})
@@ -46,38 +48,38 @@
 }
 
 // do passes an event and returns the actions that it called for.
-func (b *bench) do(e Event) []Action {
+func (b *harness) do(e Event) []Action {
 	b.out = b.d.Step(b.now, &e, nil)
 	return b.out
 }
 
 // pass lets time go by, with the timers that were set.
-func (b *bench) pass(span Micros) []Action {
+func (b *harness) pass(span Micros) []Action {
 	var all []Action
 	for end := b.now + span; ; {
-		if b.d.wake == 0 || b.d.wake > end {
+		if b.d.wakeAt == 0 || b.d.wakeAt > end {
 			b.now = end
 			return all
 		}
-		b.now = max(b.now, b.d.wake)
-		all = append(all, b.do(Event{Kind: TimerFired, Token: b.d.token})...)
+		b.now = max(b.now, b.d.wakeAt)
+		all = append(all, b.do(Event{Kind: TimerFired, Token: b.d.timerToken})...)
 	}
 }
 
-// slots lets the dispatcher know how many slots workers of a kind have.
-func (b *bench) slots(w WorkerID, n int) {
-	k := b.d.kind(b.d.workers[w])
-	k.top, k.tried, k.most = n+1, b.now, float64(n)
-	k.fits = [fitsKept + 1]fit{}
-	k.fits[n].prompt, k.fits[n+1].late = 9, 9
+// setSlots lets the dispatcher know how many slots workers of a kind have.
+func (b *harness) setSlots(w WorkerID, n int) {
+	k := b.d.kindOf(b.d.workers[w])
+	k.topSlots, k.probedAt, k.maxSlotsSeen = n+1, b.now, float64(n)
+	k.starts = [maxTrackedSlots + 1]startCounts{}
+	k.starts[n].prompt, k.starts[n+1].late = 9, 9
 }
 
-func (b *bench) arrive(id JobID, class int) []Action {
+func (b *harness) arrive(id JobID, class int) []Action {
 	return b.do(Event{Kind: JobArrived, Job: id, Class: class, Work: second / 5, Slots: 1,
-		Patience: b.d.set.Classes[class].Deadline})
+		Patience: b.d.settings.Classes[class].Deadline})
 }
 
-func (b *bench) end(id JobID, attempt int, o Outcome) []Action {
+func (b *harness) end(id JobID, attempt int, o Outcome) []Action {
 	return b.do(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Final: o == OK})
 }
 
@@ -90,7 +92,7 @@
 	return found
 }
 
-func (b *bench) want(actions []Action, k ActionKind, n int) {
+func (b *harness) want(actions []Action, k ActionKind, n int) {
 	b.t.Helper()
 	if got := len(find(actions, k)); got != n {
 		b.t.Fatalf("at %v: %d actions of kind %d, want %d: %+v", b.now, got, k, n, actions)
@@ -106,10 +108,10 @@
 		"Classes":             func(s *Settings) { s.Classes = nil },
 		"Classes[1].Deadline": func(s *Settings) { s.Classes[1].Deadline = 0 },
 		"Classes[0]":          func(s *Settings) { s.Classes[0].ObjectiveStretch = -1 },
-		"ColdFrom":            func(s *Settings) { s.SlowStartInitial = 2 },
+		"SlowStartInitial":    func(s *Settings) { s.SlowStartInitial = 2 },
 		"MaxAttempts":         func(s *Settings) { s.MaxAttempts = -1 },
 		"Tenants[1]":          func(s *Settings) { s.Tenants[1].Quota = -1 },
-		"Balancers":           func(s *Settings) { s.Dispatchers = -1 },
+		"Dispatchers":         func(s *Settings) { s.Dispatchers = -1 },
 		"Granularity":         func(s *Settings) { s.Granularity = -1 },
 	} {
 		s := testSettings()
@@ -120,11 +122,12 @@
 	}
 }
 
-// hold puts held jobs in place without an arrival: due times from now.
-func (b *bench) holdDue(due ...Micros) {
-	b.d.held = nil
-	for i, t := range due {
-		b.d.held = append(b.d.held, &job{id: JobID(1000 + i), due: b.now + t, seq: uint64(i), held: true})
+// fillQueue puts jobs into the queue without an arrival: latest starts from now.
+func (b *harness) fillQueue(latestStarts ...Micros) {
+	b.d.queue = nil
+	for i, t := range latestStarts {
+		j := &job{id: JobID(1000 + i), latestStart: b.now + t, seq: uint64(i), queued: true}
+		b.d.queue = append(b.d.queue, j)
 	}
 }
 
@@ -135,34 +138,34 @@
 func TestConditions(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[:2]
-	b := newBench(t, s, ready(1, 0))
-	b.d.refreshed = b.now
-	b.d.byTarget = []int{0, 1}
+	b := newHarness(t, s, ready(1, 0))
+	b.d.refreshedAt = b.now
+	b.d.classesByTarget = []int{0, 1}
 	b.d.classes[0].target, b.d.classes[1].target = second, 3*second
-	b.d.classes[0].rate = 2.0 / second
-	b.d.slots.value = second / 4
-	h := func(n int, t Micros) (due []Micros) {
+	b.d.classes[0].guaranteedRate = 2.0 / second
+	b.d.slotTimes.value = second / 4
+	copies := func(n int, t Micros) (latestStarts []Micros) {
 		for range n {
-			due = append(due, t)
+			latestStarts = append(latestStarts, t)
 		}
-		return due
+		return latestStarts
 	}
 	for _, c := range []struct {
-		name string
-		due  []Micros
-		want int
+		name  string
+		queue []Micros
+		want  overloadLevel
 	}{
-		{"nothing held", nil, 0},
-		{"(4) k=1, N=3: 0.75", h(3, second), 0},
-		{"(4) k=1, N=4: 1", h(4, second), 2},
-		{"(4) k=2, N=6: 2.5 of 3", append(h(1, second), h(5, 2*second)...), 0},
-		{"(4) k=2, N=7: 2.75 of 3, within the margin", append(h(2, second), h(5, 2*second)...), 1},
-		{"(4) k=2, N=8: 3 of 3", append(h(2, second), h(6, 2*second)...), 2},
-		{"(6) k=1 i=2, 1 due in (2, 3]: 0.75", h(1, 3*second), 0},
-		{"(6) k=1 i=2, 2 due in (2, 3]: 1", h(2, 3*second), 2},
-		{"due past T_2 counts in none", h(50, 4*second), 0},
+		{"empty queue", nil, 0},
+		{"(4) k=1, N=3: 0.75", copies(3, second), 0},
+		{"(4) k=1, N=4: 1", copies(4, second), 2},
+		{"(4) k=2, N=6: 2.5 of 3", append(copies(1, second), copies(5, 2*second)...), 0},
+		{"(4) k=2, N=7: 2.75 of 3, within the margin", append(copies(2, second), copies(5, 2*second)...), 1},
+		{"(4) k=2, N=8: 3 of 3", append(copies(2, second), copies(6, 2*second)...), 2},
+		{"(6) k=1 i=2, 1 to start in (2, 3]: 0.75", copies(1, 3*second), 0},
+		{"(6) k=1 i=2, 2 to start in (2, 3]: 1", copies(2, 3*second), 2},
+		{"to start past T_2 counts in none", copies(50, 4*second), 0},
 	} {
-		b.holdDue(c.due...)
+		b.fillQueue(c.queue...)
 		if got := b.d.verdict(); got != c.want {
 			t.Errorf("%s: verdict %d, want %d", c.name, got, c.want)
 		}
@@ -170,50 +173,50 @@
 }
 
 func TestLevelNeedsDetectionsInARow(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
-	b.d.refreshed, b.d.refreshes = b.now, 1
+	b := newHarness(t, testSettings(), ready(1, 0))
+	b.d.refreshedAt, b.d.refreshCount = b.now, 1
 	b.d.classes[0].target = second
 	b.d.classes[1].target, b.d.classes[2].target = second, second
-	b.d.slots.value = second
-	severe, calm := []Micros{0, 0, 0}, []Micros(nil)
-	see := func(due []Micros, n int) int {
-		b.holdDue(due...)
+	b.d.slotTimes.value = second
+	severe, passing := []Micros{0, 0, 0}, []Micros(nil)
+	see := func(latestStarts []Micros, n int) overloadLevel {
+		b.fillQueue(latestStarts...)
 		for range n {
-			b.d.control()
+			b.d.updateLevel()
 		}
 		return b.d.level
 	}
 	if got := see(severe, detections-1); got != 0 {
 		t.Fatalf("level %d after %d verdicts", got, detections-1)
 	}
-	see(calm, 1)
+	see(passing, 1)
 	if got := see(severe, detections-1); got != 0 {
 		t.Fatalf("a passing check did not break the row: level %d", got)
 	}
 	if got := see(severe, 1); got != 2 {
 		t.Fatalf("level %d after %d severe verdicts", got, detections)
 	}
-	if got := see(calm, detections-1); got != 2 {
+	if got := see(passing, detections-1); got != 2 {
 		t.Fatalf("level %d before enough passing checks", got)
 	}
-	if got := see(calm, 1); got != 0 {
+	if got := see(passing, 1); got != 0 {
 		t.Fatalf("level %d after enough passing checks", got)
 	}
 }
 
 func TestLadder(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
-	b.d.rank()
-	if b.d.levels != 6 {
-		t.Fatalf("%d priorities, want 6: three worths, within and beyond the share", b.d.levels)
+	b := newHarness(t, testSettings(), ready(1, 0))
+	b.d.rankPriorities()
+	if b.d.rankCount != 6 {
+		t.Fatalf("%d priorities, want 6: three weights, within and over the quota", b.d.rankCount)
 	}
-	x := b.d.climb
+	x := b.d.ladderStep
 	at := func(after Micros, want int) {
 		t.Helper()
 		b.d.now += after
-		b.d.ladder()
-		if b.d.gapped != want {
-			t.Fatalf("gapped %d, want %d", b.d.gapped, want)
+		b.d.advanceLadder()
+		if b.d.gappedRanks != want {
+			t.Fatalf("gapped %d, want %d", b.d.gappedRanks, want)
 		}
 	}
 	b.d.now = b.now
@@ -233,10 +236,10 @@
 	at(20*x, 0)
 }
 
-func TestGapInterval(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
-	b.d.rank()
-	b.d.level, b.d.gapped, b.d.levels = 2, 6, 6
+func TestGappingInterval(t *testing.T) {
+	b := newHarness(t, testSettings(), ready(1, 0))
+	b.d.rankPriorities()
+	b.d.level, b.d.gappedRanks, b.d.rankCount = 2, 6, 6
 	b.d.flows[0].rate = 4 // one job in 0.25 s
 	passed := 0
 	for range 100 { // 2 s, a job every 20 ms
@@ -248,30 +251,30 @@
 	if passed < 8 || passed > 9 {
 		t.Errorf("passed %d jobs in 2 s at 4 a second", passed)
 	}
-	if b.d.admits(&job{class: 0, tenant: 0, over: true}) {
+	if b.d.admits(&job{class: 0, tenant: 0, overQuota: true}) {
 		t.Error("a flow without a rate passed while gapped")
 	}
-	b.d.gapped = b.d.ranks[0]
+	b.d.gappedRanks = b.d.ranks[0]
 	if !b.d.admits(&job{class: 0, tenant: 0}) {
 		t.Error("a priority that the ladder has not reached was gapped")
 	}
 }
 
-func TestRankByWorth(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
-	b.d.rank()
-	r := b.d.ranks // (class, beyond share): worths 1, .2, 3, .6, 2, .4
+func TestRankByPriorityWeight(t *testing.T) {
+	b := newHarness(t, testSettings(), ready(1, 0))
+	b.d.rankPriorities()
+	r := b.d.ranks // (class, over quota): weights 1, .2, 3, .6, 2, .4
 	order := []int{r[1], r[5], r[3], r[0], r[4], r[2]}
 	for i, rank := range order {
 		if rank != i {
-			t.Fatalf("ranks from the least worth up: %v", order)
+			t.Fatalf("ranks from the lowest weight up: %v", order)
 		}
 	}
 }
 
-func TestReleaseByDueTime(t *testing.T) {
-	b := newBench(t, testSettings())
-	for i, patience := range []Micros{8, 5, 6} { // later tries of a client: less patience, earlier aim
+func TestReleaseByLatestStart(t *testing.T) {
+	b := newHarness(t, testSettings())
+	for i, patience := range []Micros{8, 5, 6} { // later tries of a client: less patience, earlier objective
 		b.do(Event{Kind: JobArrived, Job: JobID(i), Class: 1, Work: 2 * second, Slots: 1,
 			Patience: patience * second})
 	}
@@ -283,9 +286,9 @@
 }
 
 func TestHoldsUntilASlotIsFree(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
+	b := newHarness(t, testSettings(), ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
-	// Its start is overdue: the worker is full, whoever fills it.
+	// Its start is overdue: the worker is full, whoever filled it.
 	b.pass(second / 5)
 	b.want(b.arrive(2, 2), Send, 0)
 	b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
@@ -293,43 +296,43 @@
 }
 
 func TestFullLowersTheCap(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
+	b := newHarness(t, testSettings(), ready(1, 0))
 	w := b.d.workers[1]
 	for id := JobID(1); id <= 3; id++ {
 		b.want(b.arrive(id, 0), Send, 1)
 		b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-		b.now += second + second/5 // a try past the cap waits for a run
+		b.now += second + second/5 // a probe past the limit waits for a run
 	}
 	b.arrive(4, 0)
 	b.end(4, 0, AtCapacity)
-	if w.cap != 3 {
-		t.Errorf("cap %v after the fourth job was turned away", w.cap)
+	if w.slotLimit != 3 {
+		t.Errorf("limit %v after the fourth job was turned away", w.slotLimit)
 	}
 }
 
-// A queue of our own at a worker once passed for slots, and the cap never fell.
+// A queue of our own at a worker once passed for slots, and the limit never fell.
 func TestReportedQueueLowersTheCap(t *testing.T) {
 	s := testSettings()
 	s.StartReported = false
-	b := newBench(t, s, ready(1, 0))
-	b.d.report(b.d.workers[1], Report{Known: true, Free: 2, Outstanding: 0}, 0)
-	b.d.report(b.d.workers[1], Report{Known: true, Free: 0, Outstanding: 4}, 4)
-	if got := b.d.workers[1].cap; got != 2 {
-		t.Errorf("cap %v of a worker with two slots", got)
+	b := newHarness(t, s, ready(1, 0))
+	b.d.learnReport(b.d.workers[1], Report{Known: true, Free: 2, Outstanding: 0}, 0)
+	b.d.learnReport(b.d.workers[1], Report{Known: true, Free: 0, Outstanding: 4}, 4)
+	if got := b.d.workers[1].slotLimit; got != 2 {
+		t.Errorf("limit %v of a worker with two slots", got)
 	}
 }
 
 // A job whose client has no patience left must not be sent over and over.
 func TestNoPatienceIsAnsweredAtOnce(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
+	b := newHarness(t, testSettings(), ready(1, 0))
 	out := b.do(Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1})
 	b.want(out, Refuse, 1)
 	b.want(out, Send, 0)
 }
 
-// Jobs far behind the head of the held ones must still be answered in time.
-func TestEveryHeldJobIsAnsweredInTime(t *testing.T) {
-	b := newBench(t, testSettings()) // no worker at all
+// Jobs far behind the head of the queue must still be answered in time.
+func TestEveryQueuedJobIsAnsweredInTime(t *testing.T) {
+	b := newHarness(t, testSettings()) // no worker at all
 	start, n := b.now, 60
 	for id := range n {
 		b.arrive(JobID(id), id%3)
@@ -350,7 +353,7 @@
 
 // Rule 1: the time-out at the deadline is answered, once, and nothing follows.
 func TestTimeOutAtTheDeadline(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
+	b := newHarness(t, testSettings(), ready(1, 0))
 	sent := find(b.arrive(1, 2), Send)[0]
 	b.now = sent.Deadline
 	out := b.end(1, 0, TimedOut)
@@ -364,15 +367,18 @@
 
 // Rule 1: whatever comes after the end of a job is ignored.
 func TestStaleEvents(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0), ready(2, 0))
+	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	b.arrive(1, 0)
 	b.do(Event{Kind: ClientDisconnected, Job: 1})
 	for _, e := range []Event{
-		{Kind: AttemptReported, Job: 1, Note: NoteStarted}, {Kind: AttemptReported, Job: 1, Note: NoteProgress, Value: 1},
+		{Kind: AttemptReported, Job: 1, Note: NoteStarted},
+		{Kind: AttemptReported, Job: 1, Note: NoteProgress, Value: 1},
 		{Kind: AttemptEnded, Job: 1, Outcome: Reset}, {Kind: AttemptEnded, Job: 1, Outcome: OK, Final: true},
-		{Kind: ClientDisconnected, Job: 1}, {Kind: AttemptEnded, Job: 77}, {Kind: AttemptReported, Job: 1, Attempt: -1},
+		{Kind: ClientDisconnected, Job: 1}, {Kind: AttemptEnded, Job: 77},
+		{Kind: AttemptReported, Job: 1, Attempt: -1},
 		{Kind: GossipReceived, Peer: 1, Message: []byte{1, 2}},
-		{Kind: GossipReceived, Peer: 1 << 30, Message: make([]byte, peerMessage)}, {Kind: StreamStarted, Job: 5},
+		{Kind: GossipReceived, Peer: 1 << 30, Message: make([]byte, gossipMessageSize)},
+		{Kind: StreamStarted, Job: 5},
 		{Kind: AttemptEnded, Job: 1, Attempt: 9, Outcome: Reset}, {Kind: TimerFired, Token: 1 << 60},
 	} {
 		out := b.do(e)
@@ -404,7 +410,7 @@
 		s := testSettings()
 		s.Classes[1].DedupScope = c.group
 		s.ProgressInterval = 60 * second // no suspicion here
-		b := newBench(t, s, ready(1, 0))
+		b := newHarness(t, s, ready(1, 0))
 		b.want(b.arrive(1, c.class), Send, 1)
 		// Worker 2 shares the cell and 3 the zone; 4 shares neither.
 		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0),
@@ -429,7 +435,7 @@
 	for class, want := range []ActionKind{Refuse, Fail, Fail} {
 		s := testSettings()
 		s.MaxAttempts = 1
-		b := newBench(t, s, ready(1, 0))
+		b := newHarness(t, s, ready(1, 0))
 		b.arrive(1, class)
 		b.want(b.end(1, 0, Reset), want, 1)
 		b.arrive(2, class)
@@ -437,15 +443,15 @@
 	}
 }
 
-// Rule 3: nothing to a worker that drains, is gone, or is left out of a whole list.
-func TestDrainsAreKept(t *testing.T) {
-	for name, news := range map[string]Event{
+// Rule 3: nothing to a worker that drains, is removed, or is missing in a full update.
+func TestDrainsAreObserved(t *testing.T) {
+	for name, update := range map[string]Event{
 		"draining": {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Draining}}},
-		"gone":     {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Removed}}},
+		"removed":  {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Removed}}},
 		"left out": {Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(2, 0)}},
 	} {
-		b := newBench(t, testSettings(), ready(1, 0), ready(2, 0))
-		b.do(news)
+		b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
+		b.do(update)
 		for id := JobID(1); id < 40; id++ {
 			for _, a := range find(b.arrive(id, 0), Send) {
 				if a.Worker == 1 {
@@ -457,42 +463,42 @@
 	}
 }
 
-// Rule 3, where the list must be asked for: it is asked at the start, again
-// when the call fails, and again within the stated time when nothing answers.
-func TestKeepsAskingForTheList(t *testing.T) {
+// Rule 3, where the list must be polled: it is polled at the start, again
+// when a poll fails, and again within the stated time when nothing answers.
+func TestKeepsPollingForTheList(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints, s.PollInterval = true, 10*second
 	d, _ := New(s, 3)
-	b := &bench{t: t, d: d, now: second}
+	b := &harness{t: t, d: d, now: second}
 	b.want(b.do(Event{Kind: Started}), WatchEndpoints, 1)
 	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: []WorkerEntry{ready(1, 0)}})
 	if len(find(b.pass(s.PollInterval/2), WatchEndpoints)) == 0 {
-		t.Error("a call without an answer is not repeated")
+		t.Error("a poll without an answer is not repeated")
 	}
 	for range 20 { // an outage
 		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 		if len(find(b.pass(s.PollInterval*2/5), WatchEndpoints)) == 0 {
-			t.Fatal("a failed call is not repeated")
+			t.Fatal("a failed poll is not repeated")
 		}
 	}
 	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
 	b.want(b.pass(s.PollInterval), WatchEndpoints, 0)
 }
 
-// Rule 4: what goes to a cold worker within any window stays under this
-// dispatcher's share, whether it is new, restarted, or back after failed
+// Rule 4: what goes to a worker in slow start within any window stays under this
+// dispatcher's budget, whether it is new, restarted, or back after failed
 // connects before the list says so.
-func TestColdBudget(t *testing.T) {
-	back := func(b *bench) {
+func TestSlowStartBudget(t *testing.T) {
+	back := func(b *harness) {
 		b.arrive(900, 0)
 		b.end(900, 0, ConnectFailed)
 		b.pass(6 * second)
 	}
-	for name, make := range map[string]func(b *bench){
-		"new": func(b *bench) {
+	for name, make := range map[string]func(b *harness){
+		"new": func(b *harness) {
 			b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Ready, Started: b.now}}})
 		},
-		"restarted": func(b *bench) {
+		"restarted": func(b *harness) {
 			b.do(Event{Kind: EndpointsUpdated,
 				Workers: []WorkerEntry{{Worker: 1, Status: Ready, Started: b.now - second}}})
 		},
@@ -500,17 +506,17 @@
 	} {
 		s := testSettings()
 		s.OverloadWindow = 2 * second
-		b := newBench(t, s, ready(1, 0))
+		b := newHarness(t, s, ready(1, 0))
 		b.now += 3 * second // past the time after a start of our own
 		make(b)
 		work := 0.0
 		start := b.now
 		// Speed is 1 and one slot is known: the whole budget of the first window.
-		if !b.d.owns(b.d.workers[1]) {
-			t.Fatal("worker 1 is not this dispatcher's to warm")
+		if !b.d.slowStartOwner(b.d.workers[1]) {
+			t.Fatal("this dispatcher does not own worker 1 in slow start")
 		}
-		budget := s.OverloadFactor * (s.SlowStartInitial + (1-s.SlowStartInitial)*float64(s.OverloadWindow)/float64(s.SlowStart)) *
-			float64(s.OverloadWindow)
+		fraction := s.SlowStartInitial + (1-s.SlowStartInitial)*float64(s.OverloadWindow)/float64(s.SlowStart)
+		budget := s.OverloadFactor * fraction * float64(s.OverloadWindow)
 		for id := JobID(1); b.now < start+s.OverloadWindow; id++ {
 			for _, a := range find(b.arrive(id, 0), Send) {
 				work += second / 5
@@ -520,7 +526,7 @@
 			b.now += second / 50
 		}
 		if work > budget {
-			t.Errorf("%s: sent %v of work, the share is %v", name, work, budget)
+			t.Errorf("%s: sent %v of work, the budget is %v", name, work, budget)
 		}
 		if work == 0 && name != "back before the list says so" {
 			t.Errorf("%s: nothing was sent at all", name)
@@ -529,8 +535,8 @@
 }
 
 // Rule 4: after a start of our own, what we sent before is unknown.
-func TestColdBudgetAfterOwnStart(t *testing.T) {
-	b := newBench(t, testSettings(), WorkerEntry{Worker: 1, Status: Ready, Started: 99 * second})
+func TestSlowStartBudgetAfterOwnStart(t *testing.T) {
+	b := newHarness(t, testSettings(), WorkerEntry{Worker: 1, Status: Ready, Started: 99 * second})
 	b.want(b.arrive(1, 0), Send, 0)
 	b.want(b.pass(3*second), Send, 1)
 }
@@ -541,7 +547,7 @@
 	for class, copies := range []int{1, 1, 0} {
 		s := testSettings()
 		s.Classes[class].LatencyObjective = 5 * second
-		b := newBench(t, s, ready(1, 0))
+		b := newHarness(t, s, ready(1, 0))
 		b.want(b.arrive(1, class), Send, 1)
 		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 		b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0), ready(3, 0)}})
@@ -558,9 +564,9 @@
 }
 
 // A fault of the network, the list or the reports makes the whole fleet look
-// ill: nobody is judged then.
+// unhealthy: no worker is ejected then.
 func TestFalseAlarmDoesNotEmptyTheFleet(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
+	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
 	for id := JobID(1); id <= 3; id++ {
 		b.arrive(id, 2)
 	}
@@ -576,8 +582,8 @@
 func TestQuickErrorsDoNotAttract(t *testing.T) {
 	s := testSettings()
 	s.ConnectTimeout = 0 // no other cost for its failures
-	b := newBench(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
-	b.d.workers[2].tilt, b.d.workers[3].tilt = 0.5, 0.5 // worker 1 comes first
+	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
+	b.d.workers[2].bias, b.d.workers[3].bias = 0.5, 0.5 // worker 1 comes first
 	bad := 0
 	for id := JobID(1); id <= 50; id++ {
 		for _, a := range find(b.arrive(id, 2), Send) {
@@ -603,7 +609,7 @@
 	for id := range WorkerID(40) {
 		list = append(list, ready(id+1, 0))
 	}
-	b := newBench(t, s, list...)
+	b := newHarness(t, s, list...)
 	sent := 0
 	for id := JobID(1); id <= 400; id++ {
 		queue := find(b.arrive(id, 0), Send)
@@ -614,37 +620,36 @@
 		}
 		b.pass(second / 20)
 	}
-	if most := 400*(1+retryRatio) + retryBurst; float64(sent) > most {
-		t.Errorf("%d attempts for 400 jobs, at most %v", sent, most)
+	if limit := 400*(1+retryRatio) + maxRetryBudget; float64(sent) > limit {
+		t.Errorf("%d attempts for 400 jobs, at most %v", sent, limit)
 	}
 }
 
-// Peers' word keeps two dispatchers from the same slot; old word is dropped.
+// Peers' gossip keeps two dispatchers from the same slot; old gossip is dropped.
 func TestPeersCountAsTaken(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
-	b := newBench(t, s, ready(7, 0))
+	b := newHarness(t, s, ready(7, 0))
 	b.want(b.arrive(1, 0), SendGossip, 1)
 	b.want(b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted}), SendGossip, 0)
 	b.do(Event{Kind: GossipReceived, Peer: 1, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
-	b.now += ticksToTell * s.Granularity
+	b.now += waitNoticeBatches * s.Granularity
 	b.do(Event{Kind: TimerFired})
-	if used, running := b.d.others(b.d.workers[7]); used != 3 || running != 2 {
+	if used, running := b.d.peerSlots(b.d.workers[7]); used != 3 || running != 2 {
 		t.Fatalf("others have %v, of them running %v", used, running)
 	}
 	b.pass(60 * second)
 	b.do(Event{Kind: TimerFired})
-	if used, _ := b.d.others(b.d.workers[7]); used != 0 {
-		t.Errorf("word from a minute ago still counts %v slots", used)
+	if used, _ := b.d.peerSlots(b.d.workers[7]); used != 0 {
+		t.Errorf("gossip from a minute ago still counts %v slots", used)
 	}
 }
 
-// What a crawling worker's own runs show moves work away from it.
-// A job may say that it takes any number of slots, or none. It used to break the module
-// down: the count of what a worker has taken was no number any more, or past an int.
+// A job may state any number of slots, or none. That used to break the module down: the
+// count of a worker's slots in use was no number any more, or past an int.
 func TestAnyCountOfSlots(t *testing.T) {
 	for _, slots := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1e30, -1, 0} {
-		b := newBench(t, testSettings(), ready(1, 0))
+		b := newHarness(t, testSettings(), ready(1, 0))
 		for id, needs := range []float64{slots, 1} {
 			arrived := Event{Kind: JobArrived, Job: JobID(id), Work: second / 5, Slots: needs, Patience: 6 * second}
 			for _, a := range find(b.do(arrived), Send) {
@@ -652,14 +657,15 @@
 				b.end(a.Job, 0, OK)
 			}
 		}
-		if w := b.d.workers[1]; w.used != 0 {
-			t.Errorf("after a job of %v slots and one of 1, a worker has %v in use", slots, w.used)
+		if w := b.d.workers[1]; w.ownSlots != 0 {
+			t.Errorf("after a job of %v slots and one of 1, a worker has %v in use", slots, w.ownSlots)
 		}
 	}
 }
 
+// The runs of a slow worker show how slow it is, which moves work away from it.
 func TestSlowWorkerIsLearned(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0), ready(2, 0))
+	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	for id := JobID(1); id <= 40; id += 2 {
 		sent := append(find(b.arrive(id, 0), Send), find(b.arrive(id+1, 0), Send)...)
 		for _, a := range sent {
@@ -684,12 +690,12 @@
 }
 
 func TestQuantile(t *testing.T) {
-	var q quantiles
-	for i := 1; i <= runsFresh; i++ {
+	var q quantileWindow
+	for i := 1; i <= quantileInterval; i++ {
 		q.add(float64(i))
 	}
-	if want := math.Round(quantile*(runsFresh-1) + 1); q.value != want {
-		t.Errorf("upper quartile of 1..%d: %v, want %v", runsFresh, q.value, want)
+	if want := math.Round(runTimeQuantile*(quantileInterval-1) + 1); q.value != want {
+		t.Errorf("upper quartile of 1..%d: %v, want %v", quantileInterval, q.value, want)
 	}
 }
 
@@ -697,84 +703,85 @@
 func TestGuards(t *testing.T) {
 	for name, c := range map[string]struct {
 		class int
-		spoil func(b *bench, j *job, w *worker)
+		spoil func(b *harness, j *job, w *worker)
 	}{
-		"finished":     {0, func(b *bench, j *job, w *worker) { j.finished = true }},
-		"streaming":    {0, func(b *bench, j *job, w *worker) { j.streaming = true }},
-		"no time left": {0, func(b *bench, j *job, w *worker) { j.giveUp = b.now + b.d.guard() }},
-		"attempts used up": {0, func(b *bench, j *job, w *worker) {
-			b.d.set.MaxAttempts = 1
-			lost(b, j, w)
+		"finished":     {0, func(_ *harness, j *job, _ *worker) { j.finished = true }},
+		"streaming":    {0, func(_ *harness, j *job, _ *worker) { j.streaming = true }},
+		"no time left": {0, func(b *harness, j *job, _ *worker) { j.deadline = b.now + b.d.safetyMargin() }},
+		"attempts used up": {0, func(b *harness, j *job, w *worker) {
+			b.d.settings.MaxAttempts = 1
+			withAttemptNotRun(b, j, w)
 		}},
-		"draining": {0, func(b *bench, j *job, w *worker) { w.entry.Status = Draining }},
-		"gone":     {0, func(b *bench, j *job, w *worker) { w.entry.Status = Removed }},
-		"two out at once": {0, func(b *bench, j *job, w *worker) {
-			b.d.set.HedgingAllowed = false
-			out(b, j, w)
+		"draining": {0, func(_ *harness, _ *job, w *worker) { w.entry.Status = Draining }},
+		"removed":  {0, func(_ *harness, _ *job, w *worker) { w.entry.Status = Removed }},
+		"two in flight": {0, func(b *harness, j *job, w *worker) {
+			b.d.settings.HedgingAllowed = false
+			withAttemptInFlight(b, j, w)
 		}},
-		"unsafe and out": {2, out},
-		"keyed past its time": {1, func(b *bench, j *job, w *worker) {
-			out(b, j, w)
-			j.attempts[0].sent -= 5 * second
+		"unsafe and in flight": {2, withAttemptInFlight},
+		"keyed past its time": {1, func(b *harness, j *job, w *worker) {
+			withAttemptInFlight(b, j, w)
+			j.attempts[0].sentAt -= 5 * second
 		}},
-		"keyed in another cell": {1, func(b *bench, j *job, w *worker) {
-			out(b, j, w)
+		"keyed in another cell": {1, func(b *harness, j *job, w *worker) {
+			withAttemptInFlight(b, j, w)
 			w.entry.Cell = 9
 		}},
-		"cold": {0, func(b *bench, j *job, w *worker) {
-			w.cold, w.budget, w.budgetAt = b.now, 0, b.now
+		"in slow start": {0, func(b *harness, _ *job, w *worker) {
+			w.inferredStart, w.slowStartBudget, w.slowStartBudgetAt = b.now, 0, b.now
 		}},
 	} {
-		b := newBench(t, testSettings(), ready(1, 0))
+		b := newHarness(t, testSettings(), ready(1, 0))
 		b.now += 5 * second
 		b.d.now = b.now
 		fresh := func(id JobID) *job {
-			return &job{id: id, class: c.class, giveUp: b.now + 5*second, aim: b.now + second,
+			return &job{id: id, class: c.class, deadline: b.now + 5*second, objective: b.now + second,
 				work: second / 5, slots: 1}
 		}
 		j := fresh(1)
 		w := b.d.workers[1]
-		if b.d.out = nil; !b.d.send(j, w) {
+		if b.d.actions = nil; !b.d.send(j, w) {
 			t.Fatalf("%s: not sent to begin with", name)
 		}
 		j = fresh(2)
 		c.spoil(b, j, w)
-		if b.d.out = nil; b.d.send(j, w) || len(b.d.out) != 0 {
+		if b.d.actions = nil; b.d.send(j, w) || len(b.d.actions) != 0 {
 			t.Errorf("%s: sent all the same", name)
 		}
 	}
-	b := newBench(t, testSettings(), ready(1, 0))
-	j := &job{id: 1, giveUp: b.now + second}
-	b.d.out = nil
+	b := newHarness(t, testSettings(), ready(1, 0))
+	j := &job{id: 1, deadline: b.now + second}
+	b.d.actions = nil
 	b.d.finish(j, true)
 	b.d.finish(j, false)
-	b.want(b.d.out, Refuse, 1)
-	b.want(b.d.out, Fail, 0)
+	b.want(b.d.actions, Refuse, 1)
+	b.want(b.d.actions, Fail, 0)
 }
 
-// out gives a job an attempt that is still out at an equal worker.
-func out(b *bench, j *job, w *worker) {
-	j.attempts, j.live = []*attempt{{job: j, worker: &worker{entry: w.entry}, sent: b.now, live: true}}, 1
+// withAttemptInFlight gives a job an attempt that is still in flight at an equal worker.
+func withAttemptInFlight(b *harness, j *job, w *worker) {
+	a := &attempt{job: j, worker: &worker{entry: w.entry}, sentAt: b.now, inFlight: true}
+	j.attempts, j.inFlight = []*attempt{a}, 1
 }
 
-// lost gives a job an attempt that provably never ran.
-func lost(b *bench, j *job, w *worker) {
-	j.attempts = []*attempt{{job: j, worker: &worker{entry: w.entry}, sent: b.now}}
+// withAttemptNotRun gives a job an attempt that provably never ran.
+func withAttemptNotRun(b *harness, j *job, w *worker) {
+	j.attempts = []*attempt{{job: j, worker: &worker{entry: w.entry}, sentAt: b.now}}
 }
 
 // A worker that could not be reached and then answers has started anew.
 func TestBackBeforeTheListSaysSo(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
+	b := newHarness(t, testSettings(), ready(1, 0))
 	b.now += 5 * second
 	b.arrive(1, 0)
 	b.end(1, 0, ConnectFailed)
 	b.pass(second)
 	b.end(1, 1, ConnectFailed)
 	w := b.d.workers[1]
-	if b.d.coldAt(w) == 0 {
-		t.Fatal("a worker that could not be reached does not count as cold")
+	if b.d.slowStartSince(w) == 0 {
+		t.Fatal("a worker that could not be reached does not count as in slow start")
 	}
-	for id := JobID(2); w.lost && id < 100; id++ {
+	for id := JobID(2); w.unreachable && id < 100; id++ {
 		all := append(b.pass(second/2), b.do(Event{Kind: JobArrived, Job: id, Work: second / 20, Slots: 1,
 			Patience: 5 * second})...)
 		for _, a := range find(all, Send) {
@@ -782,31 +789,32 @@
 		}
 	}
 	b.pass(2 * second)
-	if w.lost || b.d.coldAt(w) == 0 {
-		t.Fatalf("lost %v, cold %v two seconds after it came back", w.lost, b.d.coldAt(w))
+	if w.unreachable || b.d.slowStartSince(w) == 0 {
+		t.Fatalf("unreachable %v, in slow start since %v two seconds after it came back", w.unreachable,
+			b.d.slowStartSince(w))
 	}
 	b.pass(20 * second)
-	if b.d.coldAt(w) != 0 {
-		t.Error("still cold after the stated time")
+	if b.d.slowStartSince(w) != 0 {
+		t.Error("still in slow start after the stated time")
 	}
 }
 
 // Without hints the scale of work and speed is free; it once drifted until T_k
 // passed the deadline and (4) could not fail.
 func TestScaleWithoutHints(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
+	b := newHarness(t, testSettings(), ready(1, 0))
 	w := b.d.workers[1]
-	b.d.fleet = pace{work: 300 * second, time: 100 * second} // drifted to three
-	w.pace = pace{work: 600 * second, time: 100 * second}
+	b.d.fleet = speedEstimate{work: 300 * second, time: 100 * second} // drifted to three
+	w.speed = speedEstimate{work: 600 * second, time: 100 * second}
 	if got := b.d.warmSpeed(w); math.Abs(got-2) > 0.1 {
 		t.Errorf("a worker twice as fast as the fleet has speed %v", got)
 	}
 	for range 100 {
-		b.d.classes[0].seen(60 * second)
+		b.d.classes[0].addWork(60 * second)
 	}
-	b.d.refresh()
+	b.d.refreshTargets()
 	for k := range b.d.classes {
-		if got := b.d.classes[k].target; got > b.d.set.Classes[k].Deadline {
+		if got := b.d.classes[k].target; got > b.d.settings.Classes[k].Deadline {
 			t.Errorf("T_%d is %v, past the deadline", k, got)
 		}
 	}
@@ -821,8 +829,8 @@
 	for i := range 60 {
 		workers = append(workers, ready(WorkerID(i+1), 0))
 	}
-	b := newBench(t, s, workers...)
-	b.d.retries = 2
+	b := newHarness(t, s, workers...)
+	b.d.retryBudget = 2
 	actions, failed := b.arrive(1, 0), 0
 	for sent := find(actions, Send); len(sent) == 1 && failed < 10; failed++ {
 		actions = b.end(1, sent[0].Attempt, ConnectFailed)
@@ -832,96 +840,97 @@
 	if failed != 10 {
 		t.Fatalf("no further attempt after %d refused connects", failed)
 	}
-	if b.d.retries > retryBurst || b.d.retries < 2 {
-		t.Fatalf("retries left: %v, want those at the start", b.d.retries)
+	if b.d.retryBudget > maxRetryBudget || b.d.retryBudget < 2 {
+		t.Fatalf("retry budget %v, want that of the start", b.d.retryBudget)
 	}
 }
 
 // Peers fill a worker: one of their jobs waits there. However many slots we
-// believe in, nothing more goes there until it runs.
+// assume, nothing more goes there until it runs.
 func TestPeersJobThatWaitsKeepsOursAway(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
-	b := newBench(t, s, ready(7, 0))
+	b := newHarness(t, s, ready(7, 0))
 	w := b.d.workers[7]
-	b.slots(7, 9)
+	b.setSlots(7, 9)
 	b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}})
 	b.want(b.arrive(1, 0), Send, 1) // it may be on its way only
 	b.do(Event{Kind: AttemptReported, Job: 1, Attempt: 0, Note: NoteStarted})
 	b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
 	b.want(b.arrive(2, 0), Send, 0)
 	b.want(b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}}), Send, 1)
-	// Past the cap nothing is tried while a peer's job travels.
+	// Nothing is tried past the limit while a peer's job is on its way.
 	b.do(Event{Kind: AttemptReported, Job: 2, Attempt: 0, Note: NoteStarted})
-	b.now += ticksToTell * s.Granularity
+	b.now += waitNoticeBatches * s.Granularity
 	b.do(Event{Kind: TimerFired})
-	b.d.kind(w).tried = 1
-	if !b.d.growable(w) {
-		t.Fatal("an old cap may not be passed")
+	b.d.kindOf(w).probedAt = 1
+	if !b.d.mayProbe(w) {
+		t.Fatal("an old limit may not be passed")
 	}
 	b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 4, 0}})
-	if b.d.growable(w) {
-		t.Error("a try past the cap while a peer's job has not begun")
+	if b.d.mayProbe(w) {
+		t.Error("a probe past the limit while a peer's job has not begun")
 	}
-	// The word of a peer that is gone must not keep the worker idle.
+	// The gossip of a peer that has stopped must not keep the worker idle.
 	b.pass(60 * second)
 	b.do(Event{Kind: TimerFired})
-	if b.d.queued(w) {
-		t.Error("word from a minute ago keeps jobs away")
+	if b.d.peerWaits(w) {
+		t.Error("gossip from a minute ago keeps jobs away")
 	}
 }
 
-// A retry storm is fed by advice that is too soft, and a job that could still be
-// in time is lost by advice that is too hard: clients are told to hold off only
-// where a repeat now can earn nothing.
+// A retry storm is fed by advice to wait that is too short, and a job that could still be
+// in time is lost by advice that is too long: clients are advised to hold off only
+// where a retry now can earn nothing.
 func TestAdviceToHoldOff(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
-	refuse := func(aim Micros, over bool, level int) Micros {
+	b := newHarness(t, testSettings(), ready(1, 0))
+	refuse := func(objective Micros, over bool, level overloadLevel) Micros {
 		b.d.level = level
-		j := &job{id: 9, aim: b.now + aim, over: over, work: second / 5}
-		b.d.out, b.d.best = nil, 0
+		j := &job{id: 9, objective: b.now + objective, overQuota: over, work: second / 5}
+		b.d.actions, b.d.eventBestSpeed = nil, 0
 		b.d.finish(j, true)
-		return b.d.out[0].Delay
+		return b.d.actions[0].Delay
 	}
-	b.d.finish(&job{id: 8, class: 2, aim: b.now}, true) // late answers earn nothing, and its aim has passed
-	b.want(b.d.out, Refuse, 1)
-	if b.d.out[0].Delay != b.d.set.MaxRetryAfter {
-		t.Errorf("its aim has passed: told to wait for %v", b.d.out[0].Delay)
+	// Late answers earn nothing, and its objective has passed.
+	b.d.finish(&job{id: 8, class: 2, objective: b.now}, true)
+	b.want(b.d.actions, Refuse, 1)
+	if b.d.actions[0].Delay != b.d.settings.MaxRetryAfter {
+		t.Errorf("its objective has passed: advised to wait for %v", b.d.actions[0].Delay)
 	}
 	for _, c := range []struct {
-		aim   Micros
-		over  bool
-		level int
-		hold  bool
+		objective Micros
+		over      bool
+		level     overloadLevel
+		hold      bool
 	}{{second, false, 2, false}, {second, true, 1, true}, {second / 10, false, 1, true},
 		{second / 10, false, 0, false}, {second, true, 0, false}} {
-		if got := refuse(c.aim, c.over, c.level) > 0; got != c.hold {
-			t.Errorf("aim in %v, over %v, level %d: told to hold off: %v", c.aim, c.over, c.level, got)
+		if got := refuse(c.objective, c.over, c.level) > 0; got != c.hold {
+			t.Errorf("objective in %v, over %v, level %d: advised to hold off: %v", c.objective, c.over, c.level, got)
 		}
 	}
 }
 
-// Rule 3, where a change counts as told whether it was heard or not: a dispatcher that hears
-// nothing sends nothing, whatever its workers take and whatever list it began with.
-func TestNothingGoesToAWorkerThatMayDrainUnheard(t *testing.T) {
+// Rule 3, where a change counts as known MaxStaleness later, received or not: a dispatcher that
+// receives nothing sends nothing, whatever its workers take and whatever list it began with.
+func TestNothingGoesToAWorkerThatMayDrainWithoutOurKnowledge(t *testing.T) {
 	for name, c := range map[string]struct {
-		within Micros // ToldWithin
-		silent Micros // since the list was heard
-		never  bool   // it was not: the list is the one of the start
+		within Micros // MaxStaleness
+		silent Micros // since the last update
+		never  bool   // there was none: the list is the one of the start
 		sent   int
 	}{
-		"a list just heard":            {6 * second, 5 * second, false, 2},
-		"an old one":                   {6 * second, 7 * second, false, 0},
-		"the one of the start":         {6 * second, 0, true, 0},
-		"the same after a while":       {6 * second, 5 * second, true, 0},
-		"what is told is always heard": {0, 60 * second, false, 2},
-		"from the start":               {0, 0, true, 2},
+		"a recent update":        {6 * second, 5 * second, false, 2},
+		"an old one":             {6 * second, 7 * second, false, 0},
+		"the one of the start":   {6 * second, 0, true, 0},
+		"the same after a while": {6 * second, 5 * second, true, 0},
+		"updates always arrive":  {0, 60 * second, false, 2},
+		"from the start":         {0, 0, true, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
 			s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, c.within
 			d, _ := New(s, 3)
-			b := &bench{t: t, d: d, now: 100 * second}
+			b := &harness{t: t, d: d, now: 100 * second}
 			b.do(Event{Kind: Started})
 			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached,
 				Workers: []WorkerEntry{ready(1, 0), ready(2, 0), ready(3, 0)}})
@@ -937,38 +946,38 @@
 				t.Fatalf("%d jobs were sent, want %d", len(sent), c.sent)
 			}
 			b.do(Event{Kind: EndpointsUpdated}) // nothing new
-			if again := len(find(b.out, Send)); again != 2-c.sent {
-				t.Errorf("%d jobs left once the list was heard", again)
+			if later := len(find(b.out, Send)); later != 2-c.sent {
+				t.Errorf("%d jobs left once an update came", later)
 			}
 		})
 	}
 }
 
-// A change that nobody can read may tell any worker to drain: nothing is sent until the list is
-// heard anew. What others say of workers that leave is no word of the list.
-func TestAChangeThatCannotBeReadEndsTheTrust(t *testing.T) {
+// An update that cannot be read may tell any worker to drain: nothing is sent until the next update.
+// Drains that are known from elsewhere do not count as an update.
+func TestUnreadableUpdateMakesTheListStale(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, 6*second
-	b := newBench(t, s, ready(1, 0), ready(2, 0))
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed, Age: b.now + b.d.set.MaxStaleness})
+	b := newHarness(t, s, ready(1, 0), ready(2, 0))
+	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed, Age: b.now + b.d.settings.MaxStaleness})
 	b.want(b.arrive(1, 0), Send, 0)
-	leaves := []WorkerEntry{{Worker: 1, Status: Draining}}
-	b.want(b.do(Event{Kind: EndpointsUpdated, Scope: UpdateDrains, Workers: leaves}), Send, 0)
+	drains := []WorkerEntry{{Worker: 1, Status: Draining}}
+	b.want(b.do(Event{Kind: EndpointsUpdated, Scope: UpdateDrains, Workers: drains}), Send, 0)
 	sent := find(b.do(Event{Kind: EndpointsUpdated, Age: second}), Send)
 	if len(sent) != 1 || sent[0].Worker != 2 {
 		t.Errorf("sent %+v, want one to worker 2", sent)
 	}
 	b.end(1, 0, OK)
-	b.now += 5*second + 1 // a word is as old as it says
+	b.now += 5*second + 1 // an update is as old as it says
 	b.want(b.arrive(2, 0), Send, 0)
 }
 
-// Some clients give up early, and bring less patience to their first try. It is not lost for
-// that; only a repeat has used up what is missing.
-func TestFirstTryWithLittlePatienceIsNoRepeat(t *testing.T) {
+// Some clients give up early, and bring less patience to their first try. It is not too late for
+// that; only a retry has used up what is missing.
+func TestFirstAttemptWithLittlePatienceIsNoRetry(t *testing.T) {
 	for name, c := range map[string]struct{ many, marks, repeat, served bool }{
 		"a first try":         {many: true, marks: true, served: true},
-		"a repeat":            {many: true, marks: true, repeat: true},
+		"a retry":             {many: true, marks: true, repeat: true},
 		"nobody can tell":     {many: true},
 		"marked all the same": {many: true, repeat: true},
 		"few dispatchers":     {marks: true},
@@ -976,10 +985,10 @@
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
 			if s.RetriesMarked = c.marks; c.many {
-				blind(&s)
+				withoutGossipSettings(&s)
 				s.Dispatchers = 80
 			}
-			b := newBench(t, s, ready(1, 0))
+			b := newHarness(t, s, ready(1, 0))
 			out := b.do(Event{Kind: JobArrived, Job: 1, Class: 2, Patience: 2 * second, Retry: c.repeat, Slots: 1})
 			if served := len(find(out, Send)) == 1; served != c.served {
 				t.Errorf("served: %v, want %v", served, c.served)
--- /dev/null
+++ b/internal/dispatch/estimate_waits.go
@@ -0,0 +1,108 @@
+package dispatch
+
+import "math"
+
+// Estimates of how long jobs wait at workers before they begin. Only a large fleet without gossip needs
+// them. Nothing here decides.
+
+const (
+	groupWaitRuns   = 12.0 // how long the waits of a group count, in runs
+	groupWaitWeight = 0.5  // own waits that outweigh those of its group
+	ownWaitRuns     = 6.0  // like groupWaitRuns, for the worker itself: it is met seldom
+)
+
+// How far a choice goes at random, and by the distance on the ring, in runs.
+const (
+	jitterRuns   = 0.25
+	distanceRuns = 0.5
+)
+
+// waitEstimate is the mean of how long jobs waited at workers before they began. What was seen fades, as
+// others come to run there.
+type waitEstimate struct {
+	sum, count float64
+	at         Micros
+}
+
+// group is what is known of the waits at the workers of one kind in one zone: those that all dispatchers
+// find alike, and load together.
+type group struct {
+	waitEstimate
+	expectedWait float64 // what they and the jobs that wait now come to
+	computedIn   uint64  // the event in which that was computed
+}
+
+type groupKey struct{ zone, kind int }
+
+func (s *waitEstimate) decay(now Micros, span float64) {
+	keep := math.Exp(-float64(now-s.at) / span)
+	s.sum, s.count, s.at = s.sum*keep, s.count*keep, now
+}
+
+func (s *waitEstimate) add(now Micros, span, wait float64) {
+	s.decay(now, span)
+	s.sum, s.count = s.sum+wait, s.count+1
+}
+
+// groupOf is what is known of a worker's group.
+func (d *Dispatcher) groupOf(w *worker) *group {
+	if w.group == nil {
+		key := groupKey{w.entry.Zone, w.entry.Kind}
+		if w.group = d.groups[key]; w.group == nil {
+			w.group = &group{}
+			d.groups[key] = w.group
+		}
+	}
+	return w.group
+}
+
+// recordWait records how long a job waited at a worker.
+func (d *Dispatcher) recordWait(w *worker, wait float64) {
+	if !d.withoutGossip() {
+		return
+	}
+	w.startWait.add(d.now, ownWaitRuns*d.runLength(), wait)
+	d.groupOf(w).add(d.now, groupWaitRuns*d.runLength(), wait)
+}
+
+// expectedWait is how long a job would likely wait at a worker: as our last ones there did, and as far
+// as they do not show it, as those of its group. One that waits now is on average half way.
+func (d *Dispatcher) expectedWait(w *worker) float64 {
+	if !d.settings.StartReported || !d.withoutGossip() {
+		return 0
+	}
+	g := d.groupOf(w)
+	if g.computedIn != d.eventCount {
+		g.computedIn = d.eventCount
+		g.decay(d.now, groupWaitRuns*d.runLength())
+		sum, n := g.sum, g.count+1
+		for _, a := range d.overdueAttempts() {
+			if d.groupOf(a.worker) == g && a.startedAt == 0 && a.inFlight {
+				sum, n = sum+2*float64(d.now-a.sentAt), n+1
+			}
+		}
+		g.expectedWait = sum / n
+	}
+	if w.startWait.count > 0 {
+		w.startWait.decay(d.now, ownWaitRuns*d.runLength())
+	}
+	return (w.startWait.sum + g.expectedWait*groupWaitWeight) / (w.startWait.count + groupWaitWeight)
+}
+
+// choiceJitter is a part of a run by which the choice of a worker departs from the best one: all
+// dispatchers see much the same, and would send there together.
+func (d *Dispatcher) choiceJitter(w *worker) float64 {
+	if !d.withoutGossip() {
+		return 0
+	}
+	return (d.random.uniform()*jitterRuns + d.distanceFrom(d.position, w)/d.reach*distanceRuns) * d.runLength()
+}
+
+// crossZoneCost is what a cost in another zone comes to here. A small fleet collides less when each
+// dispatcher stays in its zone while that is in time.
+func (d *Dispatcher) crossZoneCost(cost, remaining float64) float64 {
+	if !d.withoutGossip() {
+		return max(remaining, cost)
+	}
+	return cost + d.settings.CrossZonePrice*remaining
+}
--- /dev/null
+++ b/internal/dispatch/estimate_work.go
@@ -0,0 +1,102 @@
+package dispatch
+
+import "slices"
+
+// Estimates of work and run times, by class. Nothing here decides.
+
+// unseenWorkObjectives is what a class is taken to need that nobody saw run, in its objectives: workers in
+// slow start show nothing, and all would send there by the same guess.
+const unseenWorkObjectives = 2.0
+
+// classState is what is known of a class.
+type classState struct {
+	workSum, squareSum, count float64 // decayed sums of works seen
+	runs                      quantileWindow
+	arrived                   float64 // decayed count of arrivals
+	target                    Micros  // T_k
+	guaranteedRate            float64 // jobs a microsecond
+}
+
+func (s *classState) addWork(work float64) {
+	s.workSum, s.squareSum = s.workSum*workDecay+work, s.squareSum*workDecay+work*work
+	s.count = s.count*workDecay + 1
+}
+
+// meanWork is the mean work seen, with a prior that weighs as much as two jobs.
+func (s *classState) meanWork(prior float64) float64 {
+	return (s.workSum + 2*prior) / (s.count + 2)
+}
+
+// weightedWork is the mean work seen by a unit of work: value goes with work, so long jobs decide what
+// an unhinted job's objective is worth waiting for.
+func (s *classState) weightedWork(prior float64) float64 {
+	mean := s.meanWork(prior)
+	if s.workSum == 0 {
+		return mean
+	}
+	return min(s.squareSum/s.workSum, 3*mean)
+}
+
+// unhintedWork is the work that a job without a hint is assumed to be. In a large fleet without gossip
+// that is less than the mean: most jobs are shorter, and too late sooner.
+func (d *Dispatcher) unhintedWork(s *classState, prior float64) float64 {
+	if d.withoutGossip() {
+		return unhintedWorkFraction * s.meanWork(prior)
+	}
+	return s.weightedWork(prior)
+}
+
+// slowStartCost is what a job takes of the budget of a worker in slow start.
+func (d *Dispatcher) slowStartCost(j *job) float64 {
+	work := j.work
+	if !j.hinted {
+		objective := float64(d.settings.Classes[j.class].LatencyObjective)
+		work = d.classes[j.class].meanWork(unseenWorkObjectives * objective)
+	}
+	return work + float64(d.settings.Granularity) // a handshake may come with it
+}
+
+// typicalWork is the work that a unit of what arrives here comes in: a few long jobs bring most of it.
+// Before a class was seen to run, twice its objective stands for it.
+func (d *Dispatcher) typicalWork() float64 {
+	sum, squares := 0.0, 0.0
+	for k := range d.classes {
+		st := &d.classes[k]
+		work := st.meanWork(unseenWorkObjectives * float64(d.settings.Classes[k].LatencyObjective))
+		sum, squares = sum+(1+st.arrived)*work, squares+(1+st.arrived)*work*work
+	}
+	return squares / max(1, sum)
+}
+
+// workInTransit is the work of jobs that left for a worker and are not known to have begun: if it
+// starts anew now, they reach it in slow start.
+func (d *Dispatcher) workInTransit(w *worker) float64 {
+	work := 0.0
+	for _, a := range w.attempts {
+		if a.startedAt == 0 {
+			work += d.slowStartCost(a.job)
+		}
+	}
+	return work
+}
+
+// quantileWindow keeps the latest run times and their upper quantile.
+type quantileWindow struct {
+	samples [maxRunSamples]float64 // a ring buffer
+	count   int                    // samples so far
+	value   float64                // the quantile
+}
+
+func (q *quantileWindow) add(v float64) {
+	q.samples[q.count%maxRunSamples] = v
+	q.count++
+	if q.count < quantileInterval || q.count%quantileInterval == 0 {
+		sorted := q.samples
+		window := sorted[:min(q.count, maxRunSamples)]
+		slices.Sort(window)
+		q.value = window[int(runTimeQuantile*float64(len(window)-1)+0.5)]
+	}
+}
+
+// runLength is the length of a run, a quarter second at least.
+func (d *Dispatcher) runLength() float64 { return max(d.slotTimes.value, second/4) }
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -6,12 +6,14 @@
 	"dahliaford/internal/dispatch"
 )
 
-// A dispatcher is told of a worker and of a job, and says where the job goes.
+// A dispatcher learns of a worker and of a job, and decides where the job goes.
 func Example() {
 	const second = 1_000_000
 	d, err := dispatch.New(dispatch.Settings{
-		Dispatchers:   1,
-		Classes:       []dispatch.Class{{LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Kind: -1}},
+		Dispatchers: 1,
+		Classes: []dispatch.Class{
+			{LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Kind: -1},
+		},
 		MaxAttempts:   3,
 		StartReported: true,
 	}, 42)
@@ -30,7 +32,7 @@
 			case dispatch.Refuse:
 				fmt.Printf("refuse job %d\n", a.Job)
 			case dispatch.SetTimer:
-				// After a.Wait, pass an event TimerRang with a.Token.
+				// After a.Delay, pass an event TimerFired with a.Token.
 			}
 		}
 	}
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -2,33 +2,33 @@
 
 import "testing"
 
-// One small test for each kind of trouble that the module must stand without
-// having been told of it. All act through events, as in service.
+// One small test for each kind of failure that the module must stand though no event
+// announces it. All act through events, as in service.
 
-// run lets a sent job run on its worker for a while and end well.
-func (b *bench) run(sent Action, span Micros) []Action {
+// runAttempt lets a sent job run on its worker for a while and succeed.
+func (b *harness) runAttempt(sent Action, span Micros) {
 	b.do(Event{Kind: AttemptReported, Job: sent.Job, Attempt: sent.Attempt, Note: NoteStarted})
 	b.now += span
-	return b.end(sent.Job, sent.Attempt, OK)
+	b.end(sent.Job, sent.Attempt, OK)
 }
 
-func (b *bench) warm(free float64) {
-	for _, w := range b.d.order {
-		w.cap, w.capAt = free, b.now
+func (b *harness) setSlotLimits(free float64) {
+	for _, w := range b.d.ordered {
+		w.slotLimit, w.slotLimitAt = free, b.now
 	}
 }
 
-// A tenant sends several times its share: it is the one that is refused.
+// A tenant sends several times its quota: it is the one that is refused.
 func TestTenantBurst(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0), ready(2, 0))
+	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	var live []Action
-	asked, refused := [2]int{}, [2]int{}
+	arrivals, refused := [2]int{}, [2]int{}
 	for id := JobID(1); id <= 4000; id++ {
 		tenant := 0
 		if id%10 == 0 {
-			tenant = 1 // 10 jobs a second, its share of this dispatcher; the other sends 90
+			tenant = 1 // 10 jobs a second, its quota at this dispatcher; the other sends 90
 		}
-		asked[tenant]++
+		arrivals[tenant]++
 		actions := b.do(Event{Kind: JobArrived, Job: id, Tenant: tenant, Work: second / 20, Slots: 1,
 			Patience: 6 * second})
 		for _, a := range find(actions, Refuse) {
@@ -47,46 +47,46 @@
 			}
 		}
 	}
-	loud, calm := float64(refused[0])/float64(asked[0]), float64(refused[1])/float64(asked[1])
-	if loud < 0.3 || calm > loud/2 {
-		t.Errorf("refused of the loud tenant %.2f, of the calm one %.2f", loud, calm)
+	loud, moderate := float64(refused[0])/float64(arrivals[0]), float64(refused[1])/float64(arrivals[1])
+	if loud < 0.3 || moderate > loud/2 {
+		t.Errorf("refused of the loud tenant %.2f, of the calm one %.2f", loud, moderate)
 	}
 }
 
-// Clients repeat themselves: a repeat counts from its first try, so it neither
-// gets a new aim nor takes a slot for an answer that earns nothing.
-func TestRepeatsOfLostJobsTakeNoSlot(t *testing.T) {
+// Clients retry: a retry counts from its first try, so it neither gets a new
+// objective nor takes a slot for an answer that earns nothing.
+func TestRetriesOfHopelessJobsTakeNoSlot(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateWeight = 0
-	b := newBench(t, s, ready(1, 0))
+	b := newHarness(t, s, ready(1, 0))
 	actions := b.do(Event{Kind: JobArrived, Job: 1, Work: second / 5, Slots: 1, Patience: 3 * second})
 	b.want(actions, Send, 0)
 	b.want(actions, Refuse, 1)
 	b.want(b.arrive(2, 0), Send, 1)
 }
 
-// Workers stand still for some tenths of a second: nobody is judged for it.
+// Workers stand still for some tenths of a second: none is suspected for it.
 func TestPausesAreNoSilence(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0), ready(2, 0))
+	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	for id := JobID(1); id <= 20; id++ {
 		sent := find(b.arrive(id, 0), Send)
 		b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-		b.want(b.pass(6*second/10), Send, 0) // no copy
-		if w := b.d.workers[sent[0].Worker]; w.suspect || b.now < w.downUntil {
+		b.want(b.pass(6*second/10), Send, 0) // no second attempt
+		if w := b.d.workers[sent[0].Worker]; w.suspect || b.now < w.ejectedUntil {
 			t.Fatal("a pause made a worker suspect")
 		}
 		b.end(id, 0, OK)
 	}
 }
 
-// The fleet shrinks under load: what is left is not flooded, nothing goes to
+// The fleet shrinks under load: the rest is not flooded, nothing goes to
 // what drains, and each job gets its one answer.
 func TestFleetShrinksUnderLoad(t *testing.T) {
 	var workers []WorkerEntry
 	for i := range 6 {
 		workers = append(workers, ready(WorkerID(i+1), 0))
 	}
-	b := newBench(t, testSettings(), workers...)
+	b := newHarness(t, testSettings(), workers...)
 	answers, out := map[JobID]int{}, map[WorkerID]int{}
 	count := func(actions []Action) {
 		for _, a := range actions {
@@ -100,23 +100,23 @@
 			}
 		}
 	}
-	before := b.d.x()
+	before := b.d.serviceTimePerSlot()
 	for id := JobID(1); id <= 200; id++ {
 		if id%20 == 0 && id <= 100 {
-			gone := workers[id/20-1]
-			gone.Status = Draining
-			count(b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{gone}}))
+			removed := workers[id/20-1]
+			removed.Status = Draining
+			count(b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}}))
 		}
 		count(b.arrive(id, int(id)%3))
 		count(b.pass(second / 20))
 	}
-	if b.d.slots.value = second / 5; b.d.x() < before {
+	if b.d.slotTimes.value = second / 5; b.d.serviceTimePerSlot() < before {
 		t.Error("fewer workers, but a job is thought to be cleared sooner")
 	}
 	count(b.pass(10 * second))
 	for id := JobID(1); id <= 200; id++ {
 		j, open := b.d.jobs[id]
-		if answers[id] > 1 || answers[id] == 0 && (!open || j.live == 0) {
+		if answers[id] > 1 || answers[id] == 0 && (!open || j.inFlight == 0) {
 			t.Fatalf("job %d has %d answers", id, answers[id])
 		}
 	}
@@ -127,14 +127,14 @@
 	}
 }
 
-// A worker takes connections from others but not from us: their word does not
-// speak for our path. We try it rarely, and use it when the path is back.
+// A worker takes connections from others but not from us: their gossip does not
+// prove our path. We try it rarely, and use it when the path is back.
 func TestRefusesOnlyUs(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
-	b := newBench(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
-	b.warm(3)
-	b.d.workers[2].tilt, b.d.workers[3].tilt = 1, 1 // worker 1 comes first
+	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
+	b.setSlotLimits(3)
+	b.d.workers[2].bias, b.d.workers[3].bias = 1, 1 // worker 1 comes first
 	refused, id := 0, JobID(0)
 	for range 100 {
 		id++
@@ -145,47 +145,47 @@
 			sent = find(b.end(id, sent[0].Attempt, ConnectFailed), Send)
 		}
 		if len(sent) == 1 {
-			b.run(sent[0], second/10)
+			b.runAttempt(sent[0], second/10)
 		}
 	}
 	if refused == 0 || refused > 10 {
 		t.Errorf("%d tries in ten seconds", refused)
 	}
-	b.pass(10 * second) // the peer's word is old
+	b.pass(10 * second) // the peer's gossip is old
 	for range 20 {
 		id++
 		b.pass(second)
-		b.slots(1, 1)
-		b.d.workers[2].used, b.d.workers[3].used = 1, 1 // busy
+		b.setSlots(1, 1)
+		b.d.workers[2].ownSlots, b.d.workers[3].ownSlots = 1, 1 // busy
 		if sent := find(b.arrive(id, 0), Send); len(sent) == 1 {
-			b.run(sent[0], second/10)
+			b.runAttempt(sent[0], second/10)
 		}
 	}
-	if w := b.d.workers[1]; w.lost || w.fails > 0 {
+	if w := b.d.workers[1]; w.unreachable || w.consecutiveFailures > 0 {
 		t.Error("the worker is not used again after its path came back")
 	}
 }
 
-// Others fill a worker and nobody tells: each 'full' sends the job on and keeps
-// ours away for a moment, and the cap grows again when they have left.
+// Others fill a worker and do not report it: each AtCapacity sends the job on and keeps
+// ours away for a moment, and the limit grows again when they have ended.
 func TestFilledByOthersUnseen(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 6
-	b := newBench(t, s, ready(1, 0), ready(2, 0))
-	b.warm(3)
-	b.d.slots.value = second / 5
+	b := newHarness(t, s, ready(1, 0), ready(2, 0))
+	b.setSlotLimits(3)
+	b.d.slotTimes.value = second / 5
 	first := find(b.arrive(1, 0), Send)[0]
 	next := find(b.end(1, 0, AtCapacity), Send)
 	if len(next) != 1 || next[0].Worker == first.Worker {
-		t.Fatalf("after 'full' from worker %d: %+v", first.Worker, next)
+		t.Fatalf("after AtCapacity from worker %d: %+v", first.Worker, next)
 	}
-	if w := b.d.workers[first.Worker]; w.cap != 1 || b.d.usable(w) {
-		t.Fatalf("cap %v, usable %v right after 'full'", w.cap, b.d.usable(w))
+	if w := b.d.workers[first.Worker]; w.slotLimit != 1 || b.d.usable(w) {
+		t.Fatalf("limit %v, usable %v right after AtCapacity", w.slotLimit, b.d.usable(w))
 	}
-	b.run(next[0], second/5)
+	b.runAttempt(next[0], second/5)
 	b.pass(4 * second)
 	b.do(Event{Kind: TimerFired})
-	if w := b.d.workers[first.Worker]; !b.d.usable(w) || !b.d.growable(w) {
+	if w := b.d.workers[first.Worker]; !b.d.usable(w) || !b.d.mayProbe(w) {
 		t.Error("a worker that was full once is never tried again")
 	}
 }
@@ -195,7 +195,7 @@
 func TestFrozenReports(t *testing.T) {
 	s := testSettings()
 	s.StartReported, s.LoadReports = false, true
-	b := newBench(t, s, ready(1, 0), ready(2, 0))
+	b := newHarness(t, s, ready(1, 0), ready(2, 0))
 	id, full, served := JobID(0), 0, 0
 	for range 50 {
 		id++
@@ -220,61 +220,59 @@
 	}
 }
 
-// The list and the attempts contradict each other. Gone, but its attempts answer:
-// they count, and nothing new goes there. Ready, but no connect: set aside.
+// The list and the attempts contradict each other. Removed, but its attempts answer:
+// they count, and nothing new goes there. Ready, but no connect: ejected.
 func TestListAgainstAttempts(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
+	b := newHarness(t, testSettings(), ready(1, 0))
 	sent := find(b.arrive(1, 0), Send)
-	gone := ready(1, 0)
-	gone.Status = Removed
-	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{gone}})
-	b.run(sent[0], second/10)
+	removed := ready(1, 0)
+	removed.Status = Removed
+	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}})
+	b.runAttempt(sent[0], second/10)
 	if _, open := b.d.jobs[1]; open {
-		t.Error("the answer of a worker that is gone from the list was not taken")
+		t.Error("the answer of a worker that was removed from the list was not taken")
 	}
 	b.want(b.arrive(2, 0), Send, 0)
 	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0), ready(3, 0), ready(4, 0)}})
-	lost := find(b.out, Send)
-	if len(lost) != 1 {
+	attempts := find(b.out, Send)
+	if len(attempts) != 1 {
 		t.Fatalf("job 2 still waits: %+v", b.out)
 	}
 	b.end(2, 0, ConnectFailed)
-	if w := b.d.workers[lost[0].Worker]; b.d.usable(w) {
+	if w := b.d.workers[attempts[0].Worker]; b.d.usable(w) {
 		t.Error("a listed worker without a connection still counts as ready")
 	}
 }
 
-// A neighbour takes most of a worker and leaves again: it loses work meanwhile
+// A noisy neighbour takes most of a worker for a while: it loses work meanwhile
 // and has it back afterwards.
 func TestNeighbourComesAndGoes(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
+	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
 	id := JobID(0)
-	share := func(n int, slow Micros) float64 {
-		got := 0.0
+	serve := func(n int, slow Micros) {
 		for range n {
 			id++
 			sent := find(b.arrive(id, 0), Send)[0]
 			span := Micros(second / 5)
 			if sent.Worker == 1 {
-				got, span = got+1, slow
+				span = slow
 			}
-			b.run(sent, span)
+			b.runAttempt(sent, span)
 			b.pass(second)
 		}
-		return got / float64(n)
 	}
-	share(60, second/5)
+	serve(60, second/5)
 	w := b.d.workers[1]
 	before := b.d.speed(w)
-	share(60, second)
+	serve(60, second)
 	during := b.d.speed(w)
 	// Other workers are busy, so it is tried now and then.
 	for range 40 {
 		id++
-		b.d.workers[2].cap, b.d.workers[2].used, b.d.workers[2].capAt = 1, 1, b.now
-		b.d.workers[3].cap, b.d.workers[3].used, b.d.workers[3].capAt = 1, 1, b.now
+		b.d.workers[2].slotLimit, b.d.workers[2].ownSlots, b.d.workers[2].slotLimitAt = 1, 1, b.now
+		b.d.workers[3].slotLimit, b.d.workers[3].ownSlots, b.d.workers[3].slotLimitAt = 1, 1, b.now
 		if sent := find(b.arrive(id, 0), Send); len(sent) == 1 {
-			b.run(sent[0], second/5)
+			b.runAttempt(sent[0], second/5)
 		}
 	}
 	if after := b.d.speed(w); during > 0.8*before || after < 0.8*before {
@@ -282,12 +280,12 @@
 	}
 }
 
-// A dispatcher starts anew among workers that hold jobs of its former self: news
-// of those is not its own, and peers that never speak take nothing away.
+// A dispatcher restarts among workers that have jobs of its last incarnation: reports
+// of those are not its own, and peers without gossip take nothing away.
 func TestRestartedAmongStrangers(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
-	b := newBench(t, s, ready(1, 0))
+	b := newHarness(t, s, ready(1, 0))
 	for _, e := range []Event{
 		{Kind: AttemptEnded, Job: 77, Attempt: 0, Worker: 1, Outcome: OK, Final: true},
 		{Kind: AttemptReported, Job: 77, Attempt: 3, Worker: 1, Note: NoteStarted},
@@ -304,38 +302,38 @@
 	b.want(b.arrive(1, 0), Send, 1)
 }
 
-// Many dispatchers fill one worker: each tries past its cap in turn, not all in
+// Many dispatchers fill one worker: each probes past its limit in turn, not all in
 // the same run time.
-func TestTriesPastTheCapAreShared(t *testing.T) {
-	pause := func(balancers int) (steps int) {
+func TestProbesPastTheLimitAreShared(t *testing.T) {
+	pause := func(dispatchers int) (steps int) {
 		s := testSettings()
-		s.Dispatchers = balancers
-		b := newBench(t, s, ready(1, 0))
+		s.Dispatchers = dispatchers
+		b := newHarness(t, s, ready(1, 0))
 		w := b.d.workers[1]
-		for w.capAt = b.now; !b.d.growable(w); steps++ {
+		for w.slotLimitAt = b.now; !b.d.mayProbe(w); steps++ {
 			b.pass(second / 4)
 			b.do(Event{Kind: TimerFired})
 		}
 		return steps
 	}
 	if one, two, ten := pause(1), pause(2), pause(10); one != two || ten < 4*two {
-		t.Errorf("quarter seconds before a try with 1, 2 and 10 dispatchers: %d, %d, %d", one, two, ten)
+		t.Errorf("quarter seconds before a probe with 1, 2 and 10 dispatchers: %d, %d, %d", one, two, ten)
 	}
 }
 
-// A fleet is enlarged under load: its new workers are cold and too slow for most
-// aims. Where late answers earn they still take what the full ones cannot.
+// A fleet is enlarged under load: its new workers are in slow start and too slow for most
+// objectives. Where late answers earn they still take what the full ones cannot.
 func TestNewWorkersDoNotStandIdle(t *testing.T) {
 	for _, late := range []float64{0, 0.5} {
 		s := testSettings()
 		s.Dispatchers, s.Index = 1, 0
 		s.Classes[0].LateWeight, s.Classes[0].LatencyObjective = late, second/4
-		b := newBench(t, s, ready(1, 0))
-		b.pass(2 * s.OverloadWindow) // our own start is past
-		b.warm(1)
+		b := newHarness(t, s, ready(1, 0))
+		b.pass(2 * s.OverloadWindow) // our own start is long past
+		b.setSlotLimits(1)
 		b.want(b.arrive(1, 0), Send, 1)
 		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
-		b.slots(1, 1)
+		b.setSlots(1, 1)
 		b.pass(second / 20)
 		b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{
 			{Worker: 2, Status: Ready, Started: b.now - second/10}}})
@@ -347,16 +345,16 @@
 	}
 }
 
-// Word of peers is late, so now and then more jobs seem to run at a worker than it
+// Gossip is late, so now and then more jobs seem to run at a worker than it
 // has slots. One job in ten that begins there must not raise its capacity: the
-// nine that waited count. A worker of its own kind is told from the others.
-func TestStaleWordDoesNotRaiseCapacity(t *testing.T) {
+// nine that waited count. A worker of its own kind is distinguished from the others.
+func TestStaleGossipDoesNotRaiseCapacity(t *testing.T) {
 	s := testSettings()
-	b := newBench(t, s, ready(1, 0), ready(2, 0), WorkerEntry{Worker: 3, Status: Ready, Kind: 1})
+	b := newHarness(t, s, ready(1, 0), ready(2, 0), WorkerEntry{Worker: 3, Status: Ready, Kind: 1})
 	w := b.d.workers[1]
 	for i := range 100 {
-		b.d.fitted(&attempt{worker: w, taken: float64(1 + i%4)}, true)
-		b.d.fitted(&attempt{worker: w, taken: 5}, i%10 == 0)
+		b.d.recordStart(&attempt{worker: w, slotsAtSend: float64(1 + i%4)}, true)
+		b.d.recordStart(&attempt{worker: w, slotsAtSend: 5}, i%10 == 0)
 	}
 	if got := b.d.capacity(w); got != 4 {
 		t.Errorf("capacity %v, want 4", got)
@@ -368,86 +366,86 @@
 		t.Errorf("capacity of another kind %v, want 1", got)
 	}
 	for range 10 { // one of the kind has fewer slots than the others
-		b.d.fitted(&attempt{worker: b.d.workers[2], taken: 3}, false)
-		b.d.fitted(&attempt{worker: b.d.workers[2], taken: 4}, false)
+		b.d.recordStart(&attempt{worker: b.d.workers[2], slotsAtSend: 3}, false)
+		b.d.recordStart(&attempt{worker: b.d.workers[2], slotsAtSend: 4}, false)
 	}
 	if got := b.d.capacity(b.d.workers[2]); got != 2 {
 		t.Errorf("capacity of the small one %v, want 2", got)
 	}
 }
 
-// One who sends from another zone is told what runs there, else it takes every
-// worker for free; one who never came is not, where dispatchers are many.
-func TestThoseWhoCrossZonesAreTold(t *testing.T) {
+// A dispatcher that sends from another zone is sent gossip, else it takes every
+// worker for free; one that never did is not, where dispatchers are many.
+func TestDispatchersThatCrossZonesReceiveGossip(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed, s.Dispatchers, s.Index = true, 40, 0
-	b := newBench(t, s, ready(1, 0))
+	b := newHarness(t, s, ready(1, 0))
 	w := b.d.workers[1]
 	b.d.reach = 0.5
-	b.d.near = b.d.near[:0]
+	b.d.neighbours = b.d.neighbours[:0]
 	for p := range s.Dispatchers {
-		b.d.near = append(b.d.near, p)
+		b.d.neighbours = append(b.d.neighbours, p)
 	}
 	visitor, other := -1, -1
 	for p := 1; p < s.Dispatchers; p++ {
-		if b.d.covers(circle(p), w) && visitor < 0 {
+		if b.d.covers(ringPosition(p), w) && visitor < 0 {
 			visitor = p
-		} else if b.d.covers(circle(p), w) {
+		} else if b.d.covers(ringPosition(p), w) {
 			other = p
 		}
 		b.d.peers[p].zone = 1
 	}
-	told := func() (n map[int]bool) {
+	receivers := func() (n map[int]bool) {
 		n = map[int]bool{}
-		b.d.out = nil
-		b.d.spread(w, nil)
-		for _, a := range b.d.out {
+		b.d.actions = nil
+		b.d.broadcast(w, nil)
+		for _, a := range b.d.actions {
 			n[a.Peer] = true
 		}
 		return n
 	}
-	if got := told(); len(got) > 0 {
-		t.Fatalf("told: %v", got)
+	if got := receivers(); len(got) > 0 {
+		t.Fatalf("gossip to: %v", got)
 	}
 	b.do(Event{Kind: GossipReceived, Peer: visitor, Message: []byte{1, 0, 0, 0, 1, 1, 0}})
-	if got := told(); !got[visitor] || got[other] {
-		t.Errorf("visitor %d, other %d, told: %v", visitor, other, got)
+	if got := receivers(); !got[visitor] || got[other] {
+		t.Errorf("visitor %d, other %d, gossip to: %v", visitor, other, got)
 	}
 }
 
-// A small tenant's share, split over many dispatchers, is less than a job in some
+// A small tenant's quota, split over many dispatchers, is less than a job in some
 // seconds: two jobs that meet at one dispatcher are still within it, a third is not.
-func TestSmallShareOverManyDispatchers(t *testing.T) {
+func TestSmallQuotaOverManyDispatchers(t *testing.T) {
 	s := testSettings()
 	s.Dispatchers, s.Tenants[1].Quota = 10, 1
-	b := newBench(t, s, ready(1, 0))
+	b := newHarness(t, s, ready(1, 0))
 	for i, want := range []bool{false, false, true} {
-		if got := b.d.beyondShare(1, false); got != want {
-			t.Errorf("job %d beyond the share: %v", i+1, got)
+		if got := b.d.exceedsQuota(1, false); got != want {
+			t.Errorf("job %d over the quota: %v", i+1, got)
 		}
 	}
 }
 
 // Hints are rough: while the fleet is not overloaded, a job whose expected run no
-// longer fits its aim is still tried if nothing more urgent waits, until the aim
-// itself has passed.
-func TestRoughHintsDoNotRefuseOnQuietDays(t *testing.T) {
+// longer fits its objective is still tried if nothing more urgent waits, until the
+// objective itself has passed.
+func TestRoughHintsDoNotRefuseWithoutOverload(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateWeight = 0
-	b := newBench(t, s, ready(1, 0))
+	b := newHarness(t, s, ready(1, 0))
 	late := Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1,
-		Patience: 7 * second / 2} // aim in half a second
+		Patience: 7 * second / 2} // objective in half a second
 	b.want(b.do(late), Send, 1)
-	b = newBench(t, s, ready(1, 0))
+	b = newHarness(t, s, ready(1, 0))
 	b.d.level = 1
 	b.want(b.do(late), Refuse, 1)
-	late.Patience = 2 * second // aim passed
-	b = newBench(t, s, ready(1, 0))
+	late.Patience = 2 * second // objective passed
+	b = newHarness(t, s, ready(1, 0))
 	b.want(b.do(late), Refuse, 1)
 }
 
 // A worker that fails some of its jobs, not all in a row: jobs that must not run twice
-// wait for another one, the rest still go there. When most err, it bars nobody.
+// wait for another one, the rest still go there. When most workers fail jobs, none is avoided.
 func TestUnsafeJobsAvoidWorkersThatErr(t *testing.T) {
 	const safe, unsafe = 0, 2
 	for name, c := range map[string]struct {
@@ -461,10 +459,10 @@
 		"unsafe, most err":     {[]WorkerID{1, 2}, unsafe, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
-			b.slots(1, 1)
+			b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
+			b.setSlots(1, 1)
 			for _, w := range c.errs {
-				j := &job{id: 90 + JobID(w), class: unsafe, slots: 1, giveUp: b.now + second}
+				j := &job{id: 90 + JobID(w), class: unsafe, slots: 1, deadline: b.now + second}
 				b.d.jobs[j.id] = j
 				b.d.send(j, b.d.workers[w])
 				b.end(j.id, 0, Failed)
@@ -481,17 +479,17 @@
 			}
 			b.now += 10 * second
 			b.do(Event{Kind: TimerFired})
-			if b.d.errs(b.d.workers[1]) {
-				t.Error("the errors do not wear off")
+			if b.d.failsJobs(b.d.workers[1]) {
+				t.Error("the errors do not fade")
 			}
 		})
 	}
 }
 
 // A connection is reset now and then, on its way up or under a job: that is an accident
-// of the network. It must not cost the fleet a worker, nor make it pass for cold, which
-// keeps it out for as long as a real start would. Several in a row do tell.
-func TestResetsAreNoEnd(t *testing.T) {
+// of the network. It must not cost the fleet a worker, nor put it into slow start, which
+// keeps it out for as long as a real start would. Several in a row do count.
+func TestSingleResetsDoNotEject(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcomes     []Outcome
 		usable, warm bool
@@ -502,7 +500,7 @@
 		"failed connects":    {[]Outcome{ConnectFailed, ConnectFailed}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, testSettings(), ready(1, 0))
+			b := newHarness(t, testSettings(), ready(1, 0))
 			w := b.d.workers[1]
 			for i, o := range c.outcomes {
 				b.pass(second)
@@ -516,7 +514,7 @@
 			if got := b.d.usable(w); got != c.usable {
 				t.Errorf("usable %v", got)
 			}
-			if got := b.d.coldAt(w) == 0; got != c.warm {
+			if got := b.d.slowStartSince(w) == 0; got != c.warm {
 				t.Errorf("warm %v", got)
 			}
 		})
--- a/internal/dispatch/blind_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -2,24 +2,24 @@
 
 import "testing"
 
-// Tests of many dispatchers that tell each other nothing: what all do together shows in
+// Tests of many dispatchers without gossip: what all do together shows in
 // how long jobs wait, and in nothing else.
 
-// blind is the setting of the operators' large fleet: 80 dispatchers, no peers.
-func blind(s *Settings) {
+// withoutGossipSettings is the operators' large fleet: 80 dispatchers, no gossip.
+func withoutGossipSettings(s *Settings) {
 	s.GossipAllowed, s.HedgingAllowed, s.CrossZonePrice, s.Granularity = false, false, 0.01, second/500
 }
 
 // serve runs one job at a dispatcher: it begins after a wait that depends on its worker.
-func (b *bench) serve(id JobID, wait func(*worker) Micros) *worker {
+func (b *harness) serve(id JobID, wait func(*worker) Micros) *worker {
 	b.t.Helper()
 	sent := find(b.arrive(id, 0), Send)
 	if len(sent) != 1 {
 		b.t.Fatalf("job %d: %d sends", id, len(sent))
 	}
 	w := b.d.workers[sent[0].Worker]
-	for end := b.now + wait(w); b.now < end; b.do(Event{Kind: TimerFired, Token: b.d.token}) {
-		b.now += min(end-b.now, second/100) // events of other jobs make it look
+	for end := b.now + wait(w); b.now < end; b.do(Event{Kind: TimerFired, Token: b.d.timerToken}) {
+		b.now += min(end-b.now, second/100) // events of other jobs make it inspect
 	}
 	b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 	b.pass(second / 5 * Micros(1+w.entry.Kind)) // the first kind is twice as fast
@@ -27,9 +27,9 @@
 	return w
 }
 
-// chosen serves 20 jobs, by which the waits become known, and counts of 20 more those that go
-// to some of the workers.
-func (b *bench) chosen(wait func(*worker) Micros, some func(*worker) bool) (n int) {
+// countChosen serves 20 jobs, by which the waits become known, and counts of 20 more those that
+// go to some of the workers.
+func (b *harness) countChosen(wait func(*worker) Micros, some func(*worker) bool) (n int) {
 	b.t.Helper()
 	for i := range 40 {
 		if w := b.serve(JobID(i), wait); i >= 20 && some(w) {
@@ -42,12 +42,13 @@
 // Jobs wait long at one kind of worker though this dispatcher has hardly any there: the
 // others do. Then the other kind gets its jobs, and the faster one is not chosen for its
 // speed alone.
-func TestBlindDispatcherLeavesAKindWhereJobsWait(t *testing.T) {
-	list := fleetList(60)
-	b := member(t, 80, 3, list, 0, blind)
+func TestDispatcherWithoutGossipAvoidsAKindWhereJobsWait(t *testing.T) {
+	list := testFleet(60)
+	b := startOne(t, 80, 3, list, 0, withoutGossipSettings)
 	for i := range 4 {
-		b.slots(list[i].Worker, 2)
-		b.d.kind(b.d.workers[list[i].Worker]).pace = pace{20 * second, float64(10 * second * (1 + list[i].Kind))}
+		b.setSlots(list[i].Worker, 2)
+		k := b.d.kindOf(b.d.workers[list[i].Worker])
+		k.speedEstimate = speedEstimate{20 * second, float64(10 * second * (1 + list[i].Kind))}
 	}
 	crowded := func(w *worker) Micros {
 		if w.entry.Kind == 0 {
@@ -55,34 +56,34 @@
 		}
 		return second / 500
 	}
-	there := b.chosen(crowded, func(w *worker) bool { return w.entry.Kind == 0 })
+	there := b.countChosen(crowded, func(w *worker) bool { return w.entry.Kind == 0 })
 	if there > 4 {
 		t.Errorf("%d of 20 jobs went where the last ones had to wait", there)
 	}
 }
 
 // The same for the own zone: crossing costs a hundredth, waiting costs the job.
-func TestBlindDispatcherCrossesWhenItsZoneIsCrowded(t *testing.T) {
-	b := member(t, 80, 3, fleetList(60), 0, blind)
+func TestDispatcherWithoutGossipCrossesWhenItsZoneIsCrowded(t *testing.T) {
+	b := startOne(t, 80, 3, testFleet(60), 0, withoutGossipSettings)
 	crowded := func(w *worker) Micros {
 		if w.entry.Zone == 0 {
 			return second
 		}
 		return second / 100
 	}
-	crossed := b.chosen(crowded, func(w *worker) bool { return w.entry.Zone == 1 })
+	crossed := b.countChosen(crowded, func(w *worker) bool { return w.entry.Zone == 1 })
 	if crossed < 12 {
 		t.Errorf("%d of 20 jobs crossed to the zone that is free", crossed)
 	}
 }
 
-// A few share each worker, so that what a dispatcher has there itself is a good part of
-// what is there, and every worker has somebody.
-func TestBlindDispatchersShareWorkersWithFew(t *testing.T) {
-	list := fleetList(60)
+// A small number shares each worker, so that what a dispatcher has there itself is a good part
+// of what is there, and every worker is used.
+func TestEachWorkerHasASmallNumberOfDispatchersWithoutGossip(t *testing.T) {
+	list := testFleet(60)
 	users := map[WorkerID]int{}
-	for _, b := range tier(t, 80, list, alternating, blind) {
-		for _, w := range b.d.part {
+	for _, b := range startAll(t, 80, list, alternating, withoutGossipSettings) {
+		for _, w := range b.d.subset {
 			users[w.entry.Worker]++
 		}
 	}
@@ -93,12 +94,12 @@
 	}
 }
 
-// The whole fleet comes back cold. All that cover a worker may use it, and not one of 80
+// The whole fleet restarts. All that cover a worker may use it, and not one of 80
 // alone: else the few that own one would carry what 80 bring.
-func TestBlindDispatchersAllUseAColdFleet(t *testing.T) {
-	list := fleetList(60)
-	all := tier(t, 80, list, alternating, func(s *Settings) {
-		blind(s)
+func TestDispatchersWithoutGossipAllUseAFleetInSlowStart(t *testing.T) {
+	list := testFleet(60)
+	all := startAll(t, 80, list, alternating, func(s *Settings) {
+		withoutGossipSettings(s)
 		s.SlowStartInitial, s.OverloadFactor = 0.4, 4 // as the operators have them
 	})
 	for i := range list {
@@ -106,8 +107,8 @@
 	}
 	idle := 0
 	for i, b := range all {
-		b.slots(list[0].Worker, 2)
-		b.slots(list[2].Worker, 3)
+		b.setSlots(list[0].Worker, 2)
+		b.setSlots(list[2].Worker, 3)
 		b.do(Event{Kind: EndpointsUpdated, Workers: list})
 		b.pass(second / 2) // a part of the budget
 		sent := len(find(b.arrive(JobID(i), 0), Send)) + len(find(b.pass(second/2), Send))
@@ -116,34 +117,34 @@
 		}
 	}
 	if idle > 8 {
-		t.Errorf("%d of 80 dispatchers found no place for their first job", idle)
+		t.Errorf("%d of 80 dispatchers found no worker for their first job", idle)
 	}
 }
 
 // A job that crosses zones takes a handshake and the way there and back to begin. That is
 // no wait, and says nothing of the worker's slots.
-func TestBlindDispatcherTakesACrossingForNoWait(t *testing.T) {
-	b := member(t, 80, 3, fleetList(60), 0, blind)
+func TestDispatcherWithoutGossipDoesNotCountACrossingAsAWait(t *testing.T) {
+	b := startOne(t, 80, 3, testFleet(60), 0, withoutGossipSettings)
 	for i := range 10 {
 		w := b.serve(JobID(i), func(*worker) Micros { return 40_000 })
-		if of := b.d.fit(w, 1); of.late > 0 {
+		if of := b.d.startCountsAt(w, 1); of.late > 0 {
 			t.Fatalf("a start after 40 ms was taken for a wait")
 		}
 	}
 }
 
-// A job that waits at a worker until its aim is lost is answered then, and called back: its
-// slot goes to the one behind it. What has begun is left to end.
-func TestJobThatWaitsPastItsAimIsGivenUp(t *testing.T) {
+// A job that waits at a worker until it cannot meet its objective is answered then, and cancelled:
+// its slot goes to the one behind it. What has begun is left to end.
+func TestJobThatWaitsPastItsObjectiveIsCancelled(t *testing.T) {
 	s := testSettings()
 	s.Classes[2].LateWeight = 0
-	b := newBench(t, s, ready(1, 0))
+	b := newHarness(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
 	late := b.pass(s.Classes[2].Deadline - second)
-	b.want(late, Fail, 1) // it may have begun unheard: no refusal, as it must not run twice
+	b.want(late, Fail, 1) // it may have begun all the same: no refusal, as it must not run twice
 	b.want(late, Cancel, 1)
 
-	b = newBench(t, s, ready(1, 0))
+	b = newHarness(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
 	b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 	late = b.pass(s.Classes[2].Deadline - second)
@@ -152,12 +153,12 @@
 }
 
 // A worker fails many jobs, and each dispatcher of 80 meets it every few seconds. Its report
-// tells what the others met there: one error is enough, for a class that may be repeated, too,
-// and a job that went well there by luck says nothing.
-func TestBlindDispatcherBelievesAWorkersErrors(t *testing.T) {
+// shows what the others met there: one error is enough, for a class that may be repeated, too,
+// and a job that succeeded there by luck shows nothing.
+func TestDispatcherWithoutGossipTrustsReportedErrors(t *testing.T) {
 	for name, o := range map[string]Outcome{"an error": Failed, "luck": OK} {
-		b := member(t, 80, 3, fleetList(60), 0, func(s *Settings) {
-			blind(s)
+		b := startOne(t, 80, 3, testFleet(60), 0, func(s *Settings) {
+			withoutGossipSettings(s)
 			s.LoadReports = true
 		})
 		bad := b.d.workers[find(b.arrive(1, 2), Send)[0].Worker]
@@ -174,64 +175,64 @@
 }
 
 // The same in the module: see the reducer's test.
-func TestWorkersThatWentAreForgotten(t *testing.T) {
-	b := newBench(t, testSettings(), ready(1, 0))
+func TestRemovedWorkersAreForgotten(t *testing.T) {
+	b := newHarness(t, testSettings(), ready(1, 0))
 	for i := WorkerID(1); i < 200; i++ {
 		b.now += 60 * second
 		b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: i, Status: Removed}, ready(i+1, 0)}})
 	}
-	if n := len(b.d.order); n > 15 || len(b.d.workers) != n {
+	if n := len(b.d.ordered); n > 15 || len(b.d.workers) != n {
 		t.Errorf("%d workers in order, %d by number, 1 in the list", n, len(b.d.workers))
 	}
 	b.want(b.arrive(1, 0), Send, 1)
 }
 
-// A job that is withdrawn before it began never says how long it would have waited; its
+// A job that is cancelled before it began never shows how long it would have waited; its
 // worker is as full as one where a job began late, and must not look free.
-func TestBlindDispatcherLearnsFromAJobThatNeverBegan(t *testing.T) {
-	b := member(t, 80, 3, fleetList(60), 0, blind)
+func TestDispatcherWithoutGossipLearnsFromAJobThatNeverBegan(t *testing.T) {
+	b := startOne(t, 80, 3, testFleet(60), 0, withoutGossipSettings)
 	w := b.d.workers[find(b.arrive(1, 2), Send)[0].Worker]
 	b.want(b.pass(7*second), Cancel, 1)
 	b.end(1, 0, Cancelled)
-	if got := b.d.delay(w); got < second {
+	if got := b.d.expectedWait(w); got < second {
 		t.Errorf("a wait of %.1f s is expected where a job waited for seconds", got/second)
 	}
 }
 
-// coldFleet plays many dispatchers of which none tells another anything, while three in five
-// workers start anew: traffic is dealt unevenly, all hear of the starts at times of their own,
-// and some dispatchers start themselves. It returns the most work that a worker was sent within
-// any window in which it falls over, as a part of the limit on all dispatchers together. Only
-// where two thirds came from dispatchers that had been told of the start does it count.
-func coldFleet(t *testing.T, dispatchers, workers int, seed uint64) float64 {
+// simulateRestartedFleet runs many dispatchers without gossip, while three in five workers start anew:
+// traffic is dealt unevenly, all learn of the starts at times of their own, and some dispatchers start
+// themselves. It returns the most work that a worker was sent within any overload window, as a part of
+// the limit on all dispatchers together. Only where two thirds came from dispatchers that knew of the
+// start does it count.
+func simulateRestartedFleet(t *testing.T, dispatchers, workers int, seed uint64) float64 {
 	const work, slots, tick, length = 400_000, 2, second / 50, 6 * second
 	set := func(s *Settings) {
-		blind(s)
+		withoutGossipSettings(s)
 		s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8*second, 0.3, 4, 2*second
-		s.Classes[0].LatencyObjective = second / 5 // half of what a job takes: nobody tells that at a start
+		s.Classes[0].LatencyObjective = second / 5 // half of what a job takes: nobody knows that at a start
 	}
-	chance := random(seed)
-	list := fleetList(workers)
-	all := tier(t, dispatchers, list, alternating, set)
+	source := random(seed)
+	list := testFleet(workers)
+	all := startAll(t, dispatchers, list, alternating, set)
 	begin := all[0].now
 	started := map[WorkerID]bool{}
 	for i := range list {
-		if chance.chance() < 0.6 {
+		if source.uniform() < 0.6 {
 			list[i].Started, started[list[i].Worker] = begin, true
 		}
 	}
-	rate, told := make([]float64, dispatchers), make([]Micros, dispatchers)
-	again := make([]Micros, dispatchers)
+	rate, updateAt := make([]float64, dispatchers), make([]Micros, dispatchers)
+	restartAt := make([]Micros, dispatchers)
 	for i, b := range all {
 		for _, e := range list {
-			b.slots(e.Worker, slots)
+			b.setSlots(e.Worker, slots)
 		}
-		rate[i], told[i] = 1.2, begin+Micros(chance.chance()*2*second)
-		if chance.chance() < 0.15 {
+		rate[i], updateAt[i] = 1.2, begin+Micros(source.uniform()*2*second)
+		if source.uniform() < 0.15 {
 			rate[i] = 6
 		}
-		if chance.chance() < 0.3 {
-			again[i] = begin + Micros(chance.chance()*length)
+		if source.uniform() < 0.3 {
+			restartAt[i] = begin + Micros(source.uniform()*length)
 		}
 	}
 	type run struct {
@@ -242,14 +243,14 @@
 	}
 	var running []run
 	type send struct {
-		at   Micros
-		told bool
+		at       Micros
+		informed bool
 	}
 	sent := map[WorkerID][]send{}
 	take := func(i int, actions []Action, now Micros) {
 		for _, a := range find(actions, Send) {
 			if started[a.Worker] {
-				sent[a.Worker] = append(sent[a.Worker], send{now, told[i] == 0})
+				sent[a.Worker] = append(sent[a.Worker], send{now, updateAt[i] == 0})
 			}
 			all[i].do(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
 			running = append(running, run{i, a.Job, a.Attempt, now + work})
@@ -258,40 +259,40 @@
 	job := JobID(0)
 	for now := begin; now < begin+length; now += tick {
 		for i, b := range all {
-			if again[i] != 0 && again[i] <= now {
-				again[i], told[i] = 0, 0
+			if restartAt[i] != 0 && restartAt[i] <= now {
+				restartAt[i], updateAt[i] = 0, 0
 				b.now = now
-				b.d, _ = New(b.d.set, uint64(i)+seed)
+				b.d, _ = New(b.d.settings, uint64(i)+seed)
 				b.do(Event{Kind: Started})
 				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
 			}
-			if told[i] != 0 && told[i] <= now {
-				told[i] = 0
+			if updateAt[i] != 0 && updateAt[i] <= now {
+				updateAt[i] = 0
 				b.now = now
 				take(i, b.do(Event{Kind: EndpointsUpdated, Workers: list}), now)
 			}
 			take(i, b.pass(now-b.now), now)
-			if chance.chance() < rate[i]*float64(tick)/second {
+			if source.uniform() < rate[i]*float64(tick)/second {
 				job++
 				take(i, b.do(Event{Kind: JobArrived, Job: job, Slots: 1, Patience: 6 * second}), now)
 			}
 		}
-		var on []run
+		var remaining []run
 		for _, r := range running {
 			if r.ends <= now {
 				take(r.by, all[r.by].end(r.job, r.attempt, OK), now)
 			} else {
-				on = append(on, r)
+				remaining = append(remaining, r)
 			}
 		}
-		running = on
+		running = remaining
 	}
 	worst := 0.0
 	for _, all := range sent {
 		for from := range all {
 			n, knew := 0, 0
 			for to := from; to < len(all) && all[to].at-all[from].at < 2*second; to++ {
-				if n++; all[to].told {
+				if n++; all[to].informed {
 					knew++
 				}
 			}
@@ -304,10 +305,10 @@
 	return worst
 }
 
-func TestNoColdWorkerIsPushedOverByAllTogether(t *testing.T) {
+func TestNoWorkerInSlowStartIsOverloadedByAllTogether(t *testing.T) {
 	for seed := range uint64(8) {
-		if worst := coldFleet(t, 300, 200, seed+1); worst > 1 {
-			t.Errorf("seed %d: a cold worker got %.2f of the limit", seed+1, worst)
+		if worst := simulateRestartedFleet(t, 300, 200, seed+1); worst > 1 {
+			t.Errorf("seed %d: a worker in slow start got %.2f of the limit", seed+1, worst)
 		} else {
 			t.Logf("seed %d: %.2f", seed+1, worst)
 		}
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -7,59 +7,58 @@
 	"testing"
 )
 
-// world feeds a dispatcher legal random events and checks the rules on its
-// actions, from its own books alone.
-type world struct {
-	t       *testing.T
-	r       *rand.Rand
-	s       Settings
-	d       *Dispatcher
-	now     Micros
-	due     []happening
-	jobs    map[JobID]*known
-	live    []JobID
-	workers map[WorkerID]*listedWorker
-	ids     []WorkerID
-	next    JobID
-	trace   []string
+// ruleChecker feeds a dispatcher legal random events and checks the rules on its
+// actions, from its own records alone.
+type ruleChecker struct {
+	t         *testing.T
+	r         *rand.Rand
+	s         Settings
+	d         *Dispatcher
+	now       Micros
+	events    []scheduledEvent
+	jobs      map[JobID]*jobRecord
+	open      []JobID
+	workers   map[WorkerID]*workerRecord
+	workerIDs []WorkerID
+	lastJob   JobID
+	trace     []string
 }
 
-type happening struct {
+type scheduledEvent struct {
 	at    Micros
 	seq   int
 	event Event
 }
 
-type known struct {
+type jobRecord struct {
 	class    int
 	work     Micros
-	giveUp   Micros
+	deadline Micros
 	answered int
-	told     bool // the dispatcher was told that it is finished
-	ended    bool
-	attempts []*try
+	finished bool // the dispatcher knows that it is finished
+	attempts []*attemptRecord
 }
 
-type booking struct {
+type sentWork struct {
 	at   Micros
 	work float64
 }
 
-type try struct {
-	worker WorkerEntry
-	sent   Micros
-	live   bool
-	ran    bool
+type attemptRecord struct {
+	worker     WorkerEntry
+	sentAt     Micros
+	inFlight   bool
+	mayHaveRun bool
 }
 
-type listedWorker struct {
-	entry   WorkerEntry
-	since   Micros // when the present status was told
-	started Micros
-	cold    []booking
+type workerRecord struct {
+	entry          WorkerEntry
+	statusSince    Micros // when the present status was listed
+	started        Micros
+	slowStartSends []sentWork
 }
 
-func newWorld(t *testing.T, seed int64) *world {
+func newRuleChecker(t *testing.T, seed int64) *ruleChecker {
 	r := rand.New(rand.NewSource(seed))
 	s := testSettings()
 	s.Dispatchers = []int{1, 2, 3, 260}[r.Intn(4)]
@@ -81,68 +80,68 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{t: t, r: r, s: s, d: d, now: 50 * second, jobs: map[JobID]*known{},
-		workers: map[WorkerID]*listedWorker{}}
+	return &ruleChecker{t: t, r: r, s: s, d: d, now: 50 * second, jobs: map[JobID]*jobRecord{},
+		workers: map[WorkerID]*workerRecord{}}
 }
 
-func (w *world) span(most Micros) Micros {
-	return Micros(w.r.Int63n(int64(most/w.s.Granularity))+1) * w.s.Granularity
+func (w *ruleChecker) span(longest Micros) Micros {
+	return Micros(w.r.Int63n(int64(longest/w.s.Granularity))+1) * w.s.Granularity
 }
 
-func (w *world) at(at Micros, e Event) {
-	w.due = append(w.due, happening{at, len(w.trace) + len(w.due), e})
+func (w *ruleChecker) schedule(at Micros, e Event) {
+	w.events = append(w.events, scheduledEvent{at, len(w.trace) + len(w.events), e})
 }
 
-func (w *world) failf(format string, a ...any) {
+func (w *ruleChecker) failf(format string, a ...any) {
 	w.t.Helper()
 	w.t.Fatalf("at %d: "+format, append([]any{w.now}, a...)...)
 }
 
 // feed passes one event on and checks what comes back.
-func (w *world) feed(e Event) {
+func (w *ruleChecker) feed(e Event) {
 	if j := w.jobs[e.Job]; j != nil && e.Kind == AttemptEnded {
 		a := j.attempts[e.Attempt]
-		if !a.live {
+		if !a.inFlight {
 			return
 		}
-		a.live = false
-		a.ran = e.Outcome != AtCapacity && e.Outcome != ConnectFailed && e.Outcome != NotSent
+		a.inFlight = false
+		a.mayHaveRun = e.Outcome != AtCapacity && e.Outcome != ConnectFailed && e.Outcome != NotSent
 		if e.Outcome == OK {
 			if j.answered == 0 {
 				j.answered++
 			}
-			j.told = true
+			j.finished = true
 		}
-		e.Final = j.told || j.answered > 0
+		e.Final = j.finished || j.answered > 0
 	}
 	out := w.d.Step(w.now, &e, nil)
 	w.trace = append(w.trace, fmt.Sprint(w.now, e.Kind, e.Job, out))
 	for _, a := range out {
-		w.check(a)
+		w.checkAction(a)
 	}
 }
 
-func (w *world) check(a Action) {
+func (w *ruleChecker) checkAction(a Action) {
 	switch a.Kind {
 	case SetTimer:
 		if a.Delay < 0 {
 			w.failf("timer in the past")
 		}
-		w.at(w.now+max(a.Delay, w.s.Granularity), Event{Kind: TimerFired, Token: a.Token})
+		w.schedule(w.now+max(a.Delay, w.s.Granularity), Event{Kind: TimerFired, Token: a.Token})
 	case WatchEndpoints:
 		w.answerCall()
 	case Send:
 		w.checkSend(a)
 	case Refuse, Fail:
 		j := w.jobs[a.Job]
-		if j == nil || j.told {
+		if j == nil || j.finished {
 			w.failf("answer for a job that is unknown or over: %+v", a)
 		}
 		if j.answered++; j.answered > 1 {
 			w.failf("job %d answered twice", a.Job)
 		}
-		if w.now > j.giveUp {
-			w.failf("job %d answered %d too late", a.Job, w.now-j.giveUp)
+		if w.now > j.deadline {
+			w.failf("job %d answered %d too late", a.Job, w.now-j.deadline)
 		}
 		if a.Kind == Refuse {
 			w.checkRefusal(a.Job, j)
@@ -158,77 +157,79 @@
 	}
 }
 
-func (w *world) checkRefusal(id JobID, j *known) {
+func (w *ruleChecker) checkRefusal(id JobID, j *jobRecord) {
 	c := &w.s.Classes[j.class]
 	for _, a := range j.attempts {
-		if (a.live || a.ran) && (c.Effect == Unsafe || c.Effect == Keyed && c.DedupScope != ScopeAll) {
+		if (a.inFlight || a.mayHaveRun) && (c.Effect == Unsafe || c.Effect == Keyed && c.DedupScope != ScopeAll) {
 			w.failf("job %d refused though it may have run", id)
 		}
 	}
 }
 
-func (w *world) checkSend(a Action) {
+func (w *ruleChecker) checkSend(a Action) {
 	j, to := w.jobs[a.Job], w.workers[a.Worker]
 	switch {
 	case j == nil || to == nil:
-		w.failf("send of or to the unknown: %+v", a)
-	case j.told || j.answered > 0:
+		w.failf("unknown job or worker in a send: %+v", a)
+	case j.finished || j.answered > 0:
 		w.failf("job %d sent after its end", a.Job)
 	case len(j.attempts) >= w.s.MaxAttempts:
-		w.failf("job %d sent too often", a.Job)
+		w.failf("job %d has too many attempts", a.Job)
 	case to.entry.Status != Ready:
-		w.failf("job %d sent to worker %d, told %d ago that it drains or is gone", a.Job, a.Worker, w.now-to.since)
-	case a.SendBy > j.giveUp || a.SendBy <= w.now:
-		w.failf("job %d to leave by %d, given up at %d", a.Job, a.SendBy, j.giveUp)
-	case a.Deadline > j.giveUp || a.Deadline <= w.now:
-		w.failf("job %d to be abandoned at %d, given up at %d", a.Job, a.Deadline, j.giveUp)
+		w.failf("job %d sent to worker %d, which drains or is removed since %d", a.Job, a.Worker,
+			w.now-to.statusSince)
+	case a.SendBy > j.deadline || a.SendBy <= w.now:
+		w.failf("job %d to leave by %d, given up at %d", a.Job, a.SendBy, j.deadline)
+	case a.Deadline > j.deadline || a.Deadline <= w.now:
+		w.failf("job %d to be abandoned at %d, given up at %d", a.Job, a.Deadline, j.deadline)
 	}
 	c := &w.s.Classes[j.class]
 	for _, p := range j.attempts {
-		if p.live && !w.s.HedgingAllowed {
-			w.failf("job %d has two attempts out", a.Job)
+		if p.inFlight && !w.s.HedgingAllowed {
+			w.failf("job %d has two attempts in flight", a.Job)
 		}
-		if !p.live && !p.ran {
+		if !p.inFlight && !p.mayHaveRun {
 			continue
 		}
 		switch c.Effect {
 		case Unsafe:
 			w.failf("unsafe job %d sent again though it may have run", a.Job)
 		case Keyed:
-			if a.SendBy-p.sent > c.DedupWindow || !sameGroup(c.DedupScope, &p.worker, &to.entry) {
+			if a.SendBy-p.sentAt > c.DedupWindow || !sameDedupGroup(c.DedupScope, &p.worker, &to.entry) {
 				w.failf("keyed job %d sent out of its group or window", a.Job)
 			}
 		}
 	}
-	w.checkCold(to, j)
-	if mine := w.d.workers[a.Worker]; w.d.coldAt(mine) != 0 && !mine.lost && !w.d.owns(mine) {
-		w.failf("cold worker %d belongs to another dispatcher", a.Worker)
+	w.checkSlowStart(to, j)
+	known := w.d.workers[a.Worker]
+	if w.d.slowStartSince(known) != 0 && !known.unreachable && !w.d.slowStartOwner(known) {
+		w.failf("another dispatcher owns worker %d in slow start", a.Worker)
 	}
-	j.attempts = append(j.attempts, &try{worker: to.entry, sent: w.now, live: true})
-	w.script(a, len(j.attempts)-1)
+	j.attempts = append(j.attempts, &attemptRecord{worker: to.entry, sentAt: w.now, inFlight: true})
+	w.scriptOutcome(a, len(j.attempts)-1)
 }
 
-// checkCold holds rule 4: one dispatcher alone uses the budget, in any window that
+// checkSlowStart checks rule 4: one dispatcher alone uses the budget, in any window that
 // ends now. Workers here have eight slots of speed 1.
-func (w *world) checkCold(to *listedWorker, j *known) {
+func (w *ruleChecker) checkSlowStart(to *workerRecord, j *jobRecord) {
 	if to.started == 0 || w.now-to.started >= w.s.SlowStart {
 		return
 	}
-	to.cold = append(to.cold, booking{w.now, float64(j.work)})
+	to.slowStartSends = append(to.slowStartSends, sentWork{w.now, float64(j.work)})
 	sum := 0.0
-	for _, b := range to.cold {
+	for _, b := range to.slowStartSends {
 		if w.now-b.at <= w.s.OverloadWindow {
 			sum += b.work
 		}
 	}
 	warm := w.s.SlowStartInitial + (1-w.s.SlowStartInitial)*float64(w.now-to.started)/float64(w.s.SlowStart)
 	if budget := w.s.OverloadFactor * 8 * warm * float64(w.s.OverloadWindow); sum > budget {
-		w.failf("cold worker sent %.0f of a budget of %.0f", sum, budget)
+		w.failf("worker in slow start sent %.0f of a budget of %.0f", sum, budget)
 	}
 }
 
-// script decides what becomes of an attempt.
-func (w *world) script(a Action, n int) {
+// scriptOutcome decides what becomes of an attempt.
+func (w *ruleChecker) scriptOutcome(a Action, n int) {
 	worker := a.Worker
 	e := Event{Kind: AttemptEnded, Job: a.Job, Attempt: n, Worker: worker, Outcome: OK}
 	end := w.now + w.span(2*second)
@@ -248,42 +249,42 @@
 	}
 	if e.Outcome == OK || e.Outcome == Failed {
 		if w.s.StartReported {
-			w.at(w.now+w.s.Granularity, Event{Kind: AttemptReported, Job: a.Job, Attempt: n, Worker: worker,
+			w.schedule(w.now+w.s.Granularity, Event{Kind: AttemptReported, Job: a.Job, Attempt: n, Worker: worker,
 				Note: NoteStarted})
 		}
-		w.at((w.now+end)/2, Event{Kind: AttemptReported, Job: a.Job, Attempt: n, Worker: worker,
+		w.schedule((w.now+end)/2, Event{Kind: AttemptReported, Job: a.Job, Attempt: n, Worker: worker,
 			Note: NoteProgress, Value: 0.5})
 		e.Report = Report{Known: true, Free: 8 * w.r.Float64(), Outstanding: 8 * w.r.Float64()}
 	}
 	if end > a.Deadline {
 		e.Outcome, end = TimedOut, a.Deadline
 	}
-	w.at(end, e)
+	w.schedule(end, e)
 }
 
-func (w *world) answerCall() {
+func (w *ruleChecker) answerCall() {
 	if w.r.Intn(3) == 0 {
-		w.at(w.now+w.span(2*second), Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+		w.schedule(w.now+w.span(2*second), Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 	} else {
-		w.at(w.now+w.span(2*second), Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: nil})
+		w.schedule(w.now+w.span(2*second), Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: nil})
 	}
 }
 
-// list fills a list event with news and books what was told.
-func (w *world) list(e *Event) {
+// fillUpdate fills a list event with changes and records them.
+func (w *ruleChecker) fillUpdate(e *Event) {
 	if e.Scope == UpdateFailed {
 		return
 	}
-	if len(w.ids) == 0 || w.r.Intn(4) == 0 && len(w.ids) < 12 {
+	if len(w.workerIDs) == 0 || w.r.Intn(4) == 0 && len(w.workerIDs) < 12 {
 		id := WorkerID(w.r.Intn(1 << 30))
-		w.ids = append(w.ids, id)
-		w.workers[id] = &listedWorker{entry: WorkerEntry{Worker: id, Zone: w.r.Intn(2), Cell: w.r.Intn(3),
+		w.workerIDs = append(w.workerIDs, id)
+		w.workers[id] = &workerRecord{entry: WorkerEntry{Worker: id, Zone: w.r.Intn(2), Cell: w.r.Intn(3),
 			Kind: w.r.Intn(2), Status: Ready}}
 		if e.Scope == UpdateDelta {
 			e.Workers = append(e.Workers, w.workers[id].entry)
 		}
 	}
-	for _, id := range w.ids {
+	for _, id := range w.workerIDs {
 		k := w.workers[id]
 		switch w.r.Intn(8) {
 		case 0:
@@ -292,128 +293,129 @@
 			k.entry.Status = Removed
 		case 2:
 			k.entry.Status, k.entry.Started = Ready, w.now-w.span(second)
-			k.started, k.cold = k.entry.Started, nil
+			k.started, k.slowStartSends = k.entry.Started, nil
 		default:
 			if e.Scope == UpdateDelta {
 				continue
 			}
 		}
-		k.since = w.now
+		k.statusSince = w.now
 		if e.Scope == UpdateDelta || k.entry.Status != Removed || w.r.Intn(2) == 0 {
 			e.Workers = append(e.Workers, k.entry)
 		}
 	}
 }
 
-func (w *world) run(steps int) []string {
+func (w *ruleChecker) run(steps int) []string {
 	w.feed(Event{Kind: Started})
-	first := Event{Kind: EndpointsUpdated, Scope: UpdateCached}
-	w.list(&first)
-	w.feed(first)
+	firstTrace := Event{Kind: EndpointsUpdated, Scope: UpdateCached}
+	w.fillUpdate(&firstTrace)
+	w.feed(firstTrace)
 	for n := range steps + 4000 {
 		arriving := n < steps
-		if !arriving && len(w.due) == 0 {
+		if !arriving && len(w.events) == 0 {
 			break
 		}
 		if arriving && w.r.Intn(3) > 0 {
-			w.stir()
+			w.newEvent()
 		} else {
-			w.happen()
+			w.nextEvent()
 		}
-		w.overdue()
+		w.checkDeadlines()
 	}
 	return w.trace
 }
 
-// stir makes one new thing happen now.
-func (w *world) stir() {
+// newEvent makes one new event happen now.
+func (w *ruleChecker) newEvent() {
 	switch w.r.Intn(20) {
 	case 0:
 		e := Event{Kind: EndpointsUpdated, Scope: []UpdateScope{UpdateDelta, UpdateDelta, UpdateFull}[w.r.Intn(3)]}
-		w.list(&e)
+		w.fillUpdate(&e)
 		w.feed(e)
 	case 1:
-		if len(w.live) > 0 {
-			id := w.live[w.r.Intn(len(w.live))]
+		if len(w.open) > 0 {
+			id := w.open[w.r.Intn(len(w.open))]
 			if j := w.jobs[id]; j.answered == 0 {
-				j.told = true
+				j.finished = true
 				w.feed(Event{Kind: ClientDisconnected, Job: id})
 			}
 		}
 	case 2:
 		w.feed(Event{Kind: GossipReceived, Peer: w.r.Intn(4), Message: []byte{0, 0, 0, 0, 1, 2, 1}})
-	case 3: // stale or foreign news
+	case 3: // a stale or foreign report
 		w.feed(Event{Kind: AttemptReported, Job: JobID(w.r.Intn(1000)), Attempt: w.r.Intn(9), Note: NoteStarted})
 	case 4, 5, 6:
 		target := w.now + w.span(second/2)
-		for slices.ContainsFunc(w.due, func(h happening) bool { return h.at <= target }) {
-			w.happen()
+		for slices.ContainsFunc(w.events, func(h scheduledEvent) bool { return h.at <= target }) {
+			w.nextEvent()
 		}
 		w.now = max(w.now, target)
 	default:
-		w.next++
+		w.lastJob++
 		class := w.r.Intn(3)
-		j := &known{class: class, giveUp: w.now + w.s.Classes[class].Deadline}
+		j := &jobRecord{class: class, deadline: w.now + w.s.Classes[class].Deadline}
 		if w.r.Intn(5) == 0 {
-			j.giveUp = w.now + w.span(w.s.Classes[class].Deadline) - w.s.Granularity
+			j.deadline = w.now + w.span(w.s.Classes[class].Deadline) - w.s.Granularity
 		}
-		w.jobs[w.next] = j
-		w.live = append(w.live, w.next)
+		w.jobs[w.lastJob] = j
+		w.open = append(w.open, w.lastJob)
 		work := w.span(second / 2)
 		j.work = work
-		w.feed(Event{Kind: JobArrived, Job: w.next, Class: class, Tenant: w.r.Intn(3), Work: work,
-			Slots: float64(1 + w.r.Intn(2)), Patience: j.giveUp - w.now})
+		w.feed(Event{Kind: JobArrived, Job: w.lastJob, Class: class, Tenant: w.r.Intn(3), Work: work,
+			Slots: float64(1 + w.r.Intn(2)), Patience: j.deadline - w.now})
 	}
 }
 
-// happen brings the next thing that is due, in order of time.
-func (w *world) happen() {
-	if len(w.due) == 0 {
+// nextEvent feeds the next scheduled event, in order of time.
+func (w *ruleChecker) nextEvent() {
+	if len(w.events) == 0 {
 		return
 	}
-	slices.SortFunc(w.due, func(a, b happening) int {
+	slices.SortFunc(w.events, func(a, b scheduledEvent) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
 		return a.seq - b.seq
 	})
-	h := w.due[0]
-	w.due = w.due[1:]
+	h := w.events[0]
+	w.events = w.events[1:]
 	w.now = max(w.now, h.at)
 	if h.event.Kind == EndpointsUpdated {
-		w.list(&h.event)
+		w.fillUpdate(&h.event)
 	}
 	w.feed(h.event)
-	for len(w.due) > 0 && w.due[0].at <= w.now {
-		w.happen()
+	for len(w.events) > 0 && w.events[0].at <= w.now {
+		w.nextEvent()
 	}
 }
 
-// overdue holds rule 1: everything has its answer in time.
-func (w *world) overdue() {
-	for len(w.due) > 0 && slices.ContainsFunc(w.due, func(h happening) bool { return h.at <= w.now }) {
-		w.happen()
+// checkDeadlines checks rule 1: every job has its answer in time.
+func (w *ruleChecker) checkDeadlines() {
+	hasCome := func(e scheduledEvent) bool { return e.at <= w.now }
+	for len(w.events) > 0 && slices.ContainsFunc(w.events, hasCome) {
+		w.nextEvent()
 	}
-	kept := w.live[:0]
-	for _, id := range w.live {
+	open := w.open[:0]
+	for _, id := range w.open {
 		j := w.jobs[id]
-		if j.answered == 0 && !j.told {
-			if w.now > j.giveUp {
+		if j.answered == 0 && !j.finished {
+			if w.now > j.deadline {
 				w.failf("job %d (class %d, %d attempts) has no answer %d after its time", id, j.class,
-					len(j.attempts), w.now-j.giveUp)
+					len(j.attempts), w.now-j.deadline)
 			}
-			kept = append(kept, id)
+			open = append(open, id)
 		}
 	}
-	w.live = kept
+	w.open = open
 }
 
 // Random legal events, several settings: the rules hold on the actions, and the
 // same events give the same actions.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range int64(150) {
-		first := newWorld(t, seed).run(600)
-		if again := newWorld(t, seed).run(600); !slices.Equal(first, again) {
+		firstTrace := newRuleChecker(t, seed).run(600)
+		if repeated := newRuleChecker(t, seed).run(600); !slices.Equal(firstTrace, repeated) {
 			t.Fatalf("seed %d: the same events gave other actions", seed)
 		}
 	}
--- /dev/null
+++ b/internal/dispatch/random.go
@@ -0,0 +1,13 @@
+package dispatch
+
+// random is a pseudo-random source (splitmix64).
+type random uint64
+
+// uniform returns a number in [0, 1).
+func (r *random) uniform() float64 {
+	*r += 0x9e3779b97f4a7c15
+	z := uint64(*r)
+	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
+	z = (z ^ z>>27) * 0x94d049bb133111eb
+	return float64((z^z>>31)>>11) / (1 << 53)
+}
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -5,36 +5,37 @@
 	"testing"
 )
 
-// Tests at size: hundreds of dispatchers, fed by script. Each keeps its own books;
+// Tests at size: hundreds of dispatchers, fed by script. Each has its own state;
 // what they do together is summed up here.
 
-// fleetList lists workers of two zones and two kinds, none of them cold.
-func fleetList(n int) []WorkerEntry {
+// testFleet lists workers of two zones and two kinds, none of them in slow start.
+func testFleet(n int) []WorkerEntry {
 	list := make([]WorkerEntry, n)
 	source := random(7)
 	for i := range list {
-		list[i] = WorkerEntry{Worker: WorkerID(source.chance() * (1 << 31)), Status: Ready,
+		list[i] = WorkerEntry{Worker: WorkerID(source.uniform() * (1 << 31)), Status: Ready,
 			Zone: i % 2, Kind: i / 2 % 2, Cell: i / 8}
 	}
 	return list
 }
 
-// tier starts dispatchers that have the list. Zones alternate or come in blocks.
-func tier(t testing.TB, balancers int, list []WorkerEntry, zone func(int) int,
-	change func(*Settings)) []*bench {
+// startAll starts dispatchers that have the list. Zones alternate or come in blocks.
+func startAll(t testing.TB, dispatchers int, list []WorkerEntry, zone func(int) int,
+	change func(*Settings)) []*harness {
 	t.Helper()
-	all := make([]*bench, balancers)
+	all := make([]*harness, dispatchers)
 	for i := range all {
-		all[i] = member(t, balancers, i, list, zone(i), change)
+		all[i] = startOne(t, dispatchers, i, list, zone(i), change)
 	}
 	return all
 }
 
-// member starts one of many dispatchers.
-func member(t testing.TB, balancers, i int, list []WorkerEntry, zone int, change func(*Settings)) *bench {
+// startOne starts one of many dispatchers.
+func startOne(t testing.TB, dispatchers, i int, list []WorkerEntry, zone int,
+	change func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
-	s.Dispatchers, s.Index, s.Zone, s.GossipAllowed = balancers, i, zone, true
+	s.Dispatchers, s.Index, s.Zone, s.GossipAllowed = dispatchers, i, zone, true
 	if change != nil {
 		change(&s)
 	}
@@ -42,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, d: d, now: 100 * second}
+	b := &harness{t: t, d: d, now: 100 * second}
 	b.do(Event{Kind: Started})
 	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
 	return b
@@ -50,26 +51,26 @@
 
 func alternating(i int) int { return i % 2 }
 
-// Every worker belongs to the parts of about as many dispatchers of its zone, and
-// every part has some workers of its zone, however zones are dealt out to numbers.
-func TestPartsCoverTheFleetAlike(t *testing.T) {
+// Every worker belongs to the subsets of about as many dispatchers of its zone, and
+// every subset has some workers of its zone, however zones are dealt out to numbers.
+func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
 	for _, n := range []int{50, 260, 500} {
 		for name, zone := range map[string]func(int) int{
 			"alternating": alternating,
 			"blocks":      func(i int) int { return i * 2 / n },
 		} {
-			list := fleetList(200)
+			list := testFleet(200)
 			covered := map[WorkerID]int{}
-			for _, b := range tier(t, n, list, zone, nil) {
+			for _, b := range startAll(t, n, list, zone, nil) {
 				local := 0
-				for _, w := range b.d.part {
-					if w.entry.Zone == b.d.set.Zone {
+				for _, w := range b.d.subset {
+					if w.entry.Zone == b.d.settings.Zone {
 						covered[w.entry.Worker]++
 						local++
 					}
 				}
 				if local < 3 {
-					t.Errorf("%d dispatchers, zones %s: %d has %d local workers", n, name, b.d.set.Index, local)
+					t.Errorf("%d dispatchers, zones %s: %d has %d local workers", n, name, b.d.settings.Index, local)
 				}
 			}
 			mean := 0.0
@@ -89,46 +90,46 @@
 // the same workers.
 func TestChoicesSpreadAtSize(t *testing.T) {
 	sent := map[WorkerID]int{}
-	for _, b := range tier(t, 260, fleetList(200), alternating, nil) {
+	for _, b := range startAll(t, 260, testFleet(200), alternating, nil) {
 		for _, a := range find(b.arrive(1, 0), Send) {
 			sent[a.Worker]++
 		}
 	}
-	most, total := 0, 0
+	limit, total := 0, 0
 	for _, n := range sent {
-		most, total = max(most, n), total+n
+		limit, total = max(limit, n), total+n
 	}
-	if total != 260 || most > 8 || len(sent) < 70 {
-		t.Errorf("%d jobs went to %d workers, %d to one", total, len(sent), most)
+	if total != 260 || limit > 8 || len(sent) < 70 {
+		t.Errorf("%d jobs went to %d workers, %d to one", total, len(sent), limit)
 	}
 }
 
-// All together keep the budget of a cold worker, though each of them has jobs that
-// find no other place, peers' words are lost, and some are started anew.
-func TestColdBudgetHoldsInSumAtSize(t *testing.T) {
-	t.Run("peers", func(t *testing.T) { coldBudgetHolds(t, nil) })
-	t.Run("blind", func(t *testing.T) { coldBudgetHolds(t, blind) })
+// All together keep the budget of a worker in slow start, though each of them has jobs that
+// find no other worker, peers' gossip is lost, and some are restarted.
+func TestSlowStartBudgetHoldsInSumAtSize(t *testing.T) {
+	t.Run("peers", func(t *testing.T) { checkSlowStartBudget(t, nil) })
+	t.Run("without gossip", func(t *testing.T) { checkSlowStartBudget(t, withoutGossipSettings) })
 }
 
-func coldBudgetHolds(t *testing.T, change func(*Settings)) {
-	const balancers = 240
-	list := fleetList(24)
-	all := tier(t, balancers, list, alternating, change)
+func checkSlowStartBudget(t *testing.T, change func(*Settings)) {
+	const dispatchers = 240
+	list := testFleet(24)
+	all := startAll(t, dispatchers, list, alternating, change)
 	for _, b := range all {
-		b.slots(list[0].Worker, 4)
-		b.slots(list[2].Worker, 4)
+		b.setSlots(list[0].Worker, 4)
+		b.setSlots(list[2].Worker, 4)
 	}
 	started := all[0].now
 	for i := range list {
-		list[i].Started = started // the whole fleet comes back cold
+		list[i].Started = started // the whole fleet restarts
 	}
-	sends := map[WorkerID][]booking{}
+	sends := map[WorkerID][]sentWork{}
 	for i, b := range all {
 		b.do(Event{Kind: EndpointsUpdated, Workers: list})
 		for step := range 60 {
 			id := JobID(i*1000 + step)
-			if i%50 == 7 && step == 20 { // restarted: it has the cached list and no books
-				s := b.d.set
+			if i%50 == 7 && step == 20 { // restarted: it has the cached list and no state
+				s := b.d.settings
 				b.d, _ = New(s, uint64(i+999))
 				b.do(Event{Kind: Started})
 				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
@@ -136,14 +137,14 @@
 			work := Micros(second / 10)
 			for _, a := range find(b.do(Event{Kind: JobArrived, Job: id, Work: work, Slots: 1,
 				Patience: 6 * second}), Send) {
-				sends[a.Worker] = append(sends[a.Worker], booking{b.now, float64(work)})
+				sends[a.Worker] = append(sends[a.Worker], sentWork{b.now, float64(work)})
 			}
 			for _, a := range find(b.pass(second/10), Send) {
-				sends[a.Worker] = append(sends[a.Worker], booking{b.now, float64(work)})
+				sends[a.Worker] = append(sends[a.Worker], sentWork{b.now, float64(work)})
 			}
 		}
 	}
-	set := all[0].d.set
+	set := all[0].d.settings
 	if len(sends) == 0 {
 		t.Fatal("nothing was sent: the test shows nothing")
 	}
@@ -155,27 +156,28 @@
 					sum += b.work
 				}
 			}
-			present := set.SlowStartInitial + (1-set.SlowStartInitial)*float64(end.at-set.OverloadWindow-started)/float64(set.SlowStart)
+			age := float64(end.at - set.OverloadWindow - started)
+			present := set.SlowStartInitial + (1-set.SlowStartInitial)*age/float64(set.SlowStart)
 			budget := set.OverloadFactor * 4 * max(set.SlowStartInitial, present) * float64(set.OverloadWindow)
 			if sum > budget {
-				t.Fatalf("cold worker %d was sent %.0f of a budget of %.0f by all", w, sum, budget)
+				t.Fatalf("worker %d in slow start was sent %.0f of a budget of %.0f by all", w, sum, budget)
 			}
 		}
 	}
 }
 
-// A tenant that keeps its share is within it at every dispatcher; what it sends
-// beyond is found out in sum, too: what bursts allow is bounded.
-func TestSharesHoldInSumAtSize(t *testing.T) {
-	const balancers, quota, seconds = 200, 400.0, 20
+// A tenant that keeps its quota is within it at every dispatcher; what it sends
+// over it is detected in sum, too: what bursts allow is bounded.
+func TestQuotasHoldInSumAtSize(t *testing.T) {
+	const dispatchers, quota, seconds = 200, 400.0, 20
 	within := func(rate float64) (n float64) {
-		for _, b := range tier(t, balancers, fleetList(40), alternating, func(s *Settings) {
+		for _, b := range startAll(t, dispatchers, testFleet(40), alternating, func(s *Settings) {
 			s.Tenants = []Tenant{{Quota: quota}}
 		}) {
-			for i := range int(rate * seconds / balancers) {
-				b.now = 100*second + Micros(float64(i)*balancers/rate*second)
+			for i := range int(rate * seconds / dispatchers) {
+				b.now = 100*second + Micros(float64(i)*dispatchers/rate*second)
 				b.d.now = b.now
-				if !b.d.beyondShare(0, false) {
+				if !b.d.exceedsQuota(0, false) {
 					n++
 				}
 			}
@@ -183,58 +185,59 @@
 		return n
 	}
 	if got := within(quota * 0.9); got < quota*0.9*seconds {
-		t.Errorf("%v of %v jobs within a share that is kept", got, quota*0.9*seconds)
+		t.Errorf("%v of %v jobs within a quota that is kept", got, quota*0.9*seconds)
 	}
-	most := quota*seconds + balancers*max(leastBurst, quota/balancers*burstSeconds)
-	if got := within(quota * 4); got > most {
-		t.Errorf("%v jobs within the share, at most %v", got, most)
+	limit := quota*seconds + dispatchers*max(minQuotaBurst, quota/dispatchers*quotaBurstSeconds)
+	if got := within(quota * 4); got > limit {
+		t.Errorf("%v jobs within the quota, at most %v", got, limit)
 	}
 }
 
 // A message goes to those who share a worker, not to all: their number does not
 // grow with that of the dispatchers.
-func TestMessagesDoNotGrowWithTheTier(t *testing.T) {
+func TestMessagesDoNotGrowWithTheDispatchers(t *testing.T) {
 	for _, n := range []int{60, 240, 480} {
-		told := 0
-		for _, b := range tier(t, n, fleetList(n), alternating, nil) {
-			told += len(find(b.arrive(1, 0), SendGossip))
+		messages := 0
+		for _, b := range startAll(t, n, testFleet(n), alternating, nil) {
+			messages += len(find(b.arrive(1, 0), SendGossip))
 		}
-		if mean := float64(told) / float64(n); mean == 0 || mean > 4*sharers {
-			t.Errorf("%d dispatchers: a job is told to %.1f", n, mean)
+		if mean := float64(messages) / float64(n); mean == 0 || mean > 4*targetSharing {
+			t.Errorf("%d dispatchers: a job is reported to %.1f", n, mean)
 		}
 	}
 }
 
-// Hundreds that lose the list at once do not come back in step.
-func TestListCallsOfAllAreSpread(t *testing.T) {
+// Hundreds that lose the list at once do not poll in step.
+func TestPollsOfAllAreSpread(t *testing.T) {
 	at := map[Micros]int{}
-	for _, b := range tier(t, 260, fleetList(20), alternating, func(s *Settings) { s.PollEndpoints = true }) {
+	poll := func(s *Settings) { s.PollEndpoints = true }
+	for _, b := range startAll(t, 260, testFleet(20), alternating, poll) {
 		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
-		at[b.d.askAt/(second/100)]++
+		at[b.d.pollAt/(second/100)]++
 	}
 	for when, n := range at {
 		if n > 26 {
-			t.Errorf("%d of 260 ask within the same hundredth of a second, at %d", n, when)
+			t.Errorf("%d of 260 poll within the same hundredth of a second, at %d", n, when)
 		}
 	}
 }
 
-// While the list's service is down calls cost it nothing, and as it is back nobody waits there. So after
-// a failed call the next one comes soon, spread over all, and only several failures in a row, which
+// While the list's service is down polls cost it nothing, and as it is back nobody waits there. So after
+// a failed poll the next one comes soon, spread over all, and only several failures in a row, which
 // may mean that it cannot keep up, make the wait longer.
-func TestCallsComeSoonAfterAFailedOne(t *testing.T) {
+func TestPollsFollowSoonAfterAFailedOne(t *testing.T) {
 	const failures = 8
 	var sum [failures]float64
 	at := map[Micros]int{}
-	all := tier(t, 260, fleetList(20), alternating, func(s *Settings) { s.PollEndpoints = true })
+	all := startAll(t, 260, testFleet(20), alternating, func(s *Settings) { s.PollEndpoints = true })
 	for _, b := range all {
 		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed}) // the watch ends
-		b.now += 10 * second                                     // what was heard holds no longer
+		b.now += 10 * second                                     // the last update holds no longer
 		for i := range failures {
 			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
-			wait := b.d.askAt - b.now
-			if most := b.d.set.PollInterval / 5; wait > 2*most || i < soonCalls && wait > most {
-				t.Errorf("failure %d: the next call comes after %d us", i+1, wait)
+			wait := b.d.pollAt - b.now
+			if limit := b.d.settings.PollInterval / 5; wait > 2*limit || i < quickPolls && wait > limit {
+				t.Errorf("failure %d: the next poll comes after %d us", i+1, wait)
 			}
 			sum[i] += float64(wait) / float64(len(all)) / second
 			if i == 0 {
@@ -244,7 +247,7 @@
 	}
 	for when, n := range at {
 		if n > 26 {
-			t.Errorf("%d of %d call in the same tenth of a second, at %d", n, len(all), when)
+			t.Errorf("%d of %d poll in the same tenth of a second, at %d", n, len(all), when)
 		}
 	}
 	if sum[0] > 1.2 || sum[failures-1] < 1.5*sum[0] {
@@ -252,44 +255,44 @@
 	}
 }
 
-// An agent of our own answers at once and at no cost: no call waits, and hundreds of failures leave
+// An agent of our own answers at once and at no cost: no poll waits, and hundreds of failures leave
 // less than half a second between two.
-func TestFreeCallsDoNotWait(t *testing.T) {
-	for _, balancers := range []int{1, 300} {
+func TestUnmeteredPollsDoNotWait(t *testing.T) {
+	for _, dispatchers := range []int{1, 300} {
 		s := testSettings()
-		s.Dispatchers, s.PollEndpoints, s.UnmeteredPolls, s.MaxStaleness = balancers, true, true, 6*second
+		s.Dispatchers, s.PollEndpoints, s.UnmeteredPolls, s.MaxStaleness = dispatchers, true, true, 6*second
 		d, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &bench{t: t, d: d, now: 100 * second}
+		b := &harness{t: t, d: d, now: 100 * second}
 		b.want(b.do(Event{Kind: Started}), WatchEndpoints, 1)
 		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
 		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 		b.want(b.pass(2*s.Granularity), WatchEndpoints, 1)
 		for i := range 300 {
 			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
-			if wait := b.d.askAt - b.now; wait < second/10 || wait > second/2 {
-				t.Fatalf("failure %d: the next call comes after %d us", i, wait)
+			if wait := b.d.pollAt - b.now; wait < second/10 || wait > second/2 {
+				t.Fatalf("failure %d: the next poll comes after %d us", i, wait)
 			}
 		}
 	}
 }
 
-// Hundreds that start at once do not call in step: each call that waits too long at discovery
+// Hundreds that start at once do not poll in step: each poll that waits too long at discovery
 // fails, and has cost it as much as one that was answered. Yet none waits long, however many
-// they are, as nothing may be sent before the list has been heard.
-func TestFirstListCallsOfAllAreSpread(t *testing.T) {
-	for _, balancers := range []int{80, 300, 1000} {
+// they are, as nothing may be sent before the first update.
+func TestFirstPollsOfAllAreSpread(t *testing.T) {
+	for _, dispatchers := range []int{80, 300, 1000} {
 		calls := map[Micros]int{}
-		for i := range balancers {
+		for i := range dispatchers {
 			s := testSettings()
-			s.Dispatchers, s.Index, s.PollEndpoints, s.PollInterval = balancers, i, true, 10*second
+			s.Dispatchers, s.Index, s.PollEndpoints, s.PollInterval = dispatchers, i, true, 10*second
 			d, err := New(s, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := &bench{t: t, d: d, now: 100 * second}
+			b := &harness{t: t, d: d, now: 100 * second}
 			first := len(find(b.do(Event{Kind: Started}), WatchEndpoints))
 			for at := Micros(0); at < s.PollInterval/5 && first == 0; at += second / 10 {
 				if first = len(find(b.pass(second/10), WatchEndpoints)); first > 0 {
@@ -297,19 +300,19 @@
 				}
 			}
 			if first != 1 {
-				t.Errorf("dispatcher %d of %d called %d times", i, balancers, first)
+				t.Errorf("dispatcher %d of %d polled %d times", i, dispatchers, first)
 			}
-			// It fails, again and again: each time it may wait longer, by chance.
+			// It fails, again and again: each time it may wait longer, at random.
 			for range 8 {
 				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
-				if wait := b.d.askAt - b.now; wait < 0 || wait >= s.PollInterval {
-					t.Errorf("dispatcher %d of %d calls again after %d us", i, balancers, wait)
+				if wait := b.d.pollAt - b.now; wait < 0 || wait >= s.PollInterval {
+					t.Errorf("dispatcher %d of %d polls again after %d us", i, dispatchers, wait)
 				}
 			}
 		}
 		for at, n := range calls {
-			if n > balancers/8 {
-				t.Errorf("%d of %d call in the tenth of a second after %d us", n, balancers, at)
+			if n > dispatchers/8 {
+				t.Errorf("%d of %d poll in the tenth of a second after %d us", n, dispatchers, at)
 			}
 		}
 	}
@@ -319,7 +322,7 @@
 func BenchmarkJobByFleet(b *testing.B) {
 	for _, n := range []int{20, 200, 800} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
-			d := member(b, n, 0, fleetList(n), 0, nil)
+			d := startOne(b, n, 0, testFleet(n), 0, nil)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
--- a/internal/modelcheck/mutants/dispatch_mutants.go
+++ b/internal/modelcheck/mutants/dispatch_mutants.go
@@ -1,5 +1,12 @@
 package mutants
 
+// The files of the decision module that have mutants.
+const (
+	rulesFile     = "internal/dispatch/rules.go"
+	retryFile     = "internal/dispatch/retry.go"
+	slowStartFile = "internal/dispatch/slowstart.go"
+)
+
 // dispatchMutants are the mutants of the decision module.
 var dispatchMutants = []Mutant{
 	{
@@ -8,7 +15,7 @@
 		Violates: "runs-as-allowed" +
 			" one-attempt-outstanding",
 		Patches: []Patch{
-			{File: dispatcherFile,
+			{File: rulesFile,
 				Old: "c.Effect == Safe {",
 				New: "c.Effect != Keyed {",
 			},
@@ -19,8 +26,8 @@
 		About:    "a keyed job that may have run goes to another rack",
 		Violates: "runs-as-allowed",
 		Patches: []Patch{
-			{File: dispatcherFile,
-				Old: " || !sameGroup(c.DedupScope, &a.worker.entry, &w.entry) {",
+			{File: rulesFile,
+				Old: " || !sameDedupGroup(c.DedupScope, &a.worker.entry, &w.entry) {",
 				New: " {",
 			},
 		},
@@ -30,26 +37,26 @@
 		About:    "a request gets more attempts than allowed",
 		Violates: "attempts-capped",
 		Patches: []Patch{
-			{File: dispatcherFile,
-				Old: "|| len(j.attempts) >= d.set.MaxAttempts {\n" +
+			{File: rulesFile,
+				Old: "len(j.attempts) >= d.settings.MaxAttempts {\n" +
 					"\t\treturn false",
-				New: "|| len(j.attempts) > d.set.MaxAttempts {\n" +
+				New: "len(j.attempts) > d.settings.MaxAttempts {\n" +
 					"\t\treturn false",
 			},
-			{File: dispatcherFile,
-				Old: "len(j.attempts) < d.set.MaxAttempts && d.anyAllowed(j)",
-				New: "len(j.attempts) <= d.set.MaxAttempts && d.anyAllowed(j)",
+			{File: retryFile,
+				Old: "len(j.attempts) < d.settings.MaxAttempts && d.anyWorkerAllowed(j)",
+				New: "len(j.attempts) <= d.settings.MaxAttempts && d.anyWorkerAllowed(j)",
 			},
 		},
 	},
 	{
 		Name: "cold-pushed", World: "cold",
-		About:    "a cold worker gets whatever comes",
+		About:    "a worker in slow start gets whatever comes",
 		Violates: "cold-spared",
 		Patches: []Patch{
-			{File: dispatcherFile,
-				Old: "\treturn w.budget >= min(d.coldWork(j), most)",
-				New: "\treturn most >= 0",
+			{File: slowStartFile,
+				Old: "\treturn w.slowStartBudget >= min(d.slowStartCost(j), limit)",
+				New: "\treturn limit >= 0",
 			},
 		},
 	},
@@ -58,8 +65,8 @@
 		About:    "an attempt is cancelled where that is forbidden",
 		Violates: "cancels-as-allowed",
 		Patches: []Patch{
-			{File: dispatcherFile,
-				Old: "\tif d.set.CancelAllowed && !j.streaming {",
+			{File: rulesFile,
+				Old: "\tif d.settings.CancelAllowed && !j.streaming {",
 				New: "\tif !j.streaming {",
 			},
 		},
@@ -69,15 +76,15 @@
 		About:    "a request gets four attempts where the settings allow two",
 		Violates: "attempts-capped",
 		Patches: []Patch{
-			{File: dispatcherFile,
-				Old: "|| len(j.attempts) >= d.set.MaxAttempts {\n" +
+			{File: rulesFile,
+				Old: "len(j.attempts) >= d.settings.MaxAttempts {\n" +
 					"\t\treturn false",
-				New: "|| len(j.attempts) >= max(d.set.MaxAttempts, 4) {\n" +
+				New: "len(j.attempts) >= max(d.settings.MaxAttempts, 4) {\n" +
 					"\t\treturn false",
 			},
-			{File: dispatcherFile,
-				Old: "len(j.attempts) < d.set.MaxAttempts && d.anyAllowed(j)",
-				New: "len(j.attempts) < max(d.set.MaxAttempts, 4) && d.anyAllowed(j)",
+			{File: retryFile,
+				Old: "len(j.attempts) < d.settings.MaxAttempts && d.anyWorkerAllowed(j)",
+				New: "len(j.attempts) < max(d.settings.MaxAttempts, 4) && d.anyWorkerAllowed(j)",
 			},
 		},
 	},
@@ -86,8 +93,8 @@
 		About:    "what may have run is refused",
 		Violates: "honest-answers",
 		Patches: []Patch{
-			{File: dispatcherFile,
-				Old: "if refuse && d.mayRefuse(j) {",
+			{File: rulesFile,
+				Old: "if refuse && d.refusalAllowed(j) {",
 				New: "if refuse {",
 			},
 		},
--- a/internal/modelcheck/mutants/mutants.go
+++ b/internal/modelcheck/mutants/mutants.go
@@ -34,9 +34,8 @@
 
 // The files that most patches change.
 const (
-	schedulerFile  = "internal/scheduler/scheduler.go"
-	connStateFile  = "internal/connstate/connstate.go"
-	dispatcherFile = "internal/dispatch/dispatcher.go"
+	schedulerFile = "internal/scheduler/scheduler.go"
+	connStateFile = "internal/connstate/connstate.go"
 )
 
 // All lists all mutants: of the reducer, of connections, of decisions.
