--- /dev/null
+++ b/internal/emulator/harness_test.go
@@ -0,0 +1,44 @@
+package emulator
+
+import (
+	"context"
+	"testing"
+	"time"
+)
+
+// shortDay is a day with a small fleet and a short load.
+func shortDay(day string) Options {
+	return Options{Workers: 200, Schedulers: 20, Rate: 80, Duration: 12 * time.Second, Task: time.Second,
+		Day: day, Seed: 1}
+}
+
+func mustRun(t *testing.T, opt Options) *Report {
+	t.Helper()
+	r, err := Run(context.Background(), opt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// newIdleFleet returns a fleet at the start of its load in which nothing is scheduled, so that a test
+// sees only what it starts itself.
+func newIdleFleet(t *testing.T, opt Options) *fleet {
+	t.Helper()
+	f, err := newFleet(opt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.events, f.now = eventQueue{}, f.atFraction(0)
+	return f
+}
+
+// runUntil runs all events up to a time.
+func (f *fleet) runUntil(at Micros) {
+	for len(f.events.heap) > 0 && f.events.heap[0].at <= at {
+		e, _ := f.events.pop()
+		f.now = e.at
+		e.action()
+	}
+	f.now = at
+}
--- /dev/null
+++ b/internal/emulator/network_test.go
@@ -0,0 +1,45 @@
+package emulator
+
+import "testing"
+
+// A cut delays what would cross it, and nothing else, until it ends.
+func TestCutRegion(t *testing.T) {
+	f := newIdleFleet(t, shortDay("calm"))
+	arrivals := map[string]Micros{}
+	f.network.cutRegion = 3
+	for name, zones := range map[string][2]int{
+		"within": {6, 7}, "out": {6, 0}, "in": {0, 7}, "elsewhere": {0, 13},
+	} {
+		f.network.send(zones[0], zones[1], 0, func() { arrivals[name] = f.now })
+	}
+	f.runUntil(f.atFraction(0) + second)
+	if len(arrivals) != 2 || arrivals["within"] == 0 || arrivals["elsewhere"] == 0 {
+		t.Errorf("arrived during the cut: %v", arrivals)
+	}
+	f.network.heal()
+	f.runUntil(f.atFraction(0) + 2*second)
+	if arrivals["out"] < f.atFraction(0)+second || arrivals["in"] < f.atFraction(0)+second {
+		t.Errorf("arrived after the cut: %v", arrivals)
+	}
+}
+
+// Delays grow from within a zone over its region to other regions.
+func TestNetworkDelays(t *testing.T) {
+	f := newIdleFleet(t, shortDay("calm"))
+	for _, c := range []struct {
+		from, to           int
+		minDelay, maxDelay Micros
+	}{
+		{0, 0, 250, 300},
+		{0, 1, 900, 1080},
+		{0, 2, 17_000, 20_400},
+		{0, 13, 17_000, 20_400},
+		{0, 7, 39_000, 46_800},
+	} {
+		for range 100 {
+			if d := f.network.delay(c.from, c.to); d < c.minDelay || d > c.maxDelay {
+				t.Errorf("from %d to %d: %d, want %d to %d", c.from, c.to, d, c.minDelay, c.maxDelay)
+			}
+		}
+	}
+}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -181,13 +181,13 @@
 
 // logTemplate is a line of the log without its numbers.
 func logTemplate(text string) string {
-	words := strings.Fields(text)
-	for i, word := range words {
-		if strings.Trim(word, "0123456789") == "" {
-			words[i] = "N"
+	fields := strings.Fields(text)
+	for i, field := range fields {
+		if strings.Trim(field, "0123456789") == "" {
+			fields[i] = "N"
 		}
 	}
-	return strings.Join(words, " ")
+	return strings.Join(fields, " ")
 }
 
 // armTimer schedules a check of the reducer's timer, unless one that is early enough is scheduled.
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"dahliaford/internal/connstate"
 	"dahliaford/internal/dispatch"
@@ -12,125 +13,152 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The reducer gets of a job, and of what befalls it, the events that it gets on sockets.
+// The reducer gets the same events for a job, and for what goes wrong with it, as on sockets.
 func TestEventsOfAJob(t *testing.T) {
-	const job = "Submitted AttemptAccepted Told/started Told/done"
+	const success = "Submitted AttemptAccepted Callback/started Callback/done"
 	for name, c := range map[string]struct {
 		want   string
 		answer string // status of the answer; "": none by the end
-		befall func(f *fleet, w *worker)
+		fault  func(f *fleet, w *worker)
 	}{
-		"all is well": {want: job, answer: "200"},
-		"the process died before": {want: "Submitted Ended/connect-failed", befall: func(f *fleet, w *worker) {
+		"no fault": {want: success, answer: "200"},
+		"the process died before": {want: "Submitted Ended/connect-failed", fault: func(_ *fleet, w *worker) {
 			w.running = false
 			w.incarnation++
 		}},
-		"it dies with the job": {want: "Submitted AttemptAccepted Told/started Told/lost", answer: "500",
-			befall: func(f *fleet, w *worker) { f.after(2*second, w.crash) }},
-		"its machine vanishes before": {want: "Submitted Ended/connect-failed", befall: func(f *fleet, w *worker) {
+		"the process dies with the job": {
+			want:   "Submitted AttemptAccepted Callback/started Callback/aborted",
+			answer: "500",
+			fault:  func(f *fleet, w *worker) { f.after(2*second, w.crash) },
+		},
+		"the machine vanished before": {want: "Submitted Ended/connect-failed", fault: func(_ *fleet, w *worker) {
 			w.stop(unreported)
 			w.unreachable = true
 		}},
-		"it is full": {want: "Submitted Ended/full", befall: func(f *fleet, w *worker) {
-			for i := range 42 {
-				req := &request{fleet: f, node: f.nodes[0], id: fmt.Sprint("other", i), number: i, outstanding: 1,
-					job: &clientJob{slots: 1, work: float64(60 * second)}}
-				w.queue = append(w.queue, &attempt{request: req, worker: w, node: f.nodes[0]})
-			}
-		}},
-		"it is told off while the connection comes up": {want: "Submitted Ended/moot",
-			befall: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].stoppedWorkers[w.uid] = true }) }},
-		"discovery has not been heard for long": {want: "Submitted Ended/moot",
-			befall: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].validUntil = f.now - 1 }) }},
-		"its word comes late over a cut": {want: job, answer: "200", befall: func(f *fleet, w *worker) {
+		"the worker is at capacity": {want: "Submitted Ended/at-capacity", fault: fillQueue},
+		"the worker is stopped while the connection is established": {
+			want:  "Submitted Ended/not-sent",
+			fault: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].stoppedWorkers[w.uid] = true }) },
+		},
+		"the worker list is stale": {
+			want:  "Submitted Ended/not-sent",
+			fault: func(f *fleet, _ *worker) { f.after(300, func() { f.nodes[0].validUntil = f.now - 1 }) },
+		},
+		"the callback is late after a cut": {want: success, answer: "200", fault: func(f *fleet, w *worker) {
 			w.zone = 7
 			f.after(2*second, func() { f.network.cutRegion = 3 })
 			f.after(4*second, f.network.heal)
 		}},
 	} {
-		f, err := newFleet(Options{Workers: 1, Schedulers: 1, Rate: 1, Duration: 60 * 1e9, Task: 3 * 1e9, Day: "calm"})
-		if err != nil {
-			t.Fatal(err)
-		}
-		f.events, f.now = eventQueue{}, f.atFraction(0)
-		n, w := f.nodes[0], f.workers[0]
-		var seen []string
-		f.meter.observe = func(e scheduler.Event) { seen = append(seen, nameOf(e)) }
-		n.step(scheduler.Started{Discovery: "discovery", CachedList: workerList(f.discovery.table.Full())})
-		f.until(f.now + 2*second)
-		seen = nil
-		if c.befall != nil {
-			c.befall(f, w)
-		}
-		req := &request{fleet: f, node: n, id: "a", outstanding: 1, timeout: 20 * second,
-			job: &clientJob{class: 1, slots: 1, work: float64(3 * second)}}
-		n.submit(req)
-		f.until(f.now + 10*second)
-		seen = slices.DeleteFunc(seen, func(s string) bool { return s == "" })
-		got := strings.Join(seen, " ")
-		// The worker sends both at once, and either may come first.
-		got = strings.Replace(got, "Told/started AttemptAccepted", "AttemptAccepted Told/started", 1)
-		if !strings.HasPrefix(got+" ", c.want+" ") {
-			t.Errorf("%s: %s; want %s", name, got, c.want)
-		}
-		answer := ""
-		for _, e := range req.history {
-			if e.Kind == history.Answered {
-				answer += fmt.Sprint(e.Status)
+		t.Run(name, func(t *testing.T) {
+			f := newIdleFleet(t, Options{Workers: 1, Schedulers: 1, Rate: 1, Duration: time.Minute,
+				Task: 3 * time.Second, Day: "calm"})
+			req, events := runOneJob(f, c.fault)
+			got := strings.Join(events, " ")
+			// The worker sends both at the same time, and either may arrive first.
+			got = strings.Replace(got, "Callback/started AttemptAccepted", "AttemptAccepted Callback/started", 1)
+			if !strings.HasPrefix(got+" ", c.want+" ") {
+				t.Errorf("%s; want %s", got, c.want)
 			}
-		}
-		if c.answer != "" && answer != c.answer {
-			t.Errorf("%s: answered %q, want %s", name, answer, c.answer)
-		}
-		if len(f.tally.model.Violations) > 0 {
-			t.Errorf("%s: %v", name, f.tally.model.Findings)
+			if answer := statusesOf(req); c.answer != "" && answer != c.answer {
+				t.Errorf("answered %q, want %s", answer, c.answer)
+			}
+			if len(f.tally.model.Violations) > 0 {
+				t.Error(f.tally.model.Findings)
+			}
+		})
+	}
+}
+
+// fillQueue fills the queue of a worker, and some more.
+func fillQueue(f *fleet, w *worker) {
+	for i := range 42 {
+		req := &request{fleet: f, node: f.nodes[0], id: fmt.Sprint("other", i), number: i, outstanding: 1,
+			job: &clientJob{slots: 1, work: float64(60 * second)}}
+		w.queue = append(w.queue, &attempt{request: req, worker: w, node: f.nodes[0]})
+	}
+}
+
+// runOneJob starts the only scheduler of a fleet, then a fault, if any, then a job, and returns the job's
+// request and the events about it.
+func runOneJob(f *fleet, fault func(f *fleet, w *worker)) (*request, []string) {
+	n := f.nodes[0]
+	var events []string
+	f.meter.observe = func(e scheduler.Event) { events = append(events, nameOfEvent(e)) }
+	n.step(scheduler.Started{Discovery: "discovery", CachedList: workerList(f.discovery.table.Full())})
+	f.runUntil(f.now + 2*second)
+	events = nil
+	if fault != nil {
+		fault(f, f.workers[0])
+	}
+	req := &request{fleet: f, node: n, id: "a", outstanding: 1, timeout: 20 * second,
+		job: &clientJob{class: 1, slots: 1, work: float64(3 * second)}}
+	n.submit(req)
+	f.runUntil(f.now + 10*second)
+	return req, slices.DeleteFunc(events, func(name string) bool { return name == "" })
+}
+
+// statusesOf returns the statuses of all answers to a request.
+func statusesOf(req *request) string {
+	answer := ""
+	for _, e := range req.history {
+		if e.Kind == history.Answered {
+			answer += fmt.Sprint(e.Status)
 		}
 	}
+	return answer
 }
 
-// nameOf names an event about a job.
-func nameOf(e scheduler.Event) string {
+// nameOfEvent names an event about a job; "" for other events.
+func nameOfEvent(e scheduler.Event) string {
 	switch e := e.(type) {
 	case scheduler.Submitted, scheduler.AttemptAccepted, scheduler.CancellationResult:
 		return strings.TrimPrefix(fmt.Sprintf("%T", e), "scheduler.")
 	case scheduler.Callback:
-		return "Told/" + map[scheduler.CallbackKind]string{scheduler.CallbackStarted: "started", scheduler.CallbackDone: "done",
-			scheduler.CallbackAborted: "lost", scheduler.CallbackFailed: "failed"}[e.Kind]
+		return "Callback/" + map[scheduler.CallbackKind]string{
+			scheduler.CallbackStarted: "started",
+			scheduler.CallbackDone:    "done",
+			scheduler.CallbackAborted: "aborted",
+			scheduler.CallbackFailed:  "failed",
+		}[e.Kind]
 	case scheduler.AttemptEnded:
-		return "Ended/" + map[dispatch.Outcome]string{dispatch.ConnectFailed: "connect-failed",
-			dispatch.AtCapacity: "full", dispatch.NotSent: "moot", dispatch.Reset: "reset"}[e.Outcome]
+		return "Ended/" + map[dispatch.Outcome]string{
+			dispatch.ConnectFailed: "connect-failed",
+			dispatch.AtCapacity:    "at-capacity",
+			dispatch.NotSent:       "not-sent",
+			dispatch.Reset:         "reset",
+		}[e.Outcome]
 	}
 	return ""
 }
 
-// A connection that idles is used again, for as long as the program keeps it.
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	f := still(t)
+// An idle connection is used again, for as long as the program keeps it.
+func TestIdleConnectionsAreReused(t *testing.T) {
+	f := newIdleFleet(t, shortDay("calm"))
 	n, w := f.nodes[0], f.workers[0]
-	idle := func() *conn {
-		c := &conn{node: n, worker: w, connected: true, idleSince: f.now}
+	addIdle := func() *conn {
+		c := &conn{node: n, worker: w, connected: true}
 		c.Assign(1, false)
 		c.WriteEnded(connstate.WriteComplete)
 		c.Busy = false
 		n.openConns++
-		n.idleConns[w] = append(n.idleConns[w], c)
-		n.idleOrder = append(n.idleOrder, idleEntry{c, f.now})
+		n.addIdle(c)
 		return c
 	}
-	c := idle()
+	c := addIdle()
 	f.now += idleTimeoutLargeFleet - 1
 	if n.acquireNewConn(w) == c {
-		t.Error("a withdrawal takes a connection that idles")
+		t.Error("a cancellation is sent on an idle connection")
 	}
 	if n.acquireConn(w) != c {
-		t.Error("a connection that idles is not used again")
+		t.Error("an idle connection is not used again")
 	}
-	c = idle()
+	c = addIdle()
 	f.now += idleTimeoutLargeFleet
 	if n.acquireConn(w) == c || !c.Released {
-		t.Error("a connection that has idled too long is used again")
+		t.Error("a connection is used again after the idle timeout")
 	}
-	c = idle()
+	c = addIdle()
 	w.crash()
 	f.now += second
 	if n.acquireConn(w) == c {
@@ -140,6 +168,7 @@
 		n.acquireConn(w)
 	}
 	if n.openConns != maxConnections || f.tally.model.NoConnection == 0 {
-		t.Errorf("%d connections, of %d at the most", n.openConns, maxConnections)
+		t.Errorf("%d connections, want %d, and %d attempts without one", n.openConns, maxConnections,
+			f.tally.model.NoConnection)
 	}
 }
--- /dev/null
+++ b/internal/emulator/violations_test.go
@@ -0,0 +1,136 @@
+package emulator
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"dahliaford/internal/history"
+	"dahliaford/internal/scheduler"
+)
+
+// violationsOf plays something with one request in an idle fleet and returns the rules that it violates.
+func violationsOf(t *testing.T, play func(f *fleet, req *request)) string {
+	t.Helper()
+	f := newIdleFleet(t, shortDay("calm"))
+	req := &request{fleet: f, id: "a", job: &clientJob{slots: 1, work: float64(f.task)}, outstanding: 1,
+		timeout: 5 * second}
+	req.received()
+	play(f, req)
+	return strings.Join(slices.Sorted(maps.Keys(f.tally.model.Violations)), " ")
+}
+
+// recordRun records that a worker ran the request.
+func recordRun(req *request, worker string) {
+	req.record(history.Event{Kind: history.Arrived, ID: "a", Actor: worker})
+	req.record(history.Event{Kind: history.Started, ID: "a", Actor: worker})
+	req.record(history.Event{Kind: history.Ended, ID: "a", Actor: worker, MayHaveRun: true, Result: "a"})
+}
+
+// The checks find what they are there for.
+func TestViolationsAreFound(t *testing.T) {
+	served := scheduler.Answer{Verdict: scheduler.Served, Body: []byte("a")}
+	failed := scheduler.Answer{Verdict: scheduler.Failed}
+	for name, c := range map[string]struct {
+		want string
+		play func(f *fleet, req *request)
+	}{
+		"no violation": {"", func(_ *fleet, req *request) { recordRun(req, "s1"); req.recordAnswer(served) }},
+		"late answer": {"one-final-answer", func(f *fleet, req *request) {
+			recordRun(req, "s1")
+			f.now += 5*second + timingSlack + 1
+			req.recordAnswer(served)
+		}},
+		"no answer": {"one-final-answer", func(f *fleet, _ *request) {
+			f.now += 6 * second
+			f.checkOpenRequests()
+		}},
+		"no run": {"honest-answers", func(_ *fleet, req *request) { req.recordAnswer(served) }},
+		"refused though it ran": {"honest-answers", func(_ *fleet, req *request) {
+			recordRun(req, "s1")
+			req.recordAnswer(scheduler.Answer{Verdict: scheduler.Refused})
+		}},
+		"duplicate run": {"runs-as-allowed", func(_ *fleet, req *request) {
+			recordRun(req, "s1")
+			recordRun(req, "s2")
+			req.recordAnswer(served)
+		}},
+		"duplicate attempt": {"one-attempt-outstanding", func(_ *fleet, req *request) {
+			req.record(history.Event{Kind: history.Arrived, ID: "a", Actor: "s1"})
+			req.record(history.Event{Kind: history.Arrived, ID: "a", Actor: "s2"})
+			req.recordAnswer(failed)
+		}},
+		"two requests of a job run": {"runs-as-allowed", func(f *fleet, req *request) {
+			f.clients.jobStarted(req)
+			f.clients.jobStarted(&request{fleet: f, id: "b", job: req.job})
+		}},
+		"orphaned attempt": {"called-back", func(f *fleet, req *request) {
+			req.record(history.Event{Kind: history.Arrived, ID: "a", Actor: "s1"})
+			req.outstanding++
+			req.recordAnswer(failed)
+			f.now += Micros(f.historyRules.OrphanLimit.Microseconds()) + second
+			f.checkOpenRequests()
+		}},
+		"sent to a worker known to drain": {"drains-kept", func(f *fleet, req *request) {
+			f.discovery.notReadySince[3] = f.now
+			f.now += staleAfter + f.settings.DrainGrace + timingSlack + 1
+			f.tally.checkSend(f.nodes[0], f.workers[3], req)
+		}},
+		"sent to a draining worker before the list is stale": {"", func(f *fleet, req *request) {
+			f.discovery.notReadySince[3] = f.now
+			f.now += staleAfter
+			f.tally.checkSend(f.nodes[0], f.workers[3], req)
+		}},
+		"overload by a scheduler that knew of the start": {"cold-spared", func(f *fleet, _ *request) {
+			overload(f, true)
+		}},
+		"overload by a scheduler that could not know": {"", func(f *fleet, _ *request) {
+			overload(f, false)
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := violationsOf(t, c.play); got != c.want {
+				t.Errorf("violations %q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+// overload has a scheduler send a worker in slow start more than it can take.
+func overload(f *fleet, informed bool) {
+	w := f.workers[0]
+	w.startedAt = f.now
+	n := f.nodes[0]
+	if informed {
+		n.workerStarts[w.uid] = w.startedAt
+	}
+	c := &conn{node: n, worker: w}
+	for range 100 {
+		w.checkOverload(c, &request{fleet: f, id: "x", job: &clientJob{slots: 4, work: float64(f.task)}})
+	}
+	if f.tally.model.OverloadCrashes == 0 {
+		f.tally.model.Violations["no overload crash"]++
+	}
+}
+
+// A change is in force where it is applied, or where nothing is sent because the list is stale.
+func TestChangesInForce(t *testing.T) {
+	f := newIdleFleet(t, shortDay("calm"))
+	f.nodes = f.nodes[:3]
+	f.now += second
+	f.tally.published(2, f.now-second/4, 1)
+	f.now += second
+	f.tally.changeApplied(f.nodes[0], 2, f.now+second)
+	f.now += 4 * second
+	f.tally.changeApplied(f.nodes[1], 2, f.now-2*second) // its list was stale for two seconds
+	f.nodes[2].validUntil = f.now - second               // its list is stale, and it never gets the change
+	m := f.report().Model.Changes
+	if m.NotInForce != 0 || m.Unapplied != 1 || m.InForce.Max < 4240 || m.InForce.Max > 4260 {
+		t.Errorf("%+v", m)
+	}
+	f.nodes[2].validUntil = f.now + second
+	if m := f.report().Model.Changes; m.NotInForce != 1 {
+		t.Errorf("%+v", m)
+	}
+}
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -16,11 +16,11 @@
 	if m.Complete {
 		kind = "full"
 	}
-	words := []string{fmt.Sprintf("%s %d:", kind, m.Revision)}
+	fields := []string{fmt.Sprintf("%s %d:", kind, m.Revision)}
 	for _, e := range m.Endpoints {
-		words = append(words, fmt.Sprintf("%s/%s", e.UID, e.State))
+		fields = append(fields, fmt.Sprintf("%s/%s", e.UID, e.State))
 	}
-	return strings.Join(words, " ")
+	return strings.Join(fields, " ")
 }
 
 func expect(t *testing.T, m Message, want string) {
@@ -127,7 +127,7 @@
 }
 
 // What a change says stays as it was published, whatever is published after.
-func TestPublishedChangeIsKept(t *testing.T) {
+func TestPublishedChangeDoesNotChange(t *testing.T) {
 	table := newTable(8)
 	changed := []Endpoint{endpoint("a", Draining)}
 	change := table.Publish(changed...)
