--- a/cmd/schedbench/scale_test.go
+++ b/cmd/schedbench/scale_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Bad arguments are one clear line and status 2.
+// Bad arguments end with one line and status 2.
 func TestScaleMisused(t *testing.T) {
 	for args, want := range map[string]string{
 		"--workers 0":                      "workers must be 1 to",
@@ -28,15 +28,17 @@
 		"--workers 7200 --schedulers 1000": "schedulers times workers must be",
 		"--rate 9000 --task 1m":            "the rate times the seconds of a task must be",
 	} {
-		status, out, errors := runLab(t, strings.Fields("scale "+args)...)
-		one := strings.Count(strings.TrimSpace(errors), "\n") == 0
-		if status != misused || !one || !strings.Contains(errors, want) || out != "" {
-			t.Errorf("%s: status %d, %q; want one line with %q", args, status, errors, want)
-		}
+		t.Run(args, func(t *testing.T) {
+			status, out, errors := runLab(t, strings.Fields("scale "+args)...)
+			oneLine := strings.Count(strings.TrimSpace(errors), "\n") == 0
+			if status != misused || !oneLine || !strings.Contains(errors, want) || out != "" {
+				t.Errorf("status %d, %q; want one line with %q", status, errors, want)
+			}
+		})
 	}
 }
 
-// The last line is JSON, and charts are kept.
+// The last line is the report as JSON; the table and the charts are kept in a folder.
 func TestScale(t *testing.T) {
 	folder := t.TempDir()
 	status, out, errors := runLab(t, "scale", "--workers", "100", "--schedulers", "10", "--rate", "40",
