--- a/client/desk_test.go
+++ b/client/desk_test.go
@@ -14,6 +14,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"dahliaford/internal/endpoints"
 	"dahliaford/internal/fakes"
 	"dahliaford/internal/history"
 	"dahliaford/internal/http1"
@@ -331,7 +332,7 @@
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	discovery, err := fakes.NewDiscovery("127.0.0.1:0", fakes.Endpoint{UID: "s-1", Addr: worker.Addr(),
+	discovery, err := fakes.NewDiscovery("127.0.0.1:0", endpoints.Endpoint{UID: "s-1", Addr: worker.Addr(),
 		Zone: "north", Kind: "m1", State: "ready"})
 	if err != nil {
 		t.Fatal(err)
--- a/client/hard_test.go
+++ b/client/hard_test.go
@@ -47,7 +47,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := testcluster.StartFleet(bin, t.TempDir(), schedulers, 4, 1, false)
+	f, err := testcluster.StartFleet(testcluster.FleetOptions{Program: bin, Folder: t.TempDir(),
+		Schedulers: schedulers, WorkersPerScheduler: 4, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/schedbench/clients.go
+++ b/cmd/schedbench/clients.go
@@ -256,7 +256,8 @@
 		if err := os.Mkdir(own, 0o777); err != nil {
 			return nil, err
 		}
-		f, err := testcluster.StartFleet(bin, own, clientSchedulers, workersPerScheduler, seed, k == 3)
+		f, err := testcluster.StartFleet(testcluster.FleetOptions{Program: bin, Folder: own,
+			Schedulers: clientSchedulers, WorkersPerScheduler: workersPerScheduler, Seed: seed, Faults: k == 3})
 		if err != nil {
 			return nil, err
 		}
@@ -312,12 +313,12 @@
 			fmt.Sprintf("%.1f%%", 100*float64(r.late)/float64(max(r.verdicts["served"], 1))), fmt.Sprintf("%.3f",
 				attempts),
 			fmt.Sprint(total(r.dials)), fmt.Sprint(peak(r.dials)), fmt.Sprint(saw.Duplicates),
-			fmt.Sprint(saw.CrossRack),
+			fmt.Sprint(saw.CrossCell),
 			fmt.Sprint(r.maxOvertime.Round(time.Millisecond))})
 		rep.figures[r.name] = map[string]any{"jobs": r.jobs, "returns": r.returns, "ends": r.verdicts,
 			"late":        r.late,
 			"tries_a_job": attempts, "connections": total(r.dials), "peak_connections_100ms": peak(r.dials),
-			"runs": saw.Total, "post_readings_twice": saw.Duplicates, "keys_in_two_racks": saw.CrossRack,
+			"runs": saw.Total, "post_readings_twice": saw.Duplicates, "keys_in_two_racks": saw.CrossCell,
 			"latest_return_ms": r.maxOvertime.Milliseconds(), "served_in_time": total(r.served),
 			"connections_by_s": bySecond(r.dials),
 			"served_by_s":      bySecond(r.served)}
@@ -332,7 +333,7 @@
 	}
 	for _, r := range []*clientRun{library, runs[3]} {
 		saw := r.fleet.RunCounts()
-		rep.ok = rep.ok && saw.Duplicates == 0 && saw.CrossRack == 0 && r.returns == r.jobs && r.maxOvertime <= returnGrace
+		rep.ok = rep.ok && saw.Duplicates == 0 && saw.CrossCell == 0 && r.returns == r.jobs && r.maxOvertime <= returnGrace
 	}
 	rep.figures["goodput_against_best"] = float64(total(library.served)) / float64(max(library.jobs, 1)) /
 		(float64(total(best.served)) / float64(max(best.jobs, 1)))
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -7,6 +7,7 @@
 	"log"
 	"time"
 
+	"dahliaford/internal/endpoints"
 	"dahliaford/internal/fakes"
 	"dahliaford/internal/history"
 )
@@ -24,7 +25,7 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	d, err := fakes.NewDiscovery(*discovery, fakes.Endpoint{UID: uid, Addr: r.Addr(), Zone: "sousse",
+	d, err := fakes.NewDiscovery(*discovery, endpoints.Endpoint{UID: uid, Addr: r.Addr(), Zone: "sousse",
 		Kind: "fast-2c", State: "ready"})
 	if err != nil {
 		log.Fatal(err)
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -9,63 +9,69 @@
 	"dahliaford/internal/http1"
 )
 
-// Submission is one job that a client hands in.
+// lateAnswerWait is how much longer than its deadline a client reads, to see a late answer as such.
+const lateAnswerWait = 2 * time.Second
+
+// Submission is one job that a client submits.
 type Submission struct {
 	ID, Class, Tenant, Key string
 	Body                   []byte
 	Deadline               time.Time // the client gives up then
-	DisconnectAt           time.Time // it leaves before that; zero: it waits
+	DisconnectAt           time.Time // the client disconnects before its deadline; zero: it waits
 }
 
-// Submit hands a job in on a connection of its own and waits for the answer.
-func Submit(addr string, s Submission, rec Recorder) (*http1.Response, error) {
+// Submit submits a job on a connection of its own and waits for the answer.
+func Submit(addr string, s Submission, recorder Recorder) (*http1.Response, error) {
 	dialer := net.Dialer{Deadline: s.Deadline}
 	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	return SubmitOn(conn, http1.NewReader(conn), s, rec)
+	return SubmitOn(conn, http1.NewReader(conn), s, recorder)
 }
 
-// SubmitOn hands a job in on a connection on which nothing is under way, and waits for the
-// answer. After an error the connection is of no use.
-func SubmitOn(conn net.Conn, read *http1.Reader, s Submission,
-	rec Recorder) (*http1.Response, error) {
-	until := s.Deadline
+// SubmitOn submits a job on an idle connection and waits for the answer. After an error the connection is
+// of no use.
+func SubmitOn(conn net.Conn, reader *http1.Reader, s Submission, recorder Recorder) (*http1.Response, error) {
 	event := history.Event{ID: s.ID, Actor: "client", Class: s.Class}
-	left := strconv.FormatInt(max(time.Until(s.Deadline).Milliseconds(), 0), 10)
+	remaining := strconv.FormatInt(max(time.Until(s.Deadline).Milliseconds(), 0), 10)
 	event.Kind, event.Deadline = history.Sent, s.Deadline
-	rec.record(event)
+	recorder.record(event)
 	if _, err := conn.Write(http1.AppendRequest(nil, "POST", "/"+s.Class+"/"+s.ID, []http1.Field{
-		{Name: "Host", Value: conn.RemoteAddr().String()}, {Name: "X-Txn", Value: s.ID},
-		{Name: "X-Lane", Value: s.Class}, {Name: "X-Org", Value: s.Tenant}, {Name: "X-Remaining-Ms", Value: left},
-		{Name: "Idempotency-Key", Value: s.Key}}, s.Body)); err != nil {
+		{Name: "Host", Value: conn.RemoteAddr().String()},
+		{Name: "X-Txn", Value: s.ID},
+		{Name: "X-Lane", Value: s.Class},
+		{Name: "X-Org", Value: s.Tenant},
+		{Name: "X-Remaining-Ms", Value: remaining},
+		{Name: "Idempotency-Key", Value: s.Key},
+	}, s.Body)); err != nil {
 		event.Kind = history.Unanswered
-		rec.record(event)
+		recorder.record(event)
 		return nil, err
 	}
-	if !s.DisconnectAt.IsZero() && s.DisconnectAt.Before(until) {
-		until = s.DisconnectAt
-	}
-	conn.SetReadDeadline(until.Add(grace(s)))
-	m, err := read.Response()
+	conn.SetReadDeadline(s.readDeadline())
+	answer, err := reader.Response()
 	switch {
 	case err == nil:
-		event.Kind, event.Status, event.Result = history.Answered, m.Status, string(m.Body)
+		event.Kind, event.Status, event.Result = history.Answered, answer.Status, string(answer.Body)
 	case !s.DisconnectAt.IsZero():
 		event.Kind = history.ClientDisconnected
 	default:
 		event.Kind = history.Unanswered
 	}
-	rec.record(event)
-	return m, err
+	recorder.record(event)
+	return answer, err
 }
 
-// grace is how much longer than its deadline a client listens, to see a late answer as such.
-func grace(s Submission) time.Duration {
-	if s.DisconnectAt.IsZero() {
-		return 2 * time.Second
+// readDeadline is until when the client reads.
+func (s *Submission) readDeadline() time.Time {
+	switch {
+	case s.DisconnectAt.IsZero():
+		return s.Deadline.Add(lateAnswerWait)
+	case s.DisconnectAt.Before(s.Deadline):
+		return s.DisconnectAt
+	default:
+		return s.Deadline
 	}
-	return 0
 }
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -1,146 +1,117 @@
 package fakes
 
 import (
-	"encoding/json"
-	"fmt"
 	"net"
+	"net/http"
 	"strings"
 	"sync"
 	"time"
 
+	"dahliaford/internal/endpoints"
 	"dahliaford/internal/http1"
 )
 
-// Endpoint is one line of the worker list.
-type Endpoint struct {
-	UID    string `json:"uid"`
-	Addr   string `json:"endpoint"`
-	Zone   string `json:"az"`
-	Kind   string `json:"model"`
-	Cell   int    `json:"pod_group"`
-	State  string `json:"state"` // ready, draining or gone
-	BootMs int64  `json:"boot_ms"`
-}
-
-type update struct {
-	Rev       int64      `json:"rev"`
-	All       bool       `json:"all"`
-	Endpoints []Endpoint `json:"targets"`
-}
+// maxPendingChanges is how many changes may wait for a watch that does not read, before the watch ends.
+const maxPendingChanges = 64
 
-// Discovery serves the worker list. Changes go out to open watches at once.
+// Discovery serves the list of workers. Changes go out to open watches at once. Whoever opens a watch gets
+// the full list first, from whatever revision.
 type Discovery struct {
 	server
-	mu        sync.Mutex
-	rev       int64
-	endpoints []Endpoint
-	watches   map[chan update]bool
-	closed    chan struct{}
+	mu      sync.Mutex
+	table   *endpoints.Table
+	watches map[chan endpoints.Message]bool
+	done    chan struct{} // closed when it stops
 }
 
-// heartbeatInterval is the time between two blank lines of a watch on which nothing changes.
-const heartbeatInterval = 2 * time.Second
-
-// NewDiscovery opens a discovery that lists some workers.
-func NewDiscovery(addr string, lines ...Endpoint) (*Discovery, error) {
-	d := &Discovery{rev: 1, endpoints: lines, watches: map[chan update]bool{}, closed: make(chan struct{})}
-	return d, d.listen(addr, d.serve)
+// NewDiscovery opens a discovery at an address that lists some workers.
+func NewDiscovery(addr string, entries ...endpoints.Endpoint) (*Discovery, error) {
+	d := &Discovery{table: endpoints.NewTable(0, entries...), watches: map[chan endpoints.Message]bool{},
+		done: make(chan struct{})}
+	if err := d.listen(addr, d.serve); err != nil {
+		return nil, err
+	}
+	return d, nil
 }
 
-// Addr is where it listens.
+// Addr is the address that it listens on.
 func (d *Discovery) Addr() string { return d.addr() }
 
-// Close ends it, and its watches.
+// Close stops it, and ends its watches.
 func (d *Discovery) Close() {
-	close(d.closed)
+	close(d.done)
 	d.close()
 }
 
-// ResetWatches ends all watches; they can be opened again at once.
+// ResetWatches resets all watches; they can be opened again at once.
 func (d *Discovery) ResetWatches() { d.resetAll() }
 
-// Update changes one line, or adds it. With the state gone it is taken off the list.
-func (d *Discovery) Update(line Endpoint) {
+// Update changes an entry, or adds it, and lists it last. With the state Removed it is taken off the list.
+func (d *Discovery) Update(e endpoints.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rev++
-	kept := d.endpoints[:0:0]
-	for _, l := range d.endpoints {
-		if l.UID != line.UID {
-			kept = append(kept, l)
-		}
-	}
-	if line.State != "gone" {
-		kept = append(kept, line)
-	}
-	d.endpoints = kept
-	for w := range d.watches {
+	d.table.MoveToEnd(e.UID)
+	change := d.table.Publish(e)
+	for watch := range d.watches {
 		select {
-		case w <- update{Rev: d.rev, Endpoints: []Endpoint{line}}:
-		default: // it does not read: its watch ends, and the next one has the whole list
-			delete(d.watches, w)
-			close(w)
+		case watch <- change:
+		default: // it does not read: this watch ends, and the next one has the full list
+			delete(d.watches, watch)
+			close(watch)
 		}
 	}
 }
 
-func (d *Discovery) fullList() update {
-	return update{Rev: d.rev, All: true, Endpoints: append([]Endpoint{}, d.endpoints...)}
-}
-
+// serve answers the one request of a connection.
 func (d *Discovery) serve(conn net.Conn) {
 	m, err := http1.NewReader(conn).Request()
 	if err != nil {
 		return
 	}
-	d.mu.Lock()
-	first := d.fullList()
-	changes := make(chan update, 64)
-	watch := strings.Contains(m.Target, "watch=1")
-	if watch {
-		d.watches[changes] = true
-	}
-	d.mu.Unlock()
-	if !watch {
-		raw, err := json.Marshal(first)
-		if err == nil {
-			conn.Write(http1.AppendResponse(nil, 200, nil, raw))
-		}
+	if strings.Contains(m.Target, "watch=1") {
+		d.watch(conn)
 		return
 	}
+	d.mu.Lock()
+	body := d.table.Full().JSON()
+	d.mu.Unlock()
+	// The connection ends either way.
+	_, _ = conn.Write(http1.AppendResponse(nil, http.StatusOK, nil, body))
+}
+
+// watch sends the full list and then each change, until discovery is closed, the connection fails or the
+// other side has not read for too long.
+func (d *Discovery) watch(conn net.Conn) {
+	changes := make(chan endpoints.Message, maxPendingChanges)
+	d.mu.Lock()
+	first := d.table.Full()
+	d.watches[changes] = true
+	d.mu.Unlock()
 	defer func() {
 		d.mu.Lock()
 		delete(d.watches, changes)
 		d.mu.Unlock()
 	}()
-	if _, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); err != nil {
-		return
-	}
-	say := func(t update) bool {
-		raw, err := json.Marshal(t)
-		if err != nil {
-			return false
-		}
-		_, err = fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(raw)+1, raw)
-		return err == nil
-	}
-	if !say(first) {
+	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	if _, err := conn.Write(append([]byte(head), first.Chunk()...)); err != nil {
 		return
 	}
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(endpoints.HeartbeatInterval)
+	defer heartbeat.Stop()
 	for {
+		var m endpoints.Message // a heartbeat
 		select {
-		case <-d.closed:
+		case <-d.done:
 			return
-		case t, open := <-changes:
-			if !open || !say(t) {
-				return
-			}
-		case <-beat.C:
-			if _, err := fmt.Fprint(conn, "1\r\n\n\r\n"); err != nil {
+		case change, open := <-changes:
+			if !open {
 				return
 			}
+			m = change
+		case <-heartbeat.C:
+		}
+		if _, err := conn.Write(m.Chunk()); err != nil {
+			return
 		}
 	}
 }
--- a/internal/fakes/retrying_client.go
+++ b/internal/fakes/retrying_client.go
@@ -12,80 +12,83 @@
 	"time"
 )
 
-// RetryingClient is a desk as desks were: it tries again whatever came back, on its own account,
-// at any scheduler, up to a number of tries and its deadline.
+const (
+	maxAttempts  = 10
+	maxBackoff   = time.Second
+	maxIdleConns = 64 // to each scheduler
+)
+
+// RetryingClient is a client without the client library, as all were before it: it retries after whatever
+// came back, of its own accord, at any scheduler, up to a number of attempts and its deadline.
 type RetryingClient struct {
 	schedulers []string
-	backoff    time.Duration // the first wait before a retry, doubling; 0: none
+	backoff    time.Duration // the longest wait before the first retry, doubling with each; 0: none
 	http       http.Client
 }
 
-const (
-	maxAttempts  = 10
-	maxBackoff   = time.Second // of its waits
-	maxIdleConns = 64          // connections for each scheduler that it keeps
-)
-
-// NewRetryingClient returns one; dialled is told of each new connection.
+// NewRetryingClient returns a client of schedulers; dialled is called at each new connection.
 func NewRetryingClient(schedulers []string, backoff time.Duration, dialled func()) *RetryingClient {
 	var dialer net.Dialer
-	return &RetryingClient{schedulers: schedulers, backoff: backoff,
-		http: http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: maxIdleConns,
-			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-				dialled()
-				return dialer.DialContext(ctx, network, addr)
-			}}}}
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: maxIdleConns,
+		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+			dialled()
+			return dialer.DialContext(ctx, network, addr)
+		},
+	}
+	return &RetryingClient{schedulers: schedulers, backoff: backoff, http: http.Client{Transport: transport}}
 }
 
 // Close closes its idle connections.
-func (p *RetryingClient) Close() { p.http.CloseIdleConnections() }
+func (c *RetryingClient) Close() { c.http.CloseIdleConnections() }
 
-// Submit hands a job in until it is served. It tells how many tries were handed in: those
-// that found nobody listening do not count.
-func (p *RetryingClient) Submit(s Submission) (served bool, attempts int) {
+// Submit submits a job until it is served. It returns the number of attempts that were sent: those that
+// found nobody listening do not count.
+func (c *RetryingClient) Submit(s Submission) (served bool, attempts int) {
 	ctx, cancel := context.WithDeadline(context.Background(), s.Deadline)
 	defer cancel()
-	wait := p.backoff
+	backoff := c.backoff
 	for n := 1; n <= maxAttempts && ctx.Err() == nil; n++ {
-		sent, done := p.attempt(ctx, s, n)
+		sent, served := c.attempt(ctx, s, n)
 		if sent {
 			attempts++
 		}
-		if done {
+		if served {
 			return true, attempts
 		}
-		if wait > 0 {
+		if backoff > 0 {
 			select {
 			case <-ctx.Done():
-			case <-time.After(rand.N(wait)):
+			case <-time.After(rand.N(backoff)):
 			}
-			wait = min(2*wait, maxBackoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 	return false, attempts
 }
 
-func (p *RetryingClient) attempt(ctx context.Context, s Submission, n int) (sent, served bool) {
-	addr := p.schedulers[rand.IntN(len(p.schedulers))]
+// attempt makes the n-th attempt, with an id of its own.
+func (c *RetryingClient) attempt(ctx context.Context, s Submission, n int) (sent, served bool) {
+	addr := c.schedulers[rand.IntN(len(c.schedulers))]
 	target := "http://" + addr + "/" + s.Class + "/" + s.ID
-	r, err := http.NewRequestWithContext(ctx, "POST", target, bytes.NewReader(s.Body))
+	request, err := http.NewRequestWithContext(ctx, "POST", target, bytes.NewReader(s.Body))
 	if err != nil {
 		return false, false
 	}
-	r.Header.Set("X-Txn", s.ID+"-"+strconv.Itoa(n))
-	r.Header.Set("X-Lane", s.Class)
-	r.Header.Set("X-Org", s.Tenant)
-	r.Header.Set("X-Remaining-Ms", strconv.FormatInt(max(time.Until(s.Deadline).Milliseconds(), 1), 10))
+	request.Header.Set("X-Txn", s.ID+"-"+strconv.Itoa(n))
+	request.Header.Set("X-Lane", s.Class)
+	request.Header.Set("X-Org", s.Tenant)
+	remaining := max(time.Until(s.Deadline).Milliseconds(), 1)
+	request.Header.Set("X-Remaining-Ms", strconv.FormatInt(remaining, 10))
 	if s.Key != "" {
-		r.Header.Set("Idempotency-Key", s.Key)
+		request.Header.Set("Idempotency-Key", s.Key)
 	}
-	answer, err := p.http.Do(r)
+	answer, err := c.http.Do(request)
 	if err != nil {
 		var op *net.OpError
 		return !errors.As(err, &op) || op.Op != "dial", false
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }() // an error of the body shows as it is read
 	_, err = io.Copy(io.Discard, answer.Body)
-	return true, err == nil && answer.StatusCode == 200
+	return true, err == nil && answer.StatusCode == http.StatusOK
 }
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -1,18 +1,14 @@
-// Package fakes has what a scheduler needs around it, for tests, drills and trying by
-// hand: scripted workers, discovery, and clients. They speak the protocol as real ones do,
-// do wrong what their script says, and tell a recorder what they saw. Loopback only.
+// Package fakes has what a scheduler needs around it, for tests, drills and trying by hand: scripted workers,
+// discovery, and clients. They speak the protocol as real ones do, misbehave as their script says, and
+// record what they saw. They listen on loopback only.
 package fakes
 
 import (
 	"net"
 	"sync"
-	"time"
-
-	"dahliaford/internal/history"
-	"dahliaford/internal/http1"
 )
 
-// server is a listener and its connections, all of which it gives back in close.
+// server is a listener with its connections, all of which close gives back.
 type server struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -21,6 +17,7 @@
 	running  sync.WaitGroup
 }
 
+// listen opens a listener at an address and serves its connections.
 func (s *server) listen(addr string, serve func(net.Conn)) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -30,6 +27,7 @@
 	return nil
 }
 
+// serveOn calls serve for each connection of a listener, and closes the connection when it returns.
 func (s *server) serveOn(l net.Listener, serve func(net.Conn)) {
 	s.listener, s.conns = l, map[net.Conn]bool{}
 	s.running.Go(func() {
@@ -50,26 +48,7 @@
 	})
 }
 
-// Server runs a stand-in of another package on a listener.
-type Server struct{ server }
-
-// Serve runs serve for each connection that comes to a listener, which the server then owns.
-// A connection is closed when serve returns.
-func Serve(l net.Listener, serve func(net.Conn)) *Server {
-	s := &Server{}
-	s.serveOn(l, serve)
-	return s
-}
-
-// Addr is where it listens.
-func (s *Server) Addr() string { return s.addr() }
-
-// Close stops listening, resets all connections and waits until each serve has returned.
-func (s *Server) Close() { s.close() }
-
-// ResetConn ends a connection as a dying process does.
-func ResetConn(conn net.Conn) { resetConn(conn) }
-
+// track adds a connection to those that close resets. It reports false once the server is closed.
 func (s *server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,19 +65,16 @@
 	s.mu.Unlock()
 }
 
-// resetAll breaks all connections as a dying process does.
+// resetAll resets all connections. New ones are still accepted.
 func (s *server) resetAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
-		if c, ok := conn.(*net.TCPConn); ok {
-			c.SetLinger(0)
-		}
-		conn.Close()
+		ResetConn(conn)
 	}
 }
 
-// close stops listening, breaks what is open and waits for all that runs.
+// close stops listening, resets all connections and waits until each serve has returned.
 func (s *server) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -110,36 +86,27 @@
 
 func (s *server) addr() string { return s.listener.Addr().String() }
 
-func resetConn(conn net.Conn) {
-	if c, ok := conn.(*net.TCPConn); ok {
-		c.SetLinger(0)
-	}
-	conn.Close()
-}
+// Server serves the connections of a listener, for fakes of other packages.
+type Server struct{ server }
 
-// exchange makes one request on a connection of its own. The deadline is absolute.
-func exchange(addr, method, target string, fields []http1.Field, body []byte,
-	deadline time.Time) (*http1.Response, error) {
-	dialer := net.Dialer{Deadline: deadline}
-	conn, err := dialer.Dial("tcp", addr)
-	if err != nil {
-		return nil, err
-	}
-	defer conn.Close()
-	conn.SetDeadline(deadline)
-	fields = append([]http1.Field{{Name: "Host", Value: addr}}, fields...)
-	if _, err := conn.Write(http1.AppendRequest(nil, method, target, fields, body)); err != nil {
-		return nil, err
-	}
-	return http1.NewReader(conn).Response()
+// Serve calls serve for each connection of a listener, which the server then owns. A connection is closed
+// when serve returns.
+func Serve(l net.Listener, serve func(net.Conn)) *Server {
+	s := &Server{}
+	s.serveOn(l, serve)
+	return s
 }
 
-// Recorder takes what a stand-in saw. It must be safe for many goroutines.
-type Recorder func(history.Event)
+// Addr is the address that it listens on.
+func (s *Server) Addr() string { return s.addr() }
+
+// Close stops listening, resets all connections and waits until each serve has returned.
+func (s *Server) Close() { s.close() }
 
-func (r Recorder) record(e history.Event) {
-	if r != nil {
-		e.At = time.Now()
-		r(e)
+// ResetConn closes a connection with a reset, as the death of its process does.
+func ResetConn(conn net.Conn) {
+	if c, ok := conn.(*net.TCPConn); ok {
+		_ = c.SetLinger(0) // it fails on a closed connection alone
 	}
+	conn.Close()
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -1,8 +1,8 @@
 package fakes
 
 import (
-	"encoding/json"
 	"net"
+	"net/http"
 	"strings"
 	"sync"
 	"time"
@@ -11,22 +11,6 @@
 	"dahliaford/internal/http1"
 )
 
-// Script is what a worker does with one job. The zero Plan accepts it, runs it at once and
-// is done.
-type Script struct {
-	Status            int           // the answer; 0: 202
-	TurnedAway        bool          // with 503 or 504: it did not begin
-	ResetConn         bool          // the connection breaks instead of an answer
-	Unresponsive      bool          // neither an answer nor anything else
-	AnswerDelay       time.Duration // before the answer
-	QueueTime         time.Duration // from the acceptance to the start
-	RunTime           time.Duration // from the start to the end
-	FinalState        string        // the callback at its end; "": done; "never": none, it runs on
-	EarlyCallbacks    bool          // callbacks may come before the 202
-	RepeatedCallbacks int           // each callback comes so often again, whatever the answer was
-	Result            string        // with done; "": the body in capitals
-}
-
 // Job is a request that came to a worker.
 type Job struct {
 	ID, Method, Target, Key string
@@ -34,155 +18,166 @@
 	RemainingMs             string // X-Remaining-Ms, as it came
 }
 
-// Worker is a scripted job worker.
+// Worker is a scripted worker.
 type Worker struct {
 	UID       string
 	scheduler func() string
 	script    func(Job) Script
-	record    Recorder
+	recorder  Recorder
 	server
 	jobsMu    sync.Mutex
-	jobs      map[string]chan struct{} // closed when the job is withdrawn or lost
+	jobs      map[string]chan struct{} // by id; closed when the job is cancelled or lost
 	callbacks sync.WaitGroup
 }
 
-// NewWorker opens a worker. scheduler says where its callbacks go at the time of each;
-// plan must be safe for many goroutines.
+// NewWorker opens a worker at an address. scheduler is the address that its callbacks go to at the time of
+// each; script says what it does with each job. Both must be safe for concurrent use.
 func NewWorker(uid, addr string, scheduler func() string, script func(Job) Script,
-	rec Recorder) (*Worker, error) {
-	w := &Worker{UID: uid, scheduler: scheduler, script: script, record: rec, jobs: map[string]chan struct{}{}}
-	return w, w.listen(addr, w.serve)
+	recorder Recorder) (*Worker, error) {
+	w := &Worker{UID: uid, scheduler: scheduler, script: script, recorder: recorder,
+		jobs: map[string]chan struct{}{}}
+	if err := w.listen(addr, w.serve); err != nil {
+		return nil, err
+	}
+	return w, nil
 }
 
-// Addr is where it listens.
+// Addr is the address that it listens on.
 func (w *Worker) Addr() string { return w.addr() }
 
-// Close ends the worker: its jobs are lost, its connections reset.
+// Close stops the worker: its jobs are lost, its connections reset.
 func (w *Worker) Close() {
 	w.Crash()
 	w.close()
 	w.callbacks.Wait()
 }
 
-// Crash does as a process that dies and is there again at once: connections are reset, its
-// jobs are lost, and the machine's agent says so.
+// Crash behaves as a process that dies and is there again at once: its connections are reset, its jobs are
+// lost, and the machine's agent reports that.
 func (w *Worker) Crash() {
 	w.resetAll()
 	w.jobsMu.Lock()
-	crashed := w.jobs
+	lost := w.jobs
 	w.jobs = map[string]chan struct{}{}
 	w.jobsMu.Unlock()
-	for id, cancelled := range crashed {
+	for id, cancelled := range lost {
 		close(cancelled)
-		w.record.record(history.Event{Kind: history.WorkerDied, ID: id, Actor: w.UID})
-		w.callbacks.Go(func() { w.callback(id, "lost", "", 0) })
+		w.recorder.record(history.Event{Kind: history.WorkerDied, ID: id, Actor: w.UID})
+		w.callbacks.Go(func() { w.callback(id, Lost, "", 0) })
 	}
 }
 
+// serve takes the requests of one connection.
 func (w *Worker) serve(conn net.Conn) {
-	read := http1.NewReader(conn)
+	reader := http1.NewReader(conn)
 	for {
-		m, err := read.Request()
+		m, err := reader.Request()
 		if err != nil {
 			return
 		}
+		keepOpen := false
 		if id, ok := strings.CutPrefix(m.Target, "/jobs/"); ok && m.Method == "DELETE" {
-			status := 404
-			if w.cancel(id) {
-				status = 200
-			}
-			w.record.record(history.Event{Kind: history.CancelReceived, ID: id, Actor: w.UID, Status: status})
-			if _, err := conn.Write(http1.AppendResponse(nil, status, nil, nil)); err != nil {
-				return
-			}
-			continue
+			keepOpen = w.answerCancel(conn, id)
+		} else {
+			keepOpen = w.answerJob(conn, m)
 		}
-		if !w.acceptJob(conn, m) {
+		if !keepOpen {
 			return
 		}
 	}
 }
 
-// acceptJob takes one job. It tells whether the connection goes on.
-func (w *Worker) acceptJob(conn net.Conn, m *http1.Request) bool {
+// answerCancel cancels a job. It reports whether the connection stays open.
+func (w *Worker) answerCancel(conn net.Conn, id string) (keepOpen bool) {
+	status := http.StatusNotFound
+	if w.cancel(id) {
+		status = http.StatusOK
+	}
+	w.recorder.record(history.Event{Kind: history.CancelReceived, ID: id, Actor: w.UID, Status: status})
+	_, err := conn.Write(http1.AppendResponse(nil, status, nil, nil))
+	return err == nil
+}
+
+// answerJob does with a job what the script says. It reports whether the connection stays open.
+func (w *Worker) answerJob(conn net.Conn, m *http1.Request) (keepOpen bool) {
 	j := Job{ID: m.Header.Get("X-Txn"), Method: m.Method, Target: m.Target, Key: m.Header.Get("Idempotency-Key"),
 		Body: m.Body, RemainingMs: m.Header.Get("X-Remaining-Ms")}
 	if j.ID == "" {
-		conn.Write(http1.AppendResponse(nil, 404, nil, nil))
+		// The connection ends either way.
+		_, _ = conn.Write(http1.AppendResponse(nil, http.StatusNotFound, nil, nil))
 		return false
 	}
-	p := w.script(j)
-	status := p.Status
-	if status == 0 {
-		status = 202
+	script := w.script(j)
+	if script.Status == 0 {
+		script.Status = http.StatusAccepted
 	}
+	accepts := script.Status == http.StatusAccepted && !script.ResetConn
 	// It holds the job from now on, whatever comes of its answer.
-	w.record.record(history.Event{Kind: history.Arrived, ID: j.ID, Actor: w.UID})
+	w.recorder.record(history.Event{Kind: history.Arrived, ID: j.ID, Actor: w.UID})
 	cancelled := make(chan struct{})
-	if status == 202 && !p.ResetConn {
+	if accepts {
 		w.jobsMu.Lock()
 		w.jobs[j.ID] = cancelled
 		w.jobsMu.Unlock()
 	}
-	if p.Unresponsive {
-		<-w.peerClosed(conn)
+	if script.Unresponsive {
+		_, _ = conn.Read(make([]byte, 1)) // until the other side closes
 		w.abandon(j.ID, cancelled)
 		return false
 	}
-	if p.EarlyCallbacks && status == 202 && !p.ResetConn {
-		w.callbacks.Go(func() { w.runJob(j, p, cancelled) })
+	if script.EarlyCallbacks && accepts {
+		w.callbacks.Go(func() { w.runJob(j, script, cancelled) })
 	}
-	time.Sleep(p.AnswerDelay)
-	switch {
-	case p.ResetConn:
-		w.record.record(history.Event{Kind: history.Ended, ID: j.ID, Actor: w.UID, MayHaveRun: true})
-		resetConn(conn)
-		return false
-	case status != 202:
-		w.record.record(history.Event{Kind: history.Ended, ID: j.ID, Actor: w.UID,
-			MayHaveRun: !p.TurnedAway && status >= 500})
-		var fields []http1.Field
-		if p.TurnedAway {
-			fields = append(fields, http1.Field{Name: "X-Turned-Away", Value: "1"})
-		}
-		_, err := conn.Write(http1.AppendResponse(nil, status, fields, nil))
+	time.Sleep(script.AnswerDelay)
+	if !accepts {
+		return w.reject(conn, j.ID, script)
+	}
+	_, err := conn.Write(http1.AppendResponse(nil, http.StatusAccepted, nil, nil))
+	if script.EarlyCallbacks {
 		return err == nil
 	}
-	_, err := conn.Write(http1.AppendResponse(nil, 202, nil, nil))
-	if !p.EarlyCallbacks {
-		if err != nil { // closed before its 202: given up
-			w.abandon(j.ID, cancelled)
-			return false
-		}
-		w.callbacks.Go(func() { w.runJob(j, p, cancelled) })
+	if err != nil { // closed before its 202: given up
+		w.abandon(j.ID, cancelled)
+		return false
 	}
-	return err == nil
+	w.callbacks.Go(func() { w.runJob(j, script, cancelled) })
+	return true
 }
 
-// peerClosed waits for the other side's close, while nothing else is read.
-func (w *Worker) peerClosed(conn net.Conn) chan struct{} {
-	over := make(chan struct{})
-	go func() {
-		conn.Read(make([]byte, 1))
-		close(over)
-	}()
-	return over
+// reject answers a job that is not accepted. It reports whether the connection stays open.
+func (w *Worker) reject(conn net.Conn, id string, script Script) (keepOpen bool) {
+	event := history.Event{Kind: history.Ended, ID: id, Actor: w.UID}
+	if script.ResetConn {
+		event.MayHaveRun = true
+		w.recorder.record(event)
+		ResetConn(conn)
+		return false
+	}
+	event.MayHaveRun = !script.TurnedAway && script.Status >= 500
+	w.recorder.record(event)
+	var fields []http1.Field
+	if script.TurnedAway {
+		fields = append(fields, http1.Field{Name: "X-Turned-Away", Value: "1"})
+	}
+	_, err := conn.Write(http1.AppendResponse(nil, script.Status, fields, nil))
+	return err == nil
 }
 
 // abandon drops a job whose connection ended before its 202.
 func (w *Worker) abandon(id string, cancelled chan struct{}) {
 	w.jobsMu.Lock()
-	mine := w.jobs[id] == cancelled
-	if mine {
+	current := w.jobs[id] == cancelled
+	if current {
 		delete(w.jobs, id)
 		close(cancelled)
 	}
 	w.jobsMu.Unlock()
-	if mine {
-		w.record.record(history.Event{Kind: history.Closed, ID: id, Actor: w.UID})
+	if current {
+		w.recorder.record(history.Event{Kind: history.Closed, ID: id, Actor: w.UID})
 	}
 }
 
+// cancel cancels a job, and reports whether there was one.
 func (w *Worker) cancel(id string) bool {
 	w.jobsMu.Lock()
 	defer w.jobsMu.Unlock()
@@ -194,8 +189,8 @@
 	return known
 }
 
-// finish takes a job off the worker, unless it has been withdrawn or lost. What it tells is
-// recorded before, as others may act on it at once.
+// finish takes a job off the worker and records why. It reports false if the job was cancelled or lost
+// before. The event is recorded before the callback, as others may act on that at once.
 func (w *Worker) finish(id string, cancelled chan struct{}, e history.Event) bool {
 	w.jobsMu.Lock()
 	defer w.jobsMu.Unlock()
@@ -203,11 +198,12 @@
 		return false
 	}
 	delete(w.jobs, id)
-	w.record.record(e)
+	w.recorder.record(e)
 	return true
 }
 
-func (w *Worker) runJob(j Job, p Script, cancelled chan struct{}) {
+// runJob runs an accepted job as the script says, with its callbacks.
+func (w *Worker) runJob(j Job, script Script, cancelled chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-cancelled:
@@ -216,58 +212,39 @@
 			return true
 		}
 	}
-	if !wait(p.QueueTime) {
+	if !wait(script.QueueTime) {
 		return
 	}
-	if p.FinalState == "returned" {
+	if script.FinalState == Returned {
 		if w.finish(j.ID, cancelled, history.Event{Kind: history.Ended, ID: j.ID, Actor: w.UID}) {
-			w.callback(j.ID, "returned", "", p.RepeatedCallbacks)
+			w.callback(j.ID, Returned, "", script.RepeatedCallbacks)
 		}
 		return
 	}
-	w.record.record(history.Event{Kind: history.Started, ID: j.ID, Actor: w.UID})
-	w.callback(j.ID, "started", "", p.RepeatedCallbacks)
-	if p.FinalState == "never" {
+	w.recorder.record(history.Event{Kind: history.Started, ID: j.ID, Actor: w.UID})
+	w.callback(j.ID, Started, "", script.RepeatedCallbacks)
+	if script.FinalState == Never {
 		<-cancelled
 		return
 	}
-	if !wait(p.RunTime) {
+	if !wait(script.RunTime) {
 		return
 	}
-	state, result := p.FinalState, p.Result
-	if state == "" {
-		state = "done"
-	}
-	if result == "" {
-		result = strings.ToUpper(string(j.Body))
-	}
-	if state != "done" {
-		result = ""
-	}
-	if w.finish(j.ID, cancelled, history.Event{Kind: history.Ended, ID: j.ID, Actor: w.UID, MayHaveRun: true,
-		Result: result}) {
-		w.callback(j.ID, state, result, p.RepeatedCallbacks)
+	state, result := script.outcome(j)
+	ended := history.Event{Kind: history.Ended, ID: j.ID, Actor: w.UID, MayHaveRun: true, Result: result}
+	if w.finish(j.ID, cancelled, ended) {
+		w.callback(j.ID, state, result, script.RepeatedCallbacks)
 	}
 }
 
-// callback calls the scheduler back until it has an answer, ten times at most, and then so
-// often again as the script says.
-func (w *Worker) callback(id, state, result string, repeat int) {
-	news := map[string]string{"id": id, "from": w.UID, "state": state}
-	if state == "done" {
-		news["result"] = result
-	}
-	body, err := json.Marshal(news)
-	if err != nil {
-		return
-	}
-	for tries := 0; tries < 10; tries++ {
-		m, err := exchange(w.scheduler(), "POST", "/callback", nil, body, time.Now().Add(2*time.Second))
-		if err == nil && (m.Status == 200 || m.Status == 204) {
-			if repeat--; repeat < 0 {
-				return
-			}
-		}
-		time.Sleep(20 * time.Millisecond)
+// outcome is the final state of a job that has run, with its result if it is done.
+func (s *Script) outcome(j Job) (state JobState, result string) {
+	switch {
+	case s.FinalState != "" && s.FinalState != Done:
+		return s.FinalState, ""
+	case s.Result != "":
+		return Done, s.Result
+	default:
+		return Done, strings.ToUpper(string(j.Body))
 	}
 }
--- a/internal/simfleet/clients.go
+++ b/internal/simfleet/clients.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -12,32 +13,48 @@
 )
 
 const (
-	batchClass    = "district-batch" // of package rig's settings
+	// The class and the tenant stand in the settings that package testcluster writes.
+	batchClass    = "district-batch"
 	batchDeadline = 4 * time.Second
 	tenant        = "sahel"
 
-	maxOpen      = 128 // jobs of ours that a scheduler may have open
+	maxOpen      = 128 // jobs at the rate that a scheduler may have open
 	paceInterval = 5 * time.Millisecond
-	shortRun     = 40 * time.Millisecond // and up to four times that, of the jobs at a rate
+	shortRun     = 40 * time.Millisecond // jobs at the rate run once to four times as long
+	maxErrors    = 20                    // errors that are kept for the report
+	retryDelay   = 10 * time.Millisecond // of a saturating client whose job was not served
+
+	healthTimeout = time.Second
 )
 
-// clients hand jobs in at the schedulers, on connections that they keep.
+// clients submit jobs to the schedulers, on connections that they keep.
 type clients struct {
-	addrs   []string
-	idle    []chan *pooledConn
-	open    []atomic.Int64
-	record  fakes.Recorder
-	traffic *traffic
-	lastID  atomic.Int64
+	pools  []*connPool // by scheduler
+	open   []atomic.Int64
+	record fakes.Recorder
+	lastID atomic.Int64
 
 	jobs, served, refused, failed, skipped atomic.Int64
 
 	mu     sync.Mutex
-	errors []string // the first of those that ended a job without an answer
+	errors []string // the first that ended a job without an answer
 }
 
-const maxErrors = 20
+func newClients(addrs []string, record fakes.Recorder, t *traffic) *clients {
+	c := &clients{open: make([]atomic.Int64, len(addrs)), record: record}
+	for _, addr := range addrs {
+		c.pools = append(c.pools, newConnPool(addr, maxOpen, t))
+	}
+	return c
+}
 
+func (c *clients) close() {
+	for _, pool := range c.pools {
+		pool.close()
+	}
+}
+
+// addError counts a job that ended without an answer.
 func (c *clients) addError(id string, err error) {
 	c.failed.Add(1)
 	c.mu.Lock()
@@ -47,42 +64,24 @@
 	}
 }
 
-func newClients(addrs []string, rec fakes.Recorder, t *traffic) *clients {
-	c := &clients{addrs: addrs, idle: make([]chan *pooledConn, len(addrs)), open: make([]atomic.Int64,
-		len(addrs)),
-		record: rec, traffic: t}
-	for i := range c.idle {
-		c.idle[i] = make(chan *pooledConn, maxOpen)
-	}
-	return c
-}
-
-func (c *clients) close() {
-	for _, idle := range c.idle {
-		for len(idle) > 0 {
-			(<-idle).conn.Close()
-		}
-	}
-}
-
-// submit hands one job in at the k-th scheduler, and tells whether it was served.
-func (c *clients) submit(k int, what string, run time.Duration) bool {
-	s := fakes.Submission{ID: jobID(k, what, c.lastID.Add(1)), Class: batchClass, Tenant: tenant,
-		Body: []byte(run.String()), Deadline: time.Now().Add(batchDeadline)}
+// submit submits one job to a scheduler and reports whether it was served.
+func (c *clients) submit(scheduler int, why purpose, runTime time.Duration) bool {
+	s := fakes.Submission{ID: jobID(scheduler, why, c.lastID.Add(1)), Class: batchClass, Tenant: tenant,
+		Body: []byte(runTime.String()), Deadline: time.Now().Add(batchDeadline)}
 	s.Key = "k-" + s.ID
-	rec := c.record
+	record := c.record
 	if !isRecorded(s.ID) {
-		rec = nil
+		record = nil
 	}
 	c.jobs.Add(1)
-	m, err := c.exchange(k, s, rec)
+	answer, err := c.exchange(scheduler, s, record)
 	switch {
 	case err != nil:
 		c.addError(s.ID, err)
-	case m.Status == 200:
+	case answer.Status == http.StatusOK:
 		c.served.Add(1)
 		return true
-	case m.Status == 429 || m.Status == 503:
+	case answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable:
 		c.refused.Add(1)
 	default:
 		c.failed.Add(1)
@@ -90,63 +89,64 @@
 	return false
 }
 
-func (c *clients) exchange(k int, s fakes.Submission, rec fakes.Recorder) (*http1.Response, error) {
-	var to *pooledConn
-	select {
-	case to = <-c.idle[k]:
-	default:
-		var err error
-		if to, err = dial(c.addrs[k], c.traffic); err != nil {
-			return nil, err
-		}
+func (c *clients) exchange(scheduler int, s fakes.Submission,
+	record fakes.Recorder) (*http1.Response, error) {
+	pool := c.pools[scheduler]
+	conn, err := pool.get()
+	if err != nil {
+		return nil, err
 	}
-	m, err := fakes.SubmitOn(to.conn, to.reader, s, rec)
-	if err != nil || m.Close {
-		to.conn.Close()
+	answer, err := fakes.SubmitOn(conn.conn, conn.reader, s, record)
+	if err != nil || answer.Close {
+		conn.conn.Close()
 	} else {
-		to.release(c.idle[k])
+		pool.put(conn)
 	}
-	return m, err
+	return answer, err
 }
 
-// submitAtRate hands jobs in at a rate over all schedulers in turn, until the context ends, and waits for
-// their ends.
+// submitAtRate submits jobs at a rate to all schedulers in turn until the context ends, and waits for the
+// jobs to end.
 func (c *clients) submitAtRate(ctx context.Context, rate float64, seed uint64) {
+	if rate <= 0 {
+		return
+	}
 	var open sync.WaitGroup
 	defer open.Wait()
 	tick := time.NewTicker(paceInterval)
 	defer tick.Stop()
-	began, handed := time.Now(), 0
-	for rate > 0 {
+	startedAt, submitted := time.Now(), 0
+	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		for due := int(time.Since(began).Seconds() * rate); handed < due; handed++ {
-			k := handed % len(c.addrs)
-			if c.open[k].Add(1) > maxOpen {
-				c.open[k].Add(-1)
+		for target := int(time.Since(startedAt).Seconds() * rate); submitted < target; submitted++ {
+			scheduler := submitted % len(c.pools)
+			if c.open[scheduler].Add(1) > maxOpen {
+				c.open[scheduler].Add(-1)
 				c.skipped.Add(1)
 				continue
 			}
-			run := shortRun + shortRun*time.Duration((uint64(handed)*2654435761+seed)%4)
+			// Multiplicative hashing spreads the four run times over consecutive jobs.
+			factor := 1 + (uint64(submitted)*2654435761+seed)%4
 			open.Go(func() {
-				defer c.open[k].Add(-1)
-				c.submit(k, "rate", run)
+				defer c.open[scheduler].Add(-1)
+				c.submit(scheduler, purposeLoad, shortRun*time.Duration(factor))
 			})
 		}
 	}
 }
 
-// saturate keeps so many clients busy with jobs of no length at one scheduler until the context ends.
-func (c *clients) saturate(ctx context.Context, k, n int) {
+// saturate keeps n clients busy with jobs of no run time at one scheduler until the context ends.
+func (c *clients) saturate(ctx context.Context, scheduler, n int) {
 	var all sync.WaitGroup
 	for range n {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				if !c.submit(k, jobPathPurpose, 0) {
-					sleep(ctx, 10*time.Millisecond)
+				if !c.submit(scheduler, purposeJobPath, 0) {
+					sleep(ctx, retryDelay)
 				}
 			}
 		})
@@ -154,18 +154,18 @@
 	all.Wait()
 }
 
-// isReady tells whether a scheduler says that it is ready.
+// isReady reports whether a scheduler's health endpoint says that it is ready.
 func isReady(addr string) bool {
-	conn, err := net.DialTimeout("tcp", addr, time.Second)
+	conn, err := net.DialTimeout("tcp", addr, healthTimeout)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(time.Second))
+	conn.SetDeadline(time.Now().Add(healthTimeout))
 	if _, err := conn.Write(http1.AppendRequest(nil, "GET", "/_health",
 		[]http1.Field{{Name: "Host", Value: addr}}, nil)); err != nil {
 		return false
 	}
-	m, err := http1.NewReader(conn).Response()
-	return err == nil && m.Status == 200
+	answer, err := http1.NewReader(conn).Response()
+	return err == nil && answer.Status == http.StatusOK
 }
--- a/internal/simfleet/discovery.go
+++ b/internal/simfleet/discovery.go
@@ -1,39 +1,40 @@
 package simfleet
 
 import (
-	"encoding/json"
-	"fmt"
 	"net"
+	"net/http"
 	"net/url"
 	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"dahliaford/internal/endpoints"
 	"dahliaford/internal/fakes"
 	"dahliaford/internal/http1"
 )
 
+// maxChanges is how many changes are kept for watches that start at an earlier revision, and how many may
+// wait for a watch that does not read.
+const maxChanges = 8192
+
+// grouping is how discovery sends several changed entries.
+type grouping string
+
 const (
-	heartbeatInterval = 2 * time.Second // between two blank lines of a watch on which nothing changes
-	// maxChanges is how many changes are kept for those who ask from a version on, and the most that
-	// may wait for a watch that does not read.
-	maxChanges = 8192
+	linePerEntry grouping = "a line each"
+	singleLine   grouping = "in one line"
 )
 
-// discovery shows all entries to all schedulers. Each scheduler has an address of its own for it,
-// which all are this one. It writes each change as a line, as soon as the watch takes it.
+// discovery shows all entries to all schedulers. Each scheduler has an address of its own for it, which
+// are all this one. It writes each change as a line, as soon as the watch takes it.
 type discovery struct {
-	port     int
-	mu       sync.Mutex
-	server   *fakes.Server // nil while it is down
-	revision int64
-	// first is the version after which changes are known; a restart forgets them.
-	first     int64
-	changes   [][]byte // the words from first+1 on, as chunks
-	endpoints []fakes.Endpoint
-	watches   map[*watcher]bool
-	closed    chan struct{} // closed when it goes down
+	mu      sync.Mutex
+	port    int
+	server  *fakes.Server // nil while it is down
+	table   *endpoints.Table
+	watches map[*watcher]bool
+	closed  chan struct{} // closed when it goes down
 
 	traffic                  []traffic // by scheduler
 	fullLists, watchesOpened atomic.Int64
@@ -41,38 +42,24 @@
 
 // watcher is one open watch.
 type watcher struct {
-	sent  int64         // the version up to which it has been told
-	ready chan struct{} // holds one when there is more to tell
-}
-
-type update struct {
-	Rev       int64            `json:"rev"`
-	All       bool             `json:"all"`
-	Endpoints []fakes.Endpoint `json:"targets"`
+	sent  int64         // the revision up to which it has been sent the changes
+	ready chan struct{} // holds one when there is more to send
 }
 
-func (w update) chunk() []byte {
-	raw, err := json.Marshal(w)
-	if err != nil {
-		panic(err) // plain strings and numbers
-	}
-	return fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(raw)+1, raw)
-}
-
-func newDiscovery(schedulers int, lines []fakes.Endpoint) (*discovery, error) {
-	d := &discovery{revision: 1, first: 1, endpoints: lines, traffic: make([]traffic, schedulers)}
+func newDiscovery(schedulers int, entries []endpoints.Endpoint) (*discovery, error) {
+	d := &discovery{table: endpoints.NewTable(maxChanges, entries...), traffic: make([]traffic, schedulers)}
 	return d, d.open()
 }
 
-// open begins to listen: at the port that it had, if it had one.
+// open begins to listen: on the port that it had, if it had one.
 func (d *discovery) open() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	l, err := listenLoopback(d.port)
 	if err != nil {
 		return err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.port = portOf(l)
+	d.port = portOf(l.Addr())
 	d.watches, d.closed = map[*watcher]bool{}, make(chan struct{})
 	d.server = fakes.Serve(l, d.serve)
 	return nil
@@ -81,161 +68,162 @@
 // close goes down: connections are reset, and new ones refused.
 func (d *discovery) close() {
 	d.mu.Lock()
-	http := d.server
-	if d.server = nil; http != nil {
+	server := d.server
+	d.server = nil
+	if server != nil {
 		close(d.closed)
 	}
 	d.mu.Unlock()
-	if http != nil {
-		http.Close()
+	if server != nil {
+		server.Close()
 	}
 }
 
-// dropHistory drops which entries have changed, so that whoever is behind needs the whole list.
+// dropHistory forgets which entries have changed, so that whoever is behind needs the full list.
 func (d *discovery) dropHistory() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.first, d.changes = d.revision, nil
+	d.table.Forget()
 }
 
-// addr is where the i-th scheduler finds it.
-func (d *discovery) addr(i int) string { return workerAddress(i, d.port) }
+// addr is where a scheduler finds discovery.
+func (d *discovery) addr(scheduler int) string { return loopbackAddress(scheduler, d.port) }
 
-// publish changes entries, in one word each or in one for all. Entries are known by their place.
-func (d *discovery) publish(places []int, change func(*fakes.Endpoint), one bool) (words int) {
+// publish changes the entries of workers and sends them to all watches. It returns the number of lines.
+func (d *discovery) publish(workers []int, change func(*endpoints.Endpoint), how grouping) (lines int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var w update
-	for i, place := range places {
-		change(&d.endpoints[place])
-		w.Endpoints = append(w.Endpoints, d.endpoints[place])
-		if one && i < len(places)-1 {
-			continue
+	changed := make([]endpoints.Endpoint, 0, len(workers))
+	for _, worker := range workers {
+		entry := d.table.At(worker)
+		change(&entry)
+		changed = append(changed, entry)
+	}
+	switch {
+	case len(changed) == 0:
+	case how == singleLine:
+		d.table.Publish(changed...)
+		lines = 1
+	default:
+		for _, entry := range changed {
+			d.table.Publish(entry)
 		}
-		d.revision++
-		w.Rev = d.revision
-		d.changes = append(d.changes, w.chunk())
-		w.Endpoints = nil
-		words++
-	}
-	if over := len(d.changes) - maxChanges; over > 0 {
-		d.changes, d.first = d.changes[over:], d.first+int64(over)
+		lines = len(changed)
 	}
 	for watch := range d.watches {
 		select {
 		case watch.ready <- struct{}{}:
-		default:
-		}
-	}
-	return words
-}
-
-// fullList is the list as a whole, without those that are gone. The caller holds mu.
-func (d *discovery) fullList() update {
-	w := update{Rev: d.revision, All: true, Endpoints: make([]fakes.Endpoint, 0, len(d.endpoints))}
-	for _, line := range d.endpoints {
-		if line.State != "gone" {
-			w.Endpoints = append(w.Endpoints, line)
+		default: // it has not taken the last signal yet
 		}
 	}
-	return w
+	return lines
 }
 
-// next has the words that a watch has not been told yet, nil if it is too far behind.
-func (d *discovery) next(w *watcher) [][]byte {
+// pending returns the changes that a watch has not been sent yet; ok is false if it is too far behind.
+func (d *discovery) pending(w *watcher) (chunks [][]byte, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if w.sent < d.first {
-		return nil
-	}
-	words := d.changes[w.sent-d.first:]
-	w.sent = d.revision
-	return append([][]byte{}, words...)
+	chunks, ok = d.table.ChunksSince(w.sent)
+	w.sent = d.table.Revision()
+	return chunks, ok
 }
 
+// serve answers the one request of a connection.
 func (d *discovery) serve(plain net.Conn) {
-	who := addressIndex(plain)
-	if who < 0 || who >= len(d.traffic) {
+	scheduler := addressIndex(plain)
+	if scheduler < 0 || scheduler >= len(d.traffic) {
 		return
 	}
-	conn := countedConn{plain, &d.traffic[who]}
+	conn := countedConn{plain, &d.traffic[scheduler]}
 	m, err := http1.NewReader(conn).Request()
 	if err != nil {
 		return
 	}
 	target, err := url.Parse(m.Target)
 	if err != nil || target.Path != "/catalog/members" {
-		conn.Write(http1.AppendResponse(nil, 404, nil, nil))
+		// The connection ends either way.
+		_, _ = conn.Write(http1.AppendResponse(nil, http.StatusNotFound, nil, nil))
 		return
 	}
 	if target.Query().Get("watch") != "1" {
-		d.mu.Lock()
-		raw, err := json.Marshal(d.fullList())
-		d.mu.Unlock()
-		if err == nil {
-			d.fullLists.Add(1)
-			conn.Write(http1.AppendResponse(nil, 200, nil, raw))
-		}
+		d.sendFullList(conn)
 		return
 	}
 	from, err := strconv.ParseInt(target.Query().Get("from"), 10, 64)
 	if err != nil {
-		from = 0
+		from = 0 // a revision that is never known
 	}
 	d.watch(conn, from)
 }
 
-// watch opens a watch from a version on, and keeps it open.
-func (d *discovery) watch(conn net.Conn, from int64) {
-	d.watchesOpened.Add(1)
-	w := &watcher{ready: make(chan struct{}, 1)}
+func (d *discovery) sendFullList(conn net.Conn) {
 	d.mu.Lock()
-	over := d.closed
-	var first []byte
-	if from >= d.first && from <= d.revision {
-		w.sent = from
-		if from == d.revision { // the first object says what there is, even if that is nothing new
-			first = update{Rev: d.revision, Endpoints: []fakes.Endpoint{}}.chunk()
-		}
-	} else {
-		w.sent = d.revision
-		first = d.fullList().chunk()
-		d.fullLists.Add(1)
-	}
-	d.watches[w] = true
+	body := d.table.Full().JSON()
 	d.mu.Unlock()
-	defer func() {
-		d.mu.Lock()
-		delete(d.watches, w)
-		d.mu.Unlock()
-	}()
+	d.fullLists.Add(1)
+	// The connection ends either way.
+	_, _ = conn.Write(http1.AppendResponse(nil, http.StatusOK, nil, body))
+}
+
+// watch serves a watch from a revision on, until discovery goes down, the connection fails or the watch
+// has not read for too long.
+func (d *discovery) watch(conn net.Conn, from int64) {
+	d.watchesOpened.Add(1)
+	w, first, closed := d.addWatch(from)
+	defer d.removeWatch(w)
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	if _, err := conn.Write(append([]byte(head), first...)); err != nil {
 		return
 	}
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(endpoints.HeartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		words := d.next(w)
-		if words == nil {
+		chunks, ok := d.pending(w)
+		if !ok {
 			return // it has not read for too long
 		}
-		for _, chunk := range words {
+		for _, chunk := range chunks {
 			if _, err := conn.Write(chunk); err != nil {
 				return
 			}
 		}
-		if len(words) > 0 {
-			beat.Reset(heartbeatInterval)
+		if len(chunks) > 0 {
+			heartbeat.Reset(endpoints.HeartbeatInterval)
 		}
 		select {
-		case <-over:
+		case <-closed:
 			return
 		case <-w.ready:
-		case <-beat.C:
-			if _, err := conn.Write([]byte("1\r\n\n\r\n")); err != nil {
+		case <-heartbeat.C:
+			if _, err := conn.Write(endpoints.Message{}.Chunk()); err != nil {
 				return
 			}
 		}
 	}
 }
+
+// addWatch registers a watch. first is what it is sent before any change: the full list, unless the
+// revision is known; closed is closed when discovery goes down.
+func (d *discovery) addWatch(from int64) (w *watcher, first []byte, closed <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	w = &watcher{sent: d.table.Revision(), ready: make(chan struct{}, 1)}
+	switch {
+	case !d.table.Knows(from):
+		first = d.table.Full().Chunk()
+		d.fullLists.Add(1)
+	case from == d.table.Revision():
+		// The first message says what there is, even if that is nothing new.
+		first = endpoints.Message{Revision: from}.Chunk()
+	default:
+		w.sent = from
+	}
+	d.watches[w] = true
+	return w, first, d.closed
+}
+
+func (d *discovery) removeWatch(w *watcher) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.watches, w)
+}
--- /dev/null
+++ b/internal/simfleet/finish.go
@@ -0,0 +1,105 @@
+package simfleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strconv"
+	"sync"
+	"time"
+
+	"dahliaford/internal/history"
+)
+
+const (
+	// cancellationGrace is for the cancellations that are under way when all clients have their answers.
+	cancellationGrace = time.Second
+	stopTimeout       = 10 * time.Second
+
+	// The rules that the schedulers' settings promise, as package testcluster writes them.
+	dedupWindow = 10 * time.Second
+	drainGrace  = 550 * time.Millisecond // 500 ms, and what a machine needs to act on them
+	maxAttempts = 4
+	orphanLimit = 3 * time.Second // how long a job may run on that its scheduler has given up
+	// slack is what a busy machine may add to the times of the rules.
+	slack = 1500 * time.Millisecond
+)
+
+// finish waits for what is still under way, reads the counters a last time, stops the schedulers and checks
+// the rules.
+func (r *run) finish(ctx context.Context) error {
+	if !sleep(ctx, cancellationGrace) {
+		return ctx.Err()
+	}
+	if err := r.reportTotals(); err != nil {
+		return err
+	}
+	err := errors.Join(r.stopSchedulers(), r.checkRules())
+	if len(r.report.Violations) > 0 || err != nil {
+		for i, p := range r.processes {
+			for _, line := range p.Log() {
+				r.logf("scheduler %d: %s", i, line)
+			}
+		}
+	}
+	r.processes = nil
+	return err
+}
+
+// reportTotals fills in the figures of the whole run.
+func (r *run) reportTotals() error {
+	var cpu, ticks, memory []float64
+	for _, p := range r.processes {
+		cpuTime, err := p.CPUTime()
+		if err != nil {
+			return err
+		}
+		cpuTicks, err := p.CPUTicks()
+		if err != nil {
+			return err
+		}
+		use, err := p.Usage()
+		if err != nil {
+			return err
+		}
+		cpu, ticks = append(cpu, cpuTime.Seconds()), append(ticks, cpuTicks.Seconds())
+		memory = append(memory, use.PeakMemoryMB)
+	}
+	report := &r.report
+	report.CPUSeconds, report.CPUTickSeconds = spread(cpu), spread(ticks)
+	report.PeakMemoryMB, report.HarnessMB = spread(memory), ownPeakMemoryMB()
+	c := r.clients
+	report.Jobs, report.Served = int(c.jobs.Load()), int(c.served.Load())
+	report.Refused, report.Failed = int(c.refused.Load()), int(c.failed.Load())
+	report.Skipped, report.Errors = int(c.skipped.Load()), c.errors
+	return nil
+}
+
+func (r *run) stopSchedulers() error {
+	var all sync.WaitGroup
+	errs := make([]error, len(r.processes))
+	for i, p := range r.processes {
+		all.Go(func() { errs[i] = p.Stop(time.Now().Add(stopTimeout)) })
+	}
+	all.Wait()
+	return errors.Join(errs...)
+}
+
+// checkRules checks what clients and workers saw.
+func (r *run) checkRules() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	rules := history.Rules{RackOf: map[string]string{}, Window: dedupWindow, DrainGrace: drainGrace,
+		MaxAttempts: maxAttempts, Slack: slack, OrphanLimit: orphanLimit}
+	for i, uid := range r.workers.uids {
+		rules.RackOf[uid] = strconv.Itoa(i / workersPerCell)
+	}
+	r.report.CheckedEvents = len(r.history)
+	for _, f := range history.Check(rules, r.history) {
+		r.report.Violations = append(r.report.Violations, f.String())
+	}
+	if len(r.history) == maxHistory {
+		return fmt.Errorf("over %d events: the rest was not checked", maxHistory)
+	}
+	return nil
+}
--- a/internal/simfleet/loopback.go
+++ b/internal/simfleet/loopback.go
@@ -5,73 +5,57 @@
 	"fmt"
 	"net"
 	"strconv"
-	"sync/atomic"
 	"syscall"
 
 	"golang.org/x/sys/unix"
 )
 
-// All workers share one listener, and so do all of discovery's addresses: it takes whatever comes
-// to its port over the loopback device, and the address that was called says who was meant. So
-// thousands of workers have addresses of their own and cost one descriptor, and nothing can come
-// from outside of the machine.
+// All workers share one listener, and so do all addresses of discovery: the listener takes whatever
+// comes to its port over the loopback device, and the address that was dialled says which worker was
+// meant. So thousands of workers have addresses of their own and cost one descriptor, and nothing can
+// connect from outside of the machine.
 
-// mostAddresses is how many addresses a listener tells apart.
-const mostAddresses = 1 << 22
+// firstSubnet and lastSubnet bound the second byte of the addresses, 127.64.0.0 to 127.127.255.255,
+// which are 2^22.
+const (
+	firstSubnet = 64
+	lastSubnet  = 127
+)
 
 // listenLoopback opens such a listener; port 0 is any that is free.
 func listenLoopback(port int) (net.Listener, error) {
-	loopback := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		var bound error
-		if err := c.Control(func(fd uintptr) { bound = unix.BindToDevice(int(fd), "lo") }); err != nil {
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+		var bindErr error
+		err := c.Control(func(fd uintptr) { bindErr = unix.BindToDevice(int(fd), "lo") })
+		if err != nil {
 			return err
 		}
-		return bound
+		return bindErr
 	}}
-	l, err := loopback.Listen(context.Background(), "tcp4", ":"+strconv.Itoa(port))
+	l, err := config.Listen(context.Background(), "tcp4", ":"+strconv.Itoa(port))
 	if err != nil {
 		return nil, fmt.Errorf("no listener on the loopback device: %w", err)
 	}
 	return l, nil
 }
 
-func portOf(l net.Listener) int { return l.Addr().(*net.TCPAddr).Port }
+func portOf(addr net.Addr) int { return addr.(*net.TCPAddr).Port }
 
-// workerAddress is the i-th address of a port: 127.64.0.0 and what follows, as far as 127.127.255.255.
-func workerAddress(i, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", 64+i>>16, i>>8&255, i&255, port)
+// loopbackAddress is the address with an index, from 0 to 2^22-1, on a port.
+func loopbackAddress(index, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", firstSubnet+index>>16, index>>8&255, index&255, port)
 }
 
-// addressIndex is the inverse of address, for the near end of a connection; -1: it is none of ours.
+// addressIndex is the inverse of loopbackAddress, for the address that a connection was accepted on. It
+// is -1 for any other address.
 func addressIndex(conn net.Conn) int {
-	a, ok := conn.LocalAddr().(*net.TCPAddr)
+	addr, ok := conn.LocalAddr().(*net.TCPAddr)
 	if !ok {
 		return -1
 	}
-	ip := a.IP.To4()
-	if ip == nil || ip[0] != 127 || ip[1] < 64 || ip[1] > 127 {
+	ip := addr.IP.To4()
+	if ip == nil || ip[0] != 127 || ip[1] < firstSubnet || ip[1] > lastSubnet {
 		return -1
 	}
-	return int(ip[1]-64)<<16 | int(ip[2])<<8 | int(ip[3])
-}
-
-// traffic counts bytes: in to the schedulers, and out of them.
-type traffic struct{ in, out atomic.Int64 }
-
-// countedConn is the far end of a scheduler's connection.
-type countedConn struct {
-	net.Conn
-	*traffic
-}
-
-func (c countedConn) Read(b []byte) (n int, err error) {
-	n, err = c.Conn.Read(b)
-	c.out.Add(int64(n))
-	return n, err
-}
-
-func (c countedConn) Write(b []byte) (n int, err error) {
-	n, err = c.Conn.Write(b)
-	c.in.Add(int64(n))
-	return n, err
+	return int(ip[1]-firstSubnet)<<16 | int(ip[2])<<8 | int(ip[3])
 }
--- a/internal/simfleet/workers.go
+++ b/internal/simfleet/workers.go
@@ -1,114 +1,116 @@
 package simfleet
 
 import (
-	"encoding/json"
 	"fmt"
 	"net"
-	"strconv"
+	"net/http"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"dahliaford/internal/endpoints"
 	"dahliaford/internal/fakes"
 	"dahliaford/internal/history"
 	"dahliaford/internal/http1"
 )
 
 const (
-	maxCallbackAttempts  = 10
-	callbackTimeout      = 2 * time.Second
-	maxIdleCallbackConns = 64 // connections to a scheduler that are kept for the next callback
+	workerKind     = "m1" // the one kind in the settings that package testcluster writes
+	workersPerCell = 8
 )
 
-// workers are all hollow workers. A job says in its body how long it runs, and in its id which
-// scheduler has it.
+// workers are all simulated workers, known by their index. A job's body says how long it runs, and its id
+// which scheduler sent it.
 type workers struct {
 	server  *fakes.Server
+	port    int // of all addresses
 	uids    []string
-	down    []atomic.Bool // by place: its machine is off
+	down    []atomic.Bool // by worker: its machine is off
 	record  fakes.Recorder
 	traffic *traffic
 
 	mu        sync.Mutex
-	jobs      map[string]*job
-	addrs     []string // of the schedulers
-	idle      []chan *pooledConn
-	callbacks sync.WaitGroup
+	jobs      map[string]*job // running, by id
+	callbacks []*connPool     // by scheduler; nil until it has started
+	running   sync.WaitGroup
 	closed    chan struct{}
 }
 
-// job is a job that a worker holds.
+// job is a job that a worker runs.
 type job struct {
 	id        string
-	place     int
-	cancelled chan struct{} // closed when it is withdrawn or lost
+	worker    int
+	scheduler int
+	runTime   time.Duration
+	cancelled chan struct{} // closed when it is cancelled or its worker's machine goes off
 }
 
-func newWorkers(n, schedulers int, rec fakes.Recorder, t *traffic) (*workers, error) {
-	w := &workers{uids: make([]string, n), down: make([]atomic.Bool, n), record: rec, traffic: t,
-		jobs: map[string]*job{}, addrs: make([]string, schedulers), idle: make([]chan *pooledConn, schedulers),
-		closed: make(chan struct{})}
+func newWorkers(n, schedulers int, record fakes.Recorder, t *traffic) (*workers, error) {
+	w := &workers{uids: make([]string, n), down: make([]atomic.Bool, n), record: record, traffic: t,
+		jobs: map[string]*job{}, callbacks: make([]*connPool, schedulers), closed: make(chan struct{})}
 	for i := range w.uids {
 		w.uids[i] = fmt.Sprintf("s-%08x", i+1)
 	}
-	for i := range w.idle {
-		w.idle[i] = make(chan *pooledConn, maxIdleCallbackConns)
-	}
 	l, err := listenLoopback(0)
 	if err != nil {
 		return nil, err
 	}
+	w.port = portOf(l.Addr())
 	w.server = fakes.Serve(l, w.serve)
 	return w, nil
 }
 
-// endpoints are the workers as discovery lists them: ready, in equal parts of the zones, eight to a
-// group.
-func (w *workers) endpoints(zones []string) []fakes.Endpoint {
-	_, port, _ := net.SplitHostPort(w.server.Addr())
-	at, _ := strconv.Atoi(port)
-	lines := make([]fakes.Endpoint, len(w.uids))
-	for i := range lines {
-		zone := i * len(zones) / len(lines)
-		lines[i] = fakes.Endpoint{UID: w.uids[i], Addr: workerAddress(i, at), Zone: zones[zone], Kind: "m1",
-			Cell: i / 8, State: "ready"}
+// endpoints are the workers as discovery lists them: ready, in equal parts of the zones, eight to a cell.
+func (w *workers) endpoints(zones []string) []endpoints.Endpoint {
+	entries := make([]endpoints.Endpoint, len(w.uids))
+	for i := range entries {
+		entries[i] = endpoints.Endpoint{UID: w.uids[i], Addr: loopbackAddress(i, w.port),
+			Zone: zones[i*len(zones)/len(entries)], Kind: workerKind, Cell: i / workersPerCell,
+			State: endpoints.Ready}
 	}
-	return lines
+	return entries
+}
+
+// setScheduler says where the callbacks of a scheduler's jobs go.
+func (w *workers) setScheduler(scheduler int, addr string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.callbacks[scheduler] = newConnPool(addr, maxIdleCallbackConns, w.traffic)
 }
 
 func (w *workers) close() {
 	close(w.closed)
 	w.server.Close()
-	w.callbacks.Wait()
-	for _, idle := range w.idle {
-		for len(idle) > 0 {
-			(<-idle).conn.Close()
+	w.running.Wait()
+	for _, pool := range w.callbacks {
+		if pool != nil {
+			pool.close()
 		}
 	}
 }
 
-// powerOff turns machines off: their jobs are lost, and nobody tells of them.
-func (w *workers) powerOff(places []int) {
+// powerOff turns the machines of workers off: their jobs are lost, and no callback says so.
+func (w *workers) powerOff(which []int) {
 	off := map[int]bool{}
-	for _, place := range places {
-		w.down[place].Store(true)
-		off[place] = true
+	for _, worker := range which {
+		w.down[worker].Store(true)
+		off[worker] = true
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, j := range w.jobs {
-		if off[j.place] {
+		if off[j.worker] {
 			delete(w.jobs, id)
 			close(j.cancelled)
-			w.recordEvent(history.Event{Kind: history.WorkerDied, ID: id, Actor: w.uids[j.place]})
+			w.recordEvent(history.Event{Kind: history.WorkerDied, ID: id, Actor: w.uids[j.worker]})
 		}
 	}
 }
 
-func (w *workers) powerOn(places []int) {
-	for _, place := range places {
-		w.down[place].Store(false)
+func (w *workers) powerOn(which []int) {
+	for _, worker := range which {
+		w.down[worker].Store(false)
 	}
 }
 
@@ -119,64 +121,75 @@
 	}
 }
 
+// serve takes the requests of one connection, until it ends or the worker's machine is off.
 func (w *workers) serve(plain net.Conn) {
-	place := addressIndex(plain)
-	if place < 0 || place >= len(w.uids) || w.down[place].Load() {
+	worker := addressIndex(plain)
+	if worker < 0 || worker >= len(w.uids) || w.down[worker].Load() {
 		fakes.ResetConn(plain)
 		return
 	}
 	conn := countedConn{plain, w.traffic}
-	read := http1.NewReader(conn)
+	reader := http1.NewReader(conn)
 	for {
-		m, err := read.Request()
+		m, err := reader.Request()
 		if err != nil {
 			return
 		}
-		if w.down[place].Load() {
+		if w.down[worker].Load() {
 			fakes.ResetConn(plain)
 			return
 		}
-		if id, is := strings.CutPrefix(m.Target, "/jobs/"); is && m.Method == "DELETE" {
-			status := w.cancel(id, place)
-			if _, err := conn.Write(http1.AppendResponse(nil, status, nil, nil)); err != nil {
-				return
-			}
-			continue
+		if id, ok := strings.CutPrefix(m.Target, "/jobs/"); ok && m.Method == "DELETE" {
+			_, err = conn.Write(http1.AppendResponse(nil, w.cancel(id, worker), nil, nil))
+		} else {
+			err = w.accept(conn, worker, m)
 		}
-		j := &job{id: m.Header.Get("X-Txn"), place: place, cancelled: make(chan struct{})}
-		_, run, known := parseJob(j.id, m.Body, len(w.addrs))
-		if !known {
-			conn.Write(http1.AppendResponse(nil, 400, nil, nil))
+		if err != nil {
 			return
 		}
-		w.recordEvent(history.Event{Kind: history.Arrived, ID: j.id, Actor: w.uids[place]})
-		w.mu.Lock()
-		w.jobs[j.id] = j
-		w.mu.Unlock()
-		if _, err := conn.Write(http1.AppendResponse(nil, 202, nil, nil)); err != nil {
-			if w.finish(j, history.Event{Kind: history.Closed, ID: j.id, Actor: w.uids[place]}) {
-				close(j.cancelled)
-			}
-			return
+	}
+}
+
+// accept answers a job and runs it. After an error the connection is of no use.
+func (w *workers) accept(conn net.Conn, worker int, m *http1.Request) error {
+	id := m.Header.Get("X-Txn")
+	scheduler, runTime, ok := parseJob(id, m.Body, len(w.callbacks))
+	if !ok {
+		// The connection ends either way.
+		_, _ = conn.Write(http1.AppendResponse(nil, http.StatusBadRequest, nil, nil))
+		return fmt.Errorf("job %q is not one of this run", id)
+	}
+	j := &job{id: id, worker: worker, scheduler: scheduler, runTime: runTime, cancelled: make(chan struct{})}
+	w.recordEvent(history.Event{Kind: history.Arrived, ID: id, Actor: w.uids[worker]})
+	w.mu.Lock()
+	w.jobs[id] = j
+	w.mu.Unlock()
+	if _, err := conn.Write(http1.AppendResponse(nil, http.StatusAccepted, nil, nil)); err != nil {
+		if w.finish(j, history.Event{Kind: history.Closed, ID: id, Actor: w.uids[worker]}) {
+			close(j.cancelled)
 		}
-		w.callbacks.Go(func() { w.runJob(j, run) })
+		return err
 	}
+	w.running.Go(func() { w.runJob(j) })
+	return nil
 }
 
-func (w *workers) cancel(id string, place int) (status int) {
-	status = 404
+// cancel cancels a job of a worker and returns the status of the answer.
+func (w *workers) cancel(id string, worker int) (status int) {
+	status = http.StatusNotFound
 	w.mu.Lock()
-	if j := w.jobs[id]; j != nil && j.place == place {
+	if j := w.jobs[id]; j != nil && j.worker == worker {
 		delete(w.jobs, id)
 		close(j.cancelled)
-		status = 200
+		status = http.StatusOK
 	}
 	w.mu.Unlock()
-	w.recordEvent(history.Event{Kind: history.CancelReceived, ID: id, Actor: w.uids[place], Status: status})
+	w.recordEvent(history.Event{Kind: history.CancelReceived, ID: id, Actor: w.uids[worker], Status: status})
 	return status
 }
 
-// finish takes a job off its worker, unless it has been withdrawn or lost.
+// finish takes a job off its worker and records why. It reports false if the job was cancelled or lost
+// before.
 func (w *workers) finish(j *job, e history.Event) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -188,12 +201,14 @@
 	return true
 }
 
-func (w *workers) runJob(j *job, span time.Duration) {
-	w.recordEvent(history.Event{Kind: history.Started, ID: j.id, Actor: w.uids[j.place]})
-	w.callback(j, "started", "")
-	if span > 0 {
+// runJob runs a job for its run time, with a callback before and one after.
+func (w *workers) runJob(j *job) {
+	uid := w.uids[j.worker]
+	w.recordEvent(history.Event{Kind: history.Started, ID: j.id, Actor: uid})
+	w.callback(j, callbackStarted, "")
+	if j.runTime > 0 {
 		select {
-		case <-time.After(span):
+		case <-time.After(j.runTime):
 		case <-j.cancelled:
 			return
 		case <-w.closed:
@@ -201,113 +216,7 @@
 		}
 	}
 	result := "did " + j.id
-	if w.finish(j, history.Event{Kind: history.Ended, ID: j.id, Actor: w.uids[j.place], MayHaveRun: true,
-		Result: result}) {
-		w.callback(j, "done", result)
-	}
-}
-
-// callback calls the scheduler back until it has an answer, ten times at most.
-func (w *workers) callback(j *job, state, result string) {
-	news := map[string]string{"id": j.id, "from": w.uids[j.place], "state": state}
-	if result != "" {
-		news["result"] = result
-	}
-	body, err := json.Marshal(news)
-	if err != nil {
-		return
-	}
-	k, _, _ := parseJob(j.id, nil, len(w.addrs))
-	w.mu.Lock()
-	addr := w.addrs[k]
-	w.mu.Unlock()
-	for range maxCallbackAttempts {
-		if w.post(k, addr, body) {
-			return
-		}
-		select {
-		case <-time.After(20 * time.Millisecond):
-		case <-w.closed:
-			return
-		}
-	}
-}
-
-// post makes one callback on a connection that idles, or a new one.
-func (w *workers) post(k int, addr string, body []byte) bool {
-	var c *pooledConn
-	select {
-	case c = <-w.idle[k]:
-	default:
-		var err error
-		if c, err = dial(addr, w.traffic); err != nil {
-			return false
-		}
-	}
-	c.conn.SetDeadline(time.Now().Add(callbackTimeout))
-	_, err := c.conn.Write(http1.AppendRequest(nil, "POST", "/callback",
-		[]http1.Field{{Name: "Host", Value: addr}}, body))
-	if err == nil {
-		var m *http1.Response
-		if m, err = c.reader.Response(); err == nil {
-			if !m.Close {
-				c.release(w.idle[k])
-			} else {
-				c.conn.Close()
-			}
-			return m.Status == 200 || m.Status == 204
-		}
-	}
-	c.conn.Close()
-	return false
-}
-
-// pooledConn is a connection to a scheduler that is used again.
-type pooledConn struct {
-	conn   net.Conn
-	reader *http1.Reader
-}
-
-func dial(addr string, t *traffic) (*pooledConn, error) {
-	conn, err := net.DialTimeout("tcp", addr, callbackTimeout)
-	if err != nil {
-		return nil, err
-	}
-	c := countedConn{conn, t}
-	return &pooledConn{c, http1.NewReader(c)}, nil
-}
-
-// release keeps a connection for the next one, or closes it if enough are kept.
-func (c *pooledConn) release(idle chan *pooledConn) {
-	select {
-	case idle <- c:
-	default:
-		c.conn.Close()
-	}
-}
-
-// A job's id is the scheduler's number, what it is handed in for, and a number of its own.
-func jobID(scheduler int, what string, n int64) string {
-	return fmt.Sprintf("%d-%s-%x", scheduler, what, n)
-}
-
-// jobPathPurpose marks jobs that are timed and not checked.
-const jobPathPurpose = "path"
-
-// isRecorded tells whether a job's history is kept.
-func isRecorded(id string) bool { return !strings.Contains(id, "-"+jobPathPurpose+"-") }
-
-// parseJob reads a job's id, and from its body how long it runs.
-func parseJob(id string, body []byte, schedulers int) (k int, run time.Duration, known bool) {
-	first, _, found := strings.Cut(id, "-")
-	k, err := strconv.Atoi(first)
-	if !found || err != nil || k < 0 || k >= schedulers {
-		return 0, 0, false
-	}
-	if len(body) > 0 {
-		if run, err = time.ParseDuration(string(body)); err != nil || run < 0 || run > time.Minute {
-			return 0, 0, false
-		}
+	if w.finish(j, history.Event{Kind: history.Ended, ID: j.id, Actor: uid, MayHaveRun: true, Result: result}) {
+		w.callback(j, callbackDone, result)
 	}
-	return k, run, true
 }
--- a/internal/testcluster/deployment.go
+++ b/internal/testcluster/deployment.go
@@ -5,75 +5,89 @@
 	"sync/atomic"
 	"time"
 
+	"dahliaford/internal/endpoints"
 	"dahliaford/internal/fakes"
 )
 
-// deployment is one scheduler with its discovery and its workers, which call it back.
+const (
+	// nowhere is where callbacks go before the scheduler has started.
+	nowhere           = "127.0.0.1:1"
+	restartRetryDelay = 50 * time.Millisecond
+)
+
+// deployment is one scheduler with a discovery and workers of its own, which call it back.
 type deployment struct {
 	*Process
-	bin, folder, name string
-	workers           []*fakes.Worker
-	endpoints         []fakes.Endpoint // of the workers, ready
-	discovery         *fakes.Discovery
+	program, folder, name string
+	workers               []*fakes.Worker
+	endpoints             []endpoints.Endpoint // of the workers, ready
+	discovery             *fakes.Discovery
+}
+
+// deploymentOptions says how a deployment is started.
+type deploymentOptions struct {
+	program, folder, name string
+	// endpoints are the workers; of each, UID and Cell are given, and the rest is filled in.
+	endpoints []endpoints.Endpoint
+	script    func(worker int) scriptFor
+	recorder  fakes.Recorder
 }
 
-// startDeployment starts a site with a worker for each line: UID and Group are told, the rest is
-// filled in. plan gives what the k-th worker does.
-func startDeployment(bin, folder, name string, lines []fakes.Endpoint,
-	plan func(k int) func(fakes.Job) fakes.Script,
-	rec fakes.Recorder) (s *deployment, err error) {
-	s = &deployment{bin: bin, folder: folder, name: name}
+// startDeployment starts a deployment.
+func startDeployment(o deploymentOptions) (d *deployment, err error) {
+	d = &deployment{program: o.program, folder: o.folder, name: o.name}
 	defer func() {
 		if err != nil {
-			s.close()
+			d.close()
 		}
 	}()
 	var addr atomic.Value // of the scheduler, which starts after its workers
-	addr.Store("127.0.0.1:1")
-	for k, line := range lines {
-		r, err := fakes.NewWorker(line.UID, "127.0.0.1:0", func() string { return addr.Load().(string) },
-			plan(k), rec)
+	addr.Store(nowhere)
+	scheduler := func() string { return addr.Load().(string) }
+	for i, entry := range o.endpoints {
+		w, err := fakes.NewWorker(entry.UID, anyPort, scheduler, o.script(i), o.recorder)
 		if err != nil {
-			return s, err
+			return d, err
 		}
-		s.workers = append(s.workers, r)
-		line.Addr, line.Zone, line.Kind, line.State = r.Addr(), "north", "m1", "ready"
-		s.endpoints = append(s.endpoints, line)
+		d.workers = append(d.workers, w)
+		entry.Addr, entry.Zone, entry.Kind, entry.State = w.Addr(), defaultZone, kind, endpoints.Ready
+		d.endpoints = append(d.endpoints, entry)
 	}
-	if s.discovery, err = fakes.NewDiscovery("127.0.0.1:0", s.endpoints...); err != nil {
-		return s, err
+	if d.discovery, err = fakes.NewDiscovery(anyPort, d.endpoints...); err != nil {
+		return d, err
 	}
-	if s.Process, err = Start(bin, folder, name, s.discovery.Addr()); err != nil {
-		return s, err
+	if d.Process, err = Start(o.program, o.folder, o.name, d.discovery.Addr()); err != nil {
+		return d, err
 	}
-	addr.Store(s.Addr)
-	return s, nil
+	addr.Store(d.Addr)
+	return d, nil
 }
 
-// restart starts the scheduler anew, at the address that it had. That may be in use for a
-// moment, as the near end of somebody's connection.
-func (s *deployment) restart() error {
-	for end := time.Now().Add(startTimeout); ; time.Sleep(50 * time.Millisecond) {
-		p, err := startAt(s.bin, s.folder, s.name, s.Addr, s.discovery.Addr())
+// restart starts a scheduler that has exited, at the address that it had. That may be in use for a moment,
+// as the local end of somebody's connection.
+func (d *deployment) restart() error {
+	for deadline := time.Now().Add(startTimeout); ; time.Sleep(restartRetryDelay) {
+		p, err := startAt(d.program, d.folder, d.name, d.Addr, d.discovery.Addr())
 		if err == nil {
-			s.Process = p
+			d.Process = p
 			return nil
 		}
-		if !strings.Contains(err.Error(), "address already in use") || time.Now().After(end) {
+		// The reason stands in the scheduler's log only.
+		if !strings.Contains(err.Error(), "address already in use") || time.Now().After(deadline) {
 			return err
 		}
 	}
 }
 
-// close ends all of it, the scheduler first.
-func (s *deployment) close() {
-	if s.Process != nil {
-		s.Kill()
+// close stops all of it, the scheduler first.
+func (d *deployment) close() {
+	if d.Process != nil {
+		d.Kill()
 	}
-	for _, r := range s.workers {
-		r.Close()
+	for _, w := range d.workers {
+		w.Close()
 	}
-	if s.discovery != nil {
-		s.discovery.Close()
+	if d.discovery != nil {
+		d.discovery.Close()
 	}
 }
--- a/internal/testcluster/faultdrill_test.go
+++ b/internal/testcluster/faultdrill_test.go
@@ -2,40 +2,19 @@
 
 import (
 	"os"
-	"os/exec"
-	"path/filepath"
 	"testing"
 	"time"
 )
 
-// buildScheduler builds the scheduler once for the tests of this package.
-func buildScheduler(t testing.TB, args ...string) string {
-	t.Helper()
-	bin := filepath.Join(t.TempDir(), "dahliaford")
-	root, err := filepath.Abs("../..")
-	if err != nil {
-		t.Fatal(err)
-	}
-	build := exec.Command("go", append(append([]string{"build"}, args...), "-o", bin, "./cmd/dahliaford")...)
-	build.Dir = root
-	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
-	}
-	return bin
-}
-
-// The real program keeps the properties while its workers do wrong whatever they may.
+// The real program keeps the properties while its workers misbehave in every way that they may.
 func TestFaultDrillOfTheRealProgram(t *testing.T) {
 	o, err := RunFaultDrill(t.Context(), FaultDrill{Program: buildScheduler(t), Duration: 4 * time.Second,
-		Seed:  7,
-		Rate:  50,
-		Slack: 2 * time.Second}) // the machine may be busy with other tests
+		Seed: 7, Rate: 50, Slack: 2 * time.Second}) // the machine may be busy with other tests
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d jobs, %d served, %d refused, %d failed, %d left, %d attempts, %d events", o.Jobs, o.Served,
-		o.Refused,
-		o.Failed, o.Disconnected, o.Attempts, o.Events)
+	t.Logf("%d jobs, %d served, %d refused, %d failed, %d disconnected, %d attempts, %d events", o.Jobs,
+		o.Served, o.Refused, o.Failed, o.Disconnected, o.Attempts, o.Events)
 	for _, f := range o.Findings {
 		t.Error(f)
 	}
@@ -49,7 +28,7 @@
 	}
 }
 
-// A program that does not start says so.
+// A program that does not start is an error.
 func TestStartFails(t *testing.T) {
 	bin := buildScheduler(t)
 	if _, err := Start(bin, t.TempDir(), "n0", ""); err == nil {
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -9,69 +9,64 @@
 	"sync"
 	"time"
 
+	"dahliaford/internal/endpoints"
 	"dahliaford/internal/fakes"
 	"dahliaford/internal/history"
 )
 
-// Fleet is several schedulers over workers. Each scheduler has worker doors of its own, as
-// callbacks go to whoever sent the job.
+// Fleet is several schedulers, each with workers of its own, as callbacks go to whoever sent the job.
 type Fleet struct {
 	deployments []*deployment
+	prefix      string
 
 	mu           sync.Mutex
-	jobByID      map[string]job  // of each id that came to a worker
-	ran          map[string]bool // by id and worker: an attempt that may have run
-	postReadings map[string]int  // of post-readings, how often each may have run
-	rackByKey    map[string]string
+	jobByID      map[string]job    // of each id that came to a worker
+	ran          map[string]bool   // by id and worker: an attempt that may have run
+	postReadings map[string]int    // by name: how often it may have run
+	cellByKey    map[string]string // where the key first ran; "" once it is counted in crossCell
 	duplicates   int
-	crossRack    int
-	foreign      int // jobs that are not of this fleet's desks
-	prefix       string
+	crossCell    int
+	foreign      int // attempts at jobs that are not of this fleet's clients
 }
 
-// job is what a desk handed in, whatever ids its tries have.
+// job is what a client submitted, whatever ids its attempts have.
 type job struct {
 	name          string // the body of a post-reading, the key of another
 	isPostReading bool
 }
 
-// StartFleet starts n schedulers with so many workers each, every one a rack of its own.
-// With faults the workers do wrong whatever the protocol allows; without, they run jobs.
-func StartFleet(bin, folder string, n, each int, seed uint64, faults bool) (f *Fleet, err error) {
+// FleetOptions says how a fleet is started.
+type FleetOptions struct {
+	Program             string // path of the scheduler's program
+	Folder              string // for the configurations
+	Schedulers          int
+	WorkersPerScheduler int // each is a cell of its own
+	Seed                uint64
+	// Faults lets the workers misbehave in every way that the protocol allows; without, they run jobs.
+	Faults bool
+}
+
+// StartFleet starts a fleet.
+func StartFleet(o FleetOptions) (f *Fleet, err error) {
 	f = &Fleet{jobByID: map[string]job{}, ran: map[string]bool{}, postReadings: map[string]int{},
-		rackByKey: map[string]string{},
-		prefix:    strconv.FormatUint(rand.Uint64(), 36) + "/"}
+		cellByKey: map[string]string{}, prefix: strconv.FormatUint(rand.Uint64(), 36) + "/"}
 	defer func() {
 		if err != nil {
 			f.Close()
 		}
 	}()
-	for i := range n {
-		plan := func(k int) func(fakes.Job) fakes.Script {
-			does := healthyScript(seed, 100*i+k)
-			if faults {
-				does = faultyScript(seed, 100*i+k)
-			}
-			return func(j fakes.Job) fakes.Script {
-				of := job{name: j.Key}
-				if strings.HasPrefix(j.Target, "/post-reading/") {
-					of = job{string(j.Body), true}
-				}
-				f.mu.Lock()
-				f.jobByID[j.ID] = of
-				f.mu.Unlock()
-				return does(j)
-			}
-		}
-		var lines []fakes.Endpoint
-		for k := range each {
-			lines = append(lines, fakes.Endpoint{UID: fmt.Sprintf("s-%d-%d", i, k), Cell: k})
+	for i := range o.Schedulers {
+		var workers []endpoints.Endpoint
+		for k := range o.WorkersPerScheduler {
+			workers = append(workers, endpoints.Endpoint{UID: fmt.Sprintf("s-%d-%d", i, k), Cell: k})
 		}
-		s, err := startDeployment(bin, folder, fmt.Sprint("n", i), lines, plan, f.record)
+		d, err := startDeployment(deploymentOptions{program: o.Program, folder: o.Folder,
+			name: fmt.Sprint("n", i), endpoints: workers, recorder: f.record,
+			script: func(k int) scriptFor { return f.noteJobs(o.script(100*i + k)) }})
 		if err != nil {
 			return f, err
 		}
-		f.deployments = append(f.deployments, s)
+		f.deployments = append(f.deployments, d)
 	}
 	if len(f.deployments) == 0 {
 		return f, errors.New("a fleet without schedulers")
@@ -79,25 +74,31 @@
 	return f, nil
 }
 
-// healthyScript plans what a worker does that runs all jobs: a few hundredths of a second, and now
-// and then far longer.
-func healthyScript(seed uint64, worker int) func(fakes.Job) fakes.Script {
-	var mu sync.Mutex
-	random := rand.New(rand.NewPCG(seed, uint64(100+worker)))
-	return func(fakes.Job) fakes.Script {
-		mu.Lock()
-		defer mu.Unlock()
-		p := fakes.Script{RunTime: time.Duration(10+random.IntN(60)) * time.Millisecond}
-		if random.IntN(20) == 0 {
-			p.RunTime += time.Duration(200+random.IntN(400)) * time.Millisecond
+func (o *FleetOptions) script(worker int) scriptFor {
+	if o.Faults {
+		return faultyScript(o.Seed, worker)
+	}
+	return healthyScript(o.Seed, worker)
+}
+
+// noteJobs notes which job an id belongs to before the script runs it.
+func (f *Fleet) noteJobs(script scriptFor) scriptFor {
+	return func(j fakes.Job) fakes.Script {
+		of := job{name: j.Key}
+		if strings.HasPrefix(j.Target, "/"+postReading+"/") {
+			of = job{name: string(j.Body), isPostReading: true}
 		}
-		return p
+		f.mu.Lock()
+		f.jobByID[j.ID] = of
+		f.mu.Unlock()
+		return script(j)
 	}
 }
 
-// record counts what may have run. A worker is a rack of its own.
+// record counts what may have run. A worker is a cell of its own.
 func (f *Fleet) record(e history.Event) {
-	if e.Kind != history.Started && !(e.Kind == history.Ended && e.MayHaveRun) {
+	mayHaveRun := e.Kind == history.Started || e.Kind == history.Ended && e.MayHaveRun
+	if !mayHaveRun {
 		return
 	}
 	f.mu.Lock()
@@ -113,41 +114,42 @@
 		return
 	}
 	if of.isPostReading {
-		if f.postReadings[of.name]++; f.postReadings[of.name] == 2 {
+		f.postReadings[of.name]++
+		if f.postReadings[of.name] == 2 {
 			f.duplicates++
 		}
 		return
 	}
-	rack, known := f.rackByKey[of.name]
+	cell, known := f.cellByKey[of.name]
 	if !known {
-		f.rackByKey[of.name] = e.Actor
-	} else if rack != e.Actor && rack != "" {
-		f.crossRack++
-		f.rackByKey[of.name] = "" // counted
+		f.cellByKey[of.name] = e.Actor
+	} else if cell != e.Actor && cell != "" {
+		f.crossCell++
+		f.cellByKey[of.name] = ""
 	}
 }
 
-// JobPrefix begins the names of this fleet's jobs: the body of a post-reading, the key of another.
-// While a scheduler is away its port may be given to somebody else's, whose jobs must not be
-// taken for repeats of ours.
+// JobPrefix begins the names of this fleet's jobs: the body of a post-reading, the key of another. While a
+// scheduler is away its port may be taken by a foreign one, whose jobs must not be counted as duplicates of
+// this fleet's.
 func (f *Fleet) JobPrefix() string { return f.prefix }
 
-// RunCounts is what the workers of a fleet saw.
+// RunCounts counts what the workers of a fleet saw.
 type RunCounts struct {
-	Foreign    int // attempts at jobs without the fleet's mark: somebody else's came here
+	Foreign    int // attempts at jobs without the fleet's prefix
 	Total      int // attempts that may have run
 	Duplicates int // post-readings that may have run more than once
-	CrossRack  int // keys that may have run in more than one rack
+	CrossCell  int // keys that may have run in more than one cell
 }
 
-// RunCounts tells what its workers saw.
+// RunCounts returns the counts up to now.
 func (f *Fleet) RunCounts() RunCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return RunCounts{f.foreign, len(f.ran), f.duplicates, f.crossRack}
+	return RunCounts{Foreign: f.foreign, Total: len(f.ran), Duplicates: f.duplicates, CrossCell: f.crossCell}
 }
 
-// RunsOf tells how many attempts at a post-reading with this body may have run.
+// RunsOf is how many attempts at a post-reading with this body may have run.
 func (f *Fleet) RunsOf(body string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,24 +159,24 @@
 // Schedulers are the addresses of the schedulers.
 func (f *Fleet) Schedulers() []string {
 	var addrs []string
-	for _, s := range f.deployments {
-		addrs = append(addrs, s.Addr)
+	for _, d := range f.deployments {
+		addrs = append(addrs, d.Addr)
 	}
 	return addrs
 }
 
-// Kill ends a scheduler at once.
+// Kill kills the i-th scheduler.
 func (f *Fleet) Kill(i int) { f.deployments[i].Kill() }
 
-// Stop asks a scheduler to end in order, and waits for that until a deadline.
+// Stop asks the i-th scheduler to shut down in order, and waits for that until a deadline.
 func (f *Fleet) Stop(i int, deadline time.Time) error { return f.deployments[i].Stop(deadline) }
 
-// Restart starts a scheduler that has ended, at the address that it had.
+// Restart starts the i-th scheduler, which has exited, at the address that it had.
 func (f *Fleet) Restart(i int) error { return f.deployments[i].restart() }
 
-// Close ends all.
+// Close stops everything.
 func (f *Fleet) Close() {
-	for _, s := range f.deployments {
-		s.close()
+	for _, d := range f.deployments {
+		d.close()
 	}
 }
--- /dev/null
+++ b/internal/testcluster/idle_bench_test.go
@@ -0,0 +1,113 @@
+package testcluster
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"dahliaford/internal/endpoints"
+)
+
+// idleBench is the real program with a list of workers and no jobs.
+type idleBench struct {
+	*scriptedDiscovery
+	process *Process
+	workers []endpoints.Endpoint
+}
+
+// BenchmarkSlopeIdle is what the real program takes with a list of so many workers and no jobs: to start, for
+// a heartbeat, for an idle second, for a SIGHUP with a file that has them all, and for a line with one
+// change.
+func BenchmarkSlopeIdle(b *testing.B) {
+	bin := buildScheduler(b)
+	for _, n := range []int{200, 450, 800, 2400, 4800, 7200} {
+		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
+			workers, discovery, folder := benchEndpoints(n), newScriptedDiscovery(b), b.TempDir()
+			p, err := StartConfig(bin, folder, Config{Name: "n0", Listen: anyPort,
+				Discovery: discovery.Addr().String(), Schedulers: 300, MemoryMB: 64, MaxSockets: 512,
+				KnownEndpoints: workers})
+			if err != nil {
+				b.Fatal(err)
+			}
+			defer p.Kill()
+			discovery.accept(b, workers)
+			start := discovery.waitUntilIdle(b, p)
+			file, err := os.Stat(filepath.Join(folder, "n0.json"))
+			if err != nil {
+				b.Fatal(err)
+			}
+			bench := idleBench{discovery, p, workers}
+			idle, heartbeat := bench.idleAndHeartbeat(b)
+			change, reload := bench.change(b), bench.reload(b)
+			use, err := p.Usage()
+			if err != nil {
+				b.Fatal(err)
+			}
+			microseconds := func(d time.Duration) float64 { return d.Seconds() * 1e6 }
+			b.ReportMetric(0, "ns/op")
+			b.ReportMetric(microseconds(start), "cpu-us/start")
+			b.ReportMetric(microseconds(idle), "cpu-us/s-idle")
+			b.ReportMetric(microseconds(heartbeat), "cpu-us/beat")
+			b.ReportMetric(microseconds(change), "cpu-us/word")
+			b.ReportMetric(microseconds(reload), "cpu-us/reload")
+			b.ReportMetric(float64(file.Size()), "file-bytes")
+			b.ReportMetric(use.PeakMemoryMB, "MB")
+		})
+	}
+}
+
+// idleAndHeartbeat is the processor time of an idle second and of a heartbeat.
+func (i *idleBench) idleAndHeartbeat(b testing.TB) (idle, heartbeat time.Duration) {
+	b.Helper()
+	const heartbeats, seconds = 5000, 2
+	before := cpuTime(b, i.process)
+	time.Sleep(seconds * time.Second)
+	idle = cpuTime(b, i.process) - before
+	for range heartbeats {
+		if err := i.heartbeat(); err != nil {
+			b.Fatal(err)
+		}
+	}
+	heartbeat = i.waitUntilIdle(b, i.process) - before - idle
+	return idle / seconds, heartbeat / heartbeats
+}
+
+// change is the processor time of a line with one change.
+func (i *idleBench) change(b testing.TB) time.Duration {
+	b.Helper()
+	const changes = 100
+	before := cpuTime(b, i.process)
+	for n := range changes {
+		entry := i.workers[n/2*7919%len(i.workers)]
+		entry.State = []endpoints.State{endpoints.Draining, endpoints.Ready}[n%2]
+		i.sendChange(b, entry)
+		time.Sleep(2 * time.Millisecond) // so that each is taken for itself
+	}
+	return (i.waitUntilIdle(b, i.process) - before) / changes
+}
+
+// reload is the processor time of a SIGHUP.
+func (i *idleBench) reload(b testing.TB) time.Duration {
+	b.Helper()
+	const signals = 5
+	before := cpuTime(b, i.process)
+	for range signals {
+		if err := i.process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			b.Fatal(err)
+		}
+		time.Sleep(100 * time.Millisecond) // signals that come together count as one
+	}
+	took := i.waitUntilIdle(b, i.process) - before
+	reloads := 0
+	for _, line := range i.process.Log() {
+		reloads += strings.Count(line, "configuration taken")
+	}
+	if reloads == 0 {
+		b.Fatal("no configuration was taken")
+	}
+	return took / time.Duration(reloads)
+}
