--- a/client/execution.go
+++ b/client/execution.go
@@ -17,9 +17,11 @@
 	step      plan.Step     // what the plan wants next
 	available chan struct{} // Client.available as of that step
 
-	mayHaveRun bool // an attempt so far may have run
-	attempts   int  // that were submitted to a scheduler
-	last       attemptResult
+	// delivered: a complete request was written to a scheduler. A cancellation then ends as unknown, whatever
+	// the response was.
+	delivered bool
+	attempts  int // that were submitted to a scheduler
+	last      attemptResult
 }
 
 func (c *Client) newExecution(job *Job, class int, deadline time.Time) *execution {
@@ -70,7 +72,7 @@
 	e.last = c.attempt(ctx, e.job, e.step, e.deadline)
 	if e.last.submitted() {
 		e.attempts++
-		e.mayHaveRun = e.mayHaveRun || e.last.Outcome != plan.NotSent
+		e.delivered = e.delivered || e.last.Outcome != plan.NotSent
 	}
 	// At the deadline the context of the attempt ends, too: that is an ordinary end and not a cancellation.
 	if err := ctx.Err(); err != nil && e.last.Outcome != plan.Answered && time.Now().Before(e.deadline) {
@@ -109,7 +111,7 @@
 	c.mu.Lock()
 	c.plan.Cancel(e.planned)
 	c.mu.Unlock()
-	if e.mayHaveRun {
+	if e.delivered {
 		return &UnknownOutcomeError{Cause: cause}
 	}
 	return &RefusedError{RetryAfter: time.Now(), Cause: cause}
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -275,7 +275,7 @@
 	for range j.attempts - 1 {
 		limit = min(2*limit, p.cfg.MaxBackoff)
 	}
-	jitter := p.randomPart(limit)
+	jitter := p.jitter(limit)
 	if r.Outcome == Answered && r.HasRetryAfter && r.RetryAfter >= 0 {
 		return now.Add(min(r.RetryAfter, MaxRetryAfter) + jitter)
 	}
--- a/client/internal/plan/schedulers.go
+++ b/client/internal/plan/schedulers.go
@@ -111,11 +111,11 @@
 // moment, and must not all return at once.
 func (p *Plan) eject(now time.Time, s *scheduler) {
 	s.ejection = min(max(2*s.ejection, p.cfg.BaseEjection), p.cfg.MaxEjection)
-	s.ejectedUntil = now.Add(s.ejection/2 + p.randomPart(s.ejection))
+	s.ejectedUntil = now.Add(s.ejection/2 + p.jitter(s.ejection))
 }
 
-// randomPart draws a time from zero to a limit.
-func (p *Plan) randomPart(limit time.Duration) time.Duration {
+// jitter draws a random time from zero to a limit.
+func (p *Plan) jitter(limit time.Duration) time.Duration {
 	return time.Duration(p.random.Float64() * float64(limit))
 }
 
@@ -150,7 +150,7 @@
 	case last >= 0 && p.schedulers[last].available():
 		return last, now
 	}
-	return -1, availableAt.Add(p.randomPart(p.cfg.BaseEjection) / ejectionRecheck)
+	return -1, availableAt.Add(p.jitter(p.cfg.BaseEjection) / ejectionRecheck)
 }
 
 // pickByLoad chooses among the first candidates, and among twice as many as long as the choice is too busy.
--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -1,5 +1,5 @@
-// Command toyserver stands in for all that a scheduler needs around it: discovery and
-// one worker, which runs a job by sleeping. It is for trying dahliaford by hand.
+// Command toyserver fakes all that a scheduler needs around it: discovery, and one worker that runs a job by
+// sleeping. It is for trying dahliaford by hand.
 package main
 
 import (
@@ -15,21 +15,21 @@
 func main() {
 	discovery := flag.String("discovery", "127.0.0.1:8500", "where discovery listens")
 	worker := flag.String("worker", "127.0.0.1:9001", "where the worker listens")
-	scheduler := flag.String("scheduler", "127.0.0.1:8443", "where the worker tells of its jobs")
+	scheduler := flag.String("scheduler", "127.0.0.1:8443", "where the worker reports its jobs")
 	run := flag.Duration("run", 300*time.Millisecond, "how long a job runs")
 	flag.Parse()
 	const uid = "s-00000001"
-	plan := func(fakes.Job) fakes.Script { return fakes.Script{RunTime: *run} }
-	said := func(e history.Event) { log.Print("worker: ", e.Kind, " ", e.ID) }
-	r, err := fakes.NewWorker(uid, *worker, func() string { return *scheduler }, plan, said)
+	script := func(fakes.Job) fakes.Script { return fakes.Script{RunTime: *run} }
+	logEvent := func(e history.Event) { log.Print("worker: ", e.Kind, " ", e.ID) }
+	fakeWorker, err := fakes.NewWorker(uid, *worker, func() string { return *scheduler }, script, logEvent)
 	if err != nil {
 		log.Fatal(err)
 	}
-	d, err := fakes.NewDiscovery(*discovery, endpoints.Endpoint{UID: uid, Addr: r.Addr(), Zone: "sousse",
-		Kind: "fast-2c", State: "ready"})
+	fakeDiscovery, err := fakes.NewDiscovery(*discovery, endpoints.Endpoint{UID: uid,
+		Addr: fakeWorker.Addr(), Zone: "sousse", Kind: "fast-2c", State: "ready"})
 	if err != nil {
 		log.Fatal(err)
 	}
-	log.Print("discovery on ", d.Addr(), ", a worker on ", r.Addr())
+	log.Print("discovery on ", fakeDiscovery.Addr(), ", a worker on ", fakeWorker.Addr())
 	select {} // until it is interrupted
 }
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -1,5 +1,5 @@
-// Package appliance reads the settings of an installation of our own, which has what the
-// platform does not give: a disk that lasts.
+// Package appliance reads the settings of an appliance: an installation of our own, which has what the
+// platform does not offer, a persistent disk.
 package appliance
 
 import (
@@ -20,12 +20,12 @@
 
 var checker = schema.New(Schema)
 
-// Config is what the file says.
+// Config is the content of the file.
 type Config struct {
-	Store *Store // nil: there is none
+	Store *Store // nil: there is no job store
 }
 
-// Store says how the job store is kept.
+// Store is the configuration of the job store.
 type Store struct {
 	store.Config
 	AnswerRetention time.Duration // how long an answer can be read
@@ -37,38 +37,54 @@
 	storeFile              = "jobs.db"
 	defaultAnswerRetention = time.Hour
 	defaultCallbackWait    = 5 * time.Second
+	exitOnFailure          = "end" // the value of on_failure
 )
 
+// file is the file's form.
+type file struct {
+	Store *fileStore `json:"store"`
+}
+
+type fileStore struct {
+	Directory     string   `json:"directory"`
+	MaxItems      int      `json:"most_items"`
+	MaxMB         int64    `json:"most_mb"`
+	KeepSeconds   *float64 `json:"keep_s"`
+	CallbackMs    *int64   `json:"ask_ms"`
+	OnDiskFailure string   `json:"on_failure"`
+}
+
 // Parse reads a file. The error is one line and names the field by its path.
 func Parse(raw []byte) (Config, error) {
 	if err := checker.Check(raw); err != nil {
 		return Config{}, err
 	}
-	f := struct {
-		Store *struct {
-			Directory string   `json:"directory"`
-			MostItems int      `json:"most_items"`
-			MostMB    int64    `json:"most_mb"`
-			KeepS     *float64 `json:"keep_s"`
-			AskMs     *int64   `json:"ask_ms"`
-			OnFailure string   `json:"on_failure"`
-		} `json:"store"`
-	}{}
+	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return Config{}, fmt.Errorf("the file: %w", err)
 	}
 	if f.Store == nil {
 		return Config{}, nil
 	}
-	s := &Store{Config: store.Config{Path: filepath.Join(f.Store.Directory, storeFile),
-		MaxItems: f.Store.MostItems, MaxBytes: f.Store.MostMB << 20},
-		AnswerRetention: defaultAnswerRetention, CallbackWait: defaultCallbackWait,
-		ExitOnDiskError: f.Store.OnFailure == "end"}
-	if f.Store.KeepS != nil {
-		s.AnswerRetention = time.Duration(*f.Store.KeepS * float64(time.Second))
+	return Config{Store: f.Store.config()}, nil
+}
+
+func (f *fileStore) config() *Store {
+	s := &Store{
+		Config: store.Config{
+			Path:     filepath.Join(f.Directory, storeFile),
+			MaxItems: f.MaxItems,
+			MaxBytes: f.MaxMB << 20,
+		},
+		AnswerRetention: defaultAnswerRetention,
+		CallbackWait:    defaultCallbackWait,
+		ExitOnDiskError: f.OnDiskFailure == exitOnFailure,
+	}
+	if f.KeepSeconds != nil {
+		s.AnswerRetention = time.Duration(*f.KeepSeconds * float64(time.Second))
 	}
-	if f.Store.AskMs != nil {
-		s.CallbackWait = time.Duration(*f.Store.AskMs) * time.Millisecond
+	if f.CallbackMs != nil {
+		s.CallbackWait = time.Duration(*f.CallbackMs) * time.Millisecond
 	}
-	return Config{Store: s}, nil
+	return s
 }
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// A wrong file gets one line with the path of the field.
+// An invalid file gets one line with the path of the field.
 func TestInvalidFiles(t *testing.T) {
 	for raw, want := range map[string]string{
 		`{`:                          "not JSON",
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -4,6 +4,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -12,9 +13,9 @@
 	"github.com/xeipuuv/gojsonschema"
 )
 
-// Checker compiles its schema at the first use. The library is chosen for what it costs a
-// program that only links it: schedulers are started often, all at once, and one that compiles
-// its own schemas at start took 5 ms more.
+// Checker compiles its schema at the first use. The library is chosen for what it costs a program that only
+// links it: schedulers are started often, all at once, and one that compiles its own schemas at start took
+// 5 ms more.
 type Checker func() (*gojsonschema.Schema, error)
 
 // New returns a checker against a schema.
@@ -24,41 +25,46 @@
 	})
 }
 
-// Check tells the fault of a file in one line, with the path of the field.
+// Check reports the first fault of a file in one line, with the path of the field.
 func (c Checker) Check(raw []byte) error {
 	compiled, err := c()
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
 	if !json.Valid(raw) {
-		var none any
-		return fmt.Errorf("not JSON: %w", json.Unmarshal(raw, &none))
+		var ignored any
+		return fmt.Errorf("not JSON: %w", json.Unmarshal(raw, &ignored)) // it says where
 	}
-	found, err := compiled.Validate(gojsonschema.NewBytesLoader(raw))
+	result, err := compiled.Validate(gojsonschema.NewBytesLoader(raw))
 	switch {
 	case err != nil:
 		return err
-	case !found.Valid():
-		return fmt.Errorf("%s", firstFault(found.Errors()))
+	case !result.Valid():
+		return errors.New(describe(deepestFault(result.Errors())))
 	}
 	return nil
 }
 
-// firstFault is the fault that lies deepest, with the path of its field: those above it
-// only say that something below them is wrong. Of several the first by name is told.
-func firstFault(faults []gojsonschema.ResultError) string {
-	depth := func(f gojsonschema.ResultError) int {
-		if strings.HasPrefix(f.Type(), "condition_") {
-			return -1 // "if" held and "then" did not: another fault says why
-		}
-		return strings.Count(f.Context().String(), ".")
-	}
-	fault := slices.MinFunc(faults, func(a, b gojsonschema.ResultError) int {
+// deepestFault returns the fault of the deepest field: those above it only say that something below them is
+// invalid. Of several it returns the first by name.
+func deepestFault(faults []gojsonschema.ResultError) gojsonschema.ResultError {
+	return slices.MinFunc(faults, func(a, b gojsonschema.ResultError) int {
 		return cmp.Or(cmp.Compare(depth(b), depth(a)), strings.Compare(a.String(), b.String()))
 	})
-	where := strings.TrimPrefix(strings.TrimPrefix(fault.Context().String(), "(root)"), ".")
-	if where == "" {
-		where = "the file"
+}
+
+func depth(fault gojsonschema.ResultError) int {
+	if strings.HasPrefix(fault.Type(), "condition_") {
+		return -1 // "if" held and "then" did not: another fault says why
+	}
+	return strings.Count(fault.Context().String(), ".")
+}
+
+// describe returns the path of the field and what is invalid about it.
+func describe(fault gojsonschema.ResultError) string {
+	path := strings.TrimPrefix(strings.TrimPrefix(fault.Context().String(), "(root)"), ".")
+	if path == "" {
+		path = "the file"
 	}
-	return where + ": " + fault.Description()
+	return path + ": " + fault.Description()
 }
