--- a/client/client_test.go
+++ b/client/client_test.go
@@ -21,21 +21,32 @@
 	"dahliaford/internal/testcluster"
 )
 
-// scriptedScheduler is a scheduler that answers each request with the bytes that a test gives, and then
-// does as then says: keep, close, reset, trickle or silent.
+// afterResponse is what a scripted scheduler does with the connection after a response.
+type afterResponse string
+
+const (
+	keepOpen        afterResponse = "keep"
+	closeIt         afterResponse = "close"
+	resetIt         afterResponse = "reset"
+	trickleResponse afterResponse = "trickle" // sends a response a byte a second
+	staySilent      afterResponse = "silent"  // until the client closes the connection
+)
+
+// scriptedScheduler answers each request with the bytes that a test gives.
 type scriptedScheduler struct {
 	net.Listener
-	received atomic.Int64 // complete requests
+	answer   func(n int64) (text string, then afterResponse) // to the nth request, from 1
+	received atomic.Int64                                    // complete requests
 	requests chan *http1.Request
 }
 
-func startScripted(t *testing.T, answer func(n int64) (text, then string)) *scriptedScheduler {
+func startScripted(t *testing.T, answer func(n int64) (text string, then afterResponse)) *scriptedScheduler {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scriptedScheduler{Listener: l, requests: make(chan *http1.Request, 1000)}
+	s := &scriptedScheduler{Listener: l, answer: answer, requests: make(chan *http1.Request, 1000)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -43,41 +54,51 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer conn.Close()
-				for read := http1.NewReader(conn); ; {
-					r, err := read.Request()
-					if err != nil {
-						return
-					}
-					n := s.received.Add(1)
-					s.requests <- r
-					text, then := answer(n)
-					_, _ = io.WriteString(conn, text) // the client may be gone: the next read shows it
-					switch then {
-					case "reset":
-						_ = conn.(*net.TCPConn).SetLinger(0) // on an open socket it cannot fail
-						return
-					case "close":
-						return
-					case "trickle": // a byte a second
-						for i := range len(served) {
-							if _, err := io.WriteString(conn, served[i:i+1]); err != nil {
-								return
-							}
-							time.Sleep(time.Second)
-						}
-					case "silent":
-						_, _ = read.Request() // returns when the client closes the connection
-						return
-					}
-				}
-			}()
+			go s.serve(conn)
 		}
 	}()
 	return s
 }
 
+func (s *scriptedScheduler) serve(conn net.Conn) {
+	defer conn.Close()
+	for reader := http1.NewReader(conn); ; {
+		request, err := reader.Request()
+		if err != nil {
+			return
+		}
+		n := s.received.Add(1)
+		s.requests <- request
+		text, then := s.answer(n)
+		_, _ = io.WriteString(conn, text) // the client may be gone: the next read shows it
+		switch then {
+		case resetIt:
+			_ = conn.(*net.TCPConn).SetLinger(0) // on an open socket it cannot fail
+			return
+		case closeIt:
+			return
+		case trickleResponse:
+			if !trickle(conn) {
+				return
+			}
+		case staySilent:
+			_, _ = reader.Request() // returns when the client closes the connection
+			return
+		}
+	}
+}
+
+// trickle sends a response a byte a second, and reports whether the client stayed to its end.
+func trickle(conn net.Conn) bool {
+	for i := range len(served) {
+		if _, err := io.WriteString(conn, served[i:i+1]); err != nil {
+			return false
+		}
+		time.Sleep(time.Second)
+	}
+	return true
+}
+
 func newTestClient(t *testing.T, schedulers ...string) *Client {
 	t.Helper()
 	c, err := New(Config{Schedulers: schedulers, Tenant: "sahel", Seed: 1, RetryBudget: 1,
@@ -97,8 +118,8 @@
 // A response that is cut off after each byte: a job that must not run twice is submitted once.
 func TestResponseCutAtEveryByte(t *testing.T) {
 	for cut := range len(served) + 1 {
-		for _, then := range []string{"reset", "close"} {
-			s := startScripted(t, func(int64) (string, string) { return served[:cut], then })
+		for _, then := range []afterResponse{resetIt, closeIt} {
+			s := startScripted(t, func(int64) (string, afterResponse) { return served[:cut], then })
 			c := newTestClient(t, s.Addr().String())
 			result, err := c.Do(t.Context(), Job{Class: "post-reading", Body: []byte("x")})
 			want := "unknown"
@@ -106,7 +127,7 @@
 				want = "served"
 			}
 			// A reset may overtake what was written before it.
-			if got := Verdict(err); got != want && (then != "reset" || got != "unknown") {
+			if got := Verdict(err); got != want && (then != resetIt || got != "unknown") {
 				t.Errorf("cut after %d bytes, %s: %s, want %s (%v)", cut, then, got, want, err)
 			}
 			if err == nil && string(result.Body) != "result" {
@@ -138,7 +159,7 @@
 			"served"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startScripted(t, func(int64) (string, string) { return c.text, "close" })
+			s := startScripted(t, func(int64) (string, afterResponse) { return c.text, closeIt })
 			_, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 			if got := Verdict(err); got != c.want || s.received.Load() != 1 {
 				t.Errorf("%s (%v) after %d requests, want %s", got, err, s.received.Load(), c.want)
@@ -150,11 +171,11 @@
 // A refusal is honoured: the next attempt comes no sooner, with a new id and marked as a retry, and the
 // last refusal is returned to the caller.
 func TestRefusals(t *testing.T) {
-	s := startScripted(t, func(n int64) (string, string) {
+	s := startScripted(t, func(n int64) (string, afterResponse) {
 		if n < 3 {
-			return "HTTP/1.1 503 Busy\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n", "keep"
+			return "HTTP/1.1 503 Busy\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n", keepOpen
 		}
-		return served, "keep"
+		return served, keepOpen
 	})
 	began := time.Now()
 	r, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading", Key: "k"})
@@ -175,8 +196,8 @@
 		t.Errorf("%d ids in 3 attempts", len(ids))
 	}
 	var refused *RefusedError
-	never := startScripted(t, func(int64) (string, string) {
-		return "HTTP/1.1 503 Busy\r\nRetry-After: 0.01\r\nContent-Length: 0\r\n\r\n", "keep"
+	never := startScripted(t, func(int64) (string, afterResponse) {
+		return "HTTP/1.1 503 Busy\r\nRetry-After: 0.01\r\nContent-Length: 0\r\n\r\n", keepOpen
 	})
 	_, err = newTestClient(t, never.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 	if !errors.As(err, &refused) || never.received.Load() != 3 {
@@ -196,7 +217,7 @@
 		Job{Class: "post-reading"}); Verdict(err) != "refused" {
 		t.Error(err)
 	}
-	s := startScripted(t, func(int64) (string, string) { return served, "keep" })
+	s := startScripted(t, func(int64) (string, afterResponse) { return served, keepOpen })
 	c := newTestClient(t, dead.Addr().String(), s.Addr().String())
 	for range 30 {
 		if _, err := c.Do(t.Context(), Job{Class: "post-reading"}); err != nil {
@@ -210,11 +231,11 @@
 func TestReusedConnectionCloses(t *testing.T) {
 	for class, want := range map[string]string{"post-reading": "unknown", "district-batch": "unknown",
 		"look": "served"} {
-		s := startScripted(t, func(n int64) (string, string) {
+		s := startScripted(t, func(n int64) (string, afterResponse) {
 			if n == 2 {
-				return "", "reset"
+				return "", resetIt
 			}
-			return served, "keep"
+			return served, keepOpen
 		})
 		c := newTestClient(t, s.Addr().String())
 		if _, err := c.Do(t.Context(), Job{Class: class}); err != nil {
@@ -229,12 +250,12 @@
 // An idle connection that has closed before the next request is not used for it: a scheduler closes idle
 // ones when it runs short of sockets, and that must not cost a job its result.
 func TestIdleConnectionAlreadyClosed(t *testing.T) {
-	for _, then := range []string{"reset", "close"} {
-		s := startScripted(t, func(int64) (string, string) { return served, then })
+	for _, then := range []afterResponse{resetIt, closeIt} {
+		s := startScripted(t, func(int64) (string, afterResponse) { return served, then })
 		c := newTestClient(t, s.Addr().String())
 		for n := range 5 {
 			// A reset may overtake the answer before it: that is another matter.
-			if _, err := c.Do(t.Context(), Job{Class: "post-reading"}); err != nil && then == "close" {
+			if _, err := c.Do(t.Context(), Job{Class: "post-reading"}); err != nil && then == closeIt {
 				t.Fatalf("job %d, %s: %v", n, then, err)
 			}
 			waitFor(t, func() bool {
@@ -258,7 +279,7 @@
 // A scheduler that does not respond: the call returns by the deadline. A caller that cancels closes the
 // connection at once.
 func TestNoResponse(t *testing.T) {
-	s := startScripted(t, func(int64) (string, string) { return "", "silent" })
+	s := startScripted(t, func(int64) (string, afterResponse) { return "", staySilent })
 	c := newTestClient(t, s.Addr().String())
 	deadline := time.Now().Add(200 * time.Millisecond)
 	_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline})
--- a/client/compat_test.go
+++ b/client/compat_test.go
@@ -1,11 +1,8 @@
 package client
 
 import (
-	"os"
 	"testing"
 	"time"
-
-	"github.com/google/go-cmp/cmp"
 )
 
 // Files that were written for earlier releases must be read to the same values by each later one. The
@@ -25,23 +22,6 @@
 					MaxAttempts: 10},
 				"lookup": {Deadline: 250 * time.Millisecond, Effect: Safe, MaxAttempts: 1}}},
 	} {
-		t.Run(name, func(t *testing.T) {
-			raw, err := os.ReadFile("testdata/" + name)
-			if err != nil {
-				t.Fatal(err)
-			}
-			got, err := ParseConfig(raw)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if diff := cmp.Diff(want, got); diff != "" {
-				t.Error(diff)
-			}
-			c, err := New(got)
-			if err != nil {
-				t.Fatal(err)
-			}
-			c.Close()
-		})
+		t.Run(name, func(t *testing.T) { checkConfigFile(t, "testdata/"+name, want) })
 	}
 }
--- a/client/configfile_test.go
+++ b/client/configfile_test.go
@@ -10,7 +10,17 @@
 )
 
 func TestExampleConfig(t *testing.T) {
-	raw, err := os.ReadFile("../examples/client.json")
+	checkConfigFile(t, "../examples/client.json", Config{
+		Schedulers: []string{"127.0.0.1:8443"}, Tenant: "sahel", RetryBudget: 0.1,
+		Classes: map[string]Class{
+			"post-reading":   {Deadline: 5 * time.Second, Effect: Once, MaxAttempts: 3},
+			"district-batch": {Deadline: 20 * time.Second, Effect: Rack, MaxAttempts: 3}}})
+}
+
+// checkConfigFile checks that a file is read to a configuration, and that a client can be made of it.
+func checkConfigFile(t *testing.T, path string, want Config) {
+	t.Helper()
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,10 +28,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Config{Schedulers: []string{"127.0.0.1:8443"}, Tenant: "sahel", RetryBudget: 0.1,
-		Classes: map[string]Class{
-			"post-reading":   {Deadline: 5 * time.Second, Effect: Once, MaxAttempts: 3},
-			"district-batch": {Deadline: 20 * time.Second, Effect: Rack, MaxAttempts: 3}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -203,27 +203,29 @@
 		defer mu.Unlock()
 		return ends["served"]
 	}
-	more := func() {
+	awaitMore := func() {
+		t.Helper()
 		had := served()
 		waitFor(t, func() bool { return served() > had+20 })
 	}
 	must := func(err error) {
+		t.Helper()
 		if err != nil {
 			t.Error(err)
 		}
 	}
-	more()
+	awaitMore()
 	must(f.Stop(0, time.Now().Add(20*time.Second)))
-	more()
+	awaitMore()
 	must(f.Restart(0))
 	f.Kill(1)
-	more()
+	awaitMore()
 	must(f.Restart(1))
 	f.Kill(0)
 	f.Kill(1)
 	must(f.Restart(0))
 	must(f.Restart(1))
-	more()
+	awaitMore()
 	close(stop)
 	open.Wait()
 	if saw := f.RunCounts(); saw.Duplicates > 0 {
@@ -250,13 +252,13 @@
 			t.Parallel()
 			var first atomic.Int64
 			var wait atomic.Int64
-			s := startScripted(t, func(n int64) (string, string) {
+			s := startScripted(t, func(n int64) (string, afterResponse) {
 				if n == 1 {
 					first.Store(time.Now().UnixNano())
-					return "HTTP/1.1 503 Busy\r\nRetry-After: " + text + "\r\nContent-Length: 0\r\n\r\n", "keep"
+					return "HTTP/1.1 503 Busy\r\nRetry-After: " + text + "\r\nContent-Length: 0\r\n\r\n", keepOpen
 				}
 				wait.Store(time.Now().UnixNano() - first.Load())
-				return served, "keep"
+				return served, keepOpen
 			})
 			_, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 			if minWait < 0 {
@@ -279,11 +281,11 @@
 // refuses everything at once. Most jobs must be served, and all calls return in time.
 func TestUnhealthySchedulerBesideHealthyOne(t *testing.T) {
 	f := startFleet(t, 1)
-	for name, answer := range map[string]func(int64) (string, string){
-		"silent":  func(int64) (string, string) { return "", "silent" },
-		"trickle": func(int64) (string, string) { return "", "trickle" },
-		"refuses": func(int64) (string, string) {
-			return "HTTP/1.1 503 Busy\r\nRetry-After: 0\r\nContent-Length: 0\r\n\r\n", "keep"
+	for name, answer := range map[string]func(int64) (string, afterResponse){
+		"silent":  func(int64) (string, afterResponse) { return "", staySilent },
+		"trickle": func(int64) (string, afterResponse) { return "", trickleResponse },
+		"refuses": func(int64) (string, afterResponse) {
+			return "HTTP/1.1 503 Busy\r\nRetry-After: 0\r\nContent-Length: 0\r\n\r\n", keepOpen
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -315,7 +317,7 @@
 // callers, memory within bounds, and each call returns by its deadline.
 func TestTenThousandWaiting(t *testing.T) {
 	const jobs = maxCallers
-	s := startScripted(t, func(int64) (string, string) { return "", "silent" })
+	s := startScripted(t, func(int64) (string, afterResponse) { return "", staySilent })
 	c, err := New(Config{Schedulers: []string{s.Addr().String()}, Tenant: "sahel", Classes: map[string]Class{
 		"post-reading": {Deadline: 3 * time.Second, Effect: Once}}})
 	if err != nil {
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -344,7 +344,7 @@
 		seen[p.schedulers[0].ejectedUntil.Truncate(50*time.Millisecond)] = true
 	}
 	if len(seen) < 10 {
-		t.Errorf("50 clients come back in %d slots of 50 ms", len(seen))
+		t.Errorf("50 clients return in %d slots of 50 ms", len(seen))
 	}
 }
 
@@ -361,7 +361,7 @@
 		was := s.Scheduler
 		if s = p.AttemptEnded(start, start, j, AttemptResult{Status: 503}); s.Verdict == Pending {
 			if s = p.Start(s.At, j); s.Scheduler == was {
-				t.Error("a retry goes where it was refused")
+				t.Error("a retry goes to the scheduler that refused")
 			}
 			p.Cancel(j)
 		}
--- a/client/internal/plan/schedulers.go
+++ b/client/internal/plan/schedulers.go
@@ -87,7 +87,7 @@
 }
 
 // recordFailure counts an attempt without a response, and ejects the scheduler after enough of them. One that
-// refuses connections is ejected at once, and no floor holds for it.
+// refuses connections is ejected at once, without regard to how many are.
 func (p *Plan) recordFailure(now time.Time, s *scheduler, r AttemptResult) {
 	s.consecutiveFailures++
 	if r.Outcome != ConnectFailed {
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -18,6 +18,7 @@
 	"settings":{"discovery":"on_request","grades":[{"name":"a","semantics":"idempotent","deadline":5}]}}`
 
 func readConfiguration(t *testing.T, text string, env map[string]string) (string, error) {
+	t.Helper()
 	return readConfigurationOn(t, text, env, atStart)
 }
 
--- a/cmd/dahliaford/main.go
+++ b/cmd/dahliaford/main.go
@@ -91,8 +91,8 @@
 	out, errs io.Writer
 }
 
-// printf writes to standard output. An error is ignored: nobody reads, and the exit status says how the
-// command ended.
+// printf writes to standard output. An error is ignored: then nobody reads it, and the exit status says how
+// the command ended.
 func (s *streams) printf(format string, args ...any) { _, _ = fmt.Fprintf(s.out, format, args...) }
 
 // reportf writes to standard error. An error is ignored, as in printf.
--- a/cmd/dahliaford/send_test.go
+++ b/cmd/dahliaford/send_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// What the arguments say is what a scheduler is told.
+// The request that a scheduler gets has what the arguments say.
 func TestSendHeaders(t *testing.T) {
 	addr, seen := startScheduler(t)
 	if got := run([]string{"send", "--scheduler", addr, "--class", "district-batch", "--tenant", "north",
--- a/cmd/dahliaford/tally.go
+++ b/cmd/dahliaford/tally.go
@@ -73,7 +73,7 @@
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\n", key.class, key.outcome, t.counts[key])
 		worst = worse(worst, exitStatus(key.outcome))
 	}
-	_ = table.Flush() // as in reportf, nobody reads standard error
+	_ = table.Flush() // ignored as in reportf
 	if t.writeErr != nil {
 		return t.writeErr
 	}
@@ -84,7 +84,7 @@
 }
 
 // worse returns the worse of two exit statuses. A failure goes before a usage error, and that before a
-// refusal: it is what somebody has to look into.
+// refusal: it has to be looked into.
 func worse(a, b int) int {
 	order := []int{exitOK, exitTempFail, exitUsage, exitFailed}
 	if slices.Index(order, b) > slices.Index(order, a) {
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -133,7 +133,7 @@
 				w.Dead, w.ClockWentBack = false, back
 				if w.Disk != nil {
 					it := *w.Disk
-					w.Mem, w.Sent = &it, it.Outstanding() // it may have gone out before
+					w.Mem, w.Sent = &it, it.Outstanding() // it may have been sent before
 				}
 			})
 		}
