--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -4,93 +4,39 @@
 	"bufio"
 	"context"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"sync"
 	"time"
 
 	"dahliaford/internal/store"
 	"dahliaford/internal/store/lifecycle"
 )
 
-// keepCmd is the process that the drill disk kills: it takes items through their lives, and
-// prints what the store has confirmed, line by line.
-type keepCmd struct {
-	File string `arg:"" type:"path"`
-	From int    `arg:"" help:"The number of the first item."`
-}
-
 const (
-	itemsInFlight = 16 // items under way at once
-	itemSteps     = 4  // accepted, routed, ended, answered
+	// diskDrillMargin is the time that a round and its check may take.
+	diskDrillMargin = 5 * time.Second
+	maxItems        = 400_000 // with confirmed steps
+	// skippedNumbers is what the next round leaves out, past what was stored and not confirmed.
+	skippedNumbers = 10 * itemsInFlight
 )
 
-// stepOf is how far a record has come in an item's life.
-func stepOf(it *lifecycle.Item) int {
-	steps := 1 + len(it.Attempts)
-	if len(it.Attempts) > 0 && !it.Outstanding() {
-		steps++
-	}
-	if it.Verdict != lifecycle.None {
-		steps++
-	}
-	return steps
-}
+// diskDrill kills a process that stores items, at random and over and over, and checks after each kill that
+// all that was confirmed is there, and that nothing is broken.
+type diskDrill struct {
+	program, path string
+	random        *rand.Rand
+	say           sayer
 
-// Run goes on until it is killed.
-func (c *keepCmd) Run() error {
-	s, err := store.Open(store.Config{Path: c.File})
-	if err != nil {
-		return err
-	}
-	var out sync.Mutex
-	var all sync.WaitGroup
-	for k := range itemsInFlight {
-		all.Go(func() {
-			done := make(chan error, 1)
-			for n := c.From + k; ; n += itemsInFlight {
-				it := &lifecycle.Item{ID: fmt.Sprint(n), Class: "post-reading", Body: make([]byte, 200),
-					Deadline: 1 << 60}
-				for step := 1; step <= itemSteps; step++ {
-					var err error
-					switch step {
-					case 2:
-						err = it.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 1, Worker: "s-1"})
-					case 3:
-						err = it.Apply(lifecycle.Event{Kind: lifecycle.AttemptEnded, At: 2, Outcome: lifecycle.Done, Result: it.Body})
-					case 4:
-						err = it.Apply(lifecycle.Event{Kind: lifecycle.Answered, At: 3, Verdict: lifecycle.Served,
-							KeepUntil: 1 << 60})
-					}
-					change := store.Change{Item: it, Done: func(err error) { done <- err }}
-					if put := s.Update; err == nil {
-						if step == 1 {
-							put = s.Accept
-						}
-						err = put(change)
-					}
-					if err == nil {
-						err = <-done
-					}
-					if err != nil {
-						fmt.Fprintln(os.Stderr, err)
-						os.Exit(failed)
-					}
-					out.Lock()
-					fmt.Println(n, step)
-					out.Unlock()
-				}
-			}
-		})
-	}
-	all.Wait()
-	return nil
+	confirmed map[int]int // how far each item has come, by number
+	next      int         // the number of the first item of the next round
+
+	kills, missing, broken, ahead int
 }
 
-// diskKills kills a process that stores items, at random and over and over, and checks after
-// each kill that all that was confirmed is there, and that nothing is broken.
+// diskKills runs the drill disk until its context ends.
 func diskKills(ctx context.Context, seed uint64, say sayer) (*report, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -100,75 +46,107 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(folder)
-	path := filepath.Join(folder, "jobs")
-	random := rand.New(rand.NewPCG(seed, 0))
-	confirmed := map[int]int{} // how far each item had come
-	kills, next, lost, broken, ahead := 0, 0, 0, 0, 0
-	until, _ := ctx.Deadline()
-	const spare, mostItems = 5 * time.Second, 400_000
-	for time.Until(until) > spare && len(confirmed) < mostItems {
-		run := exec.CommandContext(ctx, self, "keep", path, fmt.Sprint(next))
-		run.Stderr = os.Stderr
-		out, err := run.StdoutPipe()
-		if err != nil {
+	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that stays does no harm
+	d := &diskDrill{program: self, path: filepath.Join(folder, "jobs"), random: rand.New(rand.NewPCG(seed, 0)),
+		say: say, confirmed: map[int]int{}}
+	deadline, _ := ctx.Deadline()
+	for time.Until(deadline) > diskDrillMargin && len(d.confirmed) < maxItems {
+		if err := d.storeAndKill(ctx); err != nil {
 			return nil, err
 		}
-		if err := run.Start(); err != nil {
-			return nil, err
+		if err := d.check(); err != nil {
+			return nil, fmt.Errorf("after kill %d: %w", d.kills, err)
 		}
-		kill := time.AfterFunc(time.Duration(20+random.IntN(400))*time.Millisecond, func() { run.Process.Kill() })
-		for lines := bufio.NewScanner(out); lines.Scan(); {
-			var n, step int
-			if _, err := fmt.Sscan(lines.Text(), &n, &step); err == nil { // the last may be cut
-				confirmed[n] = max(confirmed[n], step)
-				next = max(next, n+1)
-			}
+	}
+	return d.report(), nil
+}
+
+// storeAndKill starts the process and kills it within half a second.
+func (d *diskDrill) storeAndKill(ctx context.Context) error {
+	process := exec.CommandContext(ctx, d.program, "keep", d.path, fmt.Sprint(d.next))
+	process.Stderr = os.Stderr
+	out, err := process.StdoutPipe()
+	if err != nil {
+		return err
+	}
+	if err := process.Start(); err != nil {
+		return err
+	}
+	lifetime := time.Duration(20+d.random.IntN(400)) * time.Millisecond
+	kill := time.AfterFunc(lifetime, func() {
+		_ = process.Process.Kill() // it fails if the process has exited, which shows as its output ends
+	})
+	d.readConfirmed(out)
+	kill.Stop()
+	_ = process.Wait() // the process was killed: that is its error
+	d.kills++
+	d.next += skippedNumbers
+	return nil
+}
+
+// readConfirmed takes in what the process says is confirmed, until its end.
+func (d *diskDrill) readConfirmed(out io.Reader) {
+	for lines := bufio.NewScanner(out); lines.Scan(); {
+		var n, step int
+		if _, err := fmt.Sscan(lines.Text(), &n, &step); err != nil {
+			continue // the last line may be cut
 		}
-		kill.Stop()
-		run.Wait()
-		kills++
-		next += 10 * itemsInFlight // past what was stored and not confirmed
-		r, err := store.OpenReader(path)
-		if err != nil {
-			return nil, fmt.Errorf("after kill %d: %w", kills, err)
+		d.confirmed[n] = max(d.confirmed[n], step)
+		d.next = max(d.next, n+1)
+	}
+}
+
+// check reads the store and compares it with what was confirmed.
+func (d *diskDrill) check() error {
+	stored, err := d.readStore()
+	if err != nil {
+		return err
+	}
+	for n, step := range d.confirmed {
+		switch {
+		case stored[n] < step:
+			d.missing++
+			d.say("after kill %d: item %d had come to step %d, and is at %d", d.kills, n, step, stored[n])
+		case stored[n] > step:
+			d.ahead++
+			d.confirmed[n] = stored[n] // it is on disk now, and must stay there
 		}
-		held := map[int]int{}
-		err = r.Each(func(id string, it *lifecycle.Item, fault error) error {
-			var n int
-			if _, err := fmt.Sscan(id, &n); fault != nil || err != nil {
-				broken++
-				say("after kill %d: item %q: %v", kills, id, fault)
-				return nil
-			}
-			held[n] = stepOf(it)
+	}
+	return nil
+}
+
+// readStore returns how far each item has come, by number.
+func (d *diskDrill) readStore() (stored map[int]int, err error) {
+	r, err := store.OpenReader(d.path)
+	if err != nil {
+		return nil, err
+	}
+	stored = map[int]int{}
+	err = r.Each(func(id string, it *lifecycle.Item, fault error) error {
+		var n int
+		if _, err := fmt.Sscan(id, &n); fault != nil || err != nil {
+			d.broken++
+			d.say("after kill %d: item %q: %v", d.kills, id, fault)
 			return nil
-		})
-		if err := r.Close(); err != nil {
-			return nil, err
-		}
-		if err != nil {
-			return nil, fmt.Errorf("after kill %d: %w", kills, err)
-		}
-		for n, step := range confirmed {
-			switch {
-			case held[n] < step:
-				lost++
-				say("after kill %d: item %d had come to step %d, and is at %d", kills, n, step, held[n])
-			case held[n] > step:
-				ahead++
-				confirmed[n] = held[n] // it is on disk now, and must stay there
-			}
 		}
+		stored[n] = stepOf(it)
+		return nil
+	})
+	if closeErr := r.Close(); closeErr != nil {
+		return nil, closeErr
 	}
+	return stored, err
+}
+
+func (d *diskDrill) report() *report {
 	steps := 0
-	for _, step := range confirmed {
+	for _, step := range d.confirmed {
 		steps += step
 	}
-	return &report{ok: lost == 0 && broken == 0 && kills > 0,
-		figures: map[string]any{"kills": kills, "items": len(confirmed), "confirmed": steps, "lost": lost,
-			"broken": broken, "stored_unconfirmed": ahead},
+	return &report{ok: d.missing == 0 && d.broken == 0 && d.kills > 0,
+		figures: map[string]any{"kills": d.kills, "items": len(d.confirmed), "confirmed": steps,
+			"lost": d.missing, "broken": d.broken, "stored_unconfirmed": d.ahead},
 		table: [][]string{{"kills", "items", "confirmed steps", "lost", "broken", "stored, not confirmed"},
-			{fmt.Sprint(kills), fmt.Sprint(len(confirmed)), fmt.Sprint(steps), fmt.Sprint(lost), fmt.Sprint(broken),
-				fmt.Sprint(ahead)}}}, nil
+			{fmt.Sprint(d.kills), fmt.Sprint(len(d.confirmed)), fmt.Sprint(steps), fmt.Sprint(d.missing),
+				fmt.Sprint(d.broken), fmt.Sprint(d.ahead)}}}
 }
--- a/cmd/schedbench/regress_test.go
+++ b/cmd/schedbench/regress_test.go
@@ -18,12 +18,14 @@
 			text.WriteString("BenchmarkFew/17_schedulers \t 10\t 5 ns/op\n")
 		}
 	}
-	all, err := readSeries(nil, strings.NewReader(text.String()))
-	if err != nil || len(all) != 3 {
+	var all seriesList
+	if err := all.read(strings.NewReader(text.String())); err != nil || len(all) != 3 {
 		t.Fatalf("%d series, %v", len(all), err)
 	}
 	var out strings.Builder
-	printFits(&out, all)
+	if err := printFits(&out, all); err != nil {
+		t.Fatal(err)
+	}
 	for _, want := range []string{"Word/300 schedulers, N workers, ns/op", "7200: 7.2e+04",
 		"| 2, ±0% | n |", "| flat (", "1 sizes, not told"} {
 		if !strings.Contains(out.String(), want) {
@@ -37,7 +39,7 @@
 	if raw, err := os.ReadFile(path); err != nil || !strings.Contains(string(raw), "<svg") {
 		t.Errorf("no chart: %v", err)
 	}
-	if _, err := readSeries(nil, strings.NewReader("BenchmarkX/0_workers 1 5 ns/op")); err == nil {
+	if err := new(seriesList).read(strings.NewReader("BenchmarkX/0_workers 1 5 ns/op")); err == nil {
 		t.Error("a size of nought is taken")
 	}
 }
--- a/cmd/schedbench/scale_real.go
+++ b/cmd/schedbench/scale_real.go
@@ -12,9 +12,12 @@
 	"dahliaford/internal/simfleet"
 )
 
-// runReal runs real schedulers against hollow workers and one hollow discovery. What it says goes to
-// out, the last line as JSON. Options that cannot be run end it as misused, rules that broke as broken.
-// Without a program the one beside the laboratory is run, or else one is built.
+// maxViolations is how many violations are printed.
+const maxViolations = 20
+
+// runReal runs real schedulers against simulated workers and one simulated discovery. Progress and the
+// results go to out, the last line as JSON. Options that cannot be run are a misuse, rules that broke the exit status
+// broken. Without a program the one beside this program is run, or else one is built.
 func runReal(ctx context.Context, out io.Writer, o simfleet.Options) error {
 	if err := o.Validate(); err != nil {
 		return misuse("%v", err)
@@ -24,36 +27,47 @@
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(folder)
+		defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that stays does no harm
 		if o.Program, err = scheduler(ctx, folder); err != nil {
 			return err
 		}
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
-	defer stop() // a run that is ended takes its schedulers with it
+	defer stop() // a run that is interrupted stops its schedulers
 	r, err := simfleet.Run(ctx, o, out)
 	if err != nil {
 		return err
 	}
+	if err := printReal(out, &r); err != nil {
+		return err
+	}
+	if n := len(r.Violations); n > 0 {
+		return exit{broken, fmt.Sprintf("%d properties broke", n)}
+	}
+	return nil
+}
+
+// printReal prints the table of events, the first violations and the line of JSON.
+func printReal(out io.Writer, r *simfleet.Report) error {
 	if err := r.WriteTable(out); err != nil {
 		return err
 	}
-	for i, b := range r.Violations {
-		if i == 20 {
-			fmt.Fprintf(out, "... and %d more\n", len(r.Violations)-i)
+	for i, violation := range r.Violations {
+		text := "broken: " + violation
+		if i == maxViolations {
+			text = fmt.Sprintf("... and %d more", len(r.Violations)-i)
+		}
+		if _, err := fmt.Fprintln(out, text); err != nil {
+			return err
+		}
+		if i == maxViolations {
 			break
 		}
-		fmt.Fprintln(out, "broken:", b)
 	}
 	last, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(out, "%s\n", last); err != nil {
-		return err
-	}
-	if n := len(r.Violations); n > 0 {
-		return exit{broken, fmt.Sprintf("%d properties broke", n)}
-	}
-	return nil
+	_, err = fmt.Fprintf(out, "%s\n", last)
+	return err
 }
--- a/cmd/schedbench/scale_real_test.go
+++ b/cmd/schedbench/scale_real_test.go
@@ -15,29 +15,29 @@
 
 // A measurement by hand: go test ./cmd/schedbench -run ScaleByHand -scale.real 1 -v
 var (
-	byHand  = flag.Int("scale.real", 0, "real schedulers; 0: nothing is measured")
-	ofFleet = flag.Int("scale.fleet", 0, "")
-	ofList  = flag.Int("scale.workers", 7200, "")
-	inZones = flag.Int("scale.zones", 14, "")
-	atRate  = flag.Float64("scale.rate", 0, "")
-	forTime = flag.Duration("scale.for", 40*time.Second, "")
-	byDay   = flag.String("scale.day", "storm", "")
-	seeded  = flag.Uint64("scale.seed", 1, "")
+	realSchedulers = flag.Int("scale.real", 0, "real schedulers; 0: nothing is measured")
+	fleetSize      = flag.Int("scale.fleet", 0, "")
+	listedWorkers  = flag.Int("scale.workers", 7200, "")
+	zones          = flag.Int("scale.zones", 14, "")
+	rate           = flag.Float64("scale.rate", 0, "")
+	duration       = flag.Duration("scale.for", 40*time.Second, "")
+	day            = flag.String("scale.day", "storm", "")
+	seed           = flag.Uint64("scale.seed", 1, "")
 )
 
 func TestScaleByHand(t *testing.T) {
-	if *byHand == 0 {
+	if *realSchedulers == 0 {
 		t.Skip("nothing to measure: -scale.real is not given")
 	}
 	t.Chdir("../..")
-	if err := runReal(t.Context(), os.Stdout, simfleet.Options{Schedulers: *byHand, Fleet: *ofFleet,
-		Workers: *ofList, Zones: *inZones, Rate: *atRate, Duration: *forTime, Seed: *seeded,
-		Day: *byDay}); err != nil {
+	if err := runReal(t.Context(), os.Stdout, simfleet.Options{Schedulers: *realSchedulers, Fleet: *fleetSize,
+		Workers: *listedWorkers, Zones: *zones, Rate: *rate, Duration: *duration, Seed: *seed,
+		Day: *day}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The last line is the report, and what cannot be run is told apart from what went wrong.
+// The last line is the report, and what cannot be run is distinguished from what failed.
 func TestRunReal(t *testing.T) {
 	t.Chdir("../..")
 	var out bytes.Buffer
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -57,10 +57,10 @@
 func (w *Worker) Crash() {
 	w.resetAll()
 	w.jobsMu.Lock()
-	lost := w.jobs
+	crashed := w.jobs
 	w.jobs = map[string]chan struct{}{}
 	w.jobsMu.Unlock()
-	for id, cancelled := range lost {
+	for id, cancelled := range crashed {
 		close(cancelled)
 		w.recorder.record(history.Event{Kind: history.WorkerDied, ID: id, Actor: w.UID})
 		w.callbacks.Go(func() { w.callback(id, Lost, "", 0) })
--- a/internal/simfleet/day.go
+++ b/internal/simfleet/day.go
@@ -59,7 +59,7 @@
 	}
 	stopLoad()
 	loading.Wait()
-	r.maxBaseShare, r.meanBaseShare = 0, 0 // there are no jobs at the rate any more
+	r.maxBaseLoad, r.meanBaseLoad = 0, 0 // there are no jobs at the rate any more
 	return r.jobPath(ctx, span)
 }
 
@@ -70,7 +70,7 @@
 		return err
 	}
 	e := r.lastEvent()
-	r.maxBaseShare, r.meanBaseShare = e.CPUSeconds.Max/e.Window, e.CoreShare
+	r.maxBaseLoad, r.meanBaseLoad = e.CPUSeconds.Max/e.Window, e.CoreFraction
 	return nil
 }
 
--- a/internal/simfleet/measure.go
+++ b/internal/simfleet/measure.go
@@ -65,7 +65,7 @@
 // waitUntilIdle waits until all schedulers are idle again, but for the jobs at the rate, and adds the event
 // to the report.
 func (r *run) waitUntilIdle(ctx context.Context, e Event, since snapshot) error {
-	allowed := idleCPU + time.Duration(loadMargin*r.maxBaseShare*float64(pollInterval))
+	allowed := idleCPU + time.Duration(loadMargin*r.maxBaseLoad*float64(pollInterval))
 	deadline := time.Now().Add(settleTimeout)
 	before, err := r.cpuTimes()
 	if err != nil {
@@ -106,8 +106,8 @@
 		out[i] = float64(now.listOut[i] - since.listOut[i])
 	}
 	e.CPUSeconds, e.ListBytes, e.RequestBytes = spread(cpu), spread(in), spread(out)
-	e.CoreShare = e.CPUSeconds.Mean / e.Window
-	e.NetCPUSeconds = e.CPUSeconds.Mean - r.meanBaseShare*e.Window
+	e.CoreFraction = e.CPUSeconds.Mean / e.Window
+	e.NetCPUSeconds = e.CPUSeconds.Mean - r.meanBaseLoad*e.Window
 	e.FullLists, e.Watches = int(now.fullLists-since.fullLists), int(now.watches-since.watches)
 	e.Jobs, e.Served = int(now.jobsEnded-since.jobsEnded), int(now.jobsServed-since.jobsServed)
 	e.JobBytesIn, e.JobBytesOut = now.jobIn-since.jobIn, now.jobOut-since.jobOut
--- a/internal/simfleet/report.go
+++ b/internal/simfleet/report.go
@@ -32,10 +32,10 @@
 	// Window is the time in seconds until the schedulers were idle again, or the event's own duration.
 	Window  float64 `json:"window_s"`
 	Settled bool    `json:"settled"` // false: the window ended before the schedulers were idle
-	// CPUSeconds is the processor time of a scheduler within the window; CoreShare is its mean as a share
+	// CPUSeconds is the processor time of a scheduler within the window; CoreFraction is its mean as a share
 	// of one core.
-	CPUSeconds Spread  `json:"processor_s"`
-	CoreShare  float64 `json:"core_share"`
+	CPUSeconds   Spread  `json:"processor_s"`
+	CoreFraction float64 `json:"core_share"`
 	// NetCPUSeconds is the mean without what the jobs at the rate alone, or idling, take in that time.
 	NetCPUSeconds float64 `json:"processor_net_s"`
 	// RecoverySeconds is the time from the last update until a job was served by a scheduler again.
--- a/internal/simfleet/run.go
+++ b/internal/simfleet/run.go
@@ -32,9 +32,9 @@
 	processes  []*testcluster.Process // by scheduler; nil until it has started
 	jobTraffic traffic                // of clients and workers
 	random     *rand.Rand
-	// maxBaseShare and meanBaseShare are the shares of a core that schedulers take for the jobs at the
+	// maxBaseLoad and meanBaseLoad are the shares of a core that schedulers take for the jobs at the
 	// rate alone: of the busiest one, and on average.
-	maxBaseShare, meanBaseShare float64
+	maxBaseLoad, meanBaseLoad float64
 
 	mu      sync.Mutex
 	history []history.Event
--- a/internal/simfleet/table.go
+++ b/internal/simfleet/table.go
@@ -30,7 +30,7 @@
 			name += " (not settled)"
 		}
 		fmt.Fprintf(&b, "| %s | %s | %s | %.3f | %.1f | %.2f%% | %s | %.1f | %s | %d | %s |\n", name, updates,
-			e.CPUSeconds.text("%.3f", 1), e.NetCPUSeconds, e.Window, 100*e.CoreShare, recovery, e.PeakMemoryMB,
+			e.CPUSeconds.text("%.3f", 1), e.NetCPUSeconds, e.Window, 100*e.CoreFraction, recovery, e.PeakMemoryMB,
 			e.ListBytes.text("%.1f", 1e-3), e.Jobs, perJob)
 	}
 	_, err := io.WriteString(w, b.String())
--- a/internal/testcluster/zoneoutage_bench_test.go
+++ b/internal/testcluster/zoneoutage_bench_test.go
@@ -54,8 +54,8 @@
 				discovery.sendChange(b, entry)
 				time.Sleep(time.Second)
 			}
-			coreShare := (cpuTime(b, p) - before).Seconds() / time.Since(startedAt).Seconds()
-			b.ReportMetric(coreShare*100, "%core/change/s")
+			coreFraction := (cpuTime(b, p) - before).Seconds() / time.Since(startedAt).Seconds()
+			b.ReportMetric(coreFraction*100, "%core/change/s")
 			b.ReportMetric(removal.Seconds()*1000/float64(b.N), "cpu-ms/zone")
 			b.ReportMetric(removal.Seconds()*1e6/float64(removed), "cpu-us/line")
 			b.ReportMetric(use.PeakMemoryMB, "MB")
