--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -59,7 +59,7 @@
 	d.updateLevel()
 	if !d.admits(j) {
 		d.dequeue(j)
-		d.finish(j, true)
+		d.finish(j)
 	}
 }
 
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// The workers that a job may go to, as far as groups bind it. Nothing here decides.
+// The workers that a job may go to, as far as deduplication groups bind it. Nothing here decides.
 
 // boundAttempt is the first attempt that may have run, to whose group rule 2 may bind the job, or nil.
 func (j *job) boundAttempt() *attempt {
@@ -13,7 +13,7 @@
 }
 
 // candidates are the workers among which rule 2 and the subset leave a choice: those of the subset, and
-// for a keyed repeat those of its group, which may have no worker in the subset. It also reports
+// for a keyed retry those of its group, which may have no worker in the subset. It also reports
 // whether no group binds it.
 func (d *Dispatcher) candidates(j *job) (from []*worker, free bool) {
 	c := &d.settings.Classes[j.class]
@@ -24,7 +24,7 @@
 	if a == nil || c.DedupScope == ScopeAll {
 		return d.ordered, true
 	}
-	of := func(e *WorkerEntry) int {
+	groupOf := func(e *WorkerEntry) int {
 		if c.DedupScope == ScopeZone {
 			return e.Zone
 		}
@@ -33,11 +33,11 @@
 	if d.dedupGroups[c.DedupScope] == nil { // in the order of the list, which breaks ties
 		groups := map[int][]*worker{}
 		for _, w := range d.ordered {
-			groups[of(&w.entry)] = append(groups[of(&w.entry)], w)
+			groups[groupOf(&w.entry)] = append(groups[groupOf(&w.entry)], w)
 		}
 		d.dedupGroups[c.DedupScope] = groups
 	}
-	return d.dedupGroups[c.DedupScope][of(&a.worker.entry)], false
+	return d.dedupGroups[c.DedupScope][groupOf(&a.worker.entry)], false
 }
 
 // anyWorkerAllowed reports whether rule 2 leaves a job any worker at all.
--- a/internal/dispatch/clone.go
+++ b/internal/dispatch/clone.go
@@ -47,7 +47,7 @@
 	d.workers = make(map[WorkerID]*worker, len(from.workers))
 	for id, w := range from.workers {
 		copied := *w
-		copied.group = nil // looked up anew
+		copied.group = nil // looked up again
 		copied.indexNode, copied.dirty = bucketqueue.Node[*worker]{}, false
 		if w.kind != nil {
 			copied.kind = d.kinds[w.entry.Kind]
@@ -81,7 +81,7 @@
 	}
 	d.ring = from.ring.Clone(func(w *worker) *worker { return d.workers[w.entry.Worker] },
 		func(w *worker, group *subset.Group[*worker]) { w.ringGroup = group })
-	d.index, d.fastestWorker, d.overdueInOrder = nil, nil, nil // made anew
+	d.index, d.fastestWorker, d.overdueInOrder = nil, nil, nil // built again
 	d.dedupGroups = [ScopeCell + 1]map[int][]*worker{}
 }
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -6,103 +6,6 @@
 	"testing"
 )
 
-// testSettings has one class of each effect, in this order: safe, keyed (cell),
-// unsafe. Objectives are short enough to be missed and long enough to wait.
-func testSettings() Settings {
-	return Settings{
-		Index: 1, Dispatchers: 2, OverQuotaWeight: 0.2, WeightByWork: true, Granularity: 5000,
-		Classes: []Class{
-			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 6 * second, PriorityWeight: 1, Kind: -1,
-				LateWeight: 0.3},
-			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 8 * second, PriorityWeight: 3, Kind: -1,
-				Effect: Keyed, DedupScope: ScopeCell, DedupWindow: 5 * second},
-			{LatencyObjective: second, ObjectiveStretch: 2, Deadline: 8 * second, PriorityWeight: 2, Kind: -1,
-				Effect: Unsafe},
-		},
-		Tenants:   []Tenant{{Quota: 20}, {Quota: 20}},
-		SlowStart: 10 * second, SlowStartInitial: 0.2, OverloadFactor: 3, OverloadWindow: 2 * second,
-		MaxAttempts: 4, CancelAllowed: true, HedgingAllowed: true, MaxRetryAfter: 2 * second,
-		ConnectTimeout: second / 4, StartReported: true, ProgressInterval: second,
-	}
-}
-
-// harness drives one dispatcher and keeps what it did.
-type harness struct {
-	t   testing.TB
-	d   *Dispatcher
-	now Micros
-	out []Action
-}
-
-func newHarness(t *testing.T, s Settings, workers ...WorkerEntry) *harness {
-	t.Helper()
-	d, err := New(s, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	b := &harness{t: t, d: d, now: 100 * second}
-	b.do(Event{Kind: Started})
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: workers})
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: workers})
-	return b
-}
-
-// do passes an event and returns the actions that it called for.
-func (b *harness) do(e Event) []Action {
-	b.out = b.d.Step(b.now, &e, nil)
-	return b.out
-}
-
-// pass lets time go by, with the timers that were set.
-func (b *harness) pass(span Micros) []Action {
-	var all []Action
-	for end := b.now + span; ; {
-		if b.d.wakeAt == 0 || b.d.wakeAt > end {
-			b.now = end
-			return all
-		}
-		b.now = max(b.now, b.d.wakeAt)
-		all = append(all, b.do(Event{Kind: TimerFired, Token: b.d.timerToken})...)
-	}
-}
-
-// setSlots lets the dispatcher know how many slots workers of a kind have.
-func (b *harness) setSlots(w WorkerID, n int) {
-	k := b.d.kindOf(b.d.workers[w])
-	k.topSlots, k.probedAt, k.maxSlotsSeen = n+1, b.now, float64(n)
-	k.starts = [maxTrackedSlots + 1]startCounts{}
-	k.starts[n].prompt, k.starts[n+1].late = 9, 9
-}
-
-func (b *harness) arrive(id JobID, class int) []Action {
-	return b.do(Event{Kind: JobArrived, Job: id, Class: class, Work: second / 5, Slots: 1,
-		Patience: b.d.settings.Classes[class].Deadline})
-}
-
-func (b *harness) end(id JobID, attempt int, o Outcome) []Action {
-	return b.do(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Final: o == OK})
-}
-
-func find(actions []Action, k ActionKind) (found []Action) {
-	for _, a := range actions {
-		if a.Kind == k {
-			found = append(found, a)
-		}
-	}
-	return found
-}
-
-func (b *harness) want(actions []Action, k ActionKind, n int) {
-	b.t.Helper()
-	if got := len(find(actions, k)); got != n {
-		b.t.Fatalf("at %v: %d actions of kind %d, want %d: %+v", b.now, got, k, n, actions)
-	}
-}
-
-func ready(id WorkerID, cell int) WorkerEntry {
-	return WorkerEntry{Worker: id, Cell: cell, Status: Ready}
-}
-
 func TestSettingsErrorsNameTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"Classes":             func(s *Settings) { s.Classes = nil },
@@ -122,15 +25,6 @@
 	}
 }
 
-// fillQueue puts jobs into the queue without an arrival: latest starts from now.
-func (b *harness) fillQueue(latestStarts ...Micros) {
-	b.d.queue = nil
-	for i, t := range latestStarts {
-		j := &job{id: JobID(1000 + i), latestStart: b.now + t, seq: uint64(i), queued: true}
-		b.d.queue = append(b.d.queue, j)
-	}
-}
-
 // Two classes with T_1 = 1 s and T_2 = 3 s, two guaranteed jobs of the first a
 // second, one slot and runs of 0.25 s, so x = 0.25 s. Worked out by hand:
 // (4), k=1: N(1)/4 < 1;  (4), k=2: (N(3) + 2*(3-1))/4 < 3;
@@ -752,8 +646,8 @@
 	b := newHarness(t, testSettings(), ready(1, 0))
 	j := &job{id: 1, deadline: b.now + second}
 	b.d.actions = nil
-	b.d.finish(j, true)
-	b.d.finish(j, false)
+	b.d.finish(j)
+	b.d.finish(j)
 	b.want(b.d.actions, Refuse, 1)
 	b.want(b.d.actions, Fail, 0)
 }
@@ -888,11 +782,11 @@
 		b.d.level = level
 		j := &job{id: 9, objective: b.now + objective, overQuota: over, work: second / 5}
 		b.d.actions, b.d.eventBestSpeed = nil, 0
-		b.d.finish(j, true)
+		b.d.finish(j)
 		return b.d.actions[0].Delay
 	}
 	// Late answers earn nothing, and its objective has passed.
-	b.d.finish(&job{id: 8, class: 2, objective: b.now}, true)
+	b.d.finish(&job{id: 8, class: 2, objective: b.now})
 	b.want(b.d.actions, Refuse, 1)
 	if b.d.actions[0].Delay != b.d.settings.MaxRetryAfter {
 		t.Errorf("its objective has passed: advised to wait for %v", b.d.actions[0].Delay)
--- a/internal/dispatch/estimate_errors.go
+++ b/internal/dispatch/estimate_errors.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// Estimates of how often a worker fails jobs. A healthy one hardly ever does.
+// Estimates of how often a worker fails jobs. A healthy one hardly ever does. Nothing here decides.
 
 const (
 	errorDecay            = 0.6  // what an outcome leaves of those before it
 	reportedErrorLimit    = 0.3  // errors a second in a report from which on it counts as an error
 	reportedErrorDecay    = 0.2  // like errorDecay, with such a report
-	errorRateLimit        = 0.25 // from which on a worker is held to be failing jobs
+	errorRateLimit        = 0.25 // from which on a worker counts as failing jobs
 	errorFadeTime         = 3 * second
 	errorFadeTimeNoGossip = 9 * second // the same where each of many meets a worker seldom
 )
@@ -29,6 +29,7 @@
 	return w.errorRate * math.Exp(-float64(d.now-w.errorRateAt)/d.errorFade())
 }
 
+// errorFade is the time in which the error rate falls to 1/e, in microseconds.
 func (d *Dispatcher) errorFade() float64 {
 	if d.withoutGossip() {
 		return errorFadeTimeNoGossip
@@ -36,7 +37,7 @@
 	return errorFadeTime
 }
 
-// failsJobs reports whether a worker is held to be failing jobs.
+// failsJobs reports whether a worker counts as failing jobs.
 func (d *Dispatcher) failsJobs(w *worker) bool {
 	return w.errorRate > 0 && d.recentErrorRate(w) > errorRateLimit
 }
--- a/internal/dispatch/estimate_quota.go
+++ b/internal/dispatch/estimate_quota.go
@@ -4,7 +4,7 @@
 
 // firstAttemptAt is when the client's first try of a job began. A retry counts from there: what is
 // missing of the deadline has passed already. A first try may bring less patience, too, and would seem
-// too late as it comes; where clients mark their retries, the two can be distinguished. A small fleet sees
+// too late on arrival; where clients mark their retries, the two can be distinguished. A small fleet sees
 // overload itself, and such a job is the first to turn away then.
 func (d *Dispatcher) firstAttemptAt(j *job, retried bool) Micros {
 	if d.settings.RetriesMarked && !retried && d.withoutGossip() {
--- a/internal/dispatch/estimate_sharing.go
+++ b/internal/dispatch/estimate_sharing.go
@@ -17,7 +17,7 @@
 	return max(sharing/float64(d.settings.Dispatchers), minimum/max(1, float64(readyWorkers)))
 }
 
-// startPatience is how long a job may take to begin before it is held to wait.
+// startPatience is how long a job may take to begin before it counts as waiting.
 func (d *Dispatcher) startPatience() Micros {
 	if d.withoutGossip() {
 		return startNoticeBatchesNoGossip * d.settings.Granularity
@@ -42,7 +42,7 @@
 // sharing is how many dispatchers share a worker.
 func (d *Dispatcher) sharing() float64 { return d.reach * float64(d.settings.Dispatchers) }
 
-// covers reports whether a worker is in the subset of the dispatcher at a position.
+// covers reports whether the interval of the dispatcher at a position has a worker.
 func (d *Dispatcher) covers(position float64, w *worker) bool {
 	return d.distanceFrom(position, w) < d.reach
 }
--- a/internal/dispatch/estimate_slots.go
+++ b/internal/dispatch/estimate_slots.go
@@ -18,6 +18,7 @@
 	probedAt     Micros // when more slots than its capacity were last tried
 }
 
+// add counts a job, after a decay of the earlier ones.
 func (c *startCounts) add(prompt bool, keep float64) {
 	c.prompt *= keep
 	c.late *= keep
--- a/internal/dispatch/estimate_speed.go
+++ b/internal/dispatch/estimate_speed.go
@@ -58,7 +58,7 @@
 	return d.fleet.speed()
 }
 
-// typicalSpeed is the speed of a warm worker that is as most of its kind.
+// typicalSpeed is the speed of a warm worker that is like most of its kind.
 func (d *Dispatcher) typicalSpeed(w *worker) float64 {
 	if !d.hintsSeen && d.fleet.work > 0 {
 		return d.priorSpeed(w) * d.fleet.time / d.fleet.work
--- a/internal/dispatch/estimate_waits.go
+++ b/internal/dispatch/estimate_waits.go
@@ -34,6 +34,7 @@
 
 type groupKey struct{ zone, kind int }
 
+// decay lowers the weight of what was seen to 1/e in a span.
 func (s *waitEstimate) decay(now Micros, span float64) {
 	keep := math.Exp(-float64(now-s.at) / span)
 	s.sum, s.count, s.at = s.sum*keep, s.count*keep, now
--- a/internal/dispatch/estimate_work.go
+++ b/internal/dispatch/estimate_work.go
@@ -4,8 +4,8 @@
 
 // Estimates of work and run times, by class. Nothing here decides.
 
-// unseenWorkObjectives is what a class is taken to need that nobody saw run, in its objectives: workers in
-// slow start show nothing, and all would send there by the same guess.
+// unseenWorkObjectives is the work assumed of a class that nobody saw run, in its latency objectives:
+// workers in slow start show nothing, and all dispatchers would send there by the same guess.
 const unseenWorkObjectives = 2.0
 
 // classState is what is known of a class.
@@ -17,6 +17,7 @@
 	guaranteedRate            float64 // jobs a microsecond
 }
 
+// addWork adds the work of a job to the decayed sums.
 func (s *classState) addWork(work float64) {
 	s.workSum, s.squareSum = s.workSum*workDecay+work, s.squareSum*workDecay+work*work
 	s.count = s.count*workDecay + 1
@@ -27,8 +28,8 @@
 	return (s.workSum + 2*prior) / (s.count + 2)
 }
 
-// weightedWork is the mean work seen by a unit of work: value goes with work, so long jobs decide what
-// an unhinted job's objective is worth waiting for.
+// weightedWork is the mean work seen, weighted by work: value goes with work, so long jobs decide how
+// long the objective of an unhinted job is.
 func (s *classState) weightedWork(prior float64) float64 {
 	mean := s.meanWork(prior)
 	if s.workSum == 0 {
@@ -37,8 +38,8 @@
 	return min(s.squareSum/s.workSum, 3*mean)
 }
 
-// unhintedWork is the work that a job without a hint is assumed to be. In a large fleet without gossip
-// that is less than the mean: most jobs are shorter, and too late sooner.
+// unhintedWork is the work that a job without a hint is assumed to need. In a large fleet without
+// gossip that is less than the mean: most jobs are shorter, and sooner too late.
 func (d *Dispatcher) unhintedWork(s *classState, prior float64) float64 {
 	if d.withoutGossip() {
 		return unhintedWorkFraction * s.meanWork(prior)
@@ -56,8 +57,8 @@
 	return work + float64(d.settings.Granularity) // a handshake may come with it
 }
 
-// typicalWork is the work that a unit of what arrives here comes in: a few long jobs bring most of it.
-// Before a class was seen to run, twice its objective stands for it.
+// typicalWork is the mean size of the jobs that arrive here, weighted by their work: a few long jobs
+// bring most of it. Before a class was seen to run, twice its objective stands for its work.
 func (d *Dispatcher) typicalWork() float64 {
 	sum, squares := 0.0, 0.0
 	for k := range d.classes {
@@ -69,7 +70,7 @@
 }
 
 // workInTransit is the work of jobs that left for a worker and are not known to have begun: if it
-// starts anew now, they reach it in slow start.
+// restarts now, they reach it in slow start.
 func (d *Dispatcher) workInTransit(w *worker) float64 {
 	work := 0.0
 	for _, a := range w.attempts {
@@ -87,6 +88,7 @@
 	value   float64                // the quantile
 }
 
+// add takes a run time. The quantile is computed with every quantileInterval-th one.
 func (q *quantileWindow) add(v float64) {
 	q.samples[q.count%maxRunSamples] = v
 	q.count++
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -5,19 +5,6 @@
 // One small test for each kind of failure that the module must stand though no event
 // announces it. All act through events, as in service.
 
-// runAttempt lets a sent job run on its worker for a while and succeed.
-func (b *harness) runAttempt(sent Action, span Micros) {
-	b.do(Event{Kind: AttemptReported, Job: sent.Job, Attempt: sent.Attempt, Note: NoteStarted})
-	b.now += span
-	b.end(sent.Job, sent.Attempt, OK)
-}
-
-func (b *harness) setSlotLimits(free float64) {
-	for _, w := range b.d.ordered {
-		w.slotLimit, w.slotLimitAt = free, b.now
-	}
-}
-
 // A tenant sends several times its quota: it is the one that is refused.
 func TestTenantBurst(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -42,10 +42,10 @@
 	sent, small := 0.0, d.sharing() <= targetSharing
 	for i := range d.neighbours {
 		p := d.neighbours[(i+max(d.settings.Index, 0))%len(d.neighbours)]
-		o := &d.peers[p]
-		here := o.zone == unknownZone || o.zone == w.entry.Zone || w.entry.Zone != d.settings.Zone
-		crosses := o.crossedAt != 0 && d.now-o.crossedAt < crossingSeconds*second
-		if p != d.settings.Index && (small || here || crosses) && d.covers(o.position, w) {
+		peer := &d.peers[p]
+		near := peer.zone == unknownZone || peer.zone == w.entry.Zone || w.entry.Zone != d.settings.Zone
+		crosses := peer.crossedAt != 0 && d.now-peer.crossedAt < crossingSeconds*second
+		if p != d.settings.Index && (small || near || crosses) && d.covers(peer.position, w) {
 			d.emit(Action{Kind: SendGossip, Peer: p, Message: message})
 			if sent++; sent >= maxGossipPeers { // a fleet that shrinks has many to a worker
 				return
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -9,7 +9,7 @@
 	maxScannedSubset  = 64 // workers up to which the subset is scanned: that costs no more than the index
 	shortlistPerGroup = 8  // workers of a group that are weighed for a job
 	shortlistTotal    = 32 // the same of all groups together, two of each at least
-	reindexedPerJob   = 8  // workers whose key is computed anew for a job, in turn
+	reindexedPerJob   = 8  // workers whose key is recomputed for a job, in turn
 	keysPerRun        = 16 // keys to the length of a mean run
 	unusableKey       = bucketqueue.Buckets - 1
 	fullKey           = bucketqueue.Buckets - 2
@@ -23,7 +23,7 @@
 	meanWork     float64   // of recent jobs
 	stale        bool      // the subset may have changed
 	version      uint64    // counts the changes
-	nextMember   int       // whose key is computed anew next
+	nextMember   int       // whose key is recomputed next
 	dirty        []*worker // those to which something happened
 	nodeBuffer   []*bucketqueue.Node[*worker]
 	workerBuffer []*worker
--- a/internal/dispatch/no_gossip_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -5,11 +5,6 @@
 // Tests of many dispatchers without gossip: what all do together shows in
 // how long jobs wait, and in nothing else.
 
-// withoutGossipSettings is the operators' large fleet: 80 dispatchers, no gossip.
-func withoutGossipSettings(s *Settings) {
-	s.GossipAllowed, s.HedgingAllowed, s.CrossZonePrice, s.Granularity = false, false, 0.01, second/500
-}
-
 // serve runs one job at a dispatcher: it begins after a wait that depends on its worker.
 func (b *harness) serve(id JobID, wait func(*worker) Micros) *worker {
 	b.t.Helper()
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -21,7 +21,7 @@
 	switch e.Outcome {
 	case OK:
 		if w.unreachable {
-			w.inferredStart, w.unreachable = d.now, false // back, so it started anew, listed so or not
+			w.inferredStart, w.unreachable = d.now, false // it answers, so it has restarted, listed or not
 		}
 		w.consecutiveFailures = 0
 		d.recordError(w, 0, e.Report)
@@ -57,7 +57,7 @@
 	d.log("worker " + strconv.Itoa(int(w.entry.Worker)) + " set aside: attempts fail")
 }
 
-// inspect looks for what no event tells: jobs whose time is up, overdue starts and silent workers.
+// inspect looks for what no event reports: jobs whose time is up, overdue starts and silent workers.
 func (d *Dispatcher) inspect() {
 	// Every queued job is checked: release stops at the first few that find no worker, and a job behind
 	// them must still be answered in time.
@@ -95,7 +95,7 @@
 		waits := a.startOverdue && a.startedAt == 0 && !j.finished && j.inFlight == 1
 		earnsLate := d.settings.Classes[j.class].LateWeight != 0
 		if waits && d.settings.CancelAllowed && !earnsLate && !d.feasible(j, feasibleRunFraction) {
-			d.finish(j, true)
+			d.finish(j)
 		}
 	}
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -48,9 +48,9 @@
 	return n
 }
 
-// streak counts how often something has been so without a break.
-func streak(n int, so bool) int {
-	if so {
+// streak counts how often in a row something has been true.
+func streak(n int, holds bool) int {
+	if holds {
 		return n + 1
 	}
 	return 0
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -7,6 +7,7 @@
 
 // The records that the module keeps of jobs, attempts, workers and peers. Nothing here decides.
 
+// attempt is one try of a job at a worker.
 type attempt struct {
 	job            *job
 	worker         *worker
@@ -17,11 +18,12 @@
 	progress       float64 // the fraction of its work that did
 	inFlight       bool
 	mayHaveRun     bool
-	handedBack     bool    // its worker handed it back, and may say so again: it would seem of a next one there
+	handedBack     bool    // its worker may report that again, as if of a next attempt there
 	slotsAtSend    float64 // slots of its worker in use, with its own, as known when it left
 	startOverdue   bool    // its start notice did not come in time
 }
 
+// job is a job that has no final answer, or has attempts in flight.
 type job struct {
 	id            JobID
 	class, tenant int
@@ -41,6 +43,7 @@
 	finished      bool
 }
 
+// worker is what is known of a worker of the list.
 type worker struct {
 	entry     WorkerEntry
 	kind      *kind      // of its machine; nil: not looked up yet
@@ -73,7 +76,7 @@
 
 	peerUses     []peerUse // what other dispatchers say that they have there
 	announced    slotUse   // what peers were sent last
-	gossipQueued bool      // they may have to be sent something
+	gossipQueued bool      // what they were sent may be out of date
 
 	sortKey    sortKey // as of the last updateSubset
 	inOrder    bool    // it is in the order
@@ -89,7 +92,7 @@
 	bias         float64 // small own preference, so that dispatchers spread
 	indexNode    bucketqueue.Node[*worker]
 	indexVersion uint64 // the last version of the index that had it
-	dirty        bool   // its index key has to be computed anew
+	dirty        bool   // its index key has to be recomputed
 }
 
 // slotUse is what a dispatcher has at a worker: slots in use and slots of jobs that wait.
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -37,7 +37,7 @@
 	if d.now >= j.deadline-d.safetyMargin() {
 		d.dequeue(j)
 		if j.inFlight == 0 {
-			d.finish(j, true)
+			d.finish(j)
 		}
 		return true
 	}
@@ -56,7 +56,7 @@
 		d.enqueue(j)
 		return true
 	}
-	d.finish(j, true)
+	d.finish(j)
 	return true
 }
 
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Retries, and second attempts beside one that seems lost.
+// Retries, and second attempts beside one at a silent worker.
 
 const (
 	retryRatio     = 0.2 // further attempts earned by each first one
@@ -23,7 +23,7 @@
 		d.enqueue(j)
 		return
 	}
-	d.finish(j, true)
+	d.finish(j)
 }
 
 // hedge queues the repeatable jobs of a silent worker for a second attempt.
--- a/internal/dispatch/rules.go
+++ b/internal/dispatch/rules.go
@@ -64,11 +64,11 @@
 
 // finish is the only way to a final answer of our own: one for each job (rule 1), and a refusal only
 // where trying again is harmless (rule 2).
-func (d *Dispatcher) finish(j *job, refuse bool) {
+func (d *Dispatcher) finish(j *job) {
 	if j.finished {
 		return
 	}
-	if refuse && d.refusalAllowed(j) {
+	if d.refusalAllowed(j) {
 		wait, hopeless := Micros(0), d.now >= j.objective && d.settings.Classes[j.class].LateWeight == 0
 		if hopeless || d.level > levelNormal && (j.overQuota || !d.feasible(j, 1)) {
 			wait = d.settings.MaxRetryAfter // a retry now helps nobody; others may yet be in time
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -8,49 +8,6 @@
 // Tests at size: hundreds of dispatchers, fed by script. Each has its own state;
 // what they do together is summed up here.
 
-// testFleet lists workers of two zones and two kinds, none of them in slow start.
-func testFleet(n int) []WorkerEntry {
-	list := make([]WorkerEntry, n)
-	source := random(7)
-	for i := range list {
-		list[i] = WorkerEntry{Worker: WorkerID(source.uniform() * (1 << 31)), Status: Ready,
-			Zone: i % 2, Kind: i / 2 % 2, Cell: i / 8}
-	}
-	return list
-}
-
-// startAll starts dispatchers that have the list. Zones alternate or come in blocks.
-func startAll(t testing.TB, dispatchers int, list []WorkerEntry, zone func(int) int,
-	change func(*Settings)) []*harness {
-	t.Helper()
-	all := make([]*harness, dispatchers)
-	for i := range all {
-		all[i] = startOne(t, dispatchers, i, list, zone(i), change)
-	}
-	return all
-}
-
-// startOne starts one of many dispatchers.
-func startOne(t testing.TB, dispatchers, i int, list []WorkerEntry, zone int,
-	change func(*Settings)) *harness {
-	t.Helper()
-	s := testSettings()
-	s.Dispatchers, s.Index, s.Zone, s.GossipAllowed = dispatchers, i, zone, true
-	if change != nil {
-		change(&s)
-	}
-	d, err := New(s, uint64(i))
-	if err != nil {
-		t.Fatal(err)
-	}
-	b := &harness{t: t, d: d, now: 100 * second}
-	b.do(Event{Kind: Started})
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
-	return b
-}
-
-func alternating(i int) int { return i % 2 }
-
 // Every worker belongs to the subsets of about as many dispatchers of its zone, and
 // every subset has some workers of its zone, however zones are dealt out to numbers.
 func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
--- a/internal/modelcheck/mutants/dispatch_mutants.go
+++ b/internal/modelcheck/mutants/dispatch_mutants.go
@@ -94,8 +94,8 @@
 		Violates: "honest-answers",
 		Patches: []Patch{
 			{File: rulesFile,
-				Old: "if refuse && d.refusalAllowed(j) {",
-				New: "if refuse {",
+				Old: "if d.refusalAllowed(j) {",
+				New: "if true {",
 			},
 		},
 	},
