--- /dev/null
+++ b/internal/modelcheck/cancellations.go
@@ -0,0 +1,95 @@
+package modelcheck
+
+import (
+	"dahliaford/internal/connstate"
+	"dahliaford/internal/scheduler"
+)
+
+// cancellation is a DELETE of an attempt, on its connection.
+type cancellation struct {
+	attempt  scheduler.AttemptID
+	id       uint8 // of the request
+	worker   uint8
+	answered bool // its answer is on its way
+	deadline Micros
+	conn     connstate.Conn
+}
+
+// sendCancellation sends a DELETE on its way.
+func (w *World) sendCancellation(e scheduler.CancelAttempt) {
+	c := cancellation{attempt: e.Attempt, id: requestIndex(e.ID), worker: workerIndex(e.Addr),
+		deadline: e.Deadline}
+	c.conn.Assign(e.Attempt, true)
+	for _, attempt := range w.unsentAttempts {
+		if attempt == e.Attempt {
+			c.answered = true // nothing of the attempt was written: the node need not ask
+		}
+	}
+	w.cancellations = append(w.cancellations, c)
+}
+
+// cancellationActions lists what can happen to cancellations on their way.
+func (w *World) cancellationActions(out []Action) []Action {
+	for i := range w.cancellations {
+		c := &w.cancellations[i]
+		switch {
+		case c.answered:
+			out = append(out, Action{CancellationAnswered, uint8(i), 0})
+		case !w.workers[c.worker].unreachable && (w.cfg.DeleteOvertakesRequest || !w.requestInTransit(c)):
+			out = append(out, Action{CancellationArrives, uint8(i), 0})
+		}
+		if !c.answered && w.mayInject(FaultConnectionBroken) {
+			out = append(out, Action{CancellationBreaks, uint8(i), 0})
+		}
+	}
+	return out
+}
+
+// requestInTransit reports whether the request that a cancellation is about is still on its way to the
+// worker.
+func (w *World) requestInTransit(of *cancellation) bool {
+	for i := range w.connections {
+		if c := &w.connections[i]; c.attempt == of.attempt && c.phase == closing {
+			return true
+		}
+	}
+	return false
+}
+
+func (w *World) cancellationArrives(a Action) {
+	c := &w.cancellations[a.Target]
+	if w.workers[c.worker].processDown {
+		_, e := c.conn.WriteEnded(connstate.ConnectRefused)
+		w.endCancellation(a.Target, e)
+		return
+	}
+	if j := w.findJob(c.id, c.worker); j >= 0 {
+		w.removeJob(j)
+	}
+	c.answered = true
+}
+
+func (w *World) cancellationAnswered(a Action) {
+	c := &w.cancellations[a.Target]
+	c.conn.WriteEnded(connstate.WriteComplete)
+	_, e := c.conn.Answered(connstate.Answer{Status: statusOK})
+	w.endCancellation(a.Target, e)
+}
+
+func (w *World) cancellationBreaks(a Action) {
+	w.spendFault(FaultConnectionBroken)
+	c := &w.cancellations[a.Target]
+	c.conn.WriteEnded(connstate.WriteComplete)
+	_, e := c.conn.ReadEnded()
+	w.endCancellation(a.Target, e)
+}
+
+// endCancellation drops a cancellation and passes on the event that follows from its end.
+func (w *World) endCancellation(i uint8, e scheduler.Event) {
+	w.removeCancellation(int(i))
+	w.step(e)
+}
+
+func (w *World) removeCancellation(i int) {
+	w.cancellations = append(w.cancellations[:i:i], w.cancellations[i+1:]...)
+}
--- /dev/null
+++ b/internal/modelcheck/checks.go
@@ -0,0 +1,187 @@
+package modelcheck
+
+import (
+	"strings"
+
+	"dahliaford/internal/dispatch"
+	"dahliaford/internal/scheduler"
+)
+
+// checkOneAnswer checks OneFinalAnswer when an answer is given.
+func (w *World) checkOneAnswer(q *request) {
+	switch {
+	case q.state == answered:
+		w.violate(OneFinalAnswer, "%s is answered twice", w.requestID(q.id))
+	case q.state == disconnected:
+		w.violate(OneFinalAnswer, "%s is answered though its client left", w.requestID(q.id))
+	case w.now > q.deadline:
+		w.violate(OneFinalAnswer, "%s is answered %v after its client gave up", w.requestID(q.id),
+			duration(w.now-q.deadline))
+	}
+}
+
+// checkHonest checks HonestAnswers when an answer is given.
+func (w *World) checkHonest(q *request, a scheduler.Answer) {
+	switch a.Verdict {
+	case scheduler.Served:
+		uid, ok := strings.CutPrefix(string(a.Body), w.requestID(q.id)+resultBy)
+		if !ok || !w.requests[q.id].resultsBy.has(workerIndex(uid)) {
+			w.violate(HonestAnswers, "%s is served %q, which no worker made for it", w.requestID(q.id), a.Body)
+		}
+	case scheduler.Refused:
+		w.checkRefusal(q)
+	}
+}
+
+// checkRefusal checks that a repeat of a refused request is harmless.
+func (w *World) checkRefusal(q *request) {
+	id := w.requestID(q.id)
+	if w.requests[q.id].mayHaveRun != 0 {
+		w.violate(HonestAnswers, "%s is refused though it may have run", id)
+	}
+	for _, j := range w.jobs {
+		if j.id == q.id {
+			w.violate(HonestAnswers, "%s is refused while %s holds it", id, workerUID(j.worker))
+		}
+	}
+	for _, c := range w.connections {
+		if c.id == q.id && c.phase == written {
+			w.violate(HonestAnswers, "%s is refused while it is on its way to %s", id, workerUID(c.worker))
+		}
+	}
+}
+
+// checkArrival checks OneAttemptOutstanding, AttemptsCapped, RunsAsAllowed and SlowStartRespected when an
+// attempt's last byte reaches a worker.
+func (w *World) checkArrival(c *connection) {
+	q := &w.requests[c.id]
+	if q.attempts++; int(q.attempts) > w.cfg.Rules.maxAttempts() {
+		w.violate(AttemptsCapped, "attempt %d of %s comes to %s", q.attempts, w.requestID(c.id),
+			workerUID(c.worker))
+	}
+	for _, j := range w.jobs {
+		if j.id == c.id {
+			w.violate(OneAttemptOutstanding, "an attempt of %s comes to %s while %s holds one that is not cancelled",
+				w.requestID(c.id), workerUID(c.worker), workerUID(j.worker))
+		}
+	}
+	if q.class == Batch && q.mayHaveRun != 0 {
+		w.checkBatchRepeat(c)
+	}
+	w.checkSlowStart(c)
+}
+
+// checkBatchRepeat checks RunsAsAllowed for a batch that may have run and reaches a worker again.
+func (w *World) checkBatchRepeat(c *connection) {
+	q := &w.requests[c.id]
+	id, uid := w.requestID(c.id), workerUID(c.worker)
+	for i := range uint8(len(w.workers)) {
+		if q.mayHaveRun.has(i) && w.cfg.Racks[i] != w.cfg.Racks[c.worker] {
+			w.violate(RunsAsAllowed, "%s may have run at %s and comes to %s, in another rack", id, workerUID(i), uid)
+		}
+	}
+	if c.sentAt-q.firstRunSentAt > dedupWindow {
+		w.violate(RunsAsAllowed, "%s may have run and is sent again %v later, past its window", id,
+			duration(c.sentAt-q.firstRunSentAt))
+	}
+}
+
+// checkSlowStart checks SlowStartRespected. In these worlds the budget of a worker in slow start is under
+// one job, so of the jobs whose sender knew of it one may come within the window.
+func (w *World) checkSlowStart(c *connection) {
+	if !c.slowStart {
+		return
+	}
+	to := &w.workers[c.worker]
+	for _, at := range to.slowStartSends {
+		if apart := max(c.sentAt-at, at-c.sentAt); apart < overloadWindow {
+			w.violate(SlowStartRespected, "two jobs are sent to %s within %v, in its slow start",
+				workerUID(c.worker), duration(apart))
+		}
+	}
+	to.slowStartSends = append(to.slowStartSends, c.sentAt)
+}
+
+// checkWrite checks DrainsRespected and NoSendAfterDisconnect when an attempt's first byte is written.
+func (w *World) checkWrite(c *connection) {
+	to := &w.workers[c.worker]
+	c.slowStart = to.startedAt != 0 && to.knownStart == to.startedAt &&
+		w.now-to.startedAt < slowStartDuration && to.status == dispatch.Ready
+	w.checkClientPresent(c)
+	if since := w.leavingSince(to); since != 0 && w.now-since > drainGrace {
+		w.violate(DrainsRespected, "%s is written to %s %v after the notice that it leaves", w.requestID(c.id),
+			workerUID(c.worker), duration(w.now-since))
+	}
+}
+
+// checkClientPresent checks NoSendAfterDisconnect: of the clients that submitted this id, one waits or left
+// within disconnectGrace.
+func (w *World) checkClientPresent(c *connection) {
+	since := Micros(-1)
+	for i := range w.requests {
+		q := &w.requests[i]
+		switch {
+		case q.id != c.id:
+		case q.state == open:
+			return
+		case q.state == disconnected:
+			since = max(since, q.disconnectedAt)
+		}
+	}
+	if since >= 0 && w.now-since > disconnectGrace {
+		w.violate(NoSendAfterDisconnect, "%s is written to %s %v after its client left", w.requestID(c.id),
+			workerUID(c.worker), duration(w.now-since))
+	}
+}
+
+// checkCancelAllowed checks CancelsAsAllowed when an attempt is given up. What its worker, its connection or
+// its time has ended is not outstanding any more.
+func (w *World) checkCancelAllowed(attempt scheduler.AttemptID) {
+	if !w.cfg.Rules.CancelForbidden {
+		return
+	}
+	for i := range w.requests {
+		q := &w.requests[i]
+		if q.lastAttempt == attempt && q.stage < stageGivenUp && w.now < q.attemptDeadline {
+			w.violate(CancelsAsAllowed, "an attempt of %s at %s is given up %v before its time", w.requestID(q.id),
+				workerUID(q.lastWorker), duration(q.attemptDeadline-w.now))
+		}
+	}
+}
+
+// recordRun notes that a job may run at a worker, and checks RunsAsAllowed.
+func (w *World) recordRun(id, worker uint8, sentAt Micros) {
+	q := &w.requests[id]
+	if q.starts++; q.class == Post && q.starts > 1 {
+		w.violate(RunsAsAllowed, "%s runs for the second time, at %s", w.requestID(id), workerUID(worker))
+	}
+	if q.mayHaveRun == 0 {
+		q.firstRunSentAt = sentAt
+	}
+	q.mayHaveRun.add(worker)
+}
+
+// checkExit checks OneFinalAnswer at the program's end.
+func (w *World) checkExit() {
+	for i := range w.requests {
+		if w.requests[i].state == open {
+			w.violate(OneFinalAnswer, "the program exits and %s has no answer", w.requestID(w.requests[i].id))
+		}
+	}
+}
+
+// checkDeadlines checks OneFinalAnswer and Terminates after each action.
+func (w *World) checkDeadlines() {
+	for i := range w.requests {
+		q := &w.requests[i]
+		if q.state != open {
+			continue
+		}
+		if w.now > q.deadline+timerJitter {
+			w.violate(OneFinalAnswer, "%s has no answer %v after its client gave up", w.requestID(q.id),
+				duration(w.now-q.deadline))
+		} else if w.now < q.deadline && (w.timerAt == 0 || w.timerAt > q.deadline) {
+			w.violate(Terminates, "%s is open, and no timer is set before its client gives up", w.requestID(q.id))
+		}
+	}
+}
--- /dev/null
+++ b/internal/modelcheck/effects.go
@@ -0,0 +1,148 @@
+package modelcheck
+
+import (
+	"dahliaford/internal/scheduler"
+)
+
+// schedulerActions lists what can happen to the scheduler's process.
+func (w *World) schedulerActions(out []Action) []Action {
+	if w.mayInject(FaultReload) {
+		out = append(out, Action{Kind: ReloadConfig})
+	}
+	if w.mayInject(FaultShutdown) && !w.stopping {
+		out = append(out, Action{Kind: Terminate})
+	}
+	if w.mayInject(FaultModulePanic) && !w.panicPending {
+		out = append(out, Action{Kind: PanicModule})
+	}
+	return out
+}
+
+func (w *World) reloadConfig(Action) {
+	w.spendFault(FaultReload)
+	w.step(scheduler.Reloaded{Discovery: "another"})
+}
+
+func (w *World) terminate(Action) {
+	w.spendFault(FaultShutdown)
+	w.stopping, w.stoppingSince = true, w.now
+	w.step(scheduler.ShutdownRequested{})
+}
+
+func (w *World) panicModule(Action) {
+	w.spendFault(FaultModulePanic)
+	w.panicPending = true
+}
+
+// step passes an event to the scheduler as the node does, recovers it from a panic, and performs its
+// effects.
+func (w *World) step(e scheduler.Event) {
+	w.observe(e)
+	effects, panicked := w.reduce(e)
+	if panicked {
+		w.panicPending = false
+		w.note("the module panicked and was restarted")
+		var err error
+		if effects, err = w.sched.Recover(w.now); err != nil {
+			w.violate(OneFinalAnswer, "the module cannot be restarted: %v", err)
+		}
+	}
+	for _, effect := range effects {
+		w.perform(effect)
+	}
+}
+
+func (w *World) reduce(e scheduler.Event) (effects []scheduler.Effect, panicked bool) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			if !w.panicPending {
+				w.violate(OneFinalAnswer, "a panic that was not injected: %v", cause)
+			}
+			panicked = true
+		}
+	}()
+	if w.panicPending {
+		w.sched.InjectFault()
+	}
+	effects = w.sched.Step(w.now, e, nil)
+	if w.panicPending { // the event did not reach the module: it panics at the next one
+		w.note("(the event did not reach the module)")
+	}
+	return effects, false
+}
+
+// perform does what the scheduler asks for.
+func (w *World) perform(e scheduler.Effect) {
+	switch e := e.(type) {
+	case scheduler.SendAttempt:
+		w.sendAttempt(e)
+	case scheduler.CloseConnection:
+		w.note("scheduler closes the connection of its attempt at a worker")
+		w.closeConnection(e.Attempt)
+	case scheduler.CancelUnsent:
+		w.note("scheduler cancels its attempt if nothing of it is written")
+		w.cancelUnsent(e.Attempt)
+	case scheduler.CancelAttempt:
+		w.note("scheduler cancels %s at %s", e.ID, e.Addr)
+		w.checkCancelAllowed(e.Attempt)
+		w.markGivenUp(e.Attempt)
+		w.sendCancellation(e)
+	case scheduler.Answer:
+		w.answer(e)
+	case scheduler.SetTimer:
+		w.timerAt = e.At
+	case scheduler.OpenWatch:
+		w.note("scheduler opens a watch of the worker list")
+		w.openWatch(e.ValidUntil)
+	case scheduler.Shutdown:
+		w.note("scheduler exits")
+		w.exit()
+	case scheduler.Log:
+		w.note("log: %s %v", e.Text, e.Args)
+	}
+}
+
+// sendAttempt puts an attempt on a connection of its own.
+func (w *World) sendAttempt(e scheduler.SendAttempt) {
+	w.note("scheduler sends %s to %s, to be written within %v", e.ID, e.UID, duration(e.WriteBy-w.now))
+	// What waited for a cancellation was decided before, and the node's last check blocks it.
+	if w.listStale() && e.WriteBy-connectTimeout > w.watch.validUntil {
+		w.violate(StaleListUnused, "%s is sent to %s by a list that was valid until %v ago", e.ID, e.UID,
+			duration(w.now-w.watch.validUntil))
+	}
+	c := connection{attempt: e.Attempt, id: requestIndex(e.ID), worker: workerIndex(e.UID), writeBy: e.WriteBy}
+	c.conn.Assign(e.Attempt, false)
+	w.connections = append(w.connections, c)
+	q := &w.requests[c.id]
+	q.lastAttempt, q.attemptDeadline, q.lastWorker, q.stage = e.Attempt, e.Deadline, c.worker, stageConnecting
+}
+
+// answer gives a client its answer.
+func (w *World) answer(a scheduler.Answer) {
+	var q *request
+	for i := range w.requests {
+		if w.requests[i].caller == a.Caller {
+			q = &w.requests[i]
+		}
+	}
+	if q == nil {
+		w.violate(OneFinalAnswer, "an answer to nobody")
+		return
+	}
+	w.note("scheduler %s %s %s", verdictTexts[a.Verdict], w.requestID(q.id), a.Body)
+	w.checkOneAnswer(q)
+	w.checkHonest(q, a)
+	q.state, q.verdict = answered, a.Verdict
+}
+
+var verdictTexts = [...]string{scheduler.Served: "serves", scheduler.Refused: "refuses",
+	scheduler.Failed: "fails", scheduler.Invalid: "calls invalid", scheduler.Conflict: "calls a conflict"}
+
+// exit ends the program.
+func (w *World) exit() {
+	w.exited = true
+	if w.now >= w.stoppingSince+shutdownLimit {
+		w.cancellationsAbandoned = true
+	}
+	w.checkExit()
+}
--- a/internal/modelcheck/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -159,14 +159,13 @@
 		}
 		// A seed for every few steps: dropping some of them shrinks a walk.
 		seeds := rapid.SliceOfN(rapid.Uint64(), 1, 60).Draw(t, "seeds")
-		var path []Action
 		drawn, random := 0, rand.New(rand.NewPCG(seeds[0], 0))
-		broke := walk(w, func(n int) int {
+		path, broke := walk(w, func(n int) int {
 			if drawn++; drawn%30 == 0 {
 				random = rand.New(rand.NewPCG(seeds[drawn/30%len(seeds)], uint64(drawn)))
 			}
 			return random.IntN(n)
-		}, &path)
+		})
 		steps += len(path)
 		deepest = max(deepest, len(path))
 		if broke != nil {
@@ -297,13 +296,13 @@
 		ask, told, progress, connected Micros
 	}
 	for name, want := range map[string]got{
-		"attempt":   {true, false, 4, askWithin, 0, 0, connectTimeout},
-		"forbidden": {false, false, 4, askWithin, 0, 0, connectTimeout},
-		"leaves":    {false, false, 4, askWithin, toldWithin, 0, connectTimeout},
-		"pushed":    {true, false, 4, askWithin, toldWithin, 0, connectTimeout},
-		"asked":     {true, false, 4, 400 * millisecond, toldWithin, 0, connectTimeout},
-		"copies":    {true, true, 4, askWithin, 0, 100 * millisecond, connectTimeout},
-		"two":       {true, false, 2, askWithin, 0, 0, connectTimeout},
+		"attempt":   {true, false, 4, defaultPollInterval, 0, 0, connectTimeout},
+		"forbidden": {false, false, 4, defaultPollInterval, 0, 0, connectTimeout},
+		"leaves":    {false, false, 4, defaultPollInterval, maxStaleness, 0, connectTimeout},
+		"pushed":    {true, false, 4, defaultPollInterval, maxStaleness, 0, connectTimeout},
+		"asked":     {true, false, 4, 400 * millisecond, maxStaleness, 0, connectTimeout},
+		"copies":    {true, true, 4, defaultPollInterval, 0, 100 * millisecond, connectTimeout},
+		"two":       {true, false, 2, defaultPollInterval, 0, 0, connectTimeout},
 	} {
 		cfg := bounded(t, name, 0)
 		if err := cfg.prepare(); err != nil {
--- a/internal/modelcheck/model.go
+++ b/internal/modelcheck/model.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"github.com/zeebo/xxh3"
 )
 
-// Model is a small world of another state machine than the scheduler's, explored in one
-// goroutine: a desk's decisions, for instance. M is the type that has these methods.
+// Model is a small world of another state machine than the scheduler's, explored in one goroutine: the
+// decisions of a client, for instance. M is the type that has these methods.
 type Model[M any] interface {
 	// Steps are the names of what may happen now, in a fixed order; none: the world is over.
 	Steps() []string
@@ -15,60 +16,71 @@
 	Step(i int) M
 	// AppendState appends a form that is the same for two worlds that act alike.
 	AppendState(b []byte) []byte
-	// Check tells what broke; nil: nothing did.
+	// Check says which rule is violated; nil: none is.
 	Check() error
 }
 
 // Exploration is what Exhaust found.
 type Exploration struct {
 	States, Transitions int
-	Depth               int
+	Depth               int      // of the state that is farthest from the root, in steps
 	Exhausted           bool     // all states were seen
-	Violation           error    // the first thing that broke
-	Path                []string // the shortest way there
+	Violation           error    // the first one
+	Path                []string // the shortest path to it
 }
 
-// Exhaust sees all states of a model, the nearest first, up to a number of them.
-func Exhaust[M Model[M]](root M, most int) Exploration {
-	type place struct {
-		world M
-		from  int // index of the place before
-		name  string
-		depth int
-	}
-	places := []place{{world: root, from: -1}}
+// place is a state of a model and how it was reached.
+type place[M any] struct {
+	world  M
+	parent int // index of the place before; -1 for the root
+	step   string
+	depth  int
+}
+
+// Exhaust sees all states of a model, breadth first, up to maxStates of them.
+func Exhaust[M Model[M]](root M, maxStates int) Exploration {
+	places := []place[M]{{world: root, parent: -1}}
 	seen := map[xxh3.Uint128]struct{}{xxh3.Hash128(root.AppendState(nil)): {}}
-	var t Exploration
+	var result Exploration
 	var form []byte
-	for at := 0; at < len(places) && len(places) <= most; at++ {
+	for at := 0; at < len(places) && len(places) <= maxStates; at++ {
 		here := places[at]
-		t.Depth = max(t.Depth, here.depth)
-		if t.Violation = here.world.Check(); t.Violation != nil {
-			for i := at; places[i].from >= 0; i = places[i].from {
-				t.Path = append([]string{places[i].name}, t.Path...)
-			}
-			t.States = at + 1
-			return t
+		result.Depth = max(result.Depth, here.depth)
+		if result.Violation = here.world.Check(); result.Violation != nil {
+			result.Path = pathTo(places, at)
+			result.States = at + 1
+			return result
 		}
-		for i, name := range here.world.Steps() {
+		for i, step := range here.world.Steps() {
 			next := here.world.Step(i)
-			t.Transitions++
+			result.Transitions++
 			form = next.AppendState(form[:0])
 			h := xxh3.Hash128(form)
 			if _, known := seen[h]; known {
 				continue
 			}
 			seen[h] = struct{}{}
-			places = append(places, place{next, at, name, here.depth + 1})
+			places = append(places, place[M]{next, at, step, here.depth + 1})
 		}
 		var none M
-		places[at].world = none // only its name is needed from here on
+		places[at].world = none // only its step is needed from here on
+	}
+	result.States, result.Exhausted = len(places), len(places) <= maxStates
+	return result
+}
+
+// pathTo lists the steps from the root to a place.
+func pathTo[M any](places []place[M], at int) []string {
+	var path []string
+	for ; places[at].parent >= 0; at = places[at].parent {
+		path = append(path, places[at].step)
 	}
-	t.States, t.Exhausted = len(places), len(places) <= most
-	return t
+	slices.Reverse(path)
+	return path
 }
 
-func (t Exploration) String() string {
-	return fmt.Sprintf("%d states, %d transitions, %d deep, exhausted %v", t.States, t.Transitions, t.Depth,
-		t.Exhausted)
+// String returns the numbers, for logs of tests.
+func (e Exploration) String() string {
+	return fmt.Sprintf("%d states, %d transitions, %d deep, exhausted %v", e.States, e.Transitions, e.Depth,
+		e.Exhausted)
 }
--- /dev/null
+++ b/internal/modelcheck/observe.go
@@ -0,0 +1,102 @@
+package modelcheck
+
+import (
+	"dahliaford/internal/dispatch"
+	"dahliaford/internal/scheduler"
+)
+
+var callbackEvents = map[scheduler.CallbackKind]eventKind{
+	scheduler.CallbackStarted:    evStarted,
+	scheduler.CallbackDone:       evDone,
+	scheduler.CallbackFailed:     evFailed,
+	scheduler.CallbackHandedBack: evHandedBack,
+	scheduler.CallbackAborted:    evAborted,
+}
+
+var outcomeEvents = map[dispatch.Outcome]eventKind{
+	dispatch.ConnectFailed: evConnectFailed,
+	dispatch.Reset:         evReset,
+	dispatch.AtCapacity:    evAtCapacity,
+	dispatch.Failed:        evError,
+	dispatch.NotSent:       evNotSent,
+}
+
+var cancellationEvents = map[bool]eventKind{true: evCancelled, false: evNotCancelled}
+
+// observe counts an event before it is passed to the scheduler, and notes the stage that an attempt has for
+// the scheduler from then on.
+func (w *World) observe(e scheduler.Event) {
+	switch e := e.(type) {
+	case scheduler.Submitted:
+		w.coverage[evSubmitted][w.requests[requestIndex(e.ID)].stage]++
+	case scheduler.ClientDisconnected:
+		for i := range w.requests {
+			if q := &w.requests[i]; q.caller == e.Caller {
+				w.coverage[evDisconnected][w.requests[q.id].stage]++
+			}
+		}
+	case scheduler.AttemptAccepted:
+		w.observeAttempt(evAccepted, e.Attempt, stageAccepted)
+	case scheduler.AttemptEnded:
+		w.observeAttempt(outcomeEvents[e.Outcome], e.Attempt, stageEnded)
+	case scheduler.AttemptRejected:
+		w.observeAttempt(evRejected, e.Attempt, stageEnded)
+	case scheduler.CancellationResult:
+		w.observeAttempt(cancellationEvents[e.Acknowledged], e.Attempt, stageNone)
+	case scheduler.Callback:
+		w.observeCallback(e)
+	case scheduler.EndpointsUpdated:
+		w.observeAll(evList)
+	case scheduler.WatchClosed:
+		w.observeAll(evWatchClosed)
+	case scheduler.Reloaded:
+		w.observeAll(evReloaded)
+	case scheduler.TimerFired:
+		w.observeAll(evTimer)
+	case scheduler.ShutdownRequested:
+		w.observeAll(evStopping)
+	}
+	if w.panicPending {
+		w.observeAll(evPanic)
+	}
+}
+
+// observeAttempt counts an event about an attempt. Unless to is stageNone, it is the stage of an attempt that
+// was neither given up nor ended.
+func (w *World) observeAttempt(kind eventKind, attempt scheduler.AttemptID, to stage) {
+	for i := range w.requests {
+		q := &w.requests[i]
+		if q.lastAttempt != attempt || attempt == 0 {
+			continue
+		}
+		w.coverage[kind][q.stage]++
+		if to != stageNone && q.stage != stageGivenUp && q.stage != stageEnded {
+			q.stage = to
+		}
+		return
+	}
+	w.coverage[kind][stageEarlier]++
+}
+
+// observeCallback counts a callback. One of another worker than the last attempt's is about an earlier one.
+func (w *World) observeCallback(e scheduler.Callback) {
+	kind := callbackEvents[e.Kind]
+	q := &w.requests[requestIndex(e.ID)]
+	switch {
+	case q.lastWorker != workerIndex(e.From):
+		w.coverage[kind][stageEarlier]++
+	case e.Kind == scheduler.CallbackStarted:
+		w.observeAttempt(kind, q.lastAttempt, stageStarted)
+	default:
+		w.observeAttempt(kind, q.lastAttempt, stageEnded)
+	}
+}
+
+// observeAll counts an event that is about all requests.
+func (w *World) observeAll(kind eventKind) {
+	for i := range w.requests {
+		if q := &w.requests[i]; int(q.id) == i {
+			w.coverage[kind][q.stage]++
+		}
+	}
+}
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -11,7 +12,7 @@
 // traceFormat numbers the form of trace files.
 const traceFormat = 1
 
-// Trace is a path to a state that broke a property, in a form that can be kept.
+// Trace is a path to a state that violates a property, in a form that can be kept.
 type Trace struct {
 	Format    int    `json:"format"`
 	World     string `json:"world"`
@@ -19,11 +20,11 @@
 	Workers   int    `json:"workers,omitempty"`  // 0: as the world has them
 	MaxFaults *int   `json:"faults,omitempty"`   // null: as the world has them
 	Property  string `json:"property"`
-	Text      string `json:"text"` // how it broke
+	Text      string `json:"text"` // how it is violated
 	Steps     []Step `json:"steps"`
 }
 
-// Step is one step of a trace. Do is what is replayed; Words are for people.
+// Step is one step of a trace. Action is what is replayed; the others are for people.
 type Step struct {
 	Action      string   `json:"do"`
 	Description string   `json:"words"`
@@ -31,10 +32,10 @@
 }
 
 // NewTrace makes a trace of what a search or a walk found.
-func NewTrace(cfg *Config, path []Action, broke *Violation) *Trace {
-	most := int(cfg.MaxFaults)
+func NewTrace(cfg *Config, path []Action, violation *Violation) *Trace {
+	maxFaults := int(cfg.MaxFaults)
 	t := &Trace{Format: traceFormat, World: cfg.Name, Requests: len(cfg.Requests), Workers: len(cfg.Racks),
-		MaxFaults: &most, Property: broke.Property.String(), Text: broke.Text}
+		MaxFaults: &maxFaults, Property: violation.Property.String(), Text: violation.Text}
 	w, err := newWorld(cfg)
 	if err != nil {
 		return t
@@ -42,7 +43,7 @@
 	for _, a := range path {
 		var notes []string
 		w.notes = &notes
-		step := Step{Action: a.String(), Description: w.words(a)}
+		step := Step{Action: a.String(), Description: w.describe(a)}
 		w.apply(a)
 		step.Effects = slices.Clone(notes[1:])
 		t.Steps = append(t.Steps, step)
@@ -59,7 +60,7 @@
 		return nil, fmt.Errorf("not a trace: %w", err)
 	}
 	if in.More() {
-		return nil, fmt.Errorf("not a trace: something follows its object")
+		return nil, errors.New("not a trace: something follows its object")
 	}
 	if t.Format != traceFormat {
 		return nil, fmt.Errorf("a trace of format %d; this program reads format %d", t.Format, traceFormat)
@@ -81,11 +82,11 @@
 	if err != nil {
 		return nil, err
 	}
-	most := -1
+	maxFaults := -1
 	if t.MaxFaults != nil {
-		most = *t.MaxFaults
+		maxFaults = *t.MaxFaults
 	}
-	return cfg.Resize(t.Requests, t.Workers, most)
+	return cfg.Resize(t.Requests, t.Workers, maxFaults)
 }
 
 func (t *Trace) path() ([]Action, error) {
@@ -100,26 +101,14 @@
 	return path, nil
 }
 
-func parseAction(text string) (Action, error) {
-	words := strings.Fields(text)
-	if len(words) == 3 {
-		var a, b uint8
-		kind := slices.Index(kindNames[:], words[0])
-		if _, err := fmt.Sscanf(words[1]+" "+words[2], "%d %d", &a, &b); err == nil && kind >= 0 {
-			return Action{ActionKind(kind), a, b}, nil
-		}
-	}
-	return Action{}, fmt.Errorf("%q is no step", text)
-}
-
-// ReplayResult is what became of a trace that was played again.
+// ReplayResult is the outcome of a replay.
 type ReplayResult struct {
-	Violation  *Violation // what broke; nil: nothing
+	Violation  *Violation // nil: there was none
 	DivergedAt int        // the step that can no longer be taken, from 1; 0: all were
 }
 
-// Replay plays a trace again. say is called for each line of the account.
-func (t *Trace) Replay(say func(string)) (*ReplayResult, error) {
+// Replay takes the steps of a trace again. printLine is called for each line of the account.
+func (t *Trace) Replay(printLine func(string)) (*ReplayResult, error) {
 	path, err := t.path()
 	if err != nil {
 		return nil, err
@@ -135,61 +124,48 @@
 	began := w.now
 	for n, a := range path {
 		if !w.allows(a) {
-			say(fmt.Sprintf("%3d  cannot be taken any more: %s", n+1, t.Steps[n].Description))
+			printLine(fmt.Sprintf("%3d  cannot be taken any more: %s", n+1, t.Steps[n].Description))
 			return &ReplayResult{DivergedAt: n + 1}, nil
 		}
 		var notes []string
 		w.notes = &notes
-		at := span(w.now - began)
+		at := duration(w.now - began)
 		w.apply(a)
-		say(fmt.Sprintf("%3d  %8v  %s", n+1, at, strings.TrimPrefix(notes[0], "-- ")))
+		printLine(fmt.Sprintf("%3d  %8v  %s", n+1, at, strings.TrimPrefix(notes[0], actionMark)))
 		for _, note := range notes[1:] {
-			say("               -> " + note)
+			printLine(effectIndent + note)
 		}
-		if w.broke != nil {
-			return &ReplayResult{Violation: w.broke}, nil
+		if w.violation != nil {
+			return &ReplayResult{Violation: w.violation}, nil
 		}
 	}
-	say("     in flight: " + w.flight())
-	if !w.over() && !w.exited {
+	printLine("     in flight: " + w.inFlight())
+	if !w.allAnswered() && !w.exited {
 		return &ReplayResult{}, nil
 	}
+	return &ReplayResult{Violation: w.replaySettling(printLine)}, nil
+}
+
+const (
+	actionIndent = "               "
+	effectIndent = actionIndent + "-> "
+)
+
+// replaySettling settles a world, and prints how if that violates a property.
+func (w *World) replaySettling(printLine func(string)) *Violation {
 	var notes []string
 	w.notes = &notes
-	broke := w.settle()
-	if broke != nil {
-		say("     and if nothing else goes wrong from here on:")
-		for _, note := range notes {
-			if step, ok := strings.CutPrefix(note, "-- "); ok {
-				say("               " + step)
-			} else {
-				say("               -> " + note)
-			}
+	violation := w.settle()
+	if violation == nil {
+		return nil
+	}
+	printLine("     and if nothing else goes wrong from here on:")
+	for _, note := range notes {
+		if action, ok := strings.CutPrefix(note, actionMark); ok {
+			printLine(actionIndent + action)
+		} else {
+			printLine(effectIndent + note)
 		}
 	}
-	return &ReplayResult{Violation: broke}, nil
-}
-
-// flight says what is on its way or held.
-func (w *World) flight() string {
-	var all []string
-	for _, r := range w.routes {
-		state := [...]string{"connecting", "written", "its answer on its way", "its end on its way",
-			"half heard", "accepted", "our close on its way", "kept back"}[r.phase]
-		all = append(all,
-			fmt.Sprintf("attempt %d (%s to %s, %s)", r.attempt, w.txn(r.id), uid(int(r.worker)), state))
-	}
-	for _, j := range w.jobs {
-		all = append(all, fmt.Sprintf("%s at %s, running %v", w.txn(j.id), uid(int(j.worker)), j.running))
-	}
-	for _, c := range w.calls {
-		all = append(all, fmt.Sprintf("callback of %s about %s", uid(int(c.worker)), w.txn(c.id)))
-	}
-	for _, wd := range w.withdraws {
-		all = append(all, fmt.Sprintf("DELETE of %s to %s", w.txn(wd.id), uid(int(wd.worker))))
-	}
-	if len(all) == 0 {
-		return "nothing"
-	}
-	return strings.Join(all, "; ")
+	return violation
 }
--- a/internal/modelcheck/trace_format_test.go
+++ b/internal/modelcheck/trace_format_test.go
@@ -23,13 +23,13 @@
 }
 
 // The names of actions, faults, worlds and properties are part of trace files and of the command line.
-func TestTextualNamesStay(t *testing.T) {
+func TestTextualNamesUnchanged(t *testing.T) {
 	type names struct{ Actions, Faults, Worlds, Properties []string }
 	var want, got names
 	if err := json.Unmarshal(readFormatFile(t, "names.json"), &want); err != nil {
 		t.Fatal(err)
 	}
-	for k := range kinds {
+	for k := range actionKinds {
 		got.Actions = append(got.Actions, k.String())
 	}
 	for f := range faults {
@@ -47,7 +47,7 @@
 }
 
 // Traces with every kind of action can be read, replayed to their end and written again with the same keys.
-func TestTraceFormatStays(t *testing.T) {
+func TestTraceFormatUnchanged(t *testing.T) {
 	met := map[ActionKind]bool{}
 	for _, name := range []string{"walk-large.json", "walk-large-leaves.json", "walk-large-pushed.json"} {
 		raw := readFormatFile(t, name)
@@ -78,7 +78,7 @@
 			t.Errorf("%s: keys and actions -want +got:\n%s", name, diff)
 		}
 	}
-	for k := range kinds {
+	for k := range actionKinds {
 		if !met[k] {
 			t.Errorf("no trace has the action %v", k)
 		}
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -5,23 +5,11 @@
 	"math/rand/v2"
 )
 
-// LargeWorld is a world that is too large to be explored to its end: it is walked at random.
-func LargeWorld() *Config {
-	c := world("large", "six requests, four workers, all faults many times; walked at random, not to its end",
-		250, []Class{Post, Batch, Batch, Post, Batch, Post}, []int{0, 0, 1, 1}, nil)
-	for f := range faults {
-		c.Faults[f] = 200
-	}
-	c.Faults[FaultDuplicateID], c.Faults[FaultShutdown], c.Faults[FaultModulePanic] = 2, 1, 5
-	c.AnswerOvertakesWrite, c.RenewRequests = true, true
-	return c
-}
-
-// mostWalk is the longest that one walk goes on, in steps.
-const mostWalk = 4000
+// maxWalkActions is the longest that one walk goes on.
+const maxWalkActions = 4000
 
-// RandomWalk walks a world from its root at random, again and again, until the context ends or
-// a property breaks. The same seed takes the same walks.
+// RandomWalk takes random paths through a world, each from the root, until the context ends or a property
+// is violated. The same seed takes the same paths.
 func RandomWalk(ctx context.Context, cfg *Config, seed uint64, opt Options) (*Result, error) {
 	r := &Result{World: cfg.Name, Coverage: &Coverage{}}
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -30,14 +18,13 @@
 		if err != nil {
 			return nil, err
 		}
-		w.cover = r.Coverage
-		var path []Action
-		broke := walk(w, func(n int) int { return random.IntN(n) }, &path)
+		w.coverage = r.Coverage
+		path, violation := walk(w, random.IntN)
 		r.States += int64(len(path))
 		r.Transitions += int64(len(path))
 		r.Depth = max(r.Depth, len(path))
-		if broke != nil {
-			r.Path, r.Violation = shorten(cfg, path, broke)
+		if violation != nil {
+			r.Path, r.Violation = shorten(cfg, path, violation)
 			break
 		}
 		if opt.Progress != nil {
@@ -47,33 +34,59 @@
 	return r, nil
 }
 
-// rare are the steps that would rule a walk if they were as likely as the others.
-var rare = map[ActionKind]bool{Terminate: true, PanicModule: true, AnnounceDraining: true, AnnounceRemoved: true,
+// rareActions are the actions that would dominate a walk if they were as likely as the others.
+var rareActions = map[ActionKind]bool{
+	SubmitDuplicate:    true,
+	ClientDisconnects:  true,
+	RefuseConnection:   true,
+	BreakConnection:    true,
+	AbortJob:           true,
+	DropCallback:       true,
+	CancellationBreaks: true,
+	ProcessCrashes:     true,
 	MachineUnreachable: true,
-	ProcessCrashes:     true, CloseWatch: true, RestartDiscovery: true, ReloadConfig: true,
-	ClientDisconnects: true, DropCallback: true,
-	AbortJob: true, SubmitDuplicate: true, BreakConnection: true, RefuseConnection: true, CancellationBreaks: true}
+	AnnounceDraining:   true,
+	AnnounceRemoved:    true,
+	CloseWatch:         true,
+	RestartDiscovery:   true,
+	ReloadConfig:       true,
+	Terminate:          true,
+	PanicModule:        true,
+}
+
+const (
+	maxRedraws    = 3    // a rare action is drawn anew so often
+	rareOdds      = 4    // with 1 in rareOdds it is taken as drawn
+	terminateOdds = 2000 // the same of Terminate, which ends a walk: drawn anew without a limit
+)
 
-// walk takes steps that pick chooses, up to the world's end, and then the fair end.
-func walk(w *World, pick func(n int) int, path *[]Action) *Violation {
-	var steps []Action
-	for range mostWalk {
-		steps = w.enabled(steps[:0])
-		if len(steps) == 0 {
+// walk takes actions that pick chooses, up to the world's end, and then settles. pick returns a number from
+// 0 to n-1. The path is returned with a violation and without.
+func walk(w *World, pick func(n int) int) ([]Action, *Violation) {
+	var path, enabled []Action
+	for range maxWalkActions {
+		enabled = w.enabled(enabled[:0])
+		if len(enabled) == 0 {
 			break
 		}
-		a := steps[pick(len(steps))]
-		for again := 0; again < 3 && rare[a.Kind] && pick(4) > 0 || a.Kind == Terminate && pick(2000) > 0; again++ {
-			a = steps[pick(len(steps))]
-		}
-		*path = append(*path, a)
+		a := drawAction(enabled, pick)
+		path = append(path, a)
 		w.apply(a)
-		if w.broke != nil {
-			return w.broke
+		if w.violation != nil {
+			return path, w.violation
 		}
 	}
-	if w.over() || w.exited {
-		return w.settle()
+	if w.allAnswered() || w.exited {
+		return path, w.settle()
+	}
+	return path, nil
+}
+
+func drawAction(enabled []Action, pick func(n int) int) Action {
+	a := enabled[pick(len(enabled))]
+	for redraws := 0; redraws < maxRedraws && rareActions[a.Kind] && pick(rareOdds) > 0 ||
+		a.Kind == Terminate && pick(terminateOdds) > 0; redraws++ {
+		a = enabled[pick(len(enabled))]
 	}
-	return nil
+	return a
 }
