--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -58,7 +58,7 @@
 	return n.cutRegion >= 0 && region(a) != region(b) && (region(a) == n.cutRegion || region(b) == n.cutRegion)
 }
 
-// send has onArrival called once a message of so many bytes has come from zone to zone.
+// send calls onArrival once a message of that many bytes has arrived, after the cut if there is one.
 func (n *network) send(from, to, bytes int, onArrival func()) {
 	if n.separated(from, to) {
 		n.blocked = append(n.blocked, blockedMessage{from, to, bytes, onArrival})
--- a/internal/endpoints/endpoint.go
+++ b/internal/endpoints/endpoint.go
@@ -21,7 +21,7 @@
 	Addr   string `json:"endpoint"` // host:port
 	Zone   string `json:"az"`
 	Kind   string `json:"model"`     // of its machine
-	Cell   int    `json:"pod_group"` // workers of one cell share their memory of job ids
+	Cell   int    `json:"pod_group"` // workers of one cell deduplicate together
 	State  State  `json:"state"`
 	BootMs int64  `json:"boot_ms"` // start of its process in milliseconds of Unix time; 0: long ago
 }
