--- a/cmd/schedbench/scale.go
+++ b/cmd/schedbench/scale.go
@@ -66,7 +66,7 @@
 	if c.Day == "" {
 		return opt, misuse("unknown day %q: there are %s", c.Day, strings.Join(emulator.Days(), ", "))
 	}
-	if err := opt.Check(); err != nil {
+	if err := opt.Validate(); err != nil {
 		return opt, misuse("%v", err)
 	}
 	if c.Real < 0 || c.Real > maxRealSchedulers {
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -67,10 +67,10 @@
 // wallTime is the present virtual time as a time.Time.
 func (f *fleet) wallTime() time.Time { return time.UnixMicro(int64(f.now)) }
 
-// Run plays a day and returns its report. It fails with the error of Check for bad options, and with
+// Run plays a day and returns its report. It fails with the error of Validate for bad options, and with
 // the context's error, wrapped, if the context ends first.
 func Run(ctx context.Context, opt Options) (*Report, error) {
-	if err := opt.Check(); err != nil {
+	if err := opt.Validate(); err != nil {
 		return nil, err
 	}
 	opt = opt.withDefaults()
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -36,8 +36,8 @@
 	Task       time.Duration // mean run time of a job on a standard machine; 0: DefaultTask
 }
 
-// Check returns an error of one line if the options make no sense or exceed a bound.
-func (o Options) Check() error {
+// Validate returns an error of one line if the options make no sense or exceed a bound.
+func (o Options) Validate() error {
 	switch {
 	case o.Workers < 1 || o.Workers > MaxWorkers:
 		return fmt.Errorf("workers must be 1 to %d", MaxWorkers)
