--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -62,7 +62,7 @@
 	// CancellationResult is the result of a CancelAttempt.
 	CancellationResult struct {
 		Attempt      AttemptID
-		Acknowledged bool // by the worker, or the process that had the attempt is gone
+		Acknowledged bool // by the worker, or the process that had the attempt has ended
 	}
 	// EndpointsUpdated is an update from discovery; one without workers is a heartbeat.
 	EndpointsUpdated struct {
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -86,7 +86,7 @@
 	return 0, ""
 }
 
-// disconnectClient completes a request whose client is gone.
+// disconnectClient completes a request whose client has disconnected.
 func (s *Scheduler) disconnectClient(caller CallerID) {
 	if r := s.byCaller[caller]; r != nil {
 		s.complete(r)
@@ -125,7 +125,7 @@
 }
 
 // expireRequest answers a request at its deadline. The dispatcher answers before this. Should it
-// ever not, the caller gets an answer all the same, and it is not told that a repeat is harmless.
+// ever not, the caller gets an answer all the same, and not one that says that a retry is harmless.
 func (s *Scheduler) expireRequest(caller CallerID) {
 	r := s.byCaller[caller]
 	if r == nil {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -176,8 +176,7 @@
 		list := WorkerList{Rev: 2}
 		for _, field := range fields {
 			uid, state, _ := strings.Cut(field, "=")
-			status := map[string]dispatch.Status{"ready": 1, "draining": 2}[state]
-			list.Workers = append(list.Workers, line(uid, status))
+			list.Workers = append(list.Workers, line(uid, statuses[state]))
 		}
 		a.step(EndpointsUpdated{List: list})
 	case a.name[0] == 'r':
@@ -203,6 +202,10 @@
 	a.step(WatchClosed{})
 }
 
+var statuses = map[string]dispatch.Status{
+	"ready": dispatch.Ready, "draining": dispatch.Draining, "removed": dispatch.Removed,
+}
+
 var outcomes = map[string]dispatch.Outcome{
 	"error": dispatch.Failed, "at-capacity": dispatch.AtCapacity, "connect-failed": dispatch.ConnectFailed,
 }
@@ -395,7 +398,7 @@
 			r1 expect stop using
 			r1 expect nothing
 			r2 expect a1 payload written in 250ms done in 4.996s
-			discovery send r1=gone
+			discovery send r1=removed
 			discovery send
 			r1 expect nothing`,
 		"a request that is open shortly before the kill gets an answer": `
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -97,8 +97,9 @@
 	return messages
 }
 
-// decodeFields reads the fields of any event; a name means the same in all.
-func decodeFields(in *jlexer.Lexer, m *message) {
+// decodeObject reads an object. Its fields are passed to field, which reads the value, or returns false for a
+// key that it does not know. Nulls count as absent.
+func decodeObject(in *jlexer.Lexer, field func(key string) bool) {
 	in.Delim('{')
 	for !in.IsDelim('}') {
 		key := in.UnsafeFieldName(false)
@@ -106,10 +107,7 @@
 		switch {
 		case in.IsNull():
 			in.Skip()
-		case m.decodeJobField(in, key):
-		case m.decodeAttemptField(in, key):
-		case m.decodeInstanceField(in, key):
-		default:
+		case !field(key):
 			in.SkipRecursive()
 		}
 		in.WantComma()
@@ -117,6 +115,13 @@
 	in.Delim('}')
 }
 
+// decodeFields reads the fields of any event; a name means the same in all.
+func decodeFields(in *jlexer.Lexer, m *message) {
+	decodeObject(in, func(key string) bool {
+		return m.decodeJobField(in, key) || m.decodeAttemptField(in, key) || m.decodeInstanceField(in, key)
+	})
+}
+
 // decodeJobField reads a field that describes a job; false: the key names none.
 func (m *message) decodeJobField(in *jlexer.Lexer, key string) bool {
 	switch key {
@@ -193,26 +198,20 @@
 }
 
 func decodeReport(in *jlexer.Lexer, m *message) {
-	m.report.Outstanding = -1
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch {
-		case in.IsNull():
-			in.Skip()
-		case key == "x0":
+	m.report.Outstanding = -1 // not reported
+	decodeObject(in, func(key string) bool {
+		switch key {
+		case "x0":
 			m.report.Free, m.report.Known = in.Float64(), true
-		case key == "errors_per_s":
+		case "errors_per_s":
 			m.report.Errors = in.Float64()
-		case key == "outstanding":
+		case "outstanding":
 			m.report.Outstanding = in.Float64()
 		default:
-			in.SkipRecursive()
+			return false
 		}
-		in.WantComma()
-	}
-	in.Delim('}')
+		return true
+	})
 }
 
 func decodeWorkers(in *jlexer.Lexer) []dispatch.WorkerEntry {
@@ -231,15 +230,7 @@
 
 func decodeWorker(in *jlexer.Lexer) dispatch.WorkerEntry {
 	e := dispatch.WorkerEntry{Status: dispatch.Ready}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		if in.IsNull() {
-			in.Skip()
-			in.WantComma()
-			continue
-		}
+	decodeObject(in, func(key string) bool {
 		switch key {
 		case "generation_hw":
 			e.Kind = in.Int()
@@ -254,11 +245,10 @@
 		case "worker":
 			e.Worker = dispatch.WorkerID(in.Uint32())
 		default:
-			in.SkipRecursive()
+			return false
 		}
-		in.WantComma()
-	}
-	in.Delim('}')
+		return true
+	})
 	return e
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,11 +55,12 @@
 		t.Fatal(err)
 	}
 	s := parsed.Dispatch
-	if s.Classes[0].ObjectiveStretch != 1.5 || s.Classes[1].ObjectiveStretch != 0.5 || s.Classes[1].DedupScope != 1 ||
-		s.Classes[1].Effect != 1 || s.Classes[0].Kind != -1 {
+	if s.Classes[0].ObjectiveStretch != 1.5 || s.Classes[1].ObjectiveStretch != 0.5 ||
+		s.Classes[1].DedupScope != dispatch.ScopeZone || s.Classes[1].Effect != dispatch.Keyed || s.Classes[0].Kind != -1 {
 		t.Errorf("classes: %+v", s.Classes)
 	}
-	if s.OverQuotaWeight != 1 || s.OverloadFactor != 1 || !s.PollEndpoints || !s.LoadReports || s.MaxRetryAfter != 0 {
+	if s.OverQuotaWeight != 1 || s.OverloadFactor != 1 || !s.PollEndpoints || !s.LoadReports ||
+		s.MaxRetryAfter != 0 {
 		t.Errorf("settings: %+v", s)
 	}
 	for bad, field := range map[string]string{
@@ -175,7 +176,8 @@
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost()
 	h.dispatchers[2] = &dispatch.Dispatcher{} // not made by New: its maps are missing
-	out, err := h.HandleBatch([]byte(`{"t":1,"inbox":[{"knock":{"who":2,"op_id":1,"class":0,"patience_left":5}}]}`))
+	batch := `{"t":1,"inbox":[{"knock":{"who":2,"op_id":1,"class":0,"patience_left":5}}]}`
+	out, err := h.HandleBatch([]byte(batch))
 	if err != nil || !strings.Contains(string(out), `{"exception":{"who":2,"line":`) {
 		t.Errorf("got %s, %v", out, err)
 	}
