--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -106,7 +106,7 @@
 func (s *Scheduler) recordDrain(w *worker) {
 	switch {
 	case w.Status != dispatch.Ready && w.drainingSince == 0:
-		w.drainingSince = max(s.now, 1)
+		w.drainingSince = max(s.now, 1) // 0 stands for ready
 		s.emit(StopUsingWorker{UID: w.UID, Addr: w.Addr})
 	case w.Status == dispatch.Ready && w.drainingSince != 0:
 		w.drainingSince = 0
@@ -119,7 +119,7 @@
 	case w.Status != dispatch.Removed:
 		w.removedSince = 0
 	case w.removedSince == 0:
-		w.removedSince = max(s.now, 1)
+		w.removedSince = max(s.now, 1) // 0 stands for not removed
 		s.removedWorkers = append(s.removedWorkers, removedWorker{w, w.removedSince})
 	case s.now-w.removedSince >= s.settings.Dispatch.RemovedRetention():
 		delete(s.workers, w.UID)
