--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"net"
 	"strings"
@@ -64,11 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			requests := make(chan string, 100)
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer l.Close()
+			l := listenLoopback(t)
 			go func() {
 				for call := 1; ; call++ {
 					c, err := l.Accept()
@@ -81,17 +79,18 @@
 					}
 					go func() {
 						defer c.Close()
+						// The node may close the connection at any time: errors are ignored.
 						b := make([]byte, 1<<12)
 						n, _ := c.Read(b)
 						first, _, _ := strings.Cut(string(b[:n]), "\r\n")
 						requests <- first
 						switch response {
 						case "":
-							c.(*net.TCPConn).SetLinger(0)
+							resetOnClose(t, c)
 						case silence:
-							c.Read(b) // until the other side has enough
+							_, _ = c.Read(b) // until the node closes it
 						default:
-							c.Write([]byte(response))
+							_, _ = c.Write([]byte(response))
 						}
 					}()
 				}
@@ -108,8 +107,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			done := make(chan error, 1)
-			go func() { done <- n.Run() }()
+			done := runNode(n)
 			for range 2 {
 				select {
 				case got := <-requests: // from the version that it has: nothing of the bad one was taken
@@ -120,17 +118,96 @@
 					t.Fatal("discovery is not asked again")
 				}
 			}
-			if got := log.count("watch of the worker list lost"); got != 1 {
+			if got := log.count("watch of the worker list failed"); got != 1 {
 				t.Errorf("%d lines in the log for one watch", got)
 			}
 			n.Stop()
-			if err := <-done; err != nil {
-				t.Error(err)
-			}
+			checkEnd(t, done)
 		})
 	}
 }
 
+// Before the first object a watch says nothing of what there is.
+func TestEmptyLinesAreNoList(t *testing.T) {
+	updates := make(chan scheduler.EndpointsUpdated, 10)
+	l := listenLoopback(t)
+	n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parsed(t)})
+	defer n.close()
+	go func() {
+		if conn, err := l.Accept(); err == nil {
+			object := `{"rev":3,"all":false,"targets":[]}` + "\n\n"
+			_, _ = io.WriteString(conn, watchHead+chunk("\n\n")+chunk(object)+chunk(`{"rev":4`)) // the updates show it
+			conn.Close()
+		}
+	}()
+	say := func(e scheduler.EndpointsUpdated, _ *watchReader) { updates <- e }
+	err := n.readWatch(n.ctx, scheduler.OpenWatch{Addr: l.Addr().String()}, say)
+	if err == nil || errors.Is(err, errUnreadableList) {
+		t.Errorf("an object that is cut off is none, not one that cannot be read: %v", err)
+	}
+	if close(updates); len(updates) != 2 || (<-updates).List.Rev != 3 {
+		t.Errorf("%d words were told, want the object and the empty line behind it", len(updates))
+	}
+}
+
+// A reload moves the watch to the discovery that it names while a job runs.
+func TestReload(t *testing.T) {
+	w := newWorld(t, 0, "r1")
+	w.serve(t, "discovery2")
+	play(t, w, `
+		discovery expect GET /catalog/members?watch=1&from=4
+		discovery send head
+		c1 send job post a1 || work
+		r1 expect POST /post/7?a=b txn=a1 key=k body=work
+		node send reload discovery2
+		discovery2 expect GET /catalog/members?watch=1&from=0
+		discovery2 close
+		discovery2 expect end
+		discovery2 expect GET /catalog/members?watch=1&from=0
+		back send POST /callback || {"id":"a1","from":"r1","state":"done","result":"yes"}
+		back expect 204
+		c1 expect 200 yes`)
+}
+
+// Until the discovery that a reload names has said something, the one before is listened to: who
+// it says leaves gets nothing new. An empty line before the first object says nothing.
+func TestReloadReadsBothWatches(t *testing.T) {
+	set := parsed(t) // nothing comes due by itself while discovery is played by hand
+	set.Dispatch.PollInterval, set.Dispatch.MaxStaleness = 3600*second, 3600*second
+	w := newWorldOf(t, set, 0, "r1", "r2")
+	w.serve(t, "discovery2")
+	addr := w.peers["r1"].listener.Addr().String()
+	play(t, w, `
+		discovery expect GET /catalog/members?watch=1&from=4
+		discovery send head
+		node send reload discovery2
+		discovery2 expect GET /catalog/members?watch=1&from=0`)
+	w.node.onLoop(func() { w.node.extendValidity(t, time.Hour) }) // else a reload ends the trust after 4 s
+	play(t, w, `
+		discovery2 send head
+		discovery2 send /n
+		discovery send {"rev":5,"targets":[`+strings.Replace(workerLine("r1", addr), "ready", "draining", 1)+`]}/n`)
+	isDraining := func() bool { return errors.Is(w.node.freshness.allowSend("r1", w.node.now()), errDraining) }
+	if !eventually(isDraining) {
+		t.Fatal("the address before is not listened to")
+	}
+	w.node.onLoop(func() {
+		if w.node.previousWatch == nil {
+			t.Error("the address before is let go by an empty line")
+		}
+	})
+	play(t, w, `
+		c1 send job post a1 || work
+		r2 expect POST /post/7?a=b txn=a1 key=k body=work
+		discovery2 send {"rev":1,"all":true,"targets":[`+workerLine("r1", addr)+`]}/n
+		discovery expect end
+		c2 send job post a2 || work
+		wait open 2`)
+	if !isDraining() {
+		t.Error("an address that knows less brings a worker back")
+	}
+}
+
 // A list of thousands of workers is taken, in a fraction of a second.
 func TestHugeList(t *testing.T) {
 	var all []string
@@ -176,35 +253,19 @@
 		t.Fatal(err)
 	}
 	set.Dispatch.Dispatchers = nodes
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	if n, err = Listen(Config{Listen: "127.0.0.1:0", Settings: set, Discovery: l.Addr().String()},
-		slog.New(slog.DiscardHandler)); err != nil {
-		t.Fatal(err)
-	}
-	done = make(chan error, 1)
-	go func() { done <- n.Run() }()
-	return l.(*net.TCPListener), n, done
+	l := listenLoopback(t)
+	n = listenNode(t, Config{Listen: "127.0.0.1:0", Settings: set, Discovery: l.Addr().String()})
+	return l, n, runNode(n)
 }
 
 // Where lists are pushed they come over a watch as well: without one no drain is ever heard.
 func TestPushedListsAreWatched(t *testing.T) {
 	l, n, done := startPushedNode(t, 1)
 	for range 2 { // once more after it broke
-		l.SetDeadline(time.Now().Add(patience))
-		conn, err := l.Accept()
-		if err != nil {
-			t.Fatal("discovery is not asked: ", err)
-		}
-		conn.Close()
+		acceptWithin(t, l, patience).Close()
 	}
 	n.Stop()
-	if err := <-done; err != nil {
-		t.Error(err)
-	}
+	checkEnd(t, done)
 }
 
 // An agent that pushes lists is silent while discovery is down, and answers at once when it is not: a
@@ -214,18 +275,11 @@
 	const calls = 5
 	began := time.Now()
 	for range calls {
-		l.SetDeadline(time.Now().Add(patience))
-		conn, err := l.Accept()
-		if err != nil {
-			t.Fatal("the agent is not called: ", err)
-		}
-		defer conn.Close() // it says nothing until then
+		defer acceptWithin(t, l, patience).Close() // it sends nothing until then
 	}
 	if took := time.Since(began); took > calls*2*time.Second {
 		t.Errorf("%d calls in %v", calls, took)
 	}
 	n.Stop()
-	if err := <-done; err != nil {
-		t.Error(err)
-	}
+	checkEnd(t, done)
 }
