--- a/client/client_test.go
+++ b/client/client_test.go
@@ -29,7 +29,7 @@
 	closeIt         afterResponse = "close"
 	resetIt         afterResponse = "reset"
 	trickleResponse afterResponse = "trickle" // sends a response a byte a second
-	staySilent      afterResponse = "silent"  // until the client closes the connection
+	noResponse      afterResponse = "silent"  // until the client closes the connection
 )
 
 // scriptedScheduler answers each request with the bytes that a test gives.
@@ -81,7 +81,7 @@
 			if !trickle(conn) {
 				return
 			}
-		case staySilent:
+		case noResponse:
 			_, _ = reader.Request() // returns when the client closes the connection
 			return
 		}
@@ -279,7 +279,7 @@
 // A scheduler that does not respond: the call returns by the deadline. A caller that cancels closes the
 // connection at once.
 func TestNoResponse(t *testing.T) {
-	s := startScripted(t, func(int64) (string, afterResponse) { return "", staySilent })
+	s := startScripted(t, func(int64) (string, afterResponse) { return "", noResponse })
 	c := newTestClient(t, s.Addr().String())
 	deadline := time.Now().Add(200 * time.Millisecond)
 	_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline})
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -282,7 +282,7 @@
 func TestUnhealthySchedulerBesideHealthyOne(t *testing.T) {
 	f := startFleet(t, 1)
 	for name, answer := range map[string]func(int64) (string, afterResponse){
-		"silent":  func(int64) (string, afterResponse) { return "", staySilent },
+		"silent":  func(int64) (string, afterResponse) { return "", noResponse },
 		"trickle": func(int64) (string, afterResponse) { return "", trickleResponse },
 		"refuses": func(int64) (string, afterResponse) {
 			return "HTTP/1.1 503 Busy\r\nRetry-After: 0\r\nContent-Length: 0\r\n\r\n", keepOpen
@@ -317,7 +317,7 @@
 // callers, memory within bounds, and each call returns by its deadline.
 func TestTenThousandWaiting(t *testing.T) {
 	const jobs = maxCallers
-	s := startScripted(t, func(int64) (string, afterResponse) { return "", staySilent })
+	s := startScripted(t, func(int64) (string, afterResponse) { return "", noResponse })
 	c, err := New(Config{Schedulers: []string{s.Addr().String()}, Tenant: "sahel", Classes: map[string]Class{
 		"post-reading": {Deadline: 3 * time.Second, Effect: Once}}})
 	if err != nil {
