--- a/cmd/dahliaford/main.go
+++ b/cmd/dahliaford/main.go
@@ -22,7 +22,7 @@
 
 type commands struct {
 	Serve   serveCmd     `cmd:"" help:"Serve as one scheduler; what it does without any argument."`
-	Send    sendCmd      `cmd:"" help:"Submit one job, or a file of jobs, and wait for their results."`
+	Send    sendCmd      `cmd:"" help:"Submit one job, or a file of jobs, and wait for results."`
 	Check   checkFileCmd `cmd:"" help:"Check an appliance's file."`
 	Store   storeCmd     `cmd:"" help:"Maintain a job store: check, show, backup, restore, compact."`
 	Version versionCmd   `cmd:"" help:"Print the version."`
