--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"testing"
 
 	"dahliaford/internal/modelcheck"
@@ -30,10 +31,22 @@
 	Runs             int
 	RanIn            [2]bool
 	Violation        string
-	// SkippedWait names one of the waits that the process leaves out: an injected fault.
-	SkippedWait string
+	SkippedWait      wait // that the process leaves out: an injected fault
 }
 
+// wait is what the process waits for the disk for, before it does it.
+type wait string
+
+const (
+	beforeAccept wait = "accept" // confirm the item to its client
+	beforeRoute  wait = "route"  // send an attempt
+	before204    wait = "204"    // confirm a callback to its worker
+	beforeAnswer wait = "answer" // give the answer to the client
+)
+
+// racks has the rack of each worker, by which a worker is called, too.
+var racks = []string{"a", "b"}
+
 type workerState struct {
 	HasJob    bool // a job that has not run
 	CallsBack bool // it ran, and calls back until it is answered
@@ -73,81 +86,120 @@
 	do   func(*world)
 }
 
-func (w *world) actions() (all []action) {
-	add := func(name string, do func(*world)) { all = append(all, action{name, do}) }
-	if w.Crashes > 0 && !w.Dead && w.Submitted {
-		for n := range len(w.Unsaved) + 1 {
-			add(fmt.Sprint("killed, ", n, " writes survive"), func(w *world) {
-				for _, it := range w.Unsaved[:n] {
-					w.Disk = it
-				}
-				w.Crashes--
-				w.Dead, w.Mem, w.Unsaved, w.Sent, w.CallbackWaitOver = true, nil, nil, false, false
-			})
-		}
+// actions are the things that may happen next. Their order fixes the numbers that Step takes.
+func (w *world) actions() []action {
+	all := w.workerActions(w.kills())
+	switch {
+	case !w.Submitted:
+		return append(all, action{"a client submits it", (*world).submit})
+	case w.Dead:
+		return w.restarts(all)
+	}
+	if len(w.Unsaved) > 0 {
+		all = append(all, action{"a sync", (*world).sync})
+	}
+	if w.Mem == nil {
+		return all
+	}
+	return w.processActions(all)
+}
+
+// kills end the process while any number of its last writes are lost.
+func (w *world) kills() (all []action) {
+	if w.Crashes == 0 || w.Dead || !w.Submitted {
+		return nil
+	}
+	for n := range len(w.Unsaved) + 1 {
+		all = append(all, action{fmt.Sprint("killed, ", n, " writes survive"), func(w *world) {
+			for _, it := range w.Unsaved[:n] {
+				w.Disk = it
+			}
+			w.Crashes--
+			w.Dead, w.Mem, w.Unsaved, w.Sent, w.CallbackWaitOver = true, nil, nil, false, false
+		}})
 	}
+	return all
+}
+
+// workerActions adds what the workers do, and the responses to their callbacks.
+func (w *world) workerActions(all []action) []action {
 	for i, r := range w.Workers {
+		add := func(what string, do func(*world)) {
+			all = append(all, action{fmt.Sprint("worker ", i, what), do})
+		}
 		if r.HasJob {
-			add(fmt.Sprint("worker ", i, " runs it"), func(w *world) {
-				duplicate := w.Effect == Anywhere && w.Runs > 0 || w.Effect == Rack && w.RanIn[i]
-				if !duplicate {
-					w.Runs++
-				}
-				w.RanIn[i] = true
-				w.Workers[i] = workerState{CallsBack: true}
-			})
+			add(" runs it", func(w *world) { w.run(i) })
 		}
-		if r.CallsBack && !w.Dead && w.Mem != nil && w.Mem.Outstanding() {
-			add(fmt.Sprint("worker ", i, " calls back"), func(w *world) {
-				w.note(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
-				if w.SkippedWait == "204" {
-					w.Workers[i].CallsBack, w.ResultAcked = false, true // before its record is on disk
-				}
-			})
+		if !r.CallsBack || w.Dead || w.Mem == nil {
+			continue
 		}
-		if r.CallsBack && !w.Dead && w.Mem != nil && !w.Mem.Outstanding() && w.saved() {
-			add(fmt.Sprint("worker ", i, " gets its 204"), func(w *world) {
-				w.Workers[i].CallsBack = false
-				// A callback after the answer gets a status that says so, and proves nothing more.
-				n := len(w.Mem.Attempts)
-				w.ResultAcked = w.ResultAcked || n > 0 && w.Mem.Attempts[n-1].Outcome == Done
-			})
+		if w.Mem.Outstanding() {
+			add(" calls back", func(w *world) { w.callBack(i) })
 		}
-	}
-	switch {
-	case !w.Submitted:
-		add("a client submits it", func(w *world) {
-			w.Submitted = true
-			it := newItem(w.Effect)
-			w.Mem = &it
-			copied := it
-			w.Unsaved = append(w.Unsaved, &copied)
-			if w.SkippedWait == "accept" {
-				w.AcceptConfirmed = true
-			}
-		})
-		return all
-	case w.Dead:
-		for _, back := range []bool{false, true} {
-			add(fmt.Sprint("starts again, the clock went back: ", back), func(w *world) {
-				w.Dead, w.ClockWentBack = false, back
-				if w.Disk != nil {
-					it := *w.Disk
-					w.Mem, w.Sent = &it, it.Outstanding() // it may have been sent before
-				}
-			})
+		if !w.Mem.Outstanding() && w.saved() {
+			add(" gets its 204", func(w *world) { w.acknowledge(i) })
 		}
-		return all
 	}
-	if len(w.Unsaved) > 0 {
-		add("a sync", func(w *world) {
-			w.Disk, w.Unsaved = w.Unsaved[len(w.Unsaved)-1], nil
-			w.AcceptConfirmed = true
-		})
+	return all
+}
+
+// run lets a worker run the job, unless it drops it as a duplicate.
+func (w *world) run(i int) {
+	duplicate := w.Effect == Anywhere && w.Runs > 0 || w.Effect == Rack && w.RanIn[i]
+	if !duplicate {
+		w.Runs++
 	}
-	if w.Mem == nil {
-		return all
+	w.RanIn[i] = true
+	w.Workers[i] = workerState{CallsBack: true}
+}
+
+func (w *world) callBack(i int) {
+	w.note(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
+	if w.SkippedWait == before204 {
+		w.Workers[i].CallsBack, w.ResultAcked = false, true // before its record is on disk
+	}
+}
+
+func (w *world) acknowledge(i int) {
+	w.Workers[i].CallsBack = false
+	// A callback after the answer gets a status that says so, and proves nothing more.
+	n := len(w.Mem.Attempts)
+	w.ResultAcked = w.ResultAcked || n > 0 && w.Mem.Attempts[n-1].Outcome == Done
+}
+
+func (w *world) submit() {
+	w.Submitted = true
+	it := newItem(w.Effect)
+	w.Mem = &it
+	copied := it
+	w.Unsaved = append(w.Unsaved, &copied)
+	if w.SkippedWait == beforeAccept {
+		w.AcceptConfirmed = true
+	}
+}
+
+func (w *world) sync() {
+	w.Disk, w.Unsaved = w.Unsaved[len(w.Unsaved)-1], nil
+	w.AcceptConfirmed = true
+}
+
+// restarts start the process again with what is on disk.
+func (w *world) restarts(all []action) []action {
+	for _, back := range []bool{false, true} {
+		all = append(all, action{fmt.Sprint("starts again, the clock went back: ", back), func(w *world) {
+			w.Dead, w.ClockWentBack = false, back
+			if w.Disk != nil {
+				it := *w.Disk
+				w.Mem, w.Sent = &it, it.Outstanding() // it may have been sent before
+			}
+		}})
 	}
+	return all
+}
+
+// processActions adds what the process does with the item that it has, and the time.
+func (w *world) processActions(all []action) []action {
+	add := func(name string, do func(*world)) { all = append(all, action{name, do}) }
 	if !w.CallbackWaitOver {
 		add("the wait for callbacks is over", func(w *world) { w.CallbackWaitOver = true })
 	}
@@ -158,29 +210,17 @@
 		add("it is concluded", func(w *world) { w.note(event) })
 	case step == Resume && w.saved() &&
 		len(w.Mem.Attempts) < maxModelAttempts: // fewer than allowed: fewer states
-		for i, rack := range []string{"a", "b"} {
+		for i, rack := range racks {
 			if w.Mem.MayRoute(w.Now, rack) == nil {
-				add("it is routed to "+rack, func(w *world) {
-					w.note(Event{Kind: Routed, At: w.Now, Worker: rack, Rack: rack})
-					if w.SkippedWait == "route" {
-						w.Sent = true
-						w.Workers[i].HasJob = true
-					}
-				})
+				add("it is routed to "+rack, func(w *world) { w.route(i) })
 			}
 		}
 	}
 	if w.Mem.Outstanding() && !w.Sent && w.saved() && !w.CallbackWaitOver {
-		i := 0
-		if w.Mem.Attempts[len(w.Mem.Attempts)-1].Rack == "b" {
-			i = 1
-		}
-		add("it is sent", func(w *world) {
-			w.Sent = true
-			w.Workers[i].HasJob = true
-		})
+		last := w.Mem.Attempts[len(w.Mem.Attempts)-1]
+		add("it is sent", func(w *world) { w.send(slices.Index(racks, last.Rack)) })
 	}
-	if w.Mem.Verdict != None && (w.saved() || w.SkippedWait == "answer") && w.ClientVerdict == None {
+	if w.Mem.Verdict != None && (w.saved() || w.SkippedWait == beforeAnswer) && w.ClientVerdict == None {
 		add("its client gets the answer", func(w *world) { w.ClientVerdict = w.Mem.Verdict })
 	}
 	if w.Now < 4*second {
@@ -189,6 +229,18 @@
 	return all
 }
 
+func (w *world) route(i int) {
+	w.note(Event{Kind: Routed, At: w.Now, Worker: racks[i], Rack: racks[i]})
+	if w.SkippedWait == beforeRoute {
+		w.send(i)
+	}
+}
+
+func (w *world) send(i int) {
+	w.Sent = true
+	w.Workers[i].HasJob = true
+}
+
 // Steps implements modelcheck.Model.
 func (w *world) Steps() (names []string) {
 	for _, a := range w.actions() {
@@ -257,7 +309,7 @@
 
 // Each of the waits is needed: without any one of them a promise breaks.
 func TestEachWaitIsNeeded(t *testing.T) {
-	for _, skipped := range []string{"accept", "route", "204", "answer"} {
+	for _, skipped := range []wait{beforeAccept, beforeRoute, before204, beforeAnswer} {
 		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, SkippedWait: skipped}, 1_000_000)
 		if tour.Violation == nil {
 			t.Errorf("nothing breaks without the wait before %s: %v", skipped, tour)
