--- a/internal/simfleet/finish.go
+++ b/internal/simfleet/finish.go
@@ -79,7 +79,11 @@
 	var all sync.WaitGroup
 	errs := make([]error, len(r.processes))
 	for i, p := range r.processes {
-		all.Go(func() { errs[i] = p.Stop(time.Now().Add(stopTimeout)) })
+		all.Go(func() {
+			if err := p.Stop(time.Now().Add(stopTimeout)); err != nil {
+				errs[i] = fmt.Errorf("stop scheduler %d: %w", i, err)
+			}
+		})
 	}
 	all.Wait()
 	return errors.Join(errs...)
--- a/internal/simfleet/run_test.go
+++ b/internal/simfleet/run_test.go
@@ -5,27 +5,22 @@
 	"errors"
 	"math"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"dahliaford/internal/testcluster"
 )
 
 // buildScheduler builds the scheduler's program.
 func buildScheduler(t testing.TB) string {
 	t.Helper()
-	bin := filepath.Join(t.TempDir(), "dahliaford")
-	root, err := filepath.Abs("../..")
+	program, err := testcluster.Build(t.Context(), "../..", t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	build := exec.Command("go", "build", "-o", bin, "./cmd/dahliaford")
-	build.Dir = root
-	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
-	}
-	return bin
+	return program
 }
 
 // testLog writes to the log of a test.
