--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -223,7 +223,7 @@
 	}
 	w.recorder.record(history.Event{Kind: history.Started, ID: j.ID, Actor: w.UID})
 	w.callback(j.ID, Started, "", script.RepeatedCallbacks)
-	if script.FinalState == Never {
+	if script.FinalState == NeverEnds {
 		<-cancelled
 		return
 	}
--- a/internal/testcluster/scripts.go
+++ b/internal/testcluster/scripts.go
@@ -56,7 +56,7 @@
 		case 11:
 			s.FinalState = fakes.Lost
 		case 12:
-			s.FinalState = fakes.Never
+			s.FinalState = fakes.NeverEnds
 		case 13:
 			s.AnswerDelay = 300*time.Millisecond + ms(400)
 		case 14, 15:
