--- /dev/null
+++ b/internal/node/client_test.go
@@ -0,0 +1,186 @@
+package node
+
+import (
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"dahliaford/internal/http1"
+	"dahliaford/internal/scheduler"
+)
+
+// Who connects and says nothing, or half a thing, gets an error or a close in time,
+// however late its last byte came. A kept connection that idles longer stays.
+func TestSlowClients(t *testing.T) {
+	play(t, newWorld(t, 0, "r1"), `
+		kept send GET /_health
+		kept expect 200
+		half send part POST /post/7 HTTP/1.1
+		body send POST /post/7 | Content-Length: 60 || work
+		neg send POST /post/7 | Content-Length: +4 || work
+		neg expect 400 close malformed Content-Length
+		gap send POST /post/7 | Content-Length : 4 || work
+		gap expect 400 close malformed header name
+		ids send POST /post/7 | X-Txn: a | X-Txn: b || work
+		ids expect 400 repeated X-Txn
+		ms send POST /post/7 | X-Txn: a | X-Remaining-Ms: +5 || work
+		ms expect 400 malformed X-Remaining-Ms
+		mute send part
+		mute expect 503 after 0 close
+		mute expect end
+		half expect 408 close
+		body expect 408 close
+		kept send GET /_health
+		kept expect 200`)
+}
+
+// A request that crosses the node's wish to close the connection is answered.
+func TestRequestCrossesTheClose(t *testing.T) {
+	w := newWorld(t, 0, "r1")
+	c, theirs := piped(w.node)
+	defer theirs.Close()
+	c.closeWhenIdle()
+	go c.serve()
+	if _, err := io.WriteString(theirs, "GET /_health HTTP/1.1\r\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
+	r, err := http1.NewReader(theirs).Response()
+	if err != nil || r.Status != 200 {
+		t.Errorf("got %v, %v", r, err)
+	}
+}
+
+// A client's mark of a repeat goes on with its job.
+func TestRepeatsAreMarked(t *testing.T) {
+	for mark, want := range map[string]bool{"": false, "X-Resent: 1\r\n": true, "X-Resent: 0\r\n": false} {
+		n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: parsed(t)}, slog.New(slog.DiscardHandler))
+		if err != nil {
+			t.Fatal(err)
+		}
+		c, theirs := piped(n)
+		go c.serve()
+		text := "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: post\r\nX-Remaining-Ms: 900\r\n" + mark + "\r\n"
+		if _, err := io.WriteString(theirs, text); err != nil {
+			t.Fatal(err)
+		}
+		if m, matched := (<-n.inbox).(submission); !matched || m.Retry != want {
+			t.Errorf("%q: got %+v", mark, m)
+		}
+		theirs.Close()
+		n.close()
+	}
+}
+
+// A request's time counts from its last byte. What may have passed before it was read, in the
+// listener's queue or for want of processor time, is taken off.
+func TestTimeBeforeReadingCounts(t *testing.T) {
+	for name, c := range map[string]struct{ queued, lag, less time.Duration }{
+		"read as it came":                {},
+		"in the queue for want of slots": {queued: 400 * time.Millisecond, less: 400 * time.Millisecond},
+		"the program is late":            {lag: 100 * time.Millisecond, less: 200 * time.Millisecond},
+	} {
+		t.Run(name, func(t *testing.T) {
+			n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: parsed(t)}, slog.New(slog.DiscardHandler))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer n.close()
+			c1, theirs := piped(n)
+			defer theirs.Close()
+			began := n.now()
+			if c.queued > 0 {
+				c1.queuedSince = began - scheduler.Micros(c.queued.Microseconds())
+			}
+			n.lag.note(began, began-scheduler.Micros(c.lag.Microseconds()))
+			go c1.serve()
+			io.WriteString(theirs, "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: post\r\nX-Remaining-Ms: 900\r\n\r\n")
+			m, is := (<-n.inbox).(submission)
+			took := n.now() - began
+			want := began + 900*millisecond - scheduler.Micros(c.less.Microseconds())
+			if !is || m.Deadline < want || m.Deadline > want+took+scheduler.Micros(c.lag.Microseconds()) {
+				t.Errorf("deadline %d us after its due, want 0 to %d", m.Deadline-want, took)
+			}
+		})
+	}
+}
+
+// Clients are told when to come back only where the settings allow it.
+func TestRetryAfterWhereTheSettingsAllow(t *testing.T) {
+	for maxRetryAfter, want := range map[scheduler.Micros]string{2 * second: "503 after 0 close", 0: "503 close"} {
+		set := parsed(t)
+		set.Dispatch.MaxRetryAfter = maxRetryAfter
+		w := newWorldOf(t, set, 0, "r1")
+		play(t, w, `
+			c1 send GET /_health
+			c1 expect 200
+			node send stop
+			c1 expect `+want)
+	}
+}
+
+// A client's reader without processor time finds its deadline and a request together.
+func TestReadDeadlineDoesNotSkipARequest(t *testing.T) {
+	ours, theirs := pair(t)
+	read := newInbound(ours)
+	if _, err := io.WriteString(theirs, "request"); err != nil {
+		t.Fatal(err)
+	}
+	probe := &watchReader{rawConn: read.rawConn}
+	for probe.empty() {
+		time.Sleep(time.Millisecond)
+	}
+	ours.SetReadDeadline(time.Now().Add(-time.Second))
+	b := make([]byte, 100)
+	if n, err := read.Read(b); err != nil || string(b[:n]) != "request" {
+		t.Errorf("read %q, %v", b[:n], err)
+	}
+	if _, err := read.Read(b); !os.IsTimeout(err) {
+		t.Errorf("then %v", err)
+	}
+}
+
+// lateConn is a connection on which a request comes between the last look at it and the close.
+type lateConn struct {
+	net.Conn
+	timedOut chan struct{}
+	proceed  chan struct{}
+}
+
+func (l *lateConn) Read(b []byte) (int, error) {
+	n, err := l.Conn.Read(b)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		l.timedOut <- struct{}{}
+		<-l.proceed
+	}
+	return n, err
+}
+
+// A request that comes between the last look at an idle connection and its close gets an answer:
+// on a busy machine a thousand such closes at a restart of many meet some.
+func TestRequestBetweenLastReadAndCloseIsAnswered(t *testing.T) {
+	w := newWorld(t, 0, "r1")
+	ours, theirs := pair(t)
+	conn := &lateConn{ours, make(chan struct{}), make(chan struct{})}
+	w.node.clientSlots <- struct{}{}
+	w.node.serving.Add(1)
+	c := newClient(w.node, conn)
+	go c.serve()
+	c.closeWhenIdle()
+	<-conn.timedOut
+	if _, err := io.WriteString(theirs, "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
+	conn.proceed <- struct{}{}
+	theirs.SetReadDeadline(time.Now().Add(patience))
+	read := http1.NewReader(theirs)
+	if r, err := read.Response(); err != nil || r.Status != 503 || !r.Close {
+		t.Errorf("got %v, %v", r, err)
+	}
+	if _, err := read.Response(); err == nil {
+		t.Error("the connection goes on")
+	}
+}
--- a/internal/node/leave_test.go
+++ b/internal/node/disconnect_test.go
@@ -11,8 +11,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"dahliaford/internal/scheduler"
 )
 
 // Clients that leave while their jobs wait take nothing with them: the books are as before, and
@@ -124,31 +122,6 @@
 	}
 }
 
-// Clients are told when to come back only where the settings allow it.
-func TestRetryAfterWhereTheSettingsAllow(t *testing.T) {
-	for maxRetryAfter, want := range map[scheduler.Micros]string{2 * second: "503 after 0 close", 0: "503 close"} {
-		set := parsed(t)
-		set.Dispatch.MaxRetryAfter = maxRetryAfter
-		w := newWorldOf(t, set, 0, "r1")
-		play(t, w, `
-			c1 send GET /_health
-			c1 expect 200
-			node send stop
-			c1 expect `+want)
-	}
-}
-
-// pauseLoop stops a node's loop until resume is called. What is posted meanwhile lies in the inbox.
-func (n *Node) pauseLoop() (resume func()) {
-	holds, gate := make(chan struct{}), make(chan struct{})
-	n.post(func() {
-		close(holds)
-		<-gate
-	})
-	<-holds
-	return func() { close(gate) }
-}
-
 // awaitGuardCheck waits, from when it is made, until a writer has had its last look at what discovery has told.
 func (n *Node) awaitGuardCheck(t *testing.T) func() {
 	t.Helper()
@@ -167,29 +140,6 @@
 	}
 }
 
-// disconnect ends a client's connection: in order, by a reset, or with half of another request sent before.
-func (p *peer) disconnect(t *testing.T, way string) {
-	t.Helper()
-	conn := p.conn.(*net.TCPConn)
-	switch way {
-	case "reset":
-		conn.SetLinger(0)
-	case "half a request":
-		if _, err := io.WriteString(conn, "POST /batch/8 HTTP/1.1\r\nX-Txn: b"); err != nil {
-			t.Fatal(err)
-		}
-	case "two more requests":
-		for _, id := range []string{"a8", "a9"} {
-			if err := p.Send("job batch " + id + " || more"); err != nil {
-				t.Fatal(err)
-			}
-		}
-	}
-	conn.Close()
-}
-
-var disconnectWays = []string{"in order", "reset", "half a request", "two more requests"}
-
 // withAndWithoutCancel runs a test where what has left may be called off, and where it may not.
 func withAndWithoutCancel(t *testing.T, test func(t *testing.T, w *world), workers ...string) {
 	for _, allowed := range []bool{true, false} {
--- /dev/null
+++ b/internal/node/eviction_test.go
@@ -0,0 +1,129 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"dahliaford/internal/http1"
+	"dahliaford/internal/scheduler"
+)
+
+// At the socket budget idle connections make room, newcomers' jobs are refused while
+// all are busy, and callbacks get through.
+func TestSocketBudget(t *testing.T) {
+	w := newWorld(t, minSockets, "r1")
+	script := ""
+	for i := range cap(w.node.clientSlots) * 2 {
+		script += fmt.Sprintf("idle%d send GET /_health\nidle%d expect 200\n", i, i)
+	}
+	// Asking for the close itself makes the answer the same at every pace.
+	script += "c0 send job post a0 | Connection: close || x\nr1 expect POST /post/7?a=b txn=a0 key=k body=x\n"
+	limit := cap(w.node.clientSlots) - w.node.callbackSlots
+	for i := 1; i < limit; i++ {
+		script += fmt.Sprintf("c%d send job post a%d || x\n", i, i)
+		script += fmt.Sprintf("last%d send GET /_health\nlast%d expect 200\n", i, i)
+	}
+	script += fmt.Sprintf("wait open %d", limit) // or the last of them may come behind the next
+	play(t, w, script+`
+		more send job post b || x
+		more expect 503 after 0 close
+		r1 send 202 OK
+		back send POST /callback || {"id":"a0","from":"r1","state":"done","result":"yes"}
+		back expect 204
+		c0 expect 200 close yes`)
+}
+
+// Hundreds that say nothing, or stay when they have been answered, keep neither a new
+// job nor a callback out for long, nor close the kept connection of a usual client.
+func TestManyIdleClients(t *testing.T) {
+	w := newWorld(t, minSockets, "r1")
+	script := `
+		c1 send job post a1 || work
+		r1 expect POST /post/7?a=b txn=a1 key=k body=work
+		r1 send 202 OK
+		back send POST /callback || {"id":"a1","from":"r1","state":"done","result":"yes"}
+		back expect 204
+		c1 expect 200 yes`
+	for i := range cap(w.node.clientSlots) * 3 {
+		script += fmt.Sprintf("\nmute%d send part\nstays%d send GET /_health\nstays%d expect 200", i, i, i)
+	}
+	began := time.Now()
+	play(t, w, script+`
+		c2 send job post a2 | Connection: close || work
+		r1 expect POST /post/7?a=b txn=a2 key=k body=work
+		r1 send 202 OK
+		back send POST /callback || {"id":"a2","from":"r1","state":"done","result":"yes"}
+		back expect 204
+		c2 expect 200 close yes
+		c1 send GET /_health
+		c1 expect 200`)
+	if took := time.Since(began); took > patience/2 {
+		t.Errorf("took %v", took)
+	}
+}
+
+// A crowd that asked once and stays is let go all at once: a few at a time, a thousand
+// of them would keep those behind them waiting for seconds. Others are spared.
+func TestEvictionFreesAllSlotsAtOnce(t *testing.T) {
+	n := &Node{start: time.Now().Add(-time.Minute), ctx: t.Context(), clients: map[*client]bool{},
+		clientSlots: make(chan struct{}, 100), callbackSlots: 4}
+	ranks := map[int32]int{}
+	add := func(rank int32, idle time.Duration, count int) {
+		for range count {
+			ours, theirs := net.Pipe()
+			t.Cleanup(func() { theirs.Close() })
+			c := newClient(n, ours)
+			c.rank.Store(rank)
+			c.acceptedAt -= scheduler.Micros(idle.Microseconds())
+			c.idleSince.Store(int64(c.acceptedAt))
+			n.clients[c] = true
+			n.clientSlots <- struct{}{}
+		}
+	}
+	add(rankRequester, time.Second, 40)
+	add(rankRequester, -time.Hour, 10) // has just been answered
+	add(rankNew, time.Second, 20)
+	add(rankNew, -time.Hour, 10)
+	add(rankEstablished, time.Second, 20)
+	n.evictClients()
+	for c := range n.clients {
+		if c.ctx.Err() != nil {
+			ranks[c.rank.Load()]++
+		}
+	}
+	if diff := cmp.Diff(map[int32]int{rankRequester: 40, rankEvicted: 20}, ranks); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// One whose request became whole as it was cut off hears so, and nothing is sent on;
+// a caller is never cut off, as that would lose its request.
+func TestEvictionCrossesTheRequest(t *testing.T) {
+	w := newWorld(t, 0, "r1")
+	for rank, want := range map[int32]string{rankEvicted: "503 close", rankNew: "200", rankEstablished: "200"} {
+		c, theirs := piped(w.node)
+		c.rank.Store(rank)
+		if rank == rankEstablished {
+			c.evict()
+		}
+		go c.serve()
+		go io.WriteString(theirs, "GET /_health HTTP/1.1\r\n\r\n")
+		r, err := http1.NewReader(theirs).Response()
+		if err != nil {
+			t.Fatal(err)
+		}
+		got := fmt.Sprint(r.Status)
+		if r.Close {
+			got += " close"
+		}
+		if diff := cmp.Diff(want, got); diff != "" {
+			t.Error(diff)
+		}
+		theirs.Close()
+	}
+}
--- a/internal/node/told_test.go
+++ b/internal/node/freshness_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
-	"net"
 	"os"
 	"testing"
 	"time"
@@ -12,24 +12,6 @@
 	"dahliaford/internal/scheduler"
 )
 
-// pair is a connection on loopback, both ends.
-func pair(t *testing.T) (ours, theirs net.Conn) {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	if ours, err = net.Dial("tcp", l.Addr().String()); err != nil {
-		t.Fatal(err)
-	}
-	if theirs, err = l.Accept(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ours.Close(); theirs.Close() })
-	return ours, theirs
-}
-
 // From when on discovery has written a word until the loop has dealt with it, nothing leaves,
 // wherever the word is: in the socket, with the reader, in the inbox.
 func TestNoSendPastAnUnappliedUpdate(t *testing.T) {
@@ -91,30 +73,6 @@
 	want("a word that cannot be read", "r1", errStale)
 }
 
-// A reader that had no processor time finds its deadline and the word together.
-func TestReadDeadlineDoesNotSkipAnUpdate(t *testing.T) {
-	guard := newFreshnessGuard(500*millisecond, 6*second)
-	ours, theirs := pair(t)
-	reader, err := guard.newWatchReader(ours, func() scheduler.Micros { return 1 })
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := io.WriteString(theirs, "word\n"); err != nil {
-		t.Fatal(err)
-	}
-	for reader.empty() {
-		time.Sleep(time.Millisecond)
-	}
-	ours.SetReadDeadline(time.Now().Add(-time.Second))
-	buffer := make([]byte, 100)
-	if n, err := reader.Read(buffer); err != nil || string(buffer[:n]) != "word\n" {
-		t.Errorf("read %q, %v", buffer[:n], err)
-	}
-	if _, err := reader.Read(buffer); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("then %v", err)
-	}
-}
-
 // How old a word is counts from when it may have been written, not from when it was read.
 func TestUpdateAgeCountsFromTheEarliestWrite(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
@@ -193,3 +151,94 @@
 		t.Error("the leaving worker got the attempt")
 	}
 }
+
+// A word is dealt with before its reader has looked for more. A writer that asks between the two waits,
+// and is told when the reader has found nothing: no other word may come before its time is over.
+func TestWriterWakesOnceTheWatchIsDrained(t *testing.T) {
+	guard := newFreshnessGuard(500*millisecond, 6*second)
+	clock := 100 * second
+	ours, theirs := pair(t)
+	reader, err := guard.newWatchReader(ours, func() scheduler.Micros { return clock })
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(theirs, "word\n"); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := reader.Read(make([]byte, 100)); err != nil {
+		t.Fatal(err)
+	}
+	guard.countPosted(reader, clock)
+	guard.countApplied(clock)
+	next := guard.nextChange()
+	if got := guard.allowSend("r1", clock); got != errUnapplied {
+		t.Errorf("with the reader: %v", got)
+	}
+	ours.SetReadDeadline(time.Now().Add(-time.Second))
+	if _, err := reader.Read(make([]byte, 100)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("read more: %v", err)
+	}
+	if got := guard.allowSend("r1", clock); got != nil {
+		t.Errorf("nothing is left to read: %v", got)
+	}
+	select {
+	case <-next:
+	default:
+		t.Error("who waits is not told")
+	}
+}
+
+// While the words of a zone that goes are taken in, nothing leaves for any worker, one that has been
+// told off stays so for the last look, and once all are taken in the others may have their attempts.
+func TestNoSendWhileZoneUpdatesAreApplied(t *testing.T) {
+	const zone, rest = 514, 30
+	w := newWorld(t, 0, "r1")
+	n, now := w.node, w.node.now()
+	all := make([]scheduler.Worker, zone+rest)
+	for i := range all {
+		all[i] = scheduler.Worker{UID: fmt.Sprint("z", i), Addr: fmt.Sprintf("127.0.0.9:%d", 1000+i),
+			Zone: "north", Kind: "m1", Status: dispatch.Ready}
+	}
+	reader := &watchReader{emptyAt: now}
+	update := func(rev int64, complete bool, workers ...scheduler.Worker) watchUpdate {
+		return watchUpdate{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: n.freshness.countPosted(reader, n.now()),
+			List: scheduler.WorkerList{Rev: rev, Complete: complete, Workers: workers}}}
+	}
+	n.onLoop(func() {
+		n.freshness.mu.Lock()
+		clear(n.freshness.readers) // no words but these
+		n.freshness.mu.Unlock()
+		if err := n.onWatchUpdate(update(10, true, all...)); err != nil {
+			t.Error(err)
+			return
+		}
+		if err := n.freshness.allowSend("z0", n.now()); err != nil {
+			t.Errorf("the whole list is taken in: %v", err)
+		}
+		updates := make([]watchUpdate, zone)
+		for i := range updates {
+			removed := all[i]
+			removed.Status = dispatch.Removed
+			updates[i] = update(11+int64(i), false, removed)
+		}
+		for i, m := range updates {
+			for _, uid := range []string{all[i].UID, all[zone].UID} {
+				if err := n.freshness.allowSend(uid, n.now()); err != errUnapplied {
+					t.Errorf("%d of %d words are taken in, and for %s: %v", i, zone, uid, err)
+					return
+				}
+			}
+			if err := n.onWatchUpdate(m); err != nil {
+				t.Error(err)
+				return
+			}
+			if err := n.freshness.allowSend(all[i].UID, n.now()); err != errDraining {
+				t.Errorf("%s has been told off: %v", all[i].UID, err)
+				return
+			}
+		}
+		if err := n.freshness.allowSend(all[zone].UID, n.now()); err != nil {
+			t.Errorf("all words are taken in: %v", err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/node/peer_test.go
@@ -0,0 +1,241 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"dahliaford/internal/http1"
+)
+
+// peer is one end of sockets: a client dials the node once, a server listens.
+type peer struct {
+	w        *world
+	name     string
+	listener net.Listener
+	conn     net.Conn     // the one that text was last seen on
+	received chan message // what reached the party
+	later    []message    // what came before an end that was waited for
+}
+
+type message struct {
+	text string
+	conn net.Conn
+}
+
+// serve opens the listener of a worker or of discovery.
+func (w *world) serve(t *testing.T, name string) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := w.newPeer(name)
+	p.listener = l
+	if name == "rdown" {
+		l.Close()
+		return l
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go p.listen(conn, func(r *http1.Reader) (string, error) {
+				m, err := r.Request()
+				if err != nil {
+					return "", err
+				}
+				text := m.Method + " " + m.Target
+				if m.Method == "POST" {
+					text += fmt.Sprintf(" txn=%s key=%s body=%s", m.Header.Get("X-Txn"),
+						m.Header.Get("Idempotency-Key"), m.Body)
+				}
+				return text, nil
+			})
+		}
+	}()
+	return l
+}
+
+func (w *world) newPeer(name string) *peer {
+	p := &peer{w: w, name: name, received: make(chan message, 100)}
+	w.peers[name] = p
+	return p
+}
+
+func (p *peer) listen(conn net.Conn, read func(*http1.Reader) (string, error)) {
+	defer conn.Close()
+	for r := http1.NewReader(conn); ; {
+		text, err := read(r)
+		if err != nil {
+			p.received <- message{"end", conn}
+			return
+		}
+		p.received <- message{text, conn}
+	}
+}
+
+// Send writes a message: " | " parts its lines, and a body follows " || ".
+func (p *peer) Send(text string) error {
+	if p.conn == nil && p.listener == nil {
+		conn, err := net.Dial("tcp", p.w.node.Addr().String())
+		if err != nil {
+			return err
+		}
+		p.conn = conn
+		go p.listen(conn, func(r *http1.Reader) (string, error) {
+			m, err := r.Head()
+			if err == nil && m.Status != 100 {
+				err = r.Rest(m)
+			}
+			if err != nil {
+				return "", err
+			}
+			text := fmt.Sprint(m.Status)
+			if after := m.Header.Get("Retry-After"); after != "" {
+				text += " after " + after
+			}
+			if m.Close {
+				text += " close"
+			}
+			return strings.TrimSpace(text + " " + string(m.Body)), nil
+		})
+	}
+	if strings.HasPrefix(p.name, "discovery") {
+		if text == "head" {
+			text = watchHead
+		} else {
+			text = chunk(strings.ReplaceAll(text, "/n", "\n"))
+		}
+		_, err := io.WriteString(p.conn, text)
+		return err
+	}
+	if raw, ok := strings.CutPrefix(text, "part"); ok { // as it is, and perhaps nothing
+		_, err := io.WriteString(p.conn, strings.TrimSpace(raw))
+		return err
+	}
+	head, body, framed := strings.Cut(text, " || ")
+	if strings.HasPrefix(head, "job ") {
+		fields := strings.Fields(head)
+		head = "POST /" + fields[1] + "/7?a=b | X-Txn: " + fields[2] + " | X-Lane: " + fields[1] +
+			" | X-Org: sahel | X-Remaining-Ms: 30000 | Idempotency-Key: k"
+		if len(fields) > 3 {
+			head += " " + strings.Join(fields[3:], " ")
+		}
+	}
+	if p.listener != nil {
+		head = "HTTP/1.1 " + head
+	} else if !strings.Contains(head, "HTTP/") {
+		line, rest, _ := strings.Cut(head, " | ")
+		head = strings.TrimSuffix(line+" HTTP/1.1 | "+rest, " | ")
+	}
+	if (framed || p.listener != nil) && !strings.Contains(head, "Content-Length") {
+		head += fmt.Sprintf(" | Content-Length: %d", len(body))
+	}
+	_, err := io.WriteString(p.conn, strings.ReplaceAll(head, " | ", "\r\n")+"\r\n\r\n"+body)
+	return err
+}
+
+// A server may see an idle connection end at any moment: that is passed over, unless
+// it is waited for.
+// The end of one connection and what comes on another have no order: a server that waits
+// for an end keeps what comes before it for the next line.
+func (p *peer) Expect(want string) (string, error) {
+	if len(p.later) > 0 && want != "end" {
+		m := p.later[0]
+		p.later, p.conn = p.later[1:], m.conn
+		return m.text, nil
+	}
+	for {
+		select {
+		case m := <-p.received:
+			if m.text == "end" && want != "end" && p.listener != nil {
+				continue
+			}
+			if want == "end" && m.text != "end" && p.listener != nil {
+				p.later = append(p.later, m)
+				continue
+			}
+			p.conn = m.conn
+			return m.text, nil
+		case <-time.After(patience):
+			return "", errors.New("nothing came")
+		}
+	}
+}
+
+// Close ends the connection that was last heard from: with a reset, or in order. A
+// server then hears "end" once the node has closed its side, too.
+func (p *peer) Close(text string) error {
+	conn := p.conn.(*net.TCPConn)
+	switch {
+	case p.listener == nil:
+		p.conn = nil
+	case text != "reset":
+		return conn.CloseWrite()
+	default:
+		if err := conn.SetLinger(0); err != nil {
+			return err
+		}
+	}
+	return conn.Close()
+}
+
+// disconnect ends a client's connection: in order, by a reset, or with half of another request sent before.
+func (p *peer) disconnect(t *testing.T, way string) {
+	t.Helper()
+	conn := p.conn.(*net.TCPConn)
+	switch way {
+	case "reset":
+		conn.SetLinger(0)
+	case "half a request":
+		if _, err := io.WriteString(conn, "POST /batch/8 HTTP/1.1\r\nX-Txn: b"); err != nil {
+			t.Fatal(err)
+		}
+	case "two more requests":
+		for _, id := range []string{"a8", "a9"} {
+			if err := p.Send("job batch " + id + " || more"); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	conn.Close()
+}
+
+var disconnectWays = []string{"in order", "reset", "half a request", "two more requests"}
+
+// writeRaw has a client that the node knows send something as it is.
+func (w *world) writeRaw(t *testing.T, client, text string) {
+	t.Helper()
+	if _, err := io.WriteString(w.peers[client].conn, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// nodePeer is the node as the party that is told to stop, or to reload.
+type nodePeer struct {
+	*Node
+	w *world
+}
+
+func (s nodePeer) Send(text string) error {
+	if party, reload := strings.CutPrefix(text, "reload "); reload {
+		s.Reload(Config{Discovery: s.w.peers[party].listener.Addr().String()})
+	} else {
+		s.Stop()
+	}
+	return nil
+}
+
+func (s nodePeer) Expect(string) (string, error) {
+	return "", errors.New("the node is seen by its peers")
+}
+
+func (s nodePeer) Close(string) error { return errors.New("the node ends when it has stopped") }
--- a/internal/node/ready_test.go
+++ b/internal/node/readiness_test.go
@@ -12,6 +12,31 @@
 	"dahliaford/internal/scheduler"
 )
 
+// Clients are not dealt to a node that knows no list it may use, unless that lasts.
+func TestHealthWaitsForTheList(t *testing.T) {
+	n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: parsed(t)}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer n.close()
+	if n.ready() {
+		t.Error("ready before discovery was heard")
+	}
+	n.timer, n.watch = time.NewTimer(time.Hour), &watch{}
+	n.handle(watchUpdate{watch: n.watch, event: scheduler.WatchClosed{}})
+	if n.ready() {
+		t.Error("ready though discovery did not answer")
+	}
+	n.receiveList(0)
+	if !n.ready() {
+		t.Error("not ready with a list that was heard")
+	}
+	n.listReceived.Store(false)
+	if n.start = n.start.Add(-2 * maxUnreadyTime); !n.ready() {
+		t.Error("never ready without discovery")
+	}
+}
+
 // maxTestUnready is when nine in ten that start have to be ready on a day that ends soon, less what the
 // front may need to see it.
 const maxTestUnready = 4 * time.Second
--- a/internal/node/stop_test.go
+++ b/internal/node/shutdown_test.go
@@ -1,18 +1,14 @@
 package node
 
 import (
-	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
 	"dahliaford/internal/http1"
-	"dahliaford/internal/scheduler"
 )
 
 // What the machine has accepted for a node that stops, and the node has not, is answered: whole
@@ -61,124 +57,41 @@
 	}
 }
 
-// lateConn is a connection on which a request comes between the last look at it and the close.
-type lateConn struct {
-	net.Conn
-	timedOut chan struct{}
-	proceed  chan struct{}
-}
-
-func (l *lateConn) Read(b []byte) (int, error) {
-	n, err := l.Conn.Read(b)
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		l.timedOut <- struct{}{}
-		<-l.proceed
-	}
-	return n, err
-}
-
-// A request that comes between the last look at an idle connection and its close gets an answer:
-// on a busy machine a thousand such closes at a restart of many meet some.
-func TestRequestBetweenLastReadAndCloseIsAnswered(t *testing.T) {
+// A stopping node owes nothing and has closed its listener, when the rest of a request comes
+// on a connection that it has. Somebody must still answer it.
+func TestRequestCrossesTheEnd(t *testing.T) {
 	w := newWorld(t, 0, "r1")
-	ours, theirs := pair(t)
-	conn := &lateConn{ours, make(chan struct{}), make(chan struct{})}
-	w.node.clientSlots <- struct{}{}
-	w.node.serving.Add(1)
-	c := newClient(w.node, conn)
-	go c.serve()
-	c.closeWhenIdle()
-	<-conn.timedOut
-	if _, err := io.WriteString(theirs, "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\n\r\n"); err != nil {
+	conn, err := net.Dial("tcp", w.node.Addr().String())
+	if err != nil {
 		t.Fatal(err)
 	}
-	conn.proceed <- struct{}{}
-	theirs.SetReadDeadline(time.Now().Add(patience))
-	read := http1.NewReader(theirs)
-	if r, err := read.Response(); err != nil || r.Status != 503 || !r.Close {
-		t.Errorf("got %v, %v", r, err)
-	}
-	if _, err := read.Response(); err == nil {
-		t.Error("the connection goes on")
+	defer conn.Close()
+	read := http1.NewReader(conn)
+	exchange := func(text string) (*http1.Response, error) {
+		if _, err := io.WriteString(conn, text); err != nil {
+			return nil, err
+		}
+		return read.Response()
 	}
-}
-
-// A client's reader without processor time finds its deadline and a request together.
-func TestReadDeadlineDoesNotSkipARequest(t *testing.T) {
-	ours, theirs := pair(t)
-	read := newInbound(ours)
-	if _, err := io.WriteString(theirs, "request"); err != nil {
+	if _, err := exchange("GET /_health HTTP/1.1\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	probe := &watchReader{rawConn: read.rawConn}
-	for probe.empty() {
-		time.Sleep(time.Millisecond)
-	}
-	ours.SetReadDeadline(time.Now().Add(-time.Second))
-	b := make([]byte, 100)
-	if n, err := read.Read(b); err != nil || string(b[:n]) != "request" {
-		t.Errorf("read %q, %v", b[:n], err)
-	}
-	if _, err := read.Read(b); !os.IsTimeout(err) {
-		t.Errorf("then %v", err)
-	}
-}
-
-// A request's time counts from its last byte. What may have passed before it was read, in the
-// listener's queue or for want of processor time, is taken off.
-func TestTimeBeforeReadingCounts(t *testing.T) {
-	for name, c := range map[string]struct{ queued, lag, less time.Duration }{
-		"read as it came":                {},
-		"in the queue for want of slots": {queued: 400 * time.Millisecond, less: 400 * time.Millisecond},
-		"the program is late":            {lag: 100 * time.Millisecond, less: 200 * time.Millisecond},
-	} {
-		t.Run(name, func(t *testing.T) {
-			n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: parsed(t)}, slog.New(slog.DiscardHandler))
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer n.close()
-			c1, theirs := piped(n)
-			defer theirs.Close()
-			began := n.now()
-			if c.queued > 0 {
-				c1.queuedSince = began - scheduler.Micros(c.queued.Microseconds())
-			}
-			n.lag.note(began, began-scheduler.Micros(c.lag.Microseconds()))
-			go c1.serve()
-			io.WriteString(theirs, "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: post\r\nX-Remaining-Ms: 900\r\n\r\n")
-			m, is := (<-n.inbox).(submission)
-			took := n.now() - began
-			want := began + 900*millisecond - scheduler.Micros(c.less.Microseconds())
-			if !is || m.Deadline < want || m.Deadline > want+took+scheduler.Micros(c.lag.Microseconds()) {
-				t.Errorf("deadline %d us after its due, want 0 to %d", m.Deadline-want, took)
-			}
-		})
+	w.node.Stop()
+	if _, err := io.WriteString(conn, "POST /post/7 HTTP/1.1\r\nX-Lane: post\r\n"); err != nil {
+		t.Fatal(err)
 	}
-}
-
-// The lag is the worst of the last while, and is forgotten.
-func TestLag(t *testing.T) {
-	var l lag
-	l.note(100*second, 0) // nothing was due
-	l.note(100*second, 100*second-40*millisecond)
-	l.note(100*second+1, 100*second-10*millisecond)
-	for after, want := range map[scheduler.Micros]scheduler.Micros{
-		0: 40 * millisecond, second: 20 * millisecond, 2 * second: 10 * millisecond, 90 * second: 0} {
-		if got := l.estimate(100*second + after); got != want {
-			t.Errorf("after %d us: %d, want %d", after, got, want)
+	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		c, err := net.Dial("tcp", w.node.Addr().String())
+		if err != nil {
+			break // nothing new is taken: it ends
+		}
+		if c.Close(); time.Now().After(end) {
+			t.Fatal("the node goes on listening")
 		}
 	}
-}
-
-// waitFor waits until something is so in the loop of a node.
-func (n *Node) waitFor(t *testing.T, what string, so func() bool) {
-	t.Helper()
-	if !eventually(func() (is bool) {
-		n.onLoop(func() { is = so() })
-		return is
-	}) {
-		t.Fatal("never " + what)
+	r, err := exchange("X-Org: sahel\r\nX-Txn: a1\r\nX-Remaining-Ms: 900\r\nContent-Length: 0\r\n\r\n")
+	if err != nil || r.Status != 503 || !r.Close {
+		t.Errorf("got %v, %v", r, err)
 	}
 }
 
@@ -188,14 +101,6 @@
 	n.waitFor(t, "refusing", func() bool { return n.draining.Load() && n.drainDeadline == nil })
 }
 
-// writeRaw has a client that the node knows send something as it is.
-func (w *world) writeRaw(t *testing.T, client, text string) {
-	t.Helper()
-	if _, err := io.WriteString(w.peers[client].conn, text); err != nil {
-		t.Fatal(err)
-	}
-}
-
 const (
 	running = `
 		c1 send job batch a1 || one
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"net"
 	"strings"
@@ -131,6 +133,94 @@
 	}
 }
 
+// Before the first object a watch says nothing of what there is.
+func TestEmptyLinesAreNoList(t *testing.T) {
+	updates := make(chan scheduler.EndpointsUpdated, 10)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: parsed(t)}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer n.close()
+	go func() {
+		if conn, err := l.Accept(); err == nil {
+			object := `{"rev":3,"all":false,"targets":[]}` + "\n\n"
+			io.WriteString(conn, watchHead+chunk("\n\n")+chunk(object)+chunk(`{"rev":4`))
+			conn.Close()
+		}
+	}()
+	say := func(e scheduler.EndpointsUpdated, _ *watchReader) { updates <- e }
+	err = n.readWatch(n.ctx, scheduler.OpenWatch{Addr: l.Addr().String()}, say)
+	if err == nil || errors.Is(err, errUnreadableList) {
+		t.Errorf("an object that is cut off is none, not one that cannot be read: %v", err)
+	}
+	if close(updates); len(updates) != 2 || (<-updates).List.Rev != 3 {
+		t.Errorf("%d words were told, want the object and the empty line behind it", len(updates))
+	}
+}
+
+// A reload moves the watch to the discovery that it names while a job runs.
+func TestReload(t *testing.T) {
+	w := newWorld(t, 0, "r1")
+	w.serve(t, "discovery2")
+	play(t, w, `
+		discovery expect GET /catalog/members?watch=1&from=4
+		discovery send head
+		c1 send job post a1 || work
+		r1 expect POST /post/7?a=b txn=a1 key=k body=work
+		node send reload discovery2
+		discovery2 expect GET /catalog/members?watch=1&from=0
+		discovery2 close
+		discovery2 expect end
+		discovery2 expect GET /catalog/members?watch=1&from=0
+		back send POST /callback || {"id":"a1","from":"r1","state":"done","result":"yes"}
+		back expect 204
+		c1 expect 200 yes`)
+}
+
+// Until the discovery that a reload names has said something, the one before is listened to: who
+// it says leaves gets nothing new. An empty line before the first object says nothing.
+func TestReloadReadsBothWatches(t *testing.T) {
+	set := parsed(t) // nothing comes due by itself while discovery is played by hand
+	set.Dispatch.PollInterval, set.Dispatch.MaxStaleness = 3600*second, 3600*second
+	w := newWorldOf(t, set, 0, "r1", "r2")
+	w.serve(t, "discovery2")
+	addr := w.peers["r1"].listener.Addr().String()
+	play(t, w, `
+		discovery expect GET /catalog/members?watch=1&from=4
+		discovery send head
+		node send reload discovery2
+		discovery2 expect GET /catalog/members?watch=1&from=0`)
+	w.node.onLoop(func() { w.node.extendValidity(time.Hour) }) // else a reload ends the trust after 4 s
+	play(t, w, `
+		discovery2 send head
+		discovery2 send /n
+		discovery send {"rev":5,"targets":[`+strings.Replace(workerLine("r1", addr), "ready", "draining", 1)+`]}/n`)
+	isDraining := func() bool { return w.node.freshness.allowSend("r1", w.node.now()) == errDraining }
+	if !eventually(isDraining) {
+		t.Fatal("the address before is not listened to")
+	}
+	w.node.onLoop(func() {
+		if w.node.previousWatch == nil {
+			t.Error("the address before is let go by an empty line")
+		}
+	})
+	play(t, w, `
+		c1 send job post a1 || work
+		r2 expect POST /post/7?a=b txn=a1 key=k body=work
+		discovery2 send {"rev":1,"all":true,"targets":[`+workerLine("r1", addr)+`]}/n
+		discovery expect end
+		c2 send job post a2 || work
+		wait open 2`)
+	if !isDraining() {
+		t.Error("an address that knows less brings a worker back")
+	}
+}
+
 // A list of thousands of workers is taken, in a fraction of a second.
 func TestHugeList(t *testing.T) {
 	var all []string
--- a/internal/node/endings_test.go
+++ b/internal/node/worker_events_test.go
@@ -3,10 +3,44 @@
 import (
 	"fmt"
 	"io"
+	"net"
+	"os"
+	"syscall"
 	"testing"
 	"time"
+
+	"dahliaford/internal/scheduler"
 )
 
+// A connect that is turned down while another connection to the worker stands is lack of
+// room; without one, or when it just never comes up, the worker is taken to be gone.
+func TestWorkerAtCapacityIsNotDown(t *testing.T) {
+	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
+	slow := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
+	idle, other := &workerConn{addr: "r1"}, &workerConn{addr: "r2"}
+	working := &workerConn{addr: "r1"}
+	working.Written = true
+	for name, c := range map[string]struct {
+		links    map[string][]*workerConn
+		attempts map[scheduler.AttemptID]*workerConn
+		err      error
+		want     bool
+	}{
+		"one idles": {links: map[string][]*workerConn{"r1": {idle}}, err: refused, want: true},
+		"one works": {err: refused, want: true,
+			attempts: map[scheduler.AttemptID]*workerConn{1: working}},
+		"none":                   {err: refused},
+		"one to another":         {links: map[string][]*workerConn{"r2": {other}}, err: refused},
+		"one that dials":         {attempts: map[scheduler.AttemptID]*workerConn{1: idle}, err: refused},
+		"one idles, but silence": {links: map[string][]*workerConn{"r1": {idle}}, err: slow},
+	} {
+		n := &Node{idleConns: c.links, attempts: c.attempts}
+		if got := n.atCapacity(&workerConn{addr: "r1"}, c.err); got != c.want {
+			t.Errorf("%s: lack of room is %v", name, got)
+		}
+	}
+}
+
 // A worker whose answer never ends, and that tells by callback how its job ended, keeps no
 // connection: with one for each job nothing could be sent before long.
 func TestEndlessResponseReleasesItsConnection(t *testing.T) {
@@ -35,35 +69,6 @@
 	}
 }
 
-// newLargeFleetWorld is a world in which connections to workers are used again, however long they idled.
-func newLargeFleetWorld(t *testing.T, sockets int, workers ...string) *world {
-	set := parsed(t)
-	set.Dispatch.Dispatchers = 80
-	w := newWorldOf(t, set, sockets, workers...)
-	w.node.onLoop(func() { w.node.idleTimeout = 3600 * second })
-	return w
-}
-
-// waitIdle waits until so many connections to workers idle.
-func (n *Node) waitIdle(t *testing.T, want int) {
-	t.Helper()
-	got := -1
-	if !eventually(func() bool {
-		n.onLoop(func() { got = n.idleCount() })
-		return got == want
-	}) {
-		t.Fatalf("%d connections idle, want %d", got, want)
-	}
-}
-
-// idleCount counts the connections to workers that idle.
-func (n *Node) idleCount() (count int) {
-	for _, idle := range n.idleConns {
-		count += len(idle)
-	}
-	return count
-}
-
 const accepted = `
 	c1 send job post a1 || one
 	r1 expect POST /post/7?a=b txn=a1 key=k body=one
--- /dev/null
+++ b/internal/node/worker_pool_test.go
@@ -0,0 +1,71 @@
+package node
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"dahliaford/internal/scheduler"
+)
+
+// Connections to workers stay within their part of the descriptors: idle ones go
+// first, and then nothing is sent, which is no crash.
+func TestWorkerConnectionsAreBounded(t *testing.T) {
+	n := &Node{start: time.Now(), idleConns: map[string][]*workerConn{}, maxWorkerConns: 8, ctx: t.Context(),
+		inbox: make(chan any, 100)}
+	dropped := 0
+	for i := range 7 {
+		n.openWorkerConns++
+		since := n.now() + second + scheduler.Micros(i)
+		l := &workerConn{addr: "old", idleSince: since, cancel: func() { dropped++ }}
+		n.idleConns["old"] = append(n.idleConns["old"], l)
+	}
+	var got []bool
+	for range 2 {
+		_, ok := n.assign("127.0.0.1:1", exchange{requestID: "a"})
+		got = append(got, ok)
+	}
+	if diff := cmp.Diff([]bool{true, false}, got); diff != "" || dropped != 2 {
+		t.Errorf("%s dropped %d", diff, dropped)
+	}
+}
+
+// In a large fleet a connection is kept until the scheduler is likely back at its worker, or
+// each job would open one.
+func TestIdleConnectionsLastLongerInLargeFleets(t *testing.T) {
+	for balancers, want := range map[int]int{3: 0, 80: 1} {
+		set := parsed(t)
+		set.Dispatch.Dispatchers = balancers
+		n, err := Listen(Config{Listen: "127.0.0.1:0", Settings: set}, slog.New(slog.DiscardHandler))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer n.listener.Close()
+		n.start = n.start.Add(-time.Minute)
+		for _, ago := range []scheduler.Micros{3 * second, second} {
+			n.idleConns["r"] = append(n.idleConns["r"], &workerConn{idleSince: n.now() - ago, cancel: func() {}})
+		}
+		n.dropExpiredIdle()
+		if got := len(n.idleConns["r"]); got != want {
+			t.Errorf("%d schedulers: %d connections kept, want %d", balancers, got, want)
+		}
+	}
+}
+
+// A connection that has idled is let go, long before the worker's limit: it may have
+// been closed without a word, and a job written to it would be lost.
+func TestIdleConnectionTimeout(t *testing.T) {
+	for _, c := range []struct {
+		balancers  int
+		idle, want scheduler.Micros
+	}{{3, 60 * second, idleTimeoutSmallFleet}, {3, 0, 0}, {80, 60 * second, 2 * second},
+		{80, 1500 * millisecond, 750 * millisecond}, {80, 0, 0}} {
+		set := parsed(t)
+		set.Dispatch.Dispatchers, set.WorkerIdleTimeout = c.balancers, c.idle
+		if got := idleTimeoutOf(&set); got != c.want {
+			t.Errorf("%d schedulers, closed after %d: kept for %d, want %d", c.balancers, c.idle, got, c.want)
+		}
+	}
+}
