--- a/cmd/schedbench/clients.go
+++ b/cmd/schedbench/clients.go
@@ -124,7 +124,7 @@
 }
 
 // clientDrill runs the drill. It ends before its span does: jobs have 4 s to end.
-func clientDrill(bin, folder string, span time.Duration, seed uint64, say sayer) (*report, error) {
+func clientDrill(bin, folder string, span time.Duration, seed uint64, say progressFunc) (*report, error) {
 	runs, err := startClientRuns(bin, folder, span, seed)
 	if err != nil {
 		return nil, err
--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -28,7 +28,7 @@
 type diskDrill struct {
 	program, path string
 	random        *rand.Rand
-	say           sayer
+	say           progressFunc
 
 	confirmed map[int]int // how far each item has come, by number
 	next      int         // the number of the first item of the next round
@@ -37,7 +37,7 @@
 }
 
 // diskKills runs the drill disk until its context ends.
-func diskKills(ctx context.Context, seed uint64, say sayer) (*report, error) {
+func diskKills(ctx context.Context, seed uint64, say progressFunc) (*report, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
--- a/cmd/schedbench/engine.go
+++ b/cmd/schedbench/engine.go
@@ -36,7 +36,7 @@
 		}
 		return pebbleEngine{db}, nil
 	}
-	return nil, misuse("unknown engine %q", name)
+	return nil, usageError("unknown engine %q", name)
 }
 
 // silentLogger is a pebble.Logger that drops everything but fatal errors.
--- a/cmd/schedbench/engines.go
+++ b/cmd/schedbench/engines.go
@@ -17,14 +17,14 @@
 type engineDrill struct {
 	program, name string
 	seed          uint64
-	say           sayer
+	say           progressFunc
 
 	figures map[string]any // of each step
 	rows    [][]string
 }
 
 // engines measures the embedded stores that a job store could be built on.
-func engines(ctx context.Context, seed uint64, say sayer) (*report, error) {
+func engines(ctx context.Context, seed uint64, say progressFunc) (*report, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
--- a/cmd/schedbench/keep.go
+++ b/cmd/schedbench/keep.go
@@ -58,7 +58,7 @@
 			for n := c.From + i; ; n += itemsInFlight {
 				if err := k.keepItem(n); err != nil {
 					fmt.Fprintln(os.Stderr, err)
-					os.Exit(failed)
+					os.Exit(exitFailed)
 				}
 			}
 		})
--- a/cmd/schedbench/main.go
+++ b/cmd/schedbench/main.go
@@ -1,5 +1,5 @@
-// Command schedbench is the laboratory: it explores, drills and measures what dahliaford
-// does, and serves nobody.
+// Command schedbench checks and measures dahliaford: it explores its states, runs drills against it and
+// measures fleets. It serves nobody.
 package main
 
 import (
@@ -12,43 +12,53 @@
 
 // The exit statuses.
 const (
-	fine    = 0
-	failed  = 1 // it could not be done
-	misused = 2
-	broken  = 3 // a property broke
+	exitOK        = 0
+	exitFailed    = 1 // it could not be done
+	exitUsage     = 2
+	exitViolation = 3 // a property was violated
 )
 
-type lab struct {
-	Explore exploreCmd `cmd:"" help:"Explore the life of an attempt in a tiny world, in every order of events."`
-	Drill   drillCmd   `cmd:"" help:"Run an experiment: bounded in time, with figures as its last line."`
-	Scale   scaleCmd   `cmd:"" help:"Run a fleet at size in virtual time: hollow schedulers and workers."`
-	Fit     fitCmd     `cmd:"" help:"Say how what benchmarks measured grows with the size in their names."`
-	Keep    keepCmd    `cmd:"" hidden:"" help:"The process that the drill disk kills."`
-	Engine  engineCmd  `cmd:"" hidden:"" help:"One step of the drill engines."`
+// commands is the command line. The hidden commands after Regress are former names, kept as aliases.
+type commands struct {
+	ModelCheck modelCheckCmd `cmd:"" name:"modelcheck" help:"Explore a small world in every order of events."`
+	Drill      drillCmd      `cmd:"" help:"Run a drill: bounded in time, with figures as its last line."`
+	Scale      scaleCmd      `cmd:"" help:"Run a simulated fleet at size in virtual time."`
+	Regress    fitCmd        `cmd:"" help:"Fit how benchmarks grow with the size in their names."`
+
+	Explore modelCheckCmd `cmd:"" hidden:"" help:"The former name of modelcheck."`
+	Fit     fitCmd        `cmd:"" hidden:"" help:"The former name of regress."`
+
+	Keep   keepCmd   `cmd:"" hidden:"" help:"The process that the drill disk kills."`
+	Engine engineCmd `cmd:"" hidden:"" help:"One step of the drill engines."`
 }
 
-// exit is an end with a status of its own.
-type exit struct {
+// exitError ends the program with a status of its own.
+type exitError struct {
 	status int
-	text   string
+	text   string // "": nothing is printed
 }
 
-func (e exit) Error() string { return e.text }
+// Error returns the text.
+func (e exitError) Error() string { return e.text }
 
-func misuse(format string, args ...any) error { return exit{misused, fmt.Sprintf(format, args...)} }
+// usageError ends the program with exitUsage and one line.
+func usageError(format string, args ...any) error {
+	return exitError{exitUsage, fmt.Sprintf(format, args...)}
+}
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-func run(args []string) (status int) {
-	var l lab
+// run runs the command line and returns the exit status.
+func run(args []string) int {
+	var c commands
 	ended := -1
-	parser, err := kong.New(&l, kong.Name("schedbench"), kong.UsageOnError(),
-		kong.Description("The laboratory of dahliaford: explores, drills and measures."),
+	parser, err := kong.New(&c, kong.Name("schedbench"), kong.UsageOnError(),
+		kong.Description("Checks and measures dahliaford."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Exit(func(code int) { ended = code }))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "schedbench:", err)
-		return failed
+		return exitFailed
 	}
 	ctx, err := parser.Parse(args)
 	if ended >= 0 {
@@ -56,17 +66,17 @@
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "schedbench:", err)
-		return misused
+		return exitUsage
 	}
 	if err := ctx.Run(); err != nil {
-		var e exit
+		var e exitError
 		if !errors.As(err, &e) {
-			e = exit{failed, err.Error()}
+			e = exitError{exitFailed, err.Error()}
 		}
 		if e.text != "" {
 			fmt.Fprintln(os.Stderr, "schedbench:", e.text)
 		}
 		return e.status
 	}
-	return fine
+	return exitOK
 }
--- a/cmd/schedbench/main_test.go
+++ b/cmd/schedbench/main_test.go
@@ -7,10 +7,12 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"github.com/google/go-cmp/cmp"
 )
 
-// lab runs the command line and returns its status and what it printed.
-func runLab(t *testing.T, args ...string) (status int, out, errors string) {
+// runCommand runs the command line and returns its status and what it printed.
+func runCommand(t *testing.T, args ...string) (status int, out, errors string) {
 	t.Helper()
 	stdout, stderr := os.Stdout, os.Stderr
 	defer func() { os.Stdout, os.Stderr = stdout, stderr }()
@@ -21,12 +23,16 @@
 		}
 		*to = f
 		return func() string {
-			f.Seek(0, io.SeekStart)
+			if _, err := f.Seek(0, io.SeekStart); err != nil {
+				t.Fatal(err)
+			}
 			raw, err := io.ReadAll(f)
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Close()
+			if err := f.Close(); err != nil {
+				t.Fatal(err)
+			}
 			return string(raw)
 		}
 	}
@@ -35,64 +41,111 @@
 	return status, o(), e()
 }
 
-// Wrong use is one clear line and status 2.
-func TestWrongUse(t *testing.T) {
+// A usage error is one clear line and status 2.
+func TestUsageErrors(t *testing.T) {
 	foreign := filepath.Join(t.TempDir(), "foreign.json")
 	if err := os.WriteFile(foreign, []byte(`{"a":1}`), 0o666); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ args, want string }{
+		{"modelcheck --world nowhere", `unknown world "nowhere": there are attempt, keyed`},
+		{"modelcheck --budget 0s", "--budget must be longer than nothing"},
+		{"modelcheck --budget soon", "--budget"},
+		{"modelcheck --parallel=-1", "--parallel must not be negative"},
+		{"modelcheck --replay " + foreign, "not a trace"},
+		{"modelcheck --replay /no/such/file", "no such file"},
 		{"explore --world nowhere", `unknown world "nowhere": there are attempt, keyed`},
-		{"explore --budget 0s", "--budget must be longer than nothing"},
-		{"explore --budget soon", "--budget"},
-		{"explore --parallel=-1", "--parallel must not be negative"},
-		{"explore --replay " + foreign, "not a trace"},
-		{"explore --replay /no/such/file", "no such file"},
-		{"drill nothing", `unknown drill "nothing"`},
+		{"regress", `expected "<files>`},
+		{"fit", `expected "<files>`},
+		{"drill nothing", `unknown drill "nothing": there are attempt`},
+		{"drill mutants --for 0s", "--for must be longer than nothing"},
 		{"drill planted --for 0s", "--for must be longer than nothing"},
 		{"fly", "unexpected argument fly"},
 	} {
-		status, _, errors := runLab(t, strings.Fields(c.args)...)
-		lines := strings.Split(strings.TrimSpace(errors), "\n")
-		if last := lines[len(lines)-1]; status != misused || len(lines) != 1 || !strings.Contains(last, c.want) {
-			t.Errorf("%s: status %d, %q; want one line with %q", c.args, status, errors, c.want)
-		}
+		t.Run(c.args, func(t *testing.T) {
+			status, _, stderr := runCommand(t, strings.Fields(c.args)...)
+			lines := strings.Split(strings.TrimSpace(stderr), "\n")
+			if status != exitUsage || len(lines) != 1 || !strings.Contains(lines[0], c.want) {
+				t.Errorf("status %d, %q; want one line with %q", status, stderr, c.want)
+			}
+		})
 	}
 }
 
-// The last line is the summary, and a counterexample has status 3 and a trace that replays.
-func TestExplore(t *testing.T) {
+// The former names of commands do what the present ones do, and are not in the help.
+func TestFormerCommandNames(t *testing.T) {
 	folder := t.TempDir()
-	last := func(out string) (s summary) {
-		lines := strings.Split(strings.TrimSpace(out), "\n")
-		if err := json.Unmarshal([]byte(lines[len(lines)-1]), &s); err != nil {
-			t.Fatal(err, out)
+	for former, present := range map[string]string{"explore": "modelcheck"} {
+		var summaries []searchSummary
+		for _, name := range []string{former, present} {
+			status, out, _ := runCommand(t, name, "--world", "turned", "--faults", "1", "--out", folder)
+			if status != exitOK {
+				t.Fatalf("%s: status %d: %s", name, status, out)
+			}
+			s := lastSummary(t, out)
+			s.Seconds, s.PerSecond, s.Depth = 0, 0, 0 // those that parallel searches do not share
+			summaries = append(summaries, s)
+		}
+		if diff := cmp.Diff(summaries[1], summaries[0]); diff != "" {
+			t.Errorf("%s is not %s: %s", former, present, diff)
+		}
+	}
+	if d, err := drillByName("planted"); err != nil || d.about != drills["mutants"].about {
+		t.Errorf("drill planted is %q, %v", d.about, err)
+	}
+	status, help, _ := runCommand(t, "--help")
+	if status != exitOK {
+		t.Fatalf("--help: status %d", status)
+	}
+	for _, former := range []string{"explore", "fit"} {
+		if strings.Contains(help, "\n  "+former+" ") {
+			t.Errorf("the help lists %s: %s", former, help)
+		}
+	}
+	for _, present := range []string{"modelcheck", "regress"} {
+		if !strings.Contains(help, "\n  "+present+" ") {
+			t.Errorf("the help does not list %s: %s", present, help)
 		}
-		return s
 	}
-	status, out, _ := runLab(t, "explore", "--world", "hole", "--out", folder)
-	s := last(out)
-	if status != broken || s.Violations != 1 || s.Property != "called-back" || s.Exhausted {
+}
+
+// lastSummary reads the last line of what a search printed.
+func lastSummary(t *testing.T, out string) searchSummary {
+	t.Helper()
+	lines := strings.Split(strings.TrimSpace(out), "\n")
+	var s searchSummary
+	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &s); err != nil {
+		t.Fatal(err, out)
+	}
+	return s
+}
+
+// The last line is the summary, and a counterexample has status 3 and a trace that replays.
+func TestModelCheck(t *testing.T) {
+	folder := t.TempDir()
+	status, out, _ := runCommand(t, "modelcheck", "--world", "hole", "--out", folder)
+	s := lastSummary(t, out)
+	if status != exitViolation || s.Violations != 1 || s.Property != "called-back" || s.Exhausted {
 		t.Fatalf("status %d: %s", status, out)
 	}
-	status, out, _ = runLab(t, "explore", "--replay", s.Trace)
-	if status != broken || !strings.Contains(out, "broken: called-back") {
+	status, out, _ = runCommand(t, "modelcheck", "--replay", s.Trace)
+	if status != exitViolation || !strings.Contains(out, "broken: called-back") {
 		t.Errorf("status %d: %s", status, out)
 	}
-	status, out, _ = runLab(t, "explore", "--world", "turned", "--coverage", "--out", folder)
-	if s = last(out); status != fine || !s.Exhausted || s.States < 1000 || s.Violations != 0 ||
-		len(s.Missed) == 0 {
+	status, out, _ = runCommand(t, "modelcheck", "--world", "turned", "--coverage", "--out", folder)
+	if s = lastSummary(t, out); status != exitOK || !s.Exhausted || s.States < 1000 || s.Violations != 0 ||
+		len(s.Uncovered) == 0 {
 		t.Errorf("status %d: %s", status, out)
 	}
-	status, out, _ = runLab(t, "explore", "--walk", "--budget", "200ms", "--out", folder)
-	if s = last(out); status != fine || s.World != "large" || s.States == 0 {
+	status, out, _ = runCommand(t, "modelcheck", "--walk", "--budget", "200ms", "--out", folder)
+	if s = lastSummary(t, out); status != exitOK || s.World != "large" || s.States == 0 {
 		t.Errorf("status %d: %s", status, out)
 	}
-	if status, out, _ = runLab(t, "explore", "--list"); status != fine || !strings.Contains(out,
+	if status, out, _ = runCommand(t, "modelcheck", "--list"); status != exitOK || !strings.Contains(out,
 		"one-final-answer") {
 		t.Errorf("status %d: %s", status, out)
 	}
-	if status, out, _ = runLab(t, "drill"); status != fine || !strings.Contains(out, "planted") {
+	if status, out, _ = runCommand(t, "drill"); status != exitOK || !strings.Contains(out, "mutants") {
 		t.Errorf("status %d: %s", status, out)
 	}
 }
--- a/cmd/schedbench/regress.go
+++ b/cmd/schedbench/regress.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if len(all) == 0 {
-		return misuse("no benchmark with a size in its name")
+		return usageError("no benchmark with a size in its name")
 	}
 	if err := printFits(os.Stdout, all); err != nil {
 		return err
@@ -41,7 +41,7 @@
 	}
 	text, path, ok := strings.Cut(c.Chart, "=")
 	if !ok {
-		return misuse("chart %q is not TEXT=FILE", c.Chart)
+		return usageError("chart %q is not TEXT=FILE", c.Chart)
 	}
 	return drawSeries(path, text, all)
 }
@@ -116,7 +116,7 @@
 		}
 	}
 	if len(args) == 0 {
-		return misuse("no series holds %q", text)
+		return usageError("no series holds %q", text)
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
 		return err
--- a/cmd/schedbench/regress_test.go
+++ b/cmd/schedbench/regress_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	for _, args := range [][]string{{"fit"}, {"fit", path}, {"fit", path + "x"}} {
-		if status := run(args); status != misused {
+		if status := run(args); status != exitUsage {
 			t.Errorf("%v: status %d", args, status)
 		}
 	}
--- a/cmd/schedbench/scale.go
+++ b/cmd/schedbench/scale.go
@@ -59,18 +59,18 @@
 	return c.print(result)
 }
 
-// options returns the options of the run, or a misuse.
+// options returns the options of the run, or a usage error.
 func (c *scaleCmd) options() (emulator.Options, error) {
 	opt := emulator.Options{Workers: c.Workers, Schedulers: c.Schedulers, Rate: c.Rate, Duration: c.For,
 		Seed: c.Seed, Day: c.Day, Task: c.Task}
 	if c.Day == "" {
-		return opt, misuse("unknown day %q: there are %s", c.Day, strings.Join(emulator.Days(), ", "))
+		return opt, usageError("unknown day %q: there are %s", c.Day, strings.Join(emulator.Days(), ", "))
 	}
 	if err := opt.Validate(); err != nil {
-		return opt, misuse("%v", err)
+		return opt, usageError("%v", err)
 	}
 	if c.Real < 0 || c.Real > maxRealSchedulers {
-		return opt, misuse("--real must be 0 to %d", maxRealSchedulers)
+		return opt, usageError("--real must be 0 to %d", maxRealSchedulers)
 	}
 	return opt, nil
 }
@@ -97,7 +97,7 @@
 	}
 	fmt.Println(string(raw))
 	if !r.ok {
-		return exit{status: broken}
+		return exitError{status: exitViolation}
 	}
 	return nil
 }
--- a/cmd/schedbench/scale_real.go
+++ b/cmd/schedbench/scale_real.go
@@ -20,7 +20,7 @@
 // broken. Without a program the one beside this program is run, or else one is built.
 func runReal(ctx context.Context, out io.Writer, o simfleet.Options) error {
 	if err := o.Validate(); err != nil {
-		return misuse("%v", err)
+		return usageError("%v", err)
 	}
 	if o.Program == "" {
 		folder, err := os.MkdirTemp("", "scale")
@@ -28,7 +28,7 @@
 			return err
 		}
 		defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that stays does no harm
-		if o.Program, err = scheduler(ctx, folder); err != nil {
+		if o.Program, err = schedulerBinary(ctx, folder); err != nil {
 			return err
 		}
 	}
@@ -42,7 +42,7 @@
 		return err
 	}
 	if n := len(r.Violations); n > 0 {
-		return exit{broken, fmt.Sprintf("%d properties broke", n)}
+		return exitError{exitViolation, fmt.Sprintf("%d properties broke", n)}
 	}
 	return nil
 }
--- a/cmd/schedbench/scale_real_test.go
+++ b/cmd/schedbench/scale_real_test.go
@@ -55,8 +55,8 @@
 		t.Errorf("%+v", r)
 	}
 	o.Workers = 0
-	var e exit
-	if err := runReal(t.Context(), io.Discard, o); !errors.As(err, &e) || e.status != misused {
+	var e exitError
+	if err := runReal(t.Context(), io.Discard, o); !errors.As(err, &e) || e.status != exitUsage {
 		t.Errorf("no workers: %v", err)
 	}
 }
--- a/cmd/schedbench/scale_test.go
+++ b/cmd/schedbench/scale_test.go
@@ -29,9 +29,9 @@
 		"--rate 9000 --task 1m":            "the rate times the seconds of a task must be",
 	} {
 		t.Run(args, func(t *testing.T) {
-			status, out, errors := runLab(t, strings.Fields("scale "+args)...)
+			status, out, errors := runCommand(t, strings.Fields("scale "+args)...)
 			oneLine := strings.Count(strings.TrimSpace(errors), "\n") == 0
-			if status != misused || !oneLine || !strings.Contains(errors, want) || out != "" {
+			if status != exitUsage || !oneLine || !strings.Contains(errors, want) || out != "" {
 				t.Errorf("status %d, %q; want one line with %q", status, errors, want)
 			}
 		})
@@ -41,7 +41,7 @@
 // The last line is the report as JSON; the table and the charts are kept in a folder.
 func TestScale(t *testing.T) {
 	folder := t.TempDir()
-	status, out, errors := runLab(t, "scale", "--workers", "100", "--schedulers", "10", "--rate", "40",
+	status, out, errors := runCommand(t, "scale", "--workers", "100", "--schedulers", "10", "--rate", "40",
 		"--for", "3s", "--task", "1s", "--keep", folder)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	var last struct {
@@ -49,7 +49,7 @@
 		OK    bool
 		Model struct{ Starts, Workers int }
 	}
-	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &last); err != nil || status != fine {
+	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &last); err != nil || status != exitOK {
 		t.Fatal(status, err, out, errors)
 	}
 	if last.Scale != "calm" || !last.OK || last.Model.Starts < 60 || last.Model.Workers != 100 ||
@@ -61,8 +61,8 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	status, out, _ = runLab(t, "scale", "--workers", "50", "--schedulers", "2", "--for", "1s", "--json")
-	if status != fine || strings.Count(out, "\n") != 1 {
+	status, out, _ = runCommand(t, "scale", "--workers", "50", "--schedulers", "2", "--for", "1s", "--json")
+	if status != exitOK || strings.Count(out, "\n") != 1 {
 		t.Errorf("status %d: %s", status, out)
 	}
 }
