--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -11,8 +11,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// Who connects and says nothing, or half a thing, gets an error or a close in time,
-// however late its last byte came. A kept connection that idles longer stays.
+// A client that connects and sends nothing, or an incomplete request, gets an error or a close in time,
+// however late its last byte arrived. A connection that had a request may be idle for longer.
 func TestSlowClients(t *testing.T) {
 	play(t, newWorld(t, 0, "r1"), `
 		kept send GET /_health
@@ -36,7 +36,7 @@
 		kept expect 200`)
 }
 
-// A request that crosses the node's wish to close the connection is answered.
+// A request that crosses the node's close of the connection is answered.
 func TestRequestCrossesTheClose(t *testing.T) {
 	w := newWorld(t, 0, "r1")
 	c, theirs := piped(w.node)
@@ -50,7 +50,7 @@
 	}
 }
 
-// A client's mark of a repeat goes on with its job.
+// A client's mark of a repeated job is passed on.
 func TestRepeatsAreMarked(t *testing.T) {
 	for mark, want := range map[string]bool{"": false, "X-Resent: 1\r\n": true, "X-Resent: 0\r\n": false} {
 		n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parsed(t)})
@@ -66,8 +66,8 @@
 	}
 }
 
-// A request's time counts from its last byte. What may have passed before it was read, in the
-// listener's queue or for want of processor time, is taken off.
+// A request's time counts from its last byte. The time that may have passed before it was read, in the
+// listener's queue or without processor time, is subtracted.
 func TestTimeBeforeReadingCounts(t *testing.T) {
 	for name, c := range map[string]struct{ queued, lag, less time.Duration }{
 		"read as it came":                {},
@@ -90,15 +90,18 @@
 			took := n.now() - began
 			want := began + 900*millisecond - scheduler.Micros(c.less.Microseconds())
 			if !is || m.Deadline < want || m.Deadline > want+took+scheduler.Micros(c.lag.Microseconds()) {
-				t.Errorf("deadline %d us after its due, want 0 to %d", m.Deadline-want, took)
+				t.Errorf("deadline %d us late, want 0 to %d", m.Deadline-want, took)
 			}
 		})
 	}
 }
 
-// Clients are told when to come back only where the settings allow it.
+// Clients get a Retry-After only where the settings allow it.
 func TestRetryAfterWhereTheSettingsAllow(t *testing.T) {
-	for maxRetryAfter, want := range map[scheduler.Micros]string{2 * second: "503 after 0 close", 0: "503 close"} {
+	for maxRetryAfter, want := range map[scheduler.Micros]string{
+		2 * second: "503 after 0 close",
+		0:          "503 close",
+	} {
 		set := parsed(t)
 		set.Dispatch.MaxRetryAfter = maxRetryAfter
 		w := newWorldOf(t, set, 0, "r1")
@@ -129,7 +132,7 @@
 	}
 }
 
-// lateConn is a connection on which a request comes between the last look at it and the close.
+// lateConn is a connection on which a request arrives between the last read and the close.
 type lateConn struct {
 	net.Conn
 	timedOut chan struct{}
@@ -145,8 +148,8 @@
 	return n, err
 }
 
-// A request that comes between the last look at an idle connection and its close gets an answer:
-// on a busy machine a thousand such closes at a restart of many meet some.
+// A request that arrives between the last read of an idle connection and its close gets an answer: on a busy
+// machine some of a thousand closes cross one, when many clients restart.
 func TestRequestBetweenLastReadAndCloseIsAnswered(t *testing.T) {
 	w := newWorld(t, 0, "r1")
 	ours, theirs := pair(t)
@@ -165,6 +168,6 @@
 		t.Errorf("got %v, %v", r, err)
 	}
 	if _, err := read.Response(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection stays open")
 	}
 }
--- a/internal/node/decode_test.go
+++ b/internal/node/decode_test.go
@@ -12,8 +12,9 @@
 )
 
 func TestDecodeWorkerList(t *testing.T) {
-	got, invalid, err := DecodeList([]byte(`{"rev":41,"all":true,"new":[1],"targets":[{"uid":"s-1","endpoint":"h:1",
-		"az":"a","model":"m2","pod_group":3,"state":"gone","capacity_hint":1.0,"boot_ms":1700000000123}]}`))
+	got, invalid, err := DecodeList([]byte(`{"rev":41,"all":true,"new":[1],"targets":[
+		{"uid":"s-1","endpoint":"h:1","az":"a","model":"m2","pod_group":3,"state":"gone",
+		 "capacity_hint":1.0,"boot_ms":1700000000123}]}`))
 	if err != nil || invalid != nil {
 		t.Fatal(invalid, err)
 	}
@@ -25,12 +26,12 @@
 	}
 	for _, bad := range []string{`{"rev":"x"}`, `{"targets":3}`, `{`, `[]`} {
 		if _, _, err := DecodeList([]byte(bad)); err == nil {
-			t.Errorf("%s: taken", bad)
+			t.Errorf("%s: accepted", bad)
 		}
 	}
 }
 
-// An entry that makes no sense costs the others nothing, and takes its own worker out of use.
+// An invalid entry does not affect the others, and takes its own worker out of use.
 func TestInvalidEntriesOfAList(t *testing.T) {
 	const good = `{"uid":"s-2","endpoint":"h:2","state":"draining"}`
 	for invalid, want := range map[string]string{
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clients that leave while their jobs wait take nothing with them: the books are as before, and
-// the next job is taken, however many have left.
+// Clients that disconnect while their jobs wait leave no state behind, and the next job is accepted, however
+// many have disconnected.
 func TestDisconnectedClientsAreForgotten(t *testing.T) {
 	w := newWorld(t, minSockets, "r1")
 	for i := range cap(w.node.clientSlots) {
@@ -28,16 +28,16 @@
 	}
 	w.node.onLoop(func() {
 		if n := len(w.node.callers); n != 0 {
-			t.Errorf("%d callers are kept", n)
+			t.Errorf("%d callers are left", n)
 		}
 	})
 }
 
-// A client that sends more requests ahead and goes is seen to go, whatever lies before the end: the
-// job that waits is given up, and none behind it is taken for nobody.
+// The disconnect of a client that has sent more requests ahead is seen, whatever is before it in the stream:
+// the job that waits is cancelled, and none behind it is accepted.
 func TestReadAheadSeesADisconnect(t *testing.T) {
 	w := newWorld(t, 0, "r1")
-	w.node.onLoop(func() { w.node.invalidateList(t) }) // no job can go anywhere yet
+	w.node.onLoop(func() { w.node.invalidateList(t) }) // no job can be sent yet
 	play(t, w, `
 		c1 send job batch a1 || one
 		c1 send job batch a2 || two
@@ -52,11 +52,11 @@
 		r1 expect POST /batch/7?a=b txn=b1 key=k body=next
 	`)
 	if n := len(w.peers["r1"].received); n != 0 {
-		t.Errorf("%d more reached the worker: jobs of a client that had left", n)
+		t.Errorf("%d more reached the worker: jobs of a client that had disconnected", n)
 	}
 }
 
-// Who sends ahead without end is not read without end: it gets an error and is let go, and its job
+// A client that sends ahead without end is read up to the limit: it gets an error and a close, and its job
 // waits no longer.
 func TestReadAheadIsBounded(t *testing.T) {
 	w := newWorld(t, 0, "r1")
@@ -70,7 +70,7 @@
 	`)
 }
 
-// A request and the end of its connection lie in the socket together: nothing of it is submitted.
+// A request and the end of its connection arrive together: nothing of it is submitted.
 func TestDisconnectWithTheRequestIsSeenFirst(t *testing.T) {
 	w := newWorld(t, 0, "r1")
 	ours, theirs := pair(t)
@@ -95,13 +95,14 @@
 	c.serve()
 	w.node.onLoop(func() {
 		if n := w.node.sched.Stats().ReservedIDs; n != 0 {
-			t.Errorf("%d were submitted", n)
+			t.Errorf("%d jobs were submitted", n)
 		}
 	})
 }
 
-// An attempt that has not left when its client leaves never does, whether or not what has left may be
-// called off: not sending is not cancelling. It is connected here, and waits for a word of discovery.
+// An attempt that has not been sent when its client disconnects never is, whether or not attempts that were
+// sent may be cancelled: not sending is not cancelling. Here it is connected and waits for an update of the
+// worker list to be applied.
 func TestUnsentAttemptOfADisconnectedClient(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		set := parsed(t)
@@ -115,7 +116,7 @@
 		n.onLoop(func() {
 			n.freshness.countApplied(n.now())
 			if k := n.sched.Stats(); k.Attempts != 0 && len(n.attempts) != 0 {
-				t.Errorf("may cancel %v: still on its way: %+v", allowed, k)
+				t.Errorf("may cancel %v: still in flight: %+v", allowed, k)
 			}
 		})
 		play(t, w, `
@@ -125,7 +126,7 @@
 	}
 }
 
-// awaitGuardCheck waits, from when it is made, until a writer has had its last look at what discovery has told.
+// awaitGuardCheck returns a function that waits until a writer has asked the freshness guard since.
 func (n *Node) awaitGuardCheck(t *testing.T) func() {
 	t.Helper()
 	ours, _ := pair(t)
@@ -138,12 +139,12 @@
 		t.Helper()
 		defer reader.close()
 		if !eventually(func() bool { return reader.lastEmpty() > begun }) {
-			t.Fatal("no writer looks")
+			t.Fatal("no writer asks the guard")
 		}
 	}
 }
 
-// withAndWithoutCancel runs a test where what has left may be called off, and where it may not.
+// withAndWithoutCancel runs a test where attempts that were sent may be cancelled, and where they may not.
 func withAndWithoutCancel(t *testing.T, test func(t *testing.T, w *world), workers ...string) {
 	for _, allowed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("may cancel %v", allowed), func(t *testing.T) {
@@ -155,8 +156,8 @@
 	}
 }
 
-// A leave counts from when it is read, however far behind the loop is: a connect that comes up then
-// finds nobody to send for.
+// A disconnect counts from when it is read, however far behind the loop is: nothing is sent on a connection
+// that comes up after that.
 func TestDisconnectCountsBeforeTheLoopSeesIt(t *testing.T) {
 	withAndWithoutCancel(t, func(t *testing.T, w *world) {
 		n := w.node
@@ -165,11 +166,11 @@
 			play(t, w, fmt.Sprintf("c%[1]d send job batch a%[1]d || work\nwait open 1", i))
 			resume := n.pauseLoop()
 			w.peers[fmt.Sprint("c", i)].disconnect(t, way)
-			if !eventually(func() bool { return len(n.inbox) > 0 }) { // CallerLeft
-				t.Fatal("the leave is not read")
+			if !eventually(func() bool { return len(n.inbox) > 0 }) { // ClientDisconnected
+				t.Fatal("the disconnect is not read")
 			}
 			checked := n.awaitGuardCheck(t)
-			n.freshness.countApplied(n.now()) // now nothing of discovery holds the writer back
+			n.freshness.countApplied(n.now()) // now the guard does not block the writer any more
 			checked()
 			resume()
 			play(t, w, fmt.Sprintf(`
@@ -179,7 +180,7 @@
 	}, "r1")
 }
 
-// servedNext is another job, numbered by the format's argument: it is served as if nothing had been.
+// servedNext is another job, numbered by the format's argument: it is served as usual.
 const servedNext = `
 	d%[1]d send job batch d%[1]d || next
 	r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
@@ -188,7 +189,8 @@
 	back%[1]d expect 204
 	d%[1]d expect 200`
 
-// waitSendBufferFull waits until a connection that nobody reads from takes no more: what it holds grows no longer.
+// waitSendBufferFull waits until a connection that nobody reads from takes no more: its queue does not grow
+// any more.
 func waitSendBufferFull(t *testing.T, conn net.Conn) {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -205,21 +207,21 @@
 		last = queued
 		return same >= 50
 	}) {
-		t.Fatalf("it still takes more: %d, %v", last, err)
+		t.Fatalf("the send buffer still grows: %d, %v", last, err)
 	}
 }
 
-// A request that is half written when its client leaves, or when it is given up, stays half: what a
-// worker has read of it by then is no attempt, and the rest would make it one.
+// A request that is partly written when its client disconnects, or when its attempt is cancelled, stays
+// incomplete: what a worker has read of it by then is no attempt, and the rest would make it one.
 func TestPartialRequestOfADisconnectedClientStaysPartial(t *testing.T) {
 	for name, end := range map[string]func(*workerConn, *payload){
-		"its client leaves": func(_ *workerConn, p *payload) { p.disconnected.Store(true) },
-		"it is given up":    func(c *workerConn, _ *payload) { c.abandoned.Store(true) },
+		"its client disconnects": func(_ *workerConn, p *payload) { p.disconnected.Store(true) },
+		"it is cancelled":        func(c *workerConn, _ *payload) { c.abandoned.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newWorld(t, 0, "r1").node
 			ours, theirs := pair(t)
-			p := &payload{method: "POST", target: "/batch/7", body: make([]byte, 32<<20)} // past all buffers
+			p := &payload{method: "POST", target: "/batch/7", body: make([]byte, 32<<20)} // more than all buffers
 			e := &exchange{workerUID: "r1", requestID: "a1", payload: p, writeBy: n.now() + 3600*second}
 			c := &workerConn{node: n, addr: "r1", ctx: t.Context()}
 			done := make(chan error, 1)
@@ -232,30 +234,22 @@
 			if _, err := io.ReadFull(theirs, make([]byte, 100)); err != nil { // it has begun
 				t.Fatal(err)
 			}
-			waitSendBufferFull(t, ours) // else one call of the system may go on for as long as is read
+			waitSendBufferFull(t, ours) // else one system call may go on for as long as the peer reads
 			end(c, p)
 			all, _ := io.Copy(io.Discard, theirs) // it may end by a reset
 			if err := <-done; !errors.Is(err, errDisconnected) || all >= int64(len(p.body)) {
-				t.Errorf("%v, and %d more bytes of %d came", err, all, len(p.body))
+				t.Errorf("%v, and %d more bytes of %d arrived", err, all, len(p.body))
 			}
 		})
 	}
 }
 
-// Nothing is submitted of a request whose client leaves while its connection waits for a slot.
+// Nothing is submitted of a request whose client disconnects while its connection waits for a slot.
 func TestDisconnectInTheAcceptQueueIsSeenFirst(t *testing.T) {
 	w := newWorld(t, minSockets, "r1")
 	n := w.node
-	play(t, w, "c1 send GET /_health\nc1 expect 200") // the acceptor is behind its next slot after this
-	taken := 0
-	for full := false; !full; {
-		select {
-		case n.clientSlots <- struct{}{}:
-			taken++
-		default:
-			full = true
-		}
-	}
+	play(t, w, "c1 send GET /_health\nc1 expect 200") // from now on the acceptor holds the next slot
+	releaseSlots := n.takeFreeSlots()
 	first, err := net.Dial("tcp", n.Addr().String()) // takes the acceptor's slot
 	if err != nil {
 		t.Fatal(err)
@@ -266,22 +260,20 @@
 		play(t, w, name+" send job batch "+name+" || work")
 		w.peers[name].disconnect(t, way)
 	}
-	for range taken {
-		<-n.clientSlots
-	}
+	releaseSlots()
 	play(t, w, `
 		c2 send job batch b1 || next
 		r1 expect POST /batch/7?a=b txn=b1 key=k body=next
 	`)
 	n.onLoop(func() {
 		if k := n.sched.Stats(); k.ReservedIDs != 1 {
-			t.Errorf("%d were submitted", k.ReservedIDs)
+			t.Errorf("%d jobs were submitted", k.ReservedIDs)
 		}
 	})
 }
 
-// A job whose next attempt waits for its worker to hear of the withdrawal of the one before is not
-// sent when that is heard: its client has left meanwhile.
+// A job whose next attempt is deferred until the cancellation of the one before is acknowledged is not sent
+// then, if its client has disconnected meanwhile.
 func TestDisconnectDuringADeferredAttempt(t *testing.T) {
 	withAndWithoutCancel(t, func(t *testing.T, w *world) {
 		for i, way := range disconnectWays {
@@ -302,28 +294,28 @@
 	}, "r1")
 }
 
-// A worker turns a job away just as its client leaves: the loop hears of both, in either order, and no
-// further attempt begins.
+// A worker turns a job away just as its client disconnects: the loop gets both events, in either order, and
+// no further attempt begins.
 func TestDisconnectAsARetryIsDecided(t *testing.T) {
-	for _, leaveFirst := range []bool{true, false} {
+	for _, disconnectFirst := range []bool{true, false} {
 		withAndWithoutCancel(t, func(t *testing.T, w *world) {
 			n := w.node
-			n.onLoop(func() { n.idleTimeout = 0 }) // on a connection that is used again no refusal is believed
+			n.onLoop(func() { n.idleTimeout = 0 }) // on a connection that was used before a refusal is not trusted
 			for i, way := range disconnectWays {
 				play(t, w, fmt.Sprintf(`
 					c%[1]d send job batch a%[1]d || work
 					r1 expect POST /batch/7?a=b txn=a%[1]d key=k body=work
 				`, i))
-				written := func() (so bool) { // the writer's word is in
+				written := func() (reached bool) { // the loop knows the result of writing
 					n.onLoop(func() {
 						for _, c := range n.attempts {
-							so = so || c.Written
+							reached = reached || c.Written
 						}
 					})
-					return so
+					return reached
 				}
 				if !eventually(written) {
-					t.Fatal("it is not written")
+					t.Fatal("the attempt is not written")
 				}
 				resume := n.pauseLoop()
 				posted := len(n.inbox)
@@ -331,20 +323,20 @@
 					step()
 					posted++
 					if !eventually(func() bool { return len(n.inbox) >= posted }) {
-						t.Fatal("it does not come")
+						t.Fatal("the event does not arrive")
 					}
 				}
-				leave := func() { w.peers[fmt.Sprint("c", i)].disconnect(t, way) }
+				disconnect := func() { w.peers[fmt.Sprint("c", i)].disconnect(t, way) }
 				refuse := func() { play(t, w, "r1 send 503 Full | X-Turned-Away: 1") }
-				if leaveFirst {
-					arrives(leave)
+				if disconnectFirst {
+					arrives(disconnect)
 					arrives(refuse)
 				} else {
 					arrives(refuse)
-					arrives(leave)
+					arrives(disconnect)
 				}
 				resume()
-				if leaveFirst && n.cfg.Settings.Dispatch.CancelAllowed { // what has left is called off
+				if disconnectFirst && n.cfg.Settings.Dispatch.CancelAllowed { // what was sent is cancelled
 					play(t, w, fmt.Sprintf("r1 expect DELETE /jobs/a%d\nr1 send 200 OK\nr1 expect end", i))
 				}
 				play(t, w, fmt.Sprintf(`
@@ -361,7 +353,7 @@
 	}
 }
 
-// pausingConn is a connection that can be held between what it has read and whoever reads it.
+// pausingConn is a connection whose Read can be paused before it returns.
 type pausingConn struct {
 	net.Conn
 	pauseNext      atomic.Bool
@@ -377,12 +369,12 @@
 	return n, err
 }
 
-// A client leaves between the first byte that it sends ahead and the reading on that this begins.
+// A client disconnects between the first byte that it sends ahead and the read-ahead that this begins.
 func TestDisconnectBetweenReadAheadBytes(t *testing.T) {
 	for _, way := range []string{"in order", "reset"} {
 		w := newWorld(t, 0, "r1")
 		n := w.node
-		n.onLoop(func() { n.invalidateList(t) }) // no job can go anywhere yet
+		n.onLoop(func() { n.invalidateList(t) }) // no job can be sent yet
 		ours, theirs := pair(t)
 		h := &pausingConn{Conn: ours, paused: make(chan struct{}), resume: make(chan struct{})}
 		n.clientSlots <- struct{}{}
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -13,22 +13,22 @@
 	"dahliaford/internal/scheduler"
 )
 
-// At the socket budget idle connections make room, newcomers' jobs are refused while
-// all are busy, and callbacks get through.
+// At the limit of sockets idle connections are evicted, jobs of newcomers are refused while all connections
+// are busy, and callbacks are accepted.
 func TestSocketBudget(t *testing.T) {
 	w := newWorld(t, minSockets, "r1")
 	script := ""
 	for i := range cap(w.node.clientSlots) * 2 {
 		script += fmt.Sprintf("idle%d send GET /_health\nidle%d expect 200\n", i, i)
 	}
-	// Asking for the close itself makes the answer the same at every pace.
+	// The client asks for the close itself, so that the answer does not depend on timing.
 	script += "c0 send job post a0 | Connection: close || x\nr1 expect POST /post/7?a=b txn=a0 key=k body=x\n"
 	limit := cap(w.node.clientSlots) - w.node.callbackSlots
 	for i := 1; i < limit; i++ {
 		script += fmt.Sprintf("c%d send job post a%d || x\n", i, i)
 		script += fmt.Sprintf("last%d send GET /_health\nlast%d expect 200\n", i, i)
 	}
-	script += fmt.Sprintf("wait open %d", limit) // or the last of them may come behind the next
+	script += fmt.Sprintf("wait open %d", limit) // else the last of them may arrive after the next one
 	play(t, w, script+`
 		more send job post b || x
 		more expect 503 after 0 close
@@ -38,8 +38,8 @@
 		c0 expect 200 close yes`)
 }
 
-// Hundreds that say nothing, or stay when they have been answered, keep neither a new
-// job nor a callback out for long, nor close the kept connection of a usual client.
+// Hundreds of clients that send nothing, or stay connected after their answer, delay neither a new job nor a
+// callback for long, and do not cause the eviction of an established client.
 func TestManyIdleClients(t *testing.T) {
 	w := newWorld(t, minSockets, "r1")
 	script := `
@@ -67,8 +67,8 @@
 	}
 }
 
-// A crowd that asked once and stays is let go all at once: a few at a time, a thousand
-// of them would keep those behind them waiting for seconds. Others are spared.
+// Clients that sent one request and stay connected are evicted all at once: if it were a few at a time, a
+// thousand of them would delay those in the queue for seconds. Others are not evicted.
 func TestEvictionFreesAllSlotsAtOnce(t *testing.T) {
 	n := &Node{start: time.Now().Add(-time.Minute), ctx: t.Context(), clients: map[*client]bool{},
 		clientSlots: make(chan struct{}, 100), callbackSlots: 4}
@@ -101,11 +101,15 @@
 	}
 }
 
-// One whose request became whole as it was cut off hears so, and nothing is sent on;
-// a caller is never cut off, as that would lose its request.
+// A client whose request became complete as it was evicted gets a refusal, and nothing is sent on. A client
+// of a higher rank is never cut off, as that would lose its request.
 func TestEvictionCrossesTheRequest(t *testing.T) {
 	w := newWorld(t, 0, "r1")
-	for rank, want := range map[clientRank]string{rankEvicted: "503 close", rankNew: "200", rankEstablished: "200"} {
+	for rank, want := range map[clientRank]string{
+		rankEvicted:     "503 close",
+		rankNew:         "200",
+		rankEstablished: "200",
+	} {
 		c, theirs := piped(w.node)
 		c.rank.store(rank)
 		if rank == rankEstablished {
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -11,8 +11,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// From when on discovery has written a word until the loop has dealt with it, nothing leaves,
-// wherever the word is: in the socket, with the reader, in the inbox.
+// From when discovery has written an update until the loop has applied it nothing is sent, wherever the
+// update is: in the socket, with the reader, or in the inbox.
 func TestNoSendPastAnUnappliedUpdate(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	clock := 100 * second
@@ -35,11 +35,11 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	want("nothing heard yet", "r1", errStale)
+	want("nothing received yet", "r1", errStale)
 	guard.countPosted(reader, clock)
-	want("a first word in the inbox", "r1", errStale)
+	want("a first update in the inbox", "r1", errStale)
 	guard.countApplied(clock)
-	want("it holds", "r1", nil)
+	want("it is valid", "r1", nil)
 	deliver("leaves r1\n")
 	want("in the socket", "r1", errUnapplied)
 	if n, err := reader.Read(buffer); err != nil || string(buffer[:n]) != "leaves r1\n" {
@@ -61,16 +61,16 @@
 	guard.setDraining("r1", false)
 	want("back", "r1", nil)
 	if clock += 6*second + 1; !errors.Is(guard.allowSend("r1", clock), errStale) {
-		t.Error("it holds for ever")
+		t.Error("the list is valid for ever")
 	}
 	guard.countPosted(reader, clock)
 	guard.countApplied(clock)
-	want("heard again", "r1", nil)
+	want("received again", "r1", nil)
 	guard.watchClosed(0, true)
-	want("a word that cannot be read", "r1", errStale)
+	want("an update that cannot be read", "r1", errStale)
 }
 
-// How old a word is counts from when it may have been written, not from when it was read.
+// The age of an update counts from when it may have been written, not from when it was read.
 func TestUpdateAgeCountsFromTheEarliestWrite(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	for name, c := range map[string]struct{ empty, read, want scheduler.Micros }{
@@ -83,8 +83,8 @@
 	}
 }
 
-// A scheduler that sends nothing looks at its watch now and then all the same, so a word that comes
-// after a while is not taken for as old as the last leave of an attempt; but never past what lies unread.
+// A scheduler that sends nothing still observes its watch now and then, so that an update that arrives after
+// a while is not taken for as old as the last send. An update that is unread is never skipped by that.
 func TestIdleSchedulerObservesItsWatch(t *testing.T) {
 	w := newWatchedWorld(t, false, 10*second)
 	n, reader := w.node, (*watchReader)(nil)
@@ -95,7 +95,7 @@
 	began := reader.emptyAt
 	n.freshness.mu.Unlock()
 	if !eventually(func() bool { return reader.lastEmpty() >= began+2*second }) {
-		t.Error("nobody looks")
+		t.Error("the watch is not observed")
 	}
 	guard := newFreshnessGuard(testGrace, 6*second)
 	ours, theirs := pair(t)
@@ -105,19 +105,19 @@
 	}
 	guard.observeReaders(101 * second)
 	if got := guard.countPosted(reader, 102*second); got != 101*second+testGrace/2 {
-		t.Errorf("a word is taken for %d", got)
+		t.Errorf("the update counts from %d", got)
 	}
 	write(t, theirs, "leaves r1\n")
 	if !eventually(func() bool { return !reader.empty() }) {
-		t.Fatal("nothing comes")
+		t.Fatal("nothing arrives")
 	}
 	if guard.observeReaders(103 * second); reader.lastEmpty() != 101*second {
-		t.Error("what lies unread is looked past")
+		t.Error("an unread update is skipped")
 	}
 }
 
-// An attempt is on its way, connected and all, as the word comes that its worker leaves. It goes to
-// the other one, and the worker is not set aside as if it had failed.
+// An attempt is in flight, with its connection up, as the update arrives that its worker drains. The attempt
+// goes to the other worker, and the first one is not ejected as if it had failed.
 func TestAttemptInFlightAvoidsADrainingWorker(t *testing.T) {
 	w := newWorld(t, 0, "r1", "r2")
 	n := w.node
@@ -138,18 +138,19 @@
 	n.onLoop(func() {
 		draining := scheduler.Worker{UID: first, Addr: w.peers[first].listener.Addr().String(), Zone: "north",
 			Kind: "m1", Status: dispatch.Draining}
-		n.applyUpdate(t, watchUpdate{watch: n.watch, event: scheduler.EndpointsUpdated{List: scheduler.WorkerList{Rev: 5,
-			Workers: []scheduler.Worker{draining}}, AsOf: n.now() + 3600*second}})
+		list := scheduler.WorkerList{Rev: 5, Workers: []scheduler.Worker{draining}}
+		n.applyUpdate(t, watchUpdate{watch: n.watch,
+			event: scheduler.EndpointsUpdated{List: list, AsOf: n.now() + 3600*second}})
 	})
 	play(t, w, other+" expect POST /post/7?a=b txn=a1 key=k body=work")
 	received := w.peers[first].received
 	if n := len(received); n > 1 || n == 1 && (<-received).text != "end" {
-		t.Error("the leaving worker got the attempt")
+		t.Error("the draining worker got the attempt")
 	}
 }
 
-// A word is dealt with before its reader has looked for more. A writer that asks between the two waits,
-// and is told when the reader has found nothing: no other word may come before its time is over.
+// An update is applied before its reader has read again. A writer that asks between the two waits, and is
+// woken when the reader has found nothing: another update may not arrive before the writer's time is over.
 func TestWriterWakesOnceTheWatchIsDrained(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	clock := 100 * second
@@ -173,17 +174,17 @@
 		t.Fatalf("read more: %v", err)
 	}
 	if got := guard.allowSend("r1", clock); got != nil {
-		t.Errorf("nothing is left to read: %v", got)
+		t.Errorf("the watch is drained: %v", got)
 	}
 	select {
 	case <-next:
 	default:
-		t.Error("who waits is not told")
+		t.Error("the writer that waits is not woken")
 	}
 }
 
-// While the words of a zone that goes are taken in, nothing leaves for any worker, one that has been
-// told off stays so for the last look, and once all are taken in the others may have their attempts.
+// While the updates of a zone that is removed are applied, nothing is sent to any worker; the guard takes a
+// worker for draining once its update is applied; and once all are applied the others may get attempts.
 func TestNoSendWhileZoneUpdatesAreApplied(t *testing.T) {
 	const zone, rest = 514, 30
 	w := newWorld(t, 0, "r1")
@@ -195,19 +196,20 @@
 	}
 	reader := &watchReader{emptyAt: now}
 	update := func(rev int64, complete bool, workers ...scheduler.Worker) watchUpdate {
-		return watchUpdate{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: n.freshness.countPosted(reader, n.now()),
+		asOf := n.freshness.countPosted(reader, n.now())
+		return watchUpdate{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: asOf,
 			List: scheduler.WorkerList{Rev: rev, Complete: complete, Workers: workers}}}
 	}
 	n.onLoop(func() {
 		n.freshness.mu.Lock()
-		clear(n.freshness.readers) // no words but these
+		clear(n.freshness.readers) // no updates but these
 		n.freshness.mu.Unlock()
 		if err := n.onWatchUpdate(update(10, true, all...)); err != nil {
 			t.Error(err)
 			return
 		}
 		if err := n.freshness.allowSend("z0", n.now()); err != nil {
-			t.Errorf("the whole list is taken in: %v", err)
+			t.Errorf("the complete list is applied: %v", err)
 		}
 		updates := make([]watchUpdate, zone)
 		for i := range updates {
@@ -218,7 +220,7 @@
 		for i, m := range updates {
 			for _, uid := range []string{all[i].UID, all[zone].UID} {
 				if err := n.freshness.allowSend(uid, n.now()); !errors.Is(err, errUnapplied) {
-					t.Errorf("%d of %d words are taken in, and for %s: %v", i, zone, uid, err)
+					t.Errorf("%d of %d updates are applied, and for %s: %v", i, zone, uid, err)
 					return
 				}
 			}
@@ -227,12 +229,12 @@
 				return
 			}
 			if err := n.freshness.allowSend(all[i].UID, n.now()); !errors.Is(err, errDraining) {
-				t.Errorf("%s has been told off: %v", all[i].UID, err)
+				t.Errorf("%s is removed: %v", all[i].UID, err)
 				return
 			}
 		}
 		if err := n.freshness.allowSend(all[zone].UID, n.now()); err != nil {
-			t.Errorf("all words are taken in: %v", err)
+			t.Errorf("all updates are applied: %v", err)
 		}
 	})
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -30,10 +30,10 @@
 
 const second = 1000 * millisecond
 
-const patience = 20 * time.Second // before a test that waits in vain fails
+const patience = 20 * time.Second // how long a test waits before it fails
 
-// world is a node with parties on loopback sockets. Clients are c1, c2, ...; workers
-// r1, r2, ...; rdown is a worker that nobody listens for.
+// world is a node with peers on loopback sockets. Clients are c1, c2, ...; workers are r1, r2, ...; rdown is
+// a worker whose address nobody listens at.
 type world struct {
 	node  *Node
 	done  chan error
@@ -54,7 +54,7 @@
 	return newWorldOf(t, parsed(t), sockets, workers...)
 }
 
-// newWorldOf is a world with settings of its own.
+// newWorldOf returns a world with the given settings.
 func newWorldOf(t *testing.T, set settings.Settings, sockets int, workers ...string) *world {
 	t.Helper()
 	w := &world{done: make(chan error, 1), peers: map[string]*peer{}}
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// What discovery does is played by hand, however long that takes.
+	// Scenarios play discovery, however long they take.
 	w.node.watchOpenTimeout, w.node.watchIdleTimeout = time.Hour, time.Hour
 	go func() { w.done <- w.node.Run() }()
 	w.node.onLoop(func() { w.node.receiveList(t, time.Hour) })
@@ -89,7 +89,8 @@
 	return w
 }
 
-// newLargeFleetWorld is a world in which connections to workers are used again, however long they were idle.
+// newLargeFleetWorld returns a world in which connections to workers are used again, however long they were
+// idle.
 func newLargeFleetWorld(t *testing.T, sockets int, workers ...string) *world {
 	t.Helper()
 	set := parsed(t)
@@ -120,6 +121,21 @@
 	return func() { close(resumed) }
 }
 
+// takeFreeSlots takes all client slots that are free, until release is called.
+func (n *Node) takeFreeSlots() (release func()) {
+	for taken := 0; ; taken++ {
+		select {
+		case n.clientSlots <- struct{}{}:
+		default:
+			return func() {
+				for range taken {
+					n.releaseSlot()
+				}
+			}
+		}
+	}
+}
+
 // eventually waits until a condition is reached, for as long as tests have patience.
 func eventually(reached func() bool) bool {
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -202,7 +218,7 @@
 	n.freshness.validUntil = until
 }
 
-// workerLine is the entry of a worker that is ready, in discovery's JSON.
+// workerLine returns the entry of a worker that is ready, in discovery's JSON.
 func workerLine(name, addr string) string {
 	return `{"uid":"` + name + `","endpoint":"` + addr + `","az":"north","model":"m1","state":"ready"}`
 }
@@ -269,7 +285,7 @@
 	scenario.Run(t, w, script, func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// pair is a connection on loopback, both ends.
+// pair returns both ends of a connection on loopback.
 func pair(t *testing.T) (ours, theirs net.Conn) {
 	t.Helper()
 	l := listenLoopback(t)
@@ -285,7 +301,7 @@
 	return ours, theirs
 }
 
-// piped is a client connection as the acceptor makes it, not served yet, and its other end.
+// piped returns a client connection as the acceptor makes it, not served yet, and its other end.
 func piped(n *Node) (*client, net.Conn) {
 	ours, theirs := net.Pipe()
 	n.clientSlots <- struct{}{}
--- a/internal/node/lag_test.go
+++ b/internal/node/lag_test.go
@@ -6,10 +6,10 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The lag is the worst of the last while, and is forgotten.
+// The lag is the worst delay of the last while, and decays.
 func TestLag(t *testing.T) {
 	var l lag
-	l.note(100*second, 0) // nothing was due
+	l.note(100*second, 0) // nothing was scheduled
 	l.note(100*second, 100*second-40*millisecond)
 	l.note(100*second+1, 100*second-10*millisecond)
 	for after, want := range map[scheduler.Micros]scheduler.Micros{
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,7 +82,7 @@
 	clientSlots       chan struct{}  // holds one element for each client connection
 	freshness         *freshnessGuard
 	hedgedDials       atomic.Int32 // second dials that are in progress
-	evictionRequested atomic.Bool  // an evictionRequest is in the inbox
+	evictionRequested atomic.Bool  // by acquireSlot, and not handled yet
 	closingListener   atomic.Bool  // the acceptor closes the listener once its queue is empty
 	draining          atomic.Bool  // new requests are refused, and health reports so
 	listReceived      atomic.Bool  // discovery has sent a list
@@ -104,7 +104,7 @@
 	callers map[scheduler.CallerID]*client // those that wait for an answer
 
 	// Connections to workers.
-	idleConns       map[string][]*workerConn            // by address; the one that idled last is used first
+	idleConns       map[string][]*workerConn            // by address, oldest first; the newest is used first
 	attempts        map[scheduler.AttemptID]*workerConn // with an attempt or its cancellation in progress
 	cancelledUnsent scheduler.AttemptID                 // the last attempt closed before any byte was sent
 	openWorkerConns int
--- a/internal/node/peer_test.go
+++ b/internal/node/peer_test.go
@@ -17,9 +17,9 @@
 	w        *world
 	name     string
 	listener net.Listener
-	conn     net.Conn     // the one that text was last seen on
-	received chan message // what reached the party
-	later    []message    // what came before an end that was waited for
+	conn     net.Conn     // the one with the last message
+	received chan message // what reached the peer
+	later    []message    // what arrived before an end that was waited for
 }
 
 type message struct {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Send writes a message: " | " parts its lines, and a body follows " || ".
+// Send writes a message: " | " separates its lines, and a body follows " || ".
 func (p *peer) Send(text string) error {
 	if p.conn == nil && p.listener == nil {
 		conn, err := net.Dial("tcp", p.w.node.Addr().String())
@@ -113,7 +113,7 @@
 		_, err := io.WriteString(p.conn, text)
 		return err
 	}
-	if raw, ok := strings.CutPrefix(text, "part"); ok { // as it is, and perhaps nothing
+	if raw, ok := strings.CutPrefix(text, "part"); ok { // raw, and perhaps nothing
 		_, err := io.WriteString(p.conn, strings.TrimSpace(raw))
 		return err
 	}
@@ -139,10 +139,9 @@
 	return err
 }
 
-// A server may see an idle connection end at any moment: that is passed over, unless
-// it is waited for.
-// The end of one connection and what comes on another have no order: a server that waits
-// for an end keeps what comes before it for the next line.
+// Expect returns the next message. A server may see an idle connection end at any moment: that is skipped,
+// unless it is waited for. The end of one connection and the messages of another have no order: a server that
+// waits for an end keeps what arrives before it for the next line.
 func (p *peer) Expect(want string) (string, error) {
 	if len(p.later) > 0 && want != "end" {
 		m := p.later[0]
@@ -167,8 +166,8 @@
 	}
 }
 
-// Close ends the connection that was last heard from: with a reset, or in order. A
-// server then hears "end" once the node has closed its side, too.
+// Close ends the connection of the last message: with a reset, or in order. A server then receives "end" once
+// the node has closed its side, too.
 func (p *peer) Close(text string) error {
 	conn := p.conn.(*net.TCPConn)
 	switch {
@@ -205,21 +204,21 @@
 
 var disconnectWays = []string{"in order", "reset", "half a request", "two more requests"}
 
-// writeRaw has a client that the node knows send something as it is.
+// writeRaw writes a text on the connection of a client, as it is.
 func (w *world) writeRaw(t *testing.T, client, text string) {
 	t.Helper()
 	write(t, w.peers[client].conn, text)
 }
 
-// nodePeer is the node as the party that is told to stop, or to reload.
+// nodePeer is the node as an actor of scenarios: it is sent stop, or reload.
 type nodePeer struct {
 	*Node
 	w *world
 }
 
 func (s nodePeer) Send(text string) error {
-	if party, reload := strings.CutPrefix(text, "reload "); reload {
-		s.Reload(Config{Discovery: s.w.peers[party].listener.Addr().String()})
+	if discovery, reload := strings.CutPrefix(text, "reload "); reload {
+		s.Reload(Config{Discovery: s.w.peers[discovery].listener.Addr().String()})
 	} else {
 		s.Stop()
 	}
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -11,12 +11,12 @@
 	"dahliaford/internal/scheduler"
 )
 
-// Clients are not dealt to a node that knows no list it may use, unless that lasts.
+// A node is not ready for clients without a valid list, unless that lasts.
 func TestHealthWaitsForTheList(t *testing.T) {
 	n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parsed(t)})
 	defer n.close()
 	if n.ready() {
-		t.Error("ready before discovery was heard")
+		t.Error("ready before a list was received")
 	}
 	n.timer, n.watch = time.NewTimer(time.Hour), &watch{}
 	if err := n.handle(watchUpdate{watch: n.watch, event: scheduler.WatchClosed{}}); err != nil {
@@ -27,7 +27,7 @@
 	}
 	n.receiveList(t, 0)
 	if !n.ready() {
-		t.Error("not ready with a list that was heard")
+		t.Error("not ready with a list")
 	}
 	n.listReceived.Store(false)
 	if n.start = n.start.Add(-2 * maxUnreadyTime); !n.ready() {
@@ -35,12 +35,12 @@
 	}
 }
 
-// maxTestUnready is when nine in ten that start have to be ready on a day that ends soon, less what the
-// front may need to see it.
+// maxTestUnready is when nine in ten nodes have to be ready on a day that ends soon, less the time that the
+// front end may need to see it.
 const maxTestUnready = 4 * time.Second
 
-// A start whose discovery refuses, fails or swallows its calls says on real connections that clients may
-// come, as soon as the one who waits least would have waited in vain: not before, and well within 6 s.
+// A node whose discovery refuses, fails or does not answer its calls reports ready on real connections as
+// soon as the client with the shortest deadline would have waited in vain: not before, and well within 6 s.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	for _, way := range []string{"refuses", "answers 503", "resets", "is silent"} {
 		for _, deadline := range []time.Duration{time.Second, 30 * time.Second} {
@@ -77,7 +77,7 @@
 					} else if polledAt > maxTestUnready {
 						t.Fatalf("not ready after %v", polledAt)
 					}
-					time.Sleep(10 * time.Millisecond) // as a front that looks now and then
+					time.Sleep(10 * time.Millisecond) // as a front end that checks now and then
 				}
 				n.Stop()
 				checkEnd(t, done)
@@ -86,7 +86,7 @@
 	}
 }
 
-// serveBrokenDiscovery is the address of a discovery that does not work, in one of the ways in which it may not.
+// serveBrokenDiscovery returns the address of a discovery service that fails in one of several ways.
 func serveBrokenDiscovery(t *testing.T, way string) string {
 	t.Helper()
 	l := listenLoopback(t)
--- a/internal/node/scenarios_test.go
+++ b/internal/node/scenarios_test.go
@@ -15,11 +15,11 @@
 		back expect 204
 		c1 expect 200 it "ran"`
 	for name, script := range map[string]string{
-		"a job is served, and the kept connection serves the next": sent + `
+		"a job is served, and the reused connection serves the next": sent + `
 			r1 send 202 OK` + done + `
 			c1 send job post a2 || more
 			r1 expect POST /post/7?a=b txn=a2 key=k body=more`,
-		"callbacks before the 202, and again": sent + `
+		"callbacks before the 202, and repeated ones": sent + `
 			back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 			back expect 204` + done + `
 			back send POST /callback || {"id":"a1","from":"r1","state":"done","result":"other"}
@@ -27,33 +27,33 @@
 			r1 expect end
 			c1 send GET /_health
 			c1 expect 200`,
-		"a kept connection may end after the 202": sent + `
+		"a reused connection may end after the 202": sent + `
 			r1 send 202 OK
 			wait accepted 1
 			back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 			back expect 204
 			r1 close` + done,
-		"a reset before the 202 is no refusal": sent + `
+		"a reset before the 202 is not a refusal": sent + `
 			r1 close reset
 			c1 expect 500`,
-		"nor is an error": sent + `
+		"an error is not a refusal": sent + `
 			r1 send 500 Broken
 			c1 expect 500`,
-		"a worker's refusal is passed on to nobody": sent + `
+		"a worker's refusal is not passed on": sent + `
 			r1 send 503 Full | X-Turned-Away: 1
 			r1 expect POST /post/7?a=b txn=a1 key=k body=work
 			r1 send 202 OK` + done,
-		"what a worker rejects is the client's fault, and goes nowhere else": `
+		"what a worker rejects is the client's fault, and is not retried": `
 			c1 send job batch a1 || work
 			r1 expect POST /batch/7?a=b txn=a1 key=k body=work
 			r1 send 400 Bad
 			c1 expect 400 the worker cannot use it
 			c1 send job batch a2 || work
 			r1 expect POST /batch/7?a=b txn=a2 key=k body=work`,
-		"a refusal without the mark may have run": sent + `
+		"a job refused without the mark may have run": sent + `
 			r1 send 503 Full
 			c1 expect 500`,
-		"nothing is sent again on a kept connection that ended": sent + `
+		"nothing is retried after a reused connection ended": sent + `
 			r1 send 202 OK
 			wait accepted 1` + done + `
 			r1 close
@@ -62,37 +62,37 @@
 			r1 expect POST /post/7?a=b txn=a2 key=k body=more
 			r1 close reset
 			c1 expect 500`,
-		"a client that leaves before the 202, which may cross the close": sent + `
+		"a client disconnects before the 202, which may cross the close": sent + `
 			c1 close
 			r1 expect end
 			r1 expect DELETE /jobs/a1
 			r1 send 404 None`,
-		"a client that leaves after it": sent + `
+		"a client disconnects after the 202": sent + `
 			r1 send 202 OK
 			back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 			back expect 204
 			c1 close
 			r1 expect DELETE /jobs/a1
 			r1 send 200 OK`,
-		"a client that sends ahead waits its turn": sent + `
+		"a request that is sent ahead waits for the one before": sent + `
 			c1 send GET /_health
 			r1 send 202 OK` + done + `
 			c1 expect 200`,
-		"a client that waits for leave to send its body": `
+		"a client that expects 100 Continue": `
 			c1 send GET /_health | Expect: 100-continue || x
 			c1 expect 100
 			c1 expect 200`,
-		"the class may stand in the path alone": `
+		"the class may be in the path only": `
 			c1 send POST /post/7?a=b | X-Txn: a1 | X-Org: sahel | X-Remaining-Ms: 30000 | Idempotency-Key: k || work` +
 			atWorker,
-		"callbacks that concern nobody": `
+		"callbacks of unknown jobs": `
 			back send POST /callback || {"id":"zz","from":"r1","state":"done","result":""}
 			back expect 204
 			back send POST /callback || {"id":"zz","state":"news"}
 			back expect 204
 			back send POST /callback || {"id":
 			back expect 400 callback: EOF`,
-		"bad requests get a clear answer, and the connection goes on": `
+		"bad requests get a clear answer, and the connection stays open": `
 			c1 send POST /post/7 | X-Lane: post | X-Org: sahel | X-Remaining-Ms: 900
 			c1 expect 400 no X-Txn
 			c1 send POST /post/7 | X-Txn: a1 | X-Lane: post | X-Org: sahel
@@ -105,19 +105,19 @@
 			c1 expect 400 unknown tenant "gabes"
 			c1 send GET /post/7 | X-Txn: a1
 			c1 expect 405 jobs come by POST` + sent,
-		"a count of slots that is no number, or beyond any machine": `
+		"a count of slots that is not a number, or more than any machine has": `
 			c1 send job batch a1 | X-Labels: slots=NaN || work
 			c1 expect 400 malformed X-Labels
 			c1 send job batch a1 | X-Labels: memory=1e30 || work
 			c1 expect 400 malformed X-Labels` + sent,
-		"a client without time is answered at once": `
+		"a client without remaining time is answered at once": `
 			c1 send POST /post/7 | X-Txn: a1 | X-Lane: post | X-Org: sahel | X-Remaining-Ms: 0
 			c1 expect 503 after 2`,
-		"a head that is malformed": `
+		"a malformed head": `
 			c1 send nonsense | X-Txn: a1
 			c1 expect 400 close malformed request line
 			c1 expect end`,
-		"a body that is too long": `
+		"a body over the limit": `
 			c1 send POST /post/7 | X-Txn: a1 | Content-Length: 65537
 			c1 expect 413 close body over 65536 bytes
 			c1 expect end`,
@@ -133,12 +133,12 @@
 			discovery expect GET /catalog/members?watch=1&from=6
 			c1 send POST /post/7 | X-Txn: a1 | X-Lane: post | X-Org: sahel | X-Remaining-Ms: 500 || work
 			c1 expect 503 after 0`,
-		"discovery that refuses is asked again": `
+		"discovery that refuses is called again": `
 			discovery expect GET /catalog/members?watch=1&from=4
 			discovery close
 			discovery expect end
 			discovery expect GET /catalog/members?watch=1&from=4`,
-		"a stopping node still hears callbacks, refuses the new, and ends": sent + `
+		"a stopping node still accepts callbacks, refuses new jobs, and ends": sent + `
 			r1 send 202 OK
 			idle send GET /_health
 			idle expect 200
@@ -154,15 +154,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			world := newWorld
-			if strings.Contains(name, "kept connection") {
-				world = newLargeFleetWorld // elsewhere for a moment only
+			if strings.Contains(name, "reused connection") {
+				world = newLargeFleetWorld // in a small fleet connections are reused for a moment only
 			}
 			play(t, world(t, 0, "r1"), script)
 		})
 	}
 }
 
-// A worker that nobody reaches never ran the job: it goes elsewhere.
+// A worker that cannot be reached never ran the job: the job goes to another one.
 func TestUnreachedWorker(t *testing.T) {
 	w := newWorld(t, 0, "rdown")
 	line := workerLine("r2", w.serve(t, "r2").Addr().String())
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -11,26 +11,18 @@
 	"dahliaford/internal/http1"
 )
 
-// What the machine has accepted for a node that stops, and the node has not, is answered: whole
-// requests that wait in the listener's queue while all slots are taken, or the processor is.
+// Connections that the system has accepted for a node that stops, and the node has not, are answered:
+// complete requests that wait in the listener's queue while all slots, or the processor, are taken.
 func TestAcceptQueueIsServedAtShutdown(t *testing.T) {
 	w := newWorld(t, minSockets, "r1")
 	n := w.node
-	first, err := net.Dial("tcp", n.Addr().String()) // the acceptor is behind its next slot after this
+	first, err := net.Dial("tcp", n.Addr().String()) // from now on the acceptor holds the next slot
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Close()
 	play(t, w, "c1 send GET /_health\nc1 expect 200")
-	taken := 0
-	for full := false; !full; {
-		select {
-		case n.clientSlots <- struct{}{}:
-			taken++
-		default:
-			full = true
-		}
-	}
+	releaseSlots := n.takeFreeSlots()
 	var waiting []net.Conn
 	for i := range 20 {
 		conn, err := net.Dial("tcp", n.Addr().String())
@@ -46,9 +38,7 @@
 	for draining := false; !draining; time.Sleep(time.Millisecond) {
 		n.onLoop(func() { draining = n.drainDeadline != nil })
 	}
-	for range taken {
-		<-n.clientSlots
-	}
+	releaseSlots()
 	for i, conn := range waiting { // one or two got a slot before, and their job ends with the node
 		conn.SetReadDeadline(time.Now().Add(patience))
 		if r, err := http1.NewReader(conn).Response(); err != nil || r.Status != 503 && r.Status != 500 {
@@ -57,8 +47,8 @@
 	}
 }
 
-// A stopping node owes nothing and has closed its listener, when the rest of a request comes
-// on a connection that it has. Somebody must still answer it.
+// A stopping node has nothing pending and has closed its listener, when the rest of a request arrives on a
+// connection that it has. The request must still be answered.
 func TestRequestCrossesTheEnd(t *testing.T) {
 	w := newWorld(t, 0, "r1")
 	conn, err := net.Dial("tcp", w.node.Addr().String())
@@ -81,10 +71,10 @@
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", w.node.Addr().String())
 		if err != nil {
-			break // nothing new is taken: it ends
+			break // no connection is accepted any more: it ends
 		}
 		if c.Close(); time.Now().After(end) {
-			t.Fatal("the node goes on listening")
+			t.Fatal("the node still listens")
 		}
 	}
 	r, err := exchange("X-Org: sahel\r\nX-Txn: a1\r\nX-Remaining-Ms: 900\r\nContent-Length: 0\r\n\r\n")
@@ -93,7 +83,7 @@
 	}
 }
 
-// waitRefusing waits until a node that stops refuses new jobs, and owes something still.
+// waitRefusing waits until a node that stops refuses new jobs, while something is still pending.
 func (n *Node) waitRefusing(t *testing.T) {
 	t.Helper()
 	n.waitFor(t, "refusing", func() bool { return n.draining.Load() && n.drainDeadline == nil })
@@ -110,10 +100,10 @@
 		back2 expect 204
 		c1 expect 200 close it
 		wait end`
-	stale = `{"id":"a0","from":"r1","state":"done"}` // of a job that nobody knows
+	stale = `{"id":"a0","from":"r1","state":"done"}` // of an unknown job
 )
 
-// shutdownStage is one of a node's end: how it is reached, and how the node ends from there.
+// shutdownStage is a stage of a node's shutdown: how it is reached, and how the node ends from there.
 type shutdownStage struct {
 	name   string
 	reach  func(t *testing.T, w *world)
@@ -144,7 +134,7 @@
 	}, func(t *testing.T, w *world) {
 		play(t, w, "r1 send 200 OK\nwait end")
 	}},
-	// Clients that are half through a request hold it there.
+	// Clients with an incomplete request hold it there.
 	{"closing", func(t *testing.T, w *world) {
 		play(t, w, "c3 send GET /_health\nc3 expect 200\nback3 send GET /_health\nback3 expect 200")
 		w.writeRaw(t, "c3", "POST /batch/7 HTTP/1.1\r\nX-Lane: batch\r\n")
@@ -158,8 +148,8 @@
 	}},
 }
 
-// Whatever comes in whichever stage of the end: nobody is left without an answer, and the end comes when
-// what is owed has been paid, as if nothing had come.
+// Whichever event comes in whichever stage of the shutdown: everyone gets an answer, and the node ends when
+// all that was pending is answered, as without the event.
 func TestEventsInEachStageOfShutdown(t *testing.T) {
 	for _, s := range shutdownStages {
 		for event, happen := range map[string]string{
@@ -181,7 +171,7 @@
 		} {
 			switch {
 			case s.name == "closing" && (event == "a callback" || event == "a late client"):
-				continue // there both have begun before, as the listener may be closed by now
+				continue // there both have begun before, as the listener may be closed
 			case s.name == "serving on" && event == "a late client":
 				continue // it is served: the next test
 			}
@@ -193,15 +183,15 @@
 				s.reach(t, w)
 				play(t, w, happen)
 				s.finish(t, w)
-				w.node.Stop() // what comes after the end is not waited for
+				w.node.Stop() // neither blocks after the end
 				w.node.Reload(Config{})
 			})
 		}
 	}
 }
 
-// A late client is served in the time in which a stopping node serves on: its front may not have heard
-// yet. A try that takes longer than that shows nothing, and is made again.
+// A late client is served for as long as a stopping node accepts jobs: its front end may not have noticed
+// yet. A run that takes longer than that shows nothing, and is repeated.
 func TestLateClientIsServedDuringShutdownGrace(t *testing.T) {
 	for end := time.Now().Add(patience); ; {
 		w := newWorld(t, 0, "r1")
@@ -222,8 +212,8 @@
 	}
 }
 
-// A job that waits for discovery when its node is told to stop is still sent, by the word of a discovery
-// that only a reload names then.
+// A job that waits for discovery when its node begins to stop is still sent, by the list of a discovery that
+// only a reload names then.
 func TestReloadDuringShutdownServesWaitingJobs(t *testing.T) {
 	w := newWorld(t, 0, "r1")
 	w.serve(t, "discovery2")
@@ -233,7 +223,7 @@
 	n.waitRefusing(t)
 	line := workerLine("r1", w.peers["r1"].listener.Addr().String())
 	list := `{"rev":9,"all":true,"targets":[` + line + "]}\n"
-	go func() { // it answers each call, as discovery does: there may be a second one
+	go func() { // it answers each call, as discovery does: there may be several
 		for m := range w.peers["discovery2"].received {
 			if strings.HasPrefix(m.text, "GET ") {
 				_, _ = io.WriteString(m.conn, watchHead+chunk(list)) // the node may have closed it
--- a/internal/node/slopes_bench_test.go
+++ b/internal/node/slopes_bench_test.go
@@ -15,7 +15,7 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The sizes at which costs are fitted, see docs/CAPACITY.md.
+// slopeSizes are the sizes at which costs are fitted, see docs/CAPACITY.md.
 var slopeSizes = []int{200, 450, 800, 2400, 4800, 7200}
 
 // entry is a line of the worker list with all fields of the protocol, in its order.
@@ -161,8 +161,8 @@
 	return t.applied
 }
 
-// BenchmarkSlopeMemory is the memory that a list in the form of a scheduler.WorkerList takes on its way
-// from the reader to the reducer: beside the books, and given back after.
+// BenchmarkSlopeMemory measures the memory that a list takes as a scheduler.WorkerList on its way from the
+// reader to the reducer: it is in addition to the reducer's state, and freed afterwards.
 func BenchmarkSlopeMemory(b *testing.B) {
 	for _, n := range slopeSizes {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -15,24 +15,25 @@
 	"dahliaford/internal/scheduler"
 )
 
-// resources counts what a node and its process hold.
+// resources lists what a node and its process hold.
 func resources(n *Node) string {
 	var text string
 	n.onLoop(func() {
-		links := 0
+		idle := 0
 		for _, l := range n.idleConns {
-			links += len(l)
+			idle += len(l)
 		}
 		k := n.sched.Stats()
-		k.ReservedIDs, k.Timers = 0, 0 // these go by time alone
-		text = fmt.Sprintf("clients %d, callers %d, links %d in %d, open %d, attempts %d, calls %d, slots %d, %+v",
-			len(n.clients), len(n.callers), links, len(n.idleConns), n.openWorkerConns, len(n.attempts), n.cancellations, len(n.clientSlots), k)
+		k.ReservedIDs, k.Timers = 0, 0 // these expire by time alone
+		text = fmt.Sprintf("clients %d, callers %d, idle %d in %d, open %d, attempts %d, cancellations %d, "+
+			"slots %d, %+v", len(n.clients), len(n.callers), idle, len(n.idleConns), n.openWorkerConns,
+			len(n.attempts), n.cancellations, len(n.clientSlots), k)
 	})
 	files, _ := os.ReadDir("/proc/self/fd")
 	return fmt.Sprintf("%s, goroutines %d, descriptors %d", text, runtime.NumGoroutine(), len(files))
 }
 
-// After every kind of storm a node holds what it held before.
+// After every kind of storm a node holds the resources that it held before.
 func TestClientStormsLeakNothing(t *testing.T) {
 	w := newWorld(t, 0)
 	n := w.node
@@ -60,9 +61,9 @@
 		name string
 		text func() string
 	}{
-		{"leave while waiting", func() string { return one("post") }},
-		{"send ahead and leave", func() string { return one("batch") + one("batch") + one("post") }},
-		{"send too much and leave", func() string { return one("post") + strings.Repeat("x", 40<<10) }},
+		{"disconnect while waiting", func() string { return one("post") }},
+		{"send ahead and disconnect", func() string { return one("batch") + one("batch") + one("post") }},
+		{"send too much and disconnect", func() string { return one("post") + strings.Repeat("x", 40<<10) }},
 		{"bad bytes", func() string { return "\x00\x01 nonsense\r\n\r\n" }},
 		{"half a request", func() string { return "POST /post/7 HTTP/1.1\r\nX-Txn" }},
 		{"nothing", func() string { return "" }},
@@ -84,7 +85,7 @@
 			conn.Close()
 		}
 	}
-	storm(func() string { return "" }) // whatever starts with the first connections
+	storm(func() string { return "" }) // for what starts with the first connections
 	time.Sleep(2 * sweepInterval)
 	before := resources(n)
 	for _, s := range storms {
--- a/internal/node/watch_reader_test.go
+++ b/internal/node/watch_reader_test.go
@@ -9,7 +9,7 @@
 	"dahliaford/internal/scheduler"
 )
 
-// A reader that had no processor time finds its deadline and the word together.
+// A reader that had no processor time finds its deadline and the update together.
 func TestReadDeadlineDoesNotSkipAnUpdate(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	ours, theirs := pair(t)
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -16,7 +16,7 @@
 	"dahliaford/internal/settings"
 )
 
-// lines is a log that tests read.
+// lines is the log, for tests to read.
 type lines struct {
 	sync.Mutex
 	bytes.Buffer
@@ -48,10 +48,11 @@
 	return b.String()
 }
 
-// Whatever discovery does wrong, the last good list holds, the log has one line for it,
-// and discovery is asked again.
+// Whatever discovery does wrong, the last good list stays in use, the log has one line for it, and discovery
+// is called again.
 func TestDiscoveryFaults(t *testing.T) {
-	removed := `{"rev":9,"all":true,"targets":[{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"gone"}`
+	const removed = `{"rev":9,"all":true,"targets":[` +
+		`{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"gone"}`
 	for name, response := range map[string]string{
 		"answers 503":           "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"resets":                "",
@@ -74,7 +75,7 @@
 						return
 					}
 					response := response
-					if call > 1 { // wrong but once, or a second line would race with the count
+					if call > 1 { // a fault only once, or a second line would race with the count
 						response = silence
 					}
 					go func() {
@@ -110,12 +111,12 @@
 			done := runNode(n)
 			for range 2 {
 				select {
-				case got := <-requests: // from the version that it has: nothing of the bad one was taken
+				case got := <-requests: // from the version that it has: nothing of the bad one was applied
 					if want := "GET " + membersPath + "?watch=1&from=4 HTTP/1.1"; got != want {
-						t.Errorf("asked %q, want %q", got, want)
+						t.Errorf("called with %q, want %q", got, want)
 					}
 				case <-time.After(patience):
-					t.Fatal("discovery is not asked again")
+					t.Fatal("discovery is not called again")
 				}
 			}
 			if got := log.count("watch of the worker list failed"); got != 1 {
@@ -127,7 +128,7 @@
 	}
 }
 
-// Before the first object a watch says nothing of what there is.
+// Before the first object a watch says nothing of the list.
 func TestEmptyLinesAreNoList(t *testing.T) {
 	updates := make(chan scheduler.EndpointsUpdated, 10)
 	l := listenLoopback(t)
@@ -140,13 +141,13 @@
 			conn.Close()
 		}
 	}()
-	say := func(e scheduler.EndpointsUpdated, _ *watchReader) { updates <- e }
-	err := n.readWatch(n.ctx, scheduler.OpenWatch{Addr: l.Addr().String()}, say)
+	deliver := func(e scheduler.EndpointsUpdated, _ *watchReader) { updates <- e }
+	err := n.readWatch(n.ctx, scheduler.OpenWatch{Addr: l.Addr().String()}, deliver)
 	if err == nil || errors.Is(err, errUnreadableList) {
-		t.Errorf("an object that is cut off is none, not one that cannot be read: %v", err)
+		t.Errorf("an object that is cut off is ignored, not unreadable: %v", err)
 	}
 	if close(updates); len(updates) != 2 || (<-updates).List.Rev != 3 {
-		t.Errorf("%d words were told, want the object and the empty line behind it", len(updates))
+		t.Errorf("%d updates were delivered, want the object and the empty line behind it", len(updates))
 	}
 }
 
@@ -169,10 +170,10 @@
 		c1 expect 200 yes`)
 }
 
-// Until the discovery that a reload names has said something, the one before is listened to: who
-// it says leaves gets nothing new. An empty line before the first object says nothing.
+// Until the discovery that a reload names has sent something, the watch before is read: a worker that drains
+// by it gets nothing new. An empty line before the first object says nothing.
 func TestReloadReadsBothWatches(t *testing.T) {
-	set := parsed(t) // nothing comes due by itself while discovery is played by hand
+	set := parsed(t) // no timer fires while the scenario plays discovery
 	set.Dispatch.PollInterval, set.Dispatch.MaxStaleness = 3600*second, 3600*second
 	w := newWorldOf(t, set, 0, "r1", "r2")
 	w.serve(t, "discovery2")
@@ -182,18 +183,18 @@
 		discovery send head
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0`)
-	w.node.onLoop(func() { w.node.extendValidity(t, time.Hour) }) // else a reload ends the trust after 4 s
+	w.node.onLoop(func() { w.node.extendValidity(t, time.Hour) }) // else a reload limits the validity to 4 s
 	play(t, w, `
 		discovery2 send head
 		discovery2 send /n
 		discovery send {"rev":5,"targets":[`+strings.Replace(workerLine("r1", addr), "ready", "draining", 1)+`]}/n`)
 	isDraining := func() bool { return errors.Is(w.node.freshness.allowSend("r1", w.node.now()), errDraining) }
 	if !eventually(isDraining) {
-		t.Fatal("the address before is not listened to")
+		t.Fatal("the watch before is not read")
 	}
 	w.node.onLoop(func() {
 		if w.node.previousWatch == nil {
-			t.Error("the address before is let go by an empty line")
+			t.Error("the watch before is closed by an empty line")
 		}
 	})
 	play(t, w, `
@@ -204,11 +205,11 @@
 		c2 send job post a2 || work
 		wait open 2`)
 	if !isDraining() {
-		t.Error("an address that knows less brings a worker back")
+		t.Error("an address with an older list brings a worker back")
 	}
 }
 
-// A list of thousands of workers is taken, in a fraction of a second.
+// A list of thousands of workers is applied in a fraction of a second.
 func TestHugeList(t *testing.T) {
 	var all []string
 	for len(all) < 20_000 {
@@ -216,7 +217,7 @@
 	}
 	line := `{"rev":5,"all":true,"targets":[` + strings.Join(all, ",") + `]}`
 	if len(line) > maxLineBytes {
-		t.Fatalf("%d bytes are no list that is read", len(line))
+		t.Fatalf("%d bytes are too long for a list", len(line))
 	}
 	list, _, err := DecodeList([]byte(line))
 	if err != nil || len(list.Workers) != 20_000 {
@@ -229,23 +230,23 @@
 	}
 	s.Step(1, scheduler.Started{CachedList: list}, nil)
 	began := time.Now()
-	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil) // told twice: no harm
+	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil) // sent twice: no harm
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("took %v", took)
 	}
 }
 
-// A change counts as told after a while, heard or not. The module has to know, and a watch
-// that fell silent has to be found out before.
+// A change is in force after a while, received or not. The module has to know that time, and a watch that is
+// silent has to be detected before it is over.
 func TestWatchTimeoutIsBelowMaxStaleness(t *testing.T) {
 	w := newWorld(t, 0, "r1")
 	within := time.Duration(w.node.cfg.Settings.Dispatch.MaxStaleness) * time.Microsecond
 	if within <= watchIdleTimeout {
-		t.Errorf("changes count as told after %v, silence shows after %v", within, watchIdleTimeout)
+		t.Errorf("changes are in force after %v, silence is detected after %v", within, watchIdleTimeout)
 	}
 }
 
-// startPushedNode runs one of so many nodes whose lists are pushed by the agent behind a listener.
+// startPushedNode runs one of a number of nodes, whose lists are pushed by the agent behind the listener.
 func startPushedNode(t *testing.T, nodes int) (agent *net.TCPListener, n *Node, done chan error) {
 	t.Helper()
 	set, err := settings.Parse([]byte(strings.Replace(testSettings, "on_request", "pushed", 1)))
@@ -258,7 +259,7 @@
 	return l, n, runNode(n)
 }
 
-// Where lists are pushed they come over a watch as well: without one no drain is ever heard.
+// Where lists are pushed they come over a watch as well: without one no drain is ever received.
 func TestPushedListsAreWatched(t *testing.T) {
 	l, n, done := startPushedNode(t, 1)
 	for range 2 { // once more after it broke
@@ -268,8 +269,8 @@
 	checkEnd(t, done)
 }
 
-// An agent that pushes lists is silent while discovery is down, and answers at once when it is not: a
-// call that it swallows is given up soon, and the next one follows, however many schedulers there are.
+// An agent that pushes lists is silent while discovery is down, and answers at once when it is not: a call
+// that it does not answer is given up soon, and the next one follows, however many schedulers there are.
 func TestSilentAgentIsRetriedSoon(t *testing.T) {
 	l, n, done := startPushedNode(t, 300)
 	const calls = 5
--- a/internal/node/worker_dial_test.go
+++ b/internal/node/worker_dial_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// pendingDial is a connection to be that a workerConn asked for: the test says what becomes of it.
+// pendingDial is a dial of a workerConn that the test intercepts: the test decides how it ends.
 type pendingDial struct {
 	ctx    context.Context
-	result chan error // nil: it comes up
+	result chan error // nil: it succeeds
 }
 
-// interceptDials hands each connect of a node to the test.
+// interceptDials passes each dial of a node to the test.
 func (w *world) interceptDials() <-chan pendingDial {
 	all := make(chan pendingDial, 100)
 	w.node.onLoop(func() {
@@ -38,7 +38,7 @@
 	return all
 }
 
-// A second connect beside one that is late carries the job, once; the late one is closed unused.
+// A hedged dial beside a slow one carries the job, once; the slow one is closed unused.
 func TestHedgedDialBesideASlowOne(t *testing.T) {
 	for name, firstEnds := range map[string]func(first pendingDial){
 		"never comes up": func(first pendingDial) { <-first.ctx.Done() },
@@ -53,12 +53,12 @@
 			first := <-dials
 			var second pendingDial
 			select {
-			case second = <-dials: // the first one is still on its way
+			case second = <-dials: // while the first one is still in progress
 			case <-time.After(patience):
-				t.Fatal("no second connect")
+				t.Fatal("no hedged dial")
 			}
 			if first.ctx.Err() != nil {
-				t.Error("the first one was given up")
+				t.Error("the first one was cancelled")
 			}
 			second.result <- nil
 			play(t, w, "r1 expect POST /post/7?a=b txn=a1 key=k body=work")
@@ -69,13 +69,13 @@
 				back expect 204
 				c1 expect 200 it`)
 			if n := w.node; !eventually(func() bool { return n.hedgedDials.Load() == 0 }) {
-				t.Error("second connects are counted on")
+				t.Error("hedged dials are still counted")
 			}
 		})
 	}
 }
 
-// A connect that is turned down is an end at once, whether or not another one is on its way.
+// A dial that is refused is the end at once, whether or not another one is in progress.
 func TestRefusedDialEndsTheHedge(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for _, late := range []bool{false, true} {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Second connects stay within the spare descriptors, however many connects hang.
+// Hedged dials stay within the spare descriptors, however many dials hang.
 func TestHedgedDialsAreBounded(t *testing.T) {
 	n := newWorld(t, 0).node
 	const many = 3 * maxHedgedDials
@@ -127,7 +127,7 @@
 		}()
 	}
 	if !eventually(func() bool { return inProgress.Load() == many+maxHedgedDials }) {
-		t.Errorf("%d connects stand, want %d", inProgress.Load(), many+maxHedgedDials)
+		t.Errorf("%d dials are in progress, want %d", inProgress.Load(), many+maxHedgedDials)
 	}
 	cancel()
 	for range many {
@@ -137,6 +137,6 @@
 	}
 	over := eventually(func() bool { return n.hedgedDials.Load() == 0 && inProgress.Load() == 0 })
 	if !over || maxSeen.Load() > many+maxHedgedDials {
-		t.Errorf("%d second ones, %d at most", n.hedgedDials.Load(), maxSeen.Load())
+		t.Errorf("%d hedged dials, %d dials at most", n.hedgedDials.Load(), maxSeen.Load())
 	}
 }
--- a/internal/node/worker_events_test.go
+++ b/internal/node/worker_events_test.go
@@ -11,8 +11,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// A connect that is turned down while another connection to the worker stands is lack of
-// room; without one, or when it just never comes up, the worker is taken to be gone.
+// A dial that is refused while another connection to the worker is up means a worker at capacity; without
+// one, or when the dial just times out, the worker is taken to be down.
 func TestWorkerAtCapacityIsNotDown(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	slow := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
@@ -20,28 +20,28 @@
 	working := &workerConn{addr: "r1"}
 	working.Written = true
 	for name, c := range map[string]struct {
-		links    map[string][]*workerConn
-		attempts map[scheduler.AttemptID]*workerConn
-		err      error
-		want     bool
+		idleConns map[string][]*workerConn
+		attempts  map[scheduler.AttemptID]*workerConn
+		err       error
+		want      bool
 	}{
-		"one idles": {links: map[string][]*workerConn{"r1": {idle}}, err: refused, want: true},
-		"one works": {err: refused, want: true,
+		"one is idle": {idleConns: map[string][]*workerConn{"r1": {idle}}, err: refused, want: true},
+		"one is working": {err: refused, want: true,
 			attempts: map[scheduler.AttemptID]*workerConn{1: working}},
-		"none":                   {err: refused},
-		"one to another":         {links: map[string][]*workerConn{"r2": {other}}, err: refused},
-		"one that dials":         {attempts: map[scheduler.AttemptID]*workerConn{1: idle}, err: refused},
-		"one idles, but silence": {links: map[string][]*workerConn{"r1": {idle}}, err: slow},
+		"none":                       {err: refused},
+		"one to another worker":      {idleConns: map[string][]*workerConn{"r2": {other}}, err: refused},
+		"one that is dialling":       {attempts: map[scheduler.AttemptID]*workerConn{1: idle}, err: refused},
+		"one is idle, but a timeout": {idleConns: map[string][]*workerConn{"r1": {idle}}, err: slow},
 	} {
-		n := &Node{idleConns: c.links, attempts: c.attempts}
+		n := &Node{idleConns: c.idleConns, attempts: c.attempts}
 		if got := n.atCapacity(&workerConn{addr: "r1"}, c.err); got != c.want {
-			t.Errorf("%s: lack of room is %v", name, got)
+			t.Errorf("%s: at capacity is %v", name, got)
 		}
 	}
 }
 
-// A worker whose answer never ends, and that tells by callback how its job ended, keeps no
-// connection: with one for each job nothing could be sent before long.
+// A worker whose response never ends, and that reports by callback how its job ended, holds no connection: if
+// each job held one, soon nothing could be sent.
 func TestEndlessResponseReleasesItsConnection(t *testing.T) {
 	w := newWorld(t, minSockets, "r1")
 	ways := []string{"202 Accepted | Content-Length: 9", "100 Continue",
@@ -60,9 +60,10 @@
 	var got string
 	if !eventually(func() bool {
 		w.node.onLoop(func() {
-			got = fmt.Sprintf("open %d, attempts %d, calls %d", w.node.openWorkerConns, len(w.node.attempts), w.node.cancellations)
+			got = fmt.Sprintf("open %d, attempts %d, cancellations %d", w.node.openWorkerConns,
+				len(w.node.attempts), w.node.cancellations)
 		})
-		return got == "open 0, attempts 0, calls 0"
+		return got == "open 0, attempts 0, cancellations 0"
 	}) {
 		t.Error(got)
 	}
@@ -75,7 +76,7 @@
 	back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 	back expect 204`
 
-// A worker answers twice, and the second time comes when the connection is on its next errand. That
+// A worker responds twice, and the second response arrives during the next exchange of the connection. That
 // attempt runs: it must not be taken for turned away and sent again.
 func TestDuplicateResponseIsNotTheNextExchanges(t *testing.T) {
 	w := newLargeFleetWorld(t, 0, "r1")
@@ -90,7 +91,7 @@
 	`)
 }
 
-// An answer that comes while nobody asks ends the connection: the next attempt has one of its own.
+// An unsolicited response ends the connection: the next attempt gets a new one.
 func TestUnsolicitedResponseClosesTheConnection(t *testing.T) {
 	w := newLargeFleetWorld(t, 0, "r1")
 	play(t, w, accepted)
@@ -106,8 +107,8 @@
 	`)
 }
 
-// An answer that is read before anything of its attempt has left is none of its: the attempt never ran, and
-// never will by this connection.
+// A response that is read before anything of an attempt was sent is not the attempt's: the attempt never ran,
+// and never will by this connection.
 func TestResponseBeforeItsAttemptIsWritten(t *testing.T) {
 	w := newLargeFleetWorld(t, 0, "r1")
 	play(t, w, accepted)
@@ -117,22 +118,22 @@
 	})
 	play(t, w, "c2 send job post a2 || two\nwait open 2\nr1 send 503 Busy | X-Turned-Away: 1\nr1 expect end")
 	w.node.onLoop(func() { w.node.freshness.countApplied(0) })
-	play(t, w, "r1 expect POST /post/7?a=b txn=a2 key=k body=two") // by a connection of its own
+	play(t, w, "r1 expect POST /post/7?a=b txn=a2 key=k body=two") // on a new connection
 }
 
-// An answer that is read before the loop knows that its attempt was written waits for that: the worker
-// was just quick, and its connection is as good as any.
+// A response that is read before the loop knows that its attempt was written waits for that: the worker was
+// just quick, and its connection can be used again.
 func TestResponseWaitsForTheWriteResult(t *testing.T) {
 	ours, theirs := pair(t)
 	n := &Node{inbox: make(chan any, 2), ctx: t.Context()}
 	c := &workerConn{node: n}
-	if !c.beginWrite() { // the writer has its first byte in hand
-		t.Fatal("shut")
+	if !c.beginWrite() { // the writer is about to send its first byte
+		t.Fatal("the gate is closed")
 	}
 	go c.readResponses(ours)
 	write(t, theirs, "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n")
 	for end := time.Now().Add(50 * time.Millisecond); len(n.inbox) == 0 && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // held back, it never comes, however long one waits
+		time.Sleep(time.Millisecond) // if it waits as it should, it never arrives here
 	}
 	n.post(writeEnded{c, nil})
 	c.releaseOrder()
--- a/internal/node/worker_pool_test.go
+++ b/internal/node/worker_pool_test.go
@@ -9,8 +9,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// Connections to workers stay within their part of the descriptors: idle ones go
-// first, and then nothing is sent, which is no crash.
+// Connections to workers stay within their limit: idle ones are dropped first, and then nothing is sent,
+// without a crash.
 func TestWorkerConnectionsAreBounded(t *testing.T) {
 	n := &Node{start: time.Now(), idleConns: map[string][]*workerConn{}, maxWorkerConns: 8, ctx: t.Context(),
 		inbox: make(chan any, 100)}
@@ -31,8 +31,8 @@
 	}
 }
 
-// In a large fleet a connection is kept until the scheduler is likely back at its worker, or
-// each job would open one.
+// In a large fleet a connection stays open until the scheduler has likely returned to its worker, or each job
+// would open one.
 func TestIdleConnectionsLastLongerInLargeFleets(t *testing.T) {
 	for balancers, want := range map[int]int{3: 0, 80: 1} {
 		set := parsed(t)
@@ -45,13 +45,13 @@
 		}
 		n.dropExpiredIdle()
 		if got := len(n.idleConns["r"]); got != want {
-			t.Errorf("%d schedulers: %d connections kept, want %d", balancers, got, want)
+			t.Errorf("%d schedulers: %d idle connections, want %d", balancers, got, want)
 		}
 	}
 }
 
-// A connection that has idled is let go, long before the worker's limit: it may have
-// been closed without a word, and a job written to it would be lost.
+// An idle connection is dropped long before the worker's limit: it may have been closed silently, and a job
+// that is written to it would be lost.
 func TestIdleConnectionTimeout(t *testing.T) {
 	for _, c := range []struct {
 		balancers  int
@@ -61,7 +61,7 @@
 		set := parsed(t)
 		set.Dispatch.Dispatchers, set.WorkerIdleTimeout = c.balancers, c.idle
 		if got := idleTimeoutOf(&set); got != c.want {
-			t.Errorf("%d schedulers, closed after %d: kept for %d, want %d", c.balancers, c.idle, got, c.want)
+			t.Errorf("%d schedulers, closed after %d: timeout %d, want %d", c.balancers, c.idle, got, c.want)
 		}
 	}
 }
