--- a/internal/history/record_test.go
+++ b/internal/history/check_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// history reads events, one a line: milliseconds, kind, worker or client, and what else
-// counts for it. All are of the request t, handed in at 0 for 2 s.
+// history reads events, separated by semicolons: milliseconds, kind, worker or client, and what else the
+// kind has. All are of the request t, sent at 0 with a deadline of 2 s.
 func history(t *testing.T, class, text string) []Event {
 	t.Helper()
 	start := time.Unix(1000, 0)
@@ -22,25 +22,25 @@
 		return start.Add(time.Duration(n) * time.Millisecond)
 	}
 	events := []Event{{At: start, Kind: Sent, ID: "t", Class: class, Deadline: start.Add(2 * time.Second)}}
-	kinds := map[string]Kind{"left": ClientDisconnected, "answered": Answered, "unanswered": Unanswered, "arrived": Arrived,
-		"started": Started, "ended": Ended, "ran": Ended, "lost": WorkerDied, "closed": Closed, "withdrawn": CancelReceived,
-		"told": EndpointChanged, "back": WorkerReady}
+	kinds := map[string]Kind{"disconnected": ClientDisconnected, "answered": Answered, "unanswered": Unanswered,
+		"arrived": Arrived, "started": Started, "ended": Ended, "ran": Ended, "died": WorkerDied, "closed": Closed,
+		"cancelled": CancelReceived, "leaving": EndpointChanged, "ready": WorkerReady}
 	for _, line := range strings.Split(strings.TrimSpace(text), ";") {
-		words := strings.Fields(line)
-		kind, known := kinds[words[1]]
+		fields := strings.Fields(line)
+		kind, known := kinds[fields[1]]
 		if !known {
 			t.Fatalf("%q is no event", line)
 		}
-		e := Event{At: at(words[0]), Kind: kind, ID: "t", Actor: words[2], MayHaveRun: words[1] == "ran"}
-		if len(words) > 3 {
+		e := Event{At: at(fields[0]), Kind: kind, ID: "t", Actor: fields[2], MayHaveRun: fields[1] == "ran"}
+		if len(fields) > 3 {
 			if kind == Answered {
-				e.Status, _ = strconv.Atoi(words[2])
-				e.Result = words[3]
+				e.Status, _ = strconv.Atoi(fields[2])
+				e.Result = fields[3]
 			} else {
-				e.Result = words[3]
+				e.Result = fields[3]
 			}
 		} else if kind == Answered {
-			e.Status, _ = strconv.Atoi(words[2])
+			e.Status, _ = strconv.Atoi(fields[2])
 		}
 		events = append(events, e)
 	}
@@ -48,8 +48,8 @@
 }
 
 func TestCheck(t *testing.T) {
-	rules := Rules{AtMostOnce: map[string]bool{"post": true}, RackOf: map[string]string{"a": "1", "b": "1", "c": "2"},
-		Window: time.Second, DrainGrace: 500 * time.Millisecond, MaxAttempts: 4, Slack: 100 * time.Millisecond,
+	rules := Rules{AtMostOnce: map[string]bool{"post": true},
+		RackOf: map[string]string{"a": "1", "b": "1", "c": "2"}, Window: time.Second, DrainGrace: 500 * time.Millisecond, MaxAttempts: 4, Slack: 100 * time.Millisecond,
 		OrphanLimit: time.Second}
 	for _, c := range []struct{ name, class, text, want string }{
 		{"served", "post", "1 arrived a; 2 started a; 9 ran a X; 10 answered 200 X", ""},
@@ -60,15 +60,15 @@
 		{"another's result", "post", "1 arrived a; 2 started a; 9 ran a X; 10 answered 200 Y", "honest-answers"},
 		{"refused unstarted", "post", "1 arrived a; 3 ended a; 4 answered 503", ""},
 		{"refused though it ran", "post", "1 arrived a; 2 started a; 3 ran a; 4 answered 503", "honest-answers"},
-		{"refused while held", "batch", "1 arrived a; 4 answered 503; 5 withdrawn a", "honest-answers"},
+		{"refused while held", "batch", "1 arrived a; 4 answered 503; 5 cancelled a", "honest-answers"},
 		{"goes elsewhere after it was handed back", "post",
 			"1 arrived a; 3 ended a; 4 arrived b; 5 started b; 6 ran b X; 7 answered 200 X", ""},
-		{"runs twice", "post", "1 arrived a; 2 started a; 3 lost a; 4 arrived b; 5 started b;" +
+		{"runs twice", "post", "1 arrived a; 2 started a; 3 died a; 4 arrived b; 5 started b;" +
 			" 6 ran b X; 7 answered 200 X", "runs-as-allowed runs-as-allowed"},
-		{"two at once", "batch", "1 arrived a; 4 arrived b; 5 withdrawn a; 6 ended b; 9 answered 500",
+		{"two at once", "batch", "1 arrived a; 4 arrived b; 5 cancelled a; 6 ended b; 9 answered 500",
 			"one-attempt-outstanding"},
-		{"withdrawn before the next", "batch",
-			"1 arrived a; 3 withdrawn a; 4 arrived b; 6 ended b; 9 answered 500", ""},
+		{"cancelled before the next", "batch",
+			"1 arrived a; 3 cancelled a; 4 arrived b; 6 ended b; 9 answered 500", ""},
 		{"closed before the next", "batch", "1 arrived a; 3 closed a; 4 arrived b; 6 ended b; 9 answered 500", ""},
 		{"another rack", "batch", "1 arrived a; 2 started a; 3 ran a; 4 arrived c; 6 ended c; 9 answered 500",
 			"runs-as-allowed"},
@@ -77,21 +77,23 @@
 			" 1300 ended b; 1400 answered 500", "runs-as-allowed"},
 		{"five attempts", "post", "1 arrived a; 2 ended a; 3 arrived b; 4 ended b; 5 arrived a;" +
 			" 6 ended a; 7 arrived b; 8 ended b; 9 arrived a; 10 ended a; 11 answered 503", "four-attempts"},
-		{"after a drain", "post", "1 told a; 700 arrived a; 701 ended a; 702 answered 503", "drains-kept"},
-		{"within the grace", "post", "1 told a; 500 arrived a; 501 ended a; 702 answered 503", ""},
-		{"back from a drain", "post", "1 told a; 600 back a; 700 arrived a; 701 ended a; 702 answered 503", ""},
-		{"held for nobody", "post", "1 arrived a; 2 started a; 100 answered 500; 1900 told b", "called-back"},
+		{"after a drain", "post", "1 leaving a; 700 arrived a; 701 ended a; 702 answered 503", "drains-kept"},
+		{"within the grace", "post", "1 leaving a; 500 arrived a; 501 ended a; 702 answered 503", ""},
+		{"back from a drain", "post", "1 leaving a; 600 ready a; 700 arrived a; 701 ended a; 702 answered 503", ""},
+		{"held for nobody", "post", "1 arrived a; 2 started a; 100 answered 500; 1900 leaving b", "called-back"},
 		{"held for a moment", "post", "1 arrived a; 2 started a; 100 answered 500;" +
-			" 900 withdrawn a; 1900 told b", ""},
-		{"a client that left needs no answer", "post", "1 arrived a; 5 left client; 6 withdrawn a; 1900 told b",
-			""},
+			" 900 cancelled a; 1900 leaving b", ""},
+		{"a client that left needs no answer", "post", "1 arrived a; 5 disconnected client;" +
+			" 6 cancelled a; 1900 leaving b", ""},
 	} {
-		var got []string
-		for _, f := range Check(rules, history(t, c.class, c.text)) {
-			got = append(got, f.Property)
-		}
-		if diff := cmp.Diff(c.want, strings.Join(got, " ")); diff != "" {
-			t.Errorf("%s: %s", c.name, diff)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var got []string
+			for _, f := range Check(rules, history(t, c.class, c.text)) {
+				got = append(got, f.Property)
+			}
+			if diff := cmp.Diff(c.want, strings.Join(got, " ")); diff != "" {
+				t.Error(diff)
+			}
+		})
 	}
 }
