--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -49,7 +49,8 @@
 
 func TestCheck(t *testing.T) {
 	rules := Rules{AtMostOnce: map[string]bool{"post": true},
-		RackOf: map[string]string{"a": "1", "b": "1", "c": "2"}, Window: time.Second, DrainGrace: 500 * time.Millisecond, MaxAttempts: 4, Slack: 100 * time.Millisecond,
+		RackOf: map[string]string{"a": "1", "b": "1", "c": "2"},
+		Window: time.Second, DrainGrace: 500 * time.Millisecond, MaxAttempts: 4, Slack: 100 * time.Millisecond,
 		OrphanLimit: time.Second}
 	for _, c := range []struct{ name, class, text, want string }{
 		{"served", "post", "1 arrived a; 2 started a; 9 ran a X; 10 answered 200 X", ""},
--- a/internal/modelcheck/race_off_test.go
+++ b/internal/modelcheck/race_disabled_test.go
@@ -2,4 +2,4 @@
 
 package modelcheck
 
-const raceOn = false
+const raceEnabled = false
--- a/internal/modelcheck/race_on_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build race
-
-package modelcheck
-
-const raceOn = true // states cost ten times as much
--- a/internal/modelcheck/trace_format_test.go
+++ b/internal/modelcheck/trace_format_test.go
@@ -62,9 +62,9 @@
 		for _, a := range path {
 			met[a.Kind] = true
 		}
-		v, err := trace.Replay(func(string) {})
-		if err != nil || v.DivergedAt != 0 || v.Violation != nil {
-			t.Errorf("%s: replay gives %+v, %v", name, v, err)
+		result, err := trace.Replay(func(string) {})
+		if err != nil || result.DivergedAt != 0 || result.Violation != nil {
+			t.Errorf("%s: replay gives %+v, %v", name, result, err)
 		}
 		cfg, err := trace.config()
 		if err != nil {
