--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -9,15 +9,15 @@
 
 // request is what is known of one request.
 type request struct {
-	class    string
-	deadline time.Time
-	overAt   time.Time // answered, disconnected or unanswered; zero: not yet
-	answers  int
-	attempts int
-	runs     int
-	ranAt    map[string]time.Time // workers where it may have run, and when it had come there
-	heldAt   map[string]time.Time // workers that hold it now, since when
-	results  map[string]bool
+	class         string
+	deadline      time.Time
+	overAt        time.Time // answered, disconnected or unanswered; zero: not yet
+	answers       int
+	attempts      int
+	runs          int
+	ranAt         map[string]time.Time // workers where it may have run, and when it had come there
+	outstandingAt map[string]time.Time // workers that hold it now, since when
+	results       map[string]bool
 }
 
 // checker goes through a history.
@@ -50,7 +50,8 @@
 func (c *checker) request(id string) *request {
 	r := c.requests[id]
 	if r == nil {
-		r = &request{ranAt: map[string]time.Time{}, heldAt: map[string]time.Time{}, results: map[string]bool{}}
+		r = &request{ranAt: map[string]time.Time{}, outstandingAt: map[string]time.Time{},
+			results: map[string]bool{}}
 		c.requests[id] = r
 	}
 	return r
@@ -91,9 +92,9 @@
 		if e.Result != "" {
 			r.results[e.Result] = true
 		}
-		delete(r.heldAt, e.Actor)
+		delete(r.outstandingAt, e.Actor)
 	case WorkerDied, Closed, CancelReceived:
-		delete(r.heldAt, e.Actor)
+		delete(r.outstandingAt, e.Actor)
 	}
 }
 
@@ -101,7 +102,7 @@
 	if r.runs++; r.runs > 1 && c.rules.AtMostOnce[r.class] {
 		c.violate("runs-as-allowed", e.ID, "it runs for the second time, at %s", e.Actor)
 	}
-	at, known := r.heldAt[e.Actor]
+	at, known := r.outstandingAt[e.Actor]
 	if !known {
 		at = e.At
 	}
@@ -125,7 +126,7 @@
 		if len(r.ranAt) > 0 {
 			c.violate("honest-answers", e.ID, "it is refused though it may have run")
 		}
-		for worker := range r.heldAt {
+		for worker := range r.outstandingAt {
 			c.violate("honest-answers", e.ID, "it is refused while %s holds it", worker)
 		}
 	}
@@ -135,7 +136,7 @@
 	if r.attempts++; r.attempts > c.rules.MaxAttempts {
 		c.violate("four-attempts", e.ID, "attempt %d comes to %s", r.attempts, e.Actor)
 	}
-	for worker := range r.heldAt {
+	for worker := range r.outstandingAt {
 		c.violate("one-attempt-outstanding", e.ID, "an attempt comes to %s while %s holds one", e.Actor, worker)
 	}
 	for worker, at := range r.ranAt {
@@ -153,13 +154,13 @@
 	if leaving && e.At.Sub(since) > c.rules.DrainGrace+c.rules.Slack {
 		c.violate("drains-kept", e.ID, "it comes to %s, listed as leaving %v ago", e.Actor, e.At.Sub(since))
 	}
-	r.heldAt[e.Actor] = e.At
+	r.outstandingAt[e.Actor] = e.At
 }
 
 // checkOrphans checks what workers hold for nobody when the history ends, and sorts the findings.
 func (c *checker) checkOrphans(end time.Time) {
 	for id, r := range c.requests {
-		for worker := range r.heldAt {
+		for worker := range r.outstandingAt {
 			if !r.overAt.IsZero() && end.Sub(r.overAt) > c.rules.OrphanLimit+c.rules.Slack {
 				c.violate("called-back", id, "%s holds it %v after its end", worker, end.Sub(r.overAt))
 			}
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -14,10 +14,10 @@
 	AttemptsCapped                            // no more attempts than the settings allow
 	RunsAsAllowed                             // nothing runs twice, except a batch in its rack and window
 	DrainsRespected                           // nothing new over 500 ms after a drain or removal was notified
-	HonestAnswers                             // a refusal only where it is harmless; a result as a worker made it
+	HonestAnswers                             // refusals only where harmless; results as a worker made them
 	SlowStartRespected                        // a worker in slow start gets no more than its budget
 	NothingLeaks                              // at rest, nothing is kept beyond its time
-	OrphansCancelled                          // who may hold a given-up attempt gets its cancellation, if reachable
+	OrphansCancelled                          // who may hold a given-up attempt gets its cancellation
 	Terminates                                // the passing of time alone ends all requests
 	CancelsAsAllowed                          // where cancelling is forbidden, nothing is cancelled in its time
 	NoSendAfterDisconnect                     // nothing new for a client that left
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -229,8 +229,8 @@
 	}
 }
 
-// discover checks a state and puts it on the stack if it is new. It reports whether the search goes on from the
-// state before it.
+// discover checks a state and puts it on the stack if it is new. It reports whether the search goes on from
+// the state before it.
 func (e *expander) discover(w *World, place *node) bool {
 	if w.violation != nil {
 		e.report(w.violation, place)
--- a/internal/modelcheck/worlds.go
+++ b/internal/modelcheck/worlds.go
@@ -207,7 +207,7 @@
 // holeWorld is known to violate a property.
 var holeWorld = &Config{
 	Name:                   "hole",
-	About:                  "one post-reading, one worker, and a DELETE may overtake its request: known to break",
+	About:                  "one post-reading, one worker; a DELETE may overtake its request: known to break",
 	Requests:               []Class{Post},
 	Racks:                  []int{0},
 	MaxFaults:              1,
--- a/internal/modelcheck/worlds_test.go
+++ b/internal/modelcheck/worlds_test.go
@@ -93,8 +93,9 @@
 			t.Fatal(err)
 		}
 		s := &cfg.settings.Dispatch
-		if is := (got{s.CancelAllowed, s.HedgingAllowed, s.MaxAttempts, s.PollInterval, s.MaxStaleness, s.ProgressInterval,
-			s.ConnectTimeout}); is != want || !s.PollEndpoints {
+		is := got{s.CancelAllowed, s.HedgingAllowed, s.MaxAttempts, s.PollInterval, s.MaxStaleness,
+			s.ProgressInterval, s.ConnectTimeout}
+		if is != want || !s.PollEndpoints {
 			t.Errorf("%s: %+v, want %+v", name, is, want)
 		}
 	}
