--- a/cmd/schedbench/main.go
+++ b/cmd/schedbench/main.go
@@ -23,10 +23,10 @@
 	ModelCheck modelCheckCmd `cmd:"" name:"modelcheck" help:"Explore a small world in every order of events."`
 	Drill      drillCmd      `cmd:"" help:"Run a drill: bounded in time, with figures as its last line."`
 	Scale      scaleCmd      `cmd:"" help:"Run a simulated fleet at size in virtual time."`
-	Regress    fitCmd        `cmd:"" help:"Fit how benchmarks grow with the size in their names."`
+	Regress    regressCmd    `cmd:"" help:"Fit how benchmarks grow with the size in their names."`
 
 	Explore modelCheckCmd `cmd:"" hidden:"" help:"The former name of modelcheck."`
-	Fit     fitCmd        `cmd:"" hidden:"" help:"The former name of regress."`
+	Fit     regressCmd    `cmd:"" hidden:"" help:"The former name of regress."`
 
 	Keep   keepCmd   `cmd:"" hidden:"" help:"The process that the drill disk kills."`
 	Engine engineCmd `cmd:"" hidden:"" help:"One step of the drill engines."`
--- a/cmd/schedbench/regress.go
+++ b/cmd/schedbench/regress.go
@@ -16,14 +16,14 @@
 	"dahliaford/internal/regression"
 )
 
-// fitCmd fits how the figures of benchmarks grow with the size in their names.
-type fitCmd struct {
+// regressCmd fits how the figures of benchmarks grow with the size in their names.
+type regressCmd struct {
 	Files []string `arg:"" type:"existingfile" help:"Output of go test -bench, sizes in names: '7200 workers'."`
 	Chart string   `help:"Draw the series whose name holds TEXT into a file: TEXT=FILE.svg."`
 }
 
 // Run prints a table of the fits, and draws a chart if one is asked for.
-func (c *fitCmd) Run() error {
+func (c *regressCmd) Run() error {
 	var all seriesList
 	for _, path := range c.Files {
 		if err := all.readFile(path); err != nil {
--- a/cmd/schedbench/regress_test.go
+++ b/cmd/schedbench/regress_test.go
@@ -8,7 +8,7 @@
 )
 
 // The output of benchmarks becomes one row a figure; sizes and repeats are found in their names.
-func TestFitReadsBenchmarks(t *testing.T) {
+func TestRegressReadsBenchmarks(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("goos: linux\nBenchmarkOther-4 \t 5\t 3 ns/op\nnot a benchmark at all, 7 workers\n")
 	for _, n := range []string{"200", "450", "800", "2400", "4800", "7200"} {
@@ -44,14 +44,16 @@
 	}
 }
 
-func TestFitIsMisused(t *testing.T) {
+func TestRegressIsMisused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none.txt")
 	if err := os.WriteFile(path, []byte("PASS\n"), 0o666); err != nil {
 		t.Fatal(err)
 	}
-	for _, args := range [][]string{{"fit"}, {"fit", path}, {"fit", path + "x"}} {
-		if status := run(args); status != exitUsage {
-			t.Errorf("%v: status %d", args, status)
+	for _, command := range []string{"regress", "fit"} { // and its former name
+		for _, args := range [][]string{{command}, {command, path}, {command, path + "x"}} {
+			if status := run(args); status != exitUsage {
+				t.Errorf("%v: status %d", args, status)
+			}
 		}
 	}
 }
