--- a/cmd/schedbench/clients.go
+++ b/cmd/schedbench/clients.go
@@ -124,14 +124,15 @@
 }
 
 // clientDrill runs the drill. It ends before its span does: jobs have 4 s to end.
-func clientDrill(bin, folder string, span time.Duration, seed uint64, say progressFunc) (*report, error) {
+func clientDrill(bin, folder string, span time.Duration, seed uint64,
+	progress progressFunc) (*report, error) {
 	runs, err := startClientRuns(bin, folder, span, seed)
 	if err != nil {
 		return nil, err
 	}
 	defer runs.close()
-	say("%d clients of each kind submit jobs for %v; %d of %d schedulers go away and come back", clientCount,
-		span.Round(time.Second), clientSchedulers-remainingSchedulers, clientSchedulers)
+	progress("%d clients of each kind submit jobs for %v; %d of %d schedulers go away and come back",
+		clientCount, span.Round(time.Second), clientSchedulers-remainingSchedulers, clientSchedulers)
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
 	startedAt := time.Now()
--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -28,7 +28,7 @@
 type diskDrill struct {
 	program, path string
 	random        *rand.Rand
-	say           progressFunc
+	progress      progressFunc
 
 	confirmed map[int]int // how far each item has come, by number
 	next      int         // the number of the first item of the next round
@@ -37,7 +37,7 @@
 }
 
 // diskKills runs the drill disk until its context ends.
-func diskKills(ctx context.Context, seed uint64, say progressFunc) (*report, error) {
+func diskKills(ctx context.Context, seed uint64, progress progressFunc) (*report, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 	}
 	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that stays does no harm
 	d := &diskDrill{program: self, path: filepath.Join(folder, "jobs"), random: rand.New(rand.NewPCG(seed, 0)),
-		say: say, confirmed: map[int]int{}}
+		progress: progress, confirmed: map[int]int{}}
 	deadline, _ := ctx.Deadline()
 	for time.Until(deadline) > diskDrillMargin && len(d.confirmed) < maxItems {
 		if err := d.storeAndKill(ctx); err != nil {
@@ -106,7 +106,7 @@
 		switch {
 		case stored[n] < step:
 			d.missing++
-			d.say("after kill %d: item %d had come to step %d, and is at %d", d.kills, n, step, stored[n])
+			d.progress("after kill %d: item %d had come to step %d, and is at %d", d.kills, n, step, stored[n])
 		case stored[n] > step:
 			d.ahead++
 			d.confirmed[n] = stored[n] // it is on disk now, and must stay there
@@ -126,7 +126,7 @@
 		var n int
 		if _, err := fmt.Sscan(id, &n); fault != nil || err != nil {
 			d.broken++
-			d.say("after kill %d: item %q: %v", d.kills, id, fault)
+			d.progress("after kill %d: item %q: %v", d.kills, id, fault)
 			return nil
 		}
 		stored[n] = stepOf(it)
--- a/cmd/schedbench/engines.go
+++ b/cmd/schedbench/engines.go
@@ -17,21 +17,21 @@
 type engineDrill struct {
 	program, name string
 	seed          uint64
-	say           progressFunc
+	progress      progressFunc
 
 	figures map[string]any // of each step
 	rows    [][]string
 }
 
 // engines measures the embedded stores that a job store could be built on.
-func engines(ctx context.Context, seed uint64, say progressFunc) (*report, error) {
+func engines(ctx context.Context, seed uint64, progress progressFunc) (*report, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	rep := &report{ok: true, figures: map[string]any{}, table: [][]string{{"engine", "step", "figures"}}}
 	for _, name := range engineNames {
-		d := &engineDrill{program: self, name: name, seed: seed, say: say, figures: map[string]any{}}
+		d := &engineDrill{program: self, name: name, seed: seed, progress: progress, figures: map[string]any{}}
 		if err := d.run(ctx); err != nil {
 			return nil, err
 		}
@@ -67,7 +67,7 @@
 
 // step runs one step and keeps its figures under a label.
 func (d *engineDrill) step(ctx context.Context, label, step, folder string, args ...string) error {
-	d.say("%s: %s %s", d.name, step, strings.Join(args, " "))
+	d.progress("%s: %s %s", d.name, step, strings.Join(args, " "))
 	args = append([]string{"engine", d.name, folder, step, "--seed", fmt.Sprint(d.seed)}, args...)
 	out, err := exec.CommandContext(ctx, d.program, args...).Output()
 	if err != nil {
--- a/cmd/schedbench/scale_real.go
+++ b/cmd/schedbench/scale_real.go
@@ -16,8 +16,8 @@
 const maxViolations = 20
 
 // runReal runs real schedulers against simulated workers and one simulated discovery. Progress and the
-// results go to out, the last line as JSON. Options that cannot be run are a misuse, rules that broke the exit status
-// broken. Without a program the one beside this program is run, or else one is built.
+// results go to out, the last line as JSON. Options that cannot be run are a usage error, rules that broke
+// the exit status of a violation. Without a program the one beside this program is run, or else one is built.
 func runReal(ctx context.Context, out io.Writer, o simfleet.Options) error {
 	if err := o.Validate(); err != nil {
 		return usageError("%v", err)
