--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -30,7 +30,7 @@
 	stageEarlier:    "earlier",
 }
 
-// eventKind tells events apart for coverage.
+// eventKind is a kind of event, for coverage.
 type eventKind uint8
 
 const (
@@ -95,7 +95,7 @@
 	}
 }
 
-// The groups of events that impossible tells apart.
+// The groups of events that impossible distinguishes.
 
 // onConnection reports whether an event is about an attempt on its connection.
 func (e eventKind) onConnection() bool { return e >= evAccepted && e <= evRejected }
--- a/internal/modelcheck/search_bench_test.go
+++ b/internal/modelcheck/search_bench_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// The search's pace: copied states on all cores, against states made anew from the root
-// on one, as the first version did.
+// BenchmarkSearch measures the rate of a search: copied states on all cores, against states made anew from the
+// root on one.
 func BenchmarkSearch(b *testing.B) {
-	defer debug.SetGCPercent(debug.SetGCPercent(600)) // as the laboratory does
+	defer debug.SetGCPercent(debug.SetGCPercent(600)) // as schedbench does
 	for name, opt := range map[string]Options{"copy": {}, "copy-one": {Parallel: 1},
 		"replay-one": {Parallel: 1, ReplayStates: true}} {
 		b.Run(name, func(b *testing.B) {
