--- a/internal/modelcheck/search_bench_test.go
+++ b/internal/modelcheck/search_bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkSearch measures the rate of a search: copied states on all cores, against states made anew from the
-// root on one.
+// BenchmarkSearch measures the rate of a search: copied states on all cores and on one, against states made
+// anew from the root on one.
 func BenchmarkSearch(b *testing.B) {
 	defer debug.SetGCPercent(debug.SetGCPercent(600)) // as schedbench does
 	for name, opt := range map[string]Options{"copy": {}, "copy-one": {Parallel: 1},
