--- a/internal/modelcheck/mutants/dispatch_mutants.go
+++ b/internal/modelcheck/mutants/dispatch_mutants.go
@@ -30,6 +30,10 @@
 				Old: " || !sameDedupGroup(c.DedupScope, &a.worker.entry, &w.entry) {",
 				New: " {",
 			},
+			{File: "internal/dispatch/candidates.go", // which restricts the choice to the rack before
+				Old: "\tif a == nil || c.DedupScope == ScopeAll {",
+				New: "\tif c.DedupScope == ScopeCell || a == nil || c.DedupScope == ScopeAll {",
+			},
 		},
 	},
 	{
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -55,21 +55,11 @@
 	return s.now - until + s.settings.Dispatch.MaxStaleness
 }
 
-// workerChanges collects the workers that an update concerns, for the dispatcher and for the record.
-type workerChanges struct {
-	entries []dispatch.WorkerEntry
-	workers []*worker
-}
-
-func (c *workerChanges) add(w *worker, entry dispatch.WorkerEntry) {
-	c.entries = append(c.entries, entry)
-	c.workers = append(c.workers, w)
-}
-
 // applyDrains takes the workers that drain or are removed from an update of a discovery that is no
 // longer the present one. All else that it says is ignored.
 func (s *Scheduler) applyDrains(list WorkerList) {
-	var changes workerChanges
+	var entries []dispatch.WorkerEntry
+	var changed []*worker
 	for _, line := range list.Workers {
 		w := s.workers[line.UID]
 		if w == nil || line.Status == dispatch.Ready {
@@ -78,13 +68,14 @@
 		w.pendingUpdate = nil
 		if w.drainingSince == 0 {
 			w.Status, w.version = line.Status, version{epoch: -1} // comparable with none
-			changes.add(w, s.entry(w))
+			entries = append(entries, s.entry(w))
+			changed = append(changed, w)
 		}
 	}
-	if len(changes.entries) > 0 {
-		s.recordTransitions(changes.workers)
+	if len(entries) > 0 {
+		s.recordTransitions(changed)
 		s.stepDispatcher(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains,
-			Workers: changes.entries})
+			Workers: entries})
 	}
 }
 
@@ -93,10 +84,8 @@
 func (s *Scheduler) applyUpdate(list WorkerList, scope dispatch.UpdateScope, asOf Micros) {
 	at := s.nextVersion(list)
 	s.updates++
-	changes := workerChanges{
-		entries: make([]dispatch.WorkerEntry, 0, len(list.Workers)),
-		workers: make([]*worker, 0, len(list.Workers)),
-	}
+	entries := make([]dispatch.WorkerEntry, 0, len(list.Workers))
+	changed := make([]*worker, 0, len(list.Workers)) // of a small update it stays on the stack
 	for _, line := range list.Workers {
 		w := s.workers[line.UID]
 		if w == nil {
@@ -106,14 +95,16 @@
 			s.mergeWorker(w, line, at)
 		}
 		w.lastUpdate = s.updates
-		changes.add(w, s.entry(w)) // as it now is known
+		entries = append(entries, s.entry(w)) // as it now is known
+		changed = append(changed, w)
 	}
 	for _, w := range s.implicitChanges(list.Complete, at) {
-		changes.add(w, s.entry(w))
+		entries = append(entries, s.entry(w))
+		changed = append(changed, w)
 	}
-	s.recordTransitions(changes.workers)
+	s.recordTransitions(changed)
 	s.stepDispatcher(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope, Age: s.now - asOf,
-		Workers: changes.entries})
+		Workers: entries})
 }
 
 // nextVersion takes the revision of an update.
