--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -56,7 +56,8 @@
 	}
 	s := parsed.Dispatch
 	if s.Classes[0].ObjectiveStretch != 1.5 || s.Classes[1].ObjectiveStretch != 0.5 ||
-		s.Classes[1].DedupScope != dispatch.ScopeZone || s.Classes[1].Effect != dispatch.Keyed || s.Classes[0].Kind != -1 {
+		s.Classes[1].DedupScope != dispatch.ScopeZone || s.Classes[1].Effect != dispatch.Keyed ||
+		s.Classes[0].Kind != -1 {
 		t.Errorf("classes: %+v", s.Classes)
 	}
 	if s.OverQuotaWeight != 1 || s.OverloadFactor != 1 || !s.PollEndpoints || !s.LoadReports ||
