--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -377,17 +377,17 @@
 			n := c.deployment.slowStartFraction(set, first.at-start) * c.deployment.cores * set.OverloadFactor *
 				float64(set.OverloadWindow) / c.deployment.mean()
 			limit := (n + 2*math.Sqrt(n) + 2) * c.deployment.mean()
-			harnesses, updates := 0.0, 0.0
+			sum, informed := 0.0, 0.0
 			for _, sent := range w.sent[from:] {
 				if sent.at-first.at >= set.OverloadWindow || sent.at >= until {
 					break
 				}
-				if harnesses += sent.work; sent.informed {
-					updates += sent.work
+				if sum += sent.work; sent.informed {
+					informed += sent.work
 				}
-				seen.informed = max(seen.informed, updates/limit)
-				if 3*updates > 2*harnesses {
-					seen.all = max(seen.all, harnesses/limit)
+				seen.informed = max(seen.informed, informed/limit)
+				if 3*informed > 2*sum {
+					seen.all = max(seen.all, sum/limit)
 				}
 			}
 		}
