--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -45,8 +45,21 @@
 
 // worker is what is known of a worker of the list.
 type worker struct {
-	entry     WorkerEntry
-	kind      *kind      // of its machine; nil: not looked up yet
+	// What an update of the worker list touches stands together, in few cache lines.
+	entry      WorkerEntry
+	kind       *kind   // of its machine; nil: not looked up yet
+	group      *group  // of its zone and kind; nil: not looked up yet
+	sortKey    sortKey // as of the last updateSubset
+	inOrder    bool    // it is in the order
+	covered    bool    // by this dispatcher's interval of the ring
+	inSubset   bool
+	lastUpdate uint64 // the last update that named it
+	removedAt  Micros // since when the list has it removed; 0: it has not
+
+	ringPosition float64                // see ringPositionOf
+	ringVersion  uint64                 // the generation of its ring group when that was computed; 0: never
+	ringGroup    *subset.Group[*worker] // the ready ones of its zone and kind; nil: it is not ready
+
 	attempts  []*attempt // in flight
 	ownSlots  float64    // of own attempts in flight
 	unstarted int        // of them
@@ -58,7 +71,6 @@
 	starts        *[maxTrackedSlots + 1]startCounts // by slots in use; nil: none of our jobs showed any yet
 	speed         speedEstimate
 	startWait     waitEstimate
-	group         *group // of its zone and kind; nil: not looked up yet
 
 	lastSeen            Micros // last sign of life
 	suspect             bool
@@ -78,17 +90,6 @@
 	announced    slotUse   // what peers were sent last
 	gossipQueued bool      // what they were sent may be out of date
 
-	sortKey    sortKey // as of the last updateSubset
-	inOrder    bool    // it is in the order
-	covered    bool    // by this dispatcher's interval of the ring
-	inSubset   bool
-	lastUpdate uint64 // the last update that named it
-	removedAt  Micros // since when the list has it removed; 0: it has not
-
-	ringPosition float64                // see ringPositionOf
-	ringVersion  uint64                 // the generation of its ring group when that was computed; 0: never
-	ringGroup    *subset.Group[*worker] // the ready ones of its zone and kind; nil: it is not ready
-
 	bias         float64 // small own preference, so that dispatchers spread
 	indexNode    bucketqueue.Node[*worker]
 	indexVersion uint64 // the last version of the index that had it
