--- a/cmd/schedbench/attempt.go
+++ b/cmd/schedbench/attempt.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strconv"
 	"time"
@@ -87,10 +86,9 @@
 			return beside, nil
 		}
 	}
-	program := filepath.Join(folder, "dahliaford")
-	out, err := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/dahliaford").CombinedOutput()
+	program, err := testcluster.Build(ctx, ".", folder)
 	if err != nil {
-		return "", fmt.Errorf("no scheduler beside schedbench, and none could be built: %w: %s", err, out)
+		return "", fmt.Errorf("no scheduler beside schedbench, and none could be built: %w", err)
 	}
 	return program, nil
 }
