--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -45,7 +45,8 @@
 		t.Error(diff, err)
 	}
 	cfg, err := parse([]byte(validConfig))
-	if diff := cmp.Diff([]int{1024, 192, 41}, []int{cfg.Sockets, cfg.MemoryMB, int(cfg.Known.Rev)}); diff != "" {
+	if diff := cmp.Diff([]int{1024, 192, 41},
+		[]int{cfg.Sockets, cfg.MemoryMB, int(cfg.Known.Revision)}); diff != "" {
 		t.Error(diff, err)
 	}
 }
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -29,14 +29,14 @@
 
 // sendAttempt sends a job to a worker.
 func (n *node) sendAttempt(r scheduler.SendAttempt) {
-	w, req := n.fleet.byUID[r.UID], r.Payload.(*request)
+	w, req := n.fleet.byUID[r.WorkerUID], r.Payload.(*request)
 	c := n.acquireConn(w)
 	if c == nil {
 		n.stepLater(scheduler.AttemptEnded{Attempt: r.Attempt, Outcome: dispatch.ConnectFailed})
 		return
 	}
 	c.Assign(r.Attempt, false)
-	c.request, c.uid, c.writeBy, c.writing = req, r.UID, r.WriteBy, false
+	c.request, c.uid, c.writeBy, c.writing = req, r.WorkerUID, r.WriteDeadline, false
 	n.attempts[r.Attempt] = c
 	n.fleet.tally.model.Attempts++
 	c.start()
@@ -55,7 +55,7 @@
 		return
 	}
 	c.Assign(e.Attempt, true)
-	c.cancelID, c.writeBy = e.ID, e.Deadline
+	c.cancelID, c.writeBy = e.RequestID, e.Deadline
 	n.attempts[e.Attempt] = c
 	c.start()
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -65,7 +65,7 @@
 
 // workerList is a message in the form that the reducer takes.
 func workerList(m endpoints.Message) scheduler.WorkerList {
-	list := scheduler.WorkerList{Rev: m.Revision, Complete: m.Complete}
+	list := scheduler.WorkerList{Revision: m.Revision, Complete: m.Complete}
 	if len(m.Endpoints) > 0 {
 		list.Workers = make([]scheduler.Worker, len(m.Endpoints))
 	}
@@ -137,7 +137,7 @@
 	}
 	clear(d.pending)
 	list := workerList(d.table.Publish(published...))
-	d.fleet.tally.published(list.Rev, since, len(published))
+	d.fleet.tally.published(list.Revision, since, len(published))
 	for _, s := range d.watches {
 		s.write(list)
 	}
--- a/internal/emulator/message_sizes.go
+++ b/internal/emulator/message_sizes.go
@@ -20,7 +20,7 @@
 
 // messageBytes is the size of a line of a watch.
 func messageBytes(list scheduler.WorkerList) int {
-	if list.Rev == 0 {
+	if list.Revision == 0 {
 		return heartbeatBytes
 	}
 	return listBytes(len(list.Workers))
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -104,14 +104,14 @@
 	req.received()
 	n.countJobMessage(requestBytes)
 	n.step(scheduler.Submitted{
-		Caller:   n.lastCaller,
-		ID:       req.id,
-		Class:    classes[req.job.class].name,
-		Tenant:   teamName(req.job.team),
-		Deadline: n.fleet.now + req.timeout/millisecond*millisecond,
-		Slots:    req.job.slots,
-		Retry:    req.job.submissions > 1,
-		Payload:  req,
+		Caller:    n.lastCaller,
+		RequestID: req.id,
+		Class:     classes[req.job.class].name,
+		Tenant:    teamName(req.job.team),
+		Deadline:  n.fleet.now + req.timeout/millisecond*millisecond,
+		Slots:     req.job.slots,
+		Retry:     req.job.submissions > 1,
+		Payload:   req,
 	})
 }
 
--- a/internal/emulator/watch.go
+++ b/internal/emulator/watch.go
@@ -85,7 +85,7 @@
 	n.countControlMessage(openWatchBytes)
 	call := func() {
 		if !s.released && !s.closed {
-			f.discovery.handleCall(s, w.Rev)
+			f.discovery.handleCall(s, w.Revision)
 		}
 	}
 	// The connection is established first: a packet there and one back.
@@ -148,8 +148,8 @@
 	if asOf != 0 {
 		n.listAsOf, n.validUntil = asOf, asOf+staleAfter
 	}
-	if list.Rev != 0 && !e.FromPreviousWatch {
-		n.fleet.tally.changeApplied(n, list.Rev, validBefore)
+	if list.Revision != 0 && !e.FromPreviousWatch {
+		n.fleet.tally.changeApplied(n, list.Revision, validBefore)
 	}
 }
 
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -200,7 +200,7 @@
 // timeout is undelivered: the worker has stopped retrying.
 func (w *worker) sendCallback(a *attempt, callback scheduler.Callback) {
 	f, sentAt := w.fleet, w.fleet.now
-	callback.ID, callback.From = a.request.id, w.uid
+	callback.RequestID, callback.WorkerUID = a.request.id, w.uid
 	bytes := callbackBytes + len(callback.Result)
 	if callback.Report.Known {
 		bytes += reportBytes
--- a/internal/modelcheck/cancellations.go
+++ b/internal/modelcheck/cancellations.go
@@ -17,7 +17,7 @@
 
 // sendCancellation sends a DELETE on its way.
 func (w *World) sendCancellation(e scheduler.CancelAttempt) {
-	c := cancellation{attempt: e.Attempt, id: requestIndex(e.ID), worker: workerIndex(e.Addr),
+	c := cancellation{attempt: e.Attempt, id: requestIndex(e.RequestID), worker: workerIndex(e.Addr),
 		deadline: e.Deadline}
 	c.conn.Assign(e.Attempt, true)
 	for _, attempt := range w.unsentAttempts {
--- a/internal/modelcheck/effects.go
+++ b/internal/modelcheck/effects.go
@@ -62,7 +62,7 @@
 		}
 	}()
 	if w.panicPending {
-		w.sched.InjectFault()
+		w.sched.InjectPanic()
 	}
 	effects = w.sched.Step(w.now, e, nil)
 	if w.panicPending { // the event did not reach the module: it panics at the next one
@@ -83,7 +83,7 @@
 		w.note("scheduler cancels its attempt if nothing of it is written")
 		w.cancelUnsent(e.Attempt)
 	case scheduler.CancelAttempt:
-		w.note("scheduler cancels %s at %s", e.ID, e.Addr)
+		w.note("scheduler cancels %s at %s", e.RequestID, e.Addr)
 		w.checkCancelAllowed(e.Attempt)
 		w.markGivenUp(e.Attempt)
 		w.sendCancellation(e)
@@ -104,13 +104,15 @@
 
 // sendAttempt puts an attempt on a connection of its own.
 func (w *World) sendAttempt(e scheduler.SendAttempt) {
-	w.note("scheduler sends %s to %s, to be written within %v", e.ID, e.UID, duration(e.WriteBy-w.now))
+	w.note("scheduler sends %s to %s, to be written within %v", e.RequestID, e.WorkerUID,
+		duration(e.WriteDeadline-w.now))
 	// What waited for a cancellation was decided before, and the node's last check blocks it.
-	if w.listStale() && e.WriteBy-connectTimeout > w.watch.validUntil {
-		w.violate(StaleListUnused, "%s is sent to %s by a list that was valid until %v ago", e.ID, e.UID,
-			duration(w.now-w.watch.validUntil))
+	if w.listStale() && e.WriteDeadline-connectTimeout > w.watch.validUntil {
+		w.violate(StaleListUnused, "%s is sent to %s by a list that was valid until %v ago", e.RequestID,
+			e.WorkerUID, duration(w.now-w.watch.validUntil))
 	}
-	c := connection{attempt: e.Attempt, id: requestIndex(e.ID), worker: workerIndex(e.UID), writeBy: e.WriteBy}
+	c := connection{attempt: e.Attempt, id: requestIndex(e.RequestID), worker: workerIndex(e.WorkerUID),
+		writeBy: e.WriteDeadline}
 	c.conn.Assign(e.Attempt, false)
 	w.connections = append(w.connections, c)
 	q := &w.requests[c.id]
--- a/internal/modelcheck/endpoints.go
+++ b/internal/modelcheck/endpoints.go
@@ -106,7 +106,7 @@
 
 // workerList is the whole list without removed workers, or the entries of some workers.
 func (w *World) workerList(complete bool, changed ...uint8) scheduler.WorkerList {
-	list := scheduler.WorkerList{Rev: w.watch.revision, Complete: complete}
+	list := scheduler.WorkerList{Revision: w.watch.revision, Complete: complete}
 	if complete {
 		for i := range w.workers {
 			if w.workers[i].status != dispatch.Removed {
--- a/internal/modelcheck/jobs.go
+++ b/internal/modelcheck/jobs.go
@@ -134,7 +134,7 @@
 // receiveCallback passes a callback to the scheduler. A result names its request and worker: see
 // checkHonest.
 func (w *World) receiveCallback(c callback) {
-	e := scheduler.Callback{ID: w.requestID(c.id), From: workerUID(c.worker), Kind: c.kind}
+	e := scheduler.Callback{RequestID: w.requestID(c.id), WorkerUID: workerUID(c.worker), Kind: c.kind}
 	if c.kind == scheduler.CallbackDone {
 		e.Result = []byte(w.requestID(c.id) + resultBy + workerUID(c.worker))
 	}
--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -23,7 +23,7 @@
 			" called-back",
 		Patches: []Patch{
 			{File: callbacksFile,
-				Old: "if a.ended || a.worker.UID != e.From {",
+				Old: "if a.ended || a.worker.UID != e.WorkerUID {",
 				New: "if a.ended {",
 			},
 		},
@@ -100,7 +100,7 @@
 			" honest-answers",
 		Patches: []Patch{
 			{File: requestsFile,
-				Old: "\ts.usedIDs.add(e.ID)\n",
+				Old: "\ts.usedIDs.add(e.RequestID)\n",
 				New: "",
 			},
 		},
@@ -124,7 +124,7 @@
 		Violates: "one-attempt-outstanding",
 		Patches: []Patch{
 			{File: attemptsFile,
-				Old: "\tif s.cancelling(r) {\n" +
+				Old: "\tif s.hasOpenCancellation(r) {\n" +
 					"\t\t// A worker",
 				New: "\tif false {\n" +
 					"\t\t// A worker",
--- a/internal/modelcheck/observe.go
+++ b/internal/modelcheck/observe.go
@@ -28,7 +28,7 @@
 func (w *World) observe(e scheduler.Event) {
 	switch e := e.(type) {
 	case scheduler.Submitted:
-		w.coverage[evSubmitted][w.requests[requestIndex(e.ID)].stage]++
+		w.coverage[evSubmitted][w.requests[requestIndex(e.RequestID)].stage]++
 	case scheduler.ClientDisconnected:
 		for i := range w.requests {
 			if q := &w.requests[i]; q.caller == e.Caller {
@@ -81,9 +81,9 @@
 // observeCallback counts a callback. One of another worker than the last attempt's is about an earlier one.
 func (w *World) observeCallback(e scheduler.Callback) {
 	kind := callbackEvents[e.Kind]
-	q := &w.requests[requestIndex(e.ID)]
+	q := &w.requests[requestIndex(e.RequestID)]
 	switch {
-	case q.lastWorker != workerIndex(e.From):
+	case q.lastWorker != workerIndex(e.WorkerUID):
 		w.coverage[kind][stageEarlier]++
 	case e.Kind == scheduler.CallbackStarted:
 		w.observeAttempt(kind, q.lastAttempt, stageStarted)
--- a/internal/modelcheck/requests.go
+++ b/internal/modelcheck/requests.go
@@ -138,8 +138,8 @@
 	w.forgetRuns(q.id)
 	w.lastCaller++
 	q.state, q.caller, q.deadline = open, w.lastCaller, w.now+q.class.deadline()
-	w.step(scheduler.Submitted{Caller: q.caller, ID: w.requestID(q.id), Class: q.class.String(), Tenant: tenant,
-		Deadline: q.deadline, Slots: 1})
+	w.step(scheduler.Submitted{Caller: q.caller, RequestID: w.requestID(q.id), Class: q.class.String(),
+		Tenant: tenant, Deadline: q.deadline, Slots: 1})
 	if q.state != answered || q.verdict != scheduler.Invalid && q.verdict != scheduler.Conflict {
 		w.requests[q.id].acceptedAt = w.now
 	}
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -17,7 +17,7 @@
 	Fields(&in, func(key string) {
 		switch key {
 		case "rev":
-			list.Rev = in.Int64()
+			list.Revision = in.Int64()
 		case "all":
 			list.Complete = in.Bool()
 		case "targets":
@@ -104,9 +104,9 @@
 	Fields(&in, func(key string) {
 		switch key {
 		case "id":
-			callback.ID = in.String()
+			callback.RequestID = in.String()
 		case "from":
-			callback.From = in.String()
+			callback.WorkerUID = in.String()
 		case "state":
 			callback.Kind = callbackKinds[in.String()]
 		case "share":
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -138,7 +138,7 @@
 	n.onLoop(func() {
 		draining := scheduler.Worker{UID: first, Addr: w.peers[first].listener.Addr().String(), Zone: "north",
 			Kind: "m1", Status: dispatch.Draining}
-		list := scheduler.WorkerList{Rev: 5, Workers: []scheduler.Worker{draining}}
+		list := scheduler.WorkerList{Revision: 5, Workers: []scheduler.Worker{draining}}
 		n.applyUpdate(t, watchUpdate{watch: n.watch,
 			event: scheduler.EndpointsUpdated{List: list, AsOf: n.now() + 3600*second}})
 	})
@@ -198,7 +198,7 @@
 	update := func(rev int64, complete bool, workers ...scheduler.Worker) watchUpdate {
 		asOf := n.freshness.countPosted(reader, n.now())
 		return watchUpdate{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: asOf,
-			List: scheduler.WorkerList{Rev: rev, Complete: complete, Workers: workers}}}
+			List: scheduler.WorkerList{Revision: rev, Complete: complete, Workers: workers}}}
 	}
 	n.onLoop(func() {
 		n.freshness.mu.Lock()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -97,7 +97,7 @@
 func (n *Node) onSubmission(m submission) error {
 	n.lag.note(n.now(), m.receivedAt)
 	if len(n.callers) >= cap(n.clientSlots)-n.callbackSlots {
-		n.log.Warn("short on connections: a job is refused", "txn", m.ID)
+		n.log.Warn("short on connections: a job is refused", "txn", m.RequestID)
 		m.client.answers <- scheduler.Answer{Verdict: scheduler.Refused, FinalForConnection: true}
 		return nil
 	}
@@ -172,7 +172,7 @@
 			c.closeWhenIdle()
 		}
 	case scheduler.Shutdown:
-		n.beginDrain(n.timeOf(e.By))
+		n.beginDrain(n.timeOf(e.Deadline))
 	case scheduler.Log:
 		level := slog.LevelInfo
 		if e.Warn {
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -47,7 +47,7 @@
 	n.onLoop(func() {
 		n.postPendingUpdate()
 		n.applyUpdate(t, watchUpdate{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: n.now() + 3600*second,
-			List: scheduler.WorkerList{Rev: 5, Complete: true, Workers: []scheduler.Worker{
+			List: scheduler.WorkerList{Revision: 5, Complete: true, Workers: []scheduler.Worker{
 				{UID: "r1", Addr: worker.Addr(), Zone: "north", Kind: "m1", Status: 1}}}}})
 	})
 	const job = "POST /%[1]s/7 HTTP/1.1\r\nX-Txn: %[2]s\r\nX-Lane: %[1]s\r\nX-Org: sahel\r\n" +
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -100,7 +100,7 @@
 	const maxRemainingMs = 1 << 40 // prevents an overflow of the deadline
 	deadline := at + scheduler.Micros(min(job.remainingMs, maxRemainingMs))*1000 - lagAllowance
 	p := &payload{method: r.Method, target: r.Target, key: r.Header.Get("Idempotency-Key"), body: r.Body}
-	s := scheduler.Submitted{Caller: scheduler.CallerID(lastCaller.Add(1)), ID: job.id, Class: classOf(r),
+	s := scheduler.Submitted{Caller: scheduler.CallerID(lastCaller.Add(1)), RequestID: job.id, Class: classOf(r),
 		Tenant: r.Header.Get("X-Org"), Deadline: deadline, Slots: job.slots,
 		Retry: r.Header.Get("X-Resent") == "1", Payload: p}
 	n.post(submission{c, n.now(), s})
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -73,7 +73,7 @@
 	asOf := e.AsOf
 	late := n.now() - m.readAt
 	if m.readAt != 0 && late > n.freshness.grace/2 && n.freshness.grace > 0 {
-		n.log.Warn("a worker list update is applied late", "rev", e.List.Rev, "ms", late/millisecond)
+		n.log.Warn("a worker list update is applied late", "rev", e.List.Revision, "ms", late/millisecond)
 	}
 	if m.watch == n.watch {
 		n.listReceived.Store(true)
--- a/internal/node/watch_stream.go
+++ b/internal/node/watch_stream.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return fmt.Errorf("open watch at %s: %w", open.Addr, err)
 	}
-	n.log.Info("watch of the worker list open", "discovery", open.Addr, "from", open.Rev)
+	n.log.Info("watch of the worker list open", "discovery", open.Addr, "from", open.Revision)
 	extendDeadline := func() {
 		if ctx.Err() == nil { // else the end of what has arrived is near
 			conn.SetReadDeadline(time.Now().Add(n.watchIdleTimeout))
@@ -76,7 +76,7 @@
 
 // requestWatch sends the request for a watch and returns the body of its response.
 func requestWatch(conn net.Conn, reader io.Reader, open scheduler.OpenWatch) (body io.Reader, err error) {
-	target := membersPath + "?watch=1&from=" + strconv.FormatInt(open.Rev, 10)
+	target := membersPath + "?watch=1&from=" + strconv.FormatInt(open.Revision, 10)
 	host := []http1.Field{{Name: "Host", Value: open.Addr}}
 	if _, err := conn.Write(http1.AppendRequest(nil, "GET", target, host, nil)); err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 				return fmt.Errorf("%w: %w", errUnreadableList, err)
 			}
 			if invalid != nil {
-				n.log.Warn("an entry of the worker list is unusable", "rev", list.Rev, "why", invalid)
+				n.log.Warn("an entry of the worker list is unusable", "rev", list.Revision, "why", invalid)
 			}
 			begun = true
 		}
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -146,7 +146,7 @@
 	if err == nil || errors.Is(err, errUnreadableList) {
 		t.Errorf("an object that is cut off is ignored, not unreadable: %v", err)
 	}
-	if close(updates); len(updates) != 2 || (<-updates).List.Rev != 3 {
+	if close(updates); len(updates) != 2 || (<-updates).List.Revision != 3 {
 		t.Errorf("%d updates were delivered, want the object and the empty line behind it", len(updates))
 	}
 }
--- a/internal/node/worker_effects.go
+++ b/internal/node/worker_effects.go
@@ -7,10 +7,10 @@
 
 // sendAttempt starts an attempt on a connection to its worker.
 func (n *Node) sendAttempt(s scheduler.SendAttempt) {
-	c, ok := n.assign(s.Addr, exchange{attempt: s.Attempt, requestID: s.ID, workerUID: s.UID,
-		writeBy: s.WriteBy, deadline: s.Deadline, payload: s.Payload.(*payload)})
+	c, ok := n.assign(s.Addr, exchange{attempt: s.Attempt, requestID: s.RequestID, workerUID: s.WorkerUID,
+		writeBy: s.WriteDeadline, deadline: s.Deadline, payload: s.Payload.(*payload)})
 	if !ok {
-		n.log.Warn("short on connections: an attempt is not sent", "txn", s.ID, "worker", s.UID)
+		n.log.Warn("short on connections: an attempt is not sent", "txn", s.RequestID, "worker", s.WorkerUID)
 		n.postAsync(scheduler.AttemptEnded{Attempt: s.Attempt, Outcome: dispatch.ConnectFailed})
 		return
 	}
@@ -48,10 +48,10 @@
 		n.postAsync(scheduler.CancellationResult{Attempt: cancel.Attempt, Acknowledged: true})
 		return
 	}
-	c, ok := n.assign(cancel.Addr, exchange{attempt: cancel.Attempt, requestID: cancel.ID,
+	c, ok := n.assign(cancel.Addr, exchange{attempt: cancel.Attempt, requestID: cancel.RequestID,
 		writeBy: cancel.Deadline, deadline: cancel.Deadline})
 	if !ok {
-		n.log.Warn("short on connections: a job is not cancelled", "txn", cancel.ID)
+		n.log.Warn("short on connections: a job is not cancelled", "txn", cancel.RequestID)
 		n.postAsync(scheduler.CancellationResult{Attempt: cancel.Attempt})
 		return
 	}
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -33,15 +33,15 @@
 	r.attempts = append(r.attempts, a)
 	s.byAttempt[a.id] = a
 	s.addTimer(timer{at: a.deadline, kind: attemptDeadline, id: uint64(a.id)})
-	writeBy := s.writeBy(a, action.SendBy)
-	if s.cancelling(r) {
+	writeDeadline := s.writeDeadline(a, action.SendBy)
+	if s.hasOpenCancellation(r) {
 		// A worker may hold an earlier attempt. Until it has acknowledged that this is cancelled,
 		// another one would be a second copy.
-		a.deferredUntil = writeBy
-		s.addTimer(timer{at: writeBy, kind: deferralEnd, id: uint64(a.id)})
+		a.deferredUntil = writeDeadline
+		s.addTimer(timer{at: writeDeadline, kind: deferralEnd, id: uint64(a.id)})
 		return
 	}
-	s.send(a, writeBy)
+	s.send(a, writeDeadline)
 }
 
 // suppressAttempt reports a Send as not carried out. The dispatcher never asks for one of this kind.
@@ -52,8 +52,8 @@
 	s.warn("send suppressed", "job", action.Job, "worker", action.Worker)
 }
 
-// writeBy is the time by which the last byte of an attempt must be out.
-func (s *Scheduler) writeBy(a *attempt, sendBy Micros) Micros {
+// writeDeadline is the time by which the last byte of an attempt must be out.
+func (s *Scheduler) writeDeadline(a *attempt, sendBy Micros) Micros {
 	by := s.now + s.settings.Dispatch.ConnectTimeout
 	// A worker may start to drain the moment after this. A send counts from its first byte, so a
 	// slow connect must not carry it past the drain grace.
@@ -64,9 +64,9 @@
 	return min(by, a.deadline, sendBy)
 }
 
-func (s *Scheduler) send(a *attempt, writeBy Micros) {
-	s.emit(SendAttempt{Attempt: a.id, ID: a.request.id, UID: a.worker.UID, Addr: a.addr, WriteBy: writeBy,
-		Deadline: a.deadline, Payload: a.request.payload})
+func (s *Scheduler) send(a *attempt, writeDeadline Micros) {
+	s.emit(SendAttempt{Attempt: a.id, RequestID: a.request.id, WorkerUID: a.worker.UID, Addr: a.addr,
+		WriteDeadline: writeDeadline, Deadline: a.deadline, Payload: a.request.payload})
 }
 
 func (s *Scheduler) acceptAttempt(id AttemptID) {
@@ -113,7 +113,7 @@
 	s.removeAttempt(a)
 	a.mayHaveRun = outcome.MayHaveRun()
 	if a.request.answered {
-		s.release(a.request)
+		s.removeRequest(a.request)
 	}
 	s.stepDispatcher(dispatch.Event{Kind: dispatch.AttemptEnded, Job: a.request.job, Attempt: a.ordinal,
 		Worker: a.worker.number, Outcome: outcome, Final: a.request.answered, Report: report})
--- a/internal/scheduler/callbacks.go
+++ b/internal/scheduler/callbacks.go
@@ -5,7 +5,7 @@
 // handleCallback takes a worker's callback. It counts if it comes from the worker that has the
 // latest attempt, or one that an open cancellation concerns; a late or repeated one has no effect.
 func (s *Scheduler) handleCallback(e *Callback) {
-	r := s.byID[e.ID]
+	r := s.byID[e.RequestID]
 	if r == nil || len(r.attempts) == 0 {
 		return // late, or a repeat: its attempt is over
 	}
@@ -14,7 +14,7 @@
 		s.handleEarlierCallback(r, e)
 		return
 	}
-	if a.ended || a.worker.UID != e.From {
+	if a.ended || a.worker.UID != e.WorkerUID {
 		return
 	}
 	report := dispatch.Event{Kind: dispatch.AttemptReported, Job: r.job, Attempt: a.ordinal,
@@ -52,7 +52,7 @@
 func (s *Scheduler) handleEarlierCallback(r *request, e *Callback) {
 	for _, a := range r.attempts {
 		c := s.cancellations[a.id]
-		if c == nil || a.worker.UID != e.From || e.Kind == CallbackStarted || e.Kind == CallbackRunning {
+		if c == nil || a.worker.UID != e.WorkerUID || e.Kind == CallbackStarted || e.Kind == CallbackRunning {
 			continue
 		}
 		if e.Kind == CallbackDone {
@@ -61,6 +61,6 @@
 		if c.inFlight {
 			s.emit(CloseConnection{Attempt: a.id}) // nothing times the cancellation's connection any more
 		}
-		s.acknowledged(c)
+		s.handleAcknowledgement(c)
 	}
 }
--- a/internal/scheduler/cancellation_test.go
+++ b/internal/scheduler/cancellation_test.go
@@ -7,14 +7,15 @@
 	"dahliaford/internal/dispatch"
 )
 
-// newWorldWithCancellation has a batch whose worker may hold it and has been sent a cancellation. The class
+// newHarnessWithCancellation has a batch whose worker may hold it and has been sent a cancellation. The class
 // has time enough for the batch to wait for that.
-func newWorldWithCancellation(t *testing.T) *world {
+func newHarnessWithCancellation(t *testing.T) *harness {
 	t.Helper()
-	const patientClass = `"slo":19500000`
-	w := newWorldOf(t, parseSettings(t, strings.Replace(testSettings, `"slo":500000`, patientClass, 1)))
-	w.announce(0, dispatch.Ready, "r1")
-	w.play(t, `
+	const longObjective = `"slo":19500000`
+	w := newHarnessWithSettings(t, parseSettings(t,
+		strings.Replace(testSettings, `"slo":500000`, longObjective, 1)))
+	w.sendUpdate(0, dispatch.Ready, "r1")
+	w.runScript(t, `
 		c1 send a1 batch sahel 20s
 		r1 expect a1 payload written in 250ms done in 19.996s
 		r1 close a1
@@ -34,10 +35,10 @@
 func TestRetryWaitsForAnAcknowledgedCancellationUntilTheDeadline(t *testing.T) {
 	for _, outage := range []string{"1s", "14s", "16s", "18s"} {
 		t.Run(outage, func(t *testing.T) {
-			w := newWorldWithCancellation(t)
-			w.play(t, "wait "+outage)
-			w.announce(0, dispatch.Ready, "r2")
-			w.play(t, `
+			w := newHarnessWithCancellation(t)
+			w.runScript(t, "wait "+outage)
+			w.sendUpdate(0, dispatch.Ready, "r2")
+			w.runScript(t, `
 				wait 1s
 				r2 expect nothing
 				wait 30s
@@ -51,10 +52,10 @@
 
 // Once its worker has acknowledged the cancellation, the job goes on, however late that is.
 func TestRetryGoesOnOnceTheCancellationIsAcknowledged(t *testing.T) {
-	w := newWorldWithCancellation(t)
-	w.play(t, `
+	w := newHarnessWithCancellation(t)
+	w.runScript(t, `
 		wait 17s
 		r1 send acknowledged a1`)
-	w.announce(0, dispatch.Ready, "r2")
-	w.play(t, `r2 expect a1 payload written in 250ms done in 2.996s`)
+	w.sendUpdate(0, dispatch.Ready, "r2")
+	w.runScript(t, `r2 expect a1 payload written in 250ms done in 2.996s`)
 }
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -60,7 +60,7 @@
 	c.inFlight = true
 	c.sends++
 	s.setCancellationTimer(c, s.now+cancellationTimeout)
-	s.emit(CancelAttempt{Attempt: c.attempt.id, ID: c.attempt.request.id, Addr: c.attempt.addr,
+	s.emit(CancelAttempt{Attempt: c.attempt.id, RequestID: c.attempt.request.id, Addr: c.attempt.addr,
 		Deadline: c.timerAt})
 }
 
@@ -75,7 +75,7 @@
 	switch {
 	case c == nil || !c.inFlight:
 	case e.Acknowledged:
-		s.acknowledged(c)
+		s.handleAcknowledgement(c)
 	default:
 		s.retryCancellation(c)
 	}
@@ -111,25 +111,25 @@
 	s.setCancellationTimer(c, s.now+wait)
 }
 
-// acknowledged ends a cancellation. An attempt that was deferred until then is sent, if it still may be.
-func (s *Scheduler) acknowledged(c *cancellation) {
+// handleAcknowledgement ends a cancellation. An attempt that was deferred until then is sent, if it still may be.
+func (s *Scheduler) handleAcknowledgement(c *cancellation) {
 	s.removeCancellation(c)
 	r := c.attempt.request
 	a := r.lastAttempt()
-	if a.deferredUntil == 0 || s.cancelling(r) {
+	if a.deferredUntil == 0 || s.hasOpenCancellation(r) {
 		return
 	}
 	if r.answered || a.worker.Status != dispatch.Ready || s.now >= a.deferredUntil {
 		s.endAttempt(a, dispatch.NotSent, dispatch.Report{})
 		return
 	}
-	writeBy := a.deferredUntil
+	writeDeadline := a.deferredUntil
 	a.deferredUntil = 0
-	s.send(a, writeBy)
+	s.send(a, writeDeadline)
 }
 
-// cancelling tells whether a worker may still hold an earlier attempt of a request.
-func (s *Scheduler) cancelling(r *request) bool {
+// hasOpenCancellation tells whether a worker may still hold an earlier attempt of a request.
+func (s *Scheduler) hasOpenCancellation(r *request) bool {
 	for _, a := range r.attempts {
 		if s.cancellations[a.id] != nil {
 			return true
--- a/internal/scheduler/clone.go
+++ b/internal/scheduler/clone.go
@@ -107,8 +107,8 @@
 	return c.request(a.request).attempts[slices.Index(a.request.attempts, a)]
 }
 
-// InjectFault makes the dispatcher panic at the next event that it gets.
-func (s *Scheduler) InjectFault() { s.dispatcher = nil }
+// InjectPanic makes the dispatcher panic at the next event that it gets.
+func (s *Scheduler) InjectPanic() { s.dispatcher = nil }
 
 // Stats counts the records that are kept for requests, open or answered.
 type Stats struct {
--- a/internal/scheduler/dispatcher.go
+++ b/internal/scheduler/dispatcher.go
@@ -73,7 +73,7 @@
 // here.
 func (s *Scheduler) watchForDispatcher() {
 	if !s.watchOpen {
-		s.emit(OpenWatch{Addr: s.discoveryAddr, Rev: s.revision})
+		s.emit(OpenWatch{Addr: s.discoveryAddr, Revision: s.revision})
 		return
 	}
 	s.queueDispatcherEvent(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDelta,
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -45,14 +45,14 @@
 	s.discoveryAddr, s.revision, s.watchOpen = discovery, 0, false
 	s.epoch++
 	validUntil := s.now + reloadTimeout
-	s.emit(OpenWatch{Addr: s.discoveryAddr, Rev: s.revision, ValidUntil: validUntil})
+	s.emit(OpenWatch{Addr: s.discoveryAddr, Revision: s.revision, ValidUntil: validUntil})
 	s.stepDispatcher(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains,
 		Age: s.ageIfValidUntil(validUntil)})
 }
 
 // ageIfValidUntil is how old the list has to be taken for, if it holds until a time.
-func (s *Scheduler) ageIfValidUntil(until Micros) Micros {
-	return s.now - until + s.settings.Dispatch.MaxStaleness
+func (s *Scheduler) ageIfValidUntil(validUntil Micros) Micros {
+	return s.now - validUntil + s.settings.Dispatch.MaxStaleness
 }
 
 // applyDrains takes the workers that drain or are removed from an update of a discovery that is no
@@ -68,7 +68,7 @@
 		w.pendingUpdate = nil
 		if w.drainingSince == 0 {
 			w.Status, w.version = line.Status, version{epoch: -1} // comparable with none
-			entries = append(entries, s.entry(w))
+			entries = append(entries, s.workerEntry(w))
 			changed = append(changed, w)
 		}
 	}
@@ -82,24 +82,24 @@
 // applyUpdate takes an update of the present discovery, or the list that is known at a start. It
 // holds all that there was to report by a time.
 func (s *Scheduler) applyUpdate(list WorkerList, scope dispatch.UpdateScope, asOf Micros) {
-	at := s.nextVersion(list)
-	s.updates++
+	updateVersion := s.nextVersion(list)
+	s.updateCount++
 	entries := make([]dispatch.WorkerEntry, 0, len(list.Workers))
 	changed := make([]*worker, 0, len(list.Workers)) // of a small update it stays on the stack
 	for _, line := range list.Workers {
 		w := s.workers[line.UID]
 		if w == nil {
-			w = &worker{Worker: line, version: at, number: s.assignNumber(line.UID)}
+			w = &worker{Worker: line, version: updateVersion, number: s.assignNumber(line.UID)}
 			s.workers[line.UID], s.byNumber[w.number] = w, w
 		} else {
-			s.mergeWorker(w, line, at)
+			s.mergeWorker(w, line, updateVersion)
 		}
-		w.lastUpdate = s.updates
-		entries = append(entries, s.entry(w)) // as it now is known
+		w.lastUpdate = s.updateCount
+		entries = append(entries, s.workerEntry(w)) // as it now is known
 		changed = append(changed, w)
 	}
-	for _, w := range s.implicitChanges(list.Complete, at) {
-		entries = append(entries, s.entry(w))
+	for _, w := range s.implicitChanges(list.Complete, updateVersion) {
+		entries = append(entries, s.workerEntry(w))
 		changed = append(changed, w)
 	}
 	s.recordTransitions(changed)
@@ -109,24 +109,24 @@
 
 // nextVersion takes the revision of an update.
 func (s *Scheduler) nextVersion(list WorkerList) version {
-	if list.Complete && list.Rev < s.revision {
+	if list.Complete && list.Revision < s.revision {
 		s.epoch++ // discovery has restarted, or another one answers: its revisions begin anew
 	}
-	s.revision = max(s.revision, list.Rev)
+	s.revision = max(s.revision, list.Revision)
 	if list.Complete {
-		s.revision = list.Rev
+		s.revision = list.Revision
 	}
-	return version{s.epoch, list.Rev}
+	return version{s.epoch, list.Revision}
 }
 
 // implicitChanges changes the workers that an update concerns without naming them, and lists them by
 // UID: a complete list lacks them, or they have a pending update and have been draining for so long
 // that it counts.
-func (s *Scheduler) implicitChanges(complete bool, at version) (changed []*worker) {
+func (s *Scheduler) implicitChanges(complete bool, updateVersion version) (changed []*worker) {
 	if complete {
 		for _, w := range s.workers {
-			if w.lastUpdate != s.updates && (w.Status != dispatch.Removed || w.pendingUpdate != nil) {
-				w.Status, w.version, w.pendingUpdate = dispatch.Removed, at, nil
+			if w.lastUpdate != s.updateCount && (w.Status != dispatch.Removed || w.pendingUpdate != nil) {
+				w.Status, w.version, w.pendingUpdate = dispatch.Removed, updateVersion, nil
 				changed = append(changed, w)
 			}
 		}
--- a/internal/scheduler/endpoints_test.go
+++ b/internal/scheduler/endpoints_test.go
@@ -10,9 +10,9 @@
 // A worker that drains does not become ready again by an update that may be older than the one that
 // drained it.
 func TestStaleUpdateDoesNotRestoreDrainingWorker(t *testing.T) {
-	ready, draining := line("r1", dispatch.Ready), line("r1", dispatch.Draining)
-	removed := line("r1", dispatch.Removed)
-	restarted, other := ready, line("r2", dispatch.Ready)
+	ready, draining := testWorker("r1", dispatch.Ready), testWorker("r1", dispatch.Draining)
+	removed := testWorker("r1", dispatch.Removed)
+	restarted, other := ready, testWorker("r2", dispatch.Ready)
 	restarted.Started = 5 * second
 	update := func(rev int64, complete bool, workers ...Worker) Event {
 		return EndpointsUpdated{List: WorkerList{rev, complete, workers}}
@@ -45,7 +45,7 @@
 		"a drain that comes late": {[]Event{update(9, false, ready), update(8, false, draining)}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newHarness(t)
 			w.scheduler.settings.Dispatch.MaxStaleness = 6 * second
 			w.step(update(7, true, ready, other))
 			for _, e := range c.events {
@@ -69,7 +69,7 @@
 // An update that is delayed by sockets and queues keeps its age, also for the dispatcher that polls
 // whether the watch is alive.
 func TestDelayedUpdateKeepsItsAge(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.step(EndpointsUpdated{AsOf: w.now - second})
 	if w.scheduler.listAsOf != w.now-second {
 		t.Errorf("list as of %d, want %d", w.scheduler.listAsOf, w.now-second)
@@ -84,8 +84,8 @@
 // Two workers at one address, as after a replacement in place: each is added and removed by its own UID.
 func TestTwoWorkersAtOneAddress(t *testing.T) {
 	for _, complete := range []bool{false, true} {
-		w := newWorld(t)
-		r1, r2 := line("r1", dispatch.Ready), line("r2", dispatch.Ready)
+		w := newHarness(t)
+		r1, r2 := testWorker("r1", dispatch.Ready), testWorker("r2", dispatch.Ready)
 		r2.Addr = r1.Addr
 		w.step(EndpointsUpdated{List: WorkerList{2, true, []Worker{r1, r2}}})
 		if r1.Status = dispatch.Removed; complete {
@@ -95,10 +95,10 @@
 			w.now += second
 			w.step(EndpointsUpdated{List: WorkerList{3, false, []Worker{r1}}})
 		}
-		got := w.scheduler.Step(w.now, Submitted{Caller: 9, ID: "a9", Class: "post", Tenant: "sahel",
+		got := w.scheduler.Step(w.now, Submitted{Caller: 9, RequestID: "a9", Class: "post", Tenant: "sahel",
 			Deadline: w.now + 5*second}, nil)
 		i := slices.IndexFunc(got, func(e Effect) bool { _, is := e.(SendAttempt); return is })
-		if i < 0 || got[i].(SendAttempt).UID != "r2" || got[i].(SendAttempt).Addr != r2.Addr {
+		if i < 0 || got[i].(SendAttempt).WorkerUID != "r2" || got[i].(SendAttempt).Addr != r2.Addr {
 			t.Errorf("by a complete list %v: %+v, want a9 sent to r2", complete, got)
 		}
 		status1, status2 := w.scheduler.workers["r1"].Status, w.scheduler.workers["r2"].Status
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -31,7 +31,7 @@
 	// Submitted is a new request.
 	Submitted struct {
 		Caller        CallerID
-		ID            string // the request id that workers use
+		RequestID     string // the request id that workers use
 		Class, Tenant string
 		Deadline      Micros  // the caller waits until then
 		Slots         float64 // that it takes at a worker
@@ -53,11 +53,11 @@
 	AttemptRejected struct{ Attempt AttemptID }
 	// Callback is a worker's callback on a request. It may come early, late, or repeatedly.
 	Callback struct {
-		ID, From string // the request's id, the worker's UID
-		Kind     CallbackKind
-		Progress float64 // with CallbackRunning
-		Result   []byte  // with CallbackDone
-		Report   dispatch.Report
+		RequestID, WorkerUID string // the request's id, the worker's UID
+		Kind                 CallbackKind
+		Progress             float64 // with CallbackRunning
+		Result               []byte  // with CallbackDone
+		Report               dispatch.Report
 	}
 	// CancellationResult is the result of a CancelAttempt.
 	CancellationResult struct {
@@ -111,7 +111,7 @@
 
 // WorkerList is the worker list or a change to it.
 type WorkerList struct {
-	Rev      int64 // discovery's revision
+	Revision int64 // discovery's revision
 	Complete bool  // all workers are listed: one that is missing is removed
 	Workers  []Worker
 }
@@ -131,13 +131,13 @@
 type (
 	// SendAttempt sends an attempt to a worker.
 	SendAttempt struct {
-		Attempt  AttemptID
-		ID       string // the request's
-		UID      string // the worker's
-		Addr     string
-		WriteBy  Micros // its last byte must be out by then, or it is not sent
-		Deadline Micros // the worker may work on it until then
-		Payload  any
+		Attempt       AttemptID
+		RequestID     string // the request's
+		WorkerUID     string // the worker's
+		Addr          string
+		WriteDeadline Micros // its last byte must be out by then, or it is not sent
+		Deadline      Micros // the worker may work on it until then
+		Payload       any
 	}
 	// CloseConnection closes the connection that an attempt, or its cancellation, is on.
 	CloseConnection struct{ Attempt AttemptID }
@@ -148,10 +148,10 @@
 	// follow. If it comes with CloseConnection and no byte of the attempt was ever sent, no worker
 	// need be notified.
 	CancelAttempt struct {
-		Attempt  AttemptID
-		ID       string
-		Addr     string
-		Deadline Micros // no use after that
+		Attempt   AttemptID
+		RequestID string
+		Addr      string
+		Deadline  Micros // no use after that
 	}
 	// Answer is the one answer to a caller.
 	Answer struct {
@@ -165,8 +165,8 @@
 	SetTimer struct{ At Micros }
 	// OpenWatch opens a watch of the worker list. It replaces the one before.
 	OpenWatch struct {
-		Addr string
-		Rev  int64 // ask for what has changed since this revision; 0: for the complete list
+		Addr     string
+		Revision int64 // ask for what has changed since this revision; 0: for the complete list
 		// ValidUntil, unless 0, is until when the known list holds if Addr has not answered by then.
 		ValidUntil Micros
 	}
@@ -177,7 +177,7 @@
 	// CloseIdleClients closes the connections of clients that have nothing submitted.
 	CloseIdleClients struct{}
 	// Shutdown ends the program: no answer is owed any more. Client connections may linger until By.
-	Shutdown struct{ By Micros }
+	Shutdown struct{ Deadline Micros }
 	// Log is a line for the log.
 	Log struct {
 		Warn bool // somebody should look
--- a/internal/scheduler/id_reuse_test.go
+++ b/internal/scheduler/id_reuse_test.go
@@ -9,19 +9,19 @@
 	"dahliaford/internal/scenario"
 )
 
-// announce lists workers of a cell with a status.
-func (w *world) announce(cell int, status dispatch.Status, uids ...string) {
-	list := WorkerList{Rev: w.scheduler.revision + 1}
+// sendUpdate lists workers of a cell with a status.
+func (w *harness) sendUpdate(cell int, status dispatch.Status, uids ...string) {
+	list := WorkerList{Revision: w.scheduler.revision + 1}
 	for _, uid := range uids {
-		entry := line(uid, status)
+		entry := testWorker(uid, status)
 		entry.Cell = cell
 		list.Workers = append(list.Workers, entry)
 	}
 	w.step(EndpointsUpdated{List: list})
 }
 
-// play runs a script of a scenario.
-func (w *world) play(t *testing.T, script string) {
+// runScript runs a script of a scenario.
+func (w *harness) runScript(t *testing.T, script string) {
 	t.Helper()
 	scenario.Run(t, w, script, func(want, got string) string { return cmp.Diff(want, got) })
 }
@@ -35,22 +35,22 @@
 // rejectAttempt took the id off usedIDs without a look at the attempts before the rejected one. The effects
 // seen, every time: "Answer invalid" in place of failed, and "SendAttempt a1 to r3" in place of a conflict.
 func TestIDStaysInUseAfterARejectionBehindAnAttemptThatMayHaveRun(t *testing.T) {
-	w := newWorld(t)
-	w.announce(0, dispatch.Ready, "r1")
-	w.play(t, `
+	w := newHarness(t)
+	w.sendUpdate(0, dispatch.Ready, "r1")
+	w.runScript(t, `
 		c1 send a1 batch sahel 20s
 		r1 expect a1 payload written in 250ms done in 19.996s
 		r1 send accepted a1
 		r1 send started a1`)
-	w.announce(0, dispatch.Ready, "r2")
-	w.play(t, `
+	w.sendUpdate(0, dispatch.Ready, "r2")
+	w.runScript(t, `
 		r1 send aborted a1
 		r2 expect a1 payload written in 250ms done in 19.996s
 		r2 send rejected a1
 		c1 expect failed`)
-	w.announce(1, dispatch.Ready, "r3")
-	w.announce(0, dispatch.Draining, "r1", "r2")
-	w.play(t, `
+	w.sendUpdate(1, dispatch.Ready, "r3")
+	w.sendUpdate(0, dispatch.Draining, "r1", "r2")
+	w.runScript(t, `
 		c2 send a1 batch sahel 20s
 		c2 expect conflict that id has been used
 		r3 expect nothing`)
@@ -64,11 +64,11 @@
 // seen, every time: "SendAttempt a1 to r2" where a conflict is due until 30 s after the first attempt was
 // sent.
 func TestIDStaysInUseUntilItsDedupWindowIsOver(t *testing.T) {
-	for _, later := range []string{"1ms", "20400ms", "29900ms"} {
-		t.Run(later, func(t *testing.T) {
-			w := newWorld(t)
-			w.announce(0, dispatch.Ready, "r1")
-			w.play(t, `
+	for _, delay := range []string{"1ms", "20400ms", "29900ms"} {
+		t.Run(delay, func(t *testing.T) {
+			w := newHarness(t)
+			w.sendUpdate(0, dispatch.Ready, "r1")
+			w.runScript(t, `
 				wait 19900ms
 				discovery send
 				c1 send a1 batch sahel 20s
@@ -78,10 +78,10 @@
 				c1 expect served result
 				wait 110ms
 				discovery send
-				wait `+later)
-			w.announce(1, dispatch.Ready, "r2")
-			w.announce(0, dispatch.Draining, "r1")
-			w.play(t, `
+				wait `+delay)
+			w.sendUpdate(1, dispatch.Ready, "r2")
+			w.sendUpdate(0, dispatch.Draining, "r1")
+			w.runScript(t, `
 				c2 send a1 batch sahel 20s
 				c2 expect conflict that id has been used
 				r2 expect nothing`)
--- a/internal/scheduler/job_bench_test.go
+++ b/internal/scheduler/job_bench_test.go
@@ -20,9 +20,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := WorkerList{Rev: 1, Complete: true}
+	list := WorkerList{Revision: 1, Complete: true}
 	for i := range workers {
-		r := line(fmt.Sprintf("r%d", i), dispatch.Ready)
+		r := testWorker(fmt.Sprintf("r%d", i), dispatch.Ready)
 		if r.Kind = fmt.Sprintf("m%d", i%2); i/2%zones > 0 {
 			r.Zone = fmt.Sprintf("zone%d", i/2%zones)
 		}
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -12,26 +12,26 @@
 // off are returned, too: they may hold answers. It fails if the dispatcher cannot be started.
 func (s *Scheduler) Recover(now Micros) ([]Effect, error) {
 	s.now, s.dispatcherEvents, s.dispatching, s.timerAt = now, nil, false, 0
-	s.failAll()
+	s.failAllRequests()
 	var err error
 	if s.dispatcher, err = dispatch.New(s.settings.Dispatch, s.seed); err != nil {
 		return s.effects, err
 	}
 	s.timers = slices.DeleteFunc(s.timers, s.obsoleteAfterPanic)
 	heap.Init(&s.timers)
-	known := WorkerList{Rev: s.revision, Complete: true}
+	cachedList := WorkerList{Revision: s.revision, Complete: true}
 	for _, w := range sortedValues(s.workers) {
-		known.Workers = append(known.Workers, w.Worker)
+		cachedList.Workers = append(cachedList.Workers, w.Worker)
 	}
 	s.watchOpen = false
-	s.start(known)
+	s.start(cachedList)
 	s.advanceShutdown()
 	s.armTimer()
 	return s.effects, nil
 }
 
-// failAll answers all requests and gives up their attempts, as far as that is allowed.
-func (s *Scheduler) failAll() {
+// failAllRequests answers all requests and gives up their attempts, as far as that is allowed.
+func (s *Scheduler) failAllRequests() {
 	for _, r := range sortedValues(s.byCaller) {
 		s.answer(r, Answer{Verdict: Failed})
 	}
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -46,7 +46,7 @@
 	}
 	if verdict, reason := s.checkSubmission(e, class, tenant); reason != "" {
 		s.emit(Answer{Caller: e.Caller, Verdict: verdict, Body: []byte(reason), FinalForConnection: s.stopping()})
-		s.warn("submission not taken", "txn", e.ID, "why", reason)
+		s.warn("submission not taken", "txn", e.RequestID, "why", reason)
 		return
 	}
 	if s.stopping() {
@@ -54,12 +54,12 @@
 		return
 	}
 	s.lastJob++
-	s.usedIDs.add(e.ID)
+	s.usedIDs.add(e.RequestID)
 	// No class waits longer than its deadline, whatever a client says: the dispatcher gives up by
 	// then, and what is kept for a request must have an end.
 	r := &request{
 		caller:   e.Caller,
-		id:       e.ID,
+		id:       e.RequestID,
 		job:      s.lastJob,
 		payload:  e.Payload,
 		deadline: min(e.Deadline, s.now+s.settings.Dispatch.Classes[class].Deadline),
@@ -78,12 +78,12 @@
 		return Invalid, fmt.Sprintf("unknown class %q", e.Class)
 	case tenant < 0:
 		return Invalid, fmt.Sprintf("unknown tenant %q", e.Tenant)
-	case e.ID == "":
+	case e.RequestID == "":
 		return Invalid, "no request id"
-	case s.byID[e.ID] != nil:
+	case s.byID[e.RequestID] != nil:
 		// Callbacks name a request by its id alone: those of two requests of one id would mix.
 		return Conflict, "a request of that id is open"
-	case s.usedIDs.has(e.ID), s.cancellationsByID[e.ID] > 0:
+	case s.usedIDs.has(e.RequestID), s.cancellationsByID[e.RequestID] > 0:
 		// Each request has an id of its own. Sent on, this one would be a second attempt of the
 		// first, or be turned away, which looks like a failing worker.
 		return Conflict, "that id has been used"
@@ -115,14 +115,14 @@
 	r.answered = true
 	delete(s.byCaller, r.caller)
 	if !r.hasLiveAttempt() {
-		s.release(r)
+		s.removeRequest(r)
 	} else if !s.settings.Dispatch.CancelAllowed { // where it is allowed, the dispatcher cancels it
-		// A deferred attempt is not sent either: acknowledged sees that nobody waits for it.
+		// A deferred attempt is not sent either: handleAcknowledgement sees that nobody waits for it.
 		s.emit(CancelUnsent{Attempt: r.lastAttempt().id})
 	}
 }
 
-func (s *Scheduler) release(r *request) {
+func (s *Scheduler) removeRequest(r *request) {
 	delete(s.byJob, r.job)
 	if s.byID[r.id] == r {
 		delete(s.byID, r.id)
@@ -161,13 +161,13 @@
 func (r *recentIDs) has(id string) bool { return r.current[id] || r.previous[id] }
 
 // rotate forgets ids whose time is over, whether or not others come after them.
-func (r *recentIDs) rotate(now, keep Micros) {
+func (r *recentIDs) rotate(now, retention Micros) {
 	age := now - r.rotatedAt
-	if age <= keep {
+	if age <= retention {
 		return
 	}
 	r.previous, r.current = r.current, nil
-	if age > 2*keep {
+	if age > 2*retention {
 		r.previous = nil
 	}
 	r.rotatedAt = now
--- a/internal/scheduler/scaling_test.go
+++ b/internal/scheduler/scaling_test.go
@@ -21,7 +21,7 @@
 	for range n {
 		now += second / 4
 		id := fmt.Sprint("a", now)
-		out = s.Step(now, Submitted{Caller: CallerID(now), ID: id, Class: "post", Tenant: "sahel",
+		out = s.Step(now, Submitted{Caller: CallerID(now), RequestID: id, Class: "post", Tenant: "sahel",
 			Deadline: now + 5*second}, out[:0])
 		i := slices.IndexFunc(out, func(e Effect) bool { _, is := e.(SendAttempt); return is })
 		if i < 0 {
@@ -29,9 +29,9 @@
 		}
 		r := out[i].(SendAttempt)
 		s.Step(now+1000, AttemptAccepted{Attempt: r.Attempt}, nil)
-		s.Step(now+2000, Callback{ID: id, From: r.UID, Kind: CallbackStarted}, nil)
+		s.Step(now+2000, Callback{RequestID: id, WorkerUID: r.WorkerUID, Kind: CallbackStarted}, nil)
 		s.Step(now+100_000, TimerFired{}, nil)
-		s.Step(now+200_000, Callback{ID: id, From: r.UID, Kind: CallbackDone}, nil)
+		s.Step(now+200_000, Callback{RequestID: id, WorkerUID: r.WorkerUID, Kind: CallbackDone}, nil)
 	}
 }
 
@@ -61,15 +61,16 @@
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	s := newFleet(t, 80, 10)
 	for i := range 200 { // one is replaced a minute
-		old, next := line(fmt.Sprintf("r%d", i), dispatch.Removed), line(fmt.Sprintf("r%d", i+10), dispatch.Ready)
-		change := WorkerList{Rev: int64(i + 2), Workers: []Worker{old, next}}
+		old, next := testWorker(fmt.Sprintf("r%d", i), dispatch.Removed),
+			testWorker(fmt.Sprintf("r%d", i+10), dispatch.Ready)
+		change := WorkerList{Revision: int64(i + 2), Workers: []Worker{old, next}}
 		s.Step(s.now+60*second, EndpointsUpdated{List: change}, nil)
 	}
 	if n := len(s.workers); n > 25 || n < 10 || len(s.byNumber) != n {
 		t.Errorf("%d workers and %d numbers are recorded, 10 are in the list", n, len(s.byNumber))
 	}
 	before := len(s.workers)
-	returned := WorkerList{Rev: 999, Workers: []Worker{line("r0", dispatch.Ready)}}
+	returned := WorkerList{Revision: 999, Workers: []Worker{testWorker("r0", dispatch.Ready)}}
 	s.Step(s.now+second, EndpointsUpdated{List: returned}, nil)
 	if r := s.workers["r0"]; r == nil || r.Status != dispatch.Ready || len(s.workers) != before+1 {
 		t.Errorf("one that came back is %+v", r)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -42,7 +42,7 @@
 	discoveryAddr  string
 	revision       int64
 	epoch          int             // of the revisions, see version
-	updates        uint64          // the number of updates applied
+	updateCount    uint64          // the number of updates applied
 	pendingWorkers []*worker       // all that have a pending update, and perhaps some that had one
 	removedWorkers []removedWorker // in order of time
 	listAsOf       Micros          // all that discovery had to report by then is in the list
@@ -60,9 +60,9 @@
 
 // New returns a scheduler that has not been started: the first event has to be Started. The seed
 // makes the dispatcher's random choices. It fails on settings that dispatch.New rejects.
-func New(set settings.Settings, seed uint64) (*Scheduler, error) {
+func New(config settings.Settings, seed uint64) (*Scheduler, error) {
 	s := &Scheduler{
-		settings:          set,
+		settings:          config,
 		seed:              seed,
 		byCaller:          map[CallerID]*request{},
 		byID:              map[string]*request{},
@@ -72,10 +72,10 @@
 		cancellationsByID: map[string]int{},
 		workers:           map[string]*worker{},
 		byNumber:          map[dispatch.WorkerID]*worker{},
-		zones:             slices.Clone(set.Zones),
-		kinds:             slices.Clone(set.Kinds),
+		zones:             slices.Clone(config.Zones),
+		kinds:             slices.Clone(config.Kinds),
 	}
-	for _, class := range set.Dispatch.Classes {
+	for _, class := range config.Dispatch.Classes {
 		s.maxDeadline = max(s.maxDeadline, class.Deadline)
 		s.idRetention = max(s.idRetention, idRetention(&class))
 	}
@@ -136,10 +136,10 @@
 
 // start starts the dispatcher. It asks for a watch before it gets the known list, so the revision
 // must be set first: from 0 on, discovery would send everything.
-func (s *Scheduler) start(known WorkerList) {
-	s.revision = max(s.revision, known.Rev)
+func (s *Scheduler) start(cachedList WorkerList) {
+	s.revision = max(s.revision, cachedList.Revision)
 	s.stepDispatcher(dispatch.Event{Kind: dispatch.Started})
-	s.applyUpdate(known, dispatch.UpdateCached, s.now)
+	s.applyUpdate(cachedList, dispatch.UpdateCached, s.now)
 }
 
 func (s *Scheduler) emit(e Effect) { s.effects = append(s.effects, e) }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -24,17 +24,17 @@
 	"guarantees":{"cold":8000000,"cold_from":0.3,"fall":2000000,"overload_factor":4,"ask_within":10000000,
 	 "drain_grace":500000}}`
 
-// world runs a scheduler on a clock of its own. Effects become lines, queued for the actor that they
+// harness runs a scheduler on a clock of its own. Effects become lines, queued for the actor that they
 // reach.
-type world struct {
-	scheduler *Scheduler
-	now       Micros
-	timerAt   Micros
-	exitBy    Micros // what the Shutdown effect allows; 0: there has been none
-	seen      map[string][]string
-	attempts  map[string]AttemptID // the last one, by request id
-	workers   map[AttemptID]string // where it went
-	callers   map[CallerID]string  // names
+type harness struct {
+	scheduler       *Scheduler
+	now             Micros
+	timerAt         Micros
+	exitDeadline    Micros // what the Shutdown effect allows; 0: there has been none
+	output          map[string][]string
+	latestAttempt   map[string]AttemptID // the last one, by request id
+	workerOfAttempt map[AttemptID]string // where it went
+	callerNames     map[CallerID]string  // names
 }
 
 func parseSettings(t *testing.T, text string) settings.Settings {
@@ -46,60 +46,63 @@
 	return set
 }
 
-func newWorld(t *testing.T) *world {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	return newWorldOf(t, parseSettings(t, testSettings))
+	return newHarnessWithSettings(t, parseSettings(t, testSettings))
 }
 
-// newWorldOf is a world with settings of its own.
-func newWorldOf(t *testing.T, set settings.Settings) *world {
+// newHarnessWithSettings is a world with settings of its own.
+func newHarnessWithSettings(t *testing.T, set settings.Settings) *harness {
 	t.Helper()
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{scheduler: s, now: 1000 * second, seen: map[string][]string{}, attempts: map[string]AttemptID{},
-		workers: map[AttemptID]string{}, callers: map[CallerID]string{}}
-	known := WorkerList{Rev: 1, Complete: true, Workers: []Worker{line("r1", 1)}}
+	w := &harness{scheduler: s, now: 1000 * second, output: map[string][]string{},
+		latestAttempt: map[string]AttemptID{}, workerOfAttempt: map[AttemptID]string{},
+		callerNames: map[CallerID]string{}}
+	known := WorkerList{Revision: 1, Complete: true, Workers: []Worker{testWorker("r1", 1)}}
 	w.step(Started{Discovery: "d1", CachedList: known})
 	return w
 }
 
-func line(uid string, status dispatch.Status) Worker {
+func testWorker(uid string, status dispatch.Status) Worker {
 	return Worker{UID: uid, Addr: uid, Zone: "north", Kind: "m1", Status: status}
 }
 
-func (w *world) step(e Event) { w.record(w.scheduler.Step(w.now, e, nil)) }
+func (w *harness) step(e Event) { w.record(w.scheduler.Step(w.now, e, nil)) }
 
-func (w *world) record(effects []Effect) {
-	say := func(who, format string, args ...any) {
-		w.seen[who] = append(w.seen[who], strings.TrimSpace(fmt.Sprintf(format, args...)))
+func (w *harness) record(effects []Effect) {
+	appendLine := func(who, format string, args ...any) {
+		w.output[who] = append(w.output[who], strings.TrimSpace(fmt.Sprintf(format, args...)))
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
 		case SendAttempt:
-			w.attempts[e.ID], w.workers[e.Attempt] = e.Attempt, e.UID
-			say(e.UID, "%s %v written in %v done in %v", e.ID, e.Payload, w.until(e.WriteBy), w.until(e.Deadline))
+			w.latestAttempt[e.RequestID], w.workerOfAttempt[e.Attempt] = e.Attempt, e.WorkerUID
+			appendLine(e.WorkerUID, "%s %v written in %v done in %v", e.RequestID, e.Payload,
+				w.timeUntil(e.WriteDeadline), w.timeUntil(e.Deadline))
 		case CloseConnection:
-			say(w.workers[e.Attempt], "connection closed")
+			appendLine(w.workerOfAttempt[e.Attempt], "connection closed")
 		case CancelAttempt:
-			say(e.Addr, "cancel %s", e.ID)
+			appendLine(e.Addr, "cancel %s", e.RequestID)
 		case Answer:
 			verdict := [...]string{"served", "refused", "failed", "invalid", "conflict"}[e.Verdict]
 			last := map[bool]string{true: "last"}[e.FinalForConnection]
-			say(w.callers[e.Caller], "%s%s%s", verdict, spaced(string(e.Body)), spaced(last))
+			appendLine(w.callerNames[e.Caller], "%s%s%s", verdict, withLeadingSpace(string(e.Body)),
+				withLeadingSpace(last))
 		case OpenWatch:
-			say("discovery", "watch %s from %d", e.Addr, e.Rev)
+			appendLine("discovery", "watch %s from %d", e.Addr, e.Revision)
 		case StopUsingWorker:
-			say(e.Addr, "stop using")
+			appendLine(e.Addr, "stop using")
 		case Shutdown:
-			w.exitBy = e.By
-			say("program", "%T", e)
+			w.exitDeadline = e.Deadline
+			appendLine("program", "%T", e)
 		case CloseIdleClients:
-			say("program", "%T", e)
+			appendLine("program", "%T", e)
 		case Log:
 			if e.Warn {
-				say("log", "%s", e.Text)
+				appendLine("log", "%s", e.Text)
 			}
 		case SetTimer:
 			w.timerAt = e.At
@@ -107,16 +110,18 @@
 	}
 }
 
-func spaced(text string) string {
+func withLeadingSpace(text string) string {
 	if text == "" {
 		return ""
 	}
 	return " " + text
 }
 
-func (w *world) until(at Micros) time.Duration { return time.Duration(at-w.now) * time.Microsecond }
+func (w *harness) timeUntil(at Micros) time.Duration {
+	return time.Duration(at-w.now) * time.Microsecond
+}
 
-func (w *world) Wait(text string) error {
+func (w *harness) Wait(text string) error {
 	span, err := time.ParseDuration(text)
 	for end := w.now + Micros(span.Microseconds()); ; {
 		if w.timerAt == 0 || w.timerAt > end {
@@ -128,19 +133,19 @@
 	}
 }
 
-func (w *world) Actor(name string) scenario.Actor { return actor{w, name} }
+func (w *harness) Actor(name string) scenario.Actor { return actor{w, name} }
 
 type actor struct {
-	*world
+	*harness
 	name string
 }
 
 func (a actor) Expect(string) (string, error) {
-	queue := a.seen[a.name]
+	queue := a.output[a.name]
 	if len(queue) == 0 {
 		return "nothing", nil
 	}
-	a.seen[a.name] = queue[1:]
+	a.output[a.name] = queue[1:]
 	return queue[0], nil
 }
 
@@ -149,9 +154,9 @@
 	case a.name == "discovery":
 		a.step(WatchClosed{})
 	case a.name[0] == 'r': // the connection broke after the request was sent
-		a.step(AttemptEnded{Attempt: a.attempts[text], Outcome: dispatch.Reset})
+		a.step(AttemptEnded{Attempt: a.latestAttempt[text], Outcome: dispatch.Reset})
 	default:
-		for caller, name := range a.callers {
+		for caller, name := range a.callerNames {
 			if name == a.name {
 				a.step(ClientDisconnected{Caller: caller})
 			}
@@ -173,19 +178,19 @@
 	case a.name == "discovery" && strings.HasPrefix(text, "reload "):
 		a.step(Reloaded{Discovery: fields[1]})
 	case a.name == "discovery":
-		list := WorkerList{Rev: 2}
+		list := WorkerList{Revision: 2}
 		for _, field := range fields {
 			uid, state, _ := strings.Cut(field, "=")
-			list.Workers = append(list.Workers, line(uid, statuses[state]))
+			list.Workers = append(list.Workers, testWorker(uid, statuses[state]))
 		}
 		a.step(EndpointsUpdated{List: list})
 	case a.name[0] == 'r':
 		a.workerEvent(fields[0], fields[1])
 	default:
-		caller := CallerID(len(a.callers) + 1)
-		a.callers[caller] = a.name
+		caller := CallerID(len(a.callerNames) + 1)
+		a.callerNames[caller] = a.name
 		patience, err := time.ParseDuration(fields[3])
-		a.step(Submitted{Caller: caller, ID: fields[0], Class: fields[1], Tenant: fields[2],
+		a.step(Submitted{Caller: caller, RequestID: fields[0], Class: fields[1], Tenant: fields[2],
 			Deadline: a.now + Micros(patience.Microseconds()), Slots: 1, Payload: "payload"})
 		return err
 	}
@@ -217,23 +222,23 @@
 
 func (a actor) workerEvent(name, id string) {
 	if outcome, ok := outcomes[name]; ok {
-		a.step(AttemptEnded{Attempt: a.attempts[id], Outcome: outcome})
+		a.step(AttemptEnded{Attempt: a.latestAttempt[id], Outcome: outcome})
 		return
 	}
 	switch name {
 	case "rejected":
-		a.step(AttemptRejected{Attempt: a.attempts[id]})
+		a.step(AttemptRejected{Attempt: a.latestAttempt[id]})
 	case "acknowledged", "unacknowledged":
-		a.step(CancellationResult{Attempt: a.attempts[id], Acknowledged: name == "acknowledged"})
+		a.step(CancellationResult{Attempt: a.latestAttempt[id], Acknowledged: name == "acknowledged"})
 	case "accepted":
-		a.step(AttemptAccepted{Attempt: a.attempts[id]})
+		a.step(AttemptAccepted{Attempt: a.latestAttempt[id]})
 	default:
-		a.step(Callback{ID: id, From: a.name, Kind: callbackKinds[name], Result: []byte("result")})
+		a.step(Callback{RequestID: id, WorkerUID: a.name, Kind: callbackKinds[name], Result: []byte("result")})
 	}
 }
 
 func TestScenarios(t *testing.T) {
-	const submit, begun = `
+	const submit, started = `
 		c1 send a1 post sahel 5s
 		r1 expect a1 payload written in 250ms done in 4.996s`, `
 		r1 send accepted a1
@@ -244,7 +249,7 @@
 		discovery send r2=ready`
 	const retried = "\nr2 expect a1 payload written in 250ms done in 19.996s"
 	for name, script := range map[string]string{
-		"a request is served once": submit + begun + `
+		"a request is served once": submit + started + `
 			r1 send done a1
 			c1 expect served result
 			r1 send done a1
@@ -257,12 +262,12 @@
 			r1 send accepted a1
 			r1 expect connection closed
 			r1 expect nothing`,
-		"callbacks count only from the worker that has the attempt": submit + begun + `
+		"callbacks count only from the worker that has the attempt": submit + started + `
 			r9 send done a1
 			c1 expect nothing
 			r1 send done a1
 			c1 expect served result`,
-		"a connection that ends after the acceptance ends nothing": submit + begun + `
+		"a connection that ends after the acceptance ends nothing": submit + started + `
 			r1 close a1
 			c1 expect nothing
 			r1 send done a1
@@ -273,7 +278,7 @@
 		"an error may have run: no refusal": submit + `
 			r1 send error a1
 			c1 expect failed`,
-		"an aborted job may have run": submit + begun + `
+		"an aborted job may have run": submit + started + `
 			r1 send aborted a1
 			c1 expect failed`,
 		"a job that never ran goes to another worker, without an answer to its caller": batch + `
@@ -301,7 +306,7 @@
 			r1 send acknowledged a1
 			wait 5s
 			r1 expect nothing`,
-		"a cancellation that fails is retried, and not for ever": submit + begun + `
+		"a cancellation that fails is retried, and not for ever": submit + started + `
 			c1 close
 			r1 expect cancel a1
 			r1 send unacknowledged a1
@@ -334,7 +339,7 @@
 			wait 260ms
 			r1 send acknowledged a1
 			r2 expect a1 payload written in 240ms done in 19.736s`,
-		"a shutdown cancels first, and waits 2s for that at most": submit + begun + `
+		"a shutdown cancels first, and waits 2s for that at most": submit + started + `
 			program send stop
 			c1 close
 			r1 expect cancel a1
@@ -343,7 +348,7 @@
 			program expect nothing
 			wait 3s
 			program expect scheduler.Shutdown`,
-		"a caller that disconnects after the acceptance": submit + begun + `
+		"a caller that disconnects after the acceptance": submit + started + `
 			c1 close
 			r1 expect cancel a1
 			r1 send done a1
@@ -353,7 +358,7 @@
 			c1 close
 			r1 expect connection closed
 			r1 expect cancel a1`,
-		"a worker that reports nothing": submit + begun + `
+		"a worker that reports nothing": submit + started + `
 			wait 4.9s
 			c1 expect nothing
 			wait 97ms
@@ -366,7 +371,7 @@
 			c2 expect conflict a request of that id is open
 			r1 send done a1
 			c1 expect served result`,
-		"an id is not taken again once its request is over": submit + begun + `
+		"an id is not taken again once its request is over": submit + started + `
 			r1 send done a1
 			c1 expect served result
 			c2 send a1 batch sahel 20s
@@ -424,7 +429,7 @@
 			discovery send
 			wait 60s
 			discovery expect nothing`,
-		"a reload asks another discovery for the complete list at once, and retries": submit + begun + `
+		"a reload asks another discovery for the complete list at once, and retries": submit + started + `
 			discovery expect watch d1 from 1
 			discovery send r2=ready
 			discovery send reload d2
@@ -437,7 +442,7 @@
 			discovery expect watch d3 from 0
 			r1 send done a1
 			c1 expect served result`,
-		"a stopping scheduler goes on serving, then refuses, and ends with the last answer": submit + begun + `
+		"a stopping scheduler goes on serving, then refuses, and ends with the last answer": submit + started + `
 			program send stop
 			wait 500ms
 			c2 send a2 batch sahel 20s
@@ -452,7 +457,7 @@
 			c2 close
 			r1 send acknowledged a2
 			program expect scheduler.Shutdown`,
-		"a panic leaves no request without an answer, and the next is served": submit + begun + `
+		"a panic leaves no request without an answer, and the next is served": submit + started + `
 			program send panic
 			c1 expect failed
 			r1 expect cancel a1
@@ -462,7 +467,7 @@
 			c2 expect served result`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			scenario.Run(t, newWorld(t), script, func(want, got string) string { return cmp.Diff(want, got) })
+			scenario.Run(t, newHarness(t), script, func(want, got string) string { return cmp.Diff(want, got) })
 		})
 	}
 }
@@ -472,7 +477,7 @@
 func TestHedgedAttemptsAreNotRequested(t *testing.T) {
 	text := strings.Replace(testSettings, `"cancel":true`, `"cancel":true,"may_duplicate":true`, 1)
 	set := parseSettings(t, text)
-	scenario.Run(t, newWorldOf(t, set), `
+	scenario.Run(t, newHarnessWithSettings(t, set), `
 		discovery send r1=ready r2=ready
 		c1 send a1 batch sahel 20s
 		r1 expect a1 payload written in 250ms done in 19.996s
@@ -494,7 +499,7 @@
 			for i := range set.Dispatch.Classes {
 				set.Dispatch.Classes[i].Deadline = Micros(longest.Microseconds())
 			}
-			w := newWorldOf(t, set)
+			w := newHarnessWithSettings(t, set)
 			kill := w.now + Micros(min(longest, 3*time.Second).Microseconds()) + killGrace
 			scenario.Run(t, w, `
 				discovery send
@@ -502,13 +507,13 @@
 				r1 send accepted a1
 				program send stop
 				c1 close`, nil) // its cancellation is never acknowledged
-			for w.exitBy == 0 && w.now < kill {
+			for w.exitDeadline == 0 && w.now < kill {
 				if err := w.Wait("10ms"); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if w.exitBy == 0 || w.now >= kill || w.exitBy >= kill {
-				t.Errorf("exit asked for by %v, at %v, with the kill at %v", w.exitBy, w.now, kill)
+			if w.exitDeadline == 0 || w.now >= kill || w.exitDeadline >= kill {
+				t.Errorf("exit asked for by %v, at %v, with the kill at %v", w.exitDeadline, w.now, kill)
 			}
 		})
 	}
@@ -516,12 +521,12 @@
 
 // A dispatcher that never decides must not cost the caller its answer.
 func TestDeadlineHoldsWithoutDecision(t *testing.T) {
-	w := newWorld(t)
-	w.step(EndpointsUpdated{List: WorkerList{Workers: []Worker{line("r1", 2)}}})
-	w.callers[7] = "c1"
-	late := &request{caller: 7, id: "x", job: 99, deadline: w.now + second}
-	w.scheduler.byCaller[7], w.scheduler.byID["x"], w.scheduler.byJob[99] = late, late, late
-	w.scheduler.addTimer(timer{at: late.deadline, kind: requestDeadline, id: 7})
+	w := newHarness(t)
+	w.step(EndpointsUpdated{List: WorkerList{Workers: []Worker{testWorker("r1", 2)}}})
+	w.callerNames[7] = "c1"
+	undecided := &request{caller: 7, id: "x", job: 99, deadline: w.now + second}
+	w.scheduler.byCaller[7], w.scheduler.byID["x"], w.scheduler.byJob[99] = undecided, undecided, undecided
+	w.scheduler.addTimer(timer{at: undecided.deadline, kind: requestDeadline, id: 7})
 	w.step(EndpointsUpdated{})
 	scenario.Run(t, w, "wait 1s\nc1 expect failed", func(want, got string) string { return cmp.Diff(want, got) })
 }
@@ -529,9 +534,11 @@
 // Schedulers share no state, yet must give a worker the same number, in whatever order they learned of
 // the workers: the dispatcher computes the owner of a worker in slow start by it.
 func TestWorkerNumberDependsOnUIDOnly(t *testing.T) {
-	a, b := newWorld(t).scheduler, newWorld(t).scheduler
-	a.applyUpdate(WorkerList{Workers: []Worker{line("s-1", 1), line("s-2", 1)}}, dispatch.UpdateDelta, 1)
-	b.applyUpdate(WorkerList{Workers: []Worker{line("s-2", 1), line("s-1", 1)}}, dispatch.UpdateDelta, 1)
+	a, b := newHarness(t).scheduler, newHarness(t).scheduler
+	a.applyUpdate(WorkerList{Workers: []Worker{testWorker("s-1", 1), testWorker("s-2", 1)}},
+		dispatch.UpdateDelta, 1)
+	b.applyUpdate(WorkerList{Workers: []Worker{testWorker("s-2", 1), testWorker("s-1", 1)}},
+		dispatch.UpdateDelta, 1)
 	for _, uid := range []string{"s-1", "s-2"} {
 		if diff := cmp.Diff(a.workers[uid].number, b.workers[uid].number); diff != "" {
 			t.Errorf("%s: %s", uid, diff)
@@ -573,7 +580,8 @@
 			r2 expect nothing`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorldOf(t, parseSettings(t, strings.Replace(testSettings, `"memory_span":30000000`, short, 1)))
+			w := newHarnessWithSettings(t, parseSettings(t,
+				strings.Replace(testSettings, `"memory_span":30000000`, short, 1)))
 			scenario.Run(t, w, `
 				c1 send a1 batch sahel 20s
 				r1 expect a1 payload written in 250ms done in 19.996s
--- a/internal/scheduler/shutdown.go
+++ b/internal/scheduler/shutdown.go
@@ -55,15 +55,15 @@
 		s.log("no new requests from now on", "open", len(s.byCaller))
 	}
 	if s.now >= s.answerBy {
-		s.answerAll()
+		s.answerAllRequests()
 	}
 	if len(s.byCaller) == 0 && (len(s.cancellations) == 0 || s.now >= s.cancellationDrainEnd()) {
-		s.emit(Shutdown{By: s.answerBy + lingerTimeout})
+		s.emit(Shutdown{Deadline: s.answerBy + lingerTimeout})
 	}
 }
 
-// answerAll answers all who still wait.
-func (s *Scheduler) answerAll() {
+// answerAllRequests answers all who still wait.
+func (s *Scheduler) answerAllRequests() {
 	for _, r := range sortedValues(s.byCaller) {
 		verdict := Failed
 		if len(r.attempts) == 0 {
--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -16,9 +16,9 @@
 
 const slopeSchedulers = 300
 
-// processorMicros is the processor time of this process, in microseconds: on a shared machine it says
+// cpuMicros is the processor time of this process, in microseconds: on a shared machine it says
 // more than the wall's.
-func processorMicros(tb testing.TB) float64 {
+func cpuMicros(tb testing.TB) float64 {
 	tb.Helper()
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
@@ -38,14 +38,14 @@
 
 // slopeList is a complete list in 14 zones, and slopeLine one entry of it.
 func slopeList(workers int) WorkerList {
-	list := WorkerList{Rev: 1, Complete: true}
+	list := WorkerList{Revision: 1, Complete: true}
 	for i := range workers {
-		list.Workers = append(list.Workers, slopeLine(i, dispatch.Ready))
+		list.Workers = append(list.Workers, slopeWorker(i, dispatch.Ready))
 	}
 	return list
 }
 
-func slopeLine(i int, status dispatch.Status) Worker {
+func slopeWorker(i int, status dispatch.Status) Worker {
 	return Worker{UID: fmt.Sprintf("worker-%05d", i), Zone: fmt.Sprint("zone-", i%slopeZones),
 		Addr: fmt.Sprintf("10.%d.%d.%d:8443", i>>16, i>>8&255, i&255),
 		Kind: fmt.Sprint("m", i/slopeZones%4), Cell: i / 40, Status: status}
@@ -53,8 +53,8 @@
 
 const slopeZones = 14
 
-// slopeStart starts a scheduler of one zone with a known list.
-func slopeStart(tb testing.TB, schedulers int, list WorkerList) *Scheduler {
+// newSlopeScheduler starts a scheduler of one zone with a known list.
+func newSlopeScheduler(tb testing.TB, schedulers int, list WorkerList) *Scheduler {
 	tb.Helper()
 	set, err := settings.Parse([]byte(testSettings))
 	if err != nil {
@@ -76,10 +76,10 @@
 	return s
 }
 
-// slope runs one benchmark for each size; run is timed by the processor time that it takes.
-func slope(b *testing.B, sizes []int, what string, run func(b *testing.B, n int) (perOp float64)) {
+// runForSizes runs one benchmark for each size; run is timed by the processor time that it takes.
+func runForSizes(b *testing.B, sizes []int, unit string, run func(b *testing.B, n int) (perOp float64)) {
 	for _, n := range sizes {
-		b.Run(fmt.Sprintf("%d %s", n, what), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d %s", n, unit), func(b *testing.B) {
 			us := run(b, n)
 			b.ReportMetric(0, "ns/op")
 			b.ReportMetric(us, "cpu-us/op")
@@ -89,32 +89,32 @@
 
 // BenchmarkSlopeUpdate is one changed entry an update.
 func BenchmarkSlopeUpdate(b *testing.B) {
-	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
-		s := slopeStart(b, slopeSchedulers, slopeList(n))
+	runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+		s := newSlopeScheduler(b, slopeSchedulers, slopeList(n))
 		list, out := WorkerList{Workers: make([]Worker, 1)}, []Effect(nil)
-		before := processorMicros(b)
+		before := cpuMicros(b)
 		for i := range b.N {
-			list.Rev = int64(i) + 2
-			list.Workers[0] = slopeLine(i/2*7919%n, []dispatch.Status{dispatch.Draining, dispatch.Ready}[i%2])
+			list.Revision = int64(i) + 2
+			list.Workers[0] = slopeWorker(i/2*7919%n, []dispatch.Status{dispatch.Draining, dispatch.Ready}[i%2])
 			out = s.Step(s.now+second, EndpointsUpdated{List: list}, out[:0])
 		}
-		return (processorMicros(b) - before) / float64(b.N)
+		return (cpuMicros(b) - before) / float64(b.N)
 	})
 }
 
 // BenchmarkSlopeStart is a start with a complete list, and the heap that a scheduler then uses.
 func BenchmarkSlopeStart(b *testing.B) {
-	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+	runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 		list := slopeList(n)
 		empty := heapBytes()
-		s := slopeStart(b, slopeSchedulers, list)
+		s := newSlopeScheduler(b, slopeSchedulers, list)
 		b.ReportMetric(heapBytes()-empty, "heap-bytes")
 		runtime.KeepAlive(s)
-		before := processorMicros(b)
+		before := cpuMicros(b)
 		for range b.N {
-			slopeStart(b, slopeSchedulers, list)
+			newSlopeScheduler(b, slopeSchedulers, list)
 		}
-		us := (processorMicros(b) - before) / float64(b.N)
+		us := (cpuMicros(b) - before) / float64(b.N)
 		runtime.KeepAlive(list)
 		return us
 	})
@@ -122,47 +122,47 @@
 
 // BenchmarkSlopeFullList is a complete list that equals the known one but for one entry.
 func BenchmarkSlopeFullList(b *testing.B) {
-	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
-		s, list, out := slopeStart(b, slopeSchedulers, slopeList(n)), slopeList(n), []Effect(nil)
-		before := processorMicros(b)
+	runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+		s, list, out := newSlopeScheduler(b, slopeSchedulers, slopeList(n)), slopeList(n), []Effect(nil)
+		before := cpuMicros(b)
 		for i := range b.N {
-			list.Rev = int64(i) + 2
+			list.Revision = int64(i) + 2
 			list.Workers[i/2%n].Status = []dispatch.Status{dispatch.Draining, dispatch.Ready}[i%2]
 			out = s.Step(s.now+second, EndpointsUpdated{List: list}, out[:0])
 		}
-		return (processorMicros(b) - before) / float64(b.N)
+		return (cpuMicros(b) - before) / float64(b.N)
 	})
 }
 
 // BenchmarkSlopeZone is a zone that is removed, each of its workers by an update of its own.
 func BenchmarkSlopeZone(b *testing.B) {
-	slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+	runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 		list, out, micros := slopeList(n), []Effect(nil), 0.0
 		for range b.N {
-			s := slopeStart(b, slopeSchedulers, list)
-			before := processorMicros(b)
+			s := newSlopeScheduler(b, slopeSchedulers, list)
+			before := cpuMicros(b)
 			for i := 0; i < n; i += slopeZones {
-				update := WorkerList{Rev: int64(i) + 2, Workers: []Worker{slopeLine(i, dispatch.Removed)}}
+				update := WorkerList{Revision: int64(i) + 2, Workers: []Worker{slopeWorker(i, dispatch.Removed)}}
 				out = s.Step(s.now+1000, EndpointsUpdated{List: update}, out[:0])
 			}
-			micros += processorMicros(b) - before
+			micros += cpuMicros(b) - before
 		}
 		return micros / float64(b.N)
 	})
 }
 
-// slopeOpen submits n requests that run at workers without an end, at a scheduler of 300.
-func slopeOpen(tb testing.TB, s *Scheduler, from, n int) {
+// startRequests submits n requests that run at workers without an end, at a scheduler of 300.
+func startRequests(tb testing.TB, s *Scheduler, from, n int) {
 	tb.Helper()
 	var out []Effect
 	for i := range n {
 		id := fmt.Sprintf("%016x", from+i)
-		out = s.Step(s.now+1000, Submitted{Caller: CallerID(from + i + 1), ID: id, Class: "batch", Tenant: "sahel",
-			Deadline: s.now + 3600*second}, out[:0])
+		out = s.Step(s.now+1000, Submitted{Caller: CallerID(from + i + 1), RequestID: id, Class: "batch",
+			Tenant: "sahel", Deadline: s.now + 3600*second}, out[:0])
 		for _, e := range out {
 			if r, is := e.(SendAttempt); is {
 				s.Step(s.now, AttemptAccepted{Attempt: r.Attempt}, nil)
-				s.Step(s.now, Callback{ID: r.ID, From: r.UID, Kind: CallbackStarted}, nil)
+				s.Step(s.now, Callback{RequestID: r.RequestID, WorkerUID: r.WorkerUID, Kind: CallbackStarted}, nil)
 			}
 		}
 	}
@@ -172,17 +172,17 @@
 // it uses for each.
 func BenchmarkSlopeOpen(b *testing.B) {
 	const more = 100
-	slope(b, []int{50, 100, 200, 400, 800, 1600}, "open", func(b *testing.B, n int) float64 {
+	runForSizes(b, []int{50, 100, 200, 400, 800, 1600}, "open", func(b *testing.B, n int) float64 {
 		list, micros, heapBytesUsed := slopeList(7200), 0.0, 0.0
 		for range b.N {
-			s := slopeStart(b, slopeSchedulers, list)
-			slopeOpen(b, s, 0, 20) // maps that grow by doubling have begun to
+			s := newSlopeScheduler(b, slopeSchedulers, list)
+			startRequests(b, s, 0, 20) // maps that grow by doubling have begun to
 			empty := heapBytes()
-			slopeOpen(b, s, 20, n)
+			startRequests(b, s, 20, n)
 			heapBytesUsed += heapBytes() - empty
-			before := processorMicros(b)
-			slopeOpen(b, s, 20+n, more)
-			micros += processorMicros(b) - before
+			before := cpuMicros(b)
+			startRequests(b, s, 20+n, more)
+			micros += cpuMicros(b) - before
 			if s.PendingRequests() != 20+n+more {
 				b.Fatalf("%d open, want %d", s.PendingRequests(), 20+n+more)
 			}
@@ -196,13 +196,13 @@
 func BenchmarkSlopeJob(b *testing.B) {
 	for _, schedulers := range []int{336, 17} {
 		b.Run(fmt.Sprint(schedulers, " schedulers"), func(b *testing.B) {
-			slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
-				s := slopeStart(b, schedulers, slopeList(n))
-				slopeOpen(b, s, 0, 240)
+			runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+				s := newSlopeScheduler(b, schedulers, slopeList(n))
+				startRequests(b, s, 0, 240)
 				runJobs(b, s, 20)
-				before := processorMicros(b)
+				before := cpuMicros(b)
 				runJobs(b, s, b.N)
-				return (processorMicros(b) - before) / float64(b.N)
+				return (cpuMicros(b) - before) / float64(b.N)
 			})
 		})
 	}
@@ -211,22 +211,22 @@
 // steadyLoad is a scheduler at peak load: a job arrives each 54 ms and runs for 13 s, so 241 run at once.
 // Timers fire when they were asked for.
 type steadyLoad struct {
-	s           *Scheduler
+	scheduler   *Scheduler
 	timerAt     Micros
 	running     []Callback // the callbacks that will end them, the oldest first
-	n           int
+	submitted   int
 	timersFired int
 	refused     int
 	out         []Effect
 }
 
 const (
-	steadyEvery   = 54 * second / 1000
-	steadyRunning = 241
+	steadyInterval    = 54 * second / 1000
+	steadyRunningJobs = 241
 )
 
 func (w *steadyLoad) step(now Micros, e Event) {
-	w.out = w.s.Step(now, e, w.out[:0])
+	w.out = w.scheduler.Step(now, e, w.out[:0])
 	sent := []SendAttempt(nil)
 	for _, e := range w.out {
 		switch e := e.(type) {
@@ -242,15 +242,16 @@
 	}
 	for _, r := range sent {
 		w.step(now+300, AttemptAccepted{Attempt: r.Attempt})
-		w.step(now+500, Callback{ID: r.ID, From: r.UID, Kind: CallbackStarted})
-		w.running = append(w.running, Callback{ID: r.ID, From: r.UID, Kind: CallbackDone})
+		w.step(now+500, Callback{RequestID: r.RequestID, WorkerUID: r.WorkerUID, Kind: CallbackStarted})
+		w.running = append(w.running, Callback{RequestID: r.RequestID, WorkerUID: r.WorkerUID, Kind: CallbackDone})
 	}
 }
 
-// pass lets the time of one job pass.
-func (w *steadyLoad) pass() {
-	now := w.s.now
-	for next := now + steadyEvery; ; {
+// runInterval advances the clock to the next arrival, fires the timers due until then, submits one job, and
+// ends the job that has run longest once more than steadyRunningJobs run.
+func (w *steadyLoad) runInterval() {
+	now := w.scheduler.now
+	for next := now + steadyInterval; ; {
 		if w.timerAt == 0 || w.timerAt > next {
 			now = next
 			break
@@ -260,10 +261,10 @@
 		w.timersFired++
 		w.step(at, TimerFired{})
 	}
-	w.n++
-	w.step(now, Submitted{Caller: CallerID(w.n), ID: fmt.Sprintf("%016x", w.n), Class: "batch", Tenant: "sahel",
-		Deadline: now + 20*second})
-	if len(w.running) > steadyRunning {
+	w.submitted++
+	w.step(now, Submitted{Caller: CallerID(w.submitted), RequestID: fmt.Sprintf("%016x", w.submitted),
+		Class: "batch", Tenant: "sahel", Deadline: now + 20*second})
+	if len(w.running) > steadyRunningJobs {
 		w.step(now+1000, w.running[0])
 		w.running = w.running[1:]
 	}
@@ -272,16 +273,17 @@
 // BenchmarkSlopeSteady is a job at peak load with all its events and timers, at one scheduler alone, and at
 // 24 in turn, as on a machine that they share: each finds the processor's caches cold.
 func BenchmarkSlopeSteady(b *testing.B) {
-	for _, beside := range []int{1, 24} {
-		b.Run(fmt.Sprint(beside, " in turn"), func(b *testing.B) {
-			slope(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
+	for _, schedulers := range []int{1, 24} {
+		b.Run(fmt.Sprint(schedulers, " in turn"), func(b *testing.B) {
+			runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 				all, list := []*steadyLoad(nil), slopeList(n)
-				for range beside {
-					w := &steadyLoad{s: slopeStart(b, 336, list)}
-					w.step(w.s.now+second, EndpointsUpdated{List: list}) // a list known at the start alone sends no job
-					for range steadyRunning + 50 {
-						w.pass()
-						w.step(w.s.now, EndpointsUpdated{List: WorkerList{Rev: 2}})
+				for range schedulers {
+					w := &steadyLoad{scheduler: newSlopeScheduler(b, 336, list)}
+					// The scheduler sends no job on a cached list alone, before discovery has confirmed it.
+					w.step(w.scheduler.now+second, EndpointsUpdated{List: list})
+					for range steadyRunningJobs + 50 {
+						w.runInterval()
+						w.step(w.scheduler.now, EndpointsUpdated{List: WorkerList{Revision: 2}})
 					}
 					all = append(all, w)
 				}
@@ -289,11 +291,11 @@
 				for _, w := range all {
 					w.timersFired, w.refused = 0, 0
 				}
-				before := processorMicros(b)
+				before := cpuMicros(b)
 				for i := range b.N {
-					all[i%beside].pass()
+					all[i%schedulers].runInterval()
 				}
-				us := (processorMicros(b) - before) / float64(b.N)
+				us := (cpuMicros(b) - before) / float64(b.N)
 				for _, w := range all {
 					timersFired, refused = timersFired+w.timersFired, refused+w.refused
 				}
--- a/internal/scheduler/update_bench_test.go
+++ b/internal/scheduler/update_bench_test.go
@@ -26,28 +26,28 @@
 
 // updateFeed updates one worker after another, spread over a fleet of newFleet.
 type updateFeed struct {
-	workers, at int
-	out         []Effect
-	rev         int64
-	list        WorkerList
+	workerCount, stepCount int
+	out                    []Effect
+	revision               int64
+	list                   WorkerList
 }
 
-func newUpdateFeed(workers int) *updateFeed {
-	f := &updateFeed{workers: workers, rev: 1}
+func newUpdateFeed(workerCount int) *updateFeed {
+	f := &updateFeed{workerCount: workerCount, revision: 1}
 	f.list.Workers = make([]Worker, 1)
 	return f
 }
 
 func (f *updateFeed) step(s *Scheduler) {
-	i := f.at / 2 * 7919 % f.workers
+	i := f.stepCount / 2 * 7919 % f.workerCount
 	status := dispatch.Draining
-	if f.at%2 == 1 {
+	if f.stepCount%2 == 1 {
 		status = dispatch.Ready
 	}
-	f.at++
-	f.rev++
-	f.list.Rev = f.rev
-	w := line(fmt.Sprintf("r%d", i), status)
+	f.stepCount++
+	f.revision++
+	f.list.Revision = f.revision
+	w := testWorker(fmt.Sprintf("r%d", i), status)
 	w.Kind = fmt.Sprintf("m%d", i%2)
 	f.list.Workers[0] = w
 	f.out = s.Step(s.now+second, EndpointsUpdated{List: f.list}, f.out[:0])
--- a/internal/scheduler/update_reference_test.go
+++ b/internal/scheduler/update_reference_test.go
@@ -50,7 +50,7 @@
 		}
 		if w.pendingUpdate = nil; w.drainingSince == 0 {
 			w.Status, w.version = line.Status, version{epoch: -1}
-			e.Workers = append(e.Workers, s.entry(w))
+			e.Workers = append(e.Workers, s.workerEntry(w))
 		}
 	}
 	if len(e.Workers) > 0 {
@@ -60,13 +60,13 @@
 }
 
 func (s *Scheduler) applyUpdateReference(list WorkerList, scope dispatch.UpdateScope) {
-	if list.Complete && list.Rev < s.revision {
+	if list.Complete && list.Revision < s.revision {
 		s.epoch++
 	}
-	if s.revision = max(s.revision, list.Rev); list.Complete {
-		s.revision = list.Rev
+	if s.revision = max(s.revision, list.Revision); list.Complete {
+		s.revision = list.Revision
 	}
-	at := version{s.epoch, list.Rev}
+	at := version{s.epoch, list.Revision}
 	named := map[string]bool{}
 	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope}
 	for _, line := range list.Workers {
@@ -78,7 +78,7 @@
 		} else {
 			s.mergeWorker(w, line, at)
 		}
-		e.Workers = append(e.Workers, s.entry(w))
+		e.Workers = append(e.Workers, s.workerEntry(w))
 	}
 	for _, w := range sortedValues(s.workers) {
 		switch {
@@ -89,7 +89,7 @@
 		default:
 			continue
 		}
-		e.Workers = append(e.Workers, s.entry(w))
+		e.Workers = append(e.Workers, s.workerEntry(w))
 	}
 	s.recordTransitionsReference()
 	s.stepDispatcher(e)
@@ -129,7 +129,7 @@
 		maxWorkers := rapid.SampledFrom([]int{2, 10, 40}).Draw(t, "workers")
 		worker := rapid.Custom(func(t *rapid.T) Worker {
 			i := rapid.IntRange(0, maxWorkers-1).Draw(t, "worker")
-			r := line(fmt.Sprint("r", i), rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready,
+			r := testWorker(fmt.Sprint("r", i), rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready,
 				dispatch.Ready, dispatch.Draining, dispatch.Removed}).Draw(t, "status"))
 			r.Kind, r.Zone = fmt.Sprint("m", i%2), fmt.Sprint("z", i%3)
 			r.Addr = fmt.Sprint("a", i/2) // two have one address
@@ -154,8 +154,9 @@
 			default:
 				rev += rapid.SampledFrom([]int64{1, 1, 1, 1, 0, -1, -3}).Draw(t, "rev")
 				n := rapid.SampledFrom([]int{0, 1, 1, 1, 2, maxWorkers}).Draw(t, "lines")
-				e = EndpointsUpdated{List: WorkerList{Rev: rev, Complete: rapid.IntRange(0, 3).Draw(t, "complete") == 0,
-					Workers: rapid.SliceOfN(worker, n, n).Draw(t, "list")},
+				e = EndpointsUpdated{List: WorkerList{Revision: rev,
+					Complete: rapid.IntRange(0, 3).Draw(t, "complete") == 0,
+					Workers:  rapid.SliceOfN(worker, n, n).Draw(t, "list")},
 					FromPreviousWatch: rapid.IntRange(0, 6).Draw(t, "from previous watch") == 0}
 			}
 			trace = append(trace, fmt.Sprintf("%d %T%+v", now, e, e))
@@ -196,10 +197,10 @@
 // A zone is removed by an update for each worker, by one update, and by both at once while its workers
 // are added again after a restart.
 func TestZoneRemovedByUpdates(t *testing.T) {
-	const zones, each = 14, 20
-	of := func(zone int, status dispatch.Status, started Micros) (lines []Worker) {
-		for i := range each {
-			r := line(fmt.Sprintf("r%d-%d", zone, i), status)
+	const zones, workersPerZone = 14, 20
+	zoneWorkers := func(zone int, status dispatch.Status, started Micros) (lines []Worker) {
+		for i := range workersPerZone {
+			r := testWorker(fmt.Sprintf("r%d-%d", zone, i), status)
 			r.Zone, r.Started = fmt.Sprint("z", zone), started
 			lines = append(lines, r)
 		}
@@ -207,12 +208,12 @@
 	}
 	var workers []Worker
 	for zone := range zones {
-		workers = append(workers, of(zone, dispatch.Ready, 0)...)
+		workers = append(workers, zoneWorkers(zone, dispatch.Ready, 0)...)
 	}
-	removed, restarted := of(3, dispatch.Removed, 0), of(3, dispatch.Ready, 1002*second)
-	draining := of(3, dispatch.Draining, 0)
+	removed, restarted := zoneWorkers(3, dispatch.Removed, 0), zoneWorkers(3, dispatch.Ready, 1002*second)
+	draining := zoneWorkers(3, dispatch.Draining, 0)
 	update := func(lines ...Worker) WorkerList { return WorkerList{Workers: lines} }
-	singly := func(lines []Worker) (updates []WorkerList) {
+	oneUpdateEach := func(lines []Worker) (updates []WorkerList) {
 		for _, w := range lines {
 			updates = append(updates, update(w))
 		}
@@ -225,17 +226,18 @@
 	known := slices.Clone(workers)
 	known[17].Status = dispatch.Draining
 	for name, updates := range map[string][]WorkerList{
-		"an update each": singly(removed),
-		"draining first": append(singly(draining), singly(removed)...),
+		"an update each": oneUpdateEach(removed),
+		"draining first": append(oneUpdateEach(draining), oneUpdateEach(removed)...),
 		"one update":     {update(removed...)},
 		"missing from the complete list": {{Complete: true,
-			Workers: slices.Concat(workers[:3*each], workers[4*each:])}},
-		"both at once": append(singly(removed), update(removed...), update(restarted...)),
+			Workers: slices.Concat(workers[:3*workersPerZone], workers[4*workersPerZone:])}},
+		"both at once": append(oneUpdateEach(removed), update(removed...), update(restarted...)),
 		"both mixed, restarted": append(mixed,
 			update(removed...), WorkerList{Complete: true, Workers: workers}, update(restarted...)),
-		"known but for one":        {{Complete: true, Workers: known}},
-		"known, and by an old one": {{Complete: true, Workers: workers}, {Complete: true, Rev: -5, Workers: known}},
-		"the whole fleet":          {{Complete: true}, {Complete: true, Workers: workers}},
+		"known but for one": {{Complete: true, Workers: known}},
+		"known, and by an old one": {{Complete: true, Workers: workers},
+			{Complete: true, Revision: -5, Workers: known}},
+		"the whole fleet": {{Complete: true}, {Complete: true, Workers: workers}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, reference := schedulerForUpdates(), schedulerForUpdates()
@@ -243,7 +245,7 @@
 			apply := func(list WorkerList) {
 				now += second / 100
 				rev++
-				list.Rev += rev
+				list.Revision += rev
 				e := EndpointsUpdated{List: list}
 				got, want := s.Step(now, e, nil), reference.stepReference(now, e)
 				if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -54,23 +54,23 @@
 // revisions anew, or a change sent again. Its update stays pending. It comes back once it has started
 // since, or the update is newer for certain, or has been there for so long that the drain would be
 // known there.
-func (s *Scheduler) mergeWorker(w *worker, line Worker, at version) {
-	ready := line.Status == dispatch.Ready
+func (s *Scheduler) mergeWorker(w *worker, listed Worker, updateVersion version) {
+	ready := listed.Status == dispatch.Ready
 	switch {
-	case ready && w.version.newer(at):
-	case ready && w.drainingSince != 0 && line.Started <= w.Started && !at.newer(w.version) &&
+	case ready && w.version.newer(updateVersion):
+	case ready && w.drainingSince != 0 && listed.Started <= w.Started && !updateVersion.newer(w.version) &&
 		s.now-w.drainingSince < s.settings.Dispatch.MaxStaleness:
 		if w.pendingUpdate == nil {
 			s.pendingWorkers = append(s.pendingWorkers, w)
 		}
-		w.pendingUpdate = &line
+		w.pendingUpdate = &listed
 	default:
-		w.Worker, w.version, w.pendingUpdate = line, at, nil
+		w.Worker, w.version, w.pendingUpdate = listed, updateVersion, nil
 	}
 }
 
-// entry is a worker as the dispatcher knows it.
-func (s *Scheduler) entry(w *worker) dispatch.WorkerEntry {
+// workerEntry is a worker as the dispatcher knows it.
+func (s *Scheduler) workerEntry(w *worker) dispatch.WorkerEntry {
 	return dispatch.WorkerEntry{Worker: w.number, Zone: s.zones.indexOf(w.Zone), Cell: w.Cell,
 		Kind: s.kinds.indexOf(w.Kind), Status: w.Status, Started: w.Started}
 }
