--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -2,22 +2,24 @@
 
 import "dahliaford/internal/dispatch"
 
-// attempt is one attempt of a request at a worker.
+// attempt is one attempt to run the job of a request at a worker.
 type attempt struct {
-	id            AttemptID
-	request       *request
-	ordinal       int // the dispatcher's number of it, from 0 for each request
-	worker        *worker
-	addr          string // the worker's when the attempt was made
-	deadline      Micros
-	accepted      bool
-	ended         bool
-	mayHaveRun    bool   // by the outcome with which it ended
-	deferredUntil Micros // not sent before an earlier attempt is cancelled, nor after this; 0: sent
+	id         AttemptID
+	request    *request
+	ordinal    int // the number that the dispatcher gave the attempt, counted from 0 in each job
+	worker     *worker
+	addr       string // the address of the worker at the start of the attempt
+	deadline   Micros
+	accepted   bool // the worker has accepted the attempt
+	ended      bool
+	mayHaveRun bool // the attempt has ended with an outcome after which the job may have run
+	// deferredUntil is the latest time at which a deferred attempt may still be sent; 0 if the attempt is
+	// not deferred. An attempt is deferred until a worker acknowledges the cancellation of an earlier one.
+	deferredUntil Micros
 }
 
-// startAttempt makes the attempt that a Send of the dispatcher asks for. It is sent at once, or
-// deferred while a worker may hold an earlier attempt of the request.
+// startAttempt starts the attempt that a Send action of the dispatcher requests. The attempt is sent at
+// once, or deferred while a worker may hold an earlier attempt of the same request.
 func (s *Scheduler) startAttempt(action *dispatch.Action) {
 	r, w := s.byJob[action.Job], s.byNumber[action.Worker]
 	if r == nil || w == nil || r.answered || r.hasLiveAttempt() {
@@ -35,8 +37,8 @@
 	s.addTimer(timer{at: a.deadline, kind: attemptDeadline, id: uint64(a.id)})
 	writeDeadline := s.writeDeadline(a, action.SendBy)
 	if s.hasOpenCancellation(r) {
-		// A worker may hold an earlier attempt. Until it has acknowledged that this is cancelled,
-		// another one would be a second copy.
+		// A worker may hold an earlier attempt of the request. If the new attempt were sent before the
+		// worker acknowledges the cancellation of the earlier one, the job could run twice at once.
 		a.deferredUntil = writeDeadline
 		s.addTimer(timer{at: writeDeadline, kind: deferralEnd, id: uint64(a.id)})
 		return
@@ -44,23 +46,26 @@
 	s.send(a, writeDeadline)
 }
 
-// suppressAttempt reports a Send as not carried out. The dispatcher never asks for one of this kind.
-// If it did, sending would break a rule.
+// suppressAttempt reports to the dispatcher that a Send action was not carried out. A Send is suppressed
+// if its request is answered or has a live attempt, or if its request or worker is unknown: a second live
+// attempt could run the job twice. A correct dispatcher never requests such a Send.
 func (s *Scheduler) suppressAttempt(action *dispatch.Action, answered bool) {
 	s.queueDispatcherEvent(dispatch.Event{Kind: dispatch.AttemptEnded, Job: action.Job, Attempt: action.Attempt,
 		Worker: action.Worker, Outcome: dispatch.NotSent, Final: answered})
-	s.warn("send suppressed", "job", action.Job, "worker", action.Worker)
+	s.warn("suppressed a send for an answered or unknown request, a live attempt or an unknown worker",
+		"job", action.Job, "worker", action.Worker)
 }
 
-// writeDeadline is the time by which the last byte of an attempt must be out.
+// writeDeadline returns the time by which the last byte of an attempt must be written to its connection.
 func (s *Scheduler) writeDeadline(a *attempt, sendBy Micros) Micros {
 	by := s.now + s.settings.Dispatch.ConnectTimeout
-	// A worker may start to drain the moment after this. A send counts from its first byte, so a
-	// slow connect must not carry it past the drain grace.
+	// The worker may start to drain right after this. Sends to a draining worker must begin, with their
+	// first byte, within the drain grace, so an attempt whose connection takes longer to open is not sent.
 	if s.settings.DrainGrace > 0 {
 		by = min(by, s.now+s.settings.DrainGrace)
 	}
-	// A retry must come within its class's deduplication window, however late its connection comes up.
+	// A retry must be written before sendBy, even if its connection takes long to open: after sendBy the
+	// deduplication window of the class ends, and workers no longer recognize the retry as a repetition.
 	return min(by, a.deadline, sendBy)
 }
 
@@ -75,24 +80,27 @@
 	}
 }
 
-// handleAttemptEnded ends an attempt by what its connection showed. After the worker has accepted
-// it, only the worker's callback or the deadline ends it.
+// handleAttemptEnded ends an attempt with the outcome seen on its connection. An attempt that the worker
+// has accepted is ended only by the worker's callback or by the deadline.
 func (s *Scheduler) handleAttemptEnded(e *AttemptEnded) {
 	a := s.byAttempt[e.Attempt]
 	if a == nil || a.accepted {
 		return
 	}
 	if e.Outcome == dispatch.Reset {
-		// Its 202 may have crossed the connection's end: the worker may hold it.
+		// The worker may have accepted the attempt and its 202 response may have been lost with the
+		// connection.
 		s.startCancellation(a)
 	}
 	s.endAttempt(a, e.Outcome, e.Report)
 }
 
-// rejectAttempt answers a request that no worker can use. Its id becomes free again: an impostor may
-// have come before the client that the id belongs to. Where an earlier attempt may have run, Invalid
-// would deny that, and a new request of the same id could run at a worker that does not know of the
-// first run: the request fails, and its id stays in use.
+// rejectAttempt answers a request whose attempt a worker has rejected as invalid. It also makes the request
+// id usable again, because a client other than the owner of the id may have submitted the request.
+//
+// If an earlier attempt may have run, the answer is Failed instead of Invalid, as Invalid says that the job
+// has not run. The id then stays in use: a new request with the same id could run at a worker that does not
+// know of the earlier run.
 func (s *Scheduler) rejectAttempt(id AttemptID) {
 	a := s.byAttempt[id]
 	if a == nil || a.accepted {
@@ -108,7 +116,7 @@
 	s.usedIDs.remove(a.request.id)
 }
 
-// endAttempt closes an attempt and reports its outcome to the dispatcher.
+// endAttempt ends an attempt and reports its outcome to the dispatcher.
 func (s *Scheduler) endAttempt(a *attempt, outcome dispatch.Outcome, report dispatch.Report) {
 	s.removeAttempt(a)
 	a.mayHaveRun = outcome.MayHaveRun()
@@ -132,7 +140,7 @@
 	}
 }
 
-// expireDeferral ends an attempt that has been deferred for as long as it may be.
+// expireDeferral ends an attempt that is still deferred at the latest time at which it may be sent.
 func (s *Scheduler) expireDeferral(t timer) {
 	if a := s.byAttempt[AttemptID(t.id)]; a != nil && a.deferredUntil == t.at {
 		s.endAttempt(a, dispatch.NotSent, dispatch.Report{})
--- a/internal/scheduler/callbacks.go
+++ b/internal/scheduler/callbacks.go
@@ -2,12 +2,13 @@
 
 import "dahliaford/internal/dispatch"
 
-// handleCallback takes a worker's callback. It counts if it comes from the worker that has the
-// latest attempt, or one that an open cancellation concerns; a late or repeated one has no effect.
+// handleCallback handles a callback from a worker. A callback has an effect if its worker holds the live
+// attempt of the request, or an earlier attempt whose cancellation is open while the live attempt is
+// deferred. All other callbacks, such as late or repeated ones, are ignored.
 func (s *Scheduler) handleCallback(e *Callback) {
 	r := s.byID[e.RequestID]
 	if r == nil || len(r.attempts) == 0 {
-		return // late, or a repeat: its attempt is over
+		return // The callback is late or repeated: its attempt has ended.
 	}
 	a := r.lastAttempt()
 	if a.deferredUntil != 0 {
@@ -37,8 +38,9 @@
 	}
 }
 
-// endByCallback closes an attempt by its worker's callback. Its connection may still wait for a
-// response that never comes, or never ends, and from here on nothing times it.
+// endByCallback ends an attempt whose worker has reported the end of the job. If the worker has not
+// accepted the attempt, its connection is closed: it may wait for a response that never comes or never
+// ends, and the time-out of the attempt ends here.
 func (s *Scheduler) endByCallback(a *attempt, outcome dispatch.Outcome, report dispatch.Report) {
 	if !a.accepted {
 		s.emit(CloseConnection{Attempt: a.id})
@@ -46,9 +48,9 @@
 	s.endAttempt(a, outcome, report)
 }
 
-// handleEarlierCallback takes the callback of an earlier attempt while the next one is deferred
-// until that is cancelled. Its end is as good as an acknowledged cancellation, and its result as
-// good as any.
+// handleEarlierCallback handles a callback about an earlier attempt that is being cancelled while the
+// latest attempt is deferred. A callback that reports the end of the job counts as acknowledgement of the
+// cancellation, and the result in it answers the request.
 func (s *Scheduler) handleEarlierCallback(r *request, e *Callback) {
 	for _, a := range r.attempts {
 		c := s.cancellations[a.id]
@@ -59,7 +61,8 @@
 			s.answer(r, Answer{Verdict: Served, Body: e.Result})
 		}
 		if c.inFlight {
-			s.emit(CloseConnection{Attempt: a.id}) // nothing times the cancellation's connection any more
+			// The time-out of the cancellation ends here, so its connection must be closed.
+			s.emit(CloseConnection{Attempt: a.id})
 		}
 		s.handleAcknowledgement(c)
 	}
--- a/internal/scheduler/cancellation_test.go
+++ b/internal/scheduler/cancellation_test.go
@@ -44,7 +44,7 @@
 				wait 30s
 				c1 expect failed
 				r2 expect nothing
-				log expect job cancellation failed: its worker may run it for no caller
+				log expect job cancellation failed: the worker may run the job though no caller waits for it
 				log expect nothing`)
 		})
 	}
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -5,34 +5,35 @@
 const (
 	// cancellationTimeout is how long a worker may take to respond to a cancellation.
 	cancellationTimeout Micros = second
-	// cancellationBackoff is the first wait before a cancellation that failed is sent again; it
-	// doubles, up to maxCancellationBackoff.
+	// cancellationBackoff is the wait before a failed cancellation is sent for the second time. The wait
+	// doubles with each further failure, up to maxCancellationBackoff.
 	cancellationBackoff    Micros = 250 * millisecond
 	maxCancellationBackoff Micros = 2 * second
-	// maxBackoffDoublings keeps the shift in bounds; the maximum is reached before it.
+	// maxBackoffDoublings limits the shift that doubles the wait, to avoid an overflow. The wait reaches
+	// maxCancellationBackoff with fewer doublings.
 	maxBackoffDoublings = 6
-	// cancellationLifetime is how long a cancellation is retried whose request is answered. After it,
-	// the worker still has what came with the attempt: how long anybody would wait.
+	// cancellationLifetime is how long the cancellation of an attempt is retried once its request has been
+	// answered. After that, the worker can still end the job at the deadline that was sent with the attempt.
 	cancellationLifetime Micros = 15 * second
 )
 
-// cancellation is the cancellation of an attempt that its worker may hold. It is retried until the
-// worker has acknowledged it, as a job that nobody waits for takes a slot, and one that may be
-// repeated must not run at two workers at once.
+// cancellation is the cancellation of an attempt that a worker may hold. The cancellation is retried until
+// the worker acknowledges it, for two reasons: a job whose caller no longer waits occupies a slot, and a job
+// that is retried must not run at two workers at once.
 type cancellation struct {
 	attempt  *attempt
-	inFlight bool   // sent, and its result is awaited
-	timerAt  Micros // when what is in flight times out, or the next send begins
-	sends    int
-	giveUpAt Micros
+	inFlight bool   // the cancellation has been sent and its result has not arrived
+	timerAt  Micros // the time-out if the cancellation is in flight, otherwise the time of the next send
+	sends    int    // how often the cancellation has been sent
+	giveUpAt Micros // the time after which the cancellation is not retried if its request is answered
 }
 
-// cancelAttempt gives up an attempt: it closes its connection if the worker has not accepted it, and
-// notifies the worker in any case. The worker's 202 may cross the end of the connection, and then
-// that alone cancels nothing.
+// cancelAttempt cancels an attempt that has been sent. It closes the connection if the worker has not
+// accepted the attempt, and always sends a cancellation to the worker: the worker may have accepted the
+// attempt before it sees the connection closed, and then continues the job.
 func (s *Scheduler) cancelAttempt(a *attempt) {
 	if a.deferredUntil != 0 {
-		return // it was never sent
+		return // A deferred attempt has not been sent.
 	}
 	if !a.accepted {
 		s.emit(CloseConnection{Attempt: a.id})
@@ -69,7 +70,8 @@
 	s.addTimer(timer{at: at, kind: cancellationTimer, id: uint64(c.attempt.id)})
 }
 
-// handleCancellationResult takes the result of a cancellation that was sent.
+// handleCancellationResult finishes a cancellation that the worker has acknowledged, and schedules the
+// retry of a cancellation that has failed.
 func (s *Scheduler) handleCancellationResult(e *CancellationResult) {
 	c := s.cancellations[e.Attempt]
 	switch {
@@ -81,29 +83,30 @@
 	}
 }
 
-// cancellationTimerFired ends what is in flight of a cancellation, or begins the next send. A timer
-// that has been replaced by a later one has no effect.
+// cancellationTimerFired times out a cancellation that is in flight, or sends a waiting cancellation again.
+// A timer that a later one has replaced is ignored.
 func (s *Scheduler) cancellationTimerFired(t timer) {
 	c := s.cancellations[AttemptID(t.id)]
 	switch {
 	case c == nil || c.timerAt != t.at:
 	case c.inFlight:
-		s.emit(CloseConnection{Attempt: c.attempt.id}) // the cancellation's own connection
+		s.emit(CloseConnection{Attempt: c.attempt.id}) // closes the connection of the cancellation
 		s.retryCancellation(c)
 	default:
 		s.sendCancellation(c)
 	}
 }
 
-// retryCancellation sends a cancellation again after a wait, or gives it up. While its request is open it is
-// never given up: the request's next attempt waits for it, and would be a second copy of the first without.
-// The request's deadline ends that.
+// retryCancellation schedules the next send of a failed cancellation, or gives the cancellation up once its
+// lifetime is over. A cancellation is not given up while its request has no answer: the next attempt of the
+// request waits for the acknowledgement, and could otherwise run at the same time as the attempt being
+// cancelled. The request is answered at its deadline at the latest.
 func (s *Scheduler) retryCancellation(c *cancellation) {
 	doublings := min(c.sends-1, maxBackoffDoublings)
 	wait := min(cancellationBackoff<<doublings, maxCancellationBackoff)
 	if c.attempt.request.answered && s.now+wait >= c.giveUpAt {
-		s.warn("job cancellation failed: its worker may run it for no caller", "txn", c.attempt.request.id,
-			"worker", c.attempt.worker.UID)
+		s.warn("job cancellation failed: the worker may run the job though no caller waits for it",
+			"txn", c.attempt.request.id, "worker", c.attempt.worker.UID)
 		s.removeCancellation(c)
 		return
 	}
@@ -111,7 +114,9 @@
 	s.setCancellationTimer(c, s.now+wait)
 }
 
-// handleAcknowledgement ends a cancellation. An attempt that was deferred until then is sent, if it still may be.
+// handleAcknowledgement ends a cancellation that the worker has acknowledged. If that was the last open
+// cancellation of the request, its deferred attempt is sent, or ended if it is too late to send it, the
+// request has been answered, or the worker is no longer ready.
 func (s *Scheduler) handleAcknowledgement(c *cancellation) {
 	s.removeCancellation(c)
 	r := c.attempt.request
@@ -128,7 +133,8 @@
 	s.send(a, writeDeadline)
 }
 
-// hasOpenCancellation tells whether a worker may still hold an earlier attempt of a request.
+// hasOpenCancellation reports whether the cancellation of an attempt of the request is open, so that a
+// worker may still hold that attempt.
 func (s *Scheduler) hasOpenCancellation(r *request) bool {
 	for _, a := range r.attempts {
 		if s.cancellations[a.id] != nil {
--- a/internal/scheduler/clone.go
+++ b/internal/scheduler/clone.go
@@ -7,11 +7,12 @@
 	"dahliaford/internal/dispatch"
 )
 
-// Clone, AppendState, InjectFault and Stats are what a model checker needs of the reducer: to copy a
-// state, to compare two, to make the dispatcher panic, and to see what is kept. The programs that
-// serve use none of them.
+// Clone, AppendState, InjectPanic and Stats serve a model checker: they copy a state, encode a state for
+// comparison, make the dispatcher panic, and count the records in a state. The production programs use
+// none of them.
 
-// Clone copies the state between two events. Payloads are shared with the original.
+// Clone returns a copy of the scheduler's state. It must not be called during Step. The copy shares the
+// payloads of requests with the original.
 func (s *Scheduler) Clone() *Scheduler {
 	copied := *s
 	copied.effects, copied.dispatcherEvents = nil, nil
@@ -29,10 +30,11 @@
 	return &copied
 }
 
-// cloner copies the records of a scheduler with their links to each other.
+// cloner copies the workers, requests, attempts and cancellations of a scheduler, and points the copies at
+// each other as the originals do.
 type cloner struct {
 	from, to *Scheduler
-	requests []requestCopy // few: a map would cost more than it saves
+	requests []requestCopy // a slice, because with few requests a linear search is faster than a map
 }
 
 type requestCopy struct{ original, copied *request }
@@ -84,7 +86,7 @@
 	}
 }
 
-// request is the copy of a request, made at the first call for it.
+// request returns the copy of a request, and creates the copy at the first call.
 func (c *cloner) request(r *request) *request {
 	for _, known := range c.requests {
 		if known.original == r {
@@ -102,24 +104,24 @@
 	return &copied
 }
 
-// attempt is the copy of an attempt.
+// attempt returns the copy of an attempt.
 func (c *cloner) attempt(a *attempt) *attempt {
 	return c.request(a.request).attempts[slices.Index(a.request.attempts, a)]
 }
 
-// InjectPanic makes the dispatcher panic at the next event that it gets.
+// InjectPanic makes the scheduler panic at the next event that reaches its dispatcher.
 func (s *Scheduler) InjectPanic() { s.dispatcher = nil }
 
-// Stats counts the records that are kept for requests, open or answered.
+// Stats holds the numbers of records that a scheduler keeps for open and answered requests.
 type Stats struct {
-	Callers, IDs, Jobs, Attempts int // of open requests and of live attempts
-	Cancellations                int // that no worker has acknowledged
-	ReservedIDs                  int // request ids that are not accepted again
-	Timers                       int // other than the dispatcher's
+	Callers, IDs, Jobs, Attempts int // entries in the indexes of open requests and live attempts
+	Cancellations                int // cancellations that are neither acknowledged nor given up
+	ReservedIDs                  int // request ids that a new request may not use
+	Timers                       int // timers, without those of the dispatcher
 	DispatcherJobs               int // jobs that the dispatcher keeps
 }
 
-// Stats counts what is kept after the last event.
+// Stats counts the records that the scheduler keeps after the last event.
 func (s *Scheduler) Stats() Stats {
 	stats := Stats{
 		Callers:       len(s.byCaller),
--- a/internal/scheduler/dispatcher.go
+++ b/internal/scheduler/dispatcher.go
@@ -6,13 +6,14 @@
 	"dahliaford/internal/dispatch"
 )
 
-// queueDispatcherEvent queues an event for the dispatcher behind the one that it works on.
+// queueDispatcherEvent queues an event that the dispatcher gets after its current one.
 func (s *Scheduler) queueDispatcherEvent(e dispatch.Event) {
 	s.dispatcherEvents = append(s.dispatcherEvents, e)
 }
 
-// stepDispatcher passes an event to the dispatcher, carries out its actions, and goes on until these
-// lead to no further events. Called while the dispatcher works, it only queues the event.
+// stepDispatcher passes an event to the dispatcher, applies the resulting actions, and repeats this for the
+// events that the actions cause, until none is left. If stepDispatcher is called while it is running, it
+// only queues the event.
 func (s *Scheduler) stepDispatcher(e dispatch.Event) {
 	s.queueDispatcherEvent(e)
 	if s.dispatching {
@@ -52,8 +53,8 @@
 	}
 }
 
-// cancelForDispatcher cancels the attempt that the dispatcher names. It is found by the dispatcher's
-// number: an attempt that was suppressed has none here.
+// cancelForDispatcher cancels the attempt that a Cancel action names. It looks the attempt up by the number
+// that the dispatcher gave it within its job, because suppressed attempts have no record in the reducer.
 func (s *Scheduler) cancelForDispatcher(action *dispatch.Action) {
 	r := s.byJob[action.Job]
 	if r == nil {
@@ -68,9 +69,9 @@
 	s.endAttempt(a, dispatch.Cancelled, dispatch.Report{})
 }
 
-// watchForDispatcher opens a watch of the worker list, if there is none. An open one shows by its
-// heartbeats that it is alive: another would only load discovery, so the dispatcher gets its answer
-// here.
+// watchForDispatcher carries out the dispatcher's request for a watch of the worker list. If a watch is
+// open, its heartbeats show that it works, and opening a second watch would only add load to discovery: the
+// dispatcher then gets an empty update with the present age of the list instead.
 func (s *Scheduler) watchForDispatcher() {
 	if !s.watchOpen {
 		s.emit(OpenWatch{Addr: s.discoveryAddr, Revision: s.revision})
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -6,11 +6,11 @@
 	"dahliaford/internal/dispatch"
 )
 
-// reloadTimeout is how long after a new configuration the discovery that it names may take to answer
-// before the known list counts as stale.
+// reloadTimeout is how long the known worker list stays valid after a reload if the newly configured
+// discovery service does not answer.
 const reloadTimeout Micros = 4 * second
 
-// handleEndpoints takes an update of the worker list.
+// handleEndpoints applies an update of the worker list.
 func (s *Scheduler) handleEndpoints(e *EndpointsUpdated) {
 	if e.FromPreviousWatch {
 		s.applyDrains(e.List)
@@ -37,10 +37,10 @@
 	s.stepDispatcher(failed)
 }
 
-// reload goes over to the discovery that a new configuration names, at once and without a request of
-// the dispatcher: the list counts as known only until shortly after, and the old watch ends. Another
-// service may count its revisions otherwise, so the old revision means nothing to it. The list that
-// is known holds until it answers.
+// reload switches to the discovery service that a new configuration names. It opens the new watch at once,
+// without waiting for the dispatcher to request one, because the old watch ends. The known worker list stays
+// in use until the new service answers, for reloadTimeout at most. The known revision is dropped, as the
+// new service may number its revisions differently.
 func (s *Scheduler) reload(discovery string) {
 	s.discoveryAddr, s.revision, s.watchOpen = discovery, 0, false
 	s.epoch++
@@ -50,24 +50,25 @@
 		Age: s.ageIfValidUntil(validUntil)})
 }
 
-// ageIfValidUntil is how old the list has to be taken for, if it holds until a time.
+// ageIfValidUntil returns the age that the dispatcher has to assume for the worker list so that the list
+// becomes stale at the given time.
 func (s *Scheduler) ageIfValidUntil(validUntil Micros) Micros {
 	return s.now - validUntil + s.settings.Dispatch.MaxStaleness
 }
 
-// applyDrains takes the workers that drain or are removed from an update of a discovery that is no
-// longer the present one. All else that it says is ignored.
+// applyDrains marks the workers that an update lists as draining or removed. It is used for updates of a
+// discovery service that a reload has replaced; everything else in such an update is ignored.
 func (s *Scheduler) applyDrains(list WorkerList) {
 	var entries []dispatch.WorkerEntry
 	var changed []*worker
-	for _, line := range list.Workers {
-		w := s.workers[line.UID]
-		if w == nil || line.Status == dispatch.Ready {
+	for _, listed := range list.Workers {
+		w := s.workers[listed.UID]
+		if w == nil || listed.Status == dispatch.Ready {
 			continue
 		}
 		w.pendingUpdate = nil
 		if w.drainingSince == 0 {
-			w.Status, w.version = line.Status, version{epoch: -1} // comparable with none
+			w.Status, w.version = listed.Status, version{epoch: -1} // not comparable with any other
 			entries = append(entries, s.workerEntry(w))
 			changed = append(changed, w)
 		}
@@ -79,23 +80,23 @@
 	}
 }
 
-// applyUpdate takes an update of the present discovery, or the list that is known at a start. It
-// holds all that there was to report by a time.
+// applyUpdate applies an update of the current discovery service, or the cached list at the start. With the
+// update, the worker list is complete up to the time asOf.
 func (s *Scheduler) applyUpdate(list WorkerList, scope dispatch.UpdateScope, asOf Micros) {
 	updateVersion := s.nextVersion(list)
 	s.updateCount++
 	entries := make([]dispatch.WorkerEntry, 0, len(list.Workers))
-	changed := make([]*worker, 0, len(list.Workers)) // of a small update it stays on the stack
-	for _, line := range list.Workers {
-		w := s.workers[line.UID]
+	changed := make([]*worker, 0, len(list.Workers)) // stays on the stack if the update is small
+	for _, listed := range list.Workers {
+		w := s.workers[listed.UID]
 		if w == nil {
-			w = &worker{Worker: line, version: updateVersion, number: s.assignNumber(line.UID)}
-			s.workers[line.UID], s.byNumber[w.number] = w, w
+			w = &worker{Worker: listed, version: updateVersion, number: s.assignNumber(listed.UID)}
+			s.workers[listed.UID], s.byNumber[w.number] = w, w
 		} else {
-			s.mergeWorker(w, line, updateVersion)
+			s.mergeWorker(w, listed, updateVersion)
 		}
 		w.lastUpdate = s.updateCount
-		entries = append(entries, s.workerEntry(w)) // as it now is known
+		entries = append(entries, s.workerEntry(w)) // the merged state of the worker, not that in the update
 		changed = append(changed, w)
 	}
 	for _, w := range s.implicitChanges(list.Complete, updateVersion) {
@@ -107,10 +108,11 @@
 		Workers: entries})
 }
 
-// nextVersion takes the revision of an update.
+// nextVersion records the revision of an update and returns the update's version.
 func (s *Scheduler) nextVersion(list WorkerList) version {
 	if list.Complete && list.Revision < s.revision {
-		s.epoch++ // discovery has restarted, or another one answers: its revisions begin anew
+		// The discovery service has restarted or been replaced, and counts its revisions from the beginning.
+		s.epoch++
 	}
 	s.revision = max(s.revision, list.Revision)
 	if list.Complete {
@@ -119,9 +121,10 @@
 	return version{s.epoch, list.Revision}
 }
 
-// implicitChanges changes the workers that an update concerns without naming them, and lists them by
-// UID: a complete list lacks them, or they have a pending update and have been draining for so long
-// that it counts.
+// implicitChanges updates the workers whose state changes without being named in an update, and returns
+// them ordered by UID. They are the workers that are missing from a complete list, which are removed, and
+// the workers that have been draining or removed for MaxStaleness and have a pending update, which is
+// applied.
 func (s *Scheduler) implicitChanges(complete bool, updateVersion version) (changed []*worker) {
 	if complete {
 		for _, w := range s.workers {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -1,83 +1,95 @@
-// Package scheduler keeps the requests, the attempts and the worker list, and drives the dispatcher,
-// which decides (package dispatch). It is one reducer: one event at a time goes in, effects come out.
-// It holds no lock and no clock, does no I/O, and knows nothing of the protocol that a request came by.
+// Package scheduler is the state machine of a job scheduler. It keeps the requests, the attempts and the
+// worker list, and drives package dispatch, which decides where and when a job is sent. The state machine
+// is a reducer: Scheduler.Step takes one event and returns the effects that the caller has to carry out.
+// The reducer holds no lock and no clock, does no I/O, and does not know by which protocol a request came.
 package scheduler
 
 import "dahliaford/internal/dispatch"
 
-// Micros is a time on the dispatcher's clock, in microseconds. Here it counts from the Unix epoch, so
-// a worker's start time from discovery needs no mapping beyond its unit.
+// Micros is a time on the dispatcher's clock, in microseconds. The reducer counts it from the Unix epoch,
+// so a worker's start time as reported by discovery only needs its unit converted.
 type Micros = dispatch.Micros
 
-// CallerID numbers a wait for one answer. Whoever submits a request picks it: from 1 on, and no number
-// twice.
+// CallerID identifies the caller that waits for the answer to one submitted request. The sender of the
+// Submitted event chooses it: numbers start at 1, and each is used once.
 type CallerID uint64
 
-// AttemptID numbers an attempt, from 1 on.
+// AttemptID identifies an attempt. The reducer assigns the numbers, starting at 1.
 type AttemptID uint64
 
-// Event is something that happened, an input of Step.
+// Event is an input of Scheduler.Step: something that happened outside the reducer.
 type Event interface{ event() }
 
-// The events.
+// The types that implement Event.
 type (
-	// Started comes once, before all others.
+	// Started is the first event that a scheduler gets, and comes once.
 	Started struct {
-		Discovery  string     // discovery's address
-		CachedList WorkerList // known from before
+		Discovery  string     // the address of the discovery service
+		CachedList WorkerList // the worker list that the configuration holds
 	}
-	// Reloaded reports a new configuration. Only discovery's address matters here.
+	// Reloaded reports a new configuration. The reducer uses only the address of the discovery service.
 	Reloaded struct{ Discovery string }
-	// Submitted is a new request.
+	// Submitted reports a new request.
 	Submitted struct {
 		Caller        CallerID
-		RequestID     string // the request id that workers use
+		RequestID     string // the id by which workers name the request in callbacks
 		Class, Tenant string
-		Deadline      Micros  // the caller waits until then
-		Slots         float64 // that it takes at a worker
-		Retry         bool    // the caller has marked it as a retry
-		Payload       any     // handed back with each attempt, never read
+		Deadline      Micros  // the time until which the caller waits for the answer
+		Slots         float64 // the number of slots that the job occupies at a worker
+		Retry         bool    // the caller has marked the request as a retry
+		Payload       any     // passed on in each SendAttempt; the reducer does not read it
 	}
-	// ClientDisconnected reports that nobody waits for the answer any more.
+	// ClientDisconnected reports that the caller no longer waits for the answer.
 	ClientDisconnected struct{ Caller CallerID }
 	// AttemptAccepted reports that a worker has accepted an attempt.
 	AttemptAccepted struct{ Attempt AttemptID }
-	// AttemptEnded reports how an attempt ended, by what its connection showed.
+	// AttemptEnded reports the outcome of an attempt as seen on the connection to the worker.
 	AttemptEnded struct {
 		Attempt AttemptID
 		Outcome dispatch.Outcome
 		Report  dispatch.Report
 	}
-	// AttemptRejected reports that a worker cannot use an attempt: not the worker is at fault but
-	// the submission.
+	// AttemptRejected reports that a worker rejected an attempt because the submission is invalid. The
+	// rejection does not count as a failure of the worker.
 	AttemptRejected struct{ Attempt AttemptID }
-	// Callback is a worker's callback on a request. It may come early, late, or repeatedly.
+	// Callback is a worker's callback about a request. A callback may arrive before the worker's response
+	// to the attempt, after the attempt has ended, or more than once.
 	Callback struct {
-		RequestID, WorkerUID string // the request's id, the worker's UID
+		RequestID, WorkerUID string
 		Kind                 CallbackKind
-		Progress             float64 // with CallbackRunning
-		Result               []byte  // with CallbackDone
+		Progress             float64 // set if Kind is CallbackRunning
+		Result               []byte  // set if Kind is CallbackDone
 		Report               dispatch.Report
 	}
-	// CancellationResult is the result of a CancelAttempt.
+	// CancellationResult reports the result of a CancelAttempt effect.
 	CancellationResult struct {
-		Attempt      AttemptID
-		Acknowledged bool // by the worker, or the process that had the attempt has ended
+		Attempt AttemptID
+		// Acknowledged is set if the worker acknowledged the cancellation, or if the worker process that
+		// held the attempt has ended.
+		Acknowledged bool
 	}
-	// EndpointsUpdated is an update from discovery; one without workers is a heartbeat.
+	// EndpointsUpdated is a worker list update from discovery. An update without workers is a heartbeat.
 	EndpointsUpdated struct {
-		List              WorkerList
-		AsOf              Micros // all that there was to report by then is in it; 0: by now
-		FromPreviousWatch bool   // of the discovery before the present one: only drains and removals count
+		List WorkerList
+		// AsOf is the time up to which the worker list is complete with this update; 0 stands for the time
+		// of the event.
+		AsOf Micros
+		// FromPreviousWatch is set if the update comes from a discovery service that a reload has since
+		// replaced. The reducer applies only the drains and removals of such an update.
+		FromPreviousWatch bool
 	}
-	// WatchClosed reports that the watch could not be opened, or ended.
+	// WatchClosed reports that the watch of the worker list ended or could not be opened.
 	WatchClosed struct {
-		Unreadable bool   // by an update that cannot be parsed: it may have drained any worker
-		ValidUntil Micros // the known list holds no longer than that; 0 and readable: it holds as it did
+		// Unreadable is set if the watch ended because an update could not be parsed. The lost update may
+		// have drained any worker.
+		Unreadable bool
+		// ValidUntil is the time until which the known worker list may be used. If it is 0 and Unreadable is
+		// not set, the validity of the known list does not change.
+		ValidUntil Micros
 	}
-	// TimerFired reports that the time of the last SetTimer has come.
+	// TimerFired reports that the time of the latest SetTimer effect has come.
 	TimerFired struct{}
-	// ShutdownRequested asks for an orderly shutdown.
+	// ShutdownRequested requests an orderly shutdown.
 	ShutdownRequested struct{}
 )
 
@@ -100,19 +112,19 @@
 
 // The kinds of callbacks.
 const (
-	CallbackUnknown    CallbackKind = iota // has no effect
-	CallbackStarted                        // the job runs
-	CallbackRunning                        // it has made progress
-	CallbackDone                           // it has a result
-	CallbackFailed                         // it ran and failed
-	CallbackHandedBack                     // it is handed back without having been started
-	CallbackAborted                        // it is lost, and may have run
+	CallbackUnknown    CallbackKind = iota // a kind that the reducer ignores
+	CallbackStarted                        // the worker has started the job
+	CallbackRunning                        // the job has made progress
+	CallbackDone                           // the job has ended with a result
+	CallbackFailed                         // the job ran and failed
+	CallbackHandedBack                     // the worker returns the job without having started it
+	CallbackAborted                        // the worker has lost the job, which may have run
 )
 
-// WorkerList is the worker list or a change to it.
+// WorkerList is a complete worker list or a change to the worker list.
 type WorkerList struct {
-	Revision int64 // discovery's revision
-	Complete bool  // all workers are listed: one that is missing is removed
+	Revision int64 // the revision that discovery gave the update
+	Complete bool  // Workers names every worker: a known worker that is missing from it is removed
 	Workers  []Worker
 }
 
@@ -121,66 +133,71 @@
 	UID, Addr, Zone, Kind string
 	Cell                  int
 	Status                dispatch.Status
-	Started               Micros // 0: long ago
+	Started               Micros // start time of the process; 0: too long ago for slow start
 }
 
-// Effect is something to carry out, an output of Step.
+// Effect is an output of Scheduler.Step: something that the caller of Step has to carry out.
 type Effect interface{ effect() }
 
-// The effects.
+// The types that implement Effect.
 type (
 	// SendAttempt sends an attempt to a worker.
 	SendAttempt struct {
 		Attempt       AttemptID
-		RequestID     string // the request's
-		WorkerUID     string // the worker's
-		Addr          string
-		WriteDeadline Micros // its last byte must be out by then, or it is not sent
-		Deadline      Micros // the worker may work on it until then
+		RequestID     string
+		WorkerUID     string
+		Addr          string // the address of the worker
+		WriteDeadline Micros // the time by which the last byte must be written, or else nothing is sent
+		Deadline      Micros // the time until which the worker may work on the job
 		Payload       any
 	}
-	// CloseConnection closes the connection that an attempt, or its cancellation, is on.
+	// CloseConnection closes the connection on which an attempt, or the cancellation of that attempt, was
+	// sent.
 	CloseConnection struct{ Attempt AttemptID }
-	// CancelUnsent holds back an attempt that nobody waits for, if no byte of it has been sent yet;
-	// then AttemptEnded follows. It is no cancellation: what has been sent goes on.
+	// CancelUnsent drops an attempt whose caller no longer waits, if no byte of the attempt has been
+	// written yet; AttemptEnded then reports that. An attempt that has been written continues, as
+	// CancelUnsent does not cancel anything at the worker.
 	CancelUnsent struct{ Attempt AttemptID }
 	// CancelAttempt tells a worker to drop an attempt that it may hold. CancellationResult must
-	// follow. If it comes with CloseConnection and no byte of the attempt was ever sent, no worker
-	// need be notified.
+	// follow. The worker need not be notified if CloseConnection comes for the same attempt and no byte of
+	// the attempt was ever written.
 	CancelAttempt struct {
 		Attempt   AttemptID
 		RequestID string
-		Addr      string
-		Deadline  Micros // no use after that
+		Addr      string // the address of the worker
+		Deadline  Micros // the time by which the worker must have responded
 	}
-	// Answer is the one answer to a caller.
+	// Answer is the final answer to a caller.
 	Answer struct {
 		Caller             CallerID
 		Verdict            Verdict
 		Body               []byte
-		RetryAfter         Micros // with Refused: the caller may come back after this span
-		FinalForConnection bool   // the scheduler is stopping: nothing more from this caller
+		RetryAfter         Micros // if Verdict is Refused: how long the caller should wait before a retry
+		FinalForConnection bool   // the scheduler is stopping: the client's connection takes no further request
 	}
-	// SetTimer asks for TimerFired at a time. It replaces the one before.
+	// SetTimer requests a TimerFired event at a time, and replaces the time of the previous SetTimer.
 	SetTimer struct{ At Micros }
-	// OpenWatch opens a watch of the worker list. It replaces the one before.
+	// OpenWatch opens a watch of the worker list, and replaces the watch that is open.
 	OpenWatch struct {
-		Addr     string
-		Revision int64 // ask for what has changed since this revision; 0: for the complete list
-		// ValidUntil, unless 0, is until when the known list holds if Addr has not answered by then.
+		Addr     string // the address of the discovery service
+		Revision int64  // request the changes since this revision; 0: request the complete list
+		// ValidUntil is the time until which the known worker list may be used if Addr does not answer;
+		// 0 leaves the validity of the known list unchanged.
 		ValidUntil Micros
 	}
 	// StopUsingWorker forbids new requests to a worker, and closes idle connections to it.
 	StopUsingWorker struct{ UID, Addr string }
-	// ResumeWorker takes a StopUsingWorker back: the worker is there again, or forgotten.
+	// ResumeWorker revokes a StopUsingWorker, because the worker is ready again, or was removed so long ago
+	// that the reducer has deleted its record.
 	ResumeWorker struct{ UID string }
-	// CloseIdleClients closes the connections of clients that have nothing submitted.
+	// CloseIdleClients closes the connections of clients that have no open request.
 	CloseIdleClients struct{}
-	// Shutdown ends the program: no answer is owed any more. Client connections may linger until By.
+	// Shutdown ends the program, as all requests have been answered. Client connections may stay open to
+	// transmit their last answers until Deadline.
 	Shutdown struct{ Deadline Micros }
-	// Log is a line for the log.
+	// Log writes a line to the log.
 	Log struct {
-		Warn bool // somebody should look
+		Warn bool // the line has the level of a warning
 		Text string
 		Args []any // keys and values in turn
 	}
@@ -199,14 +216,14 @@
 func (Shutdown) effect()         {}
 func (Log) effect()              {}
 
-// Verdict is the kind of an answer.
+// Verdict tells a caller what became of its request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Served   Verdict = iota // Body has the result
-	Refused                 // not run: a retry is harmless
-	Failed                  // it may have run
-	Invalid                 // the submission is at fault; Body says why
-	Conflict                // a request of that id is open, or was a moment ago; Body says which
+	Served   Verdict = iota // the job has run; Body is its result
+	Refused                 // the job has not run: a retry cannot make it run twice
+	Failed                  // the job has no result and may have run
+	Invalid                 // the submission is invalid; Body is the reason
+	Conflict                // the request id is in use or was used recently; Body says which
 )
--- a/internal/scheduler/fingerprint.go
+++ b/internal/scheduler/fingerprint.go
@@ -8,8 +8,9 @@
 	"dahliaford/internal/fingerprint"
 )
 
-// AppendState appends a form of the state between two events that is the same for two states if they
-// act alike from here on. Payloads are left out.
+// AppendState appends an encoding of the state to b. Two states with the same encoding respond to equal
+// sequences of events with equal effects, apart from the payloads, which the encoding leaves out. AppendState
+// must not be called during Step.
 func (s *Scheduler) AppendState(b []byte) []byte {
 	f := fingerprint.Buffer(b)
 	f.Ints(int64(s.now), int64(s.lastJob), int64(s.lastAttempt), s.revision, int64(s.epoch), int64(s.listAsOf),
@@ -89,8 +90,9 @@
 	}
 }
 
-// compareTimers orders timers by time, kind and id. An attempt's deadline and the end of its deferral
-// at the same time stay as they are in the heap: whichever comes first decides how the attempt ends.
+// compareTimers orders timers by time, kind and id. It treats the deadline of an attempt and the end of the
+// attempt's deferral as one kind: if both are due at the same time, their order in the heap has to be kept,
+// because the first of the two determines the outcome of the attempt.
 func compareTimers(a, b timer) int {
 	kind := func(t timer) timerKind {
 		if t.kind == deferralEnd {
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -7,9 +7,10 @@
 	"dahliaford/internal/dispatch"
 )
 
-// Recover starts the dispatcher anew after a panic in it. Open requests are answered as failed, as
-// nobody knows how far it had got, and live attempts are cancelled. Effects of the step that broke
-// off are returned, too: they may hold answers. It fails if the dispatcher cannot be started.
+// Recover replaces the dispatcher after a panic in it. Open requests are answered as failed, because the
+// state of their jobs in the dispatcher is lost, and live attempts are cancelled. The returned effects
+// include those that the interrupted Step had already produced, as these may contain answers. Recover
+// returns an error if the new dispatcher cannot be created.
 func (s *Scheduler) Recover(now Micros) ([]Effect, error) {
 	s.now, s.dispatcherEvents, s.dispatching, s.timerAt = now, nil, false, 0
 	s.failAllRequests()
@@ -30,14 +31,15 @@
 	return s.effects, nil
 }
 
-// failAllRequests answers all requests and gives up their attempts, as far as that is allowed.
+// failAllRequests answers all open requests as failed and cancels their attempts. If the settings forbid
+// cancelling, only deferred attempts are dropped, as they have not been sent.
 func (s *Scheduler) failAllRequests() {
 	for _, r := range sortedValues(s.byCaller) {
 		s.answer(r, Answer{Verdict: Failed})
 	}
 	for _, a := range sortedValues(s.byAttempt) {
 		if !s.settings.Dispatch.CancelAllowed && a.deferredUntil == 0 {
-			continue // it is sent, and must not be cancelled: its connection or its deadline ends it
+			continue // The attempt has been sent and must not be cancelled: its connection or deadline ends it.
 		}
 		s.cancelAttempt(a)
 		s.removeAttempt(a)
@@ -45,12 +47,12 @@
 	clear(s.byID)
 	clear(s.byJob)
 	for _, a := range s.byAttempt {
-		s.byID[a.request.id] = a.request // its worker's callbacks find it
+		s.byID[a.request.id] = a.request // needed to match the callbacks of the attempt's worker
 	}
 }
 
-// obsoleteAfterPanic tells whether a timer belonged to the old dispatcher, or to a request or an
-// attempt that has been given up with it.
+// obsoleteAfterPanic reports whether a timer belongs to the dispatcher that panicked, or to a request or
+// attempt that failAllRequests has ended.
 func (s *Scheduler) obsoleteAfterPanic(t timer) bool {
 	switch t.kind {
 	case cancellationTimer, shutdownTimer:
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -7,8 +7,8 @@
 	"dahliaford/internal/dispatch"
 )
 
-// request is a caller's request from its arrival to its answer, and for as long after that as an
-// attempt of it is live.
+// request is the record of a submitted request. It is kept until the request has been answered and has no
+// live attempt.
 type request struct {
 	caller   CallerID
 	id       string
@@ -16,10 +16,10 @@
 	deadline Micros
 	payload  any
 	answered bool
-	attempts []*attempt // all attempts, in order; at most the last one is live
+	attempts []*attempt // all attempts, the oldest first; only the last may be live
 }
 
-// lastAttempt is the latest attempt, nil if there has been none.
+// lastAttempt returns the latest attempt, or nil if the request has had none.
 func (r *request) lastAttempt() *attempt {
 	if len(r.attempts) == 0 {
 		return nil
@@ -27,7 +27,7 @@
 	return r.attempts[len(r.attempts)-1]
 }
 
-// hasLiveAttempt tells whether the latest attempt has not ended.
+// hasLiveAttempt reports whether the request has an attempt that has not ended.
 func (r *request) hasLiveAttempt() bool {
 	last := r.lastAttempt()
 	return last != nil && !last.ended
@@ -55,8 +55,8 @@
 	}
 	s.lastJob++
 	s.usedIDs.add(e.RequestID)
-	// No class waits longer than its deadline, whatever a client says: the dispatcher gives up by
-	// then, and what is kept for a request must have an end.
+	// The deadline of the class limits the deadline that the client requests: the dispatcher abandons the
+	// job at the deadline of the class, and no record of a request may be kept indefinitely.
 	r := &request{
 		caller:   e.Caller,
 		id:       e.RequestID,
@@ -70,8 +70,9 @@
 		Patience: max(e.Deadline-s.now, 0), Slots: e.Slots, Retry: e.Retry})
 }
 
-// checkSubmission says why a submission cannot be taken, in the words of the answer to the client.
-// An empty reason: it can. Class and tenant are numbers, negative if unknown.
+// checkSubmission returns the verdict and the reason with which a submission is rejected. The reason is the
+// body of the answer to the client; it is empty if the submission is accepted. Class and tenant are indexes
+// into the lists of the settings, or negative if the name is unknown.
 func (s *Scheduler) checkSubmission(e *Submitted, class, tenant int) (verdict Verdict, reason string) {
 	switch {
 	case class < 0:
@@ -81,11 +82,12 @@
 	case e.RequestID == "":
 		return Invalid, "no request id"
 	case s.byID[e.RequestID] != nil:
-		// Callbacks name a request by its id alone: those of two requests of one id would mix.
+		// Callbacks identify a request only by its id. The callbacks of two open requests with the same id
+		// could not be told apart.
 		return Conflict, "a request of that id is open"
 	case s.usedIDs.has(e.RequestID), s.cancellationsByID[e.RequestID] > 0:
-		// Each request has an id of its own. Sent on, this one would be a second attempt of the
-		// first, or be turned away, which looks like a failing worker.
+		// A worker that knows the id would take the new request for a repetition of the earlier one, or
+		// reject it, which would count as a failure of the worker.
 		return Conflict, "that id has been used"
 	}
 	return 0, ""
@@ -99,7 +101,7 @@
 	}
 }
 
-// answer gives a request its one answer; any further one is dropped here.
+// answer emits the final answer to a request, unless the request has been answered before.
 func (s *Scheduler) answer(r *request, a Answer) {
 	if r.answered {
 		return
@@ -109,15 +111,16 @@
 	s.complete(r)
 }
 
-// complete marks that a request needs no answer any more. Its id is kept while an attempt of it is
-// live, so that the callbacks of that attempt find it.
+// complete marks a request as answered. The request stays in the index by id while it has a live attempt, so
+// that callbacks of the attempt are matched to the request.
 func (s *Scheduler) complete(r *request) {
 	r.answered = true
 	delete(s.byCaller, r.caller)
 	if !r.hasLiveAttempt() {
 		s.removeRequest(r)
-	} else if !s.settings.Dispatch.CancelAllowed { // where it is allowed, the dispatcher cancels it
-		// A deferred attempt is not sent either: handleAcknowledgement sees that nobody waits for it.
+	} else if !s.settings.Dispatch.CancelAllowed {
+		// Where cancelling is allowed, the dispatcher cancels the live attempt. A deferred attempt is not
+		// sent in any case, as handleAcknowledgement checks whether the request has been answered.
 		s.emit(CancelUnsent{Attempt: r.lastAttempt().id})
 	}
 }
@@ -129,21 +132,23 @@
 	}
 }
 
-// expireRequest answers a request at its deadline. The dispatcher answers before this. Should it
-// ever not, the caller gets an answer all the same, and not one that says that a retry is harmless.
+// expireRequest answers a request as failed at its deadline. It is a safeguard: a correct dispatcher decides
+// before the deadline. The verdict is not Refused, because the job may have run.
 func (s *Scheduler) expireRequest(caller CallerID) {
 	r := s.byCaller[caller]
 	if r == nil {
 		return
 	}
-	s.warn("no decision by the deadline", "txn", r.id)
+	s.warn("the dispatcher did not decide on a request by its deadline", "txn", r.id)
 	s.answer(r, Answer{Verdict: Failed})
 	s.stepDispatcher(dispatch.Event{Kind: dispatch.ClientDisconnected, Job: r.job})
 }
 
-// idRetention is how long after its submission an id of a class stays in use. Its last attempt may leave
-// just before the deadline, and a repeat of a keyed one is dropped for a window after that, but only at
-// workers within its dedup scope: until then, a new request of the same id could run elsewhere.
+// idRetention returns how long the id of a request of the class stays reserved after the submission. The
+// last attempt may be sent just before the deadline. For a class with idempotency keys, workers within the
+// deduplication scope drop repetitions of that attempt during the following deduplication window. A new
+// request with the same id could run a second time at a worker outside the scope, so the id stays reserved
+// until the window ends.
 func idRetention(class *dispatch.Class) Micros {
 	if class.Effect == dispatch.Keyed {
 		return class.Deadline + class.DedupWindow
@@ -151,8 +156,8 @@
 	return class.Deadline
 }
 
-// recentIDs holds the request ids of the last while: each for as long as idRetention asks of any class,
-// and no longer than twice that.
+// recentIDs is the set of recently used request ids, in two generations. With rotate called regularly, it
+// keeps each id for at least the retention time that is passed to rotate, and for at most twice that time.
 type recentIDs struct {
 	current, previous map[string]bool
 	rotatedAt         Micros
@@ -160,7 +165,8 @@
 
 func (r *recentIDs) has(id string) bool { return r.current[id] || r.previous[id] }
 
-// rotate forgets ids whose time is over, whether or not others come after them.
+// rotate starts a new generation if the current one is older than the retention time, and drops the ids of
+// the generation before it. It drops both if the current one is older than twice the retention time.
 func (r *recentIDs) rotate(now, retention Micros) {
 	age := now - r.rotatedAt
 	if age <= retention {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -13,26 +13,26 @@
 	second      = 1000 * millisecond
 )
 
-// Scheduler is the reducer's state. Step is the only way to change it while the dispatcher works;
-// after a panic in the dispatcher, Recover replaces that. A Scheduler is not safe for concurrent use.
+// Scheduler is the state of the reducer. Step is the only method that changes it, except that Recover has
+// to be called after a panic in the dispatcher. A Scheduler is not safe for concurrent use.
 type Scheduler struct {
 	settings   settings.Settings
 	seed       uint64
 	dispatcher *dispatch.Dispatcher
-	now        Micros   // of the event in progress
-	effects    []Effect // of the event in progress
+	now        Micros   // the time of the event that Step is handling
+	effects    []Effect // the effects of the event that Step is handling
 
-	byCaller    map[CallerID]*request // requests that wait for their answer
-	byID        map[string]*request   // those, and answered ones that have a live attempt
-	byJob       map[dispatch.JobID]*request
+	byCaller    map[CallerID]*request       // requests without an answer
+	byID        map[string]*request         // requests without an answer or with a live attempt, by request id
+	byJob       map[dispatch.JobID]*request // requests without an answer or with a live attempt
 	usedIDs     recentIDs
 	maxDeadline Micros // the longest deadline of any class
-	idRetention Micros // how long an id is in usedIDs at least
+	idRetention Micros // the minimum time for which usedIDs keeps a request id
 	lastJob     dispatch.JobID
 
-	byAttempt         map[AttemptID]*attempt // live attempts
-	cancellations     map[AttemptID]*cancellation
-	cancellationsByID map[string]int // the number of open cancellations by request id
+	byAttempt         map[AttemptID]*attempt      // live attempts: those that have not ended
+	cancellations     map[AttemptID]*cancellation // open cancellations: neither acknowledged nor given up
+	cancellationsByID map[string]int              // the number of open cancellations by request id
 	lastAttempt       AttemptID
 
 	workers        map[string]*worker // by UID
@@ -41,25 +41,25 @@
 	kinds          nameIndex
 	discoveryAddr  string
 	revision       int64
-	epoch          int             // of the revisions, see version
+	epoch          int             // the epoch of the current revision, see version
 	updateCount    uint64          // the number of updates applied
-	pendingWorkers []*worker       // all that have a pending update, and perhaps some that had one
-	removedWorkers []removedWorker // in order of time
-	listAsOf       Micros          // all that discovery had to report by then is in the list
-	watchOpen      bool            // discovery has answered the watch and not closed it
+	pendingWorkers []*worker       // all workers with a pending update, and possibly some without one
+	removedWorkers []removedWorker // ordered by the time of the removal
+	listAsOf       Micros          // the time up to which the worker list is complete
+	watchOpen      bool            // discovery has answered the watch request and has not closed the watch
 
 	timers     timerHeap
-	timerAt    Micros // the time of the last SetTimer; 0: none is set
-	refuseFrom Micros // new requests are refused from then on; 0: no shutdown has been requested
-	answerBy   Micros // during a shutdown: open requests are answered by then
-	refusing   bool   // refuseFrom has passed, and idle clients have been closed
+	timerAt    Micros // the time of the last SetTimer; 0: no timer is set
+	refuseFrom Micros // the time at which new requests begin to be refused; 0: no shutdown has been requested
+	answerBy   Micros // during a shutdown: the time at which requests that are still open are answered
+	refusing   bool   // refuseFrom has passed and CloseIdleClients has been emitted
 
-	dispatcherEvents []dispatch.Event // queued, from what the dispatcher's own actions led to
-	dispatching      bool             // the queue is being worked off
+	dispatcherEvents []dispatch.Event // events that wait for the dispatcher to finish its current event
+	dispatching      bool             // stepDispatcher is processing dispatcherEvents
 }
 
-// New returns a scheduler that has not been started: the first event has to be Started. The seed
-// makes the dispatcher's random choices. It fails on settings that dispatch.New rejects.
+// New returns a scheduler whose first event has to be Started. The seed initializes the dispatcher's
+// random numbers. New fails if dispatch.New rejects the settings.
 func New(config settings.Settings, seed uint64) (*Scheduler, error) {
 	s := &Scheduler{
 		settings:          config,
@@ -79,19 +79,20 @@
 		s.maxDeadline = max(s.maxDeadline, class.Deadline)
 		s.idRetention = max(s.idRetention, idRetention(&class))
 	}
-	// One attempt of a request is out at a time here, whatever the settings allow: the dispatcher
-	// must not ask for hedged attempts, each of which would use up one of a job's attempts for nothing.
+	// The reducer keeps at most one attempt of a request live, even where the settings allow hedging. Each
+	// hedged attempt that the dispatcher requested would be suppressed and still count against the job's
+	// maximum number of attempts.
 	s.settings.Dispatch.HedgingAllowed = false
 	var err error
 	s.dispatcher, err = dispatch.New(s.settings.Dispatch, seed)
 	return s, err
 }
 
-// PendingRequests is the number of requests that wait for their answer.
+// PendingRequests returns the number of requests that wait for their answer.
 func (s *Scheduler) PendingRequests() int { return len(s.byCaller) }
 
-// Step takes one event at its time and appends the effects that it calls for. Times never run
-// backwards from one call to the next.
+// Step handles one event that happens at the time now, appends the resulting effects to out and returns
+// the extended slice. The time must not decrease from one call to the next.
 func (s *Scheduler) Step(now Micros, e Event, out []Effect) []Effect {
 	s.now, s.effects = now, out
 	s.usedIDs.rotate(now, s.idRetention)
@@ -134,8 +135,9 @@
 	}
 }
 
-// start starts the dispatcher. It asks for a watch before it gets the known list, so the revision
-// must be set first: from 0 on, discovery would send everything.
+// start starts the dispatcher and passes it the cached worker list. The revision is set first, because the
+// dispatcher requests the watch before it gets the list: from revision 0, discovery would send the complete
+// list.
 func (s *Scheduler) start(cachedList WorkerList) {
 	s.revision = max(s.revision, cachedList.Revision)
 	s.stepDispatcher(dispatch.Event{Kind: dispatch.Started})
@@ -148,7 +150,8 @@
 
 func (s *Scheduler) warn(text string, args ...any) { s.emit(Log{Warn: true, Text: text, Args: args}) }
 
-// sortedValues lists the values of a map by key: the same events give the same effects.
+// sortedValues returns the values of a map in the order of their keys. Iterating in a fixed order keeps the
+// reducer deterministic: equal sequences of events produce equal effects.
 func sortedValues[K cmp.Ordered, V any](m map[K]V) []V {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/scheduler/shutdown.go
+++ b/internal/scheduler/shutdown.go
@@ -2,34 +2,36 @@
 
 import "dahliaford/internal/dispatch"
 
-// A shutdown, counted from its request:
+// The stages of a shutdown, by the time that has passed since the shutdown was requested:
 //
-//	acceptAfterShutdown                     new requests are refused, idle clients are closed
-//	deadline + killGrace - answerMargin     who still waits gets an answer
-//	lingerTimeout after that                connections are closed
-//	deadline + killGrace                    the earliest kill
+//	acceptAfterShutdown                     new requests are refused, idle client connections are closed
+//	deadline + killGrace - answerMargin     requests that are still open are answered
+//	lingerTimeout after that                all client connections are closed
+//	deadline + killGrace                    the process may be killed from here on
 //
-// The deadline is the longest of any class, maxShutdownDeadline at most.
+// The deadline is the longest deadline of any class, limited to maxShutdownDeadline.
 const (
-	// acceptAfterShutdown is how long a stopping scheduler takes new requests: the front goes on
-	// dealing it connections for a part of that.
+	// acceptAfterShutdown is how long a stopping scheduler accepts new requests. The front end that
+	// distributes client connections keeps sending it new ones for part of that time.
 	acceptAfterShutdown Micros = 600 * millisecond
-	// killGrace is the least time from the shutdown request to the kill, beyond the deadline.
+	// killGrace is how long after the end of the longest deadline, counted from the shutdown request, the
+	// process is killed at the earliest.
 	killGrace Micros = 700 * millisecond
-	// maxShutdownDeadline is what counts of a longer deadline.
+	// maxShutdownDeadline limits the deadline that delays the kill: a longer deadline counts as this long.
 	maxShutdownDeadline Micros = 3 * second
-	// answerMargin is how long before the kill those who still wait are answered: a kill would leave
-	// them without an answer. What is left of it after lingerTimeout is for a program that gets no
-	// processor time.
+	// answerMargin is how long before the kill the open requests are answered, as the kill would leave them
+	// without an answer. The part beyond lingerTimeout allows for delays when the program gets no processor
+	// time.
 	answerMargin Micros = 300 * millisecond
-	// lingerTimeout is how long connections may take to end after that.
+	// lingerTimeout is how long client connections may stay open after the open requests were answered.
 	lingerTimeout Micros = 200 * millisecond
-	// maxCancellationDrain is how long a stopping scheduler that owes no answer goes on for its open
-	// cancellations, if it may. Its clients send on as long as it is there, so never until the kill.
+	// maxCancellationDrain is how long, after new requests begin to be refused, a stopping scheduler without
+	// open requests waits for its open cancellations. The wait has to end well before the kill, because
+	// clients send requests to the scheduler as long as it runs.
 	maxCancellationDrain Micros = 2 * second
 )
 
-// beginShutdown sets the stages of the shutdown. A repeated request has no effect.
+// beginShutdown schedules the stages of the shutdown. A repeated shutdown request is ignored.
 func (s *Scheduler) beginShutdown() {
 	if s.refuseFrom != 0 {
 		return
@@ -41,10 +43,10 @@
 	}
 }
 
-// stopping tells whether new requests are refused.
+// stopping reports whether new requests are refused because of a shutdown.
 func (s *Scheduler) stopping() bool { return s.refuseFrom != 0 && s.now >= s.refuseFrom }
 
-// advanceShutdown takes the steps of a shutdown whose time has come.
+// advanceShutdown carries out the stages of the shutdown that are due.
 func (s *Scheduler) advanceShutdown() {
 	if !s.stopping() {
 		return
@@ -62,21 +64,21 @@
 	}
 }
 
-// answerAllRequests answers all who still wait.
+// answerAllRequests answers all open requests before the scheduler exits.
 func (s *Scheduler) answerAllRequests() {
 	for _, r := range sortedValues(s.byCaller) {
 		verdict := Failed
 		if len(r.attempts) == 0 {
-			verdict = Refused // nothing of it was ever sent
+			verdict = Refused // The request has had no attempt, so the job has not run.
 		}
-		s.warn("the end comes before the deadline", "txn", r.id)
+		s.warn("answering a request before its deadline because of the shutdown", "txn", r.id)
 		s.answer(r, Answer{Verdict: verdict})
 		s.stepDispatcher(dispatch.Event{Kind: dispatch.ClientDisconnected, Job: r.job})
 	}
 }
 
-// cancellationDrainEnd is until when a stopping scheduler waits for its workers to acknowledge
-// cancellations.
+// cancellationDrainEnd returns the time until which a stopping scheduler waits for workers to acknowledge
+// its open cancellations.
 func (s *Scheduler) cancellationDrainEnd() Micros {
 	return min(s.refuseFrom+maxCancellationDrain, s.answerBy)
 }
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -6,26 +6,26 @@
 	"dahliaford/internal/dispatch"
 )
 
-// timerKind says what a timer is for, and what its id numbers.
+// timerKind is the purpose of a timer. It determines what the id of the timer identifies.
 type timerKind uint8
 
 const (
-	shutdownTimer     timerKind = iota // a stage of the shutdown; no id
-	cancellationTimer                  // of an attempt: the sent cancellation times out, or is sent again
-	requestDeadline                    // of a caller
-	attemptDeadline                    // of an attempt
-	deferralEnd                        // of an attempt, which may not wait any longer to be sent
-	dispatcherTimer                    // the id is the dispatcher's token
+	shutdownTimer     timerKind = iota // starts a stage of the shutdown; has no id
+	cancellationTimer                  // times out or resends the cancellation of an attempt; id: AttemptID
+	requestDeadline                    // ends the wait of a caller; id: CallerID
+	attemptDeadline                    // ends an attempt; id: AttemptID
+	deferralEnd                        // ends an attempt that is still deferred; id: AttemptID
+	dispatcherTimer                    // fires a timer that the dispatcher has set; id: the dispatcher's token
 )
 
-// timer is something that comes due at a time.
+// timer is an entry of the timer heap.
 type timer struct {
 	at   Micros
 	kind timerKind
 	id   uint64
 }
 
-// timerHeap holds timers with the earliest on top.
+// timerHeap is a heap of timers with the earliest one first.
 type timerHeap []timer
 
 // Len is part of heap.Interface.
@@ -50,7 +50,7 @@
 
 func (s *Scheduler) addTimer(t timer) { heap.Push(&s.timers, t) }
 
-// fireTimers handles all timers that have come due.
+// fireTimers fires all timers that are due.
 func (s *Scheduler) fireTimers() {
 	for len(s.timers) > 0 && s.timers[0].at <= s.now {
 		s.fire(heap.Pop(&s.timers).(timer))
@@ -70,11 +70,12 @@
 	case requestDeadline:
 		s.expireRequest(CallerID(t.id))
 	case shutdownTimer:
-		// Step itself goes on to the next stage.
+		// Step calls advanceShutdown after each event, so the timer only has to make Step run.
 	}
 }
 
-// armTimer sets the timer for what comes due next. What has no effect any more is dropped.
+// armTimer drops obsolete timers from the top of the heap, and emits SetTimer if the time of the earliest
+// timer has changed.
 func (s *Scheduler) armTimer() {
 	for len(s.timers) > 0 && s.obsolete(s.timers[0]) {
 		heap.Pop(&s.timers)
@@ -85,7 +86,8 @@
 	}
 }
 
-// obsolete tells whether what a timer is for is over.
+// obsolete reports whether a timer would have no effect, because its cancellation, attempt or request has
+// ended, or because the cancellation has a newer timer.
 func (s *Scheduler) obsolete(t timer) bool {
 	switch t.kind {
 	case cancellationTimer:
--- a/internal/scheduler/update_reference_test.go
+++ b/internal/scheduler/update_reference_test.go
@@ -43,13 +43,13 @@
 
 func (s *Scheduler) applyDrainsReference(list WorkerList) {
 	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains}
-	for _, line := range list.Workers {
-		w := s.workers[line.UID]
-		if w == nil || line.Status == dispatch.Ready {
+	for _, listed := range list.Workers {
+		w := s.workers[listed.UID]
+		if w == nil || listed.Status == dispatch.Ready {
 			continue
 		}
 		if w.pendingUpdate = nil; w.drainingSince == 0 {
-			w.Status, w.version = line.Status, version{epoch: -1}
+			w.Status, w.version = listed.Status, version{epoch: -1}
 			e.Workers = append(e.Workers, s.workerEntry(w))
 		}
 	}
@@ -69,14 +69,14 @@
 	at := version{s.epoch, list.Revision}
 	named := map[string]bool{}
 	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope}
-	for _, line := range list.Workers {
-		named[line.UID] = true
-		w := s.workers[line.UID]
+	for _, listed := range list.Workers {
+		named[listed.UID] = true
+		w := s.workers[listed.UID]
 		if w == nil {
-			w = &worker{Worker: line, version: at, number: s.assignNumber(line.UID)}
-			s.workers[line.UID], s.byNumber[w.number] = w, w
+			w = &worker{Worker: listed, version: at, number: s.assignNumber(listed.UID)}
+			s.workers[listed.UID], s.byNumber[w.number] = w, w
 		} else {
-			s.mergeWorker(w, line, at)
+			s.mergeWorker(w, listed, at)
 		}
 		e.Workers = append(e.Workers, s.workerEntry(w))
 	}
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -8,33 +8,35 @@
 	"dahliaford/internal/dispatch"
 )
 
-// worker is what is known of a worker.
+// worker is the record of a listed worker.
 type worker struct {
 	Worker
 	number        dispatch.WorkerID
-	version       version // of the update that says so
-	drainingSince Micros  // since when it is not ready; 0: it is ready
-	removedSince  Micros  // since when it is removed; 0: it is not
-	pendingUpdate *Worker // how an update describes it as ready that may be older than the one that drained it
-	lastUpdate    uint64  // the number of the last update that named it
+	version       version // the version of the update that set the embedded Worker
+	drainingSince Micros  // the time since which the worker has not been ready; 0: it is ready
+	removedSince  Micros  // the time since which the worker has been removed; 0: it is not removed
+	// pendingUpdate is an update that lists the worker as ready and may be older than the update that
+	// drained or removed it; nil if there is none.
+	pendingUpdate *Worker
+	lastUpdate    uint64 // the value of updateCount at the last update that named the worker
 }
 
-// removedWorker is a worker that was removed then, and may have come back.
+// removedWorker records the removal of a worker. The worker may have been added again since.
 type removedWorker struct {
 	worker *worker
 	since  Micros
 }
 
-// version says how new an update of discovery is. Versions of one epoch can be compared.
+// version orders the updates of discovery. Only versions of the same epoch can be compared.
 type version struct {
-	epoch    int // changes with discovery's address, and when its revisions begin anew
+	epoch    int // incremented when the discovery address changes or the revisions of discovery restart
 	revision int64
 }
 
-// newer tells whether an update is known to be newer than another.
+// newer reports whether an update of version v is certain to be newer than another update.
 func (v version) newer(than version) bool { return v.epoch == than.epoch && v.revision > than.revision }
 
-// nameIndex gives names their place in a list; unknown ones get places at its end.
+// nameIndex maps names to their positions in a list. A name that is not in the list is appended to it.
 type nameIndex []string
 
 func (n *nameIndex) indexOf(name string) int {
@@ -48,12 +50,13 @@
 
 func compareUID(a, b *worker) int { return cmp.Compare(a.UID, b.UID) }
 
-// mergeWorker takes what an update says of a known worker, if it is newer than what is known. A
-// worker that drains or is removed does not come back by an update that may be older than the one
-// that said so: from an address that knows less than the one before, from a service that counts its
-// revisions anew, or a change sent again. Its update stays pending. It comes back once it has started
-// since, or the update is newer for certain, or has been there for so long that the drain would be
-// known there.
+// mergeWorker applies the entry of an update to a known worker, unless the known state is newer.
+//
+// An entry that lists a draining or removed worker as ready may be older than the drain or removal: it may
+// come from a discovery service that lags behind the one used before, from a service that has restarted its
+// revisions, or from a repeated update. Such an entry is kept as pendingUpdate and not applied. The worker
+// becomes ready again if it has restarted since, if the update is certain to be newer, or when MaxStaleness
+// has passed since the drain or removal, as every discovery service reports a change within that time.
 func (s *Scheduler) mergeWorker(w *worker, listed Worker, updateVersion version) {
 	ready := listed.Status == dispatch.Ready
 	switch {
@@ -69,14 +72,15 @@
 	}
 }
 
-// workerEntry is a worker as the dispatcher knows it.
+// workerEntry returns a worker in the form that the dispatcher uses.
 func (s *Scheduler) workerEntry(w *worker) dispatch.WorkerEntry {
 	return dispatch.WorkerEntry{Worker: w.number, Zone: s.zones.indexOf(w.Zone), Cell: w.Cell,
 		Kind: s.kinds.indexOf(w.Kind), Status: w.Status, Started: w.Started}
 }
 
-// recordTransitions notes since when workers that may have changed drain or are removed, emits the
-// effects of that, and forgets those that have been removed for long.
+// recordTransitions records the time at which any of the changed workers began to drain, was removed or
+// became ready again, and emits StopUsingWorker and ResumeWorker. It also deletes the records of workers
+// whose retention time after their removal has passed.
 func (s *Scheduler) recordTransitions(changed []*worker) {
 	changed = slices.DeleteFunc(changed, func(w *worker) bool {
 		return (w.Status == dispatch.Ready) == (w.drainingSince == 0) &&
@@ -90,12 +94,13 @@
 	}
 }
 
-// expiredWorkers takes those off the list of removed workers whose retention is over.
+// expiredWorkers removes the entries whose retention time is over from removedWorkers, and returns their
+// workers. A returned worker may have been added again since, which recordRemoval checks.
 func (s *Scheduler) expiredWorkers() (expired []*worker) {
 	retention := s.settings.Dispatch.RemovedRetention()
 	n := 0
 	for ; n < len(s.removedWorkers) && s.now-s.removedWorkers[n].since >= retention; n++ {
-		if w := s.removedWorkers[n].worker; s.workers[w.UID] == w { // recordRemoval sees if it has been back since
+		if w := s.removedWorkers[n].worker; s.workers[w.UID] == w {
 			expired = append(expired, w)
 		}
 	}
@@ -106,7 +111,7 @@
 func (s *Scheduler) recordDrain(w *worker) {
 	switch {
 	case w.Status != dispatch.Ready && w.drainingSince == 0:
-		w.drainingSince = max(s.now, 1) // 0 stands for ready
+		w.drainingSince = max(s.now, 1) // at least 1, as 0 means that the worker is ready
 		s.emit(StopUsingWorker{UID: w.UID, Addr: w.Addr})
 	case w.Status == dispatch.Ready && w.drainingSince != 0:
 		w.drainingSince = 0
@@ -119,7 +124,7 @@
 	case w.Status != dispatch.Removed:
 		w.removedSince = 0
 	case w.removedSince == 0:
-		w.removedSince = max(s.now, 1) // 0 stands for not removed
+		w.removedSince = max(s.now, 1) // at least 1, as 0 means that the worker is not removed
 		s.removedWorkers = append(s.removedWorkers, removedWorker{w, w.removedSince})
 	case s.now-w.removedSince >= s.settings.Dispatch.RemovedRetention():
 		delete(s.workers, w.UID)
@@ -128,11 +133,11 @@
 	}
 }
 
-// assignNumber gives a worker its number from its UID. Schedulers that share no state must compute
-// the same owner of a worker in slow start, and the dispatcher does so by number.
+// assignNumber derives the number of a worker from its UID. All schedulers must compute the same owner of a
+// worker in slow start although they share no state, and the dispatcher computes the owner from the number.
 func (s *Scheduler) assignNumber(uid string) dispatch.WorkerID {
 	sum := fnv.New32a()
-	_, _ = sum.Write([]byte(uid)) // a hash never fails
+	_, _ = sum.Write([]byte(uid)) // Write of a hash never returns an error.
 	n := dispatch.WorkerID(sum.Sum32())
 	for s.byNumber[n] != nil {
 		n++
