--- a/internal/scheduler/cancellation_test.go
+++ b/internal/scheduler/cancellation_test.go
@@ -7,8 +7,9 @@
 	"dahliaford/internal/dispatch"
 )
 
-// newHarnessWithCancellation has a batch whose worker may hold it and has been sent a cancellation. The class
-// has time enough for the batch to wait for that.
+// newHarnessWithCancellation returns a harness with a batch request whose first attempt is being cancelled
+// and may be held by worker r1. The latency objective of the class is long enough for the request to wait
+// for the acknowledgement.
 func newHarnessWithCancellation(t *testing.T) *harness {
 	t.Helper()
 	const longObjective = `"slo":19500000`
@@ -23,15 +24,11 @@
 	return w
 }
 
-// The connection of a batch's first attempt breaks before its 202, and its worker's machine is cut off: it
-// may hold the job, and its cancellation is not acknowledged. A retry waits for that. 15 s later the
-// cancellation was given up, and with it the wait: at 16 s the job was sent to a second worker of the cell
-// while the first, back by then, could still run it, a second copy of a job that may be repeated only after
-// the first copy has ended or been given up.
-//
-// cancellationLifetime was the same for all, and the deadline of that class is 20 s. The log line "job
-// cancellation failed: its worker may run it for no caller" came 15 s after the break though the caller
-// waited, and behind it "SendAttempt a1 to r2".
+// Guards against a retry that is sent while a worker may still hold the first attempt. The connection of the
+// first attempt breaks before the 202, and the worker is unreachable, so that it cannot acknowledge the
+// cancellation. When the cancellation was given up after cancellationLifetime (15 s) although the request was
+// open until its deadline (20 s), the deferred retry was sent to a second worker, and the job could run twice
+// at once.
 func TestRetryWaitsForAnAcknowledgedCancellationUntilTheDeadline(t *testing.T) {
 	for _, outage := range []string{"1s", "14s", "16s", "18s"} {
 		t.Run(outage, func(t *testing.T) {
@@ -50,7 +47,8 @@
 	}
 }
 
-// Once its worker has acknowledged the cancellation, the job goes on, however late that is.
+// The retry is sent as soon as the worker acknowledges the cancellation, even if that takes longer than
+// cancellationLifetime.
 func TestRetryGoesOnOnceTheCancellationIsAcknowledged(t *testing.T) {
 	w := newHarnessWithCancellation(t)
 	w.runScript(t, `
--- a/internal/scheduler/endpoints_test.go
+++ b/internal/scheduler/endpoints_test.go
@@ -7,8 +7,8 @@
 	"dahliaford/internal/dispatch"
 )
 
-// A worker that drains does not become ready again by an update that may be older than the one that
-// drained it.
+// A draining or removed worker must not become ready through an update that may be older than the one that
+// drained or removed it, until MaxStaleness has passed.
 func TestStaleUpdateDoesNotRestoreDrainingWorker(t *testing.T) {
 	ready, draining := testWorker("r1", dispatch.Ready), testWorker("r1", dispatch.Draining)
 	removed := testWorker("r1", dispatch.Removed)
@@ -21,28 +21,29 @@
 	previous := EndpointsUpdated{List: WorkerList{9, false, []Worker{draining}}, FromPreviousWatch: true}
 	for name, c := range map[string]struct {
 		events []Event
-		ready  bool // at once
-		later  bool // once its drain would be known there, too
+		ready  bool // whether the worker is ready right after the events
+		later  bool // whether the worker is ready once MaxStaleness has passed
 	}{
 		"a newer change":        {[]Event{drained, update(10, false, ready)}, true, true},
 		"a newer complete list": {[]Event{drained, update(10, true, ready)}, true, true},
-		"it has started since": {[]Event{drained, reloaded,
+		"the worker has restarted": {[]Event{drained, reloaded,
 			update(3, true, restarted)}, true, true},
-		"an older change":                          {[]Event{drained, update(8, false, ready)}, false, false},
-		"the same sent again":                      {[]Event{drained, update(9, false, ready)}, false, true},
-		"a service that counts its revisions anew": {[]Event{drained, update(3, true, ready)}, false, true},
-		"an address knows less": {[]Event{drained, reloaded,
+		"an older change":                        {[]Event{drained, update(8, false, ready)}, false, false},
+		"a change with the same revision":        {[]Event{drained, update(9, false, ready)}, false, true},
+		"a service that restarted its revisions": {[]Event{drained, update(3, true, ready)}, false, true},
+		"a new discovery that misses the drain": {[]Event{drained, reloaded,
 			update(12, true, ready)}, false, true},
-		"a removed one, likewise": {[]Event{update(9, false, removed), reloaded,
+		"a new discovery that misses the removal": {[]Event{update(9, false, removed), reloaded,
 			update(12, true, ready)}, false, true},
-		"missing, and back": {[]Event{update(9, true, other), reloaded,
+		"removed by a complete list, and listed by a new discovery": {[]Event{update(9, true, other), reloaded,
 			update(12, true, ready)}, false, true},
-		"the previous address knows more": {[]Event{reloaded, previous, update(12, true, ready)}, false, true},
+		"a drain from the previous discovery": {[]Event{reloaded, previous, update(12, true, ready)}, false, true},
 		"removed, pending, and removed again": {[]Event{update(9, false, removed), reloaded,
 			update(12, true, ready, other), update(13, true, other)}, false, false},
-		"pending, and drained there": {[]Event{drained, reloaded, update(3, true, ready), reloaded,
-			previous}, false, false},
-		"a drain that comes late": {[]Event{update(9, false, ready), update(8, false, draining)}, false, false},
+		"pending, and drained by the previous discovery": {[]Event{drained, reloaded, update(3, true, ready),
+			reloaded, previous}, false, false},
+		"an older drain after a newer ready": {[]Event{update(9, false, ready),
+			update(8, false, draining)}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newHarness(t)
@@ -55,9 +56,9 @@
 			for _, at := range []struct {
 				when string
 				want bool
-			}{{"at once", c.ready}, {"after a while", c.later}} {
+			}{{"right after the events", c.ready}, {"after MaxStaleness", c.later}} {
 				if got := w.scheduler.workers["r1"].Status == dispatch.Ready; got != at.want {
-					t.Errorf("ready %s: %v, want %v", at.when, got, at.want)
+					t.Errorf("worker r1 %s: ready is %v, want %v", at.when, got, at.want)
 				}
 				w.now += 6 * second
 				w.step(EndpointsUpdated{})
@@ -66,22 +67,23 @@
 	}
 }
 
-// An update that is delayed by sockets and queues keeps its age, also for the dispatcher that polls
-// whether the watch is alive.
+// The worker list is only as recent as the AsOf time of its last update, even if the update reaches the
+// reducer later because of sockets and queues. The dispatcher decides from this time whether to poll.
 func TestDelayedUpdateKeepsItsAge(t *testing.T) {
 	w := newHarness(t)
 	w.step(EndpointsUpdated{AsOf: w.now - second})
 	if w.scheduler.listAsOf != w.now-second {
-		t.Errorf("list as of %d, want %d", w.scheduler.listAsOf, w.now-second)
+		t.Errorf("after an update delayed by 1 s: listAsOf is %d, want %d", w.scheduler.listAsOf, w.now-second)
 	}
 	w.now += second
 	w.step(EndpointsUpdated{})
 	if w.scheduler.listAsOf != w.now {
-		t.Errorf("list as of %d, want %d", w.scheduler.listAsOf, w.now)
+		t.Errorf("after an update without AsOf: listAsOf is %d, want %d", w.scheduler.listAsOf, w.now)
 	}
 }
 
-// Two workers at one address, as after a replacement in place: each is added and removed by its own UID.
+// Two workers may share an address after a worker is replaced in place. Each is added and removed by its own
+// UID: removing the first must not affect the second.
 func TestTwoWorkersAtOneAddress(t *testing.T) {
 	for _, complete := range []bool{false, true} {
 		w := newHarness(t)
@@ -99,11 +101,12 @@
 			Deadline: w.now + 5*second}, nil)
 		i := slices.IndexFunc(got, func(e Effect) bool { _, is := e.(SendAttempt); return is })
 		if i < 0 || got[i].(SendAttempt).WorkerUID != "r2" || got[i].(SendAttempt).Addr != r2.Addr {
-			t.Errorf("by a complete list %v: %+v, want a9 sent to r2", complete, got)
+			t.Errorf("r1 removed by a complete list: %v; got effects %+v, want a9 sent to r2", complete, got)
 		}
 		status1, status2 := w.scheduler.workers["r1"].Status, w.scheduler.workers["r2"].Status
 		if status1 != dispatch.Removed || status2 != dispatch.Ready {
-			t.Errorf("by a complete list %v: r1 is %d, r2 is %d", complete, status1, status2)
+			t.Errorf("r1 removed by a complete list: %v; got status %d of r1 and %d of r2, want removed and ready",
+				complete, status1, status2)
 		}
 	}
 }
--- a/internal/scheduler/id_reuse_test.go
+++ b/internal/scheduler/id_reuse_test.go
@@ -9,7 +9,7 @@
 	"dahliaford/internal/scenario"
 )
 
-// sendUpdate lists workers of a cell with a status.
+// sendUpdate sends a worker list update that lists workers of one cell, all with one status.
 func (w *harness) sendUpdate(cell int, status dispatch.Status, uids ...string) {
 	list := WorkerList{Revision: w.scheduler.revision + 1}
 	for _, uid := range uids {
@@ -20,20 +20,16 @@
 	w.step(EndpointsUpdated{List: list})
 }
 
-// runScript runs a script of a scenario.
+// runScript runs a scenario script against the harness.
 func (w *harness) runScript(t *testing.T, script string) {
 	t.Helper()
 	scenario.Run(t, w, script, func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// A batch was sent to a worker, began, and was aborted: it may have run, and only the workers of the same
-// cell drop a repeat of it. Its next attempt, in that cell, got 400. The client was answered 400, which says
-// that the job never ran, and its id became free at once. Submitted again under that id, the job was a new
-// one to the dispatcher: once the first cell drained it ran in the other one, which knows nothing of the
-// first run.
-//
-// rejectAttempt took the id off usedIDs without a look at the attempts before the rejected one. The effects
-// seen, every time: "Answer invalid" in place of failed, and "SendAttempt a1 to r3" in place of a conflict.
+// Guards against a job that runs twice because its id becomes usable too early. The first attempt of a batch
+// request starts and is aborted, so the job may have run. The second attempt, in the same cell, is rejected
+// with 400. If rejectAttempt then frees the id and answers Invalid, the client may submit the request again
+// with that id, and the job runs in another cell, whose workers do not know of the first run.
 func TestIDStaysInUseAfterARejectionBehindAnAttemptThatMayHaveRun(t *testing.T) {
 	w := newHarness(t)
 	w.sendUpdate(0, dispatch.Ready, "r1")
@@ -56,13 +52,10 @@
 		r3 expect nothing`)
 }
 
-// A batch was served 20.4 s ago by a cell whose workers drop a repeat of it for 30 s. Its id was free again,
-// as ids were kept for the longest deadline of any class, 20 s, and not for the window: submitted again
-// under its id while that cell drained, it ran a second time, in the other cell.
-//
-// Step dropped the id at the second rotation of usedIDs, whose period was maxDeadline alone. The effect
-// seen, every time: "SendAttempt a1 to r2" where a conflict is due until 30 s after the first attempt was
-// sent.
+// Guards against a job that runs twice because its id becomes usable before the deduplication window (30 s)
+// ends. A batch request is served in one cell, which then drains. When ids were kept only for the longest
+// deadline of any class (20 s), the request could be submitted again with its id 20.4 s after it was served,
+// and the job ran again in another cell, whose workers do not know of the first run.
 func TestIDStaysInUseUntilItsDedupWindowIsOver(t *testing.T) {
 	for _, delay := range []string{"1ms", "20400ms", "29900ms"} {
 		t.Run(delay, func(t *testing.T) {
--- a/internal/scheduler/job_bench_test.go
+++ b/internal/scheduler/job_bench_test.go
@@ -8,7 +8,8 @@
 	"dahliaford/internal/settings"
 )
 
-// newFleetInZones starts a scheduler of a fleet whose workers are dealt out to zones, of two kinds each.
+// newFleetInZones starts one scheduler of a fleet with the given numbers of schedulers and workers. The
+// workers are spread evenly over the zones, and each zone has workers of two kinds.
 func newFleetInZones(t testing.TB, schedulers, workers, zones int) *Scheduler {
 	t.Helper()
 	set, err := settings.Parse([]byte(testSettings))
@@ -32,7 +33,8 @@
 	return s
 }
 
-// BenchmarkJob is one job with all its events, by schedulers, workers and zones.
+// BenchmarkJob measures one job with all its events for fleets of different numbers of schedulers, workers
+// and zones.
 func BenchmarkJob(b *testing.B) {
 	for _, size := range [][3]int{{3, 10, 1}, {80, 60, 1}, {300, 200, 1}, {300, 800, 1}, {300, 2400, 1},
 		{300, 7200, 1}, {30, 7200, 1}, {17, 7200, 1}, {7200, 7200, 1}, {300, 7200, 14}, {17, 7200, 14}} {
--- a/internal/scheduler/scaling_test.go
+++ b/internal/scheduler/scaling_test.go
@@ -9,13 +9,13 @@
 	"dahliaford/internal/dispatch"
 )
 
-// newFleet starts a scheduler of a fleet.
+// newFleet starts one scheduler of a fleet in one zone.
 func newFleet(t testing.TB, schedulers, workers int) *Scheduler {
 	t.Helper()
 	return newFleetInZones(t, schedulers, workers, 1)
 }
 
-// runJobs passes n jobs through, each with all its events.
+// runJobs runs n jobs through the scheduler, one after the other, each from submission to result.
 func runJobs(t testing.TB, s *Scheduler, n int) {
 	now, out := s.now, []Effect(nil)
 	for range n {
@@ -25,7 +25,7 @@
 			Deadline: now + 5*second}, out[:0])
 		i := slices.IndexFunc(out, func(e Effect) bool { _, is := e.(SendAttempt); return is })
 		if i < 0 {
-			t.Fatalf("%s is not sent: %v", id, out)
+			t.Fatalf("request %s: got effects %v, want a SendAttempt", id, out)
 		}
 		r := out[i].(SendAttempt)
 		s.Step(now+1000, AttemptAccepted{Attempt: r.Attempt}, nil)
@@ -35,11 +35,12 @@
 	}
 }
 
-// The cost of a job does not grow with the fleet: one scheduler of 80 has only its subset of it.
+// The time that a job takes must not grow with the number of workers in the fleet, because a scheduler of a
+// large fleet only uses a subset of the workers.
 func TestJobCostIndependentOfFleetSize(t *testing.T) {
 	elapsed := func(schedulers, workers int) time.Duration {
 		fastest := time.Hour
-		for range 7 { // the minimum is what the work takes, whatever else the machine does
+		for range 7 { // the minimum of several runs is least affected by other load on the machine
 			s := newFleet(t, schedulers, workers)
 			began := time.Now()
 			runJobs(t, s, 400)
@@ -50,30 +51,31 @@
 	small := elapsed(3, 10)
 	for _, size := range [][2]int{{80, 60}, {300, 200}} {
 		if large := elapsed(size[0], size[1]); large > 4*small {
-			t.Errorf("400 jobs take %v of one of 3 with 10 workers, and %v of one of %d with %d", small, large,
-				size[0], size[1])
+			t.Errorf("400 jobs: %v at 3 schedulers, 10 workers; %v at %d schedulers, %d workers; want at most 4 x",
+				small, large, size[0], size[1])
 		}
 	}
 }
 
-// A fleet whose workers are replaced does not grow the records: those that were removed long ago are
-// forgotten, and one that comes back is as new.
+// The number of worker records must not grow while the workers of a fleet are replaced: the record of a
+// removed worker is deleted after its retention time. A worker that is listed again later gets a new record.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	s := newFleet(t, 80, 10)
-	for i := range 200 { // one is replaced a minute
+	for i := range 200 { // One worker is replaced per minute.
 		old, next := testWorker(fmt.Sprintf("r%d", i), dispatch.Removed),
 			testWorker(fmt.Sprintf("r%d", i+10), dispatch.Ready)
 		change := WorkerList{Revision: int64(i + 2), Workers: []Worker{old, next}}
 		s.Step(s.now+60*second, EndpointsUpdated{List: change}, nil)
 	}
 	if n := len(s.workers); n > 25 || n < 10 || len(s.byNumber) != n {
-		t.Errorf("%d workers and %d numbers are recorded, 10 are in the list", n, len(s.byNumber))
+		t.Errorf("got %d worker records and %d worker numbers, want the same count of both, from 10 to 25", n,
+			len(s.byNumber))
 	}
 	before := len(s.workers)
 	returned := WorkerList{Revision: 999, Workers: []Worker{testWorker("r0", dispatch.Ready)}}
 	s.Step(s.now+second, EndpointsUpdated{List: returned}, nil)
 	if r := s.workers["r0"]; r == nil || r.Status != dispatch.Ready || len(s.workers) != before+1 {
-		t.Errorf("one that came back is %+v", r)
+		t.Errorf("the record of a worker that is listed again is %+v, want a new, ready one", r)
 	}
 	runJobs(t, s, 10)
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -24,17 +24,18 @@
 	"guarantees":{"cold":8000000,"cold_from":0.3,"fall":2000000,"overload_factor":4,"ask_within":10000000,
 	 "drain_grace":500000}}`
 
-// harness runs a scheduler on a clock of its own. Effects become lines, queued for the actor that they
-// reach.
+// harness runs a scheduler on a simulated clock, driven by a scenario script. It records each effect as a
+// line of text in the output of the actor that the effect concerns: a client, a worker, discovery, the
+// program or the log.
 type harness struct {
 	scheduler       *Scheduler
 	now             Micros
-	timerAt         Micros
-	exitDeadline    Micros // what the Shutdown effect allows; 0: there has been none
-	output          map[string][]string
-	latestAttempt   map[string]AttemptID // the last one, by request id
-	workerOfAttempt map[AttemptID]string // where it went
-	callerNames     map[CallerID]string  // names
+	timerAt         Micros               // the time that the last SetTimer effect requested; 0: no timer is set
+	exitDeadline    Micros               // the deadline of the Shutdown effect; 0: there has been no such effect
+	output          map[string][]string  // lines that the script has not yet expected, by actor
+	latestAttempt   map[string]AttemptID // the latest attempt of each request, by request id
+	workerOfAttempt map[AttemptID]string // the UID of the worker to which an attempt was sent
+	callerNames     map[CallerID]string  // the actor that submitted a request
 }
 
 func parseSettings(t *testing.T, text string) settings.Settings {
@@ -51,7 +52,8 @@
 	return newHarnessWithSettings(t, parseSettings(t, testSettings))
 }
 
-// newHarnessWithSettings is a world with settings of its own.
+// newHarnessWithSettings returns a harness whose scheduler has the given settings and knows one ready
+// worker, r1.
 func newHarnessWithSettings(t *testing.T, set settings.Settings) *harness {
 	t.Helper()
 	s, err := New(set, 1)
@@ -153,7 +155,7 @@
 	switch {
 	case a.name == "discovery":
 		a.step(WatchClosed{})
-	case a.name[0] == 'r': // the connection broke after the request was sent
+	case a.name[0] == 'r': // a worker: its connection breaks after the attempt was sent
 		a.step(AttemptEnded{Attempt: a.latestAttempt[text], Outcome: dispatch.Reset})
 	default:
 		for caller, name := range a.callerNames {
@@ -197,10 +199,10 @@
 	return nil
 }
 
-// panicAndRecover does as a program does whose dispatcher has panicked.
+// panicAndRecover lets the dispatcher panic in Step and calls Recover, as the production program does.
 func (a actor) panicAndRecover() {
 	defer func() {
-		_ = recover() // the panic that the scenario asks for
+		_ = recover() // catches the panic that the scenario has requested
 		effects, _ := a.scheduler.Recover(a.now)
 		a.record(effects)
 	}()
@@ -255,58 +257,58 @@
 			r1 send done a1
 			r1 send failed a1
 			c1 expect nothing`,
-		"the end may be reported before the start and the acceptance": submit + `
+		"a callback with the result arrives before the start and the acceptance": submit + `
 			r1 send done a1
 			c1 expect served result
 			r1 send started a1
 			r1 send accepted a1
 			r1 expect connection closed
 			r1 expect nothing`,
-		"callbacks count only from the worker that has the attempt": submit + started + `
+		"a callback from a worker that does not hold the attempt is ignored": submit + started + `
 			r9 send done a1
 			c1 expect nothing
 			r1 send done a1
 			c1 expect served result`,
-		"a connection that ends after the acceptance ends nothing": submit + started + `
+		"a connection that breaks after the acceptance does not end the attempt": submit + started + `
 			r1 close a1
 			c1 expect nothing
 			r1 send done a1
 			c1 expect served result`,
-		"one that ends before it may have run: no refusal": submit + `
+		"a request whose connection broke before the acceptance fails, as its job may have run": submit + `
 			r1 close a1
 			c1 expect failed`,
-		"an error may have run: no refusal": submit + `
+		"a request whose worker reported an error fails, as its job may have run": submit + `
 			r1 send error a1
 			c1 expect failed`,
-		"an aborted job may have run": submit + started + `
+		"a request whose job was aborted fails, as the job may have run": submit + started + `
 			r1 send aborted a1
 			c1 expect failed`,
-		"a job that never ran goes to another worker, without an answer to its caller": batch + `
+		"a job refused by a worker at capacity is retried at another worker": batch + `
 			r1 send at-capacity a1` + retried + `
 			c1 expect nothing`,
-		"so does one that was handed back": batch + `
+		"a job that a worker handed back is retried at another worker": batch + `
 			r1 send accepted a1
 			r1 send handed-back a1` + retried,
-		"so does one whose worker was not reached": batch + `
+		"a job is retried at another worker if the connection could not be opened": batch + `
 			r1 send connect-failed a1` + retried,
-		"what the dispatcher gives up is answered at once": `
+		"a request is refused as soon as the dispatcher abandons its job": `
 			discovery send r1=draining
 			c1 send a1 post sahel 5s
 			c1 expect nothing
 			wait 1s
 			c1 expect refused`,
-		"a job without time is answered at once": `
+		"a request whose deadline has passed is refused at once": `
 			c1 send a1 post sahel 0s
 			c1 expect refused
 			r1 expect nothing`,
-		"a caller that disconnects before the acceptance, which may cross the close": submit + `
+		"an attempt is cancelled at the worker if its caller disconnects before the acceptance": submit + `
 			c1 close
 			r1 expect connection closed
 			r1 expect cancel a1
 			r1 send acknowledged a1
 			wait 5s
 			r1 expect nothing`,
-		"a cancellation that fails is retried, and not for ever": submit + started + `
+		"a failed cancellation is retried until it is acknowledged": submit + started + `
 			c1 close
 			r1 expect cancel a1
 			r1 send unacknowledged a1
@@ -320,26 +322,26 @@
 			r1 send acknowledged a1
 			wait 30s
 			r1 expect nothing`,
-		"a retry is deferred until the worker that may hold the first has acknowledged": batch + `
+		"a retry is deferred until the cancellation of the first attempt is acknowledged": batch + `
 			r1 close a1
 			r1 expect cancel a1
 			r2 expect nothing
 			r1 send acknowledged a1
 			r2 expect a1 payload written in 250ms done in 19.996s`,
-		"or until that worker reports how it ended": batch + `
+		"a result of the first attempt answers the request while the retry is deferred": batch + `
 			r1 close a1
 			r1 expect cancel a1
 			r1 send done a1
 			c1 expect served result
 			r1 expect connection closed
 			r2 expect nothing`,
-		"it is not deferred past its time to be sent": batch + `
+		"a new retry replaces one that was deferred past its write deadline": batch + `
 			r1 close a1
 			r1 expect cancel a1
 			wait 260ms
 			r1 send acknowledged a1
 			r2 expect a1 payload written in 240ms done in 19.736s`,
-		"a shutdown cancels first, and waits 2s for that at most": submit + started + `
+		"a shutdown waits 2s at most for an open cancellation": submit + started + `
 			program send stop
 			c1 close
 			r1 expect cancel a1
@@ -348,17 +350,17 @@
 			program expect nothing
 			wait 3s
 			program expect scheduler.Shutdown`,
-		"a caller that disconnects after the acceptance": submit + started + `
+		"an accepted attempt is cancelled if its caller disconnects": submit + started + `
 			c1 close
 			r1 expect cancel a1
 			r1 send done a1
 			c1 expect nothing`,
-		"a start reported before the acceptance: the worker may have accepted it": submit + `
+		"an attempt whose start is reported before its acceptance is cancelled at a disconnect": submit + `
 			r1 send started a1
 			c1 close
 			r1 expect connection closed
 			r1 expect cancel a1`,
-		"a worker that reports nothing": submit + started + `
+		"a request fails before its deadline if its worker reports no end": submit + started + `
 			wait 4.9s
 			c1 expect nothing
 			wait 97ms
@@ -366,18 +368,18 @@
 			c1 expect failed
 			wait 1s
 			c1 expect nothing`,
-		"two requests of one id would mix their callbacks": submit + `
+		"a second request with the id of an open one is rejected": submit + `
 			c2 send a1 post sahel 5s
 			c2 expect conflict a request of that id is open
 			r1 send done a1
 			c1 expect served result`,
-		"an id is not taken again once its request is over": submit + started + `
+		"a request with the id of an answered one is rejected": submit + started + `
 			r1 send done a1
 			c1 expect served result
 			c2 send a1 batch sahel 20s
 			c2 expect conflict that id has been used
 			r1 expect nothing`,
-		"a rejected request is at fault, not its worker": `
+		"a rejected request does not count as a failure of its worker": `
 			c1 send b1 batch sahel 20s
 			r1 expect b1 payload written in 250ms done in 19.996s
 			r1 send rejected b1
@@ -392,12 +394,12 @@
 			c1 expect invalid the worker cannot use it
 			c1 send b3 batch sahel 20s
 			r1 expect b3 payload written in 250ms done in 19.996s`,
-		"invalid submissions": `
+		"submissions with an unknown class or tenant are rejected": `
 			c1 send a1 nothing sahel 5s
 			c1 expect invalid unknown class "nothing"
 			c2 send a2 post nobody 5s
 			c2 expect invalid unknown tenant "nobody"`,
-		"a draining worker gets nothing new, a removed one is forgotten": `
+		"a draining or removed worker gets no new attempt": `
 			discovery send r1=draining r2=ready
 			c1 send a1 post sahel 5s
 			r1 expect stop using
@@ -406,7 +408,7 @@
 			discovery send r1=removed
 			discovery send
 			r1 expect nothing`,
-		"a request that is open shortly before the kill gets an answer": `
+		"a request that is still open shortly before the kill is answered": `
 			c1 send a1 batch sahel 20s
 			r1 expect a1 payload written in 250ms done in 19.996s
 			r1 send accepted a1
@@ -417,19 +419,19 @@
 			wait 1ms
 			c1 expect failed last
 			r1 expect cancel a1`,
-		"a dead watch is opened again from where it stood": `
+		"a closed watch is opened again from the known revision": `
 			discovery expect watch d1 from 1
 			discovery send r2=ready
 			discovery close
 			discovery expect nothing
 			wait 2s
 			discovery expect watch d1 from 2`,
-		"a watch that is alive is not opened twice": `
+		"no second watch is opened while one is open": `
 			discovery expect watch d1 from 1
 			discovery send
 			wait 60s
 			discovery expect nothing`,
-		"a reload asks another discovery for the complete list at once, and retries": submit + started + `
+		"a reload requests the complete list from the new discovery at once, and retries": submit + started + `
 			discovery expect watch d1 from 1
 			discovery send r2=ready
 			discovery send reload d2
@@ -442,7 +444,7 @@
 			discovery expect watch d3 from 0
 			r1 send done a1
 			c1 expect served result`,
-		"a stopping scheduler goes on serving, then refuses, and ends with the last answer": submit + started + `
+		"a stopping scheduler first serves, then refuses, and exits after the last answer": submit + started + `
 			program send stop
 			wait 500ms
 			c2 send a2 batch sahel 20s
@@ -457,7 +459,7 @@
 			c2 close
 			r1 send acknowledged a2
 			program expect scheduler.Shutdown`,
-		"a panic leaves no request without an answer, and the next is served": submit + started + `
+		"a panic fails the open requests, and the next request is served": submit + started + `
 			program send panic
 			c1 expect failed
 			r1 expect cancel a1
@@ -472,8 +474,9 @@
 	}
 }
 
-// Where settings allow hedged attempts, the dispatcher would ask for one of a job whose worker sends no
-// more progress. One attempt is live at a time here, so it must not: each time would use up an attempt.
+// Where the settings allow hedging, a dispatcher requests a hedged attempt for a job whose worker reports no
+// more progress. The reducer keeps one attempt of a request live and would suppress the hedged attempt, which
+// would still count against the job's maximum number of attempts. The dispatcher must not request it.
 func TestHedgedAttemptsAreNotRequested(t *testing.T) {
 	text := strings.Replace(testSettings, `"cancel":true`, `"cancel":true,"may_duplicate":true`, 1)
 	set := parseSettings(t, text)
@@ -489,8 +492,8 @@
 		r1 expect cancel a1`, func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// A stopping scheduler ends before the kill, whatever its deadlines are and whether or not its workers
-// acknowledge cancellations. Until it ends, clients go on sending.
+// A stopping scheduler must exit before it is killed, for any class deadline and even if a worker does not
+// acknowledge a cancellation. Clients send requests until it exits, and a kill would leave them unanswered.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	for _, longest := range []time.Duration{200 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second,
 		20 * time.Second} {
@@ -506,20 +509,21 @@
 				c1 send a1 post sahel `+longest.String()+`
 				r1 send accepted a1
 				program send stop
-				c1 close`, nil) // its cancellation is never acknowledged
+				c1 close`, nil) // the worker never acknowledges the cancellation
 			for w.exitDeadline == 0 && w.now < kill {
 				if err := w.Wait("10ms"); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if w.exitDeadline == 0 || w.now >= kill || w.exitDeadline >= kill {
-				t.Errorf("exit asked for by %v, at %v, with the kill at %v", w.exitDeadline, w.now, kill)
+				t.Errorf("exit deadline %v (0: no exit requested), clock %v; want both before the kill at %v",
+					w.exitDeadline, w.now, kill)
 			}
 		})
 	}
 }
 
-// A dispatcher that never decides must not cost the caller its answer.
+// A request must be answered at its deadline even if the dispatcher has not decided on it.
 func TestDeadlineHoldsWithoutDecision(t *testing.T) {
 	w := newHarness(t)
 	w.step(EndpointsUpdated{List: WorkerList{Workers: []Worker{testWorker("r1", 2)}}})
@@ -531,8 +535,8 @@
 	scenario.Run(t, w, "wait 1s\nc1 expect failed", func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// Schedulers share no state, yet must give a worker the same number, in whatever order they learned of
-// the workers: the dispatcher computes the owner of a worker in slow start by it.
+// Schedulers share no state, but all must give a worker the same number, in whatever order discovery lists
+// the workers to them: the dispatcher computes the owner of a worker in slow start from the number.
 func TestWorkerNumberDependsOnUIDOnly(t *testing.T) {
 	a, b := newHarness(t).scheduler, newHarness(t).scheduler
 	a.applyUpdate(WorkerList{Workers: []Worker{testWorker("s-1", 1), testWorker("s-2", 1)}},
@@ -541,14 +545,14 @@
 		dispatch.UpdateDelta, 1)
 	for _, uid := range []string{"s-1", "s-2"} {
 		if diff := cmp.Diff(a.workers[uid].number, b.workers[uid].number); diff != "" {
-			t.Errorf("%s: %s", uid, diff)
+			t.Errorf("the number of worker %s depends on the order of the list: %s", uid, diff)
 		}
 	}
 }
 
-// A connection may come up late. A retry that is sent after its class's deduplication window would run
-// again beside the first attempt, so it must be out by then, the time for which it is deferred by a
-// cancellation included.
+// A retry must be written before the deduplication window of its class ends, because workers would later not
+// recognize it as a repetition and run the job again. The limit includes the time for which the retry is
+// deferred by a cancellation and the time that its connection takes to open.
 func TestRetryIsSentWithinDedupWindow(t *testing.T) {
 	const short = `"memory_span":1000000`
 	for name, script := range map[string]string{
@@ -558,7 +562,7 @@
 			r1 expect cancel a1
 			r1 send acknowledged a1
 			r2 expect a1 payload written in 250ms done in 19.896s`,
-		"shortly before its end": `
+		"shortly before the end of the window": `
 			wait 900ms
 			r1 close a1
 			r1 expect cancel a1
--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -11,13 +11,14 @@
 	"dahliaford/internal/settings"
 )
 
-// The sizes at which costs are fitted, see docs/CAPACITY.md.
+// slopeSizes are the fleet sizes, in workers, at which the benchmarks measure costs. docs/CAPACITY.md fits
+// lines to the results.
 var slopeSizes = []int{200, 450, 800, 2400, 4800, 7200}
 
 const slopeSchedulers = 300
 
-// cpuMicros is the processor time of this process, in microseconds: on a shared machine it says
-// more than the wall's.
+// cpuMicros returns the processor time that this process has used, in microseconds. On a shared machine,
+// processor time varies less than wall-clock time.
 func cpuMicros(tb testing.TB) float64 {
 	tb.Helper()
 	var u unix.Rusage
@@ -27,7 +28,7 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1000
 }
 
-// heapBytes is the heap that is in use after a collection.
+// heapBytes returns the size of the heap in use after a garbage collection.
 func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -36,7 +37,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// slopeList is a complete list in 14 zones, and slopeLine one entry of it.
+// slopeList returns a complete list of ready workers that are spread evenly over slopeZones zones.
 func slopeList(workers int) WorkerList {
 	list := WorkerList{Revision: 1, Complete: true}
 	for i := range workers {
@@ -45,6 +46,7 @@
 	return list
 }
 
+// slopeWorker returns entry i of slopeList with the given status.
 func slopeWorker(i int, status dispatch.Status) Worker {
 	return Worker{UID: fmt.Sprintf("worker-%05d", i), Zone: fmt.Sprint("zone-", i%slopeZones),
 		Addr: fmt.Sprintf("10.%d.%d.%d:8443", i>>16, i>>8&255, i&255),
@@ -53,7 +55,8 @@
 
 const slopeZones = 14
 
-// newSlopeScheduler starts a scheduler of one zone with a known list.
+// newSlopeScheduler starts one scheduler of a fleet of the given number of schedulers, with a cached worker
+// list.
 func newSlopeScheduler(tb testing.TB, schedulers int, list WorkerList) *Scheduler {
 	tb.Helper()
 	set, err := settings.Parse([]byte(testSettings))
@@ -76,7 +79,8 @@
 	return s
 }
 
-// runForSizes runs one benchmark for each size; run is timed by the processor time that it takes.
+// runForSizes runs one sub-benchmark for each size and reports the result of run, the processor time per
+// operation in microseconds, in place of the wall-clock time.
 func runForSizes(b *testing.B, sizes []int, unit string, run func(b *testing.B, n int) (perOp float64)) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("%d %s", n, unit), func(b *testing.B) {
@@ -87,7 +91,7 @@
 	}
 }
 
-// BenchmarkSlopeUpdate is one changed entry an update.
+// BenchmarkSlopeUpdate measures a worker list update with one changed entry.
 func BenchmarkSlopeUpdate(b *testing.B) {
 	runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 		s := newSlopeScheduler(b, slopeSchedulers, slopeList(n))
@@ -102,7 +106,7 @@
 	})
 }
 
-// BenchmarkSlopeStart is a start with a complete list, and the heap that a scheduler then uses.
+// BenchmarkSlopeStart measures the start with a complete worker list, and the heap of a started scheduler.
 func BenchmarkSlopeStart(b *testing.B) {
 	runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 		list := slopeList(n)
@@ -120,7 +124,7 @@
 	})
 }
 
-// BenchmarkSlopeFullList is a complete list that equals the known one but for one entry.
+// BenchmarkSlopeFullList measures an update with a complete list in which one entry has changed.
 func BenchmarkSlopeFullList(b *testing.B) {
 	runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 		s, list, out := newSlopeScheduler(b, slopeSchedulers, slopeList(n)), slopeList(n), []Effect(nil)
@@ -134,7 +138,7 @@
 	})
 }
 
-// BenchmarkSlopeZone is a zone that is removed, each of its workers by an update of its own.
+// BenchmarkSlopeZone measures the removal of all workers of a zone, each by a separate update.
 func BenchmarkSlopeZone(b *testing.B) {
 	runForSizes(b, slopeSizes, "workers", func(b *testing.B, n int) float64 {
 		list, out, micros := slopeList(n), []Effect(nil), 0.0
@@ -151,7 +155,8 @@
 	})
 }
 
-// startRequests submits n requests that run at workers without an end, at a scheduler of 300.
+// startRequests submits n requests, numbered from from, and reports the acceptance and the start of their
+// jobs but no end, so that the requests stay open.
 func startRequests(tb testing.TB, s *Scheduler, from, n int) {
 	tb.Helper()
 	var out []Effect
@@ -168,15 +173,15 @@
 	}
 }
 
-// BenchmarkSlopeOpen is one more request, until it runs, at a scheduler that has n open, and the heap that
-// it uses for each.
+// BenchmarkSlopeOpen measures the submission and start of one request at a scheduler that has n open
+// requests, and the heap that the n requests use.
 func BenchmarkSlopeOpen(b *testing.B) {
 	const more = 100
 	runForSizes(b, []int{50, 100, 200, 400, 800, 1600}, "open", func(b *testing.B, n int) float64 {
 		list, micros, heapBytesUsed := slopeList(7200), 0.0, 0.0
 		for range b.N {
 			s := newSlopeScheduler(b, slopeSchedulers, list)
-			startRequests(b, s, 0, 20) // maps that grow by doubling have begun to
+			startRequests(b, s, 0, 20) // the first requests allocate the maps, which is not part of the measured heap
 			empty := heapBytes()
 			startRequests(b, s, 20, n)
 			heapBytesUsed += heapBytes() - empty
@@ -184,7 +189,7 @@
 			startRequests(b, s, 20+n, more)
 			micros += cpuMicros(b) - before
 			if s.PendingRequests() != 20+n+more {
-				b.Fatalf("%d open, want %d", s.PendingRequests(), 20+n+more)
+				b.Fatalf("got %d open requests, want %d", s.PendingRequests(), 20+n+more)
 			}
 		}
 		b.ReportMetric(heapBytesUsed/float64(b.N), "heap-bytes")
@@ -192,7 +197,8 @@
 	})
 }
 
-// BenchmarkSlopeJob is one job with all its events, at a scheduler of 14 zones that has 240 others open.
+// BenchmarkSlopeJob measures one job with all its events, at a scheduler that has 240 other open requests
+// and workers in 14 zones.
 func BenchmarkSlopeJob(b *testing.B) {
 	for _, schedulers := range []int{336, 17} {
 		b.Run(fmt.Sprint(schedulers, " schedulers"), func(b *testing.B) {
@@ -208,13 +214,13 @@
 	}
 }
 
-// steadyLoad is a scheduler at peak load: a job arrives each 54 ms and runs for 13 s, so 241 run at once.
-// Timers fire when they were asked for.
+// steadyLoad simulates a scheduler at peak load: a job arrives every 54 ms and runs for 13 s, so that 241
+// jobs run at a time. Timers fire exactly at the requested time.
 type steadyLoad struct {
 	scheduler   *Scheduler
 	timerAt     Micros
-	running     []Callback // the callbacks that will end them, the oldest first
-	submitted   int
+	running     []Callback // for each running job the callback that will end it, the oldest job first
+	submitted   int        // the number of requests submitted so far
 	timersFired int
 	refused     int
 	out         []Effect
@@ -270,8 +276,9 @@
 	}
 }
 
-// BenchmarkSlopeSteady is a job at peak load with all its events and timers, at one scheduler alone, and at
-// 24 in turn, as on a machine that they share: each finds the processor's caches cold.
+// BenchmarkSlopeSteady measures one job at peak load with all its events and timers. It runs with one
+// scheduler, and with 24 that take turns: the latter shows the cost on a machine that schedulers share, where
+// each scheduler finds the processor's caches filled with data of the others.
 func BenchmarkSlopeSteady(b *testing.B) {
 	for _, schedulers := range []int{1, 24} {
 		b.Run(fmt.Sprint(schedulers, " in turn"), func(b *testing.B) {
--- a/internal/scheduler/update_bench_test.go
+++ b/internal/scheduler/update_bench_test.go
@@ -7,8 +7,8 @@
 	"dahliaford/internal/dispatch"
 )
 
-// BenchmarkUpdate is one changed entry an update, through the reducer and the dispatcher: workers drain
-// and become ready again in turn, spread over the fleet.
+// BenchmarkUpdate measures a worker list update with one changed entry, through the reducer and the
+// dispatcher. The updates make one worker after another drain and become ready again.
 func BenchmarkUpdate(b *testing.B) {
 	for _, size := range [][2]int{{300, 200}, {300, 800}, {300, 2400}, {300, 7200}, {30, 7200}, {17, 7200},
 		{7200, 7200}} {
@@ -24,7 +24,8 @@
 	}
 }
 
-// updateFeed updates one worker after another, spread over a fleet of newFleet.
+// updateFeed sends worker list updates with one entry each to a scheduler made by newFleet. Consecutive
+// pairs of updates drain a worker and make it ready again; the workers are spread over the fleet.
 type updateFeed struct {
 	workerCount, stepCount int
 	out                    []Effect
--- a/internal/scheduler/update_reference_test.go
+++ b/internal/scheduler/update_reference_test.go
@@ -14,10 +14,11 @@
 	"dahliaford/internal/settings"
 )
 
-// A reference implementation of the worker list: at each update it visits all workers. The reducer,
-// which visits only those that an update changes, must act like it.
+// This file has a reference implementation of worker list updates, which visits all workers at each update.
+// The reducer visits only the workers that an update changes, and must produce the same effects and state.
 
-// stepReference takes an update, or the end of the watch, like Step.
+// stepReference handles an event as Step does. It applies updates by the reference implementation, and passes
+// all other events to Step.
 func (s *Scheduler) stepReference(now Micros, e Event) []Effect {
 	s.now, s.effects = now, nil
 	s.usedIDs.rotate(now, s.idRetention)
@@ -119,9 +120,9 @@
 	}
 }
 
-// Any sequence of updates, complete lists, updates of the previous discovery and changes to another
-// one, with revisions that repeat and go back and workers at one address, has the effects and leaves
-// the state of the reference implementation.
+// The reducer must produce the effects and the state of the reference implementation for any sequence of
+// updates, complete lists, updates from the previous discovery service, closed watches and reloads. The
+// revisions of the updates repeat and decrease, and pairs of workers share an address.
 func TestUpdatesMatchReferenceImplementation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, reference := schedulerForUpdates(), schedulerForUpdates()
@@ -132,9 +133,9 @@
 			r := testWorker(fmt.Sprint("r", i), rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready,
 				dispatch.Ready, dispatch.Draining, dispatch.Removed}).Draw(t, "status"))
 			r.Kind, r.Zone = fmt.Sprint("m", i%2), fmt.Sprint("z", i%3)
-			r.Addr = fmt.Sprint("a", i/2) // two have one address
+			r.Addr = fmt.Sprint("a", i/2) // two workers share each address
 			if r.Status == dispatch.Removed && rapid.Bool().Draw(t, "bare") {
-				r = Worker{UID: r.UID} // an update that removes it need not say more
+				r = Worker{UID: r.UID} // an entry that removes a worker needs no other field than the UID
 			}
 			if rapid.IntRange(0, 3).Draw(t, "restarted") == 0 {
 				r.Started = max(0, now-Micros(rapid.Int64Range(0, 60*second).Draw(t, "age")))
@@ -162,12 +163,12 @@
 			trace = append(trace, fmt.Sprintf("%d %T%+v", now, e, e))
 			got, want := s.Step(now, e, nil), reference.stepReference(now, e)
 			if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
-				t.Fatalf("after %v\neffects %+v\nof the reference %+v", trace, got, want)
+				t.Fatalf("after the events %v\ngot effects %+v\nwant those of the reference %+v", trace, got, want)
 			}
 			requireSameState(t, s, reference, trace)
 			requireSameState(t, s.Clone(), reference, trace)
 			if rapid.IntRange(0, 4).Draw(t, "copied") == 0 {
-				s = s.Clone() // and goes on from there
+				s = s.Clone() // the copy must behave like the original from here on
 			}
 		}
 	})
@@ -176,7 +177,7 @@
 func requireSameState(t *rapid.T, a, b *Scheduler, trace []string) {
 	t.Helper()
 	if !bytes.Equal(a.AppendState(nil), b.AppendState(nil)) {
-		t.Fatalf("after %v\nthe states differ", trace)
+		t.Fatalf("after the events %v\nthe state differs from that of the reference", trace)
 	}
 }
 
@@ -194,8 +195,9 @@
 	return s
 }
 
-// A zone is removed by an update for each worker, by one update, and by both at once while its workers
-// are added again after a restart.
+// The reducer must produce the effects and the state of the reference implementation when all workers of a
+// zone are removed: by one update for each worker, by one update for all of them, by a complete list, and by
+// updates that alternate with updates that add the workers again after a restart.
 func TestZoneRemovedByUpdates(t *testing.T) {
 	const zones, workersPerZone = 14, 20
 	zoneWorkers := func(zone int, status dispatch.Status, started Micros) (lines []Worker) {
@@ -226,9 +228,9 @@
 	known := slices.Clone(workers)
 	known[17].Status = dispatch.Draining
 	for name, updates := range map[string][]WorkerList{
-		"an update each": oneUpdateEach(removed),
-		"draining first": append(oneUpdateEach(draining), oneUpdateEach(removed)...),
-		"one update":     {update(removed...)},
+		"one update for each worker": oneUpdateEach(removed),
+		"draining first":             append(oneUpdateEach(draining), oneUpdateEach(removed)...),
+		"one update":                 {update(removed...)},
 		"missing from the complete list": {{Complete: true,
 			Workers: slices.Concat(workers[:3*workersPerZone], workers[4*workersPerZone:])}},
 		"both at once": append(oneUpdateEach(removed), update(removed...), update(restarted...)),
@@ -249,10 +251,10 @@
 				e := EndpointsUpdated{List: list}
 				got, want := s.Step(now, e, nil), reference.stepReference(now, e)
 				if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
-					t.Fatalf("effects %+v\nof the reference %+v", got, want)
+					t.Fatalf("got effects %+v\nwant those of the reference %+v", got, want)
 				}
 				if !bytes.Equal(s.AppendState(nil), reference.AppendState(nil)) {
-					t.Fatal("the states differ")
+					t.Fatal("the state differs from that of the reference")
 				}
 			}
 			apply(WorkerList{Complete: true, Workers: workers})
@@ -260,18 +262,18 @@
 				apply(list)
 			}
 			now += 600 * second
-			apply(WorkerList{}) // removed workers are forgotten
+			apply(WorkerList{}) // deletes the records of the removed workers, as their retention time is over
 			apply(WorkerList{Complete: true, Workers: workers})
 		})
 	}
 }
 
-// What an update allocates does not grow with the fleet: any code that visited all workers made a list
-// of them first. BenchmarkUpdate measures the time.
+// The memory that an update allocates must not grow with the fleet. This detects code that visits all workers
+// at each update, as such code first allocates a list of them. BenchmarkUpdate measures the time.
 func TestUpdateAllocationIndependentOfFleetSize(t *testing.T) {
 	bytesPerUpdate := func(schedulers, workers int) (bytes uint64) {
 		s, updates := newFleet(t, schedulers, workers), newUpdateFeed(workers)
-		for range 200 { // until the reused memory has grown
+		for range 200 { // grows the buffers that later updates reuse
 			updates.step(s)
 		}
 		const n = 400
@@ -286,8 +288,8 @@
 	small := bytesPerUpdate(300, 200)
 	for _, size := range [][2]int{{300, 800}, {300, 2400}, {300, 7200}, {30, 7200}, {17, 7200}, {7200, 7200}} {
 		if large := bytesPerUpdate(size[0], size[1]); large > 2*small {
-			t.Errorf("an update takes %d bytes of 300 schedulers with 200 workers, %d of %d with %d", small, large,
-				size[0], size[1])
+			t.Errorf("an update allocates %d bytes at 300 schedulers, 200 workers; %d at %d, %d; want at most 2 x",
+				small, large, size[0], size[1])
 		}
 	}
 }
