--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -200,7 +200,7 @@
 
 const (
 	notAllowed  writeFailure = iota // by the last check
-	tooLate                         // for its WriteBy
+	tooLate                         // for its WriteDeadline
 	dialRefused                     // nobody listens
 )
 
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -59,8 +59,9 @@
 // writeDeadline returns the time by which the last byte of an attempt must be written to its connection.
 func (s *Scheduler) writeDeadline(a *attempt, sendBy Micros) Micros {
 	by := s.now + s.settings.Dispatch.ConnectTimeout
-	// The worker may start to drain right after this. Sends to a draining worker must begin, with their
-	// first byte, within the drain grace, so an attempt whose connection takes longer to open is not sent.
+	// The worker may start to drain while the connection opens. The first byte of an attempt must be written
+	// within the drain grace, counted from the start of the drain, so an attempt whose connection takes
+	// longer than the drain grace to open is not sent.
 	if s.settings.DrainGrace > 0 {
 		by = min(by, s.now+s.settings.DrainGrace)
 	}
--- a/internal/scheduler/callbacks.go
+++ b/internal/scheduler/callbacks.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// endByCallback ends an attempt whose worker has reported the end of the job. If the worker has not
-// accepted the attempt, its connection is closed: it may wait for a response that never comes or never
-// ends, and the time-out of the attempt ends here.
+// endByCallback ends an attempt whose worker has reported the end of the job. If the worker has not accepted
+// the attempt, the connection of the attempt still waits for the response. It is closed here, because the
+// response may never come or never end, and the timer that would close it later ends with the attempt.
 func (s *Scheduler) endByCallback(a *attempt, outcome dispatch.Outcome, report dispatch.Report) {
 	if !a.accepted {
 		s.emit(CloseConnection{Attempt: a.id})
@@ -61,7 +61,8 @@
 			s.answer(r, Answer{Verdict: Served, Body: e.Result})
 		}
 		if c.inFlight {
-			// The time-out of the cancellation ends here, so its connection must be closed.
+			// The connection of the cancellation still waits for a response. It is closed here, because the
+			// timer that would close it later ends with the cancellation.
 			s.emit(CloseConnection{Attempt: a.id})
 		}
 		s.handleAcknowledgement(c)
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -68,7 +68,7 @@
 		}
 		w.pendingUpdate = nil
 		if w.drainingSince == 0 {
-			w.Status, w.version = listed.Status, version{epoch: -1} // not comparable with any other
+			w.Status, w.version = listed.Status, version{epoch: -1} // not comparable with another version
 			entries = append(entries, s.workerEntry(w))
 			changed = append(changed, w)
 		}
@@ -96,7 +96,7 @@
 			s.mergeWorker(w, listed, updateVersion)
 		}
 		w.lastUpdate = s.updateCount
-		entries = append(entries, s.workerEntry(w)) // the merged state of the worker, not that in the update
+		entries = append(entries, s.workerEntry(w)) // the merged state, which may differ from the update
 		changed = append(changed, w)
 	}
 	for _, w := range s.implicitChanges(list.Complete, updateVersion) {
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -47,7 +47,7 @@
 	clear(s.byID)
 	clear(s.byJob)
 	for _, a := range s.byAttempt {
-		s.byID[a.request.id] = a.request // needed to match the callbacks of the attempt's worker
+		s.byID[a.request.id] = a.request // lets callbacks of the worker find the request
 	}
 }
 
--- a/internal/scheduler/scaling_test.go
+++ b/internal/scheduler/scaling_test.go
@@ -51,7 +51,7 @@
 	small := elapsed(3, 10)
 	for _, size := range [][2]int{{80, 60}, {300, 200}} {
 		if large := elapsed(size[0], size[1]); large > 4*small {
-			t.Errorf("400 jobs: %v at 3 schedulers, 10 workers; %v at %d schedulers, %d workers; want at most 4 x",
+			t.Errorf("400 jobs: got %v (3 schedulers, 10 workers), %v (%d schedulers, %d workers), want <= 4 x",
 				small, large, size[0], size[1])
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	millisecond = 1000 // in Micros
+	millisecond = 1000 // one millisecond in the unit of Micros, microseconds
 	second      = 1000 * millisecond
 )
 
@@ -35,7 +35,7 @@
 	cancellationsByID map[string]int              // the number of open cancellations by request id
 	lastAttempt       AttemptID
 
-	workers        map[string]*worker // by UID
+	workers        map[string]*worker // known workers, by UID
 	byNumber       map[dispatch.WorkerID]*worker
 	zones          nameIndex
 	kinds          nameIndex
--- a/internal/scheduler/slopes_bench_test.go
+++ b/internal/scheduler/slopes_bench_test.go
@@ -155,14 +155,14 @@
 	})
 }
 
-// startRequests submits n requests, numbered from from, and reports the acceptance and the start of their
-// jobs but no end, so that the requests stay open.
-func startRequests(tb testing.TB, s *Scheduler, from, n int) {
+// startRequests submits n requests with consecutive numbers from first on, and reports that workers accepted
+// and started them. It reports no end, so that the requests stay open.
+func startRequests(tb testing.TB, s *Scheduler, first, n int) {
 	tb.Helper()
 	var out []Effect
 	for i := range n {
-		id := fmt.Sprintf("%016x", from+i)
-		out = s.Step(s.now+1000, Submitted{Caller: CallerID(from + i + 1), RequestID: id, Class: "batch",
+		id := fmt.Sprintf("%016x", first+i)
+		out = s.Step(s.now+1000, Submitted{Caller: CallerID(first + i + 1), RequestID: id, Class: "batch",
 			Tenant: "sahel", Deadline: s.now + 3600*second}, out[:0])
 		for _, e := range out {
 			if r, is := e.(SendAttempt); is {
--- a/internal/scheduler/update_reference_test.go
+++ b/internal/scheduler/update_reference_test.go
@@ -288,7 +288,7 @@
 	small := bytesPerUpdate(300, 200)
 	for _, size := range [][2]int{{300, 800}, {300, 2400}, {300, 7200}, {30, 7200}, {17, 7200}, {7200, 7200}} {
 		if large := bytesPerUpdate(size[0], size[1]); large > 2*small {
-			t.Errorf("an update allocates %d bytes at 300 schedulers, 200 workers; %d at %d, %d; want at most 2 x",
+			t.Errorf("bytes per update: %d (300 schedulers, 200 workers), %d (%d schedulers, %d workers), want <= 2 x",
 				small, large, size[0], size[1])
 		}
 	}
