--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -9,11 +9,11 @@
 // Admission: quotas, the gate, and conditions (4) and (6) of the paper, which decide how much it gaps.
 
 const (
-	conditionMargin   = 0.9  // f of the paper: the margin on the right side of (4) and (6)
-	detections        = 5    // consecutive verdicts before the level changes (the paper's)
-	quotaBurstSeconds = 2.0  // how much of its quota a tenant may save up, in seconds
-	minQuotaBurst     = 2.0  // it may save up so many jobs: many dispatchers split a small quota too fine
-	mixDecay          = 0.96 // what a second leaves of the counts for the class mix
+	conditionMargin        = 0.9  // f of the paper: the margin on the right side of (4) and (6)
+	levelChangeAssessments = 5    // consecutive overload assessments before the level changes (the paper's)
+	quotaBurstSeconds      = 2.0  // how much of its quota a tenant may save up, in seconds
+	minQuotaBurst          = 2.0  // it may save up so many jobs: many dispatchers split a small quota too fine
+	classMixDecay          = 0.96 // what a second leaves of the counts for the class mix
 )
 
 // overloadLevel is how conditions (4) and (6) stand, and what the gate does about it.
@@ -39,8 +39,8 @@
 		j.tenant = 0
 	}
 	c, st := &d.settings.Classes[j.class], &d.classes[j.class]
-	patience := min(max(e.Patience, 0), c.Deadline) // none left is legal: answered at once
-	j.deadline = d.now + patience
+	clientTimeout := min(max(e.ClientTimeout, 0), c.Deadline) // none left is legal: answered at once
+	j.deadline = d.now + clientTimeout
 	j.work = float64(e.Work)
 	if j.hinted = e.Work > 0; j.hinted {
 		d.hintsSeen = true
@@ -51,12 +51,12 @@
 	firstAttempt := d.firstAttemptAt(j, e.Retry)
 	j.objective = min(firstAttempt+c.LatencyObjective+Micros(c.ObjectiveStretch*j.work), j.deadline)
 	d.jobs[j.id] = j
-	d.retryBudget = min(d.retryBudget+retryRatio, maxRetryBudget)
-	st.arrived++
+	d.retryBudget = min(d.retryBudget+retryBudgetPerJob, maxRetryBudget)
+	st.arrivals++
 	j.overQuota = d.exceedsQuota(j.tenant, firstAttempt < d.now-d.settings.Granularity)
-	d.meanValue += (d.value(j) - d.meanValue) / math.Min(float64(d.seq), 200)
+	d.meanJobValue += (d.value(j) - d.meanJobValue) / math.Min(float64(d.seq), 200)
 	d.enqueue(j)
-	d.updateLevel()
+	d.updateOverloadLevel()
 	if !d.admits(j) {
 		d.dequeue(j)
 		d.finish(j)
@@ -66,7 +66,7 @@
 // exceedsQuota reports whether a tenant is over its quota, and takes a token of it for a first attempt.
 // Retries take none.
 func (d *Dispatcher) exceedsQuota(tenant int, retried bool) bool {
-	q := d.quota(tenant)
+	q := d.quotaShare(tenant)
 	if q == 0 {
 		return false
 	}
@@ -94,10 +94,10 @@
 	return v
 }
 
-// admits is the gate: call gapping on the ranks that the ladder has reached. An interval passes its
+// admits is the gate: call gapping on the ranks that advanceGapping has reached. An interval passes its
 // first job.
 func (d *Dispatcher) admits(j *job) bool {
-	d.advanceLadder()
+	d.advanceGapping()
 	over := 0
 	if j.overQuota {
 		over = 1
@@ -109,56 +109,56 @@
 	if f.rate <= 0 {
 		return false
 	}
-	if i := int64(float64(d.now) * f.rate / second); i != f.interval {
-		f.interval = i
+	if i := int64(float64(d.now) * f.rate / second); i != f.lastGappingInterval {
+		f.lastGappingInterval = i
 		return true
 	}
 	return false
 }
 
-// advanceLadder moves the gate: overload gaps one rank more every ladder step, severe overload all, and
+// advanceGapping moves the gate: overload gaps one rank more every step, severe overload all, and
 // normal load lifts one every step, highest first.
-func (d *Dispatcher) advanceLadder() {
-	for x := d.ladderStep; d.now >= d.ladderSteppedAt+x; {
+func (d *Dispatcher) advanceGapping() {
+	for x := d.gappingStepInterval; d.now >= d.gappingSteppedAt+x; {
 		switch {
 		case d.level == levelOverload && d.gappedRanks < d.rankCount:
 			d.gappedRanks++
 		case d.level == levelNormal && d.gappedRanks > 0:
 			d.gappedRanks--
 		default:
-			d.ladderSteppedAt = d.now
+			d.gappingSteppedAt = d.now
 			return
 		}
-		d.ladderSteppedAt += x
+		d.gappingSteppedAt += x
 	}
 }
 
-// updateLevel tests (4) and (6) at an arrival or a departure and changes the level after enough
-// verdicts in a row.
-func (d *Dispatcher) updateLevel() {
-	if d.now-d.refreshedAt >= second {
-		d.refreshTargets()
-	}
-	verdict := d.verdict()
-	d.passStreak = streak(d.passStreak, verdict == levelNormal)
-	d.overStreak = streak(d.overStreak, verdict > levelNormal)
-	d.severeStreak = streak(d.severeStreak, verdict == levelSevere)
+// updateOverloadLevel tests (4) and (6) at an arrival or a departure and changes the level after enough
+// assessments in a row.
+func (d *Dispatcher) updateOverloadLevel() {
+	if d.now-d.parametersRefreshedAt >= second {
+		d.refreshAdmissionParameters()
+	}
+	overloadAssessment := d.overloadAssessment()
+	d.consecutiveNormal = countConsecutive(d.consecutiveNormal, overloadAssessment == levelNormal)
+	d.consecutiveOverload = countConsecutive(d.consecutiveOverload, overloadAssessment > levelNormal)
+	d.consecutiveSevere = countConsecutive(d.consecutiveSevere, overloadAssessment == levelSevere)
 	level := d.level
 	switch {
-	case d.severeStreak >= detections:
+	case d.consecutiveSevere >= levelChangeAssessments:
 		level = levelSevere
-	case d.overStreak >= detections && d.severeStreak == 0:
+	case d.consecutiveOverload >= levelChangeAssessments && d.consecutiveSevere == 0:
 		level = levelOverload
-	case d.passStreak >= detections:
+	case d.consecutiveNormal >= levelChangeAssessments:
 		level = levelNormal
 	}
 	if level != d.level {
-		d.advanceLadder()
-		d.setLevel(level)
+		d.advanceGapping()
+		d.setOverloadLevel(level)
 	}
 }
 
-func (d *Dispatcher) setLevel(level overloadLevel) {
+func (d *Dispatcher) setOverloadLevel(level overloadLevel) {
 	switch level {
 	case levelOverload:
 		d.gappedRanks = max(d.gappedRanks, 1)
@@ -166,15 +166,15 @@
 		d.gappedRanks = d.rankCount
 		d.log("severe overload: all tenants gapped, held " + strconv.Itoa(len(d.queue)))
 	}
-	d.level, d.ladderSteppedAt = level, d.now
+	d.level, d.gappingSteppedAt = level, d.now
 }
 
-// verdict is the level that (4) and (6) call for now.
-func (d *Dispatcher) verdict() overloadLevel {
+// overloadAssessment is the level that (4) and (6) call for now.
+func (d *Dispatcher) overloadAssessment() overloadLevel {
 	if len(d.queue) == 0 {
 		return levelNormal
 	}
-	worst := d.worstRatio(d.serviceTimePerSlot())
+	worst := d.worstConditionRatio(d.serviceTimePerJob())
 	switch {
 	case worst < conditionMargin:
 		return levelNormal
@@ -184,22 +184,22 @@
 	return levelSevere
 }
 
-// worstRatio is the largest left side of (4) and (6) over its right side, with x the time per slot.
-func (d *Dispatcher) worstRatio(x float64) float64 {
+// worstConditionRatio is the largest left side of (4) and (6) over its right side, with x the time per slot.
+func (d *Dispatcher) worstConditionRatio(x float64) float64 {
 	worst := 0.0
-	for a, k := range d.classesByTarget {
-		tk := d.classes[k].target
-		before := d.tighterArrivals(a, tk)
+	for a, k := range d.classesByWaitTarget {
+		tk := d.classes[k].waitTarget
+		before := d.tighterClassArrivals(a, tk)
 		worst = max(worst, (float64(d.queuedWithin(tk))+before)*x/float64(tk))
-		for b := a + 1; b < len(d.classesByTarget); b++ {
-			ti := d.classes[d.classesByTarget[b]].target
+		for b := a + 1; b < len(d.classesByWaitTarget); b++ {
+			ti := d.classes[d.classesByWaitTarget[b]].waitTarget
 			n := float64(d.queuedWithin(ti) - d.queuedWithin(ti-tk))
 			for c := 0; c < b; c++ {
-				st := &d.classes[d.classesByTarget[c]]
+				st := &d.classes[d.classesByWaitTarget[c]]
 				if c < a {
-					n += st.guaranteedRate * float64(st.target)
+					n += st.guaranteedRate * float64(st.waitTarget)
 				} else {
-					n += st.guaranteedRate * float64(min(tk, ti-st.target))
+					n += st.guaranteedRate * float64(min(tk, ti-st.waitTarget))
 				}
 			}
 			worst = max(worst, (n+before)*x/float64(tk))
@@ -208,55 +208,56 @@
 	return worst
 }
 
-// tighterArrivals is (4)'s second term: guaranteed jobs of tighter classes yet to come.
-func (d *Dispatcher) tighterArrivals(a int, tk Micros) float64 {
+// tighterClassArrivals is (4)'s second term: guaranteed jobs of tighter classes yet to come.
+func (d *Dispatcher) tighterClassArrivals(a int, tk Micros) float64 {
 	n := 0.0
-	for _, k := range d.classesByTarget[:a] {
-		n += d.classes[k].guaranteedRate * float64(tk-d.classes[k].target)
+	for _, k := range d.classesByWaitTarget[:a] {
+		n += d.classes[k].guaranteedRate * float64(tk-d.classes[k].waitTarget)
 	}
 	return n
 }
 
-// serviceTimePerSlot is the paper's x: the time in which this dispatcher's slots clear one job, as
-// exactly as verdict needs it. With fewer slots it is longer, so none are counted past those that pass.
-func (d *Dispatcher) serviceTimePerSlot() float64 {
+// serviceTimePerJob is the paper's x: the time in which this dispatcher's slots clear one job, as
+// exactly as overloadAssessment needs it. With fewer slots it is longer, so none are counted past those that
+// pass.
+func (d *Dispatcher) serviceTimePerJob() float64 {
 	x := func(slots float64) float64 { return d.slotTimes.value / max(1, slots) }
-	pass := func(slots float64) bool { return d.worstRatio(x(slots)) < conditionMargin }
+	pass := func(slots float64) bool { return d.worstConditionRatio(x(slots)) < conditionMargin }
 	return x(d.usableSlots(anyZone, pass))
 }
 
-// refreshTargets computes what changes slowly: T_k, ranks and guaranteed rates.
-func (d *Dispatcher) refreshTargets() {
-	d.refreshedAt = d.now
-	d.refreshCount++
+// refreshAdmissionParameters computes what changes slowly: T_k, ranks and guaranteed rates.
+func (d *Dispatcher) refreshAdmissionParameters() {
+	d.parametersRefreshedAt = d.now
+	d.parameterRefreshes++
 	fleet := d.fleetSpeed()
-	arrived := 0.0
+	arrivals := 0.0
 	for k := range d.classes {
 		c, st := &d.settings.Classes[k], &d.classes[k]
 		work := st.meanWork(float64(c.LatencyObjective))
 		if !d.hintsSeen {
-			work = st.weightedWork(float64(c.LatencyObjective))
+			work = st.sizeBiasedWork(float64(c.LatencyObjective))
 		}
 		run := work / fleet
-		if d.hintsSeen && st.runs.count > 0 {
-			run = st.runs.value
+		if d.hintsSeen && st.runTimes.count > 0 {
+			run = st.runTimes.value
 		}
 		objective := min(c.LatencyObjective+Micros(c.ObjectiveStretch*work), c.Deadline)
-		st.target = max(objective-Micros(run), c.LatencyObjective/4, d.settings.Granularity)
-		arrived += st.arrived
+		st.waitTarget = max(objective-Micros(run), c.LatencyObjective/4, d.settings.Granularity)
+		arrivals += st.arrivals
 	}
-	slices.SortStableFunc(d.classesByTarget, func(a, b int) int {
-		return int(d.classes[a].target - d.classes[b].target)
+	slices.SortStableFunc(d.classesByWaitTarget, func(a, b int) int {
+		return int(d.classes[a].waitTarget - d.classes[b].waitTarget)
 	})
-	d.rankPriorities()
-	d.guaranteeRates(max(arrived, 1))
+	d.rankClasses()
+	d.setGuaranteedRates(max(arrivals, 1))
 	for k := range d.classes {
-		d.classes[k].arrived *= mixDecay
+		d.classes[k].arrivals *= classMixDecay
 	}
 }
 
-// rankPriorities orders (class, within or over quota) by value per unit of work: utility (2) of the paper.
-func (d *Dispatcher) rankPriorities() {
+// rankClasses orders (class, within or over quota) by value per unit of work: utility (2) of the paper.
+func (d *Dispatcher) rankClasses() {
 	utility := make([]float64, len(d.ranks))
 	for k := range d.classes {
 		c := &d.settings.Classes[k]
@@ -275,14 +276,14 @@
 	d.rankCount = len(distinct)
 }
 
-// guaranteeRates sets the paper's d for each flow: its quota by the class mix, cut from the lowest rank
+// setGuaranteedRates sets the paper's d for each flow: its quota by the class mix, cut from the lowest rank
 // up until the fleet can carry the sum, (1) of the paper.
-func (d *Dispatcher) guaranteeRates(arrived float64) {
+func (d *Dispatcher) setGuaranteedRates(arrivals float64) {
 	capacity := 0.0 // slot-seconds a second that this dispatcher's part of the fleet gives
 	for _, w := range d.subset {
-		capacity += max(1, d.kindOf(w).maxSlotsSeen)
+		capacity += max(1, d.kindOf(w).maxBusySlots)
 	}
-	capacity *= conditionMargin / max(1, d.sharing())
+	capacity *= conditionMargin / max(1, d.dispatchersPerWorker())
 	nc := len(d.classes)
 	for k := range d.classes {
 		d.classes[k].guaranteedRate = 0
@@ -296,7 +297,7 @@
 	}
 	full := func(t, k int) float64 {
 		if t < len(d.settings.Tenants) && d.settings.Tenants[t].Quota > 0 {
-			return d.quota(t) * d.classes[k].arrived / arrived
+			return d.quotaShare(t) * d.classes[k].arrivals / arrivals
 		}
 		return capacity // no quota: what the fleet can carry
 	}
@@ -314,9 +315,9 @@
 		}
 	}
 	// (4) and (6) count no more than arrives: what nobody sends takes no capacity.
-	seconds := (1 - math.Pow(mixDecay, float64(d.refreshCount))) / (1 - mixDecay)
+	seconds := (1 - math.Pow(classMixDecay, float64(d.parameterRefreshes))) / (1 - classMixDecay)
 	for k := range d.classes {
 		st := &d.classes[k]
-		st.guaranteedRate = min(st.guaranteedRate, st.arrived/max(1, seconds)/second)
+		st.guaranteedRate = min(st.guaranteedRate, st.arrivals/max(1, seconds)/second)
 	}
 }
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -122,7 +122,7 @@
 
 // The kinds of events, with the fields that each uses.
 const (
-	JobArrived         EventKind = iota // Job, Class, Tenant, Patience, Retry, Work, Slots
+	JobArrived         EventKind = iota // Job, Class, Tenant, ClientTimeout, Retry, Work, Slots
 	AttemptEnded                        // Job, Attempt, Worker, Outcome, Final, Report
 	AttemptReported                     // Job, Attempt, Worker, Note, Value
 	StreamStarted                       // Job, Attempt, Worker
@@ -173,7 +173,7 @@
 
 // Report is the part of a worker's load report that decisions use.
 type Report struct {
-	Known       bool // there is a count of free slots
+	FreeKnown   bool // there is a count of free slots
 	Free        float64
 	Outstanding float64 // jobs in flight there, waiting ones too; negative: not known
 	Errors      float64 // errors a second, of all dispatchers' jobs
@@ -181,27 +181,27 @@
 
 // Event is one thing that happened. Kind says which fields count.
 type Event struct {
-	Kind     EventKind
-	Note     Note
-	Scope    UpdateScope
-	Outcome  Outcome
-	Final    bool // the job is finished
-	Job      JobID
-	Class    int
-	Tenant   int
-	Patience Micros  // time until the client abandons this try
-	Retry    bool    // the client says that it tried before
-	Work     Micros  // expected work on a standard core; 0: unknown
-	Slots    float64 // slots (or memory units, if more) that the job takes
-	Worker   WorkerID
-	Attempt  int
-	Value    float64
-	Report   Report
-	Workers  []WorkerEntry
-	Age      Micros // how long ago the list was so
-	Peer     int
-	Message  []byte
-	Token    uint64
+	Kind          EventKind
+	Note          Note
+	Scope         UpdateScope
+	Outcome       Outcome
+	Final         bool // the job is finished
+	Job           JobID
+	Class         int
+	Tenant        int
+	ClientTimeout Micros  // time until the client abandons this try
+	Retry         bool    // the client says that it tried before
+	Work          Micros  // expected work on a standard core; 0: unknown
+	Slots         float64 // slots (or memory units, if more) that the job takes
+	Worker        WorkerID
+	Attempt       int
+	Value         float64
+	Report        Report
+	Workers       []WorkerEntry
+	Age           Micros // how long ago the list was so
+	Peer          int
+	Message       []byte
+	Token         uint64
 }
 
 // ActionKind says what to do.
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -13,29 +13,29 @@
 	a.worker.markAlive(d.now)
 	switch e.Note {
 	case NoteStarted:
-		d.recordBegin(a, d.now)
+		d.recordAttemptStarted(a, d.now)
 	case NoteProgress:
-		d.recordBegin(a, a.sentAt)
+		d.recordAttemptStarted(a, a.sentAt)
 		d.learnSpeed(a, e.Value)
 	}
 }
 
-// recordBegin records that an attempt runs, and what that shows of the worker's slots.
-func (d *Dispatcher) recordBegin(a *attempt, at Micros) {
+// recordAttemptStarted records that an attempt runs, and what that shows of the worker's slots.
+func (d *Dispatcher) recordAttemptStarted(a *attempt, at Micros) {
 	if a.startedAt != 0 {
 		return
 	}
 	w := a.worker
 	d.clearOverdue(a)
 	a.startedAt, a.accountedUntil = at, at
-	w.unstarted--
+	w.unstartedAttempts--
 	d.queueGossip(w)
 	if !d.settings.StartReported {
-		d.recordSlots(w, d.slotsRunning(w))
+		d.recordBusySlots(w, d.knownRunningSlots(w))
 	} else {
 		d.recordWait(w, float64(at-a.sentAt))
 		if !a.startOverdue {
-			d.recordStart(a, true)
+			d.recordStartPromptness(a, true)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	d.detach(a)
 	d.recordOutcome(a, e)
 	if !turnedAway { // it is surer than a report that promises slots
-		d.learnReport(w, e.Report, j.slots)
+		d.learnLoadReport(w, e.Report, j.slots)
 	}
 	a.mayHaveRun, a.handedBack = e.Outcome.MayHaveRun(), e.Outcome == HandedBack
 	switch {
@@ -66,12 +66,12 @@
 	default:
 		d.retry(j, e.Outcome)
 	}
-	d.updateLevel()
+	d.updateOverloadLevel()
 }
 
-// learnReport learns free slots from a load report. It lacks attempts younger than a report can be.
-func (d *Dispatcher) learnReport(w *worker, r Report, leaving float64) {
-	if !r.Known || d.settings.StartReported {
+// learnLoadReport learns free slots from a load report. It lacks attempts younger than a report can be.
+func (d *Dispatcher) learnLoadReport(w *worker, r Report, leaving float64) {
+	if !r.FreeKnown || d.settings.StartReported {
 		return
 	}
 	seen := leaving
@@ -82,14 +82,14 @@
 	}
 	// Free slots and jobs there add up to the slots while none waits. Beyond that, what waits counts
 	// against us: else a queue of our own would pass for slots, and the limit would never come down.
-	free, blend := math.Round(max(r.Free, 0)), 1-ownDecay
+	free, blend := math.Round(max(r.Free, 0)), 1-workerSampleDecay
 	if w.reportedSlots == 0 {
 		blend = 1
 	}
 	switch {
 	case free > 0 && r.Outstanding >= 0:
 		w.reportedSlots += (r.Free + r.Outstanding - w.reportedSlots) * blend
-		d.recordSlots(w, math.Round(w.reportedSlots))
+		d.recordBusySlots(w, math.Round(w.reportedSlots))
 	case free == 0 && r.Outstanding >= 0 && w.reportedSlots > 0:
 		free = min(0, math.Round(w.reportedSlots-r.Outstanding))
 	}
--- a/internal/dispatch/bookkeeping.go
+++ b/internal/dispatch/bookkeeping.go
@@ -21,17 +21,17 @@
 	w := a.worker
 	w.ownSlots -= a.job.slots
 	if a.startedAt == 0 {
-		w.unstarted--
+		w.unstartedAttempts--
 	}
 	d.queueGossip(w)
-	w.attempts = without(w.attempts, a)
+	w.attempts = removeValue(w.attempts, a)
 	if len(w.attempts) == 0 {
-		d.busy = without(d.busy, w)
+		d.busy = removeValue(d.busy, w)
 	}
 }
 
-// without removes one value from a list.
-func without[T comparable](list []T, value T) []T {
+// removeValue removes one value from a list.
+func removeValue[T comparable](list []T, value T) []T {
 	if i := slices.Index(list, value); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -2,8 +2,8 @@
 
 // The workers that a job may go to, as far as deduplication groups bind it. Nothing here decides.
 
-// boundAttempt is the first attempt that may have run, to whose group rule 2 may bind the job, or nil.
-func (j *job) boundAttempt() *attempt {
+// bindingAttempt is the first attempt that may have run, to whose group rule 2 may bind the job, or nil.
+func (j *job) bindingAttempt() *attempt {
 	for _, a := range j.attempts {
 		if a.inFlight || a.mayHaveRun {
 			return a
@@ -20,7 +20,7 @@
 	if c.Effect != Keyed || len(j.attempts) == 0 {
 		return d.subset, true
 	}
-	a := j.boundAttempt()
+	a := j.bindingAttempt()
 	if a == nil || c.DedupScope == ScopeAll {
 		return d.ordered, true
 	}
--- a/internal/dispatch/clone.go
+++ b/internal/dispatch/clone.go
@@ -10,26 +10,26 @@
 // What a model checker needs of the module: to copy a state (here) and to compare two (state_form.go).
 // Nothing here decides, and the programs that serve use none of it.
 
-// Open is the number of jobs that the module keeps.
-func (d *Dispatcher) Open() int { return len(d.jobs) }
+// OpenJobs is the number of jobs that the module keeps.
+func (d *Dispatcher) OpenJobs() int { return len(d.jobs) }
 
 // Clone copies the state between two events. The copy shares nothing with the original that either changes.
 func (d *Dispatcher) Clone() *Dispatcher {
 	c := *d
 	c.actions = nil
-	c.cloneKnowledge(d)
+	c.cloneEstimates(d)
 	c.cloneWorkers(d)
-	c.cloneOrders(d)
+	c.cloneWorkerLists(d)
 	c.cloneJobs(d)
 	c.neighbours, c.peers = slices.Clone(d.neighbours), slices.Clone(d.peers)
 	c.quotaTokens, c.quotaRefilledAt = slices.Clone(d.quotaTokens), slices.Clone(d.quotaRefilledAt)
 	c.classes, c.flows = slices.Clone(d.classes), slices.Clone(d.flows)
-	c.ranks, c.classesByTarget = slices.Clone(d.ranks), slices.Clone(d.classesByTarget)
+	c.ranks, c.classesByWaitTarget = slices.Clone(d.ranks), slices.Clone(d.classesByWaitTarget)
 	return &c
 }
 
-// cloneKnowledge copies what is known of kinds and groups.
-func (d *Dispatcher) cloneKnowledge(from *Dispatcher) {
+// cloneEstimates copies what is known of kinds and groups.
+func (d *Dispatcher) cloneEstimates(from *Dispatcher) {
 	d.kinds = make(map[int]*kind, len(from.kinds))
 	for number, known := range from.kinds {
 		copied := *known
@@ -52,17 +52,17 @@
 		if w.kind != nil {
 			copied.kind = d.kinds[w.entry.Kind]
 		}
-		if w.starts != nil {
-			starts := *w.starts
-			copied.starts = &starts
+		if w.startCountsBySlots != nil {
+			startCountsBySlots := *w.startCountsBySlots
+			copied.startCountsBySlots = &startCountsBySlots
 		}
 		copied.peerUses, copied.attempts, copied.ringGroup = slices.Clone(w.peerUses), nil, nil
 		d.workers[id] = &copied
 	}
 }
 
-// cloneOrders copies the lists of workers and the ring, with the copies of the workers.
-func (d *Dispatcher) cloneOrders(from *Dispatcher) {
+// cloneWorkerLists copies the lists of workers and the ring, with the copies of the workers.
+func (d *Dispatcher) cloneWorkerLists(from *Dispatcher) {
 	workers := func(list []*worker) []*worker {
 		copied := make([]*worker, len(list))
 		for i, w := range list {
@@ -70,7 +70,8 @@
 		}
 		return copied
 	}
-	d.ordered, d.subset, d.ownedOutside = workers(from.ordered), workers(from.subset), workers(from.ownedOutside)
+	d.ordered, d.subset, d.ownedNotCovered = workers(from.ordered), workers(from.subset),
+		workers(from.ownedNotCovered)
 	d.busy, d.gossipQueue, d.suspects = workers(from.busy), workers(from.gossipQueue), workers(from.suspects)
 	d.updatedBuffer, d.removed = nil, nil
 	for _, r := range from.removed {
@@ -81,7 +82,7 @@
 	}
 	d.ring = from.ring.Clone(func(w *worker) *worker { return d.workers[w.entry.Worker] },
 		func(w *worker, group *subset.Group[*worker]) { w.ringGroup = group })
-	d.index, d.fastestWorker, d.overdueInOrder = nil, nil, nil // built again
+	d.index, d.fastestWorker, d.sortedOverdueStarts = nil, nil, nil // built again
 	d.dedupGroups = [ScopeCell + 1]map[int][]*worker{}
 }
 
--- a/internal/dispatch/constants.go
+++ b/internal/dispatch/constants.go
@@ -10,13 +10,13 @@
 	maxRunSamples    = 64   // run times that the quantile is taken of
 	quantileInterval = 16   // run times between two computations of the quantile
 
-	kindStartWeight   = 4.0   // own jobs that outweigh what is known of a worker's kind
-	priorRunsHinted   = 2.0   // mean runs that a worker's own speed must outweigh, with cost hints
-	priorRunsUnhinted = 8.0   // the same without hints: single runs show little
-	ownDecay          = 0.9   // what a new run leaves of the weight of a worker's earlier ones
-	kindDecay         = 0.99  // the same for its kind
-	fleetDecay        = 0.995 // and for the fleet
-	workDecay         = 0.98  // what a new job leaves of the weight of its class's earlier ones
+	maxKindStartCount      = 4.0   // own jobs that outweigh what is known of a worker's kind
+	speedPriorRunsHinted   = 2.0   // mean runs that a worker's own speed must outweigh, with cost hints
+	speedPriorRunsUnhinted = 8.0   // the same without hints: single runs show little
+	workerSampleDecay      = 0.9   // what a new run leaves of the weight of a worker's earlier ones
+	kindSampleDecay        = 0.99  // the same for its kind
+	fleetSampleDecay       = 0.995 // and for the fleet
+	classWorkDecay         = 0.98  // what a new job leaves of the weight of its class's earlier ones
 
 	unhintedWorkFraction = 0.7 // of the mean work: assumed for unhinted jobs in a large fleet without gossip
 )
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -2,14 +2,14 @@
 
 // Step takes one event at its time and appends the actions that it calls for.
 func (d *Dispatcher) Step(now Micros, e *Event, out []Action) []Action {
-	d.now, d.actions, d.eventBestSpeed = now, out, 0
+	d.now, d.actions, d.cachedBestSpeed = now, out, 0
 	d.eventCount++
 	switch e.Kind {
 	case Started:
 		d.startedAt = now
 		if d.settings.PollEndpoints {
 			if d.pollAt = d.now + d.pollJitter(); d.pollAt == d.now {
-				d.poll()
+				d.pollEndpoints()
 			}
 		}
 	case JobArrived:
@@ -33,7 +33,7 @@
 		if e.Token != d.timerToken {
 			return d.actions
 		}
-		d.wakeAt = 0
+		d.timerDueAt = 0
 		d.inspect()
 	case GossipReceived:
 		d.onGossip(e)
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -33,9 +33,9 @@
 	s := testSettings()
 	s.Classes = s.Classes[:2]
 	b := newHarness(t, s, ready(1, 0))
-	b.d.refreshedAt = b.now
-	b.d.classesByTarget = []int{0, 1}
-	b.d.classes[0].target, b.d.classes[1].target = second, 3*second
+	b.d.parametersRefreshedAt = b.now
+	b.d.classesByWaitTarget = []int{0, 1}
+	b.d.classes[0].waitTarget, b.d.classes[1].waitTarget = second, 3*second
 	b.d.classes[0].guaranteedRate = 2.0 / second
 	b.d.slotTimes.value = second / 4
 	copies := func(n int, t Micros) (latestStarts []Micros) {
@@ -60,37 +60,37 @@
 		{"to start past T_2 counts in none", copies(50, 4*second), 0},
 	} {
 		b.fillQueue(c.queue...)
-		if got := b.d.verdict(); got != c.want {
-			t.Errorf("%s: verdict %d, want %d", c.name, got, c.want)
+		if got := b.d.overloadAssessment(); got != c.want {
+			t.Errorf("%s: overload assessment %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
 func TestLevelNeedsDetectionsInARow(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
-	b.d.refreshedAt, b.d.refreshCount = b.now, 1
-	b.d.classes[0].target = second
-	b.d.classes[1].target, b.d.classes[2].target = second, second
+	b.d.parametersRefreshedAt, b.d.parameterRefreshes = b.now, 1
+	b.d.classes[0].waitTarget = second
+	b.d.classes[1].waitTarget, b.d.classes[2].waitTarget = second, second
 	b.d.slotTimes.value = second
 	severe, passing := []Micros{0, 0, 0}, []Micros(nil)
 	see := func(latestStarts []Micros, n int) overloadLevel {
 		b.fillQueue(latestStarts...)
 		for range n {
-			b.d.updateLevel()
+			b.d.updateOverloadLevel()
 		}
 		return b.d.level
 	}
-	if got := see(severe, detections-1); got != 0 {
-		t.Fatalf("level %d after %d verdicts", got, detections-1)
+	if got := see(severe, levelChangeAssessments-1); got != 0 {
+		t.Fatalf("level %d after %d assessments", got, levelChangeAssessments-1)
 	}
 	see(passing, 1)
-	if got := see(severe, detections-1); got != 0 {
+	if got := see(severe, levelChangeAssessments-1); got != 0 {
 		t.Fatalf("a passing check did not break the row: level %d", got)
 	}
 	if got := see(severe, 1); got != 2 {
-		t.Fatalf("level %d after %d severe verdicts", got, detections)
+		t.Fatalf("level %d after %d severe assessments", got, levelChangeAssessments)
 	}
-	if got := see(passing, detections-1); got != 2 {
+	if got := see(passing, levelChangeAssessments-1); got != 2 {
 		t.Fatalf("level %d before enough passing checks", got)
 	}
 	if got := see(passing, 1); got != 0 {
@@ -98,41 +98,41 @@
 	}
 }
 
-func TestLadder(t *testing.T) {
+func TestGappingAdvancesRankByRank(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
-	b.d.rankPriorities()
+	b.d.rankClasses()
 	if b.d.rankCount != 6 {
 		t.Fatalf("%d priorities, want 6: three weights, within and over the quota", b.d.rankCount)
 	}
-	x := b.d.ladderStep
+	x := b.d.gappingStepInterval
 	at := func(after Micros, want int) {
 		t.Helper()
 		b.d.now += after
-		b.d.advanceLadder()
+		b.d.advanceGapping()
 		if b.d.gappedRanks != want {
 			t.Fatalf("gapped %d, want %d", b.d.gappedRanks, want)
 		}
 	}
 	b.d.now = b.now
-	b.d.setLevel(1)
+	b.d.setOverloadLevel(1)
 	at(0, 1)
 	at(x-1, 1)
 	at(1, 2)
 	at(3*x, 5)
 	at(9*x, 6)
-	b.d.setLevel(0)
+	b.d.setOverloadLevel(0)
 	at(x-1, 6)
 	at(1, 5) // the highest priority is lifted first
 	at(2*x, 3)
-	b.d.setLevel(2)
+	b.d.setOverloadLevel(2)
 	at(0, 6)
-	b.d.setLevel(0)
+	b.d.setOverloadLevel(0)
 	at(20*x, 0)
 }
 
 func TestGappingInterval(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
-	b.d.rankPriorities()
+	b.d.rankClasses()
 	b.d.level, b.d.gappedRanks, b.d.rankCount = 2, 6, 6
 	b.d.flows[0].rate = 4 // one job in 0.25 s
 	passed := 0
@@ -150,13 +150,13 @@
 	}
 	b.d.gappedRanks = b.d.ranks[0]
 	if !b.d.admits(&job{class: 0, tenant: 0}) {
-		t.Error("a priority that the ladder has not reached was gapped")
+		t.Error("a priority that gapping has not reached was gapped")
 	}
 }
 
 func TestRankByPriorityWeight(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
-	b.d.rankPriorities()
+	b.d.rankClasses()
 	r := b.d.ranks // (class, over quota): weights 1, .2, 3, .6, 2, .4
 	order := []int{r[1], r[5], r[3], r[0], r[4], r[2]}
 	for i, rank := range order {
@@ -169,10 +169,10 @@
 func TestReleaseByLatestStart(t *testing.T) {
 	b := newHarness(t, testSettings())
 	for i, patience := range []Micros{8, 5, 6} { // later tries of a client: less patience, earlier objective
-		b.do(Event{Kind: JobArrived, Job: JobID(i), Class: 1, Work: 2 * second, Slots: 1,
-			Patience: patience * second})
+		b.feed(Event{Kind: JobArrived, Job: JobID(i), Class: 1, Work: 2 * second, Slots: 1,
+			ClientTimeout: patience * second})
 	}
-	sent := find(b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull,
+	sent := actionsOfKind(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull,
 		Workers: []WorkerEntry{ready(1, 0), ready(2, 0), ready(3, 0)}}), Send)
 	if len(sent) != 3 || sent[0].Job != 1 || sent[1].Job != 2 || sent[2].Job != 0 {
 		t.Fatalf("sent %+v", sent)
@@ -183,9 +183,9 @@
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
 	// Its start is overdue: the worker is full, whoever filled it.
-	b.pass(second / 5)
+	b.advance(second / 5)
 	b.want(b.arrive(2, 2), Send, 0)
-	b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
+	b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 	b.want(b.end(1, 0, OK), Send, 1)
 }
 
@@ -194,7 +194,7 @@
 	w := b.d.workers[1]
 	for id := JobID(1); id <= 3; id++ {
 		b.want(b.arrive(id, 0), Send, 1)
-		b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
+		b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 		b.now += second + second/5 // a probe past the limit waits for a run
 	}
 	b.arrive(4, 0)
@@ -209,8 +209,8 @@
 	s := testSettings()
 	s.StartReported = false
 	b := newHarness(t, s, ready(1, 0))
-	b.d.learnReport(b.d.workers[1], Report{Known: true, Free: 2, Outstanding: 0}, 0)
-	b.d.learnReport(b.d.workers[1], Report{Known: true, Free: 0, Outstanding: 4}, 4)
+	b.d.learnLoadReport(b.d.workers[1], Report{FreeKnown: true, Free: 2, Outstanding: 0}, 0)
+	b.d.learnLoadReport(b.d.workers[1], Report{FreeKnown: true, Free: 0, Outstanding: 4}, 4)
 	if got := b.d.workers[1].slotLimit; got != 2 {
 		t.Errorf("limit %v of a worker with two slots", got)
 	}
@@ -219,7 +219,7 @@
 // A job whose client has no patience left must not be sent over and over.
 func TestNoPatienceIsAnsweredAtOnce(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
-	out := b.do(Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1})
+	out := b.feed(Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1})
 	b.want(out, Refuse, 1)
 	b.want(out, Send, 0)
 }
@@ -232,7 +232,7 @@
 		b.arrive(JobID(id), id%3)
 	}
 	answers := map[JobID]int{}
-	for _, a := range find(b.pass(9*second), Refuse) {
+	for _, a := range actionsOfKind(b.advance(9*second), Refuse) {
 		answers[a.Job]++
 	}
 	for id, n := range answers {
@@ -248,7 +248,7 @@
 // Rule 1: the time-out at the deadline is answered, once, and nothing follows.
 func TestTimeOutAtTheDeadline(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
-	sent := find(b.arrive(1, 2), Send)[0]
+	sent := actionsOfKind(b.arrive(1, 2), Send)[0]
 	b.now = sent.Deadline
 	out := b.end(1, 0, TimedOut)
 	b.want(out, Fail, 1)
@@ -256,14 +256,14 @@
 		t.Errorf("answered %v after the deadline", late)
 	}
 	b.want(b.end(1, 0, TimedOut), Fail, 0)
-	b.want(b.do(Event{Kind: ClientDisconnected, Job: 1}), Send, 0)
+	b.want(b.feed(Event{Kind: ClientDisconnected, Job: 1}), Send, 0)
 }
 
 // Rule 1: whatever comes after the end of a job is ignored.
 func TestStaleEvents(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	b.arrive(1, 0)
-	b.do(Event{Kind: ClientDisconnected, Job: 1})
+	b.feed(Event{Kind: ClientDisconnected, Job: 1})
 	for _, e := range []Event{
 		{Kind: AttemptReported, Job: 1, Note: NoteStarted},
 		{Kind: AttemptReported, Job: 1, Note: NoteProgress, Value: 1},
@@ -275,8 +275,9 @@
 		{Kind: StreamStarted, Job: 5},
 		{Kind: AttemptEnded, Job: 1, Attempt: 9, Outcome: Reset}, {Kind: TimerFired, Token: 1 << 60},
 	} {
-		out := b.do(e)
-		if n := len(find(out, Send)) + len(find(out, Refuse)) + len(find(out, Fail)); n != 0 {
+		out := b.feed(e)
+		if n := len(actionsOfKind(out, Send)) + len(actionsOfKind(out, Refuse)) +
+			len(actionsOfKind(out, Fail)); n != 0 {
 			t.Errorf("%+v led to %+v", e, out)
 		}
 	}
@@ -307,19 +308,19 @@
 		b := newHarness(t, s, ready(1, 0))
 		b.want(b.arrive(1, c.class), Send, 1)
 		// Worker 2 shares the cell and 3 the zone; 4 shares neither.
-		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0),
+		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0),
 			{Worker: 4, Cell: 4, Zone: 4, Status: Ready}}})
 		if c.worker == 2 {
-			b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0)}})
+			b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0)}})
 		}
 		if c.worker == 3 {
-			b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(3, 3)}})
+			b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(3, 3)}})
 		}
 		b.now += c.after
 		out := b.end(1, 0, c.outcome)
 		b.want(out, c.want, 1)
-		if c.worker != 0 && find(out, Send)[0].Worker != c.worker {
-			t.Errorf("%s: went to %d", c.name, find(out, Send)[0].Worker)
+		if c.worker != 0 && actionsOfKind(out, Send)[0].Worker != c.worker {
+			t.Errorf("%s: went to %d", c.name, actionsOfKind(out, Send)[0].Worker)
 		}
 	}
 }
@@ -345,13 +346,13 @@
 		"left out": {Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(2, 0)}},
 	} {
 		b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
-		b.do(update)
+		b.feed(update)
 		for id := JobID(1); id < 40; id++ {
-			for _, a := range find(b.arrive(id, 0), Send) {
+			for _, a := range actionsOfKind(b.arrive(id, 0), Send) {
 				if a.Worker == 1 {
 					t.Fatalf("%s: job %d was sent there", name, id)
 				}
-				b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
+				b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 			}
 		}
 	}
@@ -364,19 +365,19 @@
 	s.PollEndpoints, s.PollInterval = true, 10*second
 	d, _ := New(s, 3)
 	b := &harness{t: t, d: d, now: second}
-	b.want(b.do(Event{Kind: Started}), WatchEndpoints, 1)
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: []WorkerEntry{ready(1, 0)}})
-	if len(find(b.pass(s.PollInterval/2), WatchEndpoints)) == 0 {
+	b.want(b.feed(Event{Kind: Started}), WatchEndpoints, 1)
+	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: []WorkerEntry{ready(1, 0)}})
+	if len(actionsOfKind(b.advance(s.PollInterval/2), WatchEndpoints)) == 0 {
 		t.Error("a poll without an answer is not repeated")
 	}
 	for range 20 { // an outage
-		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
-		if len(find(b.pass(s.PollInterval*2/5), WatchEndpoints)) == 0 {
+		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+		if len(actionsOfKind(b.advance(s.PollInterval*2/5), WatchEndpoints)) == 0 {
 			t.Fatal("a failed poll is not repeated")
 		}
 	}
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
-	b.want(b.pass(s.PollInterval), WatchEndpoints, 0)
+	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
+	b.want(b.advance(s.PollInterval), WatchEndpoints, 0)
 }
 
 // Rule 4: what goes to a worker in slow start within any window stays under this
@@ -386,14 +387,14 @@
 	back := func(b *harness) {
 		b.arrive(900, 0)
 		b.end(900, 0, ConnectFailed)
-		b.pass(6 * second)
+		b.advance(6 * second)
 	}
 	for name, make := range map[string]func(b *harness){
 		"new": func(b *harness) {
-			b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Ready, Started: b.now}}})
+			b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Ready, Started: b.now}}})
 		},
 		"restarted": func(b *harness) {
-			b.do(Event{Kind: EndpointsUpdated,
+			b.feed(Event{Kind: EndpointsUpdated,
 				Workers: []WorkerEntry{{Worker: 1, Status: Ready, Started: b.now - second}}})
 		},
 		"back before the list says so": back,
@@ -406,15 +407,15 @@
 		work := 0.0
 		start := b.now
 		// Speed is 1 and one slot is known: the whole budget of the first window.
-		if !b.d.slowStartOwner(b.d.workers[1]) {
+		if !b.d.isSlowStartOwner(b.d.workers[1]) {
 			t.Fatal("this dispatcher does not own worker 1 in slow start")
 		}
 		fraction := s.SlowStartInitial + (1-s.SlowStartInitial)*float64(s.OverloadWindow)/float64(s.SlowStart)
 		budget := s.OverloadFactor * fraction * float64(s.OverloadWindow)
 		for id := JobID(1); b.now < start+s.OverloadWindow; id++ {
-			for _, a := range find(b.arrive(id, 0), Send) {
+			for _, a := range actionsOfKind(b.arrive(id, 0), Send) {
 				work += second / 5
-				b.do(Event{Kind: AttemptReported, Job: a.Job, Note: NoteStarted})
+				b.feed(Event{Kind: AttemptReported, Job: a.Job, Note: NoteStarted})
 				b.end(a.Job, a.Attempt, OK)
 			}
 			b.now += second / 50
@@ -432,7 +433,7 @@
 func TestSlowStartBudgetAfterOwnStart(t *testing.T) {
 	b := newHarness(t, testSettings(), WorkerEntry{Worker: 1, Status: Ready, Started: 99 * second})
 	b.want(b.arrive(1, 0), Send, 0)
-	b.want(b.pass(3*second), Send, 1)
+	b.want(b.advance(3*second), Send, 1)
 }
 
 // A silent worker keeps its jobs from others only until it is suspected; jobs
@@ -443,14 +444,14 @@
 		s.Classes[class].LatencyObjective = 5 * second
 		b := newHarness(t, s, ready(1, 0))
 		b.want(b.arrive(1, class), Send, 1)
-		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
-		b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0), ready(3, 0)}})
-		b.want(b.pass(2*second), Send, copies)
+		b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
+		b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0), ready(3, 0)}})
+		b.want(b.advance(2*second), Send, copies)
 		w := b.d.workers[1]
 		if !w.suspect {
 			t.Fatal("a worker that is silent past its progress interval is not suspected")
 		}
-		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteProgress, Value: 0.9})
+		b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteProgress, Value: 0.9})
 		if w.suspect {
 			t.Error("a sign of life does not heal the suspicion")
 		}
@@ -468,7 +469,7 @@
 		b.end(id, 0, Reset)
 	}
 	b.arrive(4, 0)
-	b.pass(second / 4)
+	b.advance(second / 4)
 	b.want(b.arrive(5, 0), Send, 1)
 }
 
@@ -477,15 +478,15 @@
 	s := testSettings()
 	s.ConnectTimeout = 0 // no other cost for its failures
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
-	b.d.workers[2].bias, b.d.workers[3].bias = 0.5, 0.5 // worker 1 comes first
+	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 0.5, 0.5 // worker 1 comes first
 	bad := 0
 	for id := JobID(1); id <= 50; id++ {
-		for _, a := range find(b.arrive(id, 2), Send) {
+		for _, a := range actionsOfKind(b.arrive(id, 2), Send) {
 			o := OK
 			if a.Worker == 1 {
 				o, bad = Failed, bad+1
 			}
-			b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
+			b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 			b.now += second / 100
 			b.end(id, 0, o)
 		}
@@ -506,15 +507,15 @@
 	b := newHarness(t, s, list...)
 	sent := 0
 	for id := JobID(1); id <= 400; id++ {
-		queue := find(b.arrive(id, 0), Send)
+		queue := actionsOfKind(b.arrive(id, 0), Send)
 		for n := 0; len(queue) > 0; n++ {
 			sent++
-			more := find(b.end(queue[0].Job, n, Failed), Send)
+			more := actionsOfKind(b.end(queue[0].Job, n, Failed), Send)
 			queue = append(queue[1:], more...)
 		}
-		b.pass(second / 20)
+		b.advance(second / 20)
 	}
-	if limit := 400*(1+retryRatio) + maxRetryBudget; float64(sent) > limit {
+	if limit := 400*(1+retryBudgetPerJob) + maxRetryBudget; float64(sent) > limit {
 		t.Errorf("%d attempts for 400 jobs, at most %v", sent, limit)
 	}
 }
@@ -525,15 +526,15 @@
 	s.GossipAllowed = true
 	b := newHarness(t, s, ready(7, 0))
 	b.want(b.arrive(1, 0), SendGossip, 1)
-	b.want(b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted}), SendGossip, 0)
-	b.do(Event{Kind: GossipReceived, Peer: 1, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
-	b.now += waitNoticeBatches * s.Granularity
-	b.do(Event{Kind: TimerFired})
+	b.want(b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted}), SendGossip, 0)
+	b.feed(Event{Kind: GossipReceived, Peer: 1, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
+	b.now += waitReportBatches * s.Granularity
+	b.feed(Event{Kind: TimerFired})
 	if used, running := b.d.peerSlots(b.d.workers[7]); used != 3 || running != 2 {
 		t.Fatalf("others have %v, of them running %v", used, running)
 	}
-	b.pass(60 * second)
-	b.do(Event{Kind: TimerFired})
+	b.advance(60 * second)
+	b.feed(Event{Kind: TimerFired})
 	if used, _ := b.d.peerSlots(b.d.workers[7]); used != 0 {
 		t.Errorf("gossip from a minute ago still counts %v slots", used)
 	}
@@ -545,9 +546,10 @@
 	for _, slots := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1e30, -1, 0} {
 		b := newHarness(t, testSettings(), ready(1, 0))
 		for id, needs := range []float64{slots, 1} {
-			arrived := Event{Kind: JobArrived, Job: JobID(id), Work: second / 5, Slots: needs, Patience: 6 * second}
-			for _, a := range find(b.do(arrived), Send) {
-				b.do(Event{Kind: AttemptReported, Job: a.Job, Worker: a.Worker, Note: NoteStarted})
+			arrived := Event{Kind: JobArrived, Job: JobID(id), Work: second / 5, Slots: needs,
+				ClientTimeout: 6 * second}
+			for _, a := range actionsOfKind(b.feed(arrived), Send) {
+				b.feed(Event{Kind: AttemptReported, Job: a.Job, Worker: a.Worker, Note: NoteStarted})
 				b.end(a.Job, 0, OK)
 			}
 		}
@@ -561,9 +563,9 @@
 func TestSlowWorkerIsLearned(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	for id := JobID(1); id <= 40; id += 2 {
-		sent := append(find(b.arrive(id, 0), Send), find(b.arrive(id+1, 0), Send)...)
+		sent := append(actionsOfKind(b.arrive(id, 0), Send), actionsOfKind(b.arrive(id+1, 0), Send)...)
 		for _, a := range sent {
-			b.do(Event{Kind: AttemptReported, Job: a.Job, Note: NoteStarted})
+			b.feed(Event{Kind: AttemptReported, Job: a.Job, Note: NoteStarted})
 		}
 		begun := b.now
 		for _, on := range []WorkerID{2, 1} {
@@ -601,7 +603,7 @@
 	}{
 		"finished":     {0, func(_ *harness, j *job, _ *worker) { j.finished = true }},
 		"streaming":    {0, func(_ *harness, j *job, _ *worker) { j.streaming = true }},
-		"no time left": {0, func(b *harness, j *job, _ *worker) { j.deadline = b.now + b.d.safetyMargin() }},
+		"no time left": {0, func(b *harness, j *job, _ *worker) { j.deadline = b.now + b.d.deadlineMargin() }},
 		"attempts used up": {0, func(b *harness, j *job, w *worker) {
 			b.d.settings.MaxAttempts = 1
 			withAttemptNotRun(b, j, w)
@@ -669,25 +671,25 @@
 	b.now += 5 * second
 	b.arrive(1, 0)
 	b.end(1, 0, ConnectFailed)
-	b.pass(second)
+	b.advance(second)
 	b.end(1, 1, ConnectFailed)
 	w := b.d.workers[1]
 	if b.d.slowStartSince(w) == 0 {
 		t.Fatal("a worker that could not be reached does not count as in slow start")
 	}
 	for id := JobID(2); w.unreachable && id < 100; id++ {
-		all := append(b.pass(second/2), b.do(Event{Kind: JobArrived, Job: id, Work: second / 20, Slots: 1,
-			Patience: 5 * second})...)
-		for _, a := range find(all, Send) {
+		all := append(b.advance(second/2), b.feed(Event{Kind: JobArrived, Job: id, Work: second / 20, Slots: 1,
+			ClientTimeout: 5 * second})...)
+		for _, a := range actionsOfKind(all, Send) {
 			b.end(a.Job, a.Attempt, OK)
 		}
 	}
-	b.pass(2 * second)
+	b.advance(2 * second)
 	if w.unreachable || b.d.slowStartSince(w) == 0 {
 		t.Fatalf("unreachable %v, in slow start since %v two seconds after it came back", w.unreachable,
 			b.d.slowStartSince(w))
 	}
-	b.pass(20 * second)
+	b.advance(20 * second)
 	if b.d.slowStartSince(w) != 0 {
 		t.Error("still in slow start after the stated time")
 	}
@@ -698,7 +700,7 @@
 func TestScaleWithoutHints(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	w := b.d.workers[1]
-	b.d.fleet = speedEstimate{work: 300 * second, time: 100 * second} // drifted to three
+	b.d.fleetEstimate = speedEstimate{work: 300 * second, time: 100 * second} // drifted to three
 	w.speed = speedEstimate{work: 600 * second, time: 100 * second}
 	if got := b.d.warmSpeed(w); math.Abs(got-2) > 0.1 {
 		t.Errorf("a worker twice as fast as the fleet has speed %v", got)
@@ -706,9 +708,9 @@
 	for range 100 {
 		b.d.classes[0].addWork(60 * second)
 	}
-	b.d.refreshTargets()
+	b.d.refreshAdmissionParameters()
 	for k := range b.d.classes {
-		if got := b.d.classes[k].target; got > b.d.settings.Classes[k].Deadline {
+		if got := b.d.classes[k].waitTarget; got > b.d.settings.Classes[k].Deadline {
 			t.Errorf("T_%d is %v, past the deadline", k, got)
 		}
 	}
@@ -726,10 +728,10 @@
 	b := newHarness(t, s, workers...)
 	b.d.retryBudget = 2
 	actions, failed := b.arrive(1, 0), 0
-	for sent := find(actions, Send); len(sent) == 1 && failed < 10; failed++ {
+	for sent := actionsOfKind(actions, Send); len(sent) == 1 && failed < 10; failed++ {
 		actions = b.end(1, sent[0].Attempt, ConnectFailed)
 		b.want(actions, Refuse, 0)
-		sent = find(actions, Send)
+		sent = actionsOfKind(actions, Send)
 	}
 	if failed != 10 {
 		t.Fatalf("no further attempt after %d refused connects", failed)
@@ -747,28 +749,28 @@
 	b := newHarness(t, s, ready(7, 0))
 	w := b.d.workers[7]
 	b.setSlots(7, 9)
-	b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}})
+	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}})
 	b.want(b.arrive(1, 0), Send, 1) // it may be on its way only
-	b.do(Event{Kind: AttemptReported, Job: 1, Attempt: 0, Note: NoteStarted})
-	b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
+	b.feed(Event{Kind: AttemptReported, Job: 1, Attempt: 0, Note: NoteStarted})
+	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
 	b.want(b.arrive(2, 0), Send, 0)
-	b.want(b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}}), Send, 1)
+	b.want(b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}}), Send, 1)
 	// Nothing is tried past the limit while a peer's job is on its way.
-	b.do(Event{Kind: AttemptReported, Job: 2, Attempt: 0, Note: NoteStarted})
-	b.now += waitNoticeBatches * s.Granularity
-	b.do(Event{Kind: TimerFired})
-	b.d.kindOf(w).probedAt = 1
+	b.feed(Event{Kind: AttemptReported, Job: 2, Attempt: 0, Note: NoteStarted})
+	b.now += waitReportBatches * s.Granularity
+	b.feed(Event{Kind: TimerFired})
+	b.d.kindOf(w).capacityProbedAt = 1
 	if !b.d.mayProbe(w) {
 		t.Fatal("an old limit may not be passed")
 	}
-	b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 4, 0}})
+	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 4, 0}})
 	if b.d.mayProbe(w) {
 		t.Error("a probe past the limit while a peer's job has not begun")
 	}
 	// The gossip of a peer that has stopped must not keep the worker idle.
-	b.pass(60 * second)
-	b.do(Event{Kind: TimerFired})
-	if b.d.peerWaits(w) {
+	b.advance(60 * second)
+	b.feed(Event{Kind: TimerFired})
+	if b.d.peerJobWaits(w) {
 		t.Error("gossip from a minute ago keeps jobs away")
 	}
 }
@@ -781,7 +783,7 @@
 	refuse := func(objective Micros, over bool, level overloadLevel) Micros {
 		b.d.level = level
 		j := &job{id: 9, objective: b.now + objective, overQuota: over, work: second / 5}
-		b.d.actions, b.d.eventBestSpeed = nil, 0
+		b.d.actions, b.d.cachedBestSpeed = nil, 0
 		b.d.finish(j)
 		return b.d.actions[0].Delay
 	}
@@ -825,22 +827,22 @@
 			s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, c.within
 			d, _ := New(s, 3)
 			b := &harness{t: t, d: d, now: 100 * second}
-			b.do(Event{Kind: Started})
-			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached,
+			b.feed(Event{Kind: Started})
+			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached,
 				Workers: []WorkerEntry{ready(1, 0), ready(2, 0), ready(3, 0)}})
 			if !c.never {
-				b.do(Event{Kind: EndpointsUpdated})
-				b.do(Event{Kind: JobArrived, Job: 9, Patience: 60 * second, Slots: 1})
-				b.do(Event{Kind: AttemptReported, Job: 9, Note: NoteStarted}) // it may drain all the same
+				b.feed(Event{Kind: EndpointsUpdated})
+				b.feed(Event{Kind: JobArrived, Job: 9, ClientTimeout: 60 * second, Slots: 1})
+				b.feed(Event{Kind: AttemptReported, Job: 9, Note: NoteStarted}) // it may drain all the same
 			}
 			b.now += c.silent
-			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
-			sent := append(find(b.arrive(1, 0), Send), find(b.arrive(2, 0), Send)...)
+			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+			sent := append(actionsOfKind(b.arrive(1, 0), Send), actionsOfKind(b.arrive(2, 0), Send)...)
 			if len(sent) != c.sent {
 				t.Fatalf("%d jobs were sent, want %d", len(sent), c.sent)
 			}
-			b.do(Event{Kind: EndpointsUpdated}) // nothing new
-			if later := len(find(b.out, Send)); later != 2-c.sent {
+			b.feed(Event{Kind: EndpointsUpdated}) // nothing new
+			if later := len(actionsOfKind(b.out, Send)); later != 2-c.sent {
 				t.Errorf("%d jobs left once an update came", later)
 			}
 		})
@@ -853,11 +855,11 @@
 	s := testSettings()
 	s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, 6*second
 	b := newHarness(t, s, ready(1, 0), ready(2, 0))
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed, Age: b.now + b.d.settings.MaxStaleness})
+	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed, Age: b.now + b.d.settings.MaxStaleness})
 	b.want(b.arrive(1, 0), Send, 0)
 	drains := []WorkerEntry{{Worker: 1, Status: Draining}}
-	b.want(b.do(Event{Kind: EndpointsUpdated, Scope: UpdateDrains, Workers: drains}), Send, 0)
-	sent := find(b.do(Event{Kind: EndpointsUpdated, Age: second}), Send)
+	b.want(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateDrains, Workers: drains}), Send, 0)
+	sent := actionsOfKind(b.feed(Event{Kind: EndpointsUpdated, Age: second}), Send)
 	if len(sent) != 1 || sent[0].Worker != 2 {
 		t.Errorf("sent %+v, want one to worker 2", sent)
 	}
@@ -879,12 +881,13 @@
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
 			if s.RetriesMarked = c.marks; c.many {
-				withoutGossipSettings(&s)
+				largeFleetWithoutGossipSettings(&s)
 				s.Dispatchers = 80
 			}
 			b := newHarness(t, s, ready(1, 0))
-			out := b.do(Event{Kind: JobArrived, Job: 1, Class: 2, Patience: 2 * second, Retry: c.repeat, Slots: 1})
-			if served := len(find(out, Send)) == 1; served != c.served {
+			out := b.feed(Event{Kind: JobArrived, Job: 1, Class: 2, ClientTimeout: 2 * second,
+				Retry: c.repeat, Slots: 1})
+			if served := len(actionsOfKind(out, Send)) == 1; served != c.served {
 				t.Errorf("served: %v, want %v", served, c.served)
 			}
 		})
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -2,7 +2,7 @@
 
 // Endpoints: updates of the worker list, and polls for it.
 
-const renewalIntervals = 3.0 // poll intervals after which a silent subscription is renewed
+const watchRenewalIntervals = 3.0 // poll intervals after which a silent subscription is renewed
 
 // onEndpointsUpdated takes an update of the worker list, or notes that none came.
 func (d *Dispatcher) onEndpointsUpdated(e *Event) {
@@ -19,14 +19,14 @@
 	}
 	if e.Scope < UpdateCached && d.settings.PollEndpoints { // what a start knew may be of any age
 		d.pollFailures, d.endpointsAsOf = 0, d.now-e.Age
-		d.pollAt = d.now + Micros(renewalIntervals*float64(d.settings.PollInterval))
+		d.pollAt = d.now + Micros(watchRenewalIntervals*float64(d.settings.PollInterval))
 	}
 	updated, complete := d.updatedBuffer[:0], e.Scope == UpdateFull || e.Scope == UpdateCached
 	d.updateCount++
 	for _, entry := range e.Workers {
 		w := d.workers[entry.Worker]
 		if w == nil {
-			w = &worker{slotLimit: 1, bias: d.random.uniform() * 0.05}
+			w = &worker{slotLimit: 1, placementBias: d.random.uniform() * 0.05}
 			d.workers[entry.Worker] = w
 		}
 		if entry.Started > w.entry.Started { // known to be back: no need to find out
@@ -49,8 +49,8 @@
 	d.invalidateIndex()
 }
 
-// poll subscribes to the list, and again if no answer comes.
-func (d *Dispatcher) poll() {
+// pollEndpoints subscribes to the list, and again if no answer comes.
+func (d *Dispatcher) pollEndpoints() {
 	d.emit(Action{Kind: WatchEndpoints})
 	d.pollAt = d.now + Micros(float64(d.settings.PollInterval)*(0.45+0.05*d.random.uniform()))
 }
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -13,13 +13,13 @@
 // endpointsModel is the worker list by its meaning: what a build from nothing gives, with all sorted,
 // ranked and scanned at each update. Workers that are not ready keep their last position.
 type endpointsModel struct {
-	known      map[WorkerID]*worker // as the dispatcher's own, but for what the list says of them
-	places     map[WorkerID]float64
-	removedAt  map[WorkerID]Micros
-	ordered    []WorkerID
-	subset     []WorkerID
-	neighbours []int
-	reach      float64
+	known         map[WorkerID]*worker // as the dispatcher's own, but for what the list says of them
+	ringPositions map[WorkerID]float64
+	removedAt     map[WorkerID]Micros
+	ordered       []WorkerID
+	subset        []WorkerID
+	neighbours    []int
+	ringCoverage  float64
 }
 
 // update takes an update that the dispatcher has taken, from the entries that it then had.
@@ -35,7 +35,7 @@
 		if expired && len(w.attempts) == 0 && !w.gossipQueued {
 			delete(m.known, id)
 			delete(m.removedAt, id)
-			delete(m.places, id)
+			delete(m.ringPositions, id)
 			continue
 		}
 		order = append(order, w)
@@ -55,9 +55,9 @@
 			ready = append(ready, w)
 		}
 	}
-	m.reach = min(1, zones*d.subsetFraction(len(ready)))
+	m.ringCoverage = min(1, zones*d.subsetFraction(len(ready)))
 	for p := range d.peers {
-		if distance := math.Abs(d.peers[p].position - d.position); min(distance, 1-distance) < m.reach {
+		if distance := math.Abs(d.peers[p].position - d.position); min(distance, 1-distance) < m.ringCoverage {
 			m.neighbours = append(m.neighbours, p)
 		}
 	}
@@ -69,12 +69,12 @@
 		}
 		for i, w := range ready[from:to] {
 			place := (float64(i) + 0.5) / float64(to-from)
-			m.places[w.entry.Worker] = place
+			m.ringPositions[w.entry.Worker] = place
 			distance := place - d.position
 			if distance < 0 {
 				distance++
 			}
-			if distance < m.reach || d.slowStartSince(w) != 0 && d.slowStartOwner(w) {
+			if distance < m.ringCoverage || d.slowStartSince(w) != 0 && d.isSlowStartOwner(w) {
 				m.subset = append(m.subset, w.entry.Worker)
 			}
 		}
@@ -95,8 +95,8 @@
 		t.Fatalf("%v", err)
 	}
 	d.Step(100*second, &Event{Kind: Started}, nil)
-	return &modelHarness{t, d, &endpointsModel{known: map[WorkerID]*worker{}, places: map[WorkerID]float64{},
-		removedAt: map[WorkerID]Micros{}}}
+	return &modelHarness{t, d, &endpointsModel{known: map[WorkerID]*worker{},
+		ringPositions: map[WorkerID]float64{}, removedAt: map[WorkerID]Micros{}}}
 }
 
 // update passes an update on. No job is sent here, so nothing else changes a worker.
@@ -136,22 +136,22 @@
 			f.t.Fatalf("%s is %v, built from nothing %v", list.what, list.got, list.want)
 		}
 	}
-	if d.reach != m.reach || !slices.Equal(d.neighbours, m.neighbours) {
-		f.t.Fatalf("reach %v, neighbours %v; built from nothing %v, %v", d.reach, d.neighbours, m.reach,
-			m.neighbours)
+	if d.ringCoverage != m.ringCoverage || !slices.Equal(d.neighbours, m.neighbours) {
+		f.t.Fatalf("ring coverage %v, neighbours %v; built from nothing %v, %v", d.ringCoverage, d.neighbours,
+			m.ringCoverage, m.neighbours)
 	}
 	if len(d.workers) != len(m.ordered) {
 		f.t.Fatalf("%d workers by number, %d in order", len(d.workers), len(m.ordered))
 	}
-	d = d.Clone() // ringPositionOf computes what is out of date
+	d = d.Clone() // workerRingPosition computes what is out of date
 	for _, id := range m.ordered {
-		if got := d.ringPositionOf(d.workers[id]); got != m.places[id] {
-			f.t.Fatalf("worker %d at %v, built from nothing at %v", id, got, m.places[id])
+		if got := d.workerRingPosition(d.workers[id]); got != m.ringPositions[id] {
+			f.t.Fatalf("worker %d at %v, built from nothing at %v", id, got, m.ringPositions[id])
 		}
 	}
 }
 
-func listSettings(dispatchers, index int, peers bool) Settings {
+func endpointsSettings(dispatchers, index int, peers bool) Settings {
 	s := testSettings()
 	s.Dispatchers, s.Index, s.GossipAllowed = dispatchers, index, peers
 	return s
@@ -162,7 +162,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		dispatchers := rapid.SampledFrom([]int{1, 3, 9, 17, 80, 300}).Draw(t, "dispatchers")
 		index := rapid.IntRange(0, dispatchers-1).Draw(t, "index")
-		s := listSettings(dispatchers, index, rapid.Bool().Draw(t, "peers"))
+		s := endpointsSettings(dispatchers, index, rapid.Bool().Draw(t, "peers"))
 		f := newModelHarness(t, s)
 		now, fleetSize := 100*Micros(second), rapid.SampledFrom([]int{3, 40, 300}).Draw(t, "workers")
 		entry := rapid.Custom(func(t *rapid.T) WorkerEntry {
@@ -254,7 +254,7 @@
 	for _, dispatchers := range []int{3, 17, 300} {
 		for _, peers := range []bool{false, true} {
 			run := func(updates func(f *modelHarness)) *modelHarness {
-				f := newModelHarness(t, listSettings(dispatchers, 2, peers))
+				f := newModelHarness(t, endpointsSettings(dispatchers, 2, peers))
 				f.update(100*second, UpdateFull, list...)
 				updates(f)
 				return f
@@ -290,7 +290,7 @@
 // A fleet that is removed and comes back leaves a subset empty in between.
 func TestSubsetBecomesEmpty(t *testing.T) {
 	for _, dispatchers := range []int{1, 17, 300} {
-		f := newModelHarness(t, listSettings(dispatchers, 0, false))
+		f := newModelHarness(t, endpointsSettings(dispatchers, 0, false))
 		list := entriesInZones(3, 1)
 		f.update(100*second, UpdateFull, list...)
 		for i, e := range list {
@@ -302,7 +302,8 @@
 		if len(f.d.subset) != 0 {
 			t.Errorf("%d dispatchers: a subset of %d of a fleet that is not ready", dispatchers, len(f.d.subset))
 		}
-		f.d.Step(102*second, &Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1, Patience: 5 * second}, nil)
+		f.d.Step(102*second, &Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1,
+			ClientTimeout: 5 * second}, nil)
 		f.update(103*second, UpdateFull)
 		f.update(104*second, UpdateFull, list...)
 		f.update(104*second+f.d.settings.RemovedRetention(), UpdateFull, list[0])
@@ -313,9 +314,9 @@
 func TestFullUpdateThatIsKnown(t *testing.T) {
 	list := entriesInZones(200, 2)
 	for _, dispatchers := range []int{3, 300} {
-		full := newModelHarness(t, listSettings(dispatchers, 1, true))
+		full := newModelHarness(t, endpointsSettings(dispatchers, 1, true))
 		full.update(100*second, UpdateFull, list...)
-		delta := newModelHarness(t, listSettings(dispatchers, 1, true))
+		delta := newModelHarness(t, endpointsSettings(dispatchers, 1, true))
 		delta.update(100*second, UpdateFull, list...)
 		changed := slices.Clone(list)
 		changed[17].Status = Draining
@@ -335,7 +336,7 @@
 	for _, size := range [][2]int{{300, 200}, {300, 800}, {300, 2400}, {300, 7200}, {17, 7200}, {7200, 7200}} {
 		t.Run(fmt.Sprintf("%d dispatchers, %d workers", size[0], size[1]), func(t *testing.T) {
 			list := entriesInZones(size[1], 2)
-			f := newModelHarness(t, listSettings(size[0], size[0]/3, false))
+			f := newModelHarness(t, endpointsSettings(size[0], size[0]/3, false))
 			f.d.Step(100*second, &Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list}, nil)
 			shifts := func() map[int]int { // workers in the subset, to count who came and went
 				in := map[int]int{}
@@ -375,13 +376,13 @@
 	}
 	outside := 0
 	for index := range 80 {
-		f := newModelHarness(t, listSettings(80, index, true))
+		f := newModelHarness(t, endpointsSettings(80, index, true))
 		f.update(101*second, UpdateFull, list...)
 		covered := 0
 		for _, w := range f.d.subset {
 			if w.covered {
 				covered++
-			} else if !f.d.slowStartOwner(w) {
+			} else if !f.d.isSlowStartOwner(w) {
 				t.Errorf("dispatcher %d has %d, which it neither covers nor owns", index, w.entry.Worker)
 			}
 		}
@@ -399,7 +400,7 @@
 
 // One that has long been removed is forgotten also by an update that names it, in another zone at that.
 func TestForgottenByAnUpdateThatNamesIt(t *testing.T) {
-	f := newModelHarness(t, listSettings(3, 0, false))
+	f := newModelHarness(t, endpointsSettings(3, 0, false))
 	list := entriesInZones(4, 2)
 	f.update(100*second, UpdateFull, list...)
 	e := list[1]
--- a/internal/dispatch/estimate_quota.go
+++ b/internal/dispatch/estimate_quota.go
@@ -7,14 +7,14 @@
 // too late on arrival; where clients mark their retries, the two can be distinguished. A small fleet sees
 // overload itself, and such a job is the first to turn away then.
 func (d *Dispatcher) firstAttemptAt(j *job, retried bool) Micros {
-	if d.settings.RetriesMarked && !retried && d.withoutGossip() {
+	if d.settings.RetriesMarked && !retried && d.largeFleetWithoutGossip() {
 		return d.now
 	}
 	return j.deadline - d.settings.Classes[j.class].Deadline
 }
 
-// quota is this dispatcher's part of a tenant's quota, in jobs a second.
-func (d *Dispatcher) quota(tenant int) float64 {
+// quotaShare is this dispatcher's part of a tenant's quota, in jobs a second.
+func (d *Dispatcher) quotaShare(tenant int) float64 {
 	if tenant >= len(d.settings.Tenants) {
 		return 0
 	}
@@ -23,7 +23,7 @@
 
 // quotaBurst is how many jobs a tenant may save up.
 func (d *Dispatcher) quotaBurst(tenant int) float64 {
-	return max(minQuotaBurst, d.quota(tenant)*quotaBurstSeconds)
+	return max(minQuotaBurst, d.quotaShare(tenant)*quotaBurstSeconds)
 }
 
 // MaxSlots is the most that a job can say it takes: far beyond any machine, and within
--- a/internal/dispatch/estimate_sharing.go
+++ b/internal/dispatch/estimate_sharing.go
@@ -10,51 +10,53 @@
 
 // subsetFraction is the part of a zone's workers that is a dispatcher's own.
 func (d *Dispatcher) subsetFraction(readyWorkers int) float64 {
-	sharing, minimum := targetSharing, minSubsetSize
-	if d.withoutGossip() {
-		sharing, minimum = targetSharingNoGossip, minSubsetSizeNoGossip
+	perWorker, minimum := targetDispatchersPerWorker, minSubsetSize
+	if d.largeFleetWithoutGossip() {
+		perWorker, minimum = targetDispatchersPerWorkerNoGossip, minSubsetSizeNoGossip
 	}
-	return max(sharing/float64(d.settings.Dispatchers), minimum/max(1, float64(readyWorkers)))
+	return max(perWorker/float64(d.settings.Dispatchers), minimum/max(1, float64(readyWorkers)))
 }
 
-// startPatience is how long a job may take to begin before it counts as waiting.
-func (d *Dispatcher) startPatience() Micros {
-	if d.withoutGossip() {
-		return startNoticeBatchesNoGossip * d.settings.Granularity
+// startReportTimeout is how long a job may take to begin before it counts as waiting.
+func (d *Dispatcher) startReportTimeout() Micros {
+	if d.largeFleetWithoutGossip() {
+		return startReportTimeoutBatchesNoGossip * d.settings.Granularity
 	}
-	return startNoticeBatches * d.settings.Granularity
+	return startReportTimeoutBatches * d.settings.Granularity
 }
 
-// silenceLimit is how long a worker with work may give no sign of life.
-func (d *Dispatcher) silenceLimit() Micros {
+// silenceTimeout is how long a worker with work may give no sign of life.
+func (d *Dispatcher) silenceTimeout() Micros {
 	if d.settings.ProgressInterval == 0 {
-		return Micros(silentRuns * max(d.slotTimes.value, second/4))
+		return Micros(silenceTimeoutRuns * max(d.slotTimes.value, second/4))
 	}
-	return Micros(silentProgressIntervals * float64(d.settings.ProgressInterval))
+	return Micros(silenceTimeoutProgressIntervals * float64(d.settings.ProgressInterval))
 }
 
-// withoutGossip reports whether the fleet is large and sends no gossip: what its dispatchers do
+// largeFleetWithoutGossip reports whether the fleet is large and sends no gossip: what its dispatchers do
 // together shows only in how long jobs wait.
-func (d *Dispatcher) withoutGossip() bool {
+func (d *Dispatcher) largeFleetWithoutGossip() bool {
 	return !d.settings.GossipAllowed && d.settings.LargeFleet()
 }
 
-// sharing is how many dispatchers share a worker.
-func (d *Dispatcher) sharing() float64 { return d.reach * float64(d.settings.Dispatchers) }
+// dispatchersPerWorker is how many dispatchers share a worker.
+func (d *Dispatcher) dispatchersPerWorker() float64 {
+	return d.ringCoverage * float64(d.settings.Dispatchers)
+}
 
 // covers reports whether the interval of the dispatcher at a position has a worker.
 func (d *Dispatcher) covers(position float64, w *worker) bool {
-	return d.distanceFrom(position, w) < d.reach
+	return d.ringDistance(position, w) < d.ringCoverage
 }
 
-// distanceFrom is how far on the ring a worker comes behind a position.
-func (d *Dispatcher) distanceFrom(position float64, w *worker) float64 {
-	return subset.Distance(position, d.ringPositionOf(w))
+// ringDistance is how far on the ring a worker comes behind a position.
+func (d *Dispatcher) ringDistance(position float64, w *worker) float64 {
+	return subset.Distance(position, d.workerRingPosition(w))
 }
 
-// ringPosition is the position of a dispatcher on the ring: steps of the golden section spread any run
-// of numbers evenly, and every second one, too.
-func ringPosition(dispatcher int) float64 {
+// dispatcherRingPosition is the position of a dispatcher on the ring: steps of the golden section
+// spread any run of numbers evenly, and every second one, too.
+func dispatcherRingPosition(dispatcher int) float64 {
 	_, position := math.Modf(math.Abs(float64(dispatcher)) * math.Phi)
 	return position
 }
--- a/internal/dispatch/estimate_slots.go
+++ b/internal/dispatch/estimate_slots.go
@@ -7,25 +7,25 @@
 const maxTrackedSlots = 32
 
 // startCounts counts the jobs that began at once with so many slots in use, and those that did not.
-type startCounts struct{ prompt, late float64 }
+type startCounts struct{ prompt, delayed float64 }
 
 // kind is what is known of a machine kind.
 type kind struct {
 	speedEstimate
-	maxSlotsSeen float64 // at work on one of its workers
-	starts       [maxTrackedSlots + 1]startCounts
-	topSlots     int    // the largest number of slots in use at which a job was seen to begin or wait
-	probedAt     Micros // when more slots than its capacity were last tried
+	maxBusySlots       float64 // at work on one of its workers
+	startCountsBySlots [maxTrackedSlots + 1]startCounts
+	maxSlotsTried      int    // the largest number of slots in use at which a job was seen to begin or wait
+	capacityProbedAt   Micros // when more slots than its capacity were last tried
 }
 
 // add counts a job, after a decay of the earlier ones.
 func (c *startCounts) add(prompt bool, keep float64) {
 	c.prompt *= keep
-	c.late *= keep
+	c.delayed *= keep
 	if prompt {
 		c.prompt++
 	} else {
-		c.late++
+		c.delayed++
 	}
 }
 
@@ -33,38 +33,38 @@
 // show it those of its kind. A dispatcher of many sees each worker too seldom, and what peers have
 // there is known too late to trust a single job.
 func (d *Dispatcher) startCountsAt(w *worker, n int) startCounts {
-	counts := d.kindOf(w).starts[n]
-	if seen := counts.prompt + counts.late; seen > kindStartWeight {
-		counts.prompt, counts.late = counts.prompt*kindStartWeight/seen, counts.late*kindStartWeight/seen
+	counts := d.kindOf(w).startCountsBySlots[n]
+	if seen := counts.prompt + counts.delayed; seen > maxKindStartCount {
+		counts.prompt, counts.delayed = counts.prompt*maxKindStartCount/seen, counts.delayed*maxKindStartCount/seen
 	}
-	if w.starts != nil {
-		counts.prompt += w.starts[n].prompt
-		counts.late += w.starts[n].late
+	if w.startCountsBySlots != nil {
+		counts.prompt += w.startCountsBySlots[n].prompt
+		counts.delayed += w.startCountsBySlots[n].delayed
 	}
 	return counts
 }
 
-// recordStart records whether a job began at once with so many slots in use.
-func (d *Dispatcher) recordStart(a *attempt, prompt bool) {
+// recordStartPromptness records whether a job began at once with so many slots in use.
+func (d *Dispatcher) recordStartPromptness(a *attempt, prompt bool) {
 	n := min(int(a.slotsAtSend), maxTrackedSlots)
 	k := d.kindOf(a.worker)
-	k.topSlots = max(k.topSlots, n)
-	k.starts[n].add(prompt, kindDecay)
-	if a.worker.starts == nil {
-		a.worker.starts = new([maxTrackedSlots + 1]startCounts)
+	k.maxSlotsTried = max(k.maxSlotsTried, n)
+	k.startCountsBySlots[n].add(prompt, kindSampleDecay)
+	if a.worker.startCountsBySlots == nil {
+		a.worker.startCountsBySlots = new([maxTrackedSlots + 1]startCounts)
 	}
-	a.worker.starts[n].add(prompt, ownDecay)
+	a.worker.startCountsBySlots[n].add(prompt, workerSampleDecay)
 	if prompt {
-		k.maxSlotsSeen = d.capacity(a.worker)
+		k.maxBusySlots = d.capacity(a.worker)
 	} else {
-		k.probedAt = d.now
+		k.capacityProbedAt = d.now
 	}
 }
 
-// recordSlots records slots of a worker seen at work together.
-func (d *Dispatcher) recordSlots(w *worker, slots float64) {
+// recordBusySlots records slots of a worker seen at work together.
+func (d *Dispatcher) recordBusySlots(w *worker, slots float64) {
 	k := d.kindOf(w)
-	k.maxSlotsSeen = max(k.maxSlotsSeen, slots)
+	k.maxBusySlots = max(k.maxBusySlots, slots)
 }
 
 // kindOf is what is known of a worker's machine kind.
@@ -86,12 +86,12 @@
 		return w.slotLimit
 	}
 	k, best := d.kindOf(w), 0
-	for n := k.topSlots; n > 0 && best == 0; n-- {
-		if counts := d.startCountsAt(w, n); counts.prompt > 0 && counts.prompt >= counts.late {
+	for n := k.maxSlotsTried; n > 0 && best == 0; n-- {
+		if counts := d.startCountsAt(w, n); counts.prompt > 0 && counts.prompt >= counts.delayed {
 			best = n
 		}
 	}
-	if best == k.topSlots && best < maxTrackedSlots {
+	if best == k.maxSlotsTried && best < maxTrackedSlots {
 		best++ // nobody had to wait yet
 	}
 	return float64(max(best, 1))
@@ -130,14 +130,14 @@
 	return w.ownSlots + others
 }
 
-// slotsRunning is the slots of a worker whose jobs run, by all that we know of.
-func (d *Dispatcher) slotsRunning(w *worker) float64 {
+// knownRunningSlots is the slots of a worker whose jobs run, by all that we know of.
+func (d *Dispatcher) knownRunningSlots(w *worker) float64 {
 	_, others := d.peerSlots(w)
-	return d.runningSlots(w) + others
+	return d.ownRunningSlots(w) + others
 }
 
-// runningSlots is the slots of own jobs that are known to run at a worker.
-func (d *Dispatcher) runningSlots(w *worker) float64 {
+// ownRunningSlots is the slots of own jobs that are known to run at a worker.
+func (d *Dispatcher) ownRunningSlots(w *worker) float64 {
 	n := 0.0
 	for _, a := range w.attempts {
 		if a.startedAt != 0 {
--- a/internal/dispatch/estimate_speed.go
+++ b/internal/dispatch/estimate_speed.go
@@ -23,7 +23,7 @@
 	if !d.hintsSeen {
 		return 1
 	}
-	return d.fleet.speed()
+	return d.fleetEstimate.speed()
 }
 
 // speed is the work that a slot of a worker does in a unit of time: its own recent runs, leaning on
@@ -39,13 +39,14 @@
 func (d *Dispatcher) warmSpeed(w *worker) float64 {
 	prior, unit := d.priorSpeed(w), max(d.slotTimes.value, 1)
 	if d.hintsSeen {
-		unit *= priorRunsHinted
+		unit *= speedPriorRunsHinted
 	} else {
-		unit *= priorRunsUnhinted
+		unit *= speedPriorRunsUnhinted
 	}
 	v := (w.speed.work + prior*unit) / (w.speed.time + unit)
-	if !d.hintsSeen && d.fleet.work > 0 {
-		v *= d.fleet.time / d.fleet.work // no hint gives the scale: the fleet's mean is 1, or it drifts
+	if !d.hintsSeen && d.fleetEstimate.work > 0 {
+		// no hint gives the scale: the fleet's mean is 1, or it drifts
+		v *= d.fleetEstimate.time / d.fleetEstimate.work
 	}
 	return v
 }
@@ -55,40 +56,40 @@
 	if k := d.kindOf(w); k.time > 0 {
 		return k.speed()
 	}
-	return d.fleet.speed()
+	return d.fleetEstimate.speed()
 }
 
 // typicalSpeed is the speed of a warm worker that is like most of its kind.
 func (d *Dispatcher) typicalSpeed(w *worker) float64 {
-	if !d.hintsSeen && d.fleet.work > 0 {
-		return d.priorSpeed(w) * d.fleet.time / d.fleet.work
+	if !d.hintsSeen && d.fleetEstimate.work > 0 {
+		return d.priorSpeed(w) * d.fleetEstimate.time / d.fleetEstimate.work
 	}
 	return d.priorSpeed(w)
 }
 
 // bestSpeed is the fastest that a job could still get, computed once an event.
 func (d *Dispatcher) bestSpeed() float64 {
-	if d.eventBestSpeed > 0 {
-		return d.eventBestSpeed
+	if d.cachedBestSpeed > 0 {
+		return d.cachedBestSpeed
 	}
 	for _, w := range d.subset {
 		if d.usable(w) {
-			if speed := d.speed(w); speed > d.eventBestSpeed {
-				d.eventBestSpeed, d.fastestWorker = speed, w
+			if speed := d.speed(w); speed > d.cachedBestSpeed {
+				d.cachedBestSpeed, d.fastestWorker = speed, w
 			}
 		}
 	}
-	if d.eventBestSpeed == 0 {
-		d.eventBestSpeed = d.fleetSpeed()
+	if d.cachedBestSpeed == 0 {
+		d.cachedBestSpeed = d.fleetSpeed()
 	}
-	return d.eventBestSpeed
+	return d.cachedBestSpeed
 }
 
 // anyFastEnough reports whether bestSpeed is enough, where more is never worse. In a large subset the
 // fastest worker of the last search is tried first: what is enough for it need not be searched.
 func (d *Dispatcher) anyFastEnough(enough func(speed float64) bool) bool {
 	w := d.fastestWorker
-	if w != nil && d.eventBestSpeed == 0 && d.largeSubset() && d.usable(w) && enough(d.speed(w)) {
+	if w != nil && d.cachedBestSpeed == 0 && d.largeSubset() && d.usable(w) && enough(d.speed(w)) {
 		return true
 	}
 	return enough(d.bestSpeed())
@@ -110,9 +111,9 @@
 	if work <= 0 || span <= 0 || d.slowStartSince(w) != 0 {
 		return
 	}
-	w.speed.add(work, span, ownDecay)
-	d.kindOf(w).add(work, span, kindDecay)
-	d.fleet.add(work, span, fleetDecay)
+	w.speed.add(work, span, workerSampleDecay)
+	d.kindOf(w).add(work, span, kindSampleDecay)
+	d.fleetEstimate.add(work, span, fleetSampleDecay)
 }
 
 // learnRun takes run time, speed and, without hints, the class's work from a finished run.
@@ -122,7 +123,7 @@
 	}
 	j, st := a.job, &d.classes[a.job.class]
 	run := float64(d.now - a.startedAt)
-	st.runs.add(run)
+	st.runTimes.add(run)
 	d.slotTimes.add(run * j.slots)
 	if !j.hinted && d.slowStartSince(a.worker) == 0 {
 		st.addWork(run * d.speed(a.worker))
--- a/internal/dispatch/estimate_waits.go
+++ b/internal/dispatch/estimate_waits.go
@@ -6,38 +6,38 @@
 // them. Nothing here decides.
 
 const (
-	groupWaitRuns   = 12.0 // how long the waits of a group count, in runs
-	groupWaitWeight = 0.5  // own waits that outweigh those of its group
-	ownWaitRuns     = 6.0  // like groupWaitRuns, for the worker itself: it is met seldom
+	groupWaitDecayRuns  = 12.0 // how long the waits of a group count, in runs
+	groupWaitWeight     = 0.5  // own waits that outweigh those of its group
+	workerWaitDecayRuns = 6.0  // like groupWaitDecayRuns, for the worker itself: it is met seldom
 )
 
 // How far a choice goes at random, and by the distance on the ring, in runs.
 const (
-	jitterRuns   = 0.25
-	distanceRuns = 0.5
+	choiceJitterRuns   = 0.25
+	choiceDistanceRuns = 0.5
 )
 
 // waitEstimate is the mean of how long jobs waited at workers before they began. What was seen fades, as
 // others come to run there.
 type waitEstimate struct {
 	sum, count float64
-	at         Micros
+	decayedAt  Micros
 }
 
 // group is what is known of the waits at the workers of one kind in one zone: those that all dispatchers
 // find alike, and load together.
 type group struct {
 	waitEstimate
-	expectedWait float64 // what they and the jobs that wait now come to
-	computedIn   uint64  // the event in which that was computed
+	expectedWait    float64 // what they and the jobs that wait now come to
+	computedInEvent uint64  // the event in which that was computed
 }
 
 type groupKey struct{ zone, kind int }
 
 // decay lowers the weight of what was seen to 1/e in a span.
 func (s *waitEstimate) decay(now Micros, span float64) {
-	keep := math.Exp(-float64(now-s.at) / span)
-	s.sum, s.count, s.at = s.sum*keep, s.count*keep, now
+	keep := math.Exp(-float64(now-s.decayedAt) / span)
+	s.sum, s.count, s.decayedAt = s.sum*keep, s.count*keep, now
 }
 
 func (s *waitEstimate) add(now Micros, span, wait float64) {
@@ -59,23 +59,23 @@
 
 // recordWait records how long a job waited at a worker.
 func (d *Dispatcher) recordWait(w *worker, wait float64) {
-	if !d.withoutGossip() {
+	if !d.largeFleetWithoutGossip() {
 		return
 	}
-	w.startWait.add(d.now, ownWaitRuns*d.runLength(), wait)
-	d.groupOf(w).add(d.now, groupWaitRuns*d.runLength(), wait)
+	w.startWait.add(d.now, workerWaitDecayRuns*d.upperRunTime(), wait)
+	d.groupOf(w).add(d.now, groupWaitDecayRuns*d.upperRunTime(), wait)
 }
 
 // expectedWait is how long a job would likely wait at a worker: as our last ones there did, and as far
 // as they do not show it, as those of its group. One that waits now is on average half way.
 func (d *Dispatcher) expectedWait(w *worker) float64 {
-	if !d.settings.StartReported || !d.withoutGossip() {
+	if !d.settings.StartReported || !d.largeFleetWithoutGossip() {
 		return 0
 	}
 	g := d.groupOf(w)
-	if g.computedIn != d.eventCount {
-		g.computedIn = d.eventCount
-		g.decay(d.now, groupWaitRuns*d.runLength())
+	if g.computedInEvent != d.eventCount {
+		g.computedInEvent = d.eventCount
+		g.decay(d.now, groupWaitDecayRuns*d.upperRunTime())
 		sum, n := g.sum, g.count+1
 		for _, a := range d.overdueAttempts() {
 			if d.groupOf(a.worker) == g && a.startedAt == 0 && a.inFlight {
@@ -85,7 +85,7 @@
 		g.expectedWait = sum / n
 	}
 	if w.startWait.count > 0 {
-		w.startWait.decay(d.now, ownWaitRuns*d.runLength())
+		w.startWait.decay(d.now, workerWaitDecayRuns*d.upperRunTime())
 	}
 	return (w.startWait.sum + g.expectedWait*groupWaitWeight) / (w.startWait.count + groupWaitWeight)
 }
@@ -93,16 +93,17 @@
 // choiceJitter is a part of a run by which the choice of a worker departs from the best one: all
 // dispatchers see much the same, and would send there together.
 func (d *Dispatcher) choiceJitter(w *worker) float64 {
-	if !d.withoutGossip() {
+	if !d.largeFleetWithoutGossip() {
 		return 0
 	}
-	return (d.random.uniform()*jitterRuns + d.distanceFrom(d.position, w)/d.reach*distanceRuns) * d.runLength()
+	return (d.random.uniform()*choiceJitterRuns +
+		d.ringDistance(d.position, w)/d.ringCoverage*choiceDistanceRuns) * d.upperRunTime()
 }
 
 // crossZoneCost is what a cost in another zone comes to here. A small fleet collides less when each
 // dispatcher stays in its zone while that is in time.
 func (d *Dispatcher) crossZoneCost(cost, remaining float64) float64 {
-	if !d.withoutGossip() {
+	if !d.largeFleetWithoutGossip() {
 		return max(remaining, cost)
 	}
 	return cost + d.settings.CrossZonePrice*remaining
--- a/internal/dispatch/estimate_work.go
+++ b/internal/dispatch/estimate_work.go
@@ -4,47 +4,47 @@
 
 // Estimates of work and run times, by class. Nothing here decides.
 
-// unseenWorkObjectives is the work assumed of a class that nobody saw run, in its latency objectives:
+// priorWorkObjectives is the work assumed of a class that nobody saw run, in its latency objectives:
 // workers in slow start show nothing, and all dispatchers would send there by the same guess.
-const unseenWorkObjectives = 2.0
+const priorWorkObjectives = 2.0
 
 // classState is what is known of a class.
 type classState struct {
-	workSum, squareSum, count float64 // decayed sums of works seen
-	runs                      quantileWindow
-	arrived                   float64 // decayed count of arrivals
-	target                    Micros  // T_k
-	guaranteedRate            float64 // jobs a microsecond
+	workSum, workSquareSum, workCount float64 // decayed sums of works seen
+	runTimes                          quantileWindow
+	arrivals                          float64 // decayed count of arrivals
+	waitTarget                        Micros  // T_k
+	guaranteedRate                    float64 // jobs a microsecond
 }
 
 // addWork adds the work of a job to the decayed sums.
 func (s *classState) addWork(work float64) {
-	s.workSum, s.squareSum = s.workSum*workDecay+work, s.squareSum*workDecay+work*work
-	s.count = s.count*workDecay + 1
+	s.workSum, s.workSquareSum = s.workSum*classWorkDecay+work, s.workSquareSum*classWorkDecay+work*work
+	s.workCount = s.workCount*classWorkDecay + 1
 }
 
 // meanWork is the mean work seen, with a prior that weighs as much as two jobs.
 func (s *classState) meanWork(prior float64) float64 {
-	return (s.workSum + 2*prior) / (s.count + 2)
+	return (s.workSum + 2*prior) / (s.workCount + 2)
 }
 
-// weightedWork is the mean work seen, weighted by work: value goes with work, so long jobs decide how
+// sizeBiasedWork is the mean work seen, weighted by work: value goes with work, so long jobs decide how
 // long the objective of an unhinted job is.
-func (s *classState) weightedWork(prior float64) float64 {
+func (s *classState) sizeBiasedWork(prior float64) float64 {
 	mean := s.meanWork(prior)
 	if s.workSum == 0 {
 		return mean
 	}
-	return min(s.squareSum/s.workSum, 3*mean)
+	return min(s.workSquareSum/s.workSum, 3*mean)
 }
 
 // unhintedWork is the work that a job without a hint is assumed to need. In a large fleet without
 // gossip that is less than the mean: most jobs are shorter, and sooner too late.
 func (d *Dispatcher) unhintedWork(s *classState, prior float64) float64 {
-	if d.withoutGossip() {
+	if d.largeFleetWithoutGossip() {
 		return unhintedWorkFraction * s.meanWork(prior)
 	}
-	return s.weightedWork(prior)
+	return s.sizeBiasedWork(prior)
 }
 
 // slowStartCost is what a job takes of the budget of a worker in slow start.
@@ -52,19 +52,19 @@
 	work := j.work
 	if !j.hinted {
 		objective := float64(d.settings.Classes[j.class].LatencyObjective)
-		work = d.classes[j.class].meanWork(unseenWorkObjectives * objective)
+		work = d.classes[j.class].meanWork(priorWorkObjectives * objective)
 	}
 	return work + float64(d.settings.Granularity) // a handshake may come with it
 }
 
-// typicalWork is the mean size of the jobs that arrive here, weighted by their work: a few long jobs
+// sizeBiasedMeanWork is the mean size of the jobs that arrive here, weighted by their work: a few long jobs
 // bring most of it. Before a class was seen to run, twice its objective stands for its work.
-func (d *Dispatcher) typicalWork() float64 {
+func (d *Dispatcher) sizeBiasedMeanWork() float64 {
 	sum, squares := 0.0, 0.0
 	for k := range d.classes {
 		st := &d.classes[k]
-		work := st.meanWork(unseenWorkObjectives * float64(d.settings.Classes[k].LatencyObjective))
-		sum, squares = sum+(1+st.arrived)*work, squares+(1+st.arrived)*work*work
+		work := st.meanWork(priorWorkObjectives * float64(d.settings.Classes[k].LatencyObjective))
+		sum, squares = sum+(1+st.arrivals)*work, squares+(1+st.arrivals)*work*work
 	}
 	return squares / max(1, sum)
 }
@@ -100,5 +100,5 @@
 	}
 }
 
-// runLength is the length of a run, a quarter second at least.
-func (d *Dispatcher) runLength() float64 { return max(d.slotTimes.value, second/4) }
+// upperRunTime is the length of a run, a quarter second at least.
+func (d *Dispatcher) upperRunTime() float64 { return max(d.slotTimes.value, second/4) }
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -39,7 +39,7 @@
 	show(dispatch.Event{Kind: dispatch.Started})
 	show(dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateFull,
 		Workers: []dispatch.WorkerEntry{{Worker: 7, Status: dispatch.Ready}}})
-	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 1, Patience: 5 * second, Slots: 1})
+	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 1, ClientTimeout: 5 * second, Slots: 1})
 	now += second / 10
 	show(dispatch.Event{Kind: dispatch.AttemptEnded, Job: 1, Worker: 7, Outcome: dispatch.OK, Final: true})
 	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 2}) // its client has no time left
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -16,20 +16,20 @@
 			tenant = 1 // 10 jobs a second, its quota at this dispatcher; the other sends 90
 		}
 		arrivals[tenant]++
-		actions := b.do(Event{Kind: JobArrived, Job: id, Tenant: tenant, Work: second / 20, Slots: 1,
-			Patience: 6 * second})
-		for _, a := range find(actions, Refuse) {
+		actions := b.feed(Event{Kind: JobArrived, Job: id, Tenant: tenant, Work: second / 20, Slots: 1,
+			ClientTimeout: 6 * second})
+		for _, a := range actionsOfKind(actions, Refuse) {
 			refused[min(1, int(a.Job+9)%10/9)]++
 		}
-		for _, a := range find(actions, Send) {
-			b.do(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
+		for _, a := range actionsOfKind(actions, Send) {
+			b.feed(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
 			live = append(live, a)
 		}
 		b.now += second / 100
 		if len(live) > 0 && id%3 == 0 { // 33 jobs a second are served
 			ended := b.end(live[0].Job, live[0].Attempt, OK)
-			live = append(live[1:], find(ended, Send)...)
-			for _, a := range find(ended, Refuse) {
+			live = append(live[1:], actionsOfKind(ended, Send)...)
+			for _, a := range actionsOfKind(ended, Refuse) {
 				refused[min(1, int(a.Job+9)%10/9)]++
 			}
 		}
@@ -46,7 +46,7 @@
 	s := testSettings()
 	s.Classes[0].LateWeight = 0
 	b := newHarness(t, s, ready(1, 0))
-	actions := b.do(Event{Kind: JobArrived, Job: 1, Work: second / 5, Slots: 1, Patience: 3 * second})
+	actions := b.feed(Event{Kind: JobArrived, Job: 1, Work: second / 5, Slots: 1, ClientTimeout: 3 * second})
 	b.want(actions, Send, 0)
 	b.want(actions, Refuse, 1)
 	b.want(b.arrive(2, 0), Send, 1)
@@ -56,9 +56,9 @@
 func TestPausesAreNoSilence(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	for id := JobID(1); id <= 20; id++ {
-		sent := find(b.arrive(id, 0), Send)
-		b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-		b.want(b.pass(6*second/10), Send, 0) // no second attempt
+		sent := actionsOfKind(b.arrive(id, 0), Send)
+		b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
+		b.want(b.advance(6*second/10), Send, 0) // no second attempt
 		if w := b.d.workers[sent[0].Worker]; w.suspect || b.now < w.ejectedUntil {
 			t.Fatal("a pause made a worker suspect")
 		}
@@ -87,20 +87,20 @@
 			}
 		}
 	}
-	before := b.d.serviceTimePerSlot()
+	before := b.d.serviceTimePerJob()
 	for id := JobID(1); id <= 200; id++ {
 		if id%20 == 0 && id <= 100 {
 			removed := workers[id/20-1]
 			removed.Status = Draining
-			count(b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}}))
+			count(b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}}))
 		}
 		count(b.arrive(id, int(id)%3))
-		count(b.pass(second / 20))
+		count(b.advance(second / 20))
 	}
-	if b.d.slotTimes.value = second / 5; b.d.serviceTimePerSlot() < before {
+	if b.d.slotTimes.value = second / 5; b.d.serviceTimePerJob() < before {
 		t.Error("fewer workers, but a job is thought to be cleared sooner")
 	}
-	count(b.pass(10 * second))
+	count(b.advance(10 * second))
 	for id := JobID(1); id <= 200; id++ {
 		j, open := b.d.jobs[id]
 		if answers[id] > 1 || answers[id] == 0 && (!open || j.inFlight == 0) {
@@ -121,15 +121,15 @@
 	s.GossipAllowed = true
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
 	b.setSlotLimits(3)
-	b.d.workers[2].bias, b.d.workers[3].bias = 1, 1 // worker 1 comes first
+	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 1, 1 // worker 1 comes first
 	refused, id := 0, JobID(0)
 	for range 100 {
 		id++
-		b.do(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 1, byte(1 + id%2), 0}})
-		sent := find(b.arrive(id, 0), Send)
+		b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 1, byte(1 + id%2), 0}})
+		sent := actionsOfKind(b.arrive(id, 0), Send)
 		for len(sent) == 1 && sent[0].Worker == 1 {
 			refused++
-			sent = find(b.end(id, sent[0].Attempt, ConnectFailed), Send)
+			sent = actionsOfKind(b.end(id, sent[0].Attempt, ConnectFailed), Send)
 		}
 		if len(sent) == 1 {
 			b.runAttempt(sent[0], second/10)
@@ -138,13 +138,13 @@
 	if refused == 0 || refused > 10 {
 		t.Errorf("%d tries in ten seconds", refused)
 	}
-	b.pass(10 * second) // the peer's gossip is old
+	b.advance(10 * second) // the peer's gossip is old
 	for range 20 {
 		id++
-		b.pass(second)
+		b.advance(second)
 		b.setSlots(1, 1)
 		b.d.workers[2].ownSlots, b.d.workers[3].ownSlots = 1, 1 // busy
-		if sent := find(b.arrive(id, 0), Send); len(sent) == 1 {
+		if sent := actionsOfKind(b.arrive(id, 0), Send); len(sent) == 1 {
 			b.runAttempt(sent[0], second/10)
 		}
 	}
@@ -161,8 +161,8 @@
 	b := newHarness(t, s, ready(1, 0), ready(2, 0))
 	b.setSlotLimits(3)
 	b.d.slotTimes.value = second / 5
-	first := find(b.arrive(1, 0), Send)[0]
-	next := find(b.end(1, 0, AtCapacity), Send)
+	first := actionsOfKind(b.arrive(1, 0), Send)[0]
+	next := actionsOfKind(b.end(1, 0, AtCapacity), Send)
 	if len(next) != 1 || next[0].Worker == first.Worker {
 		t.Fatalf("after AtCapacity from worker %d: %+v", first.Worker, next)
 	}
@@ -170,8 +170,8 @@
 		t.Fatalf("limit %v, usable %v right after AtCapacity", w.slotLimit, b.d.usable(w))
 	}
 	b.runAttempt(next[0], second/5)
-	b.pass(4 * second)
-	b.do(Event{Kind: TimerFired})
+	b.advance(4 * second)
+	b.feed(Event{Kind: TimerFired})
 	if w := b.d.workers[first.Worker]; !b.d.usable(w) || !b.d.mayProbe(w) {
 		t.Error("a worker that was full once is never tried again")
 	}
@@ -186,18 +186,18 @@
 	id, full, served := JobID(0), 0, 0
 	for range 50 {
 		id++
-		for sent := find(b.arrive(id, 0), Send); len(sent) == 1; {
+		for sent := actionsOfKind(b.arrive(id, 0), Send); len(sent) == 1; {
 			e := Event{Kind: AttemptEnded, Job: id, Attempt: sent[0].Attempt, Outcome: AtCapacity}
-			if e.Report = (Report{Known: true, Free: 5}); sent[0].Worker == 2 {
+			if e.Report = (Report{FreeKnown: true, Free: 5}); sent[0].Worker == 2 {
 				served++
 				b.now += second / 10
-				e.Outcome, e.Final, e.Report = OK, true, Report{Known: true, Outstanding: 4}
+				e.Outcome, e.Final, e.Report = OK, true, Report{FreeKnown: true, Outstanding: 4}
 			} else {
 				full++
 			}
-			sent = find(b.do(e), Send)
+			sent = actionsOfKind(b.feed(e), Send)
 		}
-		b.pass(second / 10)
+		b.advance(second / 10)
 	}
 	if served < 10 {
 		t.Errorf("the worker that serves got %d of 50 jobs: its report starves it", served)
@@ -211,17 +211,17 @@
 // they count, and nothing new goes there. Ready, but no connect: ejected.
 func TestListAgainstAttempts(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
-	sent := find(b.arrive(1, 0), Send)
+	sent := actionsOfKind(b.arrive(1, 0), Send)
 	removed := ready(1, 0)
 	removed.Status = Removed
-	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}})
+	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}})
 	b.runAttempt(sent[0], second/10)
 	if _, open := b.d.jobs[1]; open {
 		t.Error("the answer of a worker that was removed from the list was not taken")
 	}
 	b.want(b.arrive(2, 0), Send, 0)
-	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0), ready(3, 0), ready(4, 0)}})
-	attempts := find(b.out, Send)
+	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0), ready(3, 0), ready(4, 0)}})
+	attempts := actionsOfKind(b.out, Send)
 	if len(attempts) != 1 {
 		t.Fatalf("job 2 still waits: %+v", b.out)
 	}
@@ -239,13 +239,13 @@
 	serve := func(n int, slow Micros) {
 		for range n {
 			id++
-			sent := find(b.arrive(id, 0), Send)[0]
+			sent := actionsOfKind(b.arrive(id, 0), Send)[0]
 			span := Micros(second / 5)
 			if sent.Worker == 1 {
 				span = slow
 			}
 			b.runAttempt(sent, span)
-			b.pass(second)
+			b.advance(second)
 		}
 	}
 	serve(60, second/5)
@@ -258,7 +258,7 @@
 		id++
 		b.d.workers[2].slotLimit, b.d.workers[2].ownSlots, b.d.workers[2].slotLimitAt = 1, 1, b.now
 		b.d.workers[3].slotLimit, b.d.workers[3].ownSlots, b.d.workers[3].slotLimitAt = 1, 1, b.now
-		if sent := find(b.arrive(id, 0), Send); len(sent) == 1 {
+		if sent := actionsOfKind(b.arrive(id, 0), Send); len(sent) == 1 {
 			b.runAttempt(sent[0], second/5)
 		}
 	}
@@ -282,7 +282,7 @@
 		{Kind: GossipReceived, Peer: 99, Message: []byte{0, 0, 0, 0, 1, 9, 9}},
 		{Kind: GossipReceived, Peer: 0, Message: []byte{1, 2}},
 	} {
-		actions := b.do(e)
+		actions := b.feed(e)
 		b.want(actions, Send, 0)
 		b.want(actions, Fail, 0)
 	}
@@ -298,8 +298,8 @@
 		b := newHarness(t, s, ready(1, 0))
 		w := b.d.workers[1]
 		for w.slotLimitAt = b.now; !b.d.mayProbe(w); steps++ {
-			b.pass(second / 4)
-			b.do(Event{Kind: TimerFired})
+			b.advance(second / 4)
+			b.feed(Event{Kind: TimerFired})
 		}
 		return steps
 	}
@@ -316,13 +316,13 @@
 		s.Dispatchers, s.Index = 1, 0
 		s.Classes[0].LateWeight, s.Classes[0].LatencyObjective = late, second/4
 		b := newHarness(t, s, ready(1, 0))
-		b.pass(2 * s.OverloadWindow) // our own start is long past
+		b.advance(2 * s.OverloadWindow) // our own start is long past
 		b.setSlotLimits(1)
 		b.want(b.arrive(1, 0), Send, 1)
-		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
+		b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 		b.setSlots(1, 1)
-		b.pass(second / 20)
-		b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{
+		b.advance(second / 20)
+		b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{
 			{Worker: 2, Status: Ready, Started: b.now - second/10}}})
 		want := 0
 		if late > 0 {
@@ -340,8 +340,8 @@
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), WorkerEntry{Worker: 3, Status: Ready, Kind: 1})
 	w := b.d.workers[1]
 	for i := range 100 {
-		b.d.recordStart(&attempt{worker: w, slotsAtSend: float64(1 + i%4)}, true)
-		b.d.recordStart(&attempt{worker: w, slotsAtSend: 5}, i%10 == 0)
+		b.d.recordStartPromptness(&attempt{worker: w, slotsAtSend: float64(1 + i%4)}, true)
+		b.d.recordStartPromptness(&attempt{worker: w, slotsAtSend: 5}, i%10 == 0)
 	}
 	if got := b.d.capacity(w); got != 4 {
 		t.Errorf("capacity %v, want 4", got)
@@ -353,8 +353,8 @@
 		t.Errorf("capacity of another kind %v, want 1", got)
 	}
 	for range 10 { // one of the kind has fewer slots than the others
-		b.d.recordStart(&attempt{worker: b.d.workers[2], slotsAtSend: 3}, false)
-		b.d.recordStart(&attempt{worker: b.d.workers[2], slotsAtSend: 4}, false)
+		b.d.recordStartPromptness(&attempt{worker: b.d.workers[2], slotsAtSend: 3}, false)
+		b.d.recordStartPromptness(&attempt{worker: b.d.workers[2], slotsAtSend: 4}, false)
 	}
 	if got := b.d.capacity(b.d.workers[2]); got != 2 {
 		t.Errorf("capacity of the small one %v, want 2", got)
@@ -368,16 +368,16 @@
 	s.GossipAllowed, s.Dispatchers, s.Index = true, 40, 0
 	b := newHarness(t, s, ready(1, 0))
 	w := b.d.workers[1]
-	b.d.reach = 0.5
+	b.d.ringCoverage = 0.5
 	b.d.neighbours = b.d.neighbours[:0]
 	for p := range s.Dispatchers {
 		b.d.neighbours = append(b.d.neighbours, p)
 	}
 	visitor, other := -1, -1
 	for p := 1; p < s.Dispatchers; p++ {
-		if b.d.covers(ringPosition(p), w) && visitor < 0 {
+		if b.d.covers(dispatcherRingPosition(p), w) && visitor < 0 {
 			visitor = p
-		} else if b.d.covers(ringPosition(p), w) {
+		} else if b.d.covers(dispatcherRingPosition(p), w) {
 			other = p
 		}
 		b.d.peers[p].zone = 1
@@ -385,7 +385,7 @@
 	receivers := func() (n map[int]bool) {
 		n = map[int]bool{}
 		b.d.actions = nil
-		b.d.broadcast(w, nil)
+		b.d.multicast(w, nil)
 		for _, a := range b.d.actions {
 			n[a.Peer] = true
 		}
@@ -394,7 +394,7 @@
 	if got := receivers(); len(got) > 0 {
 		t.Fatalf("gossip to: %v", got)
 	}
-	b.do(Event{Kind: GossipReceived, Peer: visitor, Message: []byte{1, 0, 0, 0, 1, 1, 0}})
+	b.feed(Event{Kind: GossipReceived, Peer: visitor, Message: []byte{1, 0, 0, 0, 1, 1, 0}})
 	if got := receivers(); !got[visitor] || got[other] {
 		t.Errorf("visitor %d, other %d, gossip to: %v", visitor, other, got)
 	}
@@ -421,14 +421,14 @@
 	s.Classes[0].LateWeight = 0
 	b := newHarness(t, s, ready(1, 0))
 	late := Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1,
-		Patience: 7 * second / 2} // objective in half a second
-	b.want(b.do(late), Send, 1)
+		ClientTimeout: 7 * second / 2} // objective in half a second
+	b.want(b.feed(late), Send, 1)
 	b = newHarness(t, s, ready(1, 0))
 	b.d.level = 1
-	b.want(b.do(late), Refuse, 1)
-	late.Patience = 2 * second // objective passed
+	b.want(b.feed(late), Refuse, 1)
+	late.ClientTimeout = 2 * second // objective passed
 	b = newHarness(t, s, ready(1, 0))
-	b.want(b.do(late), Refuse, 1)
+	b.want(b.feed(late), Refuse, 1)
 }
 
 // A worker that fails some of its jobs, not all in a row: jobs that must not run twice
@@ -456,8 +456,8 @@
 			}
 			sent := 0
 			for id := JobID(1); id <= 3; id++ {
-				for _, a := range find(b.arrive(id, c.class), Send) {
-					b.do(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
+				for _, a := range actionsOfKind(b.arrive(id, c.class), Send) {
+					b.feed(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
 					sent++
 				}
 			}
@@ -465,7 +465,7 @@
 				t.Errorf("%d sent, want %d", sent, c.sent)
 			}
 			b.now += 10 * second
-			b.do(Event{Kind: TimerFired})
+			b.feed(Event{Kind: TimerFired})
 			if b.d.failsJobs(b.d.workers[1]) {
 				t.Error("the errors do not fade")
 			}
@@ -490,13 +490,13 @@
 			b := newHarness(t, testSettings(), ready(1, 0))
 			w := b.d.workers[1]
 			for i, o := range c.outcomes {
-				b.pass(second)
+				b.advance(second)
 				id := JobID(1 + i)
-				if sent := find(b.arrive(id, 2), Send); len(sent) != 1 {
+				if sent := actionsOfKind(b.arrive(id, 2), Send); len(sent) != 1 {
 					t.Fatalf("outcome %d: not tried again", i)
 				}
 				b.end(id, 0, o)
-				b.do(Event{Kind: ClientDisconnected, Job: id})
+				b.feed(Event{Kind: ClientDisconnected, Job: id})
 			}
 			if got := b.d.usable(w); got != c.usable {
 				t.Errorf("usable %v", got)
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -8,10 +8,10 @@
 // Gossip: dispatchers that share a worker report to each other what they have there.
 
 const (
-	gossipMessageSize = 7    // bytes: the sender's zone, worker, slots in use, slots of jobs that wait
-	waitNoticeBatches = 4    // batches until a job that has not begun is reported to wait
-	maxGossipPeers    = 12.0 // dispatchers that a job is reported to: half as many again as targetSharing
-	peerStatusRuns    = 4.0  // upper run times for which a peer's report counts
+	gossipMessageSize   = 7    // bytes: the sender's zone, worker, slots in use, slots of jobs that wait
+	waitReportBatches   = 4    // batches until a job that has not begun is reported to wait
+	maxGossipPeers      = 12.0 // dispatchers that a job is reported to: 1.5 * targetDispatchersPerWorker
+	peerUseLifetimeRuns = 4.0  // upper run times for which a peer's report counts
 )
 
 // sendGossip reports to those who share a worker what changed in our use of it. Lost or late messages
@@ -20,31 +20,31 @@
 func (d *Dispatcher) sendGossip() {
 	later := d.gossipQueue[:0]
 	for _, w := range d.gossipQueue {
-		waiting, arriving := d.waitingSlots(w)
+		waiting, arriving := d.ownWaitingSlots(w)
 		if w.gossipQueued = arriving; arriving {
 			later = append(later, w)
 		}
 		use := slotUse{byte(min(w.ownSlots, 255)), byte(min(waiting, 255))}
-		if use == w.announced {
+		if use == w.lastGossiped {
 			continue
 		}
-		w.announced = use
+		w.lastGossiped = use
 		message := binary.BigEndian.AppendUint32([]byte{byte(d.settings.Zone)}, uint32(w.entry.Worker))
-		d.broadcast(w, append(message, use.used, use.waiting))
+		d.multicast(w, append(message, use.used, use.waiting))
 	}
 	d.gossipQueue = later
 }
 
-// broadcast sends a message to those who share a worker: those of its zone, those of other zones who
+// multicast sends a message to those who share a worker: those of its zone, those of other zones who
 // send here, and all while they are few. One who comes from another zone and receives nothing takes
 // every worker for free and fills it; when we cross, others of our zone likely do so, too.
-func (d *Dispatcher) broadcast(w *worker, message []byte) {
-	sent, small := 0.0, d.sharing() <= targetSharing
+func (d *Dispatcher) multicast(w *worker, message []byte) {
+	sent, small := 0.0, d.dispatchersPerWorker() <= targetDispatchersPerWorker
 	for i := range d.neighbours {
 		p := d.neighbours[(i+max(d.settings.Index, 0))%len(d.neighbours)]
 		peer := &d.peers[p]
 		near := peer.zone == unknownZone || peer.zone == w.entry.Zone || w.entry.Zone != d.settings.Zone
-		crosses := peer.crossedAt != 0 && d.now-peer.crossedAt < crossingSeconds*second
+		crosses := peer.crossedZoneAt != 0 && d.now-peer.crossedZoneAt < crossZoneGossipSeconds*second
 		if p != d.settings.Index && (small || near || crosses) && d.covers(peer.position, w) {
 			d.emit(Action{Kind: SendGossip, Peer: p, Message: message})
 			if sent++; sent >= maxGossipPeers { // a fleet that shrinks has many to a worker
@@ -67,7 +67,7 @@
 		return // not on our list: a peer's report is not enough
 	}
 	if peer.zone != w.entry.Zone {
-		peer.crossedAt = d.now
+		peer.crossedZoneAt = d.now
 	}
 	d.recordPeerUse(w, e.Peer, slotUse{m[5], m[6]})
 }
@@ -79,7 +79,7 @@
 		if u.used == 0 {
 			return
 		}
-		w.peerUses = slices.DeleteFunc(w.peerUses, func(p peerUse) bool { return !d.fresh(&p) })
+		w.peerUses = slices.DeleteFunc(w.peerUses, func(p peerUse) bool { return !d.peerUseFresh(&p) })
 		i = len(w.peerUses)
 		w.peerUses = append(w.peerUses, peerUse{peer: peer})
 	}
@@ -91,7 +91,7 @@
 		p.waitingSince = d.now
 	}
 	if u.used > p.used {
-		p.arriving, p.grewAt = u.used-p.used, d.now
+		p.arrivingSlots, p.increasedAt = u.used-p.used, d.now
 	}
 	p.slotUse, p.updatedAt = u, d.now
 	if u.used == 0 {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -40,52 +40,52 @@
 		t.Fatal(err)
 	}
 	b := &harness{t: t, d: d, now: 100 * second}
-	b.do(Event{Kind: Started})
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: workers})
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: workers})
+	b.feed(Event{Kind: Started})
+	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: workers})
+	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: workers})
 	return b
 }
 
-// do passes an event and returns the actions that it called for.
-func (b *harness) do(e Event) []Action {
+// feed passes an event and returns the actions that it called for.
+func (b *harness) feed(e Event) []Action {
 	b.out = b.d.Step(b.now, &e, nil)
 	return b.out
 }
 
-// pass lets time go by, with the timers that were set.
-func (b *harness) pass(span Micros) []Action {
+// advance lets time go by, with the timers that were set.
+func (b *harness) advance(span Micros) []Action {
 	var all []Action
 	for end := b.now + span; ; {
-		if b.d.wakeAt == 0 || b.d.wakeAt > end {
+		if b.d.timerDueAt == 0 || b.d.timerDueAt > end {
 			b.now = end
 			return all
 		}
-		b.now = max(b.now, b.d.wakeAt)
-		all = append(all, b.do(Event{Kind: TimerFired, Token: b.d.timerToken})...)
+		b.now = max(b.now, b.d.timerDueAt)
+		all = append(all, b.feed(Event{Kind: TimerFired, Token: b.d.timerToken})...)
 	}
 }
 
 // setSlots makes the dispatcher know how many slots workers of a kind have.
 func (b *harness) setSlots(w WorkerID, n int) {
 	k := b.d.kindOf(b.d.workers[w])
-	k.topSlots, k.probedAt, k.maxSlotsSeen = n+1, b.now, float64(n)
-	k.starts = [maxTrackedSlots + 1]startCounts{}
-	k.starts[n].prompt, k.starts[n+1].late = 9, 9
+	k.maxSlotsTried, k.capacityProbedAt, k.maxBusySlots = n+1, b.now, float64(n)
+	k.startCountsBySlots = [maxTrackedSlots + 1]startCounts{}
+	k.startCountsBySlots[n].prompt, k.startCountsBySlots[n+1].delayed = 9, 9
 }
 
 // arrive passes a job of 200 ms with the patience of its class.
 func (b *harness) arrive(id JobID, class int) []Action {
-	return b.do(Event{Kind: JobArrived, Job: id, Class: class, Work: second / 5, Slots: 1,
-		Patience: b.d.settings.Classes[class].Deadline})
+	return b.feed(Event{Kind: JobArrived, Job: id, Class: class, Work: second / 5, Slots: 1,
+		ClientTimeout: b.d.settings.Classes[class].Deadline})
 }
 
 // end passes the end of an attempt.
 func (b *harness) end(id JobID, attempt int, o Outcome) []Action {
-	return b.do(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Final: o == OK})
+	return b.feed(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Final: o == OK})
 }
 
-// find returns the actions of a kind.
-func find(actions []Action, k ActionKind) (found []Action) {
+// actionsOfKind returns the actions of a kind.
+func actionsOfKind(actions []Action, k ActionKind) (found []Action) {
 	for _, a := range actions {
 		if a.Kind == k {
 			found = append(found, a)
@@ -97,7 +97,7 @@
 // want fails the test unless there are n actions of a kind.
 func (b *harness) want(actions []Action, k ActionKind, n int) {
 	b.t.Helper()
-	if got := len(find(actions, k)); got != n {
+	if got := len(actionsOfKind(actions, k)); got != n {
 		b.t.Fatalf("at %v: %d actions of kind %d, want %d: %+v", b.now, got, k, n, actions)
 	}
 }
@@ -127,19 +127,20 @@
 	return list
 }
 
-// startAll starts dispatchers that have the list, each in the zone that the function gives for its number.
-func startAll(t testing.TB, dispatchers int, list []WorkerEntry, zone func(int) int,
+// startDispatchers starts dispatchers that have the list, each in the zone that the function gives for its
+// number.
+func startDispatchers(t testing.TB, dispatchers int, list []WorkerEntry, zone func(int) int,
 	change func(*Settings)) []*harness {
 	t.Helper()
 	all := make([]*harness, dispatchers)
 	for i := range all {
-		all[i] = startOne(t, dispatchers, i, list, zone(i), change)
+		all[i] = startDispatcher(t, dispatchers, i, list, zone(i), change)
 	}
 	return all
 }
 
-// startOne starts one of many dispatchers.
-func startOne(t testing.TB, dispatchers, i int, list []WorkerEntry, zone int,
+// startDispatcher starts one of many dispatchers.
+func startDispatcher(t testing.TB, dispatchers, i int, list []WorkerEntry, zone int,
 	change func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
@@ -152,17 +153,17 @@
 		t.Fatal(err)
 	}
 	b := &harness{t: t, d: d, now: 100 * second}
-	b.do(Event{Kind: Started})
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
+	b.feed(Event{Kind: Started})
+	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
 	return b
 }
 
-// alternating deals two zones out in turn.
-func alternating(i int) int { return i % 2 }
+// alternatingZone deals two zones out in turn.
+func alternatingZone(i int) int { return i % 2 }
 
 // runAttempt lets a sent job run on its worker for a while and succeed.
 func (b *harness) runAttempt(sent Action, span Micros) {
-	b.do(Event{Kind: AttemptReported, Job: sent.Job, Attempt: sent.Attempt, Note: NoteStarted})
+	b.feed(Event{Kind: AttemptReported, Job: sent.Job, Attempt: sent.Attempt, Note: NoteStarted})
 	b.now += span
 	b.end(sent.Job, sent.Attempt, OK)
 }
@@ -174,7 +175,7 @@
 	}
 }
 
-// withoutGossipSettings changes settings to those of the operators' large fleet, without gossip.
-func withoutGossipSettings(s *Settings) {
+// largeFleetWithoutGossipSettings changes settings to those of the operators' large fleet, without gossip.
+func largeFleetWithoutGossipSettings(s *Settings) {
 	s.GossipAllowed, s.HedgingAllowed, s.CrossZonePrice, s.Granularity = false, false, 0.01, second/500
 }
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -11,8 +11,8 @@
 	shortlistTotal    = 32 // the same of all groups together, two of each at least
 	reindexedPerJob   = 8  // workers whose key is recomputed for a job, in turn
 	keysPerRun        = 16 // keys to the length of a mean run
-	unusableKey       = bucketqueue.Buckets - 1
-	fullKey           = bucketqueue.Buckets - 2
+	unusableWorkerKey = bucketqueue.Buckets - 1
+	fullWorkerKey     = bucketqueue.Buckets - 2
 )
 
 // index holds the subset by group, in order of what a mean job would cost there when last computed.
@@ -57,7 +57,7 @@
 // currentIndex returns the index of a large subset as it is now.
 func (d *Dispatcher) currentIndex() *index {
 	if d.index == nil {
-		d.index = &index{byGroup: map[groupKey]*groupQueue{}, stale: true, meanWork: d.runLength()}
+		d.index = &index{byGroup: map[groupKey]*groupQueue{}, stale: true, meanWork: d.upperRunTime()}
 	}
 	x := d.index
 	if !x.stale {
@@ -105,20 +105,20 @@
 // indexKey is the key of a worker: what a mean job would cost there, less what its whole group has in
 // common. It decides nothing but which workers selectWorker examines first.
 func (d *Dispatcher) indexKey(w *worker) int {
-	if !d.usable(w) || d.slowStartSince(w) != 0 && !w.unreachable && !d.slowStartOwner(w) {
-		return unusableKey
+	if !d.usable(w) || d.slowStartSince(w) != 0 && !w.unreachable && !d.isSlowStartOwner(w) {
+		return unusableWorkerKey
 	}
 	inUse, limit := d.slotsInUse(w), d.capacity(w)
 	if inUse+1 > limit {
-		return fullKey
+		return fullWorkerKey
 	}
-	load := 1 + loadCost*inUse/max(1, limit) + w.bias
+	load := 1 + fullLoadCostRuns*inUse/max(1, limit) + w.placementBias
 	runs := d.typicalSpeed(w) / d.speed(w) * load
-	if d.withoutGossip() { // against waits and distance it matters how long a run is
+	if d.largeFleetWithoutGossip() { // against waits and distance it matters how long a run is
 		own := d.index.meanWork/d.speed(w)*load + d.expectedWait(w) - d.groupOf(w).expectedWait
-		runs = own/d.runLength() + d.distanceFrom(d.position, w)/d.reach*distanceRuns
+		runs = own/d.upperRunTime() + d.ringDistance(d.position, w)/d.ringCoverage*choiceDistanceRuns
 	}
-	return int(min(max(runs*keysPerRun, 0), fullKey-1))
+	return int(min(max(runs*keysPerRun, 0), fullWorkerKey-1))
 }
 
 // reindex puts a member where it belongs by now.
@@ -164,7 +164,7 @@
 func (x *index) appendSmallest(d *Dispatcher, s *groupQueue, limit int) {
 	for range 3 { // those that were corrected may make room for better ones
 		moved := false
-		x.nodeBuffer = s.Smallest(x.nodeBuffer[:0], limit, fullKey-1, uint(d.eventCount))
+		x.nodeBuffer = s.Smallest(x.nodeBuffer[:0], limit, fullWorkerKey-1, uint(d.eventCount))
 		for _, n := range x.nodeBuffer {
 			key := n.Key()
 			x.reindex(d, n.Value)
--- a/internal/dispatch/index_test.go
+++ b/internal/dispatch/index_test.go
@@ -150,9 +150,10 @@
 }
 
 // add takes one of so many simulations into their mean.
-func (r *fleetResult) add(day fleetResult, of float64) {
-	r.mean, r.p99, r.notServed = r.mean+day.mean/of, r.p99+day.p99/of, r.notServed+day.notServed/of
-	r.spread, r.examined = r.spread+day.spread/of, r.examined+day.examined/of
+func (r *fleetResult) add(result fleetResult, simulations float64) {
+	r.mean, r.p99, r.notServed = r.mean+result.mean/simulations, r.p99+result.p99/simulations,
+		r.notServed+result.notServed/simulations
+	r.spread, r.examined = r.spread+result.spread/simulations, r.examined+result.examined/simulations
 }
 
 func (r fleetResult) String() string {
@@ -178,7 +179,7 @@
 	}
 	for m := range dispatchers {
 		s := testSettings()
-		withoutGossipSettings(&s)
+		largeFleetWithoutGossipSettings(&s)
 		s.Dispatchers, s.Index, s.Zone, s.Tenants = dispatchers, m, m%zones, nil
 		d, err := New(s, uint64(m))
 		if err != nil {
@@ -190,8 +191,8 @@
 		f.feed(m, Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list})
 		for _, w := range d.ordered { // slots are known: placement is compared, not how soon they are learnt
 			k, n := d.kindOf(w), f.workers[w.entry.Worker].slots
-			k.topSlots, k.probedAt, k.maxSlotsSeen = n+1, f.now, float64(n)
-			k.starts[n].prompt, k.starts[n+1].late = 50, 50
+			k.maxSlotsTried, k.capacityProbedAt, k.maxBusySlots = n+1, f.now, float64(n)
+			k.startCountsBySlots[n].prompt, k.startCountsBySlots[n+1].delayed = 50, 50
 		}
 	}
 	const mean = second
@@ -206,7 +207,7 @@
 		total++
 		m := f.r.Intn(dispatchers)
 		f.jobs[next] = &simJob{arrived: f.now, work: f.r.ExpFloat64() * mean}
-		f.feed(m, Event{Kind: JobArrived, Job: next, Class: 0, Slots: 1, Patience: 6 * second})
+		f.feed(m, Event{Kind: JobArrived, Job: next, Class: 0, Slots: 1, ClientTimeout: 6 * second})
 		f.after(Micros(f.r.ExpFloat64()*mean/(capacity*load)), arrive)
 	}
 	f.after(1, arrive)
@@ -276,7 +277,7 @@
 // The number of workers that are examined for a job does not grow with the subset.
 func TestWorkersExaminedDoNotGrow(t *testing.T) {
 	examined := func(workers int) uint64 {
-		b := startOne(t, 17, 0, testFleet(workers), 0, withoutGossipSettings)
+		b := startDispatcher(t, 17, 0, testFleet(workers), 0, largeFleetWithoutGossipSettings)
 		if !b.d.largeSubset() {
 			t.Fatalf("a subset of %d is not large", len(b.d.subset))
 		}
@@ -330,7 +331,7 @@
 		if w.consecutiveFailures > 0 {
 			wait += float64(d.settings.ConnectTimeout)
 		}
-		cost := wait + delay + run*(1+loadCost*taken/max(1, limit)+w.bias) + d.choiceJitter(w)
+		cost := wait + delay + run*(1+fullLoadCostRuns*taken/max(1, limit)+w.placementBias) + d.choiceJitter(w)
 		if d.settings.CrossZonePrice == 0 || w.entry.Zone == d.settings.Zone {
 			if cost < nearCost {
 				near, nearCost = w, cost
@@ -342,7 +343,7 @@
 	if far == nil || near != nil && nearCost <= d.crossZoneCost(farCost, remaining) {
 		return near
 	}
-	if near == nil && !d.crossingJustified(j) {
+	if near == nil && !d.crossZoneJustified(j) {
 		return nil
 	}
 	return far
@@ -370,7 +371,7 @@
 		scramble := func() {
 			for _, w := range d.ordered {
 				w.blockedUntil, w.ejectedUntil, w.consecutiveFailures = 0, 0, 0
-				w.suspect, w.probeAt, w.unstarted = false, 0, 0
+				w.suspect, w.suspectRetryAt, w.unstartedAttempts = false, 0, 0
 				w.ownSlots, w.errorRate, w.inferredStart = float64(r.Intn(2)), 0, 0
 				w.speed = speedEstimate{float64(r.Intn(20)) * second / 10, second}
 				if r.Float64() >= out {
@@ -382,9 +383,9 @@
 				case 1:
 					w.ejectedUntil, w.consecutiveFailures = now+second, 1
 				case 2:
-					w.suspect, w.probeAt = true, now+second
+					w.suspect, w.suspectRetryAt = true, now+second
 				case 3:
-					w.unstarted = 1
+					w.unstartedAttempts = 1
 				case 4:
 					w.ownSlots = 40
 				case 5:
@@ -394,7 +395,7 @@
 				}
 			}
 			for _, k := range d.kinds {
-				k.probedAt = now // nothing is tried past what is known to fit
+				k.capacityProbedAt = now // nothing is tried past what is known to fit
 			}
 		}
 		for range 4 { // the index keeps what it knew of the earlier states
@@ -406,7 +407,7 @@
 				j.attempts = append(j.attempts, &attempt{job: j, worker: d.ordered[r.Intn(len(d.ordered))], sentAt: now,
 					mayHaveRun: r.Intn(2) == 0})
 			}
-			d.now, d.eventBestSpeed = now, 0
+			d.now, d.cachedBestSpeed = now, 0
 			d.eventCount++
 			twin := d.Clone() // the scan draws random numbers and uses up budgets
 			twin.now, twin.eventCount = now, d.eventCount
@@ -462,7 +463,7 @@
 			useless(w)
 		}
 	}
-	sent := find(b.arrive(1, class), Send)
+	sent := actionsOfKind(b.arrive(1, class), Send)
 	switch {
 	case free == nil && len(sent) > 0:
 		t.Errorf("sent to %d", sent[0].Worker)
@@ -475,10 +476,10 @@
 	later := Micros(200 * second)
 	for name, useless := range map[string]func(*worker){
 		"busy":      func(w *worker) { w.ownSlots = 1 },
-		"beginning": func(w *worker) { w.unstarted = 1 },
+		"beginning": func(w *worker) { w.unstartedAttempts = 1 },
 		"ejected":   func(w *worker) { w.ejectedUntil, w.consecutiveFailures = later, 1 },
 		"blocked":   func(w *worker) { w.blockedUntil = later },
-		"silent":    func(w *worker) { w.suspect, w.probeAt = true, later },
+		"silent":    func(w *worker) { w.suspect, w.suspectRetryAt = true, later },
 		"draining":  func(w *worker) { w.entry.Status = Draining },
 		"in slow start": func(w *worker) {
 			w.inferredStart, w.slowStartBudgetAt, w.slowStartBudget = 100*second, 100*second, -1e12
@@ -496,11 +497,11 @@
 			b := newLargeHarness(t, func(s *Settings) { s.Classes[0].LateWeight = 0 })
 			checkOnlyChoice(t, b, useless, 0, nil)
 			w := b.d.ordered[55] // one that is usable again is found, whatever the index has of it
-			w.ownSlots, w.unstarted, w.ejectedUntil, w.consecutiveFailures = 0, 0, 0, 0
+			w.ownSlots, w.unstartedAttempts, w.ejectedUntil, w.consecutiveFailures = 0, 0, 0, 0
 			w.blockedUntil, w.suspect, w.inferredStart = 0, false, 0
 			w.entry.Status, w.speed = Ready, speedEstimate{}
 			b.now += second / 100
-			sent := find(b.arrive(2, 0), Send)
+			sent := actionsOfKind(b.arrive(2, 0), Send)
 			if len(sent) == 0 || sent[0].Worker != w.entry.Worker {
 				t.Errorf("sent as %v, and %d is usable again", sent, w.entry.Worker)
 			}
@@ -521,7 +522,7 @@
 // A keyed job that may have run is repeated in its group, where only one worker is usable.
 func TestIndexKeepsAKeyedRepeatInItsGroup(t *testing.T) {
 	b := newLargeHarness(t, nil)
-	first := b.d.workers[find(b.arrive(1, 1), Send)[0].Worker]
+	first := b.d.workers[actionsOfKind(b.arrive(1, 1), Send)[0].Worker]
 	var sameCell []*worker
 	for _, w := range b.d.ordered {
 		if w != first && w.entry.Cell == first.entry.Cell {
@@ -532,7 +533,7 @@
 		w.blockedUntil = b.now + 10*second
 	}
 	before := b.d.workersExamined
-	sent := find(b.end(1, 0, Failed), Send)
+	sent := actionsOfKind(b.end(1, 0, Failed), Send)
 	if len(sent) != 1 || sent[0].Worker != sameCell[0].entry.Worker {
 		t.Errorf("repeated as %v, and only %d may", sent, sameCell[0].entry.Worker)
 	}
@@ -544,14 +545,14 @@
 func TestIndexOfASubsetThatEmptiesAndComesBack(t *testing.T) {
 	b := newLargeHarness(t, nil)
 	list := testFleet(200)
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: nil})
-	if sent := find(b.arrive(1, 0), Send); len(b.d.subset) != 0 || len(sent) != 0 {
+	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: nil})
+	if sent := actionsOfKind(b.arrive(1, 0), Send); len(b.d.subset) != 0 || len(sent) != 0 {
 		t.Errorf("sent as %v, a subset of %d", sent, len(b.d.subset))
 	}
-	b.want(b.do(Event{Kind: EndpointsUpdated, Scope: UpdateDelta, Workers: list[7:8]}), Send, 1)
+	b.want(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateDelta, Workers: list[7:8]}), Send, 1)
 	b.now += second / 100
-	b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list})
-	sent := find(b.arrive(2, 0), Send)
+	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list})
+	sent := actionsOfKind(b.arrive(2, 0), Send)
 	if len(sent) != 1 || sent[0].Worker == list[7].Worker {
 		t.Errorf("sent as %v", sent)
 	}
@@ -567,7 +568,7 @@
 	b := newLargeHarness(t, nil)
 	for i, w := range b.d.ordered {
 		if i%10 < 4 {
-			w.suspect, w.probeAt = true, 300*second
+			w.suspect, w.suspectRetryAt = true, 300*second
 			b.d.markSuspect(w)
 		}
 	}
@@ -576,7 +577,7 @@
 		t.Errorf("%d of 200 are outliers, panic mode %v", b.d.countOutliers(), b.d.panicMode)
 	}
 	for _, w := range b.d.ordered {
-		w.suspect, w.probeAt = true, 300*second
+		w.suspect, w.suspectRetryAt = true, 300*second
 		b.d.markSuspect(w)
 	}
 	b.d.inspect()
@@ -606,12 +607,12 @@
 	}
 	removed := ready(1, 0)
 	removed.Status = Removed
-	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}})
+	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}})
 	if n := b.d.countOutliers(); n != 0 || len(b.d.suspects) != 1 {
 		t.Errorf("removed: %d outliers, %d suspects", n, len(b.d.suspects))
 	}
 	b.now += b.d.settings.RemovedRetention()
-	b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0)}})
+	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0)}})
 	if n := b.d.countOutliers(); n != 0 || len(b.d.suspects) != 0 {
 		t.Errorf("forgotten: %d outliers, %d suspects", n, len(b.d.suspects))
 	}
--- a/internal/dispatch/no_gossip_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -8,16 +8,16 @@
 // serve runs one job at a dispatcher: it begins after a wait that depends on its worker.
 func (b *harness) serve(id JobID, wait func(*worker) Micros) *worker {
 	b.t.Helper()
-	sent := find(b.arrive(id, 0), Send)
+	sent := actionsOfKind(b.arrive(id, 0), Send)
 	if len(sent) != 1 {
 		b.t.Fatalf("job %d: %d sends", id, len(sent))
 	}
 	w := b.d.workers[sent[0].Worker]
-	for end := b.now + wait(w); b.now < end; b.do(Event{Kind: TimerFired, Token: b.d.timerToken}) {
+	for end := b.now + wait(w); b.now < end; b.feed(Event{Kind: TimerFired, Token: b.d.timerToken}) {
 		b.now += min(end-b.now, second/100) // events of other jobs make it inspect
 	}
-	b.do(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-	b.pass(second / 5 * Micros(1+w.entry.Kind)) // the first kind is twice as fast
+	b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
+	b.advance(second / 5 * Micros(1+w.entry.Kind)) // the first kind is twice as fast
 	b.end(id, 0, OK)
 	return w
 }
@@ -39,7 +39,7 @@
 // speed alone.
 func TestDispatcherWithoutGossipAvoidsAKindWhereJobsWait(t *testing.T) {
 	list := testFleet(60)
-	b := startOne(t, 80, 3, list, 0, withoutGossipSettings)
+	b := startDispatcher(t, 80, 3, list, 0, largeFleetWithoutGossipSettings)
 	for i := range 4 {
 		b.setSlots(list[i].Worker, 2)
 		k := b.d.kindOf(b.d.workers[list[i].Worker])
@@ -59,7 +59,7 @@
 
 // The same for the own zone: crossing costs a hundredth, waiting costs the job.
 func TestDispatcherWithoutGossipCrossesWhenItsZoneIsCrowded(t *testing.T) {
-	b := startOne(t, 80, 3, testFleet(60), 0, withoutGossipSettings)
+	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
 	crowded := func(w *worker) Micros {
 		if w.entry.Zone == 0 {
 			return second
@@ -77,7 +77,7 @@
 func TestEachWorkerHasASmallNumberOfDispatchersWithoutGossip(t *testing.T) {
 	list := testFleet(60)
 	users := map[WorkerID]int{}
-	for _, b := range startAll(t, 80, list, alternating, withoutGossipSettings) {
+	for _, b := range startDispatchers(t, 80, list, alternatingZone, largeFleetWithoutGossipSettings) {
 		for _, w := range b.d.subset {
 			users[w.entry.Worker]++
 		}
@@ -93,8 +93,8 @@
 // alone: else the few that own one would carry what 80 bring.
 func TestDispatchersWithoutGossipAllUseAFleetInSlowStart(t *testing.T) {
 	list := testFleet(60)
-	all := startAll(t, 80, list, alternating, func(s *Settings) {
-		withoutGossipSettings(s)
+	all := startDispatchers(t, 80, list, alternatingZone, func(s *Settings) {
+		largeFleetWithoutGossipSettings(s)
 		s.SlowStartInitial, s.OverloadFactor = 0.4, 4 // as the operators have them
 	})
 	for i := range list {
@@ -104,9 +104,9 @@
 	for i, b := range all {
 		b.setSlots(list[0].Worker, 2)
 		b.setSlots(list[2].Worker, 3)
-		b.do(Event{Kind: EndpointsUpdated, Workers: list})
-		b.pass(second / 2) // a part of the budget
-		sent := len(find(b.arrive(JobID(i), 0), Send)) + len(find(b.pass(second/2), Send))
+		b.feed(Event{Kind: EndpointsUpdated, Workers: list})
+		b.advance(second / 2) // a part of the budget
+		sent := len(actionsOfKind(b.arrive(JobID(i), 0), Send)) + len(actionsOfKind(b.advance(second/2), Send))
 		if sent == 0 {
 			idle++
 		}
@@ -119,10 +119,10 @@
 // A job that crosses zones takes a handshake and the way there and back to begin. That is
 // no wait, and says nothing of the worker's slots.
 func TestDispatcherWithoutGossipDoesNotCountACrossingAsAWait(t *testing.T) {
-	b := startOne(t, 80, 3, testFleet(60), 0, withoutGossipSettings)
+	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
 	for i := range 10 {
 		w := b.serve(JobID(i), func(*worker) Micros { return 40_000 })
-		if of := b.d.startCountsAt(w, 1); of.late > 0 {
+		if of := b.d.startCountsAt(w, 1); of.delayed > 0 {
 			t.Fatalf("a start after 40 ms was taken for a wait")
 		}
 	}
@@ -135,14 +135,14 @@
 	s.Classes[2].LateWeight = 0
 	b := newHarness(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
-	late := b.pass(s.Classes[2].Deadline - second)
+	late := b.advance(s.Classes[2].Deadline - second)
 	b.want(late, Fail, 1) // it may have begun all the same: no refusal, as it must not run twice
 	b.want(late, Cancel, 1)
 
 	b = newHarness(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
-	b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
-	late = b.pass(s.Classes[2].Deadline - second)
+	b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
+	late = b.advance(s.Classes[2].Deadline - second)
 	b.want(late, Fail, 0)
 	b.want(late, Cancel, 0)
 }
@@ -152,14 +152,14 @@
 // and a job that succeeded there by luck shows nothing.
 func TestDispatcherWithoutGossipTrustsReportedErrors(t *testing.T) {
 	for name, o := range map[string]Outcome{"an error": Failed, "luck": OK} {
-		b := startOne(t, 80, 3, testFleet(60), 0, func(s *Settings) {
-			withoutGossipSettings(s)
+		b := startDispatcher(t, 80, 3, testFleet(60), 0, func(s *Settings) {
+			largeFleetWithoutGossipSettings(s)
 			s.LoadReports = true
 		})
-		bad := b.d.workers[find(b.arrive(1, 2), Send)[0].Worker]
-		b.do(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
-		b.do(Event{Kind: AttemptEnded, Job: 1, Outcome: o, Final: o == OK,
-			Report: Report{Known: true, Free: 2, Outstanding: -1, Errors: 1.5}})
+		bad := b.d.workers[actionsOfKind(b.arrive(1, 2), Send)[0].Worker]
+		b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
+		b.feed(Event{Kind: AttemptEnded, Job: 1, Outcome: o, Final: o == OK,
+			Report: Report{FreeKnown: true, Free: 2, Outstanding: -1, Errors: 1.5}})
 		for id := JobID(2); b.now < 107*second; id++ {
 			if b.serve(id, func(*worker) Micros { return second / 500 }) == bad {
 				t.Errorf("%s: a job went there %v us later", name, b.now-100*second)
@@ -174,7 +174,7 @@
 	b := newHarness(t, testSettings(), ready(1, 0))
 	for i := WorkerID(1); i < 200; i++ {
 		b.now += 60 * second
-		b.do(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: i, Status: Removed}, ready(i+1, 0)}})
+		b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: i, Status: Removed}, ready(i+1, 0)}})
 	}
 	if n := len(b.d.ordered); n > 15 || len(b.d.workers) != n {
 		t.Errorf("%d workers in order, %d by number, 1 in the list", n, len(b.d.workers))
@@ -185,9 +185,9 @@
 // A job that is cancelled before it began never shows how long it would have waited; its
 // worker is as full as one where a job began late, and must not look free.
 func TestDispatcherWithoutGossipLearnsFromAJobThatNeverBegan(t *testing.T) {
-	b := startOne(t, 80, 3, testFleet(60), 0, withoutGossipSettings)
-	w := b.d.workers[find(b.arrive(1, 2), Send)[0].Worker]
-	b.want(b.pass(7*second), Cancel, 1)
+	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
+	w := b.d.workers[actionsOfKind(b.arrive(1, 2), Send)[0].Worker]
+	b.want(b.advance(7*second), Cancel, 1)
 	b.end(1, 0, Cancelled)
 	if got := b.d.expectedWait(w); got < second {
 		t.Errorf("a wait of %.1f s is expected where a job waited for seconds", got/second)
@@ -202,13 +202,13 @@
 func simulateRestartedFleet(t *testing.T, dispatchers, workers int, seed uint64) float64 {
 	const work, slots, tick, length = 400_000, 2, second / 50, 6 * second
 	set := func(s *Settings) {
-		withoutGossipSettings(s)
+		largeFleetWithoutGossipSettings(s)
 		s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8*second, 0.3, 4, 2*second
 		s.Classes[0].LatencyObjective = second / 5 // half of what a job takes: nobody knows that at a start
 	}
 	source := random(seed)
 	list := testFleet(workers)
-	all := startAll(t, dispatchers, list, alternating, set)
+	all := startDispatchers(t, dispatchers, list, alternatingZone, set)
 	begin := all[0].now
 	started := map[WorkerID]bool{}
 	for i := range list {
@@ -243,11 +243,11 @@
 	}
 	sent := map[WorkerID][]send{}
 	take := func(i int, actions []Action, now Micros) {
-		for _, a := range find(actions, Send) {
+		for _, a := range actionsOfKind(actions, Send) {
 			if started[a.Worker] {
 				sent[a.Worker] = append(sent[a.Worker], send{now, updateAt[i] == 0})
 			}
-			all[i].do(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
+			all[i].feed(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
 			running = append(running, run{i, a.Job, a.Attempt, now + work})
 		}
 	}
@@ -258,18 +258,18 @@
 				restartAt[i], updateAt[i] = 0, 0
 				b.now = now
 				b.d, _ = New(b.d.settings, uint64(i)+seed)
-				b.do(Event{Kind: Started})
-				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
+				b.feed(Event{Kind: Started})
+				b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
 			}
 			if updateAt[i] != 0 && updateAt[i] <= now {
 				updateAt[i] = 0
 				b.now = now
-				take(i, b.do(Event{Kind: EndpointsUpdated, Workers: list}), now)
+				take(i, b.feed(Event{Kind: EndpointsUpdated, Workers: list}), now)
 			}
-			take(i, b.pass(now-b.now), now)
+			take(i, b.advance(now-b.now), now)
 			if source.uniform() < rate[i]*float64(tick)/second {
 				job++
-				take(i, b.do(Event{Kind: JobArrived, Job: job, Slots: 1, Patience: 6 * second}), now)
+				take(i, b.feed(Event{Kind: JobArrived, Job: job, Slots: 1, ClientTimeout: 6 * second}), now)
 			}
 		}
 		var remaining []run
--- a/internal/dispatch/ordering.go
+++ b/internal/dispatch/ordering.go
@@ -41,7 +41,7 @@
 	moved := updated[:0]
 	for _, w := range updated {
 		if (!w.inOrder || w.sortKey != sortKeyOf(&w.entry)) && d.workers[w.entry.Worker] == w {
-			d.ringPositionOf(w) // who is ready no more keeps the position that it had
+			d.workerRingPosition(w) // who is ready no more keeps the position that it had
 			moved = append(moved, w)
 		}
 	}
@@ -49,7 +49,7 @@
 		if w.ringGroup != nil {
 			d.ring.Remove(w.ringGroup, uint32(w.entry.Worker))
 			w.ringGroup, w.covered = nil, false
-			d.ownedOutside = removeSorted(d.ownedOutside, w)
+			d.ownedNotCovered = removeSorted(d.ownedNotCovered, w)
 			d.setInSubset(w, false)
 		}
 		if s := sortKeyOf(&w.entry); w.inOrder && (s.zone != w.sortKey.zone || s.kind != w.sortKey.kind) {
@@ -68,8 +68,8 @@
 			covered := false
 			w.ringGroup, covered = d.ring.Add(w.sortKey.zone, w.sortKey.kind, uint32(w.entry.Worker), w)
 			w.ringVersion = 0
-			if d.ownerByNumber(w) {
-				d.ownedOutside = insertSorted(d.ownedOutside, w)
+			if d.isOwnerByNumber(w) {
+				d.ownedNotCovered = insertSorted(d.ownedNotCovered, w)
 			}
 			if covered {
 				d.setCovered(w, true)
@@ -83,13 +83,13 @@
 func (d *Dispatcher) setCovered(w *worker, in bool) {
 	w.covered = in
 	switch {
-	case !d.ownerByNumber(w):
+	case !d.isOwnerByNumber(w):
 		d.setInSubset(w, in)
 	case in:
-		d.ownedOutside = removeSorted(d.ownedOutside, w)
+		d.ownedNotCovered = removeSorted(d.ownedNotCovered, w)
 		d.setInSubset(w, true)
 	default:
-		d.ownedOutside = insertSorted(d.ownedOutside, w)
+		d.ownedNotCovered = insertSorted(d.ownedNotCovered, w)
 	}
 }
 
@@ -105,8 +105,8 @@
 	}
 }
 
-// ringPositionOf is the position of a worker on the ring: by its rank while it is ready, else its last.
-func (d *Dispatcher) ringPositionOf(w *worker) float64 {
+// workerRingPosition is the position of a worker on the ring: by its rank while it is ready, else its last.
+func (d *Dispatcher) workerRingPosition(w *worker) float64 {
 	if w.ringGroup != nil && w.ringVersion != w.ringGroup.Generation() {
 		w.ringPosition, w.ringVersion = w.ringGroup.Position(uint32(w.entry.Worker)), w.ringGroup.Generation()
 	}
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -9,10 +9,10 @@
 	maxBackoffDoublings    = 5   // of the wait before an ejected worker is tried again
 	panicThreshold         = 0.5 // more outliers in the subset: the evidence is at fault, not the fleet
 
-	startNoticeBatches         = 8   // until a start notice is overdue: one to send, a handshake, one back
-	startNoticeBatchesNoGossip = 32  // the same without gossip: a crossing and a handshake are no wait
-	silentProgressIntervals    = 1.5 // progress intervals without a sign of life that make a worker suspect
-	silentRuns                 = 4.0 // the same in upper run times, where workers report no progress
+	startReportTimeoutBatches         = 8   // until a start report is overdue: send, handshake, report back
+	startReportTimeoutBatchesNoGossip = 32  // the same without gossip: a crossing and a handshake are no wait
+	silenceTimeoutProgressIntervals   = 1.5 // progress intervals without a sign of life: the worker is suspect
+	silenceTimeoutRuns                = 4.0 // the same in upper run times, where workers report no progress
 )
 
 // recordOutcome learns from an outcome about the worker, and ejects one that fails too often.
@@ -29,7 +29,7 @@
 		d.learnRun(a)
 	case AtCapacity, HandedBack:
 		w.slotLimit, w.slotLimitAt = max(1, d.slotsInUse(w)), d.now
-		w.blockedUntil = d.now + max(d.batchInterval(), Micros(d.slotTimes.value/4))
+		w.blockedUntil = d.now + max(d.inspectionInterval(), Micros(d.slotTimes.value/4))
 		w.markAlive(d.now)
 	case ConnectFailed:
 		w.unreachable = w.unreachable || w.consecutiveFailures > 0 // one may be an accident on the way
@@ -66,12 +66,12 @@
 			i++
 		}
 	}
-	patience := d.startPatience()
-	limit := d.silenceLimit()
+	startTimeout := d.startReportTimeout()
+	maxSilence := d.silenceTimeout()
 	for _, w := range d.busy {
-		d.giveUpLateStarts(w)
+		d.abandonLateStarts(w)
 		if w.entry.Status == Ready {
-			d.detectSilence(w, patience, limit)
+			d.detectOverdueAndSilent(w, startTimeout, maxSilence)
 		}
 	}
 	// A fault of the network or of the reports looks like a whole fleet that fails at once: then none counts.
@@ -83,13 +83,13 @@
 		}
 	}
 	if d.pollAt != 0 && d.now >= d.pollAt {
-		d.poll()
+		d.pollEndpoints()
 	}
 }
 
-// giveUpLateStarts answers jobs that still wait at a worker when their objective can no longer be met.
+// abandonLateStarts answers jobs that still wait at a worker when their objective can no longer be met.
 // In its queue they would take the time of those behind them and earn nothing.
-func (d *Dispatcher) giveUpLateStarts(w *worker) {
+func (d *Dispatcher) abandonLateStarts(w *worker) {
 	for _, a := range w.attempts {
 		j := a.job
 		waits := a.startOverdue && a.startedAt == 0 && !j.finished && j.inFlight == 1
@@ -100,25 +100,25 @@
 	}
 }
 
-// detectSilence marks overdue starts at a worker, and a worker without a sign of life as suspect.
-func (d *Dispatcher) detectSilence(w *worker, patience, limit Micros) {
-	running, oldest := d.runningSlots(w), d.now
+// detectOverdueAndSilent marks overdue starts at a worker, and a worker without a sign of life as suspect.
+func (d *Dispatcher) detectOverdueAndSilent(w *worker, startTimeout, maxSilence Micros) {
+	running, oldest := d.ownRunningSlots(w), d.now
 	for _, a := range w.attempts {
 		oldest = min(oldest, a.sentAt)
-		if d.settings.StartReported && a.startedAt == 0 && !a.startOverdue && d.now-a.sentAt > patience {
+		if d.settings.StartReported && a.startedAt == 0 && !a.startOverdue && d.now-a.sentAt > startTimeout {
 			a.startOverdue = true
 			d.overdueStarts = append(d.overdueStarts, a)
-			d.recordStart(a, false)
+			d.recordStartPromptness(a, false)
 		}
 	}
-	silent := d.now - max(w.lastSeen, oldest)
+	silence := d.now - max(w.lastSeen, oldest)
 	if running == 0 {
-		silent /= 2 // it may wait behind the jobs of others
+		silence /= 2 // it may wait behind the jobs of others
 	}
-	if silent > limit && !w.suspect {
+	if silence > maxSilence && !w.suspect {
 		w.suspect = true
 		d.markSuspect(w)
-		w.probeAt = d.now + limit
+		w.suspectRetryAt = d.now + maxSilence
 		d.log("worker " + strconv.Itoa(int(w.entry.Worker)) + " is silent: nothing more goes there")
 		d.hedge(w)
 	}
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -5,7 +5,7 @@
 // Placement: which worker a job goes to.
 
 const (
-	loadCost         = 0.8 // cost of a fully busy worker, in runs: other dispatchers fill it unseen
+	fullLoadCostRuns = 0.8 // cost of a fully busy worker, in runs: other dispatchers fill it unseen
 	concurrentProbes = 2   // dispatchers that may probe a worker past its slot limit within one run
 )
 
@@ -22,9 +22,9 @@
 			return w
 		}
 	}
-	d.capacitySeen = false
+	d.freeCapacitySeen = false
 	w := d.cheapest(j, from)
-	if w == nil && own && !d.capacitySeen {
+	if w == nil && own && !d.freeCapacitySeen {
 		d.noCapacityEvent = d.eventCount
 	}
 	return w
@@ -52,7 +52,7 @@
 	if far == nil || near != nil && nearCost <= d.crossZoneCost(farCost, remaining) {
 		return near
 	}
-	if near == nil && !d.crossingJustified(j) {
+	if near == nil && !d.crossZoneJustified(j) {
 		return nil
 	}
 	return far
@@ -67,7 +67,7 @@
 	}
 	inUse, wait := d.slotsInUse(w), 0.0
 	limit := d.capacity(w)
-	d.capacitySeen = d.capacitySeen || inUse+1 <= limit || d.mayProbe(w)
+	d.freeCapacitySeen = d.freeCapacitySeen || inUse+1 <= limit || d.mayProbe(w)
 	if over := inUse + j.slots - limit; over > 0 {
 		if !d.mayProbe(w) {
 			return 0, false
@@ -87,24 +87,26 @@
 	if w.consecutiveFailures > 0 {
 		wait += float64(d.settings.ConnectTimeout)
 	}
-	return wait + queueing + run*(1+loadCost*inUse/max(1, limit)+w.bias) + d.choiceJitter(w), true
+	return wait + queueing + run*(1+fullLoadCostRuns*inUse/max(1, limit)+w.placementBias) +
+		d.choiceJitter(w), true
 }
 
-// crossingJustified weighs the price of leaving the zone against what waiting risks.
-func (d *Dispatcher) crossingJustified(j *job) bool {
+// crossZoneJustified weighs the price of leaving the zone against what waiting risks.
+func (d *Dispatcher) crossZoneJustified(j *job) bool {
 	justified := func(local float64) bool {
 		risk := 1.0
 		if local > 0 && j.latestStart > d.now {
-			risk = min(1, d.reach*d.slotTimes.value/local/float64(j.latestStart-d.now))
+			risk = min(1, d.ringCoverage*d.slotTimes.value/local/float64(j.latestStart-d.now))
 		}
-		return risk*d.value(j)*(1-d.settings.Classes[j.class].LateWeight) > d.settings.CrossZonePrice*d.meanValue
+		return risk*d.value(j)*(1-d.settings.Classes[j.class].LateWeight) >
+			d.settings.CrossZonePrice*d.meanJobValue
 	}
 	return justified(d.usableSlots(d.settings.Zone, func(local float64) bool { return !justified(local) }))
 }
 
 // eligible reports whether the class of a job and its earlier attempts allow a worker.
 func (d *Dispatcher) eligible(j *job, w *worker) bool {
-	if k := d.settings.Classes[j.class].Kind; k >= 0 && k != w.entry.Kind || d.tooRisky(j, w) {
+	if k := d.settings.Classes[j.class].Kind; k >= 0 && k != w.entry.Kind || d.shouldAvoidFailing(j, w) {
 		return false
 	}
 	for _, a := range j.attempts {
@@ -120,24 +122,24 @@
 	if w.entry.Status != Ready || d.endpointsStale() || d.now < w.blockedUntil {
 		return false
 	}
-	if d.settings.StartReported && w.unstarted > 0 || d.peerWaits(w) {
+	if d.settings.StartReported && w.unstartedAttempts > 0 || d.peerJobWaits(w) {
 		return false // its last job has not begun: it is full, or down
 	}
 	if d.now < w.ejectedUntil || w.consecutiveFailures > 0 && len(w.attempts) > 0 {
 		return d.panicMode
 	}
-	return d.panicMode || !w.suspect || d.now >= w.probeAt && len(w.attempts) == 0
+	return d.panicMode || !w.suspect || d.now >= w.suspectRetryAt && len(w.attempts) == 0
 }
 
 // mayProbe reports whether one job beyond a worker's capacity may be tried. Each dispatcher that shares
 // the worker probes alike, so the pause grows with their number.
 func (d *Dispatcher) mayProbe(w *worker) bool {
-	if d.peerWaits(w) || d.peerArrives(w) {
+	if d.peerJobWaits(w) || d.peerJobArriving(w) {
 		return false
 	}
 	pause, at := max(d.slotTimes.value, float64(d.settings.Classes[0].LatencyObjective)), w.slotLimitAt
 	if d.settings.StartReported {
-		at = d.kindOf(w).probedAt
+		at = d.kindOf(w).capacityProbedAt
 	}
-	return float64(d.now-at) > pause*max(1, d.sharing()/concurrentProbes)
+	return float64(d.now-at) > pause*max(1, d.dispatchersPerWorker()/concurrentProbes)
 }
--- a/internal/dispatch/polling.go
+++ b/internal/dispatch/polling.go
@@ -6,7 +6,7 @@
 
 const (
 	pollServiceTime   = 50 * second / 1000 // what a poll costs the list's service, about
-	quickPolls        = 3                  // failed ones in a row after which the backoff grows
+	fastPollRetries   = 3                  // failed ones in a row after which the backoff grows
 	pollBackoffGrowth = 1.5                // by how much, each time, to twice its length at most
 )
 
@@ -43,7 +43,7 @@
 		longest = min(pollServiceTime*float64(d.settings.Dispatchers), longest)
 		base = d.random.uniform() * longest
 	}
-	growth := math.Pow(pollBackoffGrowth, float64(max(d.pollFailures-quickPolls, 0)))
+	growth := math.Pow(pollBackoffGrowth, float64(max(d.pollFailures-fastPollRetries, 0)))
 	return Micros(min(base, longest) * min(growth, 2))
 }
 
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -202,7 +202,7 @@
 	}
 	w.checkSlowStart(to, j)
 	known := w.d.workers[a.Worker]
-	if w.d.slowStartSince(known) != 0 && !known.unreachable && !w.d.slowStartOwner(known) {
+	if w.d.slowStartSince(known) != 0 && !known.unreachable && !w.d.isSlowStartOwner(known) {
 		w.failf("another dispatcher owns worker %d in slow start", a.Worker)
 	}
 	j.attempts = append(j.attempts, &attemptRecord{worker: to.entry, sentAt: w.now, inFlight: true})
@@ -254,7 +254,7 @@
 		}
 		w.schedule((w.now+end)/2, Event{Kind: AttemptReported, Job: a.Job, Attempt: n, Worker: worker,
 			Note: NoteProgress, Value: 0.5})
-		e.Report = Report{Known: true, Free: 8 * w.r.Float64(), Outstanding: 8 * w.r.Float64()}
+		e.Report = Report{FreeKnown: true, Free: 8 * w.r.Float64(), Outstanding: 8 * w.r.Float64()}
 	}
 	if end > a.Deadline {
 		e.Outcome, end = TimedOut, a.Deadline
@@ -363,7 +363,7 @@
 		work := w.span(second / 2)
 		j.work = work
 		w.feed(Event{Kind: JobArrived, Job: w.lastJob, Class: class, Tenant: w.r.Intn(3), Work: work,
-			Slots: float64(1 + w.r.Intn(2)), Patience: j.deadline - w.now})
+			Slots: float64(1 + w.r.Intn(2)), ClientTimeout: j.deadline - w.now})
 	}
 }
 
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -48,8 +48,8 @@
 	return n
 }
 
-// streak counts how often in a row something has been true.
-func streak(n int, holds bool) int {
+// countConsecutive counts how often in a row something has been true.
+func countConsecutive(n int, holds bool) int {
 	if holds {
 		return n + 1
 	}
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -56,26 +56,26 @@
 	lastUpdate uint64 // the last update that named it
 	removedAt  Micros // since when the list has it removed; 0: it has not
 
-	ringPosition float64                // see ringPositionOf
+	ringPosition float64                // see workerRingPosition
 	ringVersion  uint64                 // the generation of its ring group when that was computed; 0: never
 	ringGroup    *subset.Group[*worker] // the ready ones of its zone and kind; nil: it is not ready
 
-	attempts  []*attempt // in flight
-	ownSlots  float64    // of own attempts in flight
-	unstarted int        // of them
+	attempts          []*attempt // in flight
+	ownSlots          float64    // of own attempts in flight
+	unstartedAttempts int        // of them
 
-	slotLimit     float64                           // slots this dispatcher may fill
-	slotLimitAt   Micros                            // when something last spoke against a larger limit
-	reportedSlots float64                           // that its reports add up to; 0: not known
-	blockedUntil  Micros                            // nothing before this: it was at capacity
-	starts        *[maxTrackedSlots + 1]startCounts // by slots in use; nil: none of our jobs showed any yet
-	speed         speedEstimate
-	startWait     waitEstimate
+	slotLimit          float64                           // slots this dispatcher may fill
+	slotLimitAt        Micros                            // when something last spoke against a larger limit
+	reportedSlots      float64                           // that its reports add up to; 0: not known
+	blockedUntil       Micros                            // nothing before this: it was at capacity
+	startCountsBySlots *[maxTrackedSlots + 1]startCounts // by slots in use; nil: none of our jobs showed any yet
+	speed              speedEstimate
+	startWait          waitEstimate
 
 	lastSeen            Micros // last sign of life
 	suspect             bool
 	inSuspects          bool   // it is among those that may be outliers
-	probeAt             Micros // when a suspect may be tried again
+	suspectRetryAt      Micros // when a suspect may be tried again
 	consecutiveFailures int
 	errorRate           float64 // recent, when errorRateAt
 	errorRateAt         Micros
@@ -87,13 +87,13 @@
 	slowStartBudgetAt Micros  // when that was so; 0: never computed
 
 	peerUses     []peerUse // what other dispatchers say that they have there
-	announced    slotUse   // what peers were sent last
+	lastGossiped slotUse   // what peers were sent last
 	gossipQueued bool      // what they were sent may be out of date
 
-	bias         float64 // small own preference, so that dispatchers spread
-	indexNode    bucketqueue.Node[*worker]
-	indexVersion uint64 // the last version of the index that had it
-	dirty        bool   // its index key has to be recomputed
+	placementBias float64 // small own preference, so that dispatchers spread
+	indexNode     bucketqueue.Node[*worker]
+	indexVersion  uint64 // the last version of the index that had it
+	dirty         bool   // its index key has to be recomputed
 }
 
 // slotUse is what a dispatcher has at a worker: slots in use and slots of jobs that wait.
@@ -102,24 +102,24 @@
 // peerUse is what a peer said of its use of a worker.
 type peerUse struct {
 	slotUse
-	peer         int
-	updatedAt    Micros
-	grewAt       Micros // when its last job left for the worker
-	arriving     byte   // slots that came then
-	waitingSince Micros // since when one of its jobs there waits; 0: none does
+	peer          int
+	updatedAt     Micros
+	increasedAt   Micros // when its last job left for the worker
+	arrivingSlots byte   // slots that came then
+	waitingSince  Micros // since when one of its jobs there waits; 0: none does
 }
 
 // peer is what is known of another dispatcher.
 type peer struct {
-	position  float64 // on the ring, see updateSubset
-	zone      int     // unknownZone until it says so
-	crossedAt Micros  // when it last sent to a worker of another zone
+	position      float64 // on the ring, see updateSubset
+	zone          int     // unknownZone until it says so
+	crossedZoneAt Micros  // when it last sent to a worker of another zone
 }
 
 const unknownZone = -1
 
 // flow is one tenant's jobs of one class, within or over its quota.
 type flow struct {
-	rate     float64 // the paper's d, jobs a second
-	interval int64   // the last gapping interval that passed a job
+	rate                float64 // the paper's d, jobs a second
+	lastGappingInterval int64   // the last gapping interval that passed a job
 }
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -25,16 +25,18 @@
 	}
 }
 
-// safetyMargin is how long before the client gives up a queued job is answered.
-func (d *Dispatcher) safetyMargin() Micros { return 2*d.settings.Granularity + d.batchInterval() }
+// deadlineMargin is how long before the client gives up a queued job is answered.
+func (d *Dispatcher) deadlineMargin() Micros {
+	return 2*d.settings.Granularity + d.inspectionInterval()
+}
 
-// batchInterval is the time between inspections while jobs are queued.
-func (d *Dispatcher) batchInterval() Micros { return 4 * d.settings.Granularity }
+// inspectionInterval is the time between inspections while jobs are queued.
+func (d *Dispatcher) inspectionInterval() Micros { return 4 * d.settings.Granularity }
 
 // expire deals with a queued job whose time is up or whose objective cannot be met. It reports whether
 // the job left the queue or moved behind those on time.
 func (d *Dispatcher) expire(j *job) bool {
-	if d.now >= j.deadline-d.safetyMargin() {
+	if d.now >= j.deadline-d.deadlineMargin() {
 		d.dequeue(j)
 		if j.inFlight == 0 {
 			d.finish(j)
@@ -42,7 +44,8 @@
 		return true
 	}
 	earns := d.now < j.objective || d.settings.Classes[j.class].LateWeight > 0
-	if earns && (j.late && d.level == levelNormal || !j.late && d.feasible(j, d.requiredRunFraction(j))) {
+	if earns && (j.late && d.level == levelNormal ||
+		!j.late && d.feasible(j, d.requiredRunFraction(j))) {
 		return false
 	}
 	d.dequeue(j)
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -3,8 +3,8 @@
 // Retries, and second attempts beside one at a silent worker.
 
 const (
-	retryRatio     = 0.2 // further attempts earned by each first one
-	maxRetryBudget = 20  // further attempts saved up at most
+	retryBudgetPerJob = 0.2 // further attempts earned by each first one
+	maxRetryBudget    = 20  // further attempts saved up at most
 )
 
 // retry gives a job without attempts in flight another one, if its class, its time and the retry budget
@@ -17,7 +17,7 @@
 	if outcome == ConnectFailed {
 		d.retryBudget++
 	}
-	if d.retryBudget >= 1 && d.now < j.deadline-d.safetyMargin() &&
+	if d.retryBudget >= 1 && d.now < j.deadline-d.deadlineMargin() &&
 		len(j.attempts) < d.settings.MaxAttempts && d.anyWorkerAllowed(j) {
 		d.retryBudget--
 		d.enqueue(j)
--- a/internal/dispatch/rules.go
+++ b/internal/dispatch/rules.go
@@ -6,7 +6,7 @@
 // deadline (rule 1), that no effect can happen twice (rule 2), that drains are observed (rule 3) and
 // that no worker in slow start is overloaded (rule 4).
 func (d *Dispatcher) send(j *job, w *worker) bool {
-	if j.finished || j.streaming || d.now >= j.deadline-d.safetyMargin() ||
+	if j.finished || j.streaming || d.now >= j.deadline-d.deadlineMargin() ||
 		len(j.attempts) >= d.settings.MaxAttempts {
 		return false
 	}
@@ -26,10 +26,10 @@
 	}
 	d.queueGossip(w)
 	w.ownSlots += j.slots
-	w.unstarted++
+	w.unstartedAttempts++
 	if a.slotsAtSend = d.slotsInUse(w); a.slotsAtSend > d.capacity(w) {
 		w.slotLimit, w.slotLimitAt = a.slotsAtSend, d.now
-		d.kindOf(w).probedAt = d.now
+		d.kindOf(w).capacityProbedAt = d.now
 	}
 	if d.slowStartSince(w) != 0 {
 		w.slowStartBudget -= d.slowStartCost(j)
@@ -54,7 +54,7 @@
 		if c.Effect == Unsafe || !sameDedupGroup(c.DedupScope, &a.worker.entry, &w.entry) {
 			return 0
 		}
-		sendBy = min(sendBy, a.sentAt+c.DedupWindow-d.safetyMargin())
+		sendBy = min(sendBy, a.sentAt+c.DedupWindow-d.deadlineMargin())
 	}
 	return sendBy
 }
@@ -69,8 +69,8 @@
 		return
 	}
 	if d.refusalAllowed(j) {
-		wait, hopeless := Micros(0), d.now >= j.objective && d.settings.Classes[j.class].LateWeight == 0
-		if hopeless || d.level > levelNormal && (j.overQuota || !d.feasible(j, 1)) {
+		wait, earnsNothing := Micros(0), d.now >= j.objective && d.settings.Classes[j.class].LateWeight == 0
+		if earnsNothing || d.level > levelNormal && (j.overQuota || !d.feasible(j, 1)) {
 			wait = d.settings.MaxRetryAfter // a retry now helps nobody; others may yet be in time
 		}
 		d.emit(Action{Kind: Refuse, Job: j.id, Delay: wait})
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -59,7 +59,7 @@
 }
 
 // LargeFleet reports whether there are so many dispatchers that each meets a worker seldom.
-func (s *Settings) LargeFleet() bool { return s.Dispatchers > smallFleet }
+func (s *Settings) LargeFleet() bool { return s.Dispatchers > maxSmallFleetDispatchers }
 
 // RemovedRetention is how long a removed worker is still known: it may come back, and what was learned
 // of it holds. No open job has an attempt there by then. A fleet that is replaced for years must not
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -13,12 +13,12 @@
 func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
 	for _, n := range []int{50, 260, 500} {
 		for name, zone := range map[string]func(int) int{
-			"alternating": alternating,
+			"alternating": alternatingZone,
 			"blocks":      func(i int) int { return i * 2 / n },
 		} {
 			list := testFleet(200)
 			covered := map[WorkerID]int{}
-			for _, b := range startAll(t, n, list, zone, nil) {
+			for _, b := range startDispatchers(t, n, list, zone, nil) {
 				local := 0
 				for _, w := range b.d.subset {
 					if w.entry.Zone == b.d.settings.Zone {
@@ -47,8 +47,8 @@
 // the same workers.
 func TestChoicesSpreadAtSize(t *testing.T) {
 	sent := map[WorkerID]int{}
-	for _, b := range startAll(t, 260, testFleet(200), alternating, nil) {
-		for _, a := range find(b.arrive(1, 0), Send) {
+	for _, b := range startDispatchers(t, 260, testFleet(200), alternatingZone, nil) {
+		for _, a := range actionsOfKind(b.arrive(1, 0), Send) {
 			sent[a.Worker]++
 		}
 	}
@@ -65,13 +65,13 @@
 // find no other worker, peers' gossip is lost, and some are restarted.
 func TestSlowStartBudgetHoldsInSumAtSize(t *testing.T) {
 	t.Run("peers", func(t *testing.T) { checkSlowStartBudget(t, nil) })
-	t.Run("without gossip", func(t *testing.T) { checkSlowStartBudget(t, withoutGossipSettings) })
+	t.Run("without gossip", func(t *testing.T) { checkSlowStartBudget(t, largeFleetWithoutGossipSettings) })
 }
 
 func checkSlowStartBudget(t *testing.T, change func(*Settings)) {
 	const dispatchers = 240
 	list := testFleet(24)
-	all := startAll(t, dispatchers, list, alternating, change)
+	all := startDispatchers(t, dispatchers, list, alternatingZone, change)
 	for _, b := range all {
 		b.setSlots(list[0].Worker, 4)
 		b.setSlots(list[2].Worker, 4)
@@ -82,21 +82,21 @@
 	}
 	sends := map[WorkerID][]sentWork{}
 	for i, b := range all {
-		b.do(Event{Kind: EndpointsUpdated, Workers: list})
+		b.feed(Event{Kind: EndpointsUpdated, Workers: list})
 		for step := range 60 {
 			id := JobID(i*1000 + step)
 			if i%50 == 7 && step == 20 { // restarted: it has the cached list and no state
 				s := b.d.settings
 				b.d, _ = New(s, uint64(i+999))
-				b.do(Event{Kind: Started})
-				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
+				b.feed(Event{Kind: Started})
+				b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: list})
 			}
 			work := Micros(second / 10)
-			for _, a := range find(b.do(Event{Kind: JobArrived, Job: id, Work: work, Slots: 1,
-				Patience: 6 * second}), Send) {
+			for _, a := range actionsOfKind(b.feed(Event{Kind: JobArrived, Job: id, Work: work, Slots: 1,
+				ClientTimeout: 6 * second}), Send) {
 				sends[a.Worker] = append(sends[a.Worker], sentWork{b.now, float64(work)})
 			}
-			for _, a := range find(b.pass(second/10), Send) {
+			for _, a := range actionsOfKind(b.advance(second/10), Send) {
 				sends[a.Worker] = append(sends[a.Worker], sentWork{b.now, float64(work)})
 			}
 		}
@@ -128,7 +128,7 @@
 func TestQuotasHoldInSumAtSize(t *testing.T) {
 	const dispatchers, quota, seconds = 200, 400.0, 20
 	within := func(rate float64) (n float64) {
-		for _, b := range startAll(t, dispatchers, testFleet(40), alternating, func(s *Settings) {
+		for _, b := range startDispatchers(t, dispatchers, testFleet(40), alternatingZone, func(s *Settings) {
 			s.Tenants = []Tenant{{Quota: quota}}
 		}) {
 			for i := range int(rate * seconds / dispatchers) {
@@ -155,10 +155,10 @@
 func TestMessagesDoNotGrowWithTheDispatchers(t *testing.T) {
 	for _, n := range []int{60, 240, 480} {
 		messages := 0
-		for _, b := range startAll(t, n, testFleet(n), alternating, nil) {
-			messages += len(find(b.arrive(1, 0), SendGossip))
+		for _, b := range startDispatchers(t, n, testFleet(n), alternatingZone, nil) {
+			messages += len(actionsOfKind(b.arrive(1, 0), SendGossip))
 		}
-		if mean := float64(messages) / float64(n); mean == 0 || mean > 4*targetSharing {
+		if mean := float64(messages) / float64(n); mean == 0 || mean > 4*targetDispatchersPerWorker {
 			t.Errorf("%d dispatchers: a job is reported to %.1f", n, mean)
 		}
 	}
@@ -168,8 +168,8 @@
 func TestPollsOfAllAreSpread(t *testing.T) {
 	at := map[Micros]int{}
 	poll := func(s *Settings) { s.PollEndpoints = true }
-	for _, b := range startAll(t, 260, testFleet(20), alternating, poll) {
-		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+	for _, b := range startDispatchers(t, 260, testFleet(20), alternatingZone, poll) {
+		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 		at[b.d.pollAt/(second/100)]++
 	}
 	for when, n := range at {
@@ -186,14 +186,14 @@
 	const failures = 8
 	var sum [failures]float64
 	at := map[Micros]int{}
-	all := startAll(t, 260, testFleet(20), alternating, func(s *Settings) { s.PollEndpoints = true })
+	all := startDispatchers(t, 260, testFleet(20), alternatingZone, func(s *Settings) { s.PollEndpoints = true })
 	for _, b := range all {
-		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed}) // the watch ends
-		b.now += 10 * second                                     // the last update holds no longer
+		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed}) // the watch ends
+		b.now += 10 * second                                       // the last update holds no longer
 		for i := range failures {
-			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			wait := b.d.pollAt - b.now
-			if limit := b.d.settings.PollInterval / 5; wait > 2*limit || i < quickPolls && wait > limit {
+			if limit := b.d.settings.PollInterval / 5; wait > 2*limit || i < fastPollRetries && wait > limit {
 				t.Errorf("failure %d: the next poll comes after %d us", i+1, wait)
 			}
 			sum[i] += float64(wait) / float64(len(all)) / second
@@ -223,12 +223,12 @@
 			t.Fatal(err)
 		}
 		b := &harness{t: t, d: d, now: 100 * second}
-		b.want(b.do(Event{Kind: Started}), WatchEndpoints, 1)
-		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
-		b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
-		b.want(b.pass(2*s.Granularity), WatchEndpoints, 1)
+		b.want(b.feed(Event{Kind: Started}), WatchEndpoints, 1)
+		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
+		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+		b.want(b.advance(2*s.Granularity), WatchEndpoints, 1)
 		for i := range 300 {
-			b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			if wait := b.d.pollAt - b.now; wait < second/10 || wait > second/2 {
 				t.Fatalf("failure %d: the next poll comes after %d us", i, wait)
 			}
@@ -250,9 +250,9 @@
 				t.Fatal(err)
 			}
 			b := &harness{t: t, d: d, now: 100 * second}
-			first := len(find(b.do(Event{Kind: Started}), WatchEndpoints))
+			first := len(actionsOfKind(b.feed(Event{Kind: Started}), WatchEndpoints))
 			for at := Micros(0); at < s.PollInterval/5 && first == 0; at += second / 10 {
-				if first = len(find(b.pass(second/10), WatchEndpoints)); first > 0 {
+				if first = len(actionsOfKind(b.advance(second/10), WatchEndpoints)); first > 0 {
 					calls[at]++
 				}
 			}
@@ -261,7 +261,7 @@
 			}
 			// It fails, again and again: each time it may wait longer, at random.
 			for range 8 {
-				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
+				b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 				if wait := b.d.pollAt - b.now; wait < 0 || wait >= s.PollInterval {
 					t.Errorf("dispatcher %d of %d polls again after %d us", i, dispatchers, wait)
 				}
@@ -279,19 +279,19 @@
 func BenchmarkJobByFleet(b *testing.B) {
 	for _, n := range []int{20, 200, 800} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
-			d := startOne(b, n, 0, testFleet(n), 0, nil)
+			d := startDispatcher(b, n, 0, testFleet(n), 0, nil)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				id := JobID(i)
 				d.now += second / 2
-				sent := find(d.arrive(id, 0), Send)
+				sent := actionsOfKind(d.arrive(id, 0), Send)
 				for _, a := range sent {
-					d.do(Event{Kind: AttemptReported, Job: id, Attempt: a.Attempt, Note: NoteStarted})
+					d.feed(Event{Kind: AttemptReported, Job: id, Attempt: a.Attempt, Note: NoteStarted})
 				}
 				d.now += second / 5
 				for _, a := range sent {
-					d.do(Event{Kind: AttemptEnded, Job: id, Attempt: a.Attempt, Outcome: OK, Final: true})
+					d.feed(Event{Kind: AttemptEnded, Job: id, Attempt: a.Attempt, Outcome: OK, Final: true})
 				}
 			}
 		})
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -3,8 +3,8 @@
 // Slow start (rule 4): a worker that started a short time ago gets only what it can take.
 
 const (
-	slowStartUse       = 0.65 // of a worker's budget in slow start: its capacity and the works are guesses
-	slowStartUseShared = 0.6  // of the same rate where many share it: parts of it lie idle
+	slowStartBudgetFraction       = 0.65 // of a worker's slow-start budget: capacity and works are guesses
+	slowStartBudgetFractionShared = 0.6  // of the same rate where many share it: parts of it lie idle
 )
 
 // slowStartSince is when a worker in slow start started, 0 if it is warm.
@@ -28,27 +28,28 @@
 	if d.slowStartSince(w) == 0 {
 		return true
 	}
-	if !w.unreachable && !d.slowStartOwner(w) {
+	if !w.unreachable && !d.isSlowStartOwner(w) {
 		return false
 	}
 	limit := d.refillSlowStartBudget(w)
 	return w.slowStartBudget >= min(d.slowStartCost(j), limit)
 }
 
-// slowStartOwner reports whether this dispatcher may send to a worker in slow start. One whose number is
+// isSlowStartOwner reports whether this dispatcher may send to a worker in slow start. One whose number is
 // beyond those that the settings state would be an owner too many.
-func (d *Dispatcher) slowStartOwner(w *worker) bool {
-	if d.withoutGossip() && d.settings.Index < d.settings.Dispatchers {
-		return d.distanceFrom(d.position, w) < d.reach*d.slowStartOwners(w)/d.sharing()
+func (d *Dispatcher) isSlowStartOwner(w *worker) bool {
+	if d.largeFleetWithoutGossip() && d.settings.Index < d.settings.Dispatchers {
+		return d.ringDistance(d.position, w) < d.ringCoverage*d.slowStartOwnerCount(w)/d.dispatchersPerWorker()
 	}
-	return d.ownerByNumber(w)
+	return d.isOwnerByNumber(w)
 }
 
-// ownerByNumber reports whether this dispatcher owns a worker by its number alone, wherever that stands
+// isOwnerByNumber reports whether this dispatcher owns a worker by its number alone, wherever that stands
 // on the ring. A large fleet without gossip goes by the position instead: who owns it there covers it.
-func (d *Dispatcher) ownerByNumber(w *worker) bool {
+func (d *Dispatcher) isOwnerByNumber(w *worker) bool {
 	source := random(w.entry.Worker)
-	return !d.withoutGossip() && int(source.uniform()*float64(d.settings.Dispatchers)) == d.settings.Index
+	return !d.largeFleetWithoutGossip() &&
+		int(source.uniform()*float64(d.settings.Dispatchers)) == d.settings.Index
 }
 
 // refillSlowStartBudget brings the budget of a worker in slow start up to date and returns its limit.
@@ -61,10 +62,10 @@
 	if w.unreachable {
 		rate /= 2 * float64(d.settings.Dispatchers) // anyone may find out whether it is back
 	} else {
-		rate /= d.slowStartOwners(w)
+		rate /= d.slowStartOwnerCount(w)
 	}
 	limit := rate * float64(d.settings.OverloadWindow)
-	if d.withoutGossip() {
+	if d.largeFleetWithoutGossip() {
 		limit /= 2 // leaves room for a job too many from some
 	}
 	if w.slowStartBudgetAt == 0 && d.now-d.startedAt >= d.settings.OverloadWindow {
@@ -78,18 +79,18 @@
 
 // slowStartRate is the work that a worker may be sent in a unit of time per fraction of its capacity.
 func (d *Dispatcher) slowStartRate(w *worker) float64 {
-	slack := slowStartUse / 2
-	if d.withoutGossip() {
-		slack = slowStartUseShared
+	budgetFraction := slowStartBudgetFraction / 2
+	if d.largeFleetWithoutGossip() {
+		budgetFraction = slowStartBudgetFractionShared
 	}
-	return slack * d.settings.OverloadFactor * max(1, d.kindOf(w).maxSlotsSeen) * d.warmSpeed(w)
+	return budgetFraction * d.settings.OverloadFactor * max(1, d.kindOf(w).maxBusySlots) * d.warmSpeed(w)
 }
 
-// slowStartOwners is how many dispatchers own a worker in slow start, each an equal part of its budget.
-func (d *Dispatcher) slowStartOwners(w *worker) float64 {
-	if !d.withoutGossip() {
+// slowStartOwnerCount is how many dispatchers own a worker in slow start, each an equal part of its budget.
+func (d *Dispatcher) slowStartOwnerCount(w *worker) float64 {
+	if !d.largeFleetWithoutGossip() {
 		return 1
 	}
 	allowance := 1.5 * d.slowStartRate(w) * d.settings.SlowStartInitial * float64(d.settings.OverloadWindow)
-	return max(1, min(d.sharing(), allowance/max(d.slotTimes.value, d.typicalWork())))
+	return max(1, min(d.dispatchersPerWorker(), allowance/max(d.slotTimes.value, d.sizeBiasedMeanWork())))
 }
--- a/internal/dispatch/slowstart_stated_test.go
+++ b/internal/dispatch/slowstart_stated_test.go
@@ -11,13 +11,13 @@
 	for _, stated := range []int{1, 8, 9, 30} {
 		ownedByAll := 0
 		for i := range 2 * stated {
-			b := startOne(t, 2*stated, i, list, 0, func(s *Settings) {
-				withoutGossipSettings(s)
+			b := startDispatcher(t, 2*stated, i, list, 0, func(s *Settings) {
+				largeFleetWithoutGossipSettings(s)
 				s.Dispatchers = stated
 			})
 			owned := 0
 			for _, e := range list {
-				if b.d.slowStartOwner(b.d.workers[e.Worker]) {
+				if b.d.isSlowStartOwner(b.d.workers[e.Worker]) {
 					owned++
 				}
 			}
@@ -45,7 +45,8 @@
 				c := rampCase{deployment: site, dispatchers: size[0], statedDispatchers: size[0] / 2, workers: size[1],
 					restarted: -1, load: 1.2, maxDelay: 2 * second, seed: uint64(i + 1)}
 				if seen := c.run(t); seen.informed > 1 || seen.all > 1 {
-					t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v", seen.informed, seen.all, &c)
+					t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v",
+						seen.informed, seen.all, &c)
 				}
 			}
 		})
@@ -64,7 +65,8 @@
 	} {
 		c.restarted, c.load, c.maxDelay = -1, 1.2, 2*second
 		if seen := c.run(t); seen.informed > 1 || seen.all > 1 {
-			t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v", seen.informed, seen.all, &c)
+			t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v",
+				seen.informed, seen.all, &c)
 		}
 	}
 }
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -14,8 +14,8 @@
 type deployment struct {
 	name            string
 	configure       func(*Settings)
-	works           []float64 // mean work of each class
-	mix             []float64 // of the requests
+	meanWork        []float64 // mean work of each class
+	classMix        []float64 // of the requests
 	twoSlotFraction float64   // fraction of the requests that take two slots, beyond the first class
 	hinted          bool
 	cores           float64
@@ -23,11 +23,11 @@
 }
 
 var allDeployments = []deployment{
-	{name: "even", works: []float64{400_000, 300_000, 600_000}, mix: []float64{0.5, 0.3, 0.2},
+	{name: "even", meanWork: []float64{400_000, 300_000, 600_000}, classMix: []float64{0.5, 0.3, 0.2},
 		cores: 2, slots: 2, configure: func(s *Settings) {
 			s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8.3*second, 0.3, 4, 2*second
 		}},
-	{name: "wide", works: []float64{400_000, 215_000, 2_600_000}, mix: []float64{0.35, 0.34, 0.31},
+	{name: "wide", meanWork: []float64{400_000, 215_000, 2_600_000}, classMix: []float64{0.35, 0.34, 0.31},
 		cores: 4, slots: 5, twoSlotFraction: 0.4, configure: func(s *Settings) {
 			s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 18*second, 0.13, 3, 3*second
 			for class, objective := range []Micros{300_000, 200_000, 1_200_000} {
@@ -35,21 +35,21 @@
 			}
 			s.Classes[2].Deadline = 25 * second
 		}},
-	{name: "steep", works: []float64{100_000, 150_000, 1_500_000}, mix: []float64{0.5, 0.3, 0.2},
+	{name: "steep", meanWork: []float64{100_000, 150_000, 1_500_000}, classMix: []float64{0.5, 0.3, 0.2},
 		hinted: true, cores: 4, slots: 4, configure: func(s *Settings) {
 			s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 12*second, 0.13, 4, 2*second
 		}},
-	{name: "big", works: []float64{200_000, 150_000, 250_000}, mix: []float64{0.5, 0.3, 0.2},
+	{name: "big", meanWork: []float64{200_000, 150_000, 250_000}, classMix: []float64{0.5, 0.3, 0.2},
 		hinted: true, cores: 20, slots: 20, configure: func(s *Settings) {
 			s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8.3*second, 0.3, 4, 2*second
 		}},
 }
 
-func (s *deployment) mean() (mean float64) {
-	for k, work := range s.works {
-		mean += work * s.mix[k]
+func (s *deployment) meanRequestWork() (meanRequestWork float64) {
+	for k, work := range s.meanWork {
+		meanRequestWork += work * s.classMix[k]
 	}
-	return mean
+	return meanRequestWork
 }
 
 // rampCase is a simulation: who is there, what restarts, and what goes wrong meanwhile.
@@ -84,7 +84,7 @@
 	work       float64
 	slots      float64
 	endsAt     Micros // 0: it waits
-	over       bool
+	ended      bool
 }
 
 type rampSend struct {
@@ -93,7 +93,7 @@
 	informed bool // of the start that is the latest by then
 }
 
-type rampJob struct {
+type rampJobSize struct {
 	work, slots float64
 }
 
@@ -126,10 +126,10 @@
 
 // run runs a simulation.
 func (c *rampCase) run(t *testing.T) rampResult {
-	site, source := c.deployment, random(c.seed*7919)
+	deployed, source := c.deployment, random(c.seed*7919)
 	change := func(s *Settings) {
-		withoutGossipSettings(s)
-		site.configure(s)
+		largeFleetWithoutGossipSettings(s)
+		deployed.configure(s)
 		s.Dispatchers = max(c.statedDispatchers, 1)
 		if c.statedDispatchers == 0 {
 			s.Dispatchers = c.dispatchers
@@ -166,11 +166,11 @@
 	restartAt, rate := make([]Micros, c.dispatchers), make([]float64, c.dispatchers)
 	firstStart, sum := 100*second+rampWarmUp, 0.0
 	for i := range harnesses {
-		harnesses[i] = startOne(t, c.dispatchers, i, lists[i], i%2, change)
+		harnesses[i] = startDispatcher(t, c.dispatchers, i, lists[i], i%2, change)
 		harnesses[i].d.settings.Dispatchers = max(1, harnesses[i].d.settings.Dispatchers)
 		for _, e := range list {
 			if harnesses[i].d.workers[e.Worker] != nil {
-				harnesses[i].setSlots(e.Worker, int(site.slots))
+				harnesses[i].setSlots(e.Worker, int(deployed.slots))
 			}
 		}
 		rate[i] = 1
@@ -184,21 +184,22 @@
 		}
 	}
 	lastStart := firstStart
-	total := c.load * float64(c.workers) * site.cores / site.mean() * second // requests a second
-	jobs := map[JobID]rampJob{}
+	// requests a second
+	total := c.load * float64(c.workers) * deployed.cores / deployed.meanRequestWork() * second
+	jobs := map[JobID]rampJobSize{}
 	var runs []*rampRun
 	seen := rampResult{}
 	served, capacity := 0.0, 0.0
 	var take func(i int, actions []Action, now Micros)
 	end := func(r *rampRun, o Outcome, now Micros) {
-		if r.over {
+		if r.ended {
 			return
 		}
-		r.over = true
+		r.ended = true
 		if r.endsAt != 0 {
 			r.worker.busy -= r.slots
 		}
-		take(r.dispatcher, harnesses[r.dispatcher].do(Event{Kind: AttemptEnded, Job: r.job,
+		take(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptEnded, Job: r.job,
 			Attempt: r.attempt, Outcome: o, Final: o == OK}), now)
 	}
 	take = func(i int, actions []Action, now Micros) {
@@ -233,7 +234,7 @@
 			}
 		}
 		updates[i]++
-		take(i, b.do(Event{Kind: EndpointsUpdated, Scope: scope, Workers: lists[i]}), b.now)
+		take(i, b.feed(Event{Kind: EndpointsUpdated, Scope: scope, Workers: lists[i]}), b.now)
 	}
 	job := JobID(0)
 	for now := Micros(100 * second); now < firstStart+rampLength-rampWarmUp; now += rampTick {
@@ -266,8 +267,8 @@
 			if restartAt[i] != 0 && restartAt[i] <= now {
 				restartAt[i] = 0
 				for _, r := range runs {
-					if r.dispatcher == i && !r.over { // its connections close: what ran is abandoned
-						r.over = true
+					if r.dispatcher == i && !r.ended { // its connections close: what ran is abandoned
+						r.ended = true
 						if r.endsAt != 0 {
 							r.worker.busy -= r.slots
 						}
@@ -275,38 +276,40 @@
 				}
 				b.now = now
 				b.d, _ = New(b.d.settings, uint64(i)+c.seed<<16)
-				b.do(Event{Kind: Started})
-				b.do(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: lists[i]})
+				b.feed(Event{Kind: Started})
+				b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: lists[i]})
 			}
 			if updateAt[i] != 0 && updateAt[i] <= now {
 				updateAt[i] = 0
 				b.now = now
 				update(i, UpdateFull)
 			}
-			take(i, b.pass(now-b.now), now)
-			for more := rate[i] / sum * total * float64(rampTick) / second * burst(now-firstStart); more > 0; more-- {
+			take(i, b.advance(now-b.now), now)
+			for more := rate[i] / sum * total * float64(rampTick) / second *
+				trafficFactor(now-firstStart); more > 0; more-- {
 				if source.uniform() >= more {
 					continue
 				}
 				job++
 				e := Event{Kind: JobArrived, Job: job, Slots: 1}
-				for e.Class = 0; e.Class < 2 && source.uniform() > site.mix[e.Class]/(1-sumBefore(site.mix, e.Class)); {
+				for e.Class = 0; e.Class < 2 && source.uniform() >
+					deployed.classMix[e.Class]/(1-sumBefore(deployed.classMix, e.Class)); {
 					e.Class++
 				}
-				if e.Class > 0 && source.uniform() < site.twoSlotFraction {
+				if e.Class > 0 && source.uniform() < deployed.twoSlotFraction {
 					e.Slots = 2
 				}
-				work := site.works[e.Class] * (0.4 + 1.2*source.uniform())
-				if site.hinted {
+				work := deployed.meanWork[e.Class] * (0.4 + 1.2*source.uniform())
+				if deployed.hinted {
 					e.Work = Micros(work)
 				}
-				e.Patience = b.d.settings.Classes[e.Class].Deadline
-				jobs[job] = rampJob{work, e.Slots}
-				take(i, b.do(e), now)
+				e.ClientTimeout = b.d.settings.Classes[e.Class].Deadline
+				jobs[job] = rampJobSize{work, e.Slots}
+				take(i, b.feed(e), now)
 			}
 		}
 		for _, r := range runs {
-			if !r.over && r.endsAt != 0 && r.endsAt <= now {
+			if !r.ended && r.endsAt != 0 && r.endsAt <= now {
 				if r.worker.restarted && now >= firstStart+c.maxDelay {
 					served += r.work
 				}
@@ -316,25 +319,26 @@
 		for _, w := range order {
 			speed := 1.0
 			if w.restarted && len(w.starts) > 0 {
-				speed = site.slowStartFraction(&harnesses[0].d.settings, now-w.starts[len(w.starts)-1])
+				speed = deployed.slowStartFraction(&harnesses[0].d.settings, now-w.starts[len(w.starts)-1])
 				if now >= firstStart+c.maxDelay {
-					capacity += speed * site.cores * float64(rampTick)
+					capacity += speed * deployed.cores * float64(rampTick)
 				}
 			}
-			for len(w.queue) > 0 && (w.queue[0].over || w.busy+w.queue[0].slots <= site.slots) {
+			for len(w.queue) > 0 && (w.queue[0].ended || w.busy+w.queue[0].slots <= deployed.slots) {
 				r := w.queue[0]
-				if w.queue = w.queue[1:]; r.over {
+				if w.queue = w.queue[1:]; r.ended {
 					continue
 				}
 				w.busy += r.slots
-				r.endsAt = now + Micros(r.work/speed*max(1, w.busy/site.cores))
-				take(r.dispatcher, harnesses[r.dispatcher].do(Event{Kind: AttemptReported, Job: r.job, Attempt: r.attempt,
-					Note: NoteStarted}), now)
+				r.endsAt = now + Micros(r.work/speed*max(1, w.busy/deployed.cores))
+				take(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptReported, Job: r.job,
+					Attempt: r.attempt,
+					Note:    NoteStarted}), now)
 			}
 		}
 		on := runs[:0]
 		for _, r := range runs {
-			if !r.over {
+			if !r.ended {
 				on = append(on, r)
 			}
 		}
@@ -347,8 +351,8 @@
 	return seen
 }
 
-// burst is how much of the mean traffic comes: half as much again for a while in the ramp.
-func burst(since Micros) float64 {
+// trafficFactor is how much of the mean traffic comes: half as much again for a while in the ramp.
+func trafficFactor(since Micros) float64 {
 	if since >= second && since < 4*second {
 		return 1.5
 	}
@@ -375,8 +379,8 @@
 			}
 			// The strictest reading: what it could do when the window began.
 			n := c.deployment.slowStartFraction(set, first.at-start) * c.deployment.cores * set.OverloadFactor *
-				float64(set.OverloadWindow) / c.deployment.mean()
-			limit := (n + 2*math.Sqrt(n) + 2) * c.deployment.mean()
+				float64(set.OverloadWindow) / c.deployment.meanRequestWork()
+			limit := (n + 2*math.Sqrt(n) + 2) * c.deployment.meanRequestWork()
 			sum, informed := 0.0, 0.0
 			for _, sent := range w.sent[from:] {
 				if sent.at-first.at >= set.OverloadWindow || sent.at >= until {
@@ -396,9 +400,9 @@
 
 // runCases simulates each deployment at each size, and checks each simulation against the rule: at no moment
 // have those who knew of the start sent more than it allows, nor all together where it is their doing.
-func runCases(t *testing.T, sites string, seeds int, cases []rampCase, sizes ...[2]int) {
+func runCases(t *testing.T, deploymentNames string, seeds int, cases []rampCase, sizes ...[2]int) {
 	for s := range allDeployments {
-		if !strings.Contains(sites, allDeployments[s].name) {
+		if !strings.Contains(deploymentNames, allDeployments[s].name) {
 			continue
 		}
 		for _, size := range sizes {
@@ -414,13 +418,14 @@
 					c.statedDispatchers *= size[0]
 					seen := c.run(t)
 					if seen.informed > 1 || seen.all > 1 {
-						t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v", seen.informed, seen.all, &c)
+						t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v",
+							seen.informed, seen.all, &c)
 					}
 					if c.restarted < 0 && seen.utilization < 0.1 {
 						t.Errorf("%.2f of a restarted fleet is used: %v", seen.utilization, &c)
 					}
-					t.Logf("informed %.2f, all %.2f, used %.2f, %d sends: %v", seen.informed, seen.all, seen.utilization,
-						seen.sends, &c)
+					t.Logf("informed %.2f, all %.2f, used %.2f, %d sends: %v",
+						seen.informed, seen.all, seen.utilization, seen.sends, &c)
 				}
 			})
 		}
@@ -443,28 +448,28 @@
 var fleetSizes = [][2]int{{3, 10}, {9, 16}, {20, 16}, {30, 16}, {30, 60}, {300, 100}}
 
 // The whole fleet restarts and has too much to do: all of it waits for the budgets.
-var fleetRestarts = []rampCase{{restarted: -1, load: 1.2, maxDelay: 2 * second}}
+var fleetRestartCases = []rampCase{{restarted: -1, load: 1.2, maxDelay: 2 * second}}
 
 func TestSlowStartFleetKeepsItsLimitInSum(t *testing.T) {
-	runCases(t, mainDeployments, 2, fleetRestarts, fleetSizes...)
+	runCases(t, mainDeployments, 2, fleetRestartCases, fleetSizes...)
 }
 
 // Where a few long requests bring most of the work, one too many is much.
 func TestSlowStartFleetOfLongRequestsKeepsItsLimit(t *testing.T) {
-	runCases(t, "wide", 2, fleetRestarts, fleetSizes...)
+	runCases(t, "wide", 2, fleetRestartCases, fleetSizes...)
 }
 
 // The same while three in ten dispatchers restart: their budgets begin anew.
-var dispatchersRestart = []rampCase{
+var dispatcherRestartCases = []rampCase{
 	{restarted: -1, load: 1.2, dispatcherRestarts: 0.3},
 	{restarted: -1, load: 1.2, dispatcherRestarts: 0.3, seed: 12},
 	{restarted: -1, load: 1.2, dispatcherRestarts: 0.3, seed: 21},
 }
 
 func TestSlowStartFleetKeepsItsLimitWhileDispatchersRestart(t *testing.T) {
-	runCases(t, mainDeployments, 1, dispatchersRestart, fleetSizes...)
+	runCases(t, mainDeployments, 1, dispatcherRestartCases, fleetSizes...)
 }
 
 func TestSlowStartFleetOfLongRequestsKeepsItsLimitWhileDispatchersRestart(t *testing.T) {
-	runCases(t, "wide", 1, dispatchersRestart, fleetSizes...)
+	runCases(t, "wide", 1, dispatcherRestartCases, fleetSizes...)
 }
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -18,7 +18,7 @@
 
 	eventCount uint64 // events so far: marks what holds for one of them
 	timerToken uint64 // of the timer that is set
-	wakeAt     Micros // when it fires; 0: none is set
+	timerDueAt Micros // when it fires; 0: none is set
 	loggedAt   Micros
 
 	jobState
@@ -40,19 +40,19 @@
 
 // workerState is the workers, in the orders and subsets that are kept of them.
 type workerState struct {
-	workers      map[WorkerID]*worker
-	ordered      []*worker // by sort key, the removed ones among them
-	subset       []*worker // those that are this dispatcher's own, by sort key, see updateSubset
-	ring         subset.Ring[*worker]
-	ownedOutside []*worker // ready ones that it owns by number and the interval lacks, by sort key
-	removed      []removedWorker
-	busy         []*worker // those with attempts in flight
-	gossipQueue  []*worker // those whose use may have to be reported to peers
-
-	position   float64 // of this dispatcher on the ring
-	reach      float64 // the part of the ring that a dispatcher covers
-	neighbours []int   // peers whose intervals overlap this one's
-	peers      []peer  // the dispatchers, by number
+	workers         map[WorkerID]*worker
+	ordered         []*worker // by sort key, the removed ones among them
+	subset          []*worker // those that are this dispatcher's own, by sort key, see updateSubset
+	ring            subset.Ring[*worker]
+	ownedNotCovered []*worker // ready ones that it owns by number and the interval lacks, by sort key
+	removed         []removedWorker
+	busy            []*worker // those with attempts in flight
+	gossipQueue     []*worker // those whose use may have to be reported to peers
+
+	position     float64 // of this dispatcher on the ring
+	ringCoverage float64 // the part of the ring that a dispatcher covers
+	neighbours   []int   // peers whose intervals overlap this one's
+	peers        []peer  // the dispatchers, by number
 }
 
 // endpointState is what is known of the worker list itself.
@@ -66,15 +66,15 @@
 
 // estimateState is what was learned of the fleet and the jobs.
 type estimateState struct {
-	classes        []classState
-	kinds          map[int]*kind
-	groups         map[groupKey]*group
-	slotTimes      quantileWindow // run time x slots of all jobs
-	fleet          speedEstimate
-	eventBestSpeed float64 // fastest speed in this event; 0: not computed yet
-	fastestWorker  *worker // that had it when last computed
-	meanValue      float64 // of a job
-	hintsSeen      bool    // jobs come with cost hints
+	classes         []classState
+	kinds           map[int]*kind
+	groups          map[groupKey]*group
+	slotTimes       quantileWindow // run time x slots of all jobs
+	fleetEstimate   speedEstimate
+	cachedBestSpeed float64 // fastest speed in this event; 0: not computed yet
+	fastestWorker   *worker // that had it when last computed
+	meanJobValue    float64 // of a job
+	hintsSeen       bool    // jobs come with cost hints
 }
 
 // admissionState is the gate's.
@@ -85,26 +85,26 @@
 	level       overloadLevel
 	gappedRanks int // ranks below this are gapped
 
-	severeStreak, overStreak, passStreak int // verdicts in a row
+	consecutiveSevere, consecutiveOverload, consecutiveNormal int // assessments in a row
 
-	ladderSteppedAt Micros
-	ladderStep      Micros // X: how long the ladder stays on a step
-	flows           []flow // (tenant, class, over quota)
-	ranks           []int  // (class, over quota): 0 is shed first
-	rankCount       int
-	refreshedAt     Micros
-	refreshCount    int
-	classesByTarget []int // classes by T_k
+	gappingSteppedAt      Micros
+	gappingStepInterval   Micros // X: how long gapping stays on a step
+	flows                 []flow // (tenant, class, over quota)
+	ranks                 []int  // (class, over quota): 0 is shed first
+	rankCount             int
+	parametersRefreshedAt Micros
+	parameterRefreshes    int
+	classesByWaitTarget   []int // classes by T_k
 }
 
 // placementState is what selectWorker keeps.
 type placementState struct {
-	scanLimit       int    // workers up to which a subset is scanned: maxScannedSubset
-	index           *index // of a large subset; nil: not needed yet
-	workersExamined uint64 // for jobs
-	capacitySeen    bool   // one of those examined has capacity for one more slot
-	noCapacityEvent uint64 // the event in which none of the subset has
-	dedupGroups     [ScopeCell + 1]map[int][]*worker
+	scanLimit        int    // workers up to which a subset is scanned: maxScannedSubset
+	index            *index // of a large subset; nil: not needed yet
+	workersExamined  uint64 // for jobs
+	freeCapacitySeen bool   // one of those examined has capacity for one more slot
+	noCapacityEvent  uint64 // the event in which none of the subset has
+	dedupGroups      [ScopeCell + 1]map[int][]*worker
 }
 
 // outlierState is what outlier detection keeps.
@@ -113,10 +113,10 @@
 	suspects      []*worker  // those that may be suspect or ejected
 	overdueStarts []*attempt // in flight, not begun
 
-	overdueInOrder      []*attempt // the same in order, in the event overdueInOrderEvent
-	overdueInOrderEvent uint64
+	sortedOverdueStarts      []*attempt // the same in order, in the event sortedOverdueStartsEvent
+	sortedOverdueStartsEvent uint64
 
-	failing struct { // workers of the subset that fail jobs, in an event
+	failingWorkers struct { // workers of the subset that fail jobs, in an event
 		event uint64
 		count float64
 	}
@@ -139,19 +139,19 @@
 	for i := range d.quotaTokens {
 		d.quotaTokens[i] = d.quotaBurst(i)
 	}
-	d.position = ringPosition(s.Index)
+	d.position = dispatcherRingPosition(s.Index)
 	d.peers = make([]peer, s.Dispatchers)
 	for i := range d.peers {
-		d.peers[i].position = ringPosition(i)
+		d.peers[i].position = dispatcherRingPosition(i)
 		d.peers[i].zone = unknownZone
 	}
 	for i := range d.flows {
-		d.flows[i].interval = -1
+		d.flows[i].lastGappingInterval = -1
 	}
-	d.ladderStep = d.settings.Classes[0].LatencyObjective
+	d.gappingStepInterval = d.settings.Classes[0].LatencyObjective
 	for k := range d.classes {
-		d.ladderStep = min(d.ladderStep, d.settings.Classes[k].LatencyObjective)
-		d.classesByTarget = append(d.classesByTarget, k)
+		d.gappingStepInterval = min(d.gappingStepInterval, d.settings.Classes[k].LatencyObjective)
+		d.classesByWaitTarget = append(d.classesByWaitTarget, k)
 	}
 	return d, nil
 }
@@ -173,17 +173,17 @@
 		next = d.pollAt
 	}
 	if len(d.queue) > 0 {
-		next = min(next, d.now+d.batchInterval())
+		next = min(next, d.now+d.inspectionInterval())
 	} else if len(d.jobs) > 0 {
-		next = min(next, d.now+max(second/8, d.batchInterval()))
+		next = min(next, d.now+max(second/8, d.inspectionInterval()))
 	}
 	if len(d.gossipQueue) > 0 {
-		next = min(next, d.now+waitNoticeBatches*d.settings.Granularity)
+		next = min(next, d.now+waitReportBatches*d.settings.Granularity)
 	}
-	if next == math.MaxInt64 || d.wakeAt != 0 && d.wakeAt <= next {
+	if next == math.MaxInt64 || d.timerDueAt != 0 && d.timerDueAt <= next {
 		return
 	}
-	d.wakeAt = next
+	d.timerDueAt = next
 	d.timerToken++
 	d.emit(Action{Kind: SetTimer, Delay: max(next-d.now, 0), Token: d.timerToken})
 }
--- a/internal/dispatch/state_form.go
+++ b/internal/dispatch/state_form.go
@@ -13,7 +13,7 @@
 func (d *Dispatcher) AppendState(b []byte) []byte {
 	f := fingerprint.Buffer(b)
 	d.appendAdmission(&f)
-	d.appendKnowledge(&f)
+	d.appendEstimates(&f)
 	for _, list := range [][]*worker{d.ordered, d.subset, d.busy, d.gossipQueue} {
 		f.Ints(int64(len(list)))
 		for _, w := range list {
@@ -33,49 +33,51 @@
 func (d *Dispatcher) appendAdmission(f *fingerprint.Buffer) {
 	f.Ints(int64(d.now), int64(d.startedAt), int64(d.random), int64(d.seq), int64(len(d.jobs)),
 		int64(len(d.queue)))
-	f.Ints(int64(d.level), int64(d.gappedRanks), int64(d.severeStreak), int64(d.overStreak), int64(d.passStreak),
-		int64(d.ladderSteppedAt), int64(d.ladderStep), int64(d.rankCount), int64(d.refreshedAt),
-		int64(d.refreshCount), int64(d.wakeAt), int64(d.timerToken), int64(d.pollAt), int64(d.pollFailures),
-		int64(d.loggedAt), int64(d.endpointsAsOf))
-	f.Floats(d.reach, d.position, d.meanValue, d.retryBudget, d.fleet.work, d.fleet.time)
+	f.Ints(int64(d.level), int64(d.gappedRanks), int64(d.consecutiveSevere),
+		int64(d.consecutiveOverload), int64(d.consecutiveNormal), int64(d.gappingSteppedAt),
+		int64(d.gappingStepInterval), int64(d.rankCount), int64(d.parametersRefreshedAt),
+		int64(d.parameterRefreshes), int64(d.timerDueAt), int64(d.timerToken), int64(d.pollAt),
+		int64(d.pollFailures), int64(d.loggedAt), int64(d.endpointsAsOf))
+	f.Floats(d.ringCoverage, d.position, d.meanJobValue, d.retryBudget,
+		d.fleetEstimate.work, d.fleetEstimate.time)
 	f.Bools(d.hintsSeen, d.panicMode)
-	appendRuns(f, &d.slotTimes)
+	appendQuantileWindow(f, &d.slotTimes)
 	f.Floats(d.quotaTokens...)
 	for _, at := range d.quotaRefilledAt {
 		f.Ints(int64(at))
 	}
 	for i := range d.classes {
 		c := &d.classes[i]
-		f.Floats(c.workSum, c.squareSum, c.count, c.arrived, c.guaranteedRate)
-		f.Ints(int64(c.target))
-		appendRuns(f, &c.runs)
+		f.Floats(c.workSum, c.workSquareSum, c.workCount, c.arrivals, c.guaranteedRate)
+		f.Ints(int64(c.waitTarget))
+		appendQuantileWindow(f, &c.runTimes)
 	}
 	for i := range d.flows {
 		f.Floats(d.flows[i].rate)
-		f.Ints(d.flows[i].interval)
+		f.Ints(d.flows[i].lastGappingInterval)
 	}
 }
 
-// appendKnowledge appends the ranks and what is known of peers, kinds and groups.
-func (d *Dispatcher) appendKnowledge(f *fingerprint.Buffer) {
-	for _, list := range [][]int{d.neighbours, d.ranks, d.classesByTarget} {
+// appendEstimates appends the ranks and what is known of peers, kinds and groups.
+func (d *Dispatcher) appendEstimates(f *fingerprint.Buffer) {
+	for _, list := range [][]int{d.neighbours, d.ranks, d.classesByWaitTarget} {
 		for _, n := range list {
 			f.Ints(int64(n))
 		}
 	}
 	for i := range d.peers {
 		f.Floats(d.peers[i].position)
-		f.Ints(int64(d.peers[i].zone), int64(d.peers[i].crossedAt))
+		f.Ints(int64(d.peers[i].zone), int64(d.peers[i].crossedZoneAt))
 	}
 	for _, n := range slices.Sorted(maps.Keys(d.kinds)) {
 		k := d.kinds[n]
-		f.Ints(int64(n), int64(k.topSlots), int64(k.probedAt))
-		f.Floats(k.work, k.time, k.maxSlotsSeen)
-		appendStarts(f, &k.starts)
+		f.Ints(int64(n), int64(k.maxSlotsTried), int64(k.capacityProbedAt))
+		f.Floats(k.work, k.time, k.maxBusySlots)
+		appendStartCounts(f, &k.startCountsBySlots)
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(d.groups), compareGroupKeys) {
 		g := d.groups[key]
-		f.Ints(int64(key.zone), int64(key.kind), int64(g.at))
+		f.Ints(int64(key.zone), int64(key.kind), int64(g.decayedAt))
 		f.Floats(g.sum, g.count)
 	}
 }
@@ -87,21 +89,21 @@
 func (d *Dispatcher) appendWorker(f *fingerprint.Buffer, w *worker) {
 	e := &w.entry
 	f.Ints(int64(e.Zone), int64(e.Cell), int64(e.Kind), int64(e.Status), int64(e.Started))
-	f.Ints(int64(w.unstarted), int64(w.slotLimitAt), int64(w.blockedUntil), int64(w.removedAt),
-		int64(w.lastSeen), int64(w.probeAt), int64(w.consecutiveFailures), int64(w.errorRateAt),
+	f.Ints(int64(w.unstartedAttempts), int64(w.slotLimitAt), int64(w.blockedUntil), int64(w.removedAt),
+		int64(w.lastSeen), int64(w.suspectRetryAt), int64(w.consecutiveFailures), int64(w.errorRateAt),
 		int64(w.ejectedUntil), int64(w.inferredStart), int64(w.slowStartBudgetAt),
-		int64(w.announced.used), int64(w.announced.waiting), int64(len(w.attempts)))
+		int64(w.lastGossiped.used), int64(w.lastGossiped.waiting), int64(len(w.attempts)))
 	f.Floats(w.ownSlots, w.slotLimit, w.reportedSlots, w.speed.work, w.speed.time, w.errorRate,
-		w.slowStartBudget, d.ringPositionOf(w), w.bias, w.startWait.sum, w.startWait.count)
-	f.Ints(int64(w.startWait.at))
-	f.Bools(w.suspect, w.unreachable, w.gossipQueued, w.kind != nil, w.starts != nil)
-	if w.starts != nil {
-		appendStarts(f, w.starts)
+		w.slowStartBudget, d.workerRingPosition(w), w.placementBias, w.startWait.sum, w.startWait.count)
+	f.Ints(int64(w.startWait.decayedAt))
+	f.Bools(w.suspect, w.unreachable, w.gossipQueued, w.kind != nil, w.startCountsBySlots != nil)
+	if w.startCountsBySlots != nil {
+		appendStartCounts(f, w.startCountsBySlots)
 	}
 	for i := range w.peerUses {
 		p := &w.peerUses[i]
-		f.Ints(int64(p.used), int64(p.waiting), int64(p.peer), int64(p.updatedAt), int64(p.grewAt),
-			int64(p.arriving), int64(p.waitingSince))
+		f.Ints(int64(p.used), int64(p.waiting), int64(p.peer), int64(p.updatedAt), int64(p.increasedAt),
+			int64(p.arrivingSlots), int64(p.waitingSince))
 	}
 	for _, a := range w.attempts {
 		f.Ints(int64(a.job.id), int64(a.number))
@@ -121,17 +123,17 @@
 	}
 }
 
-func appendStarts(f *fingerprint.Buffer, starts *[maxTrackedSlots + 1]startCounts) {
-	for i := range starts {
-		if starts[i] != (startCounts{}) {
+func appendStartCounts(f *fingerprint.Buffer, startCountsBySlots *[maxTrackedSlots + 1]startCounts) {
+	for i := range startCountsBySlots {
+		if startCountsBySlots[i] != (startCounts{}) {
 			f.Ints(int64(i))
-			f.Floats(starts[i].prompt, starts[i].late)
+			f.Floats(startCountsBySlots[i].prompt, startCountsBySlots[i].delayed)
 		}
 	}
 	f.Ints(-1)
 }
 
-func appendRuns(f *fingerprint.Buffer, q *quantileWindow) {
+func appendQuantileWindow(f *fingerprint.Buffer, q *quantileWindow) {
 	f.Ints(int64(q.count))
 	f.Floats(q.value)
 	f.Floats(q.samples[:min(q.count, maxRunSamples)]...)
--- a/internal/dispatch/subset.go
+++ b/internal/dispatch/subset.go
@@ -5,13 +5,13 @@
 // Subsetting: which workers this dispatcher sends to.
 
 const (
-	targetSharing   = 8.0 // dispatchers that share a worker of each zone, about
-	minSubsetSize   = 5.0 // workers of each zone in a subset, at least
-	smallFleet      = 8   // so many dispatchers meet seldom enough to need no gossip
-	crossingSeconds = 10  // how long one that sent from another zone is sent gossip
+	targetDispatchersPerWorker = 8.0 // dispatchers that share a worker of each zone, about
+	minSubsetSize              = 5.0 // workers of each zone in a subset, at least
+	maxSmallFleetDispatchers   = 8   // so many dispatchers meet seldom enough to need no gossip
+	crossZoneGossipSeconds     = 10  // how long one that sent from another zone is sent gossip
 
-	targetSharingNoGossip = 4.0 // like targetSharing: own jobs show more where fewer share a worker
-	minSubsetSizeNoGossip = 3.0
+	targetDispatchersPerWorkerNoGossip = 4.0 // own jobs show more where fewer dispatchers share a worker
+	minSubsetSizeNoGossip              = 3.0
 )
 
 // updateSubset picks this dispatcher's subset of the fleet. Hundreds of dispatchers would each see a
@@ -21,17 +21,17 @@
 // is in its owner's subset, too.
 func (d *Dispatcher) updateSubset(updated []*worker) {
 	d.reorder(updated)
-	reach := min(1, float64(d.ring.Zones())*d.subsetFraction(d.ring.Len()))
-	if reach != d.reach {
-		d.reach, d.neighbours = reach, d.neighbours[:0]
+	ringCoverage := min(1, float64(d.ring.Zones())*d.subsetFraction(d.ring.Len()))
+	if ringCoverage != d.ringCoverage {
+		d.ringCoverage, d.neighbours = ringCoverage, d.neighbours[:0]
 		for p := range d.peers {
-			if distance := math.Abs(d.peers[p].position - d.position); min(distance, 1-distance) < d.reach {
+			if distance := math.Abs(d.peers[p].position - d.position); min(distance, 1-distance) < d.ringCoverage {
 				d.neighbours = append(d.neighbours, p)
 			}
 		}
 	}
-	d.ring.Cover(d.position, d.reach, d.setCovered)
-	for _, w := range d.ownedOutside {
+	d.ring.Cover(d.position, d.ringCoverage, d.setCovered)
+	for _, w := range d.ownedNotCovered {
 		d.setInSubset(w, d.slowStartSince(w) != 0)
 	}
 }
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -30,22 +30,22 @@
 	if d.largeSubset() || len(d.overdueStarts) < 2 {
 		return d.overdueStarts
 	}
-	if d.overdueInOrderEvent != d.eventCount {
-		d.overdueInOrderEvent, d.overdueInOrder = d.eventCount, d.overdueInOrder[:0]
+	if d.sortedOverdueStartsEvent != d.eventCount {
+		d.sortedOverdueStartsEvent, d.sortedOverdueStarts = d.eventCount, d.sortedOverdueStarts[:0]
 		for _, w := range d.busy {
 			for _, a := range w.attempts {
 				if a.startOverdue && a.startedAt == 0 {
-					d.overdueInOrder = append(d.overdueInOrder, a)
+					d.sortedOverdueStarts = append(d.sortedOverdueStarts, a)
 				}
 			}
 		}
 	}
-	return d.overdueInOrder
+	return d.sortedOverdueStarts
 }
 
 // clearOverdue takes note that an attempt began or ended.
 func (d *Dispatcher) clearOverdue(a *attempt) {
 	if a.startOverdue {
-		d.overdueStarts = without(d.overdueStarts, a)
+		d.overdueStarts = removeValue(d.overdueStarts, a)
 	}
 }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -192,7 +192,7 @@
 }
 
 func (w *worker) loadReport() dispatch.Report {
-	return dispatch.Report{Known: true, Free: w.kind.slots - w.usedSlots, Outstanding: float64(len(w.attempts)),
+	return dispatch.Report{FreeKnown: true, Free: w.kind.slots - w.usedSlots, Outstanding: float64(len(w.attempts)),
 		Errors: w.recentErrors()}
 }
 
@@ -202,7 +202,7 @@
 	f, sentAt := w.fleet, w.fleet.now
 	callback.ID, callback.From = a.request.id, w.uid
 	bytes := callbackBytes + len(callback.Result)
-	if callback.Report.Known {
+	if callback.Report.FreeKnown {
 		bytes += reportBytes
 	}
 	f.network.send(w.zone, a.node.zone, bytes, func() {
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -129,7 +129,7 @@
 	Fields(in, func(key string) {
 		switch key {
 		case "x0":
-			r.Free, r.Known = in.Float64(), true
+			r.Free, r.FreeKnown = in.Float64(), true
 		case "eps":
 			r.Errors = in.Float64()
 		case "inflight":
--- a/internal/scheduler/clone.go
+++ b/internal/scheduler/clone.go
@@ -130,7 +130,7 @@
 		ReservedIDs:   len(s.usedIDs.current) + len(s.usedIDs.previous),
 	}
 	if s.dispatcher != nil {
-		stats.DispatcherJobs = s.dispatcher.Open()
+		stats.DispatcherJobs = s.dispatcher.OpenJobs()
 	}
 	for _, t := range s.timers {
 		if t.kind != dispatcherTimer {
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -67,7 +67,7 @@
 	s.byCaller[r.caller], s.byID[r.id], s.byJob[r.job] = r, r, r
 	s.addTimer(timer{at: r.deadline, kind: requestDeadline, id: uint64(r.caller)})
 	s.stepDispatcher(dispatch.Event{Kind: dispatch.JobArrived, Job: r.job, Class: class, Tenant: tenant,
-		Patience: max(e.Deadline-s.now, 0), Slots: e.Slots, Retry: e.Retry})
+		ClientTimeout: max(e.Deadline-s.now, 0), Slots: e.Slots, Retry: e.Retry})
 }
 
 // checkSubmission says why a submission cannot be taken, in the words of the answer to the client.
