--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -202,7 +202,7 @@
 	decodeObject(in, func(key string) bool {
 		switch key {
 		case "x0":
-			m.report.Free, m.report.Known = in.Float64(), true
+			m.report.Free, m.report.FreeKnown = in.Float64(), true
 		case "errors_per_s":
 			m.report.Errors = in.Float64()
 		case "outstanding":
@@ -276,7 +276,7 @@
 	switch m.name {
 	case "knock":
 		e.Kind, e.Class, e.Tenant = dispatch.JobArrived, m.class, m.tenant
-		e.Patience, e.Work = dispatch.Micros(m.patience), dispatch.Micros(m.estimate)
+		e.ClientTimeout, e.Work = dispatch.Micros(m.patience), dispatch.Micros(m.estimate)
 		e.Retry = m.retry
 		e.Slots = max(m.needs, m.memory)
 	case "completed":
