--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -53,8 +53,8 @@
 	}
 	// The file that it closes has been replaced, or was not changed.
 	defer func() { _ = source.close() }()
-	if source.metaFault != nil {
-		return 0, 0, fmt.Errorf("store %s: %w", path, source.metaFault)
+	if source.metaPageErr != nil {
+		return 0, 0, fmt.Errorf("store %s: %w", path, source.metaPageErr)
 	}
 	if err := replaceFile(path, source.compactInto); err != nil {
 		return 0, 0, err
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -16,9 +16,9 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// engineRate writes what accepts would, directly to the engine, in batches of the same size, and returns
+// bareEngineRate writes what accepts would, directly to the engine, in batches of the same size, and returns
 // the records per second.
-func engineRate(b *testing.B, batch int) float64 {
+func bareEngineRate(b *testing.B, batch int) float64 {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "bare"), 0o600, &bbolt.Options{
 		FreelistType: bbolt.FreelistMapType})
 	if err != nil {
@@ -53,43 +53,43 @@
 				b.Fatal(err)
 			}
 			c := &countingDisk{disk: d}
-			s, err := start(Config{MaxItems: defaultItems, MaxBytes: 8 << 30}, c)
+			s, err := start(Config{MaxItems: defaultMaxItems, MaxBytes: 8 << 30}, c)
 			if err != nil {
 				b.Fatal(err)
 			}
 			defer closeStore(b, s)
 			var mu sync.Mutex
-			var took []time.Duration
+			var latencies []time.Duration
 			var all sync.WaitGroup
 			b.ResetTimer()
 			began := time.Now()
 			for k := range callers {
 				all.Go(func() {
-					var mine []time.Duration
+					var callerLatencies []time.Duration
 					for n := 0; n < max(b.N/callers, 1); n++ {
 						it := &lifecycle.Item{ID: fmt.Sprintf("item-%09d", rand.IntN(1<<30)), Class: "post-reading",
 							Body: make([]byte, 200), Deadline: lifecycle.Micros(k)}
 						at := time.Now()
-						if err := accept(s, it); err != nil {
+						if err := acceptAndWait(s, it); err != nil {
 							b.Error(err)
 							return
 						}
-						mine = append(mine, time.Since(at))
+						callerLatencies = append(callerLatencies, time.Since(at))
 					}
 					mu.Lock()
-					took = append(took, mine...)
+					latencies = append(latencies, callerLatencies...)
 					mu.Unlock()
 				})
 			}
 			all.Wait()
-			rate := float64(len(took)) / time.Since(began).Seconds()
-			slices.Sort(took)
+			rate := float64(len(latencies)) / time.Since(began).Seconds()
+			slices.Sort(latencies)
 			b.StopTimer()
-			batch := float64(len(took)) / float64(c.commits)
+			batch := float64(len(latencies)) / float64(c.commits)
 			b.ReportMetric(rate, "accepts/s")
 			b.ReportMetric(batch, "a-commit")
-			b.ReportMetric(rate/engineRate(b, int(math.Round(batch))), "of-engine")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
+			b.ReportMetric(rate/bareEngineRate(b, int(math.Round(batch))), "of-engine")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
 		})
 	}
 }
@@ -99,11 +99,11 @@
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			path := filepath.Join(b.TempDir(), "jobs")
-			s := open(b, Config{Path: path, MaxItems: 2_000_000, MaxBytes: 8 << 30})
+			s := openStore(b, Config{Path: path, MaxItems: 2_000_000, MaxBytes: 8 << 30})
 			inFlight := make(chan bool, 1024)
 			for i := range n {
 				inFlight <- true
-				it := item(i)
+				it := testItem(i)
 				it.Body = make([]byte, 200)
 				if err := s.Accept(Change{Item: it, Done: func(error) { <-inFlight }}); err != nil {
 					b.Fatal(err)
@@ -114,7 +114,7 @@
 			}
 			var heap uint64
 			for b.Loop() {
-				s := open(b, Config{Path: path, MaxItems: 2_000_000, MaxBytes: 8 << 30})
+				s := openStore(b, Config{Path: path, MaxItems: 2_000_000, MaxBytes: 8 << 30})
 				r, err := s.Recover(1)
 				if err != nil || len(r.Items) != n {
 					b.Fatal(err)
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -30,9 +30,9 @@
 // bolt is a disk in a file of bbolt.
 type bolt struct {
 	db *bbolt.DB
-	// metaFault says that one of the two meta pages is corrupt. If it was the newest, the engine goes back by
+	// metaPageErr says that one of the two meta pages is corrupt. If it was the newest, the engine goes back by
 	// a commit without reporting it.
-	metaFault error
+	metaPageErr error
 }
 
 var _ disk = (*bolt)(nil)
@@ -52,10 +52,10 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &bolt{db: db, metaFault: checkMetaPages(path, db.Info().PageSize)}
+	b := &bolt{db: db, metaPageErr: checkMetaPages(path, db.Info().PageSize)}
 	err = b.view(checkFormat)
 	if err != nil && mode == readWrite { // nothing is written to a file that is in order
-		err = catchPanics(func() error { return db.Update(prepare) })
+		err = catchPanics(func() error { return db.Update(createOrMigrate) })
 	}
 	if err != nil {
 		return nil, errors.Join(err, db.Close())
@@ -115,11 +115,11 @@
 func (b *bolt) bytesInUse(fileSize int64) int64 { return fileSize - int64(b.db.Stats().FreeAlloc) }
 
 // commit writes a batch, and returns how many items and bytes the store has then.
-func (b *bolt) commit(seen lifecycle.Micros, batch []Change) (items int, bytes int64, err error) {
+func (b *bolt) commit(commitTime lifecycle.Micros, batch []Change) (items int, bytes int64, err error) {
 	var fileSize int64
 	err = catchPanics(func() error {
 		return b.db.Update(func(tx *bbolt.Tx) (err error) {
-			items, err = apply(tx, seen, batch)
+			items, err = applyBatch(tx, commitTime, batch)
 			fileSize = tx.Size()
 			return err
 		})
@@ -127,8 +127,8 @@
 	return items, b.bytesInUse(fileSize), err
 }
 
-// apply writes a batch within a transaction, and returns how many items there are then.
-func apply(tx *bbolt.Tx, seen lifecycle.Micros, batch []Change) (int, error) {
+// applyBatch writes a batch within a transaction, and returns how many items there are then.
+func applyBatch(tx *bbolt.Tx, commitTime lifecycle.Micros, batch []Change) (int, error) {
 	items, meta := tx.Bucket(itemsBucket), tx.Bucket(metaBucket)
 	count := decodeUint(meta.Get(countKey))
 	for _, c := range batch {
@@ -153,8 +153,8 @@
 	if err := meta.Put(countKey, encodeUint(count)); err != nil {
 		return 0, err
 	}
-	if latest := decodeUint(meta.Get(seenKey)); uint64(seen) > latest {
-		if err := meta.Put(seenKey, encodeUint(uint64(seen))); err != nil {
+	if latest := decodeUint(meta.Get(latestCommitKey)); uint64(commitTime) > latest {
+		if err := meta.Put(latestCommitKey, encodeUint(uint64(commitTime))); err != nil {
 			return 0, err
 		}
 	}
@@ -165,15 +165,15 @@
 // an item; then there may be no item. A fault without an id concerns the store as a whole.
 func (b *bolt) forEach(do func(id string, it *lifecycle.Item, fault error) error) error {
 	return b.view(func(tx *bbolt.Tx) error {
-		if b.metaFault != nil {
-			if err := do("", nil, b.metaFault); err != nil {
+		if b.metaPageErr != nil {
+			if err := do("", nil, b.metaPageErr); err != nil {
 				return err
 			}
 		}
 		n := uint64(0)
 		err := tx.Bucket(itemsBucket).ForEach(func(key, record []byte) error {
 			n++
-			it, err := unseal(key, record)
+			it, err := decodeRecord(key, record)
 			if err == nil {
 				err = it.Check()
 			}
@@ -189,10 +189,10 @@
 	})
 }
 
-// seen returns the latest time of a commit.
-func (b *bolt) seen() (at lifecycle.Micros, err error) {
+// commitTime returns the latest time of a commit.
+func (b *bolt) commitTime() (at lifecycle.Micros, err error) {
 	err = b.view(func(tx *bbolt.Tx) error {
-		at = lifecycle.Micros(decodeUint(tx.Bucket(metaBucket).Get(seenKey)))
+		at = lifecycle.Micros(decodeUint(tx.Bucket(metaBucket).Get(latestCommitKey)))
 		return nil
 	})
 	return at, err
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -15,8 +15,8 @@
 // version2Items are the items that testdata/v2.db holds: each effect, each outcome of an attempt, each
 // verdict, and each field of a record at least once.
 func version2Items() map[string]*lifecycle.Item {
-	attempt := func(region, rack string, at, ended lifecycle.Micros, how lifecycle.Outcome) lifecycle.Attempt {
-		return lifecycle.Attempt{Worker: region, Rack: rack, At: at, Ended: ended, Outcome: how}
+	attempt := func(worker, rack string, at, ended lifecycle.Micros, outcome lifecycle.Outcome) lifecycle.Attempt {
+		return lifecycle.Attempt{Worker: worker, Rack: rack, At: at, Ended: ended, Outcome: outcome}
 	}
 	all := map[string]*lifecycle.Item{}
 	for _, it := range []*lifecycle.Item{
@@ -65,12 +65,12 @@
 	if items, faults, err := Check(path); err != nil || len(faults) > 0 || items != len(want) {
 		t.Errorf("%d items, %d expected, faults %v, %v", items, len(want), faults, err)
 	}
-	s := open(t, Config{Path: path})
+	s := openStore(t, Config{Path: path})
 	if diff := cmp.Diff(want, readAll(t, s)); diff != "" {
 		t.Error(diff)
 	}
-	if seen, err := s.disk.seen(); err != nil || seen < 1_700_000_000_000_000 {
-		t.Errorf("latest time %d, %v", seen, err)
+	if commitTime, err := s.disk.commitTime(); err != nil || commitTime < 1_700_000_000_000_000 {
+		t.Errorf("latest time %d, %v", commitTime, err)
 	}
 	err = s.disk.(*bolt).db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(itemsBucket).ForEach(func(id, record []byte) error {
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -13,15 +13,15 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// version is that of the format. Version 1 had neither checksums nor a count of the records.
-const version = 2
+// formatVersion is that of the format. Version 1 had neither checksums nor a count of the records.
+const formatVersion = 2
 
 var (
-	itemsBucket = []byte("items") // by id: the checksum, and the item in JSON
-	metaBucket  = []byte("meta")
-	versionKey  = []byte("version")
-	seenKey     = []byte("seen")  // the latest time of a commit, in microseconds
-	countKey    = []byte("count") // of items: it shows that a record is missing
+	itemsBucket     = []byte("items") // by id: the checksum, and the item in JSON
+	metaBucket      = []byte("meta")
+	versionKey      = []byte("version")
+	latestCommitKey = []byte("seen")  // the latest time of a commit, in microseconds
+	countKey        = []byte("count") // of items: it shows that a record is missing
 )
 
 // checksumBytes is the length of a record's checksum, which comes first in it.
@@ -37,14 +37,14 @@
 	return crc32.Update(crc32.Checksum(key, castagnoliTable()), castagnoliTable(), payload)
 }
 
-// seal puts a record's checksum before it. The checksum covers the key: a record under another's key is as
+// addChecksum puts a record's checksum before it. The checksum covers the key: a record under another's key is as
 // corrupt as a flipped bit.
-func seal(key, payload []byte) []byte {
+func addChecksum(key, payload []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, checksum(key, payload)), payload...)
 }
 
-// unseal decodes a record. The error is errCorrupt.
-func unseal(key, record []byte) (*lifecycle.Item, error) {
+// decodeRecord decodes a record. The error is errCorrupt.
+func decodeRecord(key, record []byte) (*lifecycle.Item, error) {
 	if len(record) < checksumBytes ||
 		binary.BigEndian.Uint32(record) != checksum(key, record[checksumBytes:]) {
 		return nil, errCorrupt
@@ -72,14 +72,14 @@
 	if meta == nil || tx.Bucket(itemsBucket) == nil {
 		return errors.New("this is no job store")
 	}
-	if v := decodeUint(meta.Get(versionKey)); v != version {
-		return fmt.Errorf("format version %d, this program knows %d", v, version)
+	if v := decodeUint(meta.Get(versionKey)); v != formatVersion {
+		return fmt.Errorf("format version %d, this program knows %d", v, formatVersion)
 	}
 	return nil
 }
 
-// prepare creates what a new store needs, and migrates an older format to this one.
-func prepare(tx *bbolt.Tx) error {
+// createOrMigrate creates what a new store needs, and migrates an older format to this one.
+func createOrMigrate(tx *bbolt.Tx) error {
 	items, err := tx.CreateBucketIfNotExists(itemsBucket)
 	if err != nil {
 		return err
@@ -90,15 +90,15 @@
 	}
 	switch v := meta.Get(versionKey); {
 	case v == nil:
-		return errors.Join(meta.Put(versionKey, encodeUint(version)), meta.Put(countKey, encodeUint(0)))
+		return errors.Join(meta.Put(versionKey, encodeUint(formatVersion)), meta.Put(countKey, encodeUint(0)))
 	case decodeUint(v) == 1:
-		return migrate(items, meta)
+		return migrateFromVersion1(items, meta)
 	}
 	return checkFormat(tx)
 }
 
-// migrate seals and counts the records of version 1. After a crash in it the file still has version 1.
-func migrate(items, meta *bbolt.Bucket) error {
+// migrateFromVersion1 seals and counts the records of version 1. After a crash in it the file still has version 1.
+func migrateFromVersion1(items, meta *bbolt.Bucket) error {
 	records := map[string][]byte{}
 	err := items.ForEach(func(key, record []byte) error {
 		var it lifecycle.Item
@@ -112,10 +112,10 @@
 		return err
 	}
 	for key, record := range records {
-		if err := items.Put([]byte(key), seal([]byte(key), record)); err != nil {
+		if err := items.Put([]byte(key), addChecksum([]byte(key), record)); err != nil {
 			return err
 		}
 	}
-	return errors.Join(meta.Put(versionKey, encodeUint(version)),
+	return errors.Join(meta.Put(versionKey, encodeUint(formatVersion)),
 		meta.Put(countKey, encodeUint(uint64(len(records)))))
 }
--- a/internal/store/lifecycle/item.go
+++ b/internal/store/lifecycle/item.go
@@ -121,13 +121,13 @@
 
 // The errors of events that an item does not allow.
 var (
-	ErrAnswered        = errors.New("the item has its answer")
-	ErrOutstanding     = errors.New("an attempt is outstanding")
-	ErrNoAttempt       = errors.New("no attempt is outstanding")
-	ErrTooManyAttempts = errors.New("no attempt is left")
-	ErrMayHaveRun      = errors.New("an attempt may have run, and the class allows no repeat there")
-	ErrDeadlinePassed  = errors.New("the deadline has passed")
-	ErrUnprovenVerdict = errors.New("the answer is not what the attempts prove")
+	ErrAnswered           = errors.New("the item has its answer")
+	ErrOutstanding        = errors.New("an attempt is outstanding")
+	ErrNoAttempt          = errors.New("no attempt is outstanding")
+	ErrTooManyAttempts    = errors.New("no attempt is left")
+	ErrMayHaveRun         = errors.New("an attempt may have run, and the class allows no repeat there")
+	ErrDeadlinePassed     = errors.New("the deadline has passed")
+	ErrUnjustifiedVerdict = errors.New("the answer is not what the attempts prove")
 )
 
 // Apply applies an event. An item that does not allow it is not changed, and the error is one of those above.
@@ -147,7 +147,7 @@
 }
 
 func (it *Item) route(e Event) error {
-	if err := it.MayRoute(e.At, e.Rack); err != nil {
+	if err := it.CheckRoute(e.At, e.Rack); err != nil {
 		return err
 	}
 	// A copy of the slice: copies of the item may share these attempts.
@@ -170,15 +170,15 @@
 }
 
 func (it *Item) answer(e Event) error {
-	if !it.proves(e.Verdict) {
-		return ErrUnprovenVerdict
+	if !it.justifies(e.Verdict) {
+		return ErrUnjustifiedVerdict
 	}
 	it.Verdict, it.Answered, it.KeepUntil = e.Verdict, e.At, e.KeepUntil
 	return nil
 }
 
-// proves reports whether the attempts justify a verdict.
-func (it *Item) proves(v Verdict) bool {
+// justifies reports whether the attempts justify a verdict.
+func (it *Item) justifies(v Verdict) bool {
 	switch v {
 	case Served:
 		return len(it.Attempts) > 0 && it.Attempts[len(it.Attempts)-1].Outcome == Done
@@ -206,8 +206,8 @@
 	return Attempt{}, false
 }
 
-// MayRoute reports why no further attempt may be sent to a rack at a time; nil: it may.
-func (it *Item) MayRoute(at Micros, rack string) error {
+// CheckRoute reports why no further attempt may be sent to a rack at a time; nil: it may.
+func (it *Item) CheckRoute(at Micros, rack string) error {
 	switch {
 	case it.Verdict != None:
 		return ErrAnswered
--- a/internal/store/lifecycle/item_test.go
+++ b/internal/store/lifecycle/item_test.go
@@ -19,18 +19,18 @@
 	return Event{Kind: Routed, At: at, Worker: "s-" + rack, Rack: rack}
 }
 
-func attemptEndedEvent(what Outcome) Event {
-	return Event{Kind: AttemptEnded, At: 2 * second, Outcome: what}
+func attemptEndedEvent(outcome Outcome) Event {
+	return Event{Kind: AttemptEnded, At: 2 * second, Outcome: outcome}
 }
 
 // Where another attempt may go, by effect and by how the last one ended.
-func TestMayRoute(t *testing.T) {
+func TestCheckRoute(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		what Outcome
-		at   Micros
-		rack string
-		want [4]error // once, rack, anywhere, safe
+		name    string
+		outcome Outcome
+		at      Micros
+		rack    string
+		want    [4]error // once, rack, anywhere, safe
 	}{
 		{"it never ran", NeverRan, 5 * second, "b", [4]error{}},
 		{"it may have run, same rack", MayHaveRun, 5 * second, "a", [4]error{ErrMayHaveRun, nil, nil, nil}},
@@ -47,12 +47,12 @@
 			if err := it.Apply(routedEvent(second, "a")); err != nil {
 				t.Fatal(err)
 			}
-			if c.what != Unfinished {
-				if err := it.Apply(attemptEndedEvent(c.what)); err != nil {
+			if c.outcome != Unfinished {
+				if err := it.Apply(attemptEndedEvent(c.outcome)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if got := it.MayRoute(c.at, c.rack); !errors.Is(got, want) {
+			if got := it.CheckRoute(c.at, c.rack); !errors.Is(got, want) {
 				t.Errorf("%s, effect %d: %v, want %v", c.name, effect, got, want)
 			}
 		}
@@ -61,26 +61,26 @@
 
 // What recovery does, by what was on disk.
 func TestRecover(t *testing.T) {
-	open := []Event{routedEvent(second, "a")}
-	ran := append(slices.Clone(open), attemptEndedEvent(MayHaveRun))
-	done := append(slices.Clone(open), Event{Kind: AttemptEnded, At: 2 * second, Outcome: Done,
+	outstanding := []Event{routedEvent(second, "a")}
+	ran := append(slices.Clone(outstanding), attemptEndedEvent(MayHaveRun))
+	done := append(slices.Clone(outstanding), Event{Kind: AttemptEnded, At: 2 * second, Outcome: Done,
 		Result: []byte("r")})
-	over := append(slices.Clone(done), Event{Kind: Answered, At: 2 * second, Verdict: Served,
+	answered := append(slices.Clone(done), Event{Kind: Answered, At: 2 * second, Verdict: Served,
 		KeepUntil: 20 * second})
 	for _, c := range []struct {
 		name   string
 		effect Effect
 		events []Event
 		now    Clock
-		step   Step
+		step   RecoveryStep
 		event  Event
 	}{
 		{"never sent", Once, nil, Clock{At: 5 * second}, Resume, Event{}},
 		{"never sent, too late", Once, nil, Clock{At: 100 * second}, Apply,
 			Event{Kind: Answered, At: 100 * second, Verdict: Expired, KeepUntil: 107 * second}},
-		{"in flight, workers may call back", Once, open, Clock{At: 5 * second}, Wait, Event{}},
-		{"in flight, too late, workers may call back", Once, open, Clock{At: 200 * second}, Wait, Event{}},
-		{"in flight, no worker called back", Once, open, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
+		{"in flight, workers may call back", Once, outstanding, Clock{At: 5 * second}, AwaitCallback, Event{}},
+		{"in flight, too late, workers may call back", Once, outstanding, Clock{At: 200 * second}, AwaitCallback, Event{}},
+		{"in flight, no worker called back", Once, outstanding, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
 			Event{Kind: AttemptEnded, At: 5 * second, Outcome: MayHaveRun}},
 		{"may have run, once", Once, ran, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
 			Event{Kind: Answered, At: 5 * second, Verdict: Failed, KeepUntil: 12 * second}},
@@ -93,8 +93,8 @@
 			Event{}},
 		{"done, not answered", Once, done, Clock{At: 200 * second}, Apply,
 			Event{Kind: Answered, At: 200 * second, Verdict: Served, KeepUntil: 207 * second}},
-		{"answered", Once, over, Clock{At: 5 * second}, KeepAnswer, Event{}},
-		{"answered long ago", Once, over, Clock{At: 20 * second}, Delete, Event{}},
+		{"answered", Once, answered, Clock{At: 5 * second}, KeepAnswer, Event{}},
+		{"answered long ago", Once, answered, Clock{At: 20 * second}, Delete, Event{}},
 	} {
 		it := newItem(c.effect)
 		for _, e := range c.events {
@@ -122,7 +122,7 @@
 		want  Clock
 	}{{10 * second, Clock{At: 10 * second}}, {hour, Clock{At: hour}},
 		{9*second - hour, Clock{At: 9 * second, WentBack: true}}} {
-		if diff := cmp.Diff(c.want, ClockSince(c.clock, 9*second)); diff != "" {
+		if diff := cmp.Diff(c.want, ClockAfterRestart(c.clock, 9*second)); diff != "" {
 			t.Error(diff)
 		}
 	}
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -31,17 +31,17 @@
 	Runs             int
 	RanIn            [2]bool
 	Violation        string
-	SkippedWait      wait // that the process leaves out: an injected fault
+	SkippedWait      diskWait // that the process leaves out: an injected fault
 }
 
-// wait is what the process waits for the disk for, before it does it.
-type wait string
+// diskWait is what the process waits for the disk for, before it does it.
+type diskWait string
 
 const (
-	beforeAccept wait = "accept" // confirm the item to its client
-	beforeRoute  wait = "route"  // send an attempt
-	before204    wait = "204"    // confirm a callback to its worker
-	beforeAnswer wait = "answer" // give the answer to the client
+	beforeAccept diskWait = "accept" // confirm the item to its client
+	beforeRoute  diskWait = "route"  // send an attempt
+	before204    diskWait = "204"    // confirm a callback to its worker
+	beforeAnswer diskWait = "answer" // give the answer to the client
 )
 
 // racks has the rack of each worker, by which a worker is called, too.
@@ -52,9 +52,9 @@
 	CallsBack bool // it ran, and calls back until it is answered
 }
 
-const maxModelAttempts = 2
+const maxModelledAttempts = 2
 
-const keepFor = 50 * second
+const answerRetention = 50 * second
 
 func (w *world) clone() *world {
 	raw, err := json.Marshal(w)
@@ -71,8 +71,8 @@
 // saved reports whether the process's item is on disk as it is in memory.
 func (w *world) saved() bool { return len(w.Unsaved) == 0 }
 
-// note applies an event in the process, which writes the item.
-func (w *world) note(e Event) {
+// applyAndWrite applies an event in the process, which writes the item.
+func (w *world) applyAndWrite(e Event) {
 	if err := w.Mem.Apply(e); err != nil {
 		w.Violation = fmt.Sprintf("event %d at %d: %v", e.Kind, e.At, err)
 		return
@@ -88,12 +88,12 @@
 
 // actions are the things that may happen next. Their order fixes the numbers that Step takes.
 func (w *world) actions() []action {
-	all := w.workerActions(w.kills())
+	all := w.workerActions(w.killActions())
 	switch {
 	case !w.Submitted:
 		return append(all, action{"a client submits it", (*world).submit})
 	case w.Dead:
-		return w.restarts(all)
+		return w.restartActions(all)
 	}
 	if len(w.Unsaved) > 0 {
 		all = append(all, action{"a sync", (*world).sync})
@@ -104,8 +104,8 @@
 	return w.processActions(all)
 }
 
-// kills end the process while any number of its last writes are lost.
-func (w *world) kills() (all []action) {
+// killActions end the process while any number of its last writes are lost.
+func (w *world) killActions() (all []action) {
 	if w.Crashes == 0 || w.Dead || !w.Submitted {
 		return nil
 	}
@@ -154,7 +154,7 @@
 }
 
 func (w *world) callBack(i int) {
-	w.note(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
+	w.applyAndWrite(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
 	if w.SkippedWait == before204 {
 		w.Workers[i].CallsBack, w.ResultAcked = false, true // before its record is on disk
 	}
@@ -183,11 +183,11 @@
 	w.AcceptConfirmed = true
 }
 
-// restarts start the process again with what is on disk.
-func (w *world) restarts(all []action) []action {
-	for _, back := range []bool{false, true} {
-		all = append(all, action{fmt.Sprint("starts again, the clock went back: ", back), func(w *world) {
-			w.Dead, w.ClockWentBack = false, back
+// restartActions start the process again with what is on disk.
+func (w *world) restartActions(all []action) []action {
+	for _, wentBack := range []bool{false, true} {
+		all = append(all, action{fmt.Sprint("starts again, the clock went back: ", wentBack), func(w *world) {
+			w.Dead, w.ClockWentBack = false, wentBack
 			if w.Disk != nil {
 				it := *w.Disk
 				w.Mem, w.Sent = &it, it.Outstanding() // it may have been sent before
@@ -204,14 +204,14 @@
 		add("the wait for callbacks is over", func(w *world) { w.CallbackWaitOver = true })
 	}
 	step, event := Recover(w.Mem, Clock{At: w.Now, WentBack: w.ClockWentBack,
-		CallbackWaitOver: w.CallbackWaitOver}, keepFor)
+		CallbackWaitOver: w.CallbackWaitOver}, answerRetention)
 	switch {
 	case step == Apply && w.saved():
-		add("it is concluded", func(w *world) { w.note(event) })
+		add("it is concluded", func(w *world) { w.applyAndWrite(event) })
 	case step == Resume && w.saved() &&
-		len(w.Mem.Attempts) < maxModelAttempts: // fewer than allowed: fewer states
+		len(w.Mem.Attempts) < maxModelledAttempts: // fewer than allowed: fewer states
 		for i, rack := range racks {
-			if w.Mem.MayRoute(w.Now, rack) == nil {
+			if w.Mem.CheckRoute(w.Now, rack) == nil {
 				add("it is routed to "+rack, func(w *world) { w.route(i) })
 			}
 		}
@@ -230,7 +230,7 @@
 }
 
 func (w *world) route(i int) {
-	w.note(Event{Kind: Routed, At: w.Now, Worker: racks[i], Rack: racks[i]})
+	w.applyAndWrite(Event{Kind: Routed, At: w.Now, Worker: racks[i], Rack: racks[i]})
 	if w.SkippedWait == beforeRoute {
 		w.send(i)
 	}
@@ -309,7 +309,7 @@
 
 // Each of the waits is needed: without any one of them a promise breaks.
 func TestEachWaitIsNeeded(t *testing.T) {
-	for _, skipped := range []wait{beforeAccept, beforeRoute, before204, beforeAnswer} {
+	for _, skipped := range []diskWait{beforeAccept, beforeRoute, before204, beforeAnswer} {
 		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, SkippedWait: skipped}, 1_000_000)
 		if tour.Violation == nil {
 			t.Errorf("nothing breaks without the wait before %s: %v", skipped, tour)
--- a/internal/store/reader.go
+++ b/internal/store/reader.go
@@ -46,7 +46,7 @@
 		if record == nil {
 			return ErrNotFound
 		}
-		it, err = unseal([]byte(id), record)
+		it, err = decodeRecord([]byte(id), record)
 		return err
 	})
 	return it, err
@@ -64,7 +64,7 @@
 	defer closeReadOnly(r)
 	err = r.Each(func(id string, _ *lifecycle.Item, fault error) error {
 		if fault != nil {
-			faults = append(faults, withID(id, fault))
+			faults = append(faults, prefixItemID(id, fault))
 		} else {
 			items++
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -22,13 +22,13 @@
 }
 
 const (
-	defaultItems = 1_000_000
-	defaultBytes = 1 << 30
-	maxQueue     = 4096 // changes that wait for the disk
-	maxBatch     = 1024 // changes in a commit
-	// updateReserve is the part of MaxBytes, one in so many, that only changes to known items may use: what was
+	defaultMaxItems  = 1_000_000
+	defaultMaxBytes  = 1 << 30
+	maxQueuedChanges = 4096 // changes that wait for the disk
+	maxBatchChanges  = 1024 // changes in a commit
+	// updateReserveDivisor is the part of MaxBytes, one in so many, that only changes to known items may use: what was
 	// accepted must be able to end.
-	updateReserve = 8
+	updateReserveDivisor = 8
 )
 
 // Change is an item's new state, or its deletion.
@@ -67,9 +67,9 @@
 
 // disk is what a store needs of its engine. A commit is on disk as a whole when it returns nil.
 type disk interface {
-	commit(seen lifecycle.Micros, batch []Change) (items int, bytes int64, err error)
+	commit(commitTime lifecycle.Micros, batch []Change) (items int, bytes int64, err error)
 	forEach(func(id string, it *lifecycle.Item, fault error) error) error
-	seen() (lifecycle.Micros, error)
+	commitTime() (lifecycle.Micros, error)
 	size() (items int, bytes int64, err error)
 	writeTo(w io.Writer) error
 	close() error
@@ -94,10 +94,10 @@
 // one that is no store are errors of one clear line each.
 func Open(cfg Config) (*Store, error) {
 	if cfg.MaxItems == 0 {
-		cfg.MaxItems = defaultItems
+		cfg.MaxItems = defaultMaxItems
 	}
 	if cfg.MaxBytes == 0 {
-		cfg.MaxBytes = defaultBytes
+		cfg.MaxBytes = defaultMaxBytes
 	}
 	if cfg.MaxItems < 0 || cfg.MaxBytes < 0 {
 		return nil, errors.New("store: a quota must not be negative")
@@ -110,7 +110,7 @@
 }
 
 func start(cfg Config, d disk) (*Store, error) {
-	s := &Store{cfg: cfg, disk: d, queue: make(chan Change, maxQueue)}
+	s := &Store{cfg: cfg, disk: d, queue: make(chan Change, maxQueuedChanges)}
 	var err error
 	if s.items, s.bytes, err = d.size(); err != nil {
 		return nil, errors.Join(err, d.close())
@@ -127,15 +127,15 @@
 }
 
 // Recover reads all items. The argument is what the clock shows now.
-func (s *Store) Recover(clock lifecycle.Micros) (*Recovered, error) {
-	seen, err := s.disk.seen()
+func (s *Store) Recover(now lifecycle.Micros) (*Recovered, error) {
+	commitTime, err := s.disk.commitTime()
 	if err != nil {
 		return nil, err
 	}
-	r := &Recovered{Clock: lifecycle.ClockSince(clock, seen)}
+	r := &Recovered{Clock: lifecycle.ClockAfterRestart(now, commitTime)}
 	err = s.disk.forEach(func(id string, it *lifecycle.Item, fault error) error {
 		if fault != nil {
-			r.Corrupt = append(r.Corrupt, withID(id, fault))
+			r.Corrupt = append(r.Corrupt, prefixItemID(id, fault))
 		} else {
 			r.Items = append(r.Items, it)
 		}
@@ -144,8 +144,8 @@
 	return r, err
 }
 
-// withID puts the item's id before a fault, where it concerns one item.
-func withID(id string, fault error) error {
+// prefixItemID puts the item's id before a fault, where it concerns one item.
+func prefixItemID(id string, fault error) error {
 	if id == "" {
 		return fault
 	}
@@ -160,12 +160,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maxBytes := s.cfg.MaxBytes - s.cfg.MaxBytes/updateReserve
+	maxBytes := s.cfg.MaxBytes - s.cfg.MaxBytes/updateReserveDivisor
 	if s.items+s.pendingNew >= s.cfg.MaxItems || s.bytes+int64(len(c.Item.Body)) > maxBytes {
 		return ErrFull
 	}
 	// The rest of the queue is reserved for the ends of accepted items.
-	if len(s.queue) > maxQueue/2 {
+	if len(s.queue) > maxQueuedChanges/2 {
 		return ErrBusy
 	}
 	c.isNew = true
@@ -194,7 +194,7 @@
 	if err != nil {
 		return fmt.Errorf("encoding item %q: %w", c.Item.ID, err)
 	}
-	c.record = seal([]byte(c.Item.ID), payload)
+	c.record = addChecksum([]byte(c.Item.ID), payload)
 	return nil
 }
 
@@ -228,8 +228,8 @@
 
 // fillBatch takes the changes that are queued behind the first, without waiting for more.
 func (s *Store) fillBatch(first Change) []Change {
-	batch := append(make([]Change, 0, maxBatch), first)
-	for len(batch) < maxBatch {
+	batch := append(make([]Change, 0, maxBatchChanges), first)
+	for len(batch) < maxBatchChanges {
 		select {
 		case c, open := <-s.queue:
 			if !open {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,12 +19,12 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-func item(n int) *lifecycle.Item {
+func testItem(n int) *lifecycle.Item {
 	return &lifecycle.Item{ID: fmt.Sprintf("item-%04d", n), Class: "post-reading",
 		Body: []byte(fmt.Sprint("body ", n)), Accepted: lifecycle.Micros(n), Deadline: 1 << 50}
 }
 
-func open(t testing.TB, cfg Config) *Store {
+func openStore(t testing.TB, cfg Config) *Store {
 	t.Helper()
 	s, err := Open(cfg)
 	if err != nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// accept stores an item and waits until it is on disk.
-func accept(s *Store, it *lifecycle.Item) error {
+// acceptAndWait stores an item and waits until it is on disk.
+func acceptAndWait(s *Store, it *lifecycle.Item) error {
 	done := make(chan error, 1)
 	if err := s.Accept(Change{Item: it, Done: func(err error) { done <- err }}); err != nil {
 		return err
@@ -50,7 +50,7 @@
 	return <-done
 }
 
-func update(s *Store, c Change) error {
+func updateAndWait(s *Store, c Change) error {
 	done := make(chan error, 1)
 	c.Done = func(err error) { done <- err }
 	if err := s.Update(c); err != nil {
@@ -76,11 +76,11 @@
 // a clock that went back is reported.
 func TestReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "jobs")
-	s := open(t, Config{Path: path})
+	s := openStore(t, Config{Path: path})
 	want := map[string]*lifecycle.Item{}
 	for n := range 20 {
-		it := item(n)
-		if err := accept(s, it); err != nil {
+		it := testItem(n)
+		if err := acceptAndWait(s, it); err != nil {
 			t.Fatal(err)
 		}
 		want[it.ID] = it
@@ -90,8 +90,8 @@
 		Rack: "a"}); err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(update(s, Change{Item: &changed}),
-		update(s, Change{Item: want["item-0004"], Delete: true})); err != nil {
+	if err := errors.Join(updateAndWait(s, Change{Item: &changed}),
+		updateAndWait(s, Change{Item: want["item-0004"], Delete: true})); err != nil {
 		t.Fatal(err)
 	}
 	want["item-0003"] = &changed
@@ -103,10 +103,10 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := accept(s, item(99)); !errors.Is(err, ErrClosed) {
+	if err := acceptAndWait(s, testItem(99)); !errors.Is(err, ErrClosed) {
 		t.Errorf("%v after the close", err)
 	}
-	s = open(t, Config{Path: path})
+	s = openStore(t, Config{Path: path})
 	if diff := cmp.Diff(want, readAll(t, s)); diff != "" {
 		t.Error(diff)
 	}
@@ -120,27 +120,27 @@
 type countingDisk struct {
 	disk
 	sync.Mutex
-	commits, failAt int
-	gate            chan bool // a commit waits for a value; nil: none does
+	commits, failFrom int
+	commitPermits     chan bool // a commit waits for a value; nil: none does
 }
 
 var errIO = errors.New("input/output error")
 
-func (c *countingDisk) commit(seen lifecycle.Micros, batch []Change) (int, int64, error) {
-	if c.gate != nil {
-		<-c.gate
+func (c *countingDisk) commit(commitTime lifecycle.Micros, batch []Change) (int, int64, error) {
+	if c.commitPermits != nil {
+		<-c.commitPermits
 	}
 	c.Lock()
 	c.commits++
 	n := c.commits
 	c.Unlock()
-	if c.failAt > 0 && n >= c.failAt {
+	if c.failFrom > 0 && n >= c.failFrom {
 		return 0, 0, errIO
 	}
-	return c.disk.commit(seen, batch)
+	return c.disk.commit(commitTime, batch)
 }
 
-func startOn(t *testing.T, c *countingDisk, cfg Config) *Store {
+func startOnDisk(t *testing.T, c *countingDisk, cfg Config) *Store {
 	t.Helper()
 	d, err := openBolt(cfg.Path, readWrite)
 	if err != nil {
@@ -148,7 +148,7 @@
 	}
 	c.disk = d
 	if cfg.MaxItems == 0 {
-		cfg.MaxItems, cfg.MaxBytes = defaultItems, defaultBytes
+		cfg.MaxItems, cfg.MaxBytes = defaultMaxItems, defaultMaxBytes
 	}
 	s, err := start(cfg, c)
 	if err != nil {
@@ -160,12 +160,12 @@
 
 // What arrives during one commit shares the next; no caller waits for the disk.
 func TestGroupCommit(t *testing.T) {
-	c := &countingDisk{gate: make(chan bool)}
-	s := startOn(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
+	c := &countingDisk{commitPermits: make(chan bool)}
+	s := startOnDisk(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
 	var done sync.WaitGroup
 	for n := range 500 {
 		done.Add(1)
-		if err := s.Accept(Change{Item: item(n), Done: func(err error) {
+		if err := s.Accept(Change{Item: testItem(n), Done: func(err error) {
 			if err != nil {
 				t.Error(err)
 			}
@@ -174,7 +174,7 @@
 			t.Fatal(err)
 		}
 	}
-	close(c.gate)
+	close(c.commitPermits)
 	done.Wait()
 	if c.commits > 3 || len(readAll(t, s)) != 500 {
 		t.Errorf("%d commits for 500 items that arrived during the first", c.commits)
@@ -183,38 +183,38 @@
 
 // A disk that does not keep up: new items are refused, changes to known ones still fit.
 func TestSlowDisk(t *testing.T) {
-	c := &countingDisk{gate: make(chan bool)}
-	s := startOn(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
+	c := &countingDisk{commitPermits: make(chan bool)}
+	s := startOnDisk(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
 	taken := 0
 	for ; ; taken++ {
-		if err := s.Accept(Change{Item: item(taken), Done: func(error) {}}); errors.Is(err, ErrBusy) {
+		if err := s.Accept(Change{Item: testItem(taken), Done: func(error) {}}); errors.Is(err, ErrBusy) {
 			break
-		} else if err != nil || taken > maxQueue {
+		} else if err != nil || taken > maxQueuedChanges {
 			t.Fatalf("%v after %d", err, taken)
 		}
 	}
-	if err := s.Update(Change{Item: item(0), Delete: true, Done: func(error) {}}); err != nil {
+	if err := s.Update(Change{Item: testItem(0), Delete: true, Done: func(error) {}}); err != nil {
 		t.Errorf("the end of an item is refused: %v", err)
 	}
-	close(c.gate)
+	close(c.commitPermits)
 }
 
 // The disk fails at any commit: that one and all later ones end with the error, and what was confirmed
 // before is there when the store is opened again.
 func TestDiskFails(t *testing.T) {
-	for failAt := 1; failAt <= 6; failAt++ {
+	for failFrom := 1; failFrom <= 6; failFrom++ {
 		path := filepath.Join(t.TempDir(), "jobs")
-		s := startOn(t, &countingDisk{failAt: failAt}, Config{Path: path})
+		s := startOnDisk(t, &countingDisk{failFrom: failFrom}, Config{Path: path})
 		want := map[string]*lifecycle.Item{}
 		for n := range 8 {
-			it := item(n)
-			err := accept(s, it)
+			it := testItem(n)
+			err := acceptAndWait(s, it)
 			var failure *DiskError
 			switch {
-			case err == nil && n+1 < failAt:
+			case err == nil && n+1 < failFrom:
 				want[it.ID] = it
-			case !errors.As(err, &failure) || !errors.Is(err, errIO) || n+1 < failAt:
-				t.Errorf("commit %d fails, item %d: %v", failAt, n, err)
+			case !errors.As(err, &failure) || !errors.Is(err, errIO) || n+1 < failFrom:
+				t.Errorf("commit %d fails, item %d: %v", failFrom, n, err)
 			}
 		}
 		if s.Err() == nil {
@@ -223,32 +223,32 @@
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(want, readAll(t, open(t, Config{Path: path}))); diff != "" {
-			t.Errorf("commit %d fails: %s", failAt, diff)
+		if diff := cmp.Diff(want, readAll(t, openStore(t, Config{Path: path}))); diff != "" {
+			t.Errorf("commit %d fails: %s", failFrom, diff)
 		}
 	}
 }
 
 // The quota refuses new items and not changes to known ones; a deletion frees space for others.
 func TestQuota(t *testing.T) {
-	s := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MaxItems: 3})
+	s := openStore(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MaxItems: 3})
 	for n := range 3 {
-		if err := accept(s, item(n)); err != nil {
+		if err := acceptAndWait(s, testItem(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := accept(s, item(3)); !errors.Is(err, ErrFull) {
+	if err := acceptAndWait(s, testItem(3)); !errors.Is(err, ErrFull) {
 		t.Errorf("a fourth item: %v", err)
 	}
-	if err := errors.Join(update(s, Change{Item: item(1)}), update(s, Change{Item: item(0), Delete: true}),
-		accept(s, item(3))); err != nil {
+	if err := errors.Join(updateAndWait(s, Change{Item: testItem(1)}), updateAndWait(s, Change{Item: testItem(0), Delete: true}),
+		acceptAndWait(s, testItem(3))); err != nil {
 		t.Error(err)
 	}
-	small := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MaxBytes: 256 << 10})
+	small := openStore(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MaxBytes: 256 << 10})
 	for n := 0; ; n++ {
-		it := item(n)
+		it := testItem(n)
 		it.Body = bytes.Repeat([]byte("x"), 10<<10)
-		if err := accept(small, it); errors.Is(err, ErrFull) {
+		if err := acceptAndWait(small, it); errors.Is(err, ErrFull) {
 			break
 		} else if err != nil || n > 100 {
 			t.Fatalf("%v after %d items", err, n)
@@ -268,8 +268,8 @@
 func TestTornWrites(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "jobs")
-	s := open(t, Config{Path: path})
-	image := func() []byte {
+	s := openStore(t, Config{Path: path})
+	readFile := func() []byte {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -277,26 +277,26 @@
 		return b
 	}
 	random := rand.New(rand.NewPCG(1, 2))
-	before, state := image(), readAll(t, s)
+	before, state := readFile(), readAll(t, s)
 	for n := range 25 {
-		c := Change{Item: item(n)}
+		c := Change{Item: testItem(n)}
 		if n%5 == 4 {
-			c = Change{Item: item(n - 2), Delete: true}
+			c = Change{Item: testItem(n - 2), Delete: true}
 		}
-		if err := update(s, c); err != nil {
+		if err := updateAndWait(s, c); err != nil {
 			t.Fatal(err)
 		}
-		after, next := image(), readAll(t, s)
+		after, next := readFile(), readAll(t, s)
 		for range 8 {
 			torn := bytes.Clone(before)
 			if len(torn) < len(after) && random.IntN(2) == 0 {
 				torn = append(torn, make([]byte, len(after)-len(torn))...)
 			}
-			metaToo := random.IntN(3) == 0
+			metaPagesWritten := random.IntN(3) == 0
 			for at := 2 * pageSize; at < len(torn); at += pageSize {
 				page := after[at : at+pageSize]
 				switch how := random.IntN(4); {
-				case metaToo, how == 0:
+				case metaPagesWritten, how == 0:
 					copy(torn[at:], page)
 				case how == 1:
 					copy(torn[at:], page[:random.IntN(pageSize)])
@@ -304,14 +304,14 @@
 					clear(torn[at : at+pageSize])
 				}
 			}
-			if metaToo && len(torn) == len(after) {
+			if metaPagesWritten && len(torn) == len(after) {
 				copy(torn, after[:512*random.IntN(2*pageSize/512)]) // a sector is written completely
 			}
-			own := filepath.Join(folder, "torn")
-			if err := os.WriteFile(own, torn, 0o600); err != nil {
+			tornPath := filepath.Join(folder, "torn")
+			if err := os.WriteFile(tornPath, torn, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			o, err := Open(Config{Path: own})
+			o, err := Open(Config{Path: tornPath})
 			if err != nil {
 				t.Fatalf("commit %d, torn: %v", n, err)
 			}
@@ -332,9 +332,9 @@
 	}
 	folder := t.TempDir()
 	path := filepath.Join(folder, "jobs")
-	s := open(t, Config{Path: path})
+	s := openStore(t, Config{Path: path})
 	for n := range 60 {
-		if err := accept(s, item(n)); err != nil {
+		if err := acceptAndWait(s, testItem(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -352,11 +352,11 @@
 		flipped := bytes.Clone(intact)
 		at := random.IntN(len(flipped))
 		flipped[at] ^= 1 << random.IntN(8)
-		own := filepath.Join(folder, "flipped")
-		if err := os.WriteFile(own, flipped, 0o600); err != nil {
+		flippedPath := filepath.Join(folder, "flipped")
+		if err := os.WriteFile(flippedPath, flipped, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		o, err := Open(Config{Path: own})
+		o, err := Open(Config{Path: flippedPath})
 		if err != nil {
 			detected++
 			continue
@@ -398,9 +398,9 @@
 		t.Fatal(err)
 	}
 	for range 2 { // the second opening finds it done
-		s := open(t, Config{Path: path})
+		s := openStore(t, Config{Path: path})
 		got := readAll(t, s)
-		if len(got) != 3 || cmp.Diff(item(2), got["item-0002"]) != "" {
+		if len(got) != 3 || cmp.Diff(testItem(2), got["item-0002"]) != "" {
 			t.Errorf("%d items, %+v", len(got), got["item-0002"])
 		}
 		closeStore(t, s)
@@ -427,9 +427,9 @@
 // A backup that is made while items are stored is a complete store.
 func TestBackup(t *testing.T) {
 	folder := t.TempDir()
-	s := open(t, Config{Path: filepath.Join(folder, "jobs")})
+	s := openStore(t, Config{Path: filepath.Join(folder, "jobs")})
 	for n := range 50 {
-		if err := accept(s, item(n)); err != nil {
+		if err := acceptAndWait(s, testItem(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -441,7 +441,7 @@
 			case <-stop:
 				return
 			default:
-				if err := accept(s, item(n)); err != nil {
+				if err := acceptAndWait(s, testItem(n)); err != nil {
 					t.Error(err)
 					return
 				}
@@ -457,9 +457,9 @@
 	}
 	close(stop)
 	<-stopped
-	got := readAll(t, open(t, Config{Path: f.Name()}))
+	got := readAll(t, openStore(t, Config{Path: f.Name()}))
 	for n := range 50 {
-		if cmp.Diff(item(n), got[item(n).ID]) != "" {
+		if cmp.Diff(testItem(n), got[testItem(n).ID]) != "" {
 			t.Fatalf("item %d is not in the backup", n)
 		}
 	}
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -31,7 +31,7 @@
 // rankRange is the ranks from lo up to, but not including, hi.
 type rankRange struct{ lo, hi int }
 
-func (r rankRange) has(rank int) bool { return r.lo <= rank && rank < r.hi }
+func (r rankRange) contains(rank int) bool { return r.lo <= rank && rank < r.hi }
 
 // Len is the number of members.
 func (r *Ring[M]) Len() int { return r.size }
@@ -47,7 +47,7 @@
 	return n
 }
 
-func (r *Ring[M]) find(zone, kind int) (int, bool) {
+func (r *Ring[M]) findGroup(zone, kind int) (int, bool) {
 	return slices.BinarySearchFunc(r.groups, zone, func(group *Group[M], zone int) int {
 		return cmp.Or(cmp.Compare(group.zone, zone), cmp.Compare(group.kind, kind))
 	})
@@ -56,7 +56,7 @@
 // Add adds a member, whose number must be new to its zone and kind. It returns the group that the
 // member is in now, and whether it came between two covered ones, and so is covered, too.
 func (r *Ring[M]) Add(zone, kind int, number uint32, member M) (group *Group[M], covered bool) {
-	at, found := r.find(zone, kind)
+	at, found := r.findGroup(zone, kind)
 	if !found {
 		r.groups = slices.Insert(r.groups, at, &Group[M]{zone: zone, kind: kind})
 	}
@@ -102,7 +102,7 @@
 	r.size--
 	group.markChanged()
 	if len(group.numbers) == 0 {
-		at, _ := r.find(group.zone, group.kind)
+		at, _ := r.findGroup(group.zone, group.kind)
 		r.groups = slices.Delete(r.groups, at, at+1)
 	}
 }
@@ -151,18 +151,18 @@
 	to := from + sort.Search(n-from, func(i int) bool { return outside(from + i) })
 	now, before := [2]rankRange{{0, sort.Search(from, outside)}, {from, to}}, g.covered
 	g.covered, g.start, g.length = now, start, length
-	eachDifference(before, now, func(rank int) { changed(g.members[rank], false) })
-	eachDifference(now, before, func(rank int) { changed(g.members[rank], true) })
+	forEachRankOnlyIn(before, now, func(rank int) { changed(g.members[rank], false) })
+	forEachRankOnlyIn(now, before, func(rank int) { changed(g.members[rank], true) })
 }
 
-// eachDifference calls do for the ranks of two ranges that two others do not contain.
-func eachDifference(ranges, others [2]rankRange, do func(rank int)) {
+// forEachRankOnlyIn calls do for the ranks of two ranges that two others do not contain.
+func forEachRankOnlyIn(ranges, others [2]rankRange, do func(rank int)) {
 	for _, r := range ranges {
 		for rank := r.lo; rank < r.hi; {
 			switch {
-			case others[0].has(rank):
+			case others[0].contains(rank):
 				rank = others[0].hi
-			case others[1].has(rank):
+			case others[1].contains(rank):
 				rank = others[1].hi
 			default:
 				do(rank)
--- a/internal/subset/ring_test.go
+++ b/internal/subset/ring_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-type item struct {
+type testMember struct {
 	zone, kind int
 	number     uint32
-	group      *Group[*item]
+	group      *Group[*testMember]
 	covered    bool
 }
 
@@ -19,8 +19,8 @@
 // the interval are covered, and each that enters or leaves it is reported once.
 func TestCoverMatchesRecomputation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Ring[*item]
-		items := map[uint32]*item{}
+		var r Ring[*testMember]
+		items := map[uint32]*testMember{}
 		start, length := rapid.Float64Range(0, 0.999).Draw(t, "start"), 0.0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			for range rapid.IntRange(0, 8).Draw(t, "changes") {
@@ -30,7 +30,7 @@
 					delete(items, number)
 					continue
 				}
-				it := &item{zone: int(number % 3), kind: int(number / 3 % 2), number: number}
+				it := &testMember{zone: int(number % 3), kind: int(number / 3 % 2), number: number}
 				items[number] = it
 				it.group, it.covered = r.Add(it.zone, it.kind, number, it)
 			}
@@ -40,28 +40,28 @@
 			case 1:
 				start = rapid.SampledFrom([]float64{0, 0.05, 0.25, 0.5, 0.75, 0.999}).Draw(t, "new start")
 			}
-			r.Cover(start, length, func(it *item, in bool) {
+			r.Cover(start, length, func(it *testMember, in bool) {
 				if it.covered == in {
 					t.Fatalf("%d is reported twice as covered: %v", it.number, in)
 				}
 				it.covered = in
 			})
-			copies := map[*item]*item{}
-			copied := r.Clone(func(it *item) *item { copied := *it; copies[it] = &copied; return &copied },
-				func(it *item, group *Group[*item]) { it.group = group })
-			copied.Cover(start, length, func(it *item, _ bool) { t.Fatalf("%d changes in a copy", it.number) })
-			check(t, &r, items, start, length)
-			byNumber := map[uint32]*item{}
+			copies := map[*testMember]*testMember{}
+			copied := r.Clone(func(it *testMember) *testMember { copied := *it; copies[it] = &copied; return &copied },
+				func(it *testMember, group *Group[*testMember]) { it.group = group })
+			copied.Cover(start, length, func(it *testMember, _ bool) { t.Fatalf("%d changes in a copy", it.number) })
+			checkAgainstRecomputation(t, &r, items, start, length)
+			byNumber := map[uint32]*testMember{}
 			for _, it := range items {
 				byNumber[it.number] = copies[it]
 			}
-			check(t, &copied, byNumber, start, length)
+			checkAgainstRecomputation(t, &copied, byNumber, start, length)
 		}
 	})
 }
 
-// check computes the positions and what is covered from scratch.
-func check(t *rapid.T, r *Ring[*item], items map[uint32]*item, start, length float64) {
+// checkAgainstRecomputation computes the positions and what is covered from scratch.
+func checkAgainstRecomputation(t *rapid.T, r *Ring[*testMember], items map[uint32]*testMember, start, length float64) {
 	t.Helper()
 	groups, zones := map[[2]int][]uint32{}, map[int]bool{}
 	for _, number := range slices.Sorted(maps.Keys(items)) {
@@ -100,25 +100,25 @@
 			for i := range 2 * n {
 				groups[i%2], _ = r.Add(0, i%2, uint32(i), i)
 			}
-			moved, removed, start := 0, 0, 0.618
+			changedOthers, removed, start := 0, 0, 0.618
 			count := func(i int, _ bool) {
 				if i%2 != 0 {
 					t.Errorf("%d of the other group changes", i)
 				}
 				if i != removed {
-					moved++
+					changedOthers++
 				}
 			}
 			r.Cover(start, length, func(int, bool) {})
 			for ; removed < 2*n; removed += 2 * (1 + n/40) {
 				for _, add := range []bool{false, true} {
-					if moved = 0; add {
+					if changedOthers = 0; add {
 						r.Add(0, 0, uint32(removed), removed)
 					} else {
 						r.Remove(groups[0], uint32(removed))
 					}
-					if r.Cover(start, length, count); moved > 2 {
-						t.Fatalf("%d of %d move for one, by an interval of %v", moved, n, length)
+					if r.Cover(start, length, count); changedOthers > 2 {
+						t.Fatalf("%d of %d move for one, by an interval of %v", changedOthers, n, length)
 					}
 				}
 			}
--- a/internal/subset/strategies_test.go
+++ b/internal/subset/strategies_test.go
@@ -18,8 +18,8 @@
 // also has the index that it had when all were present, which no scheduler knows here, but some published
 // strategies depend on.
 var strategies = []struct {
-	name string
-	of   func(s, schedulers int, fraction float64, workers []member) []int
+	name      string
+	workersOf func(s, schedulers int, fraction float64, workers []member) []int
 }{
 	{"ranks", rankedRing},
 	{"aperture", aperture},
@@ -36,13 +36,13 @@
 	index  int
 }
 
-func mix(x uint64) uint64 {
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-func unit(x uint64) float64 { return float64(x>>11) / (1 << 53) }
+func toUnitInterval(x uint64) float64 { return float64(x>>11) / (1 << 53) }
 
 func goldenPosition(s int) float64 {
 	_, position := math.Modf(float64(s) * math.Phi)
@@ -76,7 +76,7 @@
 	return func(s, _ int, fraction float64, workers []member) (subset []int) {
 		for i, w := range workers {
 			for k := range positions {
-				position := unit(mix(uint64(w.number)<<16 | uint64(k)))
+				position := toUnitInterval(mixBits(uint64(w.number)<<16 | uint64(k)))
 				if Distance(goldenPosition(s), position) < fraction/float64(positions) {
 					subset = append(subset, i)
 					break
@@ -87,7 +87,7 @@
 	}
 }
 
-func score(s int, w member) uint64 { return mix(uint64(w.number)<<16 ^ mix(uint64(s))) }
+func score(s int, w member) uint64 { return mixBits(uint64(w.number)<<16 ^ mixBits(uint64(s))) }
 
 // rendezvousOfWorker gives each worker to the schedulers that score highest for it.
 func rendezvousOfWorker(s, schedulers int, fraction float64, workers []member) (subset []int) {
@@ -124,7 +124,7 @@
 	order := make([]int, len(workers))
 	for i := range order {
 		order[i] = i
-		j := int(mix(uint64(s/count)<<32+uint64(i)) % uint64(i+1))
+		j := int(mixBits(uint64(s/count)<<32+uint64(i)) % uint64(i+1))
 		order[i], order[j] = order[j], order[i]
 	}
 	return order[s%count*size : min(len(order), (s%count+1)*size)]
@@ -138,11 +138,11 @@
 	for i := range best {
 		best[i] = 2
 	}
-	corput := func(i int) float64 { return float64(bits.Reverse32(uint32(i))) / (1 << 32) }
+	vanDerCorput := func(i int) float64 { return float64(bits.Reverse32(uint32(i))) / (1 << 32) }
 	for i, w := range workers {
 		bucket := w.index % size
-		at := corput(s) + unit(mix(uint64(bucket))) // each bucket rotated by an amount of its own
-		if distance := Distance(at-math.Floor(at), corput(w.index/size)); distance < best[bucket] {
+		at := vanDerCorput(s) + toUnitInterval(mixBits(uint64(bucket))) // each bucket rotated by an amount of its own
+		if distance := Distance(at-math.Floor(at), vanDerCorput(w.index/size)); distance < best[bucket] {
 			best[bucket], found[bucket] = distance, i
 		}
 	}
@@ -179,58 +179,58 @@
 				subsets := make([]map[uint32]bool, schedulers)
 				for s := range subsets {
 					subsets[s] = map[uint32]bool{}
-					for _, i := range strategy.of(s, schedulers, fraction, workers) {
+					for _, i := range strategy.workersOf(s, schedulers, fraction, workers) {
 						subsets[s][workers[i].number] = true
 					}
 				}
 				return subsets
 			}
 			before := assign(all)
-			has, load := map[uint32]int{}, map[uint32]float64{}
+			schedulersOf, load := map[uint32]int{}, map[uint32]float64{}
 			smallest, largest, pairs := n, 0, 0
 			for _, subset := range before {
 				smallest, largest, pairs = min(smallest, len(subset)), max(largest, len(subset)), pairs+len(subset)
 				for number := range subset {
-					has[number]++
+					schedulersOf[number]++
 					load[number] += 1 / float64(len(subset))
 				}
 			}
 			lowest, highest, heaviest := schedulers, 0, 0.0
 			for _, w := range all {
-				lowest, highest = min(lowest, has[w.number]), max(highest, has[w.number])
+				lowest, highest = min(lowest, schedulersOf[w.number]), max(highest, schedulersOf[w.number])
 				heaviest = max(heaviest, load[w.number])
 			}
 			heaviest /= float64(schedulers) / float64(n)
-			own, others, removals := 0, 0, 4
+			ownPairs, otherPairs, removals := 0, 0, 4
 			for k := range removals {
 				removed := (2*k + 1) * n / (2 * removals)
 				number := all[removed].number
 				after := assign(slices.Concat(all[:removed], all[removed+1:]))
-				own += has[number]
+				ownPairs += schedulersOf[number]
 				for s := range before {
 					for other := range before[s] {
 						if other != number && !after[s][other] {
-							others++
+							otherPairs++
 						}
 					}
 					for other := range after[s] {
 						if !before[s][other] {
-							others++
+							otherPairs++
 						}
 					}
 				}
 			}
 			t.Logf("%-28s %4d/%4d %5d to %5d %5d to %5d %10.2f %14.1f %14.1f", strategy.name, schedulers, n,
-				lowest, highest, smallest, largest, heaviest, float64(own)/float64(removals),
-				float64(others)/float64(removals))
+				lowest, highest, smallest, largest, heaviest, float64(ownPairs)/float64(removals),
+				float64(otherPairs)/float64(removals))
 			if strategy.name == "ranks" {
 				mean := float64(pairs) / float64(n)
 				if float64(lowest) < mean/2 || heaviest > 1.6 {
 					t.Errorf("%d/%d: a worker has %d schedulers, mean %.1f; load up to %.2f of the mean", schedulers, n,
 						lowest, mean, heaviest)
 				}
-				if limit := float64(2 * schedulers); float64(others)/float64(removals) > limit {
-					t.Errorf("%d/%d: %d pairs change for %d removals", schedulers, n, others, removals)
+				if limit := float64(2 * schedulers); float64(otherPairs)/float64(removals) > limit {
+					t.Errorf("%d/%d: %d pairs change for %d removals", schedulers, n, otherPairs, removals)
 				}
 			}
 		}
