--- a/internal/bucketqueue/queue.go
+++ b/internal/bucketqueue/queue.go
@@ -1,39 +1,40 @@
-// Package bucketqueue keeps nodes in order of a small integer key, roughly the cost of each: a bucket
-// queue (Dial, 1969). Adding, moving and removing take constant time, whatever the size; the smallest
-// are found by a bit set of one machine word. It decides nothing.
+// Package bucketqueue implements a priority queue for small integer keys: a bucket queue (Dial, 1969). The
+// caller derives each node's key from the node's cost. Adding, moving and removing a node take constant time,
+// whatever the number of nodes. A bit set of one machine word shows which buckets have nodes, so that the
+// nodes with the smallest keys are found without a scan. The package makes no scheduling decisions.
 package bucketqueue
 
 import "math/bits"
 
-// Buckets is the number of keys, 0 to Buckets-1.
+// Buckets is the number of buckets. There is one bucket for each key, and keys range from 0 to Buckets-1.
 const Buckets = 64
 
-// Node is the handle of a value. The zero Node is in no queue.
+// Node holds a value and the node's place in a queue. The zero Node is in no queue.
 type Node[T any] struct {
 	Value T
 	queue *Queue[T]
 	key   uint8
-	index int32 // in its bucket
+	index int32 // position of the node in its bucket
 }
 
-// Queue holds nodes by key. The zero Queue is empty.
+// Queue holds nodes in buckets, one bucket for each key. The zero Queue is empty.
 type Queue[T any] struct {
-	nonEmpty uint64 // one bit for each bucket that has nodes
-	size     int
+	nonEmpty uint64 // bit k is set if the bucket of key k has nodes
+	size     int    // number of nodes in all buckets
 	buckets  [Buckets][]*Node[T]
 }
 
-// Queue is the queue that the node is in, nil if it is in none.
+// Queue returns the queue that contains the node, or nil if no queue does.
 func (n *Node[T]) Queue() *Queue[T] { return n.queue }
 
-// Key is the key that the node was put under last, from 0 to Buckets-1.
+// Key returns the key from the node's last Put, from 0 to Buckets-1. Remove does not reset the key.
 func (n *Node[T]) Key() int { return int(n.key) }
 
-// Len is the number of nodes.
+// Len returns the number of nodes in the queue.
 func (q *Queue[T]) Len() int { return q.size }
 
-// Put puts a node under a key, and removes it from where it was. A key out of bounds counts as the
-// nearest one within them.
+// Put adds a node to the queue with the given key. A node that is already in this or another queue is
+// removed from there first. Keys below 0 and above Buckets-1 are clamped to these bounds.
 func (q *Queue[T]) Put(n *Node[T], key int) {
 	k := uint8(min(max(key, 0), Buckets-1))
 	if n.queue == q && n.key == k {
@@ -46,7 +47,7 @@
 	q.size++
 }
 
-// Remove takes the node out of its queue, if it is in one.
+// Remove removes the node from its queue. Remove has no effect on a node that is in no queue.
 func (n *Node[T]) Remove() {
 	q := n.queue
 	if q == nil {
@@ -64,9 +65,10 @@
 	n.queue = nil
 }
 
-// Smallest appends up to limit nodes of the smallest keys, up to maxKey, to a list and returns it.
-// Within a bucket it begins at an index that rotation gives, so that nodes of one key take turns. The
-// queue may be changed before the list is used.
+// Smallest appends up to limit nodes to list, those with the smallest keys first, and returns the extended
+// list. Nodes with keys above maxKey are left out. Within a bucket, the first node is chosen by rotation
+// modulo the size of the bucket: with a different rotation in each call, nodes with equal keys are returned
+// in turn. The list remains valid when the queue changes.
 func (q *Queue[T]) Smallest(list []*Node[T], limit, maxKey int, rotation uint) []*Node[T] {
 	for remaining := q.nonEmpty; remaining != 0 && limit > 0; remaining &= remaining - 1 {
 		k := bits.TrailingZeros64(remaining)
--- a/internal/bucketqueue/queue_test.go
+++ b/internal/bucketqueue/queue_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is put, moved and removed, the queue has the nodes that a plain map has, and the smallest that
-// it returns are the smallest.
+// After a random sequence of Put and Remove calls on two queues, each queue contains the same nodes under the
+// same keys as a reference map, and Smallest returns the nodes with the smallest keys in order.
 func TestQueueAgainstAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queues := [2]Queue[int]{}
@@ -31,7 +31,7 @@
 			size, below := 0, 0
 			for i, p := range want {
 				if n := &nodes[i]; n.Queue() != &queues[p.queue] || n.Key() != p.key {
-					t.Fatalf("node %d is under %d, put under %v", i, n.Key(), p)
+					t.Fatalf("node %d has key %d in its queue, expected queue and key %v", i, n.Key(), p)
 				}
 				if p.queue == q {
 					size++
@@ -41,22 +41,23 @@
 				}
 			}
 			if queues[q].Len() != size {
-				t.Fatalf("%d nodes, want %d", queues[q].Len(), size)
+				t.Fatalf("queue has %d nodes, want %d", queues[q].Len(), size)
 			}
 			smallest := queues[q].Smallest(nil, limit, maxKey, rapid.Uint().Draw(t, "rotation"))
 			if len(smallest) != min(limit, below) {
-				t.Fatalf("%d of the smallest, want %d", len(smallest), min(limit, below))
+				t.Fatalf("Smallest returned %d nodes, want %d", len(smallest), min(limit, below))
 			}
 			seen, highest := map[*Node[int]]bool{}, 0
 			for _, n := range smallest {
 				if seen[n] || n.Queue() != &queues[q] || n.Key() < highest {
-					t.Fatal("one twice, of another queue, or out of order")
+					t.Fatal(
+						"Smallest returned a node twice, a node of another queue, or nodes that are not in order of their keys")
 				}
 				seen[n], highest = true, n.Key()
 			}
 			for i, p := range want {
 				if p.queue == q && p.key < highest && !seen[&nodes[i]] {
-					t.Fatalf("node %d under %d was passed over for one under %d", i, p.key, highest)
+					t.Fatalf("Smallest omitted node %d with key %d, but returned a node with key %d", i, p.key, highest)
 				}
 			}
 		}
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -1,9 +1,13 @@
-// Package subset keeps members in groups, each of one zone and kind and in order of number, and knows
-// which of them an interval of a ring covers. It decides nothing.
+// Package subset implements the ring by which a dispatcher determines its subset of the workers: the members
+// whose positions on the ring lie in the dispatcher's interval. The package makes no scheduling decisions.
 //
-// Within its group of n, the member of rank i (from 0) has the position (i+0.5)/n on a ring of
-// circumference 1. A change costs a search and a move of memory in one group, and the interval is not
-// walked: only members that enter or leave it are reported, at most one at each end for one removal.
+// Members are kept in groups. All members of a group have the same zone and kind and are sorted by their
+// numbers; a member's index in this order is its rank. In a group of n members, the member of rank i, from 0
+// to n-1, has the position (i+0.5)/n on a ring of circumference 1.
+//
+// Adding or removing a member costs a binary search and a move of memory within one group. Setting the
+// interval again does not visit all covered members: only the members that enter or leave the interval are
+// reported. The removal of one member moves at most one other member across each end of the interval.
 package subset
 
 import (
@@ -12,31 +16,36 @@
 	"sort"
 )
 
-// Ring is the members by zone and kind. The zero Ring is empty.
+// Ring holds all members, grouped by zone and kind. The zero Ring is empty.
 type Ring[M any] struct {
-	groups []*Group[M] // by zone, then kind; none is empty
-	size   int
+	groups []*Group[M] // sorted by zone, then by kind; empty groups are removed
+	size   int         // number of members in all groups
 }
 
-// Group is the members of one zone and kind, by number.
+// Group holds the members of one zone and kind, sorted by number.
 type Group[M any] struct {
-	zone, kind    int
-	generation    uint64 // counts changes: while it stays, so do ranks
-	numbers       []uint32
-	members       []M
-	covered       [2]rankRange // by the interval: from rank 0 on if it wraps around, and from start on
-	start, length float64      // the interval that covered is for; a negative length: outdated by a change
+	zone, kind int
+	// generation counts the additions and removals of members. Ranks are unchanged while the generation is.
+	generation uint64
+	numbers    []uint32 // sorted numbers of the members, indexed by rank
+	members    []M      // members, indexed by rank
+	// covered holds the ranks of the members in the interval. The second range begins at the interval's start.
+	// The first range begins at rank 0 and is empty unless the interval wraps around the end of the ring.
+	covered [2]rankRange
+	// start and length describe the interval for which covered was computed. The length is -1 when members were
+	// added or removed since then.
+	start, length float64
 }
 
-// rankRange is the ranks from lo up to, but not including, hi.
+// rankRange is the half-open range of ranks from lo up to, but not including, hi.
 type rankRange struct{ lo, hi int }
 
 func (r rankRange) contains(rank int) bool { return r.lo <= rank && rank < r.hi }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (r *Ring[M]) Len() int { return r.size }
 
-// Zones is the number of zones that have members. It takes time by the number of groups.
+// Zones returns the number of zones that have members, in time proportional to the number of groups.
 func (r *Ring[M]) Zones() int {
 	n := 0
 	for i, group := range r.groups {
@@ -47,14 +56,18 @@
 	return n
 }
 
+// findGroup returns the index of the group of a zone and kind in groups, and whether that group exists. For a
+// missing group, the index is the place at which to insert the group.
 func (r *Ring[M]) findGroup(zone, kind int) (int, bool) {
 	return slices.BinarySearchFunc(r.groups, zone, func(group *Group[M], zone int) int {
 		return cmp.Or(cmp.Compare(group.zone, zone), cmp.Compare(group.kind, kind))
 	})
 }
 
-// Add adds a member, whose number must be new to its zone and kind. It returns the group that the
-// member is in now, and whether it came between two covered ones, and so is covered, too.
+// Add adds a member. No member of the same zone and kind may have the same number. Add returns the group of
+// the new member, and whether the member is covered: a member whose rank lies between the ranks of two
+// covered members is covered from the start. All other changes of the coverage follow at the next call of
+// Cover.
 func (r *Ring[M]) Add(zone, kind int, number uint32, member M) (group *Group[M], covered bool) {
 	at, found := r.findGroup(zone, kind)
 	if !found {
@@ -80,8 +93,9 @@
 	return group, covered
 }
 
-// Remove removes the member of a number from its group; an unknown number has no effect. The caller
-// knows whether it was covered.
+// Remove removes the member with the given number from the group. A number that the group does not contain
+// has no effect. Cover does not report the removed member as having left the interval, since the caller
+// already knows whether the member was covered.
 func (r *Ring[M]) Remove(group *Group[M], number uint32) {
 	rank, found := slices.BinarySearch(group.numbers, number)
 	if !found {
@@ -107,25 +121,28 @@
 	}
 }
 
+// markChanged counts a change of the members, and marks the covered ranks as outdated.
 func (g *Group[M]) markChanged() {
 	g.generation++
 	g.length = -1
 }
 
-// Generation counts the changes of a group. While it stays, so do the positions of its members.
+// Generation returns the number of additions and removals of members so far. The positions of the group's
+// members are unchanged while the generation is.
 func (g *Group[M]) Generation() uint64 { return g.generation }
 
-// Position is the position on the ring, from 0 to 1, of the member of a number.
+// Position returns the position on the ring, from 0 to 1, of the member with the given number.
 func (g *Group[M]) Position(number uint32) float64 {
 	rank, _ := slices.BinarySearch(g.numbers, number)
 	return g.position(rank)
 }
 
+// position returns the position on the ring, from 0 to 1, of the member with the given rank.
 func (g *Group[M]) position(rank int) float64 {
 	return (float64(rank) + 0.5) / float64(len(g.numbers))
 }
 
-// Distance is how far one position comes behind another on the ring, from 0 to 1.
+// Distance returns the distance on the ring from one position forward to another, from 0 up to 1.
 func Distance(from, to float64) float64 {
 	distance := to - from
 	if distance < 0 {
@@ -134,8 +151,9 @@
 	return distance
 }
 
-// Cover sets the interval by its start and length, and reports which members have entered it (in) and
-// which have left it since the last call.
+// Cover sets the interval of the ring by its start and length, both as fractions of the circumference. Cover
+// calls changed with in set to true for each member that has entered the interval since the last call, and
+// with false for each member that has left the interval.
 func (r *Ring[M]) Cover(start, length float64, changed func(member M, in bool)) {
 	for _, group := range r.groups {
 		if group.start != start || group.length != length {
@@ -144,6 +162,7 @@
 	}
 }
 
+// cover recomputes the covered ranks of one group, and reports the members that enter or leave the interval.
 func (g *Group[M]) cover(start, length float64, changed func(member M, in bool)) {
 	outside := func(rank int) bool { return Distance(start, g.position(rank)) >= length }
 	n := len(g.numbers)
@@ -155,7 +174,8 @@
 	forEachRankOnlyIn(now, before, func(rank int) { changed(g.members[rank], true) })
 }
 
-// forEachRankOnlyIn calls do for the ranks of two ranges that two others do not contain.
+// forEachRankOnlyIn calls do for each rank that one of ranges contains and that neither of others contains.
+// Stretches of ranks that others contain are skipped in one step.
 func forEachRankOnlyIn(ranges, others [2]rankRange, do func(rank int)) {
 	for _, r := range ranges {
 		for rank := r.lo; rank < r.hi; {
@@ -172,8 +192,8 @@
 	}
 }
 
-// Clone copies a ring. copyOf returns the copy of a member, and link is called with each of these and
-// its group in the copy.
+// Clone returns a deep copy of the ring. Clone calls copyOf for the copy of each member, and then calls link
+// with that copy and the group of the cloned ring that contains the copy.
 func (r *Ring[M]) Clone(copyOf func(M) M, link func(M, *Group[M])) Ring[M] {
 	copied := Ring[M]{size: r.size, groups: make([]*Group[M], len(r.groups))}
 	for i, group := range r.groups {
--- a/internal/subset/ring_test.go
+++ b/internal/subset/ring_test.go
@@ -15,8 +15,9 @@
 	covered    bool
 }
 
-// After any sequence of changes and intervals, the members whose positions, computed from scratch, lie in
-// the interval are covered, and each that enters or leaves it is reported once.
+// After a random sequence of additions, removals and interval changes, the covered members are those whose
+// positions, recomputed from all members, lie in the interval. Each member that enters or leaves the interval
+// is reported exactly once, and a cloned ring has the same members, positions and coverage.
 func TestCoverMatchesRecomputation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Ring[*testMember]
@@ -42,14 +43,16 @@
 			}
 			r.Cover(start, length, func(it *testMember, in bool) {
 				if it.covered == in {
-					t.Fatalf("%d is reported twice as covered: %v", it.number, in)
+					t.Fatalf("member %d is reported twice in a row with the same coverage: covered %v", it.number, in)
 				}
 				it.covered = in
 			})
 			copies := map[*testMember]*testMember{}
 			copied := r.Clone(func(it *testMember) *testMember { copied := *it; copies[it] = &copied; return &copied },
 				func(it *testMember, group *Group[*testMember]) { it.group = group })
-			copied.Cover(start, length, func(it *testMember, _ bool) { t.Fatalf("%d changes in a copy", it.number) })
+			copied.Cover(start, length, func(it *testMember, _ bool) {
+				t.Fatalf("member %d changes its coverage in a cloned ring, though the interval is the same", it.number)
+			})
 			checkAgainstRecomputation(t, &r, items, start, length)
 			byNumber := map[uint32]*testMember{}
 			for _, it := range items {
@@ -60,8 +63,10 @@
 	})
 }
 
-// checkAgainstRecomputation computes the positions and what is covered from scratch.
-func checkAgainstRecomputation(t *rapid.T, r *Ring[*testMember], items map[uint32]*testMember, start, length float64) {
+// checkAgainstRecomputation recomputes positions and coverage from the list of members, and compares the ring
+// with both.
+func checkAgainstRecomputation(t *rapid.T, r *Ring[*testMember], items map[uint32]*testMember,
+	start, length float64) {
 	t.Helper()
 	groups, zones := map[[2]int][]uint32{}, map[int]bool{}
 	for _, number := range slices.Sorted(maps.Keys(items)) {
@@ -70,28 +75,31 @@
 		groups[key], zones[it.zone] = append(groups[key], number), true
 	}
 	if r.Len() != len(items) || r.Zones() != len(zones) {
-		t.Fatalf("%d members of %d zones, want %d of %d", r.Len(), r.Zones(), len(items), len(zones))
+		t.Fatalf("ring has %d members in %d zones, want %d members in %d zones",
+			r.Len(), r.Zones(), len(items), len(zones))
 	}
 	for _, numbers := range groups {
 		for rank, number := range numbers {
 			it, position := items[number], (float64(rank)+0.5)/float64(len(numbers))
 			if got := it.group.Position(number); got != position {
-				t.Fatalf("%d at %v, want %v", number, got, position)
+				t.Fatalf("member %d has position %v, want %v", number, got, position)
 			}
 			distance := position - start
 			if distance < 0 {
 				distance++
 			}
 			if it.covered != (distance < length) {
-				t.Fatalf("%d, %v behind %v, is covered: %v, by an interval of %v", number, distance, start,
+				t.Fatalf("member %d at distance %v from the interval's start %v: covered is %v, interval length is %v",
+					number, distance, start,
 					it.covered, length)
 			}
 		}
 	}
 }
 
-// The removal of a member moves the interval of its group by one member at each end at most, and that of
-// no other group, however large the groups are.
+// When a member is added to or removed from a group, at most two other members of the group change their
+// coverage, one at each end of the interval, and no member of another group does. This holds for groups of
+// any size.
 func TestRemovalChangesOneMemberAtEachEnd(t *testing.T) {
 	for _, n := range []int{3, 50, 400, 7200} {
 		for _, length := range []float64{8.0 / 7200, 8.0 / 300, 8.0 / 17, 0.9} {
@@ -103,7 +111,7 @@
 			changedOthers, removed, start := 0, 0, 0.618
 			count := func(i int, _ bool) {
 				if i%2 != 0 {
-					t.Errorf("%d of the other group changes", i)
+					t.Errorf("member %d of the other group changes its coverage", i)
 				}
 				if i != removed {
 					changedOthers++
@@ -118,7 +126,8 @@
 						r.Remove(groups[0], uint32(removed))
 					}
 					if r.Cover(start, length, count); changedOthers > 2 {
-						t.Fatalf("%d of %d move for one, by an interval of %v", changedOthers, n, length)
+						t.Fatalf("%d members besides the changed one of %d change coverage, want at most 2; length %v",
+							changedOthers, n, length)
 					}
 				}
 			}
--- a/internal/subset/strategies_test.go
+++ b/internal/subset/strategies_test.go
@@ -11,12 +11,14 @@
 	"testing"
 )
 
-// Strategies of subsetting among schedulers that do not communicate: which workers each uses, by the
-// workers' numbers and its own. docs/design-list.md has the table.
+// This file compares strategies by which each scheduler computes its subset of the workers from the workers'
+// numbers and its own number, without communication between schedulers. docs/design-list.md has the table of
+// results.
 
-// strategies return the indexes of the workers that a scheduler uses. workers are in order of number; each
-// also has the index that it had when all were present, which no scheduler knows here, but some published
-// strategies depend on.
+// strategies are the compared subsetting strategies. workersOf returns the positions in workers of the
+// workers that scheduler s uses; workers is sorted by number. Some published strategies depend on a stable
+// index of each worker, so each worker also has the index that it had in the complete list. A real scheduler
+// of this project does not know that index.
 var strategies = []struct {
 	name      string
 	workersOf func(s, schedulers int, fraction float64, workers []member) []int
@@ -31,25 +33,31 @@
 	{"Rocksteadier", rocksteadier},
 }
 
+// member is a worker in the comparison of strategies.
 type member struct {
 	number uint32
-	index  int
+	index  int // index of the worker in the complete list, before any removal
 }
 
+// mixBits returns a hash of x: the finalizer of the SplitMix64 generator.
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
+// toUnitInterval maps a hash to a number from 0 up to 1.
 func toUnitInterval(x uint64) float64 { return float64(x>>11) / (1 << 53) }
 
+// goldenPosition returns the position on the ring at which the interval of scheduler s begins: the fractional
+// part of s times the golden ratio. Consecutive schedulers are spread evenly over the ring, however many
+// there are.
 func goldenPosition(s int) float64 {
 	_, position := math.Modf(float64(s) * math.Phi)
 	return position
 }
 
-// rankedRing is the strategy in use: this package.
+// rankedRing is the strategy that the dispatcher uses: the Ring of this package.
 func rankedRing(s, _ int, fraction float64, workers []member) (subset []int) {
 	var r Ring[int]
 	for i, w := range workers {
@@ -59,8 +67,9 @@
 	return subset
 }
 
-// aperture is the deterministic aperture: schedulers at equal steps of a ring, workers by rank at
-// equal steps. A worker that it overlaps partly counts as its own here, without the weight.
+// aperture is the deterministic aperture: the schedulers have equal intervals of a ring, and the workers lie
+// at equal distances in order of rank. The published strategy gives a worker that an interval covers in part
+// a smaller weight; here that worker counts as fully used.
 func aperture(s, schedulers int, fraction float64, workers []member) (subset []int) {
 	n := float64(len(workers))
 	from := float64(s) / float64(schedulers) * n
@@ -70,8 +79,8 @@
 	return subset
 }
 
-// consistentHashing gives each worker positions on a ring that come from its number alone, and a scheduler
-// the workers with a position in its interval.
+// consistentHashing returns the strategy that places each worker at the given number of positions on a ring,
+// computed from the worker's number alone. A scheduler uses the workers that have a position in its interval.
 func consistentHashing(positions int) func(s, _ int, fraction float64, workers []member) []int {
 	return func(s, _ int, fraction float64, workers []member) (subset []int) {
 		for i, w := range workers {
@@ -87,9 +96,10 @@
 	}
 }
 
+// score returns the rendezvous hash of a scheduler and a worker.
 func score(s int, w member) uint64 { return mixBits(uint64(w.number)<<16 ^ mixBits(uint64(s))) }
 
-// rendezvousOfWorker gives each worker to the schedulers that score highest for it.
+// rendezvousOfWorker assigns each worker to the schedulers with the highest scores for that worker.
 func rendezvousOfWorker(s, schedulers int, fraction float64, workers []member) (subset []int) {
 	limit := int(math.Round(fraction * float64(schedulers)))
 	for i, w := range workers {
@@ -106,7 +116,7 @@
 	return subset
 }
 
-// rendezvousOfScheduler gives each scheduler the workers that score highest for it.
+// rendezvousOfScheduler assigns to each scheduler the workers with the highest scores for that scheduler.
 func rendezvousOfScheduler(s, _ int, fraction float64, workers []member) []int {
 	all := make([]int, len(workers))
 	for i := range all {
@@ -116,8 +126,9 @@
 	return all[:int(math.Round(fraction*float64(len(workers))))]
 }
 
-// deterministicSubsetting is the one of the book on site reliability engineering: the workers are shuffled
-// alike for each round of schedulers, and dealt out among these.
+// deterministicSubsetting is the algorithm of the book "Site Reliability Engineering": schedulers form
+// rounds, each round shuffles the workers by a seed of its own, and the schedulers of a round divide the
+// shuffled workers among them without overlap.
 func deterministicSubsetting(s, _ int, fraction float64, workers []member) (subset []int) {
 	size := max(1, int(math.Round(fraction*float64(len(workers)))))
 	count := max(1, len(workers)/size)
@@ -130,8 +141,10 @@
 	return order[s%count*size : min(len(order), (s%count+1)*size)]
 }
 
-// rocksteadier deals the workers into as many buckets as a scheduler is to use workers, puts each bucket on
-// a ring of its own by a low-discrepancy sequence over the index, and takes the next worker of each.
+// rocksteadier is the published strategy of that name. The number of buckets is the number of workers that a
+// scheduler uses, and workers are distributed over the buckets by their index. Each bucket has a ring of its
+// own, on which a low-discrepancy sequence (van der Corput) places the bucket's workers. A scheduler uses the
+// next worker after its own position in each bucket.
 func rocksteadier(s, _ int, fraction float64, workers []member) (subset []int) {
 	size := max(1, int(math.Round(fraction*float64(len(workers)))))
 	best, found := make([]float64, size), make([]int, size)
@@ -141,7 +154,8 @@
 	vanDerCorput := func(i int) float64 { return float64(bits.Reverse32(uint32(i))) / (1 << 32) }
 	for i, w := range workers {
 		bucket := w.index % size
-		at := vanDerCorput(s) + toUnitInterval(mixBits(uint64(bucket))) // each bucket rotated by an amount of its own
+		// The ring of each bucket is rotated by a different angle.
+		at := vanDerCorput(s) + toUnitInterval(mixBits(uint64(bucket)))
 		if distance := Distance(at-math.Floor(at), vanDerCorput(w.index/size)); distance < best[bucket] {
 			best[bucket], found[bucket] = distance, i
 		}
@@ -154,13 +168,16 @@
 	return subset
 }
 
-var everySize = flag.Bool("every-size", false, "compare them at thousands of workers, too: a minute")
+var everySize = flag.Bool("every-size", false,
+	"also compare the strategies at thousands of workers, which takes a minute")
 
-// Of the strategies that were compared, ranks leave no worker without schedulers and load them evenly. The
-// cost is that subsets shift for all behind a change, by a worker or two for each scheduler.
+// Compares the subsetting strategies. The ring by ranks, the strategy in use, leaves no worker without
+// schedulers and spreads the load evenly over the workers. In exchange, one removal of a worker shifts the
+// positions of the other workers: up to two pairs of scheduler and worker change for each scheduler. The test
+// checks the balance and the number of changed pairs for the ring by ranks, and logs both for all strategies.
 func TestSubsettingStrategies(t *testing.T) {
-	t.Logf("%-28s %9s %14s %14s %10s %14s %14s", "strategy", "size", "of a worker", "of a scheduler", "load",
-		"pairs, its own", "pairs, others")
+	t.Logf("%-28s %9s %14s %14s %10s %14s %14s", "strategy", "size", "per worker", "per scheduler", "max load",
+		"removed pairs", "moved pairs")
 	for _, size := range [][2]int{{300, 200}, {300, 7200}, {17, 7200}, {80, 60}} {
 		schedulers, n := size[0], size[1]
 		if n > 1000 && !*everySize {
@@ -170,7 +187,7 @@
 		all := make([]member, n)
 		for i := range all {
 			h := fnv.New32a()
-			_, _ = fmt.Fprintf(h, "worker-%05d", i) // a hash never fails
+			_, _ = fmt.Fprintf(h, "worker-%05d", i) // hash.Hash documents that Write never returns an error
 			all[i] = member{h.Sum32(), i}
 		}
 		slices.SortFunc(all, func(a, b member) int { return cmp.Compare(a.number, b.number) })
@@ -226,11 +243,13 @@
 			if strategy.name == "ranks" {
 				mean := float64(pairs) / float64(n)
 				if float64(lowest) < mean/2 || heaviest > 1.6 {
-					t.Errorf("%d/%d: a worker has %d schedulers, mean %.1f; load up to %.2f of the mean", schedulers, n,
+					t.Errorf("%d schedulers, %d workers: fewest for a worker %d, mean %.1f; highest load %.2f of mean",
+						schedulers, n,
 						lowest, mean, heaviest)
 				}
 				if limit := float64(2 * schedulers); float64(otherPairs)/float64(removals) > limit {
-					t.Errorf("%d/%d: %d pairs change for %d removals", schedulers, n, otherPairs, removals)
+					t.Errorf("%d schedulers, %d workers: %d other pairs change in %d removals",
+						schedulers, n, otherPairs, removals)
 				}
 			}
 		}
