--- a/internal/subset/strategies_test.go
+++ b/internal/subset/strategies_test.go
@@ -176,7 +176,7 @@
 // positions of the other workers: up to two pairs of scheduler and worker change for each scheduler. The test
 // checks the balance and the number of changed pairs for the ring by ranks, and logs both for all strategies.
 func TestSubsettingStrategies(t *testing.T) {
-	t.Logf("%-28s %9s %14s %14s %10s %14s %14s", "strategy", "size", "per worker", "per scheduler", "max load",
+	t.Logf("%-28s %9s %14s %14s %10s %14s %14s", "strategy", "size", "per worker", "per scheduler", "load",
 		"removed pairs", "moved pairs")
 	for _, size := range [][2]int{{300, 200}, {300, 7200}, {17, 7200}, {80, 60}} {
 		schedulers, n := size[0], size[1]
