--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -9,10 +9,11 @@
 	"go.etcd.io/bbolt"
 )
 
-// compactTxBytes bounds a transaction of a compaction, and so the memory that it takes.
+// compactTxBytes is the maximum size of one transaction of a compaction. The limit also bounds the memory
+// that a compaction takes.
 const compactTxBytes = 1 << 20
 
-// BackupTo copies a store into a file that does not exist yet.
+// BackupTo copies a store into a new file. BackupTo fails if the file already exists.
 func BackupTo(path, backup string) error {
 	r, err := OpenReader(path)
 	if err != nil {
@@ -28,12 +29,12 @@
 	})
 }
 
-// Restore makes a store of a backup that is in order, where there is no store yet. It returns the number of
-// its items.
+// Restore creates a store from a backup, and returns the number of items. Restore fails if the backup has
+// faults or if the file of the new store already exists.
 func Restore(backup, path string) (items int, err error) {
 	items, faults, err := Check(backup)
 	if err == nil && len(faults) > 0 {
-		err = fmt.Errorf("the backup is not in order: %w", faults[0])
+		err = fmt.Errorf("backup is not in order: %w", faults[0])
 	}
 	if err != nil {
 		return 0, err
@@ -41,8 +42,9 @@
 	return items, BackupTo(backup, path)
 }
 
-// Compact gives back the space of deleted items, and returns the size of the file in bytes. No other
-// process may have the store open, and there must be space for a second copy of what is in use.
+// Compact rewrites the file without the space of deleted items, and returns the size of the file in bytes
+// before and after. No other process may have the store open. The disk needs free space for a second copy of
+// the bytes in use.
 func Compact(path string) (before, after int64, err error) {
 	if before, err = fileSize(path); err != nil {
 		return 0, 0, err
@@ -51,7 +53,7 @@
 	if err != nil {
 		return 0, 0, fmt.Errorf("store %s: %w", path, err)
 	}
-	// The file that it closes has been replaced, or was not changed.
+	// An error of this close is ignored: the closed file has been replaced by then, or was not changed.
 	defer func() { _ = source.close() }()
 	if source.metaPageErr != nil {
 		return 0, 0, fmt.Errorf("store %s: %w", path, source.metaPageErr)
@@ -65,7 +67,7 @@
 	return before, after, nil
 }
 
-// compactInto copies the records into a new file.
+// compactInto copies the database into a new file, without free pages.
 func (b *bolt) compactInto(path string) error {
 	target, err := bbolt.Open(path, 0o600, &bbolt.Options{FreelistType: bbolt.FreelistMapType})
 	if err != nil {
@@ -83,22 +85,23 @@
 	return info.Size(), nil
 }
 
-// createFile is replaceFile for a file that does not exist yet.
+// createFile fills a new file like replaceFile, and fails if the file already exists.
 func createFile(path string, fill func(temporary string) error) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		return errors.Join(err, fmt.Errorf("%s exists: it is not replaced", path))
+		return errors.Join(err, fmt.Errorf("%s already exists and is not overwritten", path))
 	}
 	return replaceFile(path, fill)
 }
 
-// replaceFile fills a file under a temporary name, syncs it and renames it: after a crash the path has the
-// old file or the complete new one.
+// replaceFile calls fill to write a file under a temporary name, syncs the file and renames it to path. After
+// a crash, path has either the old file or the complete new file.
 func replaceFile(path string, fill func(temporary string) error) error {
 	temporary := path + ".new"
 	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	// Where the file was renamed there is nothing to remove; otherwise the next call removes what stays.
+	// After the rename, the temporary file no longer exists, and Remove fails. If Remove fails for another
+	// reason, the next call of replaceFile removes the temporary file.
 	defer func() { _ = os.Remove(temporary) }()
 	if err := fill(temporary); err != nil {
 		return err
@@ -112,6 +115,7 @@
 	return syncFile(filepath.Dir(path))
 }
 
+// syncFile syncs a file or a folder to disk.
 func syncFile(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -16,15 +16,15 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// bareEngineRate writes what accepts would, directly to the engine, in batches of the same size, and returns
-// the records per second.
+// bareEngineRate returns the number of records per second that bbolt writes without the store, in batches of
+// the given size and with records about as large as those of BenchmarkAccept.
 func bareEngineRate(b *testing.B, batch int) float64 {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "bare"), 0o600, &bbolt.Options{
 		FreelistType: bbolt.FreelistMapType})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer closeReadOnly(db) // its records are thrown away
+	defer closeReadOnly(db) // an error of Close does not matter: the records are not used again
 	value := make([]byte, 400)
 	n := 0
 	began := time.Now()
@@ -44,7 +44,9 @@
 	return float64(n) / time.Since(began).Seconds()
 }
 
-// Durable accepts with so many callers, each waiting for its own, compared with the engine alone.
+// BenchmarkAccept measures durable accepts by several concurrent callers. Each caller waits until its item is
+// on disk before it stores the next one. The metric of-engine is the rate relative to bbolt without the
+// store.
 func BenchmarkAccept(b *testing.B) {
 	for _, callers := range []int{1, 4, 16, 64, 256} {
 		b.Run(fmt.Sprint(callers), func(b *testing.B) {
@@ -94,7 +96,7 @@
 	}
 }
 
-// Opening after a kill, with all items unfinished.
+// BenchmarkRecover measures opening a store and reading all its items, none of which is finished.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -16,10 +16,10 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// lockTimeout is how long an opening waits for another process to release the file.
+// lockTimeout is the time that openBolt waits for another process to release the file lock.
 const lockTimeout = 200 * time.Millisecond
 
-// access is how a file is opened.
+// access is the mode in which a file is opened.
 type access int
 
 const (
@@ -27,34 +27,37 @@
 	readOnly
 )
 
-// bolt is a disk in a file of bbolt.
+// bolt implements disk with a bbolt database file.
 type bolt struct {
 	db *bbolt.DB
-	// metaPageErr says that one of the two meta pages is corrupt. If it was the newest, the engine goes back by
-	// a commit without reporting it.
+	// metaPageErr is not nil if one of the two meta pages is corrupt. If the newer one is corrupt, bbolt falls
+	// back to the older one, and so loses the latest commit without an error.
 	metaPageErr error
 }
 
 var _ disk = (*bolt)(nil)
 
+// openBolt opens a database file and checks its format. In mode readWrite, openBolt creates the file or
+// migrates an older format if necessary.
 func openBolt(path string, mode access) (*bolt, error) {
 	var db *bbolt.DB
 	err := catchPanics(func() (err error) {
-		// The list of free pages is kept in the file: without it, opening walks all pages in a goroutine of the
-		// engine's own, where a corrupt one ends the process.
+		// The list of free pages is stored in the file (NoFreelistSync is not set). Without the stored list, bbolt
+		// scans all pages in a goroutine of its own when it opens the file. A corrupt page makes that goroutine
+		// panic, which no caller can recover, and the process ends.
 		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: mode == readOnly,
 			FreelistType: bbolt.FreelistMapType})
 		return err
 	})
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil, errors.New("another process has it open")
+		return nil, errors.New("file is open in another process")
 	}
 	if err != nil {
 		return nil, err
 	}
 	b := &bolt{db: db, metaPageErr: checkMetaPages(path, db.Info().PageSize)}
 	err = b.view(checkFormat)
-	if err != nil && mode == readWrite { // nothing is written to a file that is in order
+	if err != nil && mode == readWrite { // a file of the current format is not written to
 		err = catchPanics(func() error { return db.Update(createOrMigrate) })
 	}
 	if err != nil {
@@ -63,15 +66,15 @@
 	return b, nil
 }
 
-// The layout of the engine's meta pages, of which a file has two, alternately written.
+// Layout of the meta pages of bbolt. A file has two meta pages, and commits write them alternately.
 const (
 	pageHeaderBytes = 16
-	metaBytes       = 56 // before their checksum, which is FNV-1a
+	metaBytes       = 56 // bytes of the meta data; the 8 bytes of the FNV-1a checksum follow
 	metaPages       = 2
 )
 
-// checkMetaPages reports whether one of the file's meta pages is corrupt. A crash does not corrupt one: it
-// lies within a sector, which is written completely or not at all.
+// checkMetaPages returns an error if one of the file's meta pages is corrupt. A crash cannot corrupt a meta
+// page: the page's data lies within one sector, and the disk writes a sector completely or not at all.
 func checkMetaPages(path string, pageSize int) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -84,37 +87,39 @@
 			return err
 		}
 		hash := fnv.New64a()
-		_, _ = hash.Write(meta[:metaBytes]) // a hash returns no error
+		_, _ = hash.Write(meta[:metaBytes]) // hash.Hash documents that Write never returns an error
 		if hash.Sum64() != binary.NativeEndian.Uint64(meta[metaBytes:]) {
-			return fmt.Errorf("meta page %d is broken: the last commit may be missing", i)
+			return fmt.Errorf("meta page %d is corrupt, wrong checksum: the latest commit may be missing", i)
 		}
 	}
 	return nil
 }
 
-// closeReadOnly closes a file that was only read: an error loses nothing.
+// closeReadOnly closes a file that was only read. An error of Close is ignored, since it cannot lose data.
 func closeReadOnly(f io.Closer) { _ = f.Close() }
 
-// catchPanics turns the engine's panic over a corrupt page, and the fault of reading past the file's end,
-// into an error.
+// catchPanics calls a function and returns its error. catchPanics turns two failures of bbolt into errors:
+// the panic at a corrupt page, and the memory fault when bbolt reads the mapped file past its end.
 func catchPanics(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("the file is broken: %v", cause)
+			err = fmt.Errorf("file is corrupt: %v", cause)
 		}
 	}()
 	return do()
 }
 
+// view calls a function within a read-only transaction.
 func (b *bolt) view(do func(*bbolt.Tx) error) error {
 	return catchPanics(func() error { return b.db.View(do) })
 }
 
-// bytesInUse is the size of the file without its free pages, which are used again before it grows.
+// bytesInUse returns the size of the file without its free pages. bbolt reuses free pages before the file
+// grows.
 func (b *bolt) bytesInUse(fileSize int64) int64 { return fileSize - int64(b.db.Stats().FreeAlloc) }
 
-// commit writes a batch, and returns how many items and bytes the store has then.
+// commit writes a batch in one transaction, and returns the number of items and of bytes in use afterwards.
 func (b *bolt) commit(commitTime lifecycle.Micros, batch []Change) (items int, bytes int64, err error) {
 	var fileSize int64
 	err = catchPanics(func() error {
@@ -127,7 +132,8 @@
 	return items, b.bytesInUse(fileSize), err
 }
 
-// applyBatch writes a batch within a transaction, and returns how many items there are then.
+// applyBatch writes a batch within a transaction, and returns the number of items afterwards. The stored
+// commit time never decreases, even if the wall clock is set back.
 func applyBatch(tx *bbolt.Tx, commitTime lifecycle.Micros, batch []Change) (int, error) {
 	items, meta := tx.Bucket(itemsBucket), tx.Bucket(metaBucket)
 	count := decodeUint(meta.Get(countKey))
@@ -161,8 +167,10 @@
 	return int(count), nil
 }
 
-// forEach reads all records. fault is what is invalid about one, by its checksum or by what may happen to
-// an item; then there may be no item. A fault without an id concerns the store as a whole.
+// forEach calls do for each record. fault is nil for a valid record. Otherwise fault says why the record is
+// invalid: the checksum is wrong, or the state machine of package lifecycle does not allow the record's
+// events. The item may be nil then. A fault with an empty id concerns the store as a whole. An error of do
+// ends the reading.
 func (b *bolt) forEach(do func(id string, it *lifecycle.Item, fault error) error) error {
 	return b.view(func(tx *bbolt.Tx) error {
 		if b.metaPageErr != nil {
@@ -183,13 +191,13 @@
 			return err
 		}
 		if counted := decodeUint(tx.Bucket(metaBucket).Get(countKey)); counted != n {
-			return do("", nil, fmt.Errorf("%d records, and %d are counted", n, counted))
+			return do("", nil, fmt.Errorf("store has %d records, but its stored count is %d", n, counted))
 		}
 		return nil
 	})
 }
 
-// commitTime returns the latest time of a commit.
+// commitTime returns the time of the latest commit.
 func (b *bolt) commitTime() (at lifecycle.Micros, err error) {
 	err = b.view(func(tx *bbolt.Tx) error {
 		at = lifecycle.Micros(decodeUint(tx.Bucket(metaBucket).Get(latestCommitKey)))
@@ -198,7 +206,7 @@
 	return at, err
 }
 
-// size returns how many items there are, and how many bytes of the file are in use.
+// size returns the number of items and of bytes in use.
 func (b *bolt) size() (items int, bytes int64, err error) {
 	var fileSize int64
 	err = b.view(func(tx *bbolt.Tx) error {
@@ -209,6 +217,7 @@
 	return items, b.bytesInUse(fileSize), err
 }
 
+// writeTo writes a complete copy of the database.
 func (b *bolt) writeTo(w io.Writer) error {
 	return b.view(func(tx *bbolt.Tx) error {
 		_, err := tx.WriteTo(w)
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -12,10 +12,11 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// version2Items are the items that testdata/v2.db holds: each effect, each outcome of an attempt, each
-// verdict, and each field of a record at least once.
+// version2Items returns the items in testdata/v2.db. Each effect, each outcome of an attempt, each verdict
+// and each field of a record occurs at least once.
 func version2Items() map[string]*lifecycle.Item {
-	attempt := func(worker, rack string, at, ended lifecycle.Micros, outcome lifecycle.Outcome) lifecycle.Attempt {
+	attempt := func(worker, rack string, at, ended lifecycle.Micros,
+		outcome lifecycle.Outcome) lifecycle.Attempt {
 		return lifecycle.Attempt{Worker: worker, Rack: rack, At: at, Ended: ended, Outcome: outcome}
 	}
 	all := map[string]*lifecycle.Item{}
@@ -50,8 +51,9 @@
 	return all
 }
 
-// A file that an earlier release wrote in this version of the format is read to the same items, its counts
-// and its latest time, and each record is written again byte for byte. The file is never written anew.
+// Guards against an unintended change of the format on disk. A file that an earlier release wrote in format
+// version 2 has the expected items, count and latest commit time, and each item is encoded to the same bytes
+// as in the file. testdata/v2.db must never be regenerated.
 func TestFileOfVersion2(t *testing.T) {
 	raw, err := os.ReadFile("testdata/v2.db")
 	if err != nil {
@@ -63,14 +65,14 @@
 	}
 	want := version2Items()
 	if items, faults, err := Check(path); err != nil || len(faults) > 0 || items != len(want) {
-		t.Errorf("%d items, %d expected, faults %v, %v", items, len(want), faults, err)
+		t.Errorf("Check returns %d items, want %d; faults %v, error %v", items, len(want), faults, err)
 	}
 	s := openStore(t, Config{Path: path})
 	if diff := cmp.Diff(want, readAll(t, s)); diff != "" {
 		t.Error(diff)
 	}
 	if commitTime, err := s.disk.commitTime(); err != nil || commitTime < 1_700_000_000_000_000 {
-		t.Errorf("latest time %d, %v", commitTime, err)
+		t.Errorf("time of the latest commit is %d, want a time after 2023-11-14; error %v", commitTime, err)
 	}
 	err = s.disk.(*bolt).db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(itemsBucket).ForEach(func(id, record []byte) error {
@@ -79,7 +81,7 @@
 				return err
 			}
 			if !bytes.Equal(record, c.record) {
-				t.Errorf("item %q is now written as %q, it was %q", id, c.record, record)
+				t.Errorf("item %q is encoded as %q, want %q as in the file", id, c.record, record)
 			}
 			return nil
 		})
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -13,37 +13,40 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// formatVersion is that of the format. Version 1 had neither checksums nor a count of the records.
+// formatVersion is the version of the format on disk. Version 1 had neither checksums nor a count of the
+// records.
 const formatVersion = 2
 
 var (
-	itemsBucket     = []byte("items") // by id: the checksum, and the item in JSON
+	itemsBucket     = []byte("items") // records by item id; a record is a checksum and an item in JSON
 	metaBucket      = []byte("meta")
 	versionKey      = []byte("version")
-	latestCommitKey = []byte("seen")  // the latest time of a commit, in microseconds
-	countKey        = []byte("count") // of items: it shows that a record is missing
+	latestCommitKey = []byte("seen")  // time of the latest commit in microseconds since 1970
+	countKey        = []byte("count") // number of items; a wrong number shows that a record is missing
 )
 
-// checksumBytes is the length of a record's checksum, which comes first in it.
+// checksumBytes is the length of the checksum at the start of each record.
 const checksumBytes = 4
 
-// errCorrupt is the fault of a record that is not as it was written.
-var errCorrupt = errors.New("the record is broken: its checksum does not fit")
+// errCorrupt is the error of a record that differs from what was written.
+var errCorrupt = errors.New("record is corrupt: its checksum or its content does not match")
 
-// castagnoliTable is made at its first use: a program that only links the store does not pay for it.
+// castagnoliTable computes the table at the first use, so that a program that links the store but does not
+// open one does not pay for the computation.
 var castagnoliTable = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
 
+// checksum returns the CRC-32C checksum of a record's key and payload.
 func checksum(key, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, castagnoliTable()), castagnoliTable(), payload)
 }
 
-// addChecksum puts a record's checksum before it. The checksum covers the key: a record under another's key is as
-// corrupt as a flipped bit.
+// addChecksum returns a record: the checksum, followed by the payload. The checksum also covers the key, so
+// that a record stored under the wrong key is detected like a flipped bit.
 func addChecksum(key, payload []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, checksum(key, payload)), payload...)
 }
 
-// decodeRecord decodes a record. The error is errCorrupt.
+// decodeRecord verifies the checksum of a record and decodes the item. Any failure returns errCorrupt.
 func decodeRecord(key, record []byte) (*lifecycle.Item, error) {
 	if len(record) < checksumBytes ||
 		binary.BigEndian.Uint32(record) != checksum(key, record[checksumBytes:]) {
@@ -56,7 +59,7 @@
 	return it, nil
 }
 
-// decodeUint reads a number of the meta bucket; one that is absent is 0.
+// decodeUint decodes a number of the meta bucket. A missing number is 0.
 func decodeUint(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
@@ -64,21 +67,23 @@
 	return binary.BigEndian.Uint64(b)
 }
 
+// encodeUint encodes a number for the meta bucket.
 func encodeUint(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// checkFormat reports why a file is no store of this version.
+// checkFormat returns an error if the file is not a store of this format version.
 func checkFormat(tx *bbolt.Tx) error {
 	meta := tx.Bucket(metaBucket)
 	if meta == nil || tx.Bucket(itemsBucket) == nil {
-		return errors.New("this is no job store")
+		return errors.New("file is not a job store")
 	}
 	if v := decodeUint(meta.Get(versionKey)); v != formatVersion {
-		return fmt.Errorf("format version %d, this program knows %d", v, formatVersion)
+		return fmt.Errorf("unsupported format version %d, want version %d", v, formatVersion)
 	}
 	return nil
 }
 
-// createOrMigrate creates what a new store needs, and migrates an older format to this one.
+// createOrMigrate creates the buckets and the meta data of a new store, or migrates a store of an older
+// format.
 func createOrMigrate(tx *bbolt.Tx) error {
 	items, err := tx.CreateBucketIfNotExists(itemsBucket)
 	if err != nil {
@@ -97,13 +102,14 @@
 	return checkFormat(tx)
 }
 
-// migrateFromVersion1 seals and counts the records of version 1. After a crash in it the file still has version 1.
+// migrateFromVersion1 adds a checksum to each record of format version 1, and stores the number of records.
+// All changes are in one transaction: after a crash during the migration, the file still has version 1.
 func migrateFromVersion1(items, meta *bbolt.Bucket) error {
 	records := map[string][]byte{}
 	err := items.ForEach(func(key, record []byte) error {
 		var it lifecycle.Item
 		if err := json.Unmarshal(record, &it); err != nil {
-			return fmt.Errorf("item %q of version 1: %w", key, err)
+			return fmt.Errorf("decoding item %q of format version 1: %w", key, err)
 		}
 		records[string(key)] = append([]byte(nil), record...)
 		return nil
--- a/internal/store/lifecycle/item.go
+++ b/internal/store/lifecycle/item.go
@@ -1,11 +1,13 @@
-// Package lifecycle is the state machine of a stored item: what may happen to it, and what recovery
-// concludes from its record. It has no I/O and no clock: events go in with their times, a changed item or a
-// conclusion comes out. Package store keeps the items on disk.
+// Package lifecycle is the state machine of a stored item. An item is a job with its attempts and its answer.
+// The package defines which events an item allows, and what recovery decides from an item's record after a
+// restart. The package has no I/O and no clock: the caller passes events with their times, and gets a changed
+// item or a decision. Package store keeps the items on disk.
 //
-// Four things must be on disk before they are acknowledged or acted on, or a crash in between breaks a
-// promise: that an item was accepted, before its client gets the confirmation; that an attempt is routed,
-// before its first byte is sent; that a worker called back with an end, before the worker gets its 204; and
-// an answer, before anybody gets it.
+// The caller must write four facts to disk before acting on them, or a crash in between breaks a promise:
+//   - the acceptance of an item, before the client gets the confirmation;
+//   - the routing of an attempt, before the first byte of the attempt is sent;
+//   - the end of an attempt that a worker reports by callback, before the worker gets the response 204;
+//   - the final answer, before any client gets the answer.
 package lifecycle
 
 import (
@@ -13,37 +15,38 @@
 	"fmt"
 )
 
-// Micros is a time of the wall clock: microseconds since 1970.
+// Micros is a wall-clock time in microseconds since 1970, or a duration in microseconds.
 type Micros int64
 
-// Effect says what a class allows once an attempt may have run.
+// Effect says where a job's class allows another attempt after an earlier attempt may have run.
 type Effect uint8
 
-// The effects of a class.
+// Effects, from the most restrictive to the least restrictive.
 const (
-	Once     Effect = iota // must never run twice
-	Rack                   // duplicates are dropped within a rack, for the window
-	Anywhere               // duplicates are dropped everywhere, for the window
-	Safe                   // may be repeated at will
+	Once     Effect = iota // the job must never run twice, so no repeat is allowed
+	Rack                   // the workers of a rack drop duplicates for the duration of the window
+	Anywhere               // all workers drop duplicates for the duration of the window
+	Safe                   // the job may run any number of times
 )
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome uint8
 
-// The outcomes of an attempt.
+// Outcomes of an attempt.
 const (
-	Unfinished Outcome = iota // it has not ended, as far as the record shows
-	NeverRan                  // it did not run, and never will
-	MayHaveRun                // it may have run, or may yet
-	Done                      // it ran, and its result is known
+	Unfinished Outcome = iota // the record has no end of the attempt
+	NeverRan                  // the attempt did not run and will never run
+	MayHaveRun                // the attempt may have run, or may still run
+	Done                      // the attempt ran, and its result is known
 )
 
-// String describes the outcome.
+// String returns a description of the outcome.
 func (o Outcome) String() string {
 	return nameOf(int(o), "not ended", "it never ran", "it may have run", "done")
 }
 
-// nameOf returns the name of a value. A corrupt record may have any.
+// nameOf returns the name of an enum value. A corrupt record may contain any value, so values without a name
+// are shown as numbers.
 func nameOf(value int, names ...string) string {
 	if value >= len(names) {
 		return fmt.Sprint("unknown: ", value)
@@ -51,63 +54,66 @@
 	return names[value]
 }
 
-// Verdict is an item's final answer.
+// Verdict is the kind of an item's final answer.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts.
 const (
-	None    Verdict = iota
-	Served          // with a result
-	Failed          // it may have run; more cannot be said
-	Expired         // its deadline passed, and it never ran
+	None    Verdict = iota // the item has no final answer yet
+	Served                 // the job ran, and its result is known
+	Failed                 // the job has no known result; it may or may not have run
+	Expired                // the deadline passed, and no attempt ran
 )
 
-// String names the verdict.
+// String returns the name of the verdict.
 func (v Verdict) String() string { return nameOf(int(v), "none", "served", "failed", "expired") }
 
-// MaxAttempts is how often an item may be routed in all.
+// MaxAttempts is the maximum number of attempts of an item, the first one included.
 const MaxAttempts = 4
 
-// Attempt is one routing of an item. Keys of its JSON are the store's format: region is its former word for
-// a worker.
+// Attempt is one attempt of an item at a worker. The JSON keys are part of the store's format on disk, which
+// calls a worker "region", an earlier name for workers.
 type Attempt struct {
 	Worker  string  `json:"region"`
-	Rack    string  `json:"rack"` // of the worker
-	At      Micros  `json:"at"`
-	Ended   Micros  `json:"ended,omitempty"` // 0: it has not
+	Rack    string  `json:"rack"`            // rack of the worker
+	At      Micros  `json:"at"`              // time at which the attempt was routed
+	Ended   Micros  `json:"ended,omitempty"` // time at which the attempt ended; 0 if the attempt has not ended
 	Outcome Outcome `json:"outcome"`
 }
 
-// Item is a job from its acceptance until it is deleted. Keys of its JSON are the store's format.
+// Item is the record of a job from the job's acceptance until the deletion of the record. The JSON keys are
+// part of the store's format on disk.
 type Item struct {
-	ID        string    `json:"id"`
-	Class     string    `json:"class"`
-	Tenant    string    `json:"tenant,omitempty"`
-	Object    string    `json:"object,omitempty"`
-	Key       string    `json:"key,omitempty"` // the idempotency key
-	Body      []byte    `json:"body,omitempty"`
-	Effect    Effect    `json:"effect"`
-	Window    Micros    `json:"window,omitempty"` // for Rack and Anywhere: since an attempt first may have run
+	ID     string `json:"id"`
+	Class  string `json:"class"`
+	Tenant string `json:"tenant,omitempty"`
+	Object string `json:"object,omitempty"`
+	Key    string `json:"key,omitempty"` // idempotency key
+	Body   []byte `json:"body,omitempty"`
+	Effect Effect `json:"effect"`
+	// Window is the deduplication window of the effects Rack and Anywhere. The window begins when the first
+	// attempt that may have run is routed.
+	Window    Micros    `json:"window,omitempty"`
 	Accepted  Micros    `json:"accepted"`
 	Deadline  Micros    `json:"deadline"`
 	Attempts  []Attempt `json:"attempts,omitempty"`
 	Verdict   Verdict   `json:"verdict,omitempty"`
 	Result    []byte    `json:"result,omitempty"`
 	Answered  Micros    `json:"answered,omitempty"`
-	KeepUntil Micros    `json:"keep,omitempty"` // the answer can be read until then
+	KeepUntil Micros    `json:"keep,omitempty"` // time until which clients can read the answer
 }
 
-// Kind is what happens to an item.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds of events. An item begins with its acceptance, which is no event.
+// Kinds of events. The acceptance of a job creates the item and is not an event.
 const (
-	Routed       Kind = iota // an attempt is about to be sent: Worker, Rack
-	AttemptEnded             // the last attempt ended: Outcome, and Result with Done
-	Answered                 // the final answer: Verdict, and KeepUntil
+	Routed       Kind = iota // an attempt is about to be sent; the event has Worker and Rack
+	AttemptEnded             // the latest attempt ended; the event has Outcome, and Result if Outcome is Done
+	Answered                 // the item gets its final answer; the event has Verdict and KeepUntil
 )
 
-// Event is something that happens to an item. Which fields it has depends on its kind.
+// Event is a change of an item. The kind of the event determines which other fields are set.
 type Event struct {
 	Kind      Kind
 	At        Micros
@@ -119,18 +125,19 @@
 	KeepUntil Micros
 }
 
-// The errors of events that an item does not allow.
+// Errors of Apply and CheckRoute for events that an item does not allow.
 var (
-	ErrAnswered           = errors.New("the item has its answer")
-	ErrOutstanding        = errors.New("an attempt is outstanding")
-	ErrNoAttempt          = errors.New("no attempt is outstanding")
-	ErrTooManyAttempts    = errors.New("no attempt is left")
-	ErrMayHaveRun         = errors.New("an attempt may have run, and the class allows no repeat there")
-	ErrDeadlinePassed     = errors.New("the deadline has passed")
-	ErrUnjustifiedVerdict = errors.New("the answer is not what the attempts prove")
+	ErrAnswered           = errors.New("item already has its final answer")
+	ErrOutstanding        = errors.New("latest attempt has not ended")
+	ErrNoAttempt          = errors.New("item has no outstanding attempt that this event could end")
+	ErrTooManyAttempts    = errors.New("maximum number of attempts is reached")
+	ErrMayHaveRun         = errors.New("an attempt may have run, and the class allows no repeat in this rack")
+	ErrDeadlinePassed     = errors.New("deadline has passed")
+	ErrUnjustifiedVerdict = errors.New("recorded attempts do not justify the verdict")
 )
 
-// Apply applies an event. An item that does not allow it is not changed, and the error is one of those above.
+// Apply changes the item by an event. If the item does not allow the event, Apply returns one of the errors
+// above and leaves the item unchanged.
 func (it *Item) Apply(e Event) error {
 	if it.Verdict != None {
 		return ErrAnswered
@@ -143,14 +150,14 @@
 	case Answered:
 		return it.answer(e)
 	}
-	return fmt.Errorf("unknown event %d", e.Kind)
+	return fmt.Errorf("unknown event kind %d", e.Kind)
 }
 
 func (it *Item) route(e Event) error {
 	if err := it.CheckRoute(e.At, e.Rack); err != nil {
 		return err
 	}
-	// A copy of the slice: copies of the item may share these attempts.
+	// The capacity is limited so that append copies the slice: copies of the item may share its array.
 	it.Attempts = append(it.Attempts[:len(it.Attempts):len(it.Attempts)],
 		Attempt{Worker: e.Worker, Rack: e.Rack, At: e.At})
 	return nil
@@ -160,7 +167,7 @@
 	if !it.Outstanding() || e.Outcome == Unfinished {
 		return ErrNoAttempt
 	}
-	it.Attempts = append([]Attempt(nil), it.Attempts...) // copied, as in route
+	it.Attempts = append([]Attempt(nil), it.Attempts...) // copies of the item may share the old slice
 	last := &it.Attempts[len(it.Attempts)-1]
 	last.Ended, last.Outcome = e.At, e.Outcome
 	if e.Outcome == Done {
@@ -177,7 +184,7 @@
 	return nil
 }
 
-// justifies reports whether the attempts justify a verdict.
+// justifies reports whether the recorded attempts justify a verdict.
 func (it *Item) justifies(v Verdict) bool {
 	switch v {
 	case Served:
@@ -191,12 +198,13 @@
 	return false
 }
 
-// Outstanding reports whether an attempt is in flight, as far as the record shows.
+// Outstanding reports whether the latest attempt has no recorded end, and so may be in flight.
 func (it *Item) Outstanding() bool {
 	return len(it.Attempts) > 0 && it.Attempts[len(it.Attempts)-1].Outcome == Unfinished
 }
 
-// firstMayHaveRun is the first attempt that may have run.
+// firstMayHaveRun returns the first attempt that may have run, and whether there is one. An attempt without a
+// recorded end counts as one that may have run.
 func (it *Item) firstMayHaveRun() (Attempt, bool) {
 	for _, attempt := range it.Attempts {
 		if attempt.Outcome != NeverRan {
@@ -206,7 +214,8 @@
 	return Attempt{}, false
 }
 
-// CheckRoute reports why no further attempt may be sent to a rack at a time; nil: it may.
+// CheckRoute returns nil if another attempt may be sent to a worker of the rack at the given time, and
+// otherwise the reason why not.
 func (it *Item) CheckRoute(at Micros, rack string) error {
 	switch {
 	case it.Verdict != None:
@@ -231,11 +240,11 @@
 	return ErrMayHaveRun
 }
 
-// Check reports what is invalid about a record, which then no run of this package can have made. It replays
-// the record's events.
+// Check replays the events of a record and returns an error if the state machine does not allow them. Such a
+// record cannot have been produced by Apply.
 func (it *Item) Check() error {
 	if it.ID == "" || it.Effect > Safe {
-		return errors.New("no id, or an unknown effect")
+		return errors.New("item has no id or an unknown effect")
 	}
 	replay := Item{ID: it.ID, Effect: it.Effect, Window: it.Window, Accepted: it.Accepted, Deadline: it.Deadline}
 	for i, attempt := range it.Attempts {
@@ -248,14 +257,14 @@
 		}
 		ended := Event{Kind: AttemptEnded, At: attempt.Ended, Outcome: attempt.Outcome}
 		if err := replay.Apply(ended); err != nil || attempt.Outcome > Done {
-			return fmt.Errorf("attempt %d: its end does not fit", i+1)
+			return fmt.Errorf("attempt %d: recorded outcome is unknown or not allowed", i+1)
 		}
 	}
 	if it.Verdict == None {
 		return nil
 	}
 	if err := replay.Apply(Event{Kind: Answered, Verdict: it.Verdict}); err != nil {
-		return fmt.Errorf("answer %d: %w", it.Verdict, err)
+		return fmt.Errorf("recorded verdict %d: %w", it.Verdict, err)
 	}
 	return nil
 }
--- a/internal/store/lifecycle/item_test.go
+++ b/internal/store/lifecycle/item_test.go
@@ -23,18 +23,19 @@
 	return Event{Kind: AttemptEnded, At: 2 * second, Outcome: outcome}
 }
 
-// Where another attempt may go, by effect and by how the last one ended.
+// CheckRoute allows or rejects another attempt depending on the effect, on the outcome of the previous
+// attempt, on the rack and on the time.
 func TestCheckRoute(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome Outcome
 		at      Micros
 		rack    string
-		want    [4]error // once, rack, anywhere, safe
+		want    [4]error // expected errors, indexed by effect: Once, Rack, Anywhere, Safe
 	}{
-		{"it never ran", NeverRan, 5 * second, "b", [4]error{}},
-		{"it may have run, same rack", MayHaveRun, 5 * second, "a", [4]error{ErrMayHaveRun, nil, nil, nil}},
-		{"it may have run, another rack", MayHaveRun, 5 * second, "b", [4]error{ErrMayHaveRun, ErrMayHaveRun}},
+		{"attempt never ran", NeverRan, 5 * second, "b", [4]error{}},
+		{"attempt may have run, same rack", MayHaveRun, 5 * second, "a", [4]error{ErrMayHaveRun, nil, nil, nil}},
+		{"attempt may have run, another rack", MayHaveRun, 5 * second, "b", [4]error{ErrMayHaveRun, ErrMayHaveRun}},
 		{"past the window", MayHaveRun, 11 * second, "a",
 			[4]error{ErrMayHaveRun, ErrMayHaveRun, ErrMayHaveRun, nil}},
 		{"past the deadline", NeverRan, 100 * second, "a",
@@ -53,13 +54,13 @@
 				}
 			}
 			if got := it.CheckRoute(c.at, c.rack); !errors.Is(got, want) {
-				t.Errorf("%s, effect %d: %v, want %v", c.name, effect, got, want)
+				t.Errorf("%s, effect %d: CheckRoute returns %v, want %v", c.name, effect, got, want)
 			}
 		}
 	}
 }
 
-// What recovery does, by what was on disk.
+// Recover chooses the right step and event for each state of an item on disk and each state of the clock.
 func TestRecover(t *testing.T) {
 	outstanding := []Event{routedEvent(second, "a")}
 	ran := append(slices.Clone(outstanding), attemptEndedEvent(MayHaveRun))
@@ -79,9 +80,10 @@
 		{"never sent, too late", Once, nil, Clock{At: 100 * second}, Apply,
 			Event{Kind: Answered, At: 100 * second, Verdict: Expired, KeepUntil: 107 * second}},
 		{"in flight, workers may call back", Once, outstanding, Clock{At: 5 * second}, AwaitCallback, Event{}},
-		{"in flight, too late, workers may call back", Once, outstanding, Clock{At: 200 * second}, AwaitCallback, Event{}},
-		{"in flight, no worker called back", Once, outstanding, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
-			Event{Kind: AttemptEnded, At: 5 * second, Outcome: MayHaveRun}},
+		{"in flight, too late, workers may call back", Once, outstanding, Clock{At: 200 * second},
+			AwaitCallback, Event{}},
+		{"in flight, no worker called back", Once, outstanding, Clock{At: 5 * second, CallbackWaitOver: true},
+			Apply, Event{Kind: AttemptEnded, At: 5 * second, Outcome: MayHaveRun}},
 		{"may have run, once", Once, ran, Clock{At: 5 * second, CallbackWaitOver: true}, Apply,
 			Event{Kind: Answered, At: 5 * second, Verdict: Failed, KeepUntil: 12 * second}},
 		{"may have run, rack", Rack, ran, Clock{At: 5 * second}, Resume, Event{}},
@@ -104,17 +106,18 @@
 		}
 		step, event := Recover(&it, c.now, 7*second)
 		if step != c.step || cmp.Diff(c.event, event) != "" {
-			t.Errorf("%s: %v, %+v", c.name, step, event)
+			t.Errorf("%s: step is %v, event is %+v", c.name, step, event)
 		}
 		if step == Apply {
 			if err := it.Apply(event); err != nil {
-				t.Errorf("%s: what recovery concludes does not fit: %v", c.name, err)
+				t.Errorf("%s: the item rejects the event of Recover: %v", c.name, err)
 			}
 		}
 	}
 }
 
-// The clock jumps by an hour while the store is closed.
+// The wall clock jumps forwards or backwards by an hour while the store is closed. After a jump backwards,
+// the clock of recovery shows the time of the latest commit and says that the wall clock went back.
 func TestClockJumps(t *testing.T) {
 	const hour = 3600 * second
 	for _, c := range []struct {
@@ -128,8 +131,9 @@
 	}
 }
 
-// Whatever events come in whatever order: the item keeps its promises, a record that Apply made passes
-// Check, recovery ends from any of them, and a record that was changed otherwise is found.
+// After a random sequence of events, a rejected event leaves the item unchanged, an item with effect Once has
+// at most one attempt that may have run, and Check accepts the record. Recovery reaches a final answer in a
+// few steps. Check rejects a record to which a forbidden attempt was added without Apply.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		it := newItem(Effect(rapid.IntRange(0, 3).Draw(t, "effect")))
@@ -144,11 +148,11 @@
 			before.Attempts = append([]Attempt(nil), it.Attempts...)
 			if err := it.Apply(e); err != nil {
 				if diff := cmp.Diff(before, it); diff != "" {
-					t.Fatalf("rejected, %v, and yet changed: %s", err, diff)
+					t.Fatalf("the event was rejected with %v, but the item changed: %s", err, diff)
 				}
 			}
 			if err := it.Check(); err != nil {
-				t.Fatalf("%+v: %v", it, err)
+				t.Fatalf("Check rejects the item %+v: %v", it, err)
 			}
 		}
 		ran := 0
@@ -163,13 +167,13 @@
 		for n := 0; it.Verdict == None; n++ {
 			step, e := Recover(&it, Clock{At: now + 1000*second, CallbackWaitOver: true}, second)
 			if n > 3 || step != Apply || it.Apply(e) != nil {
-				t.Fatalf("recovery does not end: %d, %+v", step, it)
+				t.Fatalf("recovery reaches no final answer: step %d, item %+v", step, it)
 			}
 		}
 		if len(it.Attempts) > 0 && it.Effect == Once && it.Attempts[0].Outcome != NeverRan {
 			it.Attempts = append(it.Attempts, Attempt{Worker: "x", At: now})
 			if it.Check() == nil {
-				t.Fatal("a second attempt at what may have run passes")
+				t.Fatal("Check accepts a second attempt of an item with effect Once that may have run")
 			}
 		}
 	})
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -9,51 +9,55 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// world is one item, a store that loses what was not synced, a process that is killed at any point and
-// recovers, and two workers in two racks. What the process does follows Apply and Recover; what it must
-// wait for is in the package's comment.
+// world is a model of one item, a store that loses unsynced writes at a crash, a scheduler process that may
+// be killed and restarted at any point, and two workers in two racks. The process acts by Apply and Recover,
+// and waits for the disk where the package comment demands it.
 type world struct {
 	Effect           Effect
 	Now              Micros
-	Mem              *Item   // the item in the process's memory; nil: none, or the process is dead
-	Disk             *Item   // what a crash leaves
-	Unsaved          []*Item // written and not synced, in order: a crash loses any number of the last ones
-	AcceptConfirmed  bool    // the client got the confirmation that the item is accepted
-	ClientVerdict    Verdict // the answer that the client got
-	ResultAcked      bool    // a worker got its 204 for the result
+	Mem              *Item   // item in the memory of the process; nil if there is none or if the process is dead
+	Disk             *Item   // item on disk, which survives a crash
+	Unsaved          []*Item // unsynced writes in order; a crash loses any number of the latest ones
+	AcceptConfirmed  bool    // the client got the confirmation that the item was accepted
+	ClientVerdict    Verdict // answer that the client got; None before
+	ResultAcked      bool    // a worker got the response 204 for the result
 	Submitted        bool
 	Dead             bool
-	CallbackWaitOver bool // recovery has waited for callbacks
-	ClockWentBack    bool // the clock shows less than the store has seen
-	Sent             bool // the current attempt was sent
+	CallbackWaitOver bool // the time for which recovery waits for callbacks has passed
+	ClockWentBack    bool // the wall clock shows an earlier time than the latest commit
+	Sent             bool // the latest attempt was sent
 	Workers          [2]workerState
-	Crashes          int
-	Runs             int
-	RanIn            [2]bool
-	Violation        string
-	SkippedWait      diskWait // that the process leaves out: an injected fault
+	Crashes          int      // number of crashes that may still happen
+	Runs             int      // number of times that the job ran
+	RanIn            [2]bool  // the job ran, or was dropped as a duplicate, at this worker
+	Violation        string   // first event that Apply rejected
+	SkippedWait      diskWait // wait that the process omits, as an injected fault
 }
 
-// diskWait is what the process waits for the disk for, before it does it.
+// diskWait names an action before which the process must wait for the disk.
 type diskWait string
 
 const (
-	beforeAccept diskWait = "accept" // confirm the item to its client
-	beforeRoute  diskWait = "route"  // send an attempt
-	before204    diskWait = "204"    // confirm a callback to its worker
-	beforeAnswer diskWait = "answer" // give the answer to the client
+	beforeAccept diskWait = "accept" // the client gets the confirmation of its item
+	beforeRoute  diskWait = "route"  // an attempt is sent
+	before204    diskWait = "204"    // a worker gets the response to its callback
+	beforeAnswer diskWait = "answer" // the client gets the answer
 )
 
-// racks has the rack of each worker, by which a worker is called, too.
+// racks has the rack of each worker. The name of a worker is the name of its rack.
 var racks = []string{"a", "b"}
 
+// workerState is the state of a worker in the model.
 type workerState struct {
-	HasJob    bool // a job that has not run
-	CallsBack bool // it ran, and calls back until it is answered
+	HasJob    bool // the worker has the job and has not run it
+	CallsBack bool // the job ran, and the worker repeats the callback until it gets the response
 }
 
+// maxModelledAttempts limits the attempts in the model. A limit below MaxAttempts keeps the number of states
+// small.
 const maxModelledAttempts = 2
 
+// answerRetention is the time for which an answer is kept.
 const answerRetention = 50 * second
 
 func (w *world) clone() *world {
@@ -68,25 +72,26 @@
 	return c
 }
 
-// saved reports whether the process's item is on disk as it is in memory.
+// saved reports whether all writes of the item are synced to disk.
 func (w *world) saved() bool { return len(w.Unsaved) == 0 }
 
-// applyAndWrite applies an event in the process, which writes the item.
+// applyAndWrite applies an event to the item in memory and writes the item without a sync.
 func (w *world) applyAndWrite(e Event) {
 	if err := w.Mem.Apply(e); err != nil {
-		w.Violation = fmt.Sprintf("event %d at %d: %v", e.Kind, e.At, err)
+		w.Violation = fmt.Sprintf("Apply rejects event kind %d at time %d: %v", e.Kind, e.At, err)
 		return
 	}
 	it := *w.Mem
 	w.Unsaved = append(w.Unsaved, &it)
 }
 
+// action is a possible next step of the world.
 type action struct {
 	name string
 	do   func(*world)
 }
 
-// actions are the things that may happen next. Their order fixes the numbers that Step takes.
+// actions returns the actions that are possible in the current state. Step takes an index of this list.
 func (w *world) actions() []action {
 	all := w.workerActions(w.killActions())
 	switch {
@@ -104,7 +109,7 @@
 	return w.processActions(all)
 }
 
-// killActions end the process while any number of its last writes are lost.
+// killActions returns one crash for each number of unsynced writes that may survive.
 func (w *world) killActions() (all []action) {
 	if w.Crashes == 0 || w.Dead || !w.Submitted {
 		return nil
@@ -121,7 +126,7 @@
 	return all
 }
 
-// workerActions adds what the workers do, and the responses to their callbacks.
+// workerActions adds the actions of the workers and the responses to their callbacks.
 func (w *world) workerActions(all []action) []action {
 	for i, r := range w.Workers {
 		add := func(what string, do func(*world)) {
@@ -143,7 +148,8 @@
 	return all
 }
 
-// run lets a worker run the job, unless it drops it as a duplicate.
+// run lets a worker run the job. A worker drops a duplicate job as the effect demands, but calls back all the
+// same.
 func (w *world) run(i int) {
 	duplicate := w.Effect == Anywhere && w.Runs > 0 || w.Effect == Rack && w.RanIn[i]
 	if !duplicate {
@@ -153,20 +159,24 @@
 	w.Workers[i] = workerState{CallsBack: true}
 }
 
+// callBack processes a worker's callback with the result.
 func (w *world) callBack(i int) {
 	w.applyAndWrite(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
 	if w.SkippedWait == before204 {
-		w.Workers[i].CallsBack, w.ResultAcked = false, true // before its record is on disk
+		// The worker gets the response before the record is on disk.
+		w.Workers[i].CallsBack, w.ResultAcked = false, true
 	}
 }
 
+// acknowledge sends the response to a worker's callback.
 func (w *world) acknowledge(i int) {
 	w.Workers[i].CallsBack = false
-	// A callback after the answer gets a status that says so, and proves nothing more.
+	// A callback after a final answer without a result gets a different status, which confirms no result.
 	n := len(w.Mem.Attempts)
 	w.ResultAcked = w.ResultAcked || n > 0 && w.Mem.Attempts[n-1].Outcome == Done
 }
 
+// submit creates the item in memory and writes it without a sync.
 func (w *world) submit() {
 	w.Submitted = true
 	it := newItem(w.Effect)
@@ -178,26 +188,28 @@
 	}
 }
 
+// sync makes all writes durable. The client then gets the confirmation of the item.
 func (w *world) sync() {
 	w.Disk, w.Unsaved = w.Unsaved[len(w.Unsaved)-1], nil
 	w.AcceptConfirmed = true
 }
 
-// restartActions start the process again with what is on disk.
+// restartActions adds the restarts of the process with the item on disk, with and without a clock that went
+// back.
 func (w *world) restartActions(all []action) []action {
 	for _, wentBack := range []bool{false, true} {
 		all = append(all, action{fmt.Sprint("starts again, the clock went back: ", wentBack), func(w *world) {
 			w.Dead, w.ClockWentBack = false, wentBack
 			if w.Disk != nil {
 				it := *w.Disk
-				w.Mem, w.Sent = &it, it.Outstanding() // it may have been sent before
+				w.Mem, w.Sent = &it, it.Outstanding() // an outstanding attempt may have been sent before the crash
 			}
 		}})
 	}
 	return all
 }
 
-// processActions adds what the process does with the item that it has, and the time.
+// processActions adds the actions of the process on its item, and the passing of time.
 func (w *world) processActions(all []action) []action {
 	add := func(name string, do func(*world)) { all = append(all, action{name, do}) }
 	if !w.CallbackWaitOver {
@@ -209,7 +221,7 @@
 	case step == Apply && w.saved():
 		add("it is concluded", func(w *world) { w.applyAndWrite(event) })
 	case step == Resume && w.saved() &&
-		len(w.Mem.Attempts) < maxModelledAttempts: // fewer than allowed: fewer states
+		len(w.Mem.Attempts) < maxModelledAttempts:
 		for i, rack := range racks {
 			if w.Mem.CheckRoute(w.Now, rack) == nil {
 				add("it is routed to "+rack, func(w *world) { w.route(i) })
@@ -229,6 +241,7 @@
 	return all
 }
 
+// route starts an attempt at a worker.
 func (w *world) route(i int) {
 	w.applyAndWrite(Event{Kind: Routed, At: w.Now, Worker: racks[i], Rack: racks[i]})
 	if w.SkippedWait == beforeRoute {
@@ -236,6 +249,7 @@
 	}
 }
 
+// send delivers the job to a worker.
 func (w *world) send(i int) {
 	w.Sent = true
 	w.Workers[i].HasJob = true
@@ -272,15 +286,16 @@
 	case w.Violation != "":
 		return fmt.Errorf("%s", w.Violation)
 	case w.Runs > 1 && w.Effect != Safe:
-		return fmt.Errorf("it ran %d times", w.Runs)
+		return fmt.Errorf("the job ran %d times, want at most once for its effect", w.Runs)
 	case w.AcceptConfirmed && w.Disk == nil:
-		return fmt.Errorf("an accepted item is missing")
+		return fmt.Errorf("the client got a confirmation, but the item is not on disk")
 	case w.ClientVerdict != None && w.Disk != nil && w.Mem != nil && w.Mem.Verdict != w.ClientVerdict:
-		return fmt.Errorf("the client got %v, and now it is %v", w.ClientVerdict, w.Mem.Verdict)
+		return fmt.Errorf("the client got the answer %v, but the item's verdict is now %v",
+			w.ClientVerdict, w.Mem.Verdict)
 	case w.ResultAcked && w.ClientVerdict == Failed:
-		return fmt.Errorf("a result that a worker got its 204 for is missing")
+		return fmt.Errorf("a worker got the response 204 for its result, but the client got the answer failed")
 	case w.ClientVerdict == Expired && w.Runs > 0:
-		return fmt.Errorf("it expired, and ran")
+		return fmt.Errorf("the client got the answer expired, but the job ran")
 	}
 	if w.Disk != nil {
 		return w.Disk.Check()
@@ -288,33 +303,35 @@
 	return nil
 }
 
-// Every order of events, with crashes at any point, one during recovery and one more: an accepted item is
-// never missing, none runs twice that must not, no answer changes.
+// Explores all orders of events with crashes at any point, including crashes during recovery. No accepted
+// item is lost, no job runs twice unless its effect allows repeats, and no answer changes after a client got
+// it.
 func TestCrashesInEveryOrder(t *testing.T) {
 	for effect := Once; effect <= Safe; effect++ {
 		crashes := 3
 		if effect >= Anywhere || testing.Short() {
-			crashes = 1 // retries multiply the states
+			crashes = 1 // repeated attempts multiply the number of states
 		}
 		if raceOn {
-			crashes = 1 // states cost ten times as much
+			crashes = 1 // the race detector makes each state ten times as expensive
 		}
 		tour := modelcheck.Exhaust(&world{Effect: effect, Crashes: crashes}, 300_000)
 		if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
-			t.Errorf("effect %d: %v, %v, by %q", effect, tour, tour.Violation, tour.Path)
+			t.Errorf("effect %d: %v; violation %v on the path %q", effect, tour, tour.Violation, tour.Path)
 		}
 		t.Logf("effect %d: %v", effect, tour)
 	}
 }
 
-// Each of the waits is needed: without any one of them a promise breaks.
+// Each of the four waits for the disk is necessary: if the process omits any of them, some order of events
+// breaks a promise to a client or a worker.
 func TestEachWaitIsNeeded(t *testing.T) {
 	for _, skipped := range []diskWait{beforeAccept, beforeRoute, before204, beforeAnswer} {
 		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, SkippedWait: skipped}, 1_000_000)
 		if tour.Violation == nil {
-			t.Errorf("nothing breaks without the wait before %s: %v", skipped, tour)
+			t.Errorf("no violation is found when the process omits the wait before %s: %v", skipped, tour)
 			continue
 		}
-		t.Logf("%s: %v, by %q", skipped, tour.Violation, tour.Path)
+		t.Logf("without the wait before %s: violation %v on the path %q", skipped, tour.Violation, tour.Path)
 	}
 }
--- a/internal/store/lifecycle/recover.go
+++ b/internal/store/lifecycle/recover.go
@@ -1,19 +1,19 @@
 package lifecycle
 
-// Clock is what recovery knows of the time.
+// Clock is the information about time on which recovery bases its decisions.
 type Clock struct {
-	At Micros
-	// WentBack says that the clock shows less than before the stop. How long the stop was is then unknown: no
-	// window can be trusted.
+	At Micros // current time, never before the store's latest commit
+	// WentBack is true if the wall clock shows an earlier time than the store's latest commit. The duration of
+	// the downtime is unknown then, so recovery cannot rely on any deduplication window.
 	WentBack bool
-	// CallbackWaitOver says that workers have had their time to call back: an attempt without a callback may
-	// have run, and that can be concluded now.
+	// CallbackWaitOver is true once the time has passed for which recovery waits for callbacks of the workers.
+	// From then on, recovery records an attempt without a callback as one that may have run.
 	CallbackWaitOver bool
 }
 
-// ClockAfterRestart returns the Clock of a start, by what the clock shows and by the latest time that the store
-// has seen. Time never runs backwards for an item: a clock that was put back an hour must not make
-// deadlines an hour longer.
+// ClockAfterRestart returns the Clock of a start from the wall clock and from the time of the store's latest
+// commit. The later of the two is the current time, so that time never runs backwards for an item: a wall
+// clock that was set back by an hour must not extend deadlines by an hour.
 func ClockAfterRestart(clock, latestCommit Micros) Clock {
 	if clock < latestCommit {
 		return Clock{At: latestCommit, WentBack: true}
@@ -21,21 +21,22 @@
 	return Clock{At: clock}
 }
 
-// RecoveryStep is what recovery does with an item.
+// RecoveryStep is the next step of recovery for an item.
 type RecoveryStep uint8
 
-// The steps of recovery.
+// Steps of recovery.
 const (
-	AwaitCallback RecoveryStep = iota // for callbacks, until CallbackWaitOver
-	Resume                            // route the item, where CheckRoute allows
-	Apply                             // apply the event that Recover returns
-	Delete                            // its answer has been kept long enough
-	KeepAnswer                        // it has its answer, which can still be read
+	AwaitCallback RecoveryStep = iota // wait for a worker's callback until CallbackWaitOver is set
+	Resume                            // send another attempt to a rack that CheckRoute allows
+	Apply                             // write and apply the event that Recover returns
+	Delete                            // delete the item: its answer's retention time has passed
+	KeepAnswer                        // keep the item: clients may still read its answer
 )
 
-// Recover says what to do with an item that the store has at a start, and how long its answer is kept if it
-// gets one now. Each conclusion is an event, which must be on disk before anything follows from it: then
-// after a crash during recovery, and one during that, the same record leads to the same end.
+// Recover returns the next step for an item that the store contains at a start, and the event to apply if the
+// step is Apply. An answer that the event gives is kept for the retention time from now on. The event must be
+// on disk before the caller acts on it: after any number of crashes during recovery, the item then still
+// reaches the same final state.
 func Recover(it *Item, now Clock, retention Micros) (RecoveryStep, Event) {
 	if it.Verdict != None {
 		if now.At >= it.KeepUntil {
@@ -47,11 +48,11 @@
 		return Apply, Event{Kind: Answered, At: now.At, Verdict: v, KeepUntil: now.At + retention}
 	}
 	if n := len(it.Attempts); n > 0 && it.Attempts[n-1].Outcome == Done {
-		return answer(Served) // the end of the attempt was on disk, the answer was not
+		return answer(Served) // the crash came after the result was written and before the answer was
 	}
 	if it.Outstanding() {
 		if !now.CallbackWaitOver {
-			return AwaitCallback, Event{} // its worker may still call back, whatever the deadline says
+			return AwaitCallback, Event{} // the worker may still report the result, even after the deadline
 		}
 		return Apply, Event{Kind: AttemptEnded, At: now.At, Outcome: MayHaveRun}
 	}
--- a/internal/store/reader.go
+++ b/internal/store/reader.go
@@ -11,13 +11,13 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// ErrNotFound says that there is no such item.
+// ErrNotFound means that the store has no item with the given id.
 var ErrNotFound = errors.New("no such item")
 
-// Reader reads a store that no process has open for writing.
+// Reader reads a store. While a Reader is open, no process can open the store for writing.
 type Reader struct{ disk *bolt }
 
-// OpenReader opens a store to read it.
+// OpenReader opens a store for reading. OpenReader fails if another process has the store open for writing.
 func OpenReader(path string) (*Reader, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
@@ -32,14 +32,15 @@
 // Close closes the store.
 func (r *Reader) Close() error { return r.disk.close() }
 
-// Each reads all items. fault is what is invalid about a record, by its checksum or by what may happen to
-// an item; then there may be no item. A fault without an id concerns the store as a whole. An error of do
+// Each calls do for each record. fault is nil for a valid record. Otherwise fault says why the record is
+// invalid: the checksum is wrong, or the state machine of package lifecycle does not allow the record's
+// events. The item may be nil then. A fault with an empty id concerns the store as a whole. An error of do
 // ends the reading.
 func (r *Reader) Each(do func(id string, it *lifecycle.Item, fault error) error) error {
 	return r.disk.forEach(do)
 }
 
-// Find reads one item. The error is ErrNotFound where there is none.
+// Find returns the item with the given id, or ErrNotFound if the store has no such item.
 func (r *Reader) Find(id string) (it *lifecycle.Item, err error) {
 	err = r.disk.view(func(tx *bbolt.Tx) error {
 		record := tx.Bucket(itemsBucket).Get([]byte(id))
@@ -52,10 +53,10 @@
 	return it, err
 }
 
-// Backup writes a complete copy.
+// Backup writes a complete copy of the store to w.
 func (r *Reader) Backup(w io.Writer) error { return r.disk.writeTo(w) }
 
-// Check returns each fault of a store, and how many items are in order.
+// Check reads a whole store, and returns the number of valid items and all faults that it finds.
 func Check(path string) (items int, faults []error, err error) {
 	r, err := OpenReader(path)
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps items on disk, in bbolt, with many changes to a sync. What may happen to an item is
-// decided by package lifecycle; this one promises that what it has confirmed is there after a crash,
-// complete or reported as corrupt.
+// Package store keeps items on disk in a bbolt database, and commits many changes with one sync. Package
+// lifecycle defines which changes an item allows. Package store guarantees that each confirmed change
+// survives a crash: after a restart, a confirmed record is either complete or reported as corrupt.
 package store
 
 import (
@@ -16,18 +16,18 @@
 
 // Config is the configuration of a store.
 type Config struct {
-	Path     string // of its file
-	MaxItems int    // unfinished and answered ones together; 0: a million
-	MaxBytes int64  // of the file; 0: 1 GiB
+	Path     string // path of the database file
+	MaxItems int    // maximum number of items, unfinished and answered; 0 means one million
+	MaxBytes int64  // maximum size of the file without its free pages; 0 means 1 GiB
 }
 
 const (
 	defaultMaxItems  = 1_000_000
 	defaultMaxBytes  = 1 << 30
-	maxQueuedChanges = 4096 // changes that wait for the disk
-	maxBatchChanges  = 1024 // changes in a commit
-	// updateReserveDivisor is the part of MaxBytes, one in so many, that only changes to known items may use: what was
-	// accepted must be able to end.
+	maxQueuedChanges = 4096 // changes that wait for a commit
+	maxBatchChanges  = 1024 // changes in one commit
+	// updateReserveDivisor determines the reserve for changes of stored items: new items may not use the last
+	// MaxBytes/updateReserveDivisor bytes. Without the reserve, the end of an accepted item could find no space.
 	updateReserveDivisor = 8
 )
 
@@ -35,47 +35,54 @@
 type Change struct {
 	Item   *lifecycle.Item
 	Delete bool
-	// Done is called once, from the writer's goroutine, in the order of the changes. The error is nil when the
-	// change is on disk. It must not block.
+	// Done is called once, from the writer's goroutine and in the order of the changes. The error is nil if the
+	// change is on disk. Done must not block.
 	Done func(error)
 
-	isNew  bool
-	record []byte // the encoded item, made by the caller so that the one writer does not have to
+	isNew  bool   // the change was made by Accept and is counted in Store.pendingNew
+	record []byte // encoded item; the caller's goroutine encodes it to relieve the single writer goroutine
 }
 
-// The errors of a change that is not stored.
+// Errors of a change that is not stored.
 var (
-	// ErrFull says that a quota is used up. No new item is accepted until others are deleted.
-	ErrFull = errors.New("the store is full")
-	// ErrBusy says that the disk does not keep up: too many changes are waiting.
-	ErrBusy = errors.New("the disk does not keep up")
-	// ErrClosed says that the store is closed.
-	ErrClosed = errors.New("the store is closed")
+	// ErrFull means that MaxItems or MaxBytes is reached. New items are rejected until items are deleted.
+	ErrFull = errors.New("store is full: its quota of items or bytes is used up")
+	// ErrBusy means that changes arrive faster than the disk stores them, and too many of them are waiting.
+	ErrBusy = errors.New("store is busy: too many changes are waiting for the disk")
+	// ErrClosed means that Close was called.
+	ErrClosed = errors.New("store is closed")
 )
 
-// DiskError ends all changes from the first one on that the disk did not take: after a failed sync it is
-// unknown which of the unsynced writes are there. The store takes nothing more until it is opened anew.
+// DiskError is the error of the first change that could not be written to disk, and of all later changes.
+// After a failed sync, it is unknown which of the unsynced writes are on disk, so the store accepts no more
+// changes until it is opened again.
 type DiskError struct{ Cause error }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *DiskError) Error() string {
-	return "the disk failed, nothing more is stored: " + e.Cause.Error()
+	return "writing to disk failed, and the store accepts no more changes: " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the failed write.
 func (e *DiskError) Unwrap() error { return e.Cause }
 
-// disk is what a store needs of its engine. A commit is on disk as a whole when it returns nil.
+// disk is the interface of a store to its database engine.
 type disk interface {
+	// commit writes a batch in one transaction, and returns the number of items and of bytes in use afterwards.
+	// If the error is nil, the whole batch is on disk.
 	commit(commitTime lifecycle.Micros, batch []Change) (items int, bytes int64, err error)
+	// forEach calls a function with each record. See bolt.forEach for the arguments.
 	forEach(func(id string, it *lifecycle.Item, fault error) error) error
+	// commitTime returns the time of the latest commit.
 	commitTime() (lifecycle.Micros, error)
+	// size returns the number of items and of bytes in use.
 	size() (items int, bytes int64, err error)
+	// writeTo writes a complete copy of the database.
 	writeTo(w io.Writer) error
 	close() error
 }
 
-// Store is an open store. It is safe for concurrent use.
+// Store is an open store. A Store is safe for concurrent use.
 type Store struct {
 	cfg    Config
 	disk   disk
@@ -84,14 +91,14 @@
 
 	mu         sync.Mutex // guards the fields below
 	closed     bool
-	diskErr    error // the first failure; nothing is stored after it
-	items      int   // on disk
-	pendingNew int   // accepted, and not on disk yet
-	bytes      int64
+	diskErr    error // the first DiskError; nothing is stored afterwards
+	items      int   // number of items on disk
+	pendingNew int   // number of accepted items that are not on disk yet
+	bytes      int64 // bytes of the file in use, as of the latest commit
 }
 
-// Open opens a store, or creates one. A file that another process has open, one of an unknown version and
-// one that is no store are errors of one clear line each.
+// Open opens a store, or creates one if the file does not exist. Open returns an error of a single line if
+// another process has the file open, if the format version is unknown, or if the file is not a store.
 func Open(cfg Config) (*Store, error) {
 	if cfg.MaxItems == 0 {
 		cfg.MaxItems = defaultMaxItems
@@ -100,7 +107,7 @@
 		cfg.MaxBytes = defaultMaxBytes
 	}
 	if cfg.MaxItems < 0 || cfg.MaxBytes < 0 {
-		return nil, errors.New("store: a quota must not be negative")
+		return nil, errors.New("store: MaxItems and MaxBytes must not be negative")
 	}
 	d, err := openBolt(cfg.Path, readWrite)
 	if err != nil {
@@ -109,6 +116,7 @@
 	return start(cfg, d)
 }
 
+// start returns a store on an open disk, and starts the writer goroutine.
 func start(cfg Config, d disk) (*Store, error) {
 	s := &Store{cfg: cfg, disk: d, queue: make(chan Change, maxQueuedChanges)}
 	var err error
@@ -119,14 +127,14 @@
 	return s, nil
 }
 
-// Recovered is what a store had when it was opened.
+// Recovered is the content of a store at its opening.
 type Recovered struct {
 	Items   []*lifecycle.Item
-	Corrupt []error // one for each record that cannot be trusted; none of those is in Items
+	Corrupt []error // one error for each corrupt record; corrupt records are not in Items
 	Clock   lifecycle.Clock
 }
 
-// Recover reads all items. The argument is what the clock shows now.
+// Recover reads all items. The argument is the current time of the wall clock.
 func (s *Store) Recover(now lifecycle.Micros) (*Recovered, error) {
 	commitTime, err := s.disk.commitTime()
 	if err != nil {
@@ -144,7 +152,7 @@
 	return r, err
 }
 
-// prefixItemID puts the item's id before a fault, where it concerns one item.
+// prefixItemID adds the item's id to a fault. A fault of the store as a whole has no id and stays as it is.
 func prefixItemID(id string, fault error) error {
 	if id == "" {
 		return fault
@@ -152,8 +160,9 @@
 	return fmt.Errorf("item %q: %w", id, fault)
 }
 
-// Accept stores a new item. The error is ErrFull or ErrBusy when the store is full or the disk does not
-// keep up, a DiskError or ErrClosed when it takes nothing more; then Done is not called.
+// Accept queues a new item to be stored. Accept returns ErrFull if the store is full, ErrBusy if too many
+// changes are waiting for the disk, and a DiskError or ErrClosed if the store accepts no more changes. Done
+// is called only if the error is nil.
 func (s *Store) Accept(c Change) error {
 	if err := c.encode(); err != nil {
 		return err
@@ -164,7 +173,7 @@
 	if s.items+s.pendingNew >= s.cfg.MaxItems || s.bytes+int64(len(c.Item.Body)) > maxBytes {
 		return ErrFull
 	}
-	// The rest of the queue is reserved for the ends of accepted items.
+	// The other half of the queue is reserved for changes of accepted items, so that these items can end.
 	if len(s.queue) > maxQueuedChanges/2 {
 		return ErrBusy
 	}
@@ -176,7 +185,8 @@
 	return err
 }
 
-// Update stores the new state of an item, or deletes it. The error is as in Accept, but never ErrFull.
+// Update queues a change of a stored item: the item's new state or its deletion. Update returns the same
+// errors as Accept except ErrFull.
 func (s *Store) Update(c Change) error {
 	if err := c.encode(); err != nil {
 		return err
@@ -186,6 +196,7 @@
 	return s.enqueue(c)
 }
 
+// encode sets the record that the writer goroutine stores.
 func (c *Change) encode() error {
 	if c.Delete {
 		return nil
@@ -198,7 +209,7 @@
 	return nil
 }
 
-// enqueue queues a change. It never waits for the disk.
+// enqueue queues a change for the writer goroutine, without waiting for the disk. The caller holds s.mu.
 func (s *Store) enqueue(c Change) error {
 	switch {
 	case s.diskErr != nil:
@@ -214,8 +225,8 @@
 	}
 }
 
-// writeLoop commits changes until the queue is closed. Those that arrive during one commit go together with
-// the next.
+// writeLoop commits changes until the queue is closed. All changes that arrive during a commit are committed
+// together, up to maxBatchChanges of them.
 func (s *Store) writeLoop() {
 	for first := range s.queue {
 		batch := s.fillBatch(first)
@@ -226,7 +237,8 @@
 	}
 }
 
-// fillBatch takes the changes that are queued behind the first, without waiting for more.
+// fillBatch returns the first change and the changes that are queued behind the first one, without waiting
+// for more changes.
 func (s *Store) fillBatch(first Change) []Change {
 	batch := append(make([]Change, 0, maxBatchChanges), first)
 	for len(batch) < maxBatchChanges {
@@ -243,6 +255,7 @@
 	return batch
 }
 
+// commit writes a batch to disk and updates the counts of items and bytes.
 func (s *Store) commit(batch []Change) error {
 	if err := s.Err(); err != nil {
 		return err
@@ -263,17 +276,18 @@
 	return nil
 }
 
-// Err returns the DiskError after which the store takes nothing more; nil: there was none.
+// Err returns the DiskError because of which the store accepts no more changes, or nil if no write has
+// failed.
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.diskErr
 }
 
-// Backup writes a complete copy, as of one moment, while the store goes on.
+// Backup writes a consistent snapshot of the store to w. Changes continue to be stored during the backup.
 func (s *Store) Backup(w io.Writer) error { return s.disk.writeTo(w) }
 
-// Close writes the queued changes and closes the store. A second call does nothing.
+// Close writes the queued changes and closes the store. A second call has no effect.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,11 +19,13 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
+// testItem returns an item whose id and content are determined by n.
 func testItem(n int) *lifecycle.Item {
 	return &lifecycle.Item{ID: fmt.Sprintf("item-%04d", n), Class: "post-reading",
 		Body: []byte(fmt.Sprint("body ", n)), Accepted: lifecycle.Micros(n), Deadline: 1 << 50}
 }
 
+// openStore opens a store that is closed at the end of the test.
 func openStore(t testing.TB, cfg Config) *Store {
 	t.Helper()
 	s, err := Open(cfg)
@@ -41,7 +43,7 @@
 	}
 }
 
-// acceptAndWait stores an item and waits until it is on disk.
+// acceptAndWait stores an item and waits until the item is on disk.
 func acceptAndWait(s *Store, it *lifecycle.Item) error {
 	done := make(chan error, 1)
 	if err := s.Accept(Change{Item: it, Done: func(err error) { done <- err }}); err != nil {
@@ -50,6 +52,7 @@
 	return <-done
 }
 
+// updateAndWait stores a change and waits until the change is on disk.
 func updateAndWait(s *Store, c Change) error {
 	done := make(chan error, 1)
 	c.Done = func(err error) { done <- err }
@@ -59,11 +62,12 @@
 	return <-done
 }
 
+// readAll returns all items of a store by id, and fails the test if a record is corrupt.
 func readAll(t testing.TB, s *Store) map[string]*lifecycle.Item {
 	t.Helper()
 	r, err := s.Recover(1)
 	if err != nil || len(r.Corrupt) > 0 {
-		t.Fatalf("%v, broken %v", err, r.Corrupt)
+		t.Fatalf("Recover returns error %v, corrupt records %v; want neither", err, r.Corrupt)
 	}
 	all := map[string]*lifecycle.Item{}
 	for _, it := range r.Items {
@@ -72,8 +76,8 @@
 	return all
 }
 
-// What was confirmed is there after the store is opened again; a second process gets an error of one line;
-// a clock that went back is reported.
+// All confirmed changes are present after the store is closed and opened again. Opening a store that is
+// already open fails with a clear error, and recovery reports a wall clock that went back.
 func TestReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "jobs")
 	s := openStore(t, Config{Path: path})
@@ -97,14 +101,14 @@
 	want["item-0003"] = &changed
 	delete(want, "item-0004")
 	_, err := Open(Config{Path: path})
-	if err == nil || !strings.HasSuffix(err.Error(), "another process has it open") {
+	if err == nil || !strings.HasSuffix(err.Error(), "file is open in another process") {
 		t.Errorf("%v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := acceptAndWait(s, testItem(99)); !errors.Is(err, ErrClosed) {
-		t.Errorf("%v after the close", err)
+		t.Errorf("Accept after Close returns %v, want ErrClosed", err)
 	}
 	s = openStore(t, Config{Path: path})
 	if diff := cmp.Diff(want, readAll(t, s)); diff != "" {
@@ -116,12 +120,15 @@
 	}
 }
 
-// countingDisk is a disk that counts commits, can be made slow, and fails from a commit on.
+// countingDisk is a disk that counts its commits. Tests can delay the commits, and can make all commits from
+// a given one on fail.
 type countingDisk struct {
 	disk
 	sync.Mutex
+	// commits is the number of commits so far. Commits from number failFrom on fail; 0 means that none fails.
 	commits, failFrom int
-	commitPermits     chan bool // a commit waits for a value; nil: none does
+	// Each commit waits to receive from commitPermits; a nil channel means that commits do not wait.
+	commitPermits chan bool
 }
 
 var errIO = errors.New("input/output error")
@@ -140,6 +147,7 @@
 	return c.disk.commit(commitTime, batch)
 }
 
+// startOnDisk starts a store whose commits pass through c to a database file.
 func startOnDisk(t *testing.T, c *countingDisk, cfg Config) *Store {
 	t.Helper()
 	d, err := openBolt(cfg.Path, readWrite)
@@ -158,7 +166,8 @@
 	return s
 }
 
-// What arrives during one commit shares the next; no caller waits for the disk.
+// Changes that arrive during a commit are committed together in the next commit, and no caller of Accept
+// waits for the disk.
 func TestGroupCommit(t *testing.T) {
 	c := &countingDisk{commitPermits: make(chan bool)}
 	s := startOnDisk(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
@@ -177,11 +186,12 @@
 	close(c.commitPermits)
 	done.Wait()
 	if c.commits > 3 || len(readAll(t, s)) != 500 {
-		t.Errorf("%d commits for 500 items that arrived during the first", c.commits)
+		t.Errorf("%d commits for 500 items, want at most 3 with all items on disk", c.commits)
 	}
 }
 
-// A disk that does not keep up: new items are refused, changes to known ones still fit.
+// When the disk is too slow, new items are rejected with ErrBusy, but the queue still has space for changes
+// of accepted items.
 func TestSlowDisk(t *testing.T) {
 	c := &countingDisk{commitPermits: make(chan bool)}
 	s := startOnDisk(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
@@ -190,17 +200,17 @@
 		if err := s.Accept(Change{Item: testItem(taken), Done: func(error) {}}); errors.Is(err, ErrBusy) {
 			break
 		} else if err != nil || taken > maxQueuedChanges {
-			t.Fatalf("%v after %d", err, taken)
+			t.Fatalf("Accept returns %v after %d items, want ErrBusy within the size of the queue", err, taken)
 		}
 	}
 	if err := s.Update(Change{Item: testItem(0), Delete: true, Done: func(error) {}}); err != nil {
-		t.Errorf("the end of an item is refused: %v", err)
+		t.Errorf("deleting an accepted item is rejected with %v, want space in the queue", err)
 	}
 	close(c.commitPermits)
 }
 
-// The disk fails at any commit: that one and all later ones end with the error, and what was confirmed
-// before is there when the store is opened again.
+// When a commit fails, that change and all later ones end with a DiskError. All changes that were confirmed
+// before the failure are present when the store is opened again.
 func TestDiskFails(t *testing.T) {
 	for failFrom := 1; failFrom <= 6; failFrom++ {
 		path := filepath.Join(t.TempDir(), "jobs")
@@ -214,22 +224,23 @@
 			case err == nil && n+1 < failFrom:
 				want[it.ID] = it
 			case !errors.As(err, &failure) || !errors.Is(err, errIO) || n+1 < failFrom:
-				t.Errorf("commit %d fails, item %d: %v", failFrom, n, err)
+				t.Errorf("disk fails from commit %d on: storing item %d returns %v", failFrom, n, err)
 			}
 		}
 		if s.Err() == nil {
-			t.Error("the store does not say that it failed")
+			t.Error("Err returns nil after a failed commit, want a DiskError")
 		}
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want, readAll(t, openStore(t, Config{Path: path}))); diff != "" {
-			t.Errorf("commit %d fails: %s", failFrom, diff)
+			t.Errorf("disk fails from commit %d on: wrong items after opening again: %s", failFrom, diff)
 		}
 	}
 }
 
-// The quota refuses new items and not changes to known ones; a deletion frees space for others.
+// When the quota of items or of bytes is used up, new items are rejected, but changes of stored items are
+// not. A deletion makes space for a new item. The file stays within a small multiple of MaxBytes.
 func TestQuota(t *testing.T) {
 	s := openStore(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MaxItems: 3})
 	for n := range 3 {
@@ -238,9 +249,10 @@
 		}
 	}
 	if err := acceptAndWait(s, testItem(3)); !errors.Is(err, ErrFull) {
-		t.Errorf("a fourth item: %v", err)
+		t.Errorf("storing a fourth item returns %v, want ErrFull for a quota of 3", err)
 	}
-	if err := errors.Join(updateAndWait(s, Change{Item: testItem(1)}), updateAndWait(s, Change{Item: testItem(0), Delete: true}),
+	if err := errors.Join(updateAndWait(s, Change{Item: testItem(1)}),
+		updateAndWait(s, Change{Item: testItem(0), Delete: true}),
 		acceptAndWait(s, testItem(3))); err != nil {
 		t.Error(err)
 	}
@@ -251,20 +263,20 @@
 		if err := acceptAndWait(small, it); errors.Is(err, ErrFull) {
 			break
 		} else if err != nil || n > 100 {
-			t.Fatalf("%v after %d items", err, n)
+			t.Fatalf("storing an item returns %v after %d items, want ErrFull", err, n)
 		}
 	}
 	if info, err := os.Stat(small.cfg.Path); err != nil || info.Size() > 512<<10 {
-		t.Errorf("the file has %d bytes, %v", info.Size(), err)
+		t.Errorf("file has %d bytes, want at most twice MaxBytes; error %v", info.Size(), err)
 	}
 }
 
-// pageSize is the engine's, which is the machine's.
+// pageSize is the page size of bbolt files, which is the page size of the operating system.
 var pageSize = os.Getpagesize()
 
-// A crash within any commit: any of its writes may be missing, cut off or zeros, those after the sync only
-// once all before it are there. The store then has what was confirmed, and the interrupted commit
-// completely or not at all.
+// Simulates crashes within commits. Any data page of an interrupted commit may be missing, truncated or zero;
+// the meta pages, which bbolt writes after a sync, may be on disk only if all data pages are. The store then
+// contains all confirmed changes, and the interrupted commit either completely or not at all.
 func TestTornWrites(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "jobs")
@@ -305,7 +317,8 @@
 				}
 			}
 			if metaPagesWritten && len(torn) == len(after) {
-				copy(torn, after[:512*random.IntN(2*pageSize/512)]) // a sector is written completely
+				// The disk writes each sector of 512 bytes completely or not at all.
+				copy(torn, after[:512*random.IntN(2*pageSize/512)])
 			}
 			tornPath := filepath.Join(folder, "torn")
 			if err := os.WriteFile(tornPath, torn, 0o600); err != nil {
@@ -313,10 +326,12 @@
 			}
 			o, err := Open(Config{Path: tornPath})
 			if err != nil {
-				t.Fatalf("commit %d, torn: %v", n, err)
+				t.Fatalf("commit %d interrupted: opening the store fails: %v", n, err)
 			}
 			if got := readAll(t, o); cmp.Diff(state, got) != "" && cmp.Diff(next, got) != "" {
-				t.Fatalf("commit %d, torn: neither the old state nor the new: %s", n, cmp.Diff(state, got))
+				t.Fatalf(
+					"commit %d interrupted: store has neither the old nor the new state, difference to the old one: %s",
+					n, cmp.Diff(state, got))
 			}
 			closeStore(t, o)
 		}
@@ -324,11 +339,11 @@
 	}
 }
 
-// A bit that is flipped anywhere is reported, or lies where it has no effect: no item comes back changed,
-// and none is missing without an error.
+// A flipped bit anywhere in the file is either reported or has no effect: no item is read with changed
+// content, and no item is missing without an error.
 func TestFlippedBits(t *testing.T) {
 	if raceOn {
-		t.Skip("the race detector ends the process where the engine reads a page beyond its bounds")
+		t.Skip("not run with the race detector, which ends the process when bbolt reads a page out of bounds")
 	}
 	folder := t.TempDir()
 	path := filepath.Join(folder, "jobs")
@@ -364,21 +379,23 @@
 		r, err := o.Recover(1)
 		for _, it := range r.itemsOrNone() {
 			if diff := cmp.Diff(want[it.ID], it); diff != "" {
-				t.Errorf("byte %d: an item came back changed: %s", at, diff)
+				t.Errorf("bit flipped in byte %d: an item is read with changed content: %s", at, diff)
 			}
 		}
 		if err != nil || len(r.Corrupt) > 0 {
 			detected++
 		} else if len(r.Items) != len(want) {
-			t.Errorf("byte %d: %d of %d items, and no error", at, len(r.Items), len(want))
+			t.Errorf("bit flipped in byte %d: %d of %d items are read, and no error is reported",
+				at, len(r.Items), len(want))
 		}
-		_ = o.Close() // the file is corrupt, and was only read
+		_ = o.Close() // an error of closing a corrupt file that was only read does not matter
 	}
 	if detected < 20 {
-		t.Errorf("%d of 600 flipped bits were reported: the file is hardly used", detected)
+		t.Errorf("%d of 600 flipped bits are reported, want at least 20; most of the file may be unused", detected)
 	}
 }
 
+// itemsOrNone returns the items, or nil if r is nil because Recover failed.
 func (r *Recovered) itemsOrNone() []*lifecycle.Item {
 	if r == nil {
 		return nil
@@ -386,8 +403,8 @@
 	return r.Items
 }
 
-// A file of version 1, as an old release wrote it, is migrated to this version with all its items; one of a
-// later version is not changed.
+// A file of format version 1, written by an old release, is migrated with all its items. A file of a later
+// version and a file that is not a store are rejected with an error.
 func TestVersions(t *testing.T) {
 	raw, err := os.ReadFile("testdata/v1.db")
 	if err != nil {
@@ -397,11 +414,11 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // the second opening finds it done
+	for range 2 { // the second opening reads the migrated file
 		s := openStore(t, Config{Path: path})
 		got := readAll(t, s)
 		if len(got) != 3 || cmp.Diff(testItem(2), got["item-0002"]) != "" {
-			t.Errorf("%d items, %+v", len(got), got["item-0002"])
+			t.Errorf("store has %d items, want 3; item-0002 is %+v", len(got), got["item-0002"])
 		}
 		closeStore(t, s)
 	}
@@ -420,11 +437,12 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(Config{Path: path}); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("a file that is no store: %v", err)
+		t.Errorf("opening a file that is not a store returns %v, want an error of one line", err)
 	}
 }
 
-// A backup that is made while items are stored is a complete store.
+// A backup made while items are being stored is a complete store, and contains all items that were confirmed
+// before the backup.
 func TestBackup(t *testing.T) {
 	folder := t.TempDir()
 	s := openStore(t, Config{Path: filepath.Join(folder, "jobs")})
@@ -460,7 +478,7 @@
 	got := readAll(t, openStore(t, Config{Path: f.Name()}))
 	for n := range 50 {
 		if cmp.Diff(testItem(n), got[testItem(n).ID]) != "" {
-			t.Fatalf("item %d is not in the backup", n)
+			t.Fatalf("item %d is missing from the backup or differs", n)
 		}
 	}
 }
