--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -57,7 +57,7 @@
 	}
 	b := &bolt{db: db, metaPageErr: checkMetaPages(path, db.Info().PageSize)}
 	err = b.view(checkFormat)
-	if err != nil && mode == readWrite { // a file of the current format is not written to
+	if err != nil && mode == readWrite { // a file that passes the format check is not modified
 		err = catchPanics(func() error { return db.Update(createOrMigrate) })
 	}
 	if err != nil {
--- a/internal/store/lifecycle/item.go
+++ b/internal/store/lifecycle/item.go
@@ -57,7 +57,7 @@
 // Verdict is the kind of an item's final answer.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts of an item.
 const (
 	None    Verdict = iota // the item has no final answer yet
 	Served                 // the job ran, and its result is known
@@ -71,8 +71,8 @@
 // MaxAttempts is the maximum number of attempts of an item, the first one included.
 const MaxAttempts = 4
 
-// Attempt is one attempt of an item at a worker. The JSON keys are part of the store's format on disk, which
-// calls a worker "region", an earlier name for workers.
+// Attempt records that an item was routed to a worker, and how that attempt ended. The JSON keys are part of
+// the store's format on disk, which calls a worker "region", an earlier name for workers.
 type Attempt struct {
 	Worker  string  `json:"region"`
 	Rack    string  `json:"rack"`            // rack of the worker
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -29,8 +29,8 @@
 	Workers          [2]workerState
 	Crashes          int      // number of crashes that may still happen
 	Runs             int      // number of times that the job ran
-	RanIn            [2]bool  // the job ran, or was dropped as a duplicate, at this worker
-	Violation        string   // first event that Apply rejected
+	RanIn            [2]bool  // for each worker, whether the job ran there or was dropped there as a duplicate
+	Violation        string   // description of an event that Apply rejected; empty if there is none
 	SkippedWait      diskWait // wait that the process omits, as an injected fault
 }
 
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -25,7 +25,8 @@
 // Group holds the members of one zone and kind, sorted by number.
 type Group[M any] struct {
 	zone, kind int
-	// generation counts the additions and removals of members. Ranks are unchanged while the generation is.
+	// generation counts the additions and removals of members. Ranks stay the same as long as the generation
+	// does.
 	generation uint64
 	numbers    []uint32 // sorted numbers of the members, indexed by rank
 	members    []M      // members, indexed by rank
@@ -128,7 +129,7 @@
 }
 
 // Generation returns the number of additions and removals of members so far. The positions of the group's
-// members are unchanged while the generation is.
+// members stay the same as long as the generation does.
 func (g *Group[M]) Generation() uint64 { return g.generation }
 
 // Position returns the position on the ring, from 0 to 1, of the member with the given number.
