--- a/client/attempt.go
+++ b/client/attempt.go
@@ -31,8 +31,8 @@
 	return r.Outcome != plan.ConnectFailed && r.Outcome != plan.IdleClosed && r.Outcome != plan.ClientLimited
 }
 
-// attempt makes one attempt, and says what its end proves.
-func (c *Client) attempt(ctx context.Context, job *Job, step plan.Step, deadline time.Time) attemptResult {
+// sendAttempt makes one attempt, and says what its end proves.
+func (c *Client) sendAttempt(ctx context.Context, job *Job, step plan.Step, deadline time.Time) attemptResult {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	connection, err := c.pool.get(ctx, step.Scheduler)
@@ -49,21 +49,21 @@
 		return failedAttempt(plan.ClientLimited, context.DeadlineExceeded)
 	}
 	// An error says that the last byte was not written: no scheduler has the whole request.
-	if _, err := connection.Write(c.request(job, step, remaining)); err != nil {
-		c.pool.noteFailure()
+	if _, err := connection.Write(c.encodeRequest(job, step, remaining)); err != nil {
+		c.pool.recordFailure()
 		return failedAttempt(plan.NotSent, err)
 	}
 	result := connection.readResponse()
 	if result.Outcome != plan.Answered {
-		c.pool.noteFailure()
+		c.pool.recordFailure()
 	}
-	reusable = result.Outcome == plan.Answered && !connection.closing
+	reusable = result.Outcome == plan.Answered && !connection.closeAfterResponse
 	return result
 }
 
 // connectOutcome is the outcome of an attempt that got no connection.
 func connectOutcome(err error) plan.Outcome {
-	var limited limitError
+	var limited clientLimitError
 	switch {
 	case errors.As(err, &limited):
 		return plan.ClientLimited
@@ -73,8 +73,8 @@
 	return plan.ConnectFailed
 }
 
-// request returns the request of an attempt, in bytes.
-func (c *Client) request(job *Job, step plan.Step, remainingMs int64) []byte {
+// encodeRequest returns the request of an attempt, in bytes.
+func (c *Client) encodeRequest(job *Job, step plan.Step, remainingMs int64) []byte {
 	id := newID()
 	object, tenant, resent, labels := job.Object, job.Tenant, "", ""
 	if object == "" {
@@ -109,8 +109,8 @@
 	return hex.EncodeToString(id[:])
 }
 
-// maxInterim bounds the interim responses (1xx) that a scheduler may send before the final one.
-const maxInterim = 8
+// maxInterimResponses bounds the interim responses (1xx) that a scheduler may send before the final one.
+const maxInterimResponses = 8
 
 const (
 	statusOK         = 200
@@ -119,8 +119,8 @@
 )
 
 var (
-	errNoLength    = errors.New("a response that does not say how long it is")
-	errManyInterim = errors.New("interim responses without end")
+	errMissingLength  = errors.New("a response that does not say how long it is")
+	errTooManyInterim = errors.New("interim responses without end")
 )
 
 // readResponse reads the response to a request that was written. Only one that is complete and states its
@@ -132,23 +132,23 @@
 		}
 		return failedAttempt(plan.NoResponse, err)
 	}
-	for range maxInterim {
+	for range maxInterimResponses {
 		response, err := c.reader.Head()
 		switch {
 		case err != nil:
-			return readFailure(err)
+			return classifyReadError(err)
 		case response.Status < firstFinalStatus:
 			continue
-		case !statesLength(response):
-			return failedAttempt(plan.Malformed, errNoLength)
+		case !hasLength(response):
+			return failedAttempt(plan.Malformed, errMissingLength)
 		}
 		if err := c.reader.Rest(response); err != nil {
-			return readFailure(err)
+			return classifyReadError(err)
 		}
-		c.closing = response.Close
-		return answered(response)
+		c.closeAfterResponse = response.Close
+		return completedAttempt(response)
 	}
-	return failedAttempt(plan.Malformed, errManyInterim)
+	return failedAttempt(plan.Malformed, errTooManyInterim)
 }
 
 func isTimeout(err error) bool {
@@ -156,13 +156,13 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-func statesLength(response *http1.Response) bool {
+func hasLength(response *http1.Response) bool {
 	return response.Header.Get("Content-Length") != "" || response.Header.Get("Transfer-Encoding") != "" ||
 		response.Status == statusNoContent
 }
 
-// answered is an attempt with a complete response.
-func answered(response *http1.Response) attemptResult {
+// completedAttempt is an attempt with a complete response.
+func completedAttempt(response *http1.Response) attemptResult {
 	result := attemptResult{
 		AttemptResult: plan.AttemptResult{
 			Outcome:         plan.Answered,
@@ -175,8 +175,8 @@
 	return result
 }
 
-// readFailure distinguishes a response that violates the protocol from one that was cut off.
-func readFailure(err error) attemptResult {
+// classifyReadError distinguishes a response that violates the protocol from one that was cut off.
+func classifyReadError(err error) attemptResult {
 	var protocolError *http1.Error
 	if errors.As(err, &protocolError) {
 		return failedAttempt(plan.Malformed, err)
--- a/client/client.go
+++ b/client/client.go
@@ -51,11 +51,11 @@
 // New returns a client. The error names the field that is invalid.
 func New(cfg Config) (*Client, error) {
 	cfg = cfg.withDefaults()
-	planned, classes, err := cfg.planConfig()
+	planCfg, classes, err := cfg.planConfig()
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	decisions, err := plan.New(planned, cfg.Seed)
+	jobPlan, err := plan.New(planCfg, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
@@ -65,7 +65,7 @@
 		classes:   classes,
 		log:       cfg.Log,
 		pool:      newPool(cfg.Schedulers, cfg.MaxConnections, cfg.ConnectRate, onConnect),
-		plan:      decisions,
+		plan:      jobPlan,
 		available: make(chan struct{}),
 	}, nil
 }
--- a/client/config.go
+++ b/client/config.go
@@ -57,10 +57,10 @@
 }
 
 const (
-	defaultMaxAttempts = 3
-	defaultBudget      = 0.1
-	defaultConnections = 64
-	defaultConnectRate = 50
+	defaultMaxAttempts    = 3
+	defaultRetryBudget    = 0.1
+	defaultMaxConnections = 64
+	defaultConnectRate    = 50
 
 	// maxRetryTokens is how many unused retries the budget saves up.
 	maxRetryTokens = 10
@@ -68,20 +68,20 @@
 	// maxBackoff.
 	baseBackoff = 50 * time.Millisecond
 	maxBackoff  = time.Second
-	// ejectAfter failed attempts in a row eject a scheduler, for about baseEjection at first, which doubles
+	// ejectAfterFailures failed attempts in a row eject a scheduler, for about baseEjection at first, which doubles
 	// up to maxEjection.
-	ejectAfter   = 3
-	baseEjection = time.Second
-	maxEjection  = 30 * time.Second
+	ejectAfterFailures = 3
+	baseEjection       = time.Second
+	maxEjection        = 30 * time.Second
 )
 
 // withDefaults replaces the zero values that stand for defaults.
 func (cfg Config) withDefaults() Config {
 	if cfg.RetryBudget == 0 {
-		cfg.RetryBudget = defaultBudget
+		cfg.RetryBudget = defaultRetryBudget
 	}
 	if cfg.MaxConnections == 0 {
-		cfg.MaxConnections = defaultConnections
+		cfg.MaxConnections = defaultMaxConnections
 	}
 	if cfg.ConnectRate == 0 {
 		cfg.ConnectRate = defaultConnectRate
@@ -104,18 +104,18 @@
 	if cfg.MaxConnections < 0 || cfg.ConnectRate < 0 {
 		return plan.Config{}, nil, errors.New("connections and reconnects must not be negative")
 	}
-	planned := plan.Config{
-		Schedulers:   len(cfg.Schedulers),
-		RetryBudget:  cfg.RetryBudget,
-		MaxTokens:    maxRetryTokens,
-		Backoff:      baseBackoff,
-		MaxBackoff:   maxBackoff,
-		EjectAfter:   ejectAfter,
-		BaseEjection: baseEjection,
-		MaxEjection:  maxEjection,
+	planCfg := plan.Config{
+		Schedulers:         len(cfg.Schedulers),
+		RetryBudget:        cfg.RetryBudget,
+		MaxTokens:          maxRetryTokens,
+		Backoff:            baseBackoff,
+		MaxBackoff:         maxBackoff,
+		EjectAfterFailures: ejectAfterFailures,
+		BaseEjection:       baseEjection,
+		MaxEjection:        maxEjection,
 	}
 	if cfg.RetryBudget < 0 {
-		planned.RetryBudget, planned.MaxTokens = 0, 0
+		planCfg.RetryBudget, planCfg.MaxTokens = 0, 0
 	}
 	numbers := map[string]int{}
 	for _, name := range slices.Sorted(maps.Keys(cfg.Classes)) {
@@ -123,10 +123,10 @@
 		if err != nil {
 			return plan.Config{}, nil, fmt.Errorf("classes.%s.%w", name, err)
 		}
-		numbers[name] = len(planned.Classes)
-		planned.Classes = append(planned.Classes, class)
+		numbers[name] = len(planCfg.Classes)
+		planCfg.Classes = append(planCfg.Classes, class)
 	}
-	return planned, numbers, nil
+	return planCfg, numbers, nil
 }
 
 func planClass(class Class) (plan.Class, error) {
--- a/client/configfile.go
+++ b/client/configfile.go
@@ -14,7 +14,7 @@
 //go:embed schema.json
 var Schema []byte
 
-var checker = schema.New(Schema)
+var configSchema = schema.New(Schema)
 
 // fileConfig is the configuration in the form that the file has.
 type fileConfig struct {
@@ -36,7 +36,7 @@
 // ParseConfig reads a configuration file, as Schema describes it. The error is one line and names the field
 // by its path in the file.
 func ParseConfig(raw []byte) (Config, error) {
-	if err := checker.Check(raw); err != nil {
+	if err := configSchema.Check(raw); err != nil {
 		return Config{}, fmt.Errorf("client: %w", err)
 	}
 	var file fileConfig
--- a/client/execution.go
+++ b/client/execution.go
@@ -13,22 +13,22 @@
 	job      *Job
 	deadline time.Time
 
-	planned   *plan.Job
+	planJob   *plan.Job
 	step      plan.Step     // what the plan wants next
 	available chan struct{} // Client.available as of that step
 
 	// delivered: a complete request was written to a scheduler. A cancellation then ends as unknown, whatever
 	// the response was.
-	delivered bool
-	attempts  int // that were submitted to a scheduler
-	last      attemptResult
+	delivered  bool
+	attempts   int // that were submitted to a scheduler
+	lastResult attemptResult
 }
 
 func (c *Client) newExecution(job *Job, class int, deadline time.Time) *execution {
 	e := &execution{client: c, job: job, deadline: deadline}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e.planned, e.step = c.plan.Begin(time.Now(), class, deadline)
+	e.planJob, e.step = c.plan.Begin(time.Now(), class, deadline)
 	e.available = c.available
 	return e
 }
@@ -38,7 +38,7 @@
 	for e.step.Verdict == plan.Pending {
 		next := e.wait
 		if e.step.StartNow {
-			next = e.attempt
+			next = e.sendAttempt
 		}
 		if err := next(ctx); err != nil {
 			return nil, e.cancel(err)
@@ -60,30 +60,30 @@
 	c := e.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e.step, e.available = c.plan.Start(time.Now(), e.planned), c.available
+	e.step, e.available = c.plan.Start(time.Now(), e.planJob), c.available
 	return nil
 }
 
-// attempt makes one attempt and reports its end to the plan. The error is the context's, where it cut the
+// sendAttempt makes one attempt and reports its end to the plan. The error is the context's, where it cut the
 // attempt short.
-func (e *execution) attempt(ctx context.Context) error {
+func (e *execution) sendAttempt(ctx context.Context) error {
 	c := e.client
 	start := time.Now()
-	e.last = c.attempt(ctx, e.job, e.step, e.deadline)
-	if e.last.submitted() {
+	e.lastResult = c.sendAttempt(ctx, e.job, e.step, e.deadline)
+	if e.lastResult.submitted() {
 		e.attempts++
-		e.delivered = e.delivered || e.last.Outcome != plan.NotSent
+		e.delivered = e.delivered || e.lastResult.Outcome != plan.NotSent
 	}
 	// At the deadline the context of the attempt ends, too: that is an ordinary end and not a cancellation.
-	if err := ctx.Err(); err != nil && e.last.Outcome != plan.Answered && time.Now().Before(e.deadline) {
+	if err := ctx.Err(); err != nil && e.lastResult.Outcome != plan.Answered && time.Now().Before(e.deadline) {
 		return err
 	}
 	scheduler := c.cfg.Schedulers[e.step.Scheduler]
-	if e.last.err != nil {
-		c.log.Info("attempt failed", "scheduler", scheduler, "class", e.job.Class, "error", e.last.err)
+	if e.lastResult.err != nil {
+		c.log.Info("attempt failed", "scheduler", scheduler, "class", e.job.Class, "error", e.lastResult.err)
 	}
-	c.cfg.Observer.AttemptEnded(scheduler, e.job.Class, e.last.label(), time.Since(start))
-	e.step, e.available = c.attemptEnded(start, e.planned, e.last)
+	c.cfg.Observer.AttemptEnded(scheduler, e.job.Class, e.lastResult.label(), time.Since(start))
+	e.step, e.available = c.attemptEnded(start, e.planJob, e.lastResult)
 	return nil
 }
 
@@ -109,7 +109,7 @@
 func (e *execution) cancel(cause error) error {
 	c := e.client
 	c.mu.Lock()
-	c.plan.Cancel(e.planned)
+	c.plan.Cancel(e.planJob)
 	c.mu.Unlock()
 	if e.delivered {
 		return &UnknownOutcomeError{Cause: cause}
@@ -121,17 +121,17 @@
 func (e *execution) result() (*Result, error) {
 	switch e.step.Verdict {
 	case plan.Served:
-		return &Result{Body: e.last.body, Attempts: e.attempts}, nil
+		return &Result{Body: e.lastResult.body, Attempts: e.attempts}, nil
 	case plan.Refused:
-		return nil, &RefusedError{RetryAfter: e.step.At, Cause: e.last.err}
+		return nil, &RefusedError{RetryAfter: e.step.At, Cause: e.lastResult.err}
 	case plan.Failed:
-		return nil, &FailedError{Status: e.last.Status}
+		return nil, &FailedError{Status: e.lastResult.Status}
 	case plan.Invalid:
-		return nil, &InvalidJobError{Status: e.last.Status, Text: string(e.last.body)}
+		return nil, &InvalidJobError{Status: e.lastResult.Status, Text: string(e.lastResult.body)}
 	case plan.Expired:
 		return nil, &ExpiredError{}
 	}
-	return nil, &UnknownOutcomeError{Cause: e.last.err}
+	return nil, &UnknownOutcomeError{Cause: e.lastResult.err}
 }
 
 // sleepUntil waits until a time or until wake is closed. The error is the context's, if that ended first.
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	body := f.JobPrefix() + "post-reading true 100"
-	lengths[0] = int64(len(l.request(&Job{Class: "post-reading", Body: []byte(body)}, plan.Step{}, 4000)))
+	lengths[0] = int64(len(l.encodeRequest(&Job{Class: "post-reading", Body: []byte(body)}, plan.Step{}, 4000)))
 	lengths[1] = int64(len(http1.AppendResponse(nil, 200,
 		[]http1.Field{{Name: "Connection", Value: "keep-alive"}}, []byte(body))))
 	var all sync.WaitGroup
@@ -355,7 +355,7 @@
 		t.Errorf("%d MB on the heap", m.HeapAlloc>>20)
 	}
 	done.Wait()
-	if ends[0].Load()+ends[1].Load() != jobs || late.Load() > 0 || ends[0].Load() > defaultConnections {
+	if ends[0].Load()+ends[1].Load() != jobs || late.Load() > 0 || ends[0].Load() > defaultMaxConnections {
 		t.Errorf("%d unknown, %d not run of %d, %d late", ends[0].Load(), ends[1].Load(), jobs, late.Load())
 	}
 }
--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -11,60 +11,60 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// world is one client with a few jobs, two schedulers and a lossy network: the real plan, not a copy, in
+// clientModel is one client with a few jobs, two schedulers and a lossy network: the real plan, not a copy, in
 // every order of what may happen to each attempt. The schedulers drop duplicates of a key as the class
 // promises.
-type world struct {
-	cfg    Config
-	plan   *Plan
-	now    time.Time
-	jobs   []jobState
-	down   [2]bool
-	faults int // that may still happen
+type clientModel struct {
+	cfg        Config
+	plan       *Plan
+	now        time.Time
+	jobs       []jobState
+	stopped    [2]bool
+	faultsLeft int // that may still happen
 	// misread returns the outcome that the client takes an outcome for; nil: itself. It injects a fault.
 	misread func(Outcome) Outcome
 }
 
 // jobState is a job, and what happened to it at the schedulers.
 type jobState struct {
-	job       *Job
-	class     int
-	deadline  time.Time
-	begun     bool
-	step      Step
-	began     time.Time
-	attempts  int
-	read      bool // a scheduler has the current attempt
-	runs      int
-	ranAt     time.Time // when it first ran
-	racks     [2]bool   // where it ran
-	violation string
+	job          *Job
+	class        int
+	deadline     time.Time
+	submitted    bool
+	step         Step
+	attemptStart time.Time
+	attempts     int
+	received     bool // a scheduler has the current attempt
+	runs         int
+	firstRun     time.Time // when it first ran
+	ranOnRack    [2]bool   // where it ran
+	violation    string
 }
 
 const maxFaults = 4
 
-func newWorld(class int, jobs int) *world {
+func newClientModel(class int, jobs int) *clientModel {
 	cfg := testConfig()
 	cfg.Schedulers, cfg.RetryBudget, cfg.MaxTokens = 2, 1, 10
 	p, err := New(cfg, 1)
 	if err != nil {
 		panic(err)
 	}
-	w := &world{cfg: cfg, plan: p, now: start, faults: maxFaults}
+	m := &clientModel{cfg: cfg, plan: p, now: start, faultsLeft: maxFaults}
 	for range jobs {
-		w.jobs = append(w.jobs, jobState{class: class, deadline: start.Add(1200 * time.Millisecond)})
+		m.jobs = append(m.jobs, jobState{class: class, deadline: start.Add(1200 * time.Millisecond)})
 	}
-	return w
+	return m
 }
 
-func (w *world) clone() *world {
-	c := *w
-	p := *w.plan
+func (m *clientModel) clone() *clientModel {
+	c := *m
+	p := *m.plan
 	p.schedulers = slices.Clone(p.schedulers)
 	// Random numbers must not distinguish two states that behave alike.
-	p.random = rand.New(rand.NewPCG(7, uint64(w.now.Sub(start))))
+	p.random = rand.New(rand.NewPCG(7, uint64(m.now.Sub(start))))
 	c.plan = &p
-	c.jobs = slices.Clone(w.jobs)
+	c.jobs = slices.Clone(m.jobs)
 	for i := range c.jobs {
 		if j := c.jobs[i].job; j != nil {
 			copied := *j
@@ -84,7 +84,7 @@
 }
 
 // How an attempt may end before a scheduler has read it.
-var beforeRead = []event{
+var endsBeforeReceived = []event{
 	{what: "half written", end: AttemptResult{Outcome: NotSent}, fault: true},
 	{what: "a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
 	{what: "no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
@@ -94,7 +94,7 @@
 
 // How an attempt may end after a scheduler has read it. Those with "runs" let it run, unless it is a
 // duplicate.
-var afterRead = []event{
+var endsAfterReceived = []event{
 	{what: "runs, served", end: AttemptResult{Status: 200}},
 	{what: "runs, fails", end: AttemptResult{Status: 500}, fault: true},
 	{what: "runs, no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond,
@@ -107,151 +107,151 @@
 	{what: "invalid", end: AttemptResult{Status: 400}, fault: true},
 }
 
-func (w *world) events() (all []event) {
+func (m *clientModel) events() (all []event) {
 	add := func(e event) {
-		if !e.fault || w.faults > 0 {
+		if !e.fault || m.faultsLeft > 0 {
 			all = append(all, e)
 		}
 	}
-	for i := range w.jobs {
-		l := &w.jobs[i]
+	for i := range m.jobs {
+		state := &m.jobs[i]
 		switch {
-		case !l.begun:
+		case !state.submitted:
 			add(event{job: i, what: "begins"})
-		case l.step.Verdict != Pending:
-		case !l.step.StartNow:
+		case state.step.Verdict != Pending:
+		case !state.step.StartNow:
 			add(event{job: i, what: "its wait ends"})
-		case l.read:
-			for _, e := range afterRead {
+		case state.received:
+			for _, e := range endsAfterReceived {
 				e.job = i
 				add(e)
 			}
-		case w.down[l.step.Scheduler]:
+		case m.stopped[state.step.Scheduler]:
 			add(event{job: i, what: "refuses the connection", end: AttemptResult{Outcome: ConnectFailed}})
 		default:
 			add(event{job: i, what: "is read"})
-			for _, e := range beforeRead {
+			for _, e := range endsBeforeReceived {
 				e.job = i
 				add(e)
 			}
 		}
-		if l.begun && l.step.Verdict == Pending {
+		if state.submitted && state.step.Verdict == Pending {
 			add(event{job: i, what: "its caller cancels", fault: true})
 		}
 	}
-	for s := range w.down {
-		add(event{scheduler: s, what: map[bool]string{false: "stops", true: "starts"}[w.down[s]],
-			fault: !w.down[s]})
+	for s := range m.stopped {
+		add(event{scheduler: s, what: map[bool]string{false: "stops", true: "starts"}[m.stopped[s]],
+			fault: !m.stopped[s]})
 	}
 	return all
 }
 
 // Steps implements modelcheck.Model.
-func (w *world) Steps() (names []string) {
-	for _, e := range w.events() {
+func (m *clientModel) Steps() (names []string) {
+	for _, e := range m.events() {
 		names = append(names, fmt.Sprintf("job %d, scheduler %d: %s", e.job, e.scheduler, e.what))
 	}
 	return names
 }
 
 // Step implements modelcheck.Model.
-func (w *world) Step(i int) *world {
-	e := w.events()[i]
-	w = w.clone()
+func (m *clientModel) Step(i int) *clientModel {
+	e := m.events()[i]
+	m = m.clone()
 	if e.fault {
-		w.faults--
+		m.faultsLeft--
 	}
-	l := &w.jobs[e.job]
+	state := &m.jobs[e.job]
 	switch e.what {
 	case "stops", "starts":
-		w.down[e.scheduler] = e.what == "stops"
+		m.stopped[e.scheduler] = e.what == "stops"
 	case "begins":
-		l.begun = true
+		state.submitted = true
 		var s Step
-		l.job, s = w.plan.Begin(w.now, l.class, l.deadline)
-		w.take(l, s)
+		state.job, s = m.plan.Begin(m.now, state.class, state.deadline)
+		m.recordStep(state, s)
 	case "its wait ends":
-		w.now = latest(w.now, l.step.At)
-		w.take(l, w.plan.Start(w.now, l.job))
+		m.now = latest(m.now, state.step.At)
+		m.recordStep(state, m.plan.Start(m.now, state.job))
 	case "its caller cancels":
-		w.plan.Cancel(l.job)
-		l.step, l.read = Step{Verdict: Unknown}, false
+		m.plan.Cancel(state.job)
+		state.step, state.received = Step{Verdict: Unknown}, false
 	case "is read":
-		l.read = true
+		state.received = true
 	default:
-		if l.read && (e.end.Outcome != Answered || e.end.Status == 200 || e.end.Status == 500) {
-			w.run(l)
+		if state.received && (e.end.Outcome != Answered || e.end.Status == 200 || e.end.Status == 500) {
+			m.run(state)
 		}
-		l.read = false
-		w.now = w.now.Add(10*time.Millisecond + e.after)
-		if w.misread != nil {
-			e.end.Outcome = w.misread(e.end.Outcome)
+		state.received = false
+		m.now = m.now.Add(10*time.Millisecond + e.after)
+		if m.misread != nil {
+			e.end.Outcome = m.misread(e.end.Outcome)
 		}
-		w.take(l, w.plan.AttemptEnded(w.now, l.began, l.job, e.end))
+		m.recordStep(state, m.plan.AttemptEnded(m.now, state.attemptStart, state.job, e.end))
 	}
-	return w
+	return m
 }
 
 // run lets a job run at a scheduler, which drops a duplicate as the job's class promises.
-func (w *world) run(l *jobState) {
-	at := l.step.Scheduler
-	class := w.cfg.Classes[l.class]
+func (m *clientModel) run(state *jobState) {
+	at := state.step.Scheduler
+	class := m.cfg.Classes[state.class]
 	switch {
-	case l.runs == 0:
-		l.ranAt = w.now
-	case class.Effect == Anywhere && w.now.Sub(l.ranAt) < class.Window:
+	case state.runs == 0:
+		state.firstRun = m.now
+	case class.Effect == Anywhere && m.now.Sub(state.firstRun) < class.Window:
 		return
-	case class.Effect == Rack && l.racks[at]:
+	case class.Effect == Rack && state.ranOnRack[at]:
 		return
 	}
-	l.runs++
-	l.racks[at] = true
+	state.runs++
+	state.ranOnRack[at] = true
 }
 
-// take records what the plan wants next, and what is invalid about it.
-func (w *world) take(l *jobState, s Step) {
-	l.step = s
+// recordStep records what the plan wants next, and what is invalid about it.
+func (m *clientModel) recordStep(state *jobState, s Step) {
+	state.step = s
 	switch {
 	case s.Verdict == Pending && s.StartNow:
-		l.attempts++
-		l.began = w.now
-		if !w.now.Before(l.deadline) {
-			l.violation = "an attempt starts past the deadline"
+		state.attempts++
+		state.attemptStart = m.now
+		if !m.now.Before(state.deadline) {
+			state.violation = "an attempt starts past the deadline"
 		}
 	case s.Verdict == Pending:
-		if !s.At.Before(l.deadline) || s.At.Before(w.now) {
-			l.violation = fmt.Sprint("it waits until ", s.At.Sub(start))
+		if !s.At.Before(state.deadline) || s.At.Before(m.now) {
+			state.violation = fmt.Sprint("it waits until ", s.At.Sub(start))
 		}
-	case (s.Verdict == Refused || s.Verdict == Expired) && l.runs > 0:
-		l.violation = fmt.Sprint("verdict ", s.Verdict, " though it ran")
-	case s.Verdict == Served && l.runs == 0:
-		l.violation = "served though it never ran"
+	case (s.Verdict == Refused || s.Verdict == Expired) && state.runs > 0:
+		state.violation = fmt.Sprint("verdict ", s.Verdict, " though it ran")
+	case s.Verdict == Served && state.runs == 0:
+		state.violation = "served though it never ran"
 	}
 }
 
 // Check implements modelcheck.Model.
-func (w *world) Check() error {
-	open := 0
-	for i := range w.jobs {
-		l := &w.jobs[i]
-		if l.begun && l.step.Verdict == Pending && l.step.StartNow {
-			open++
+func (m *clientModel) Check() error {
+	inFlight := 0
+	for i := range m.jobs {
+		state := &m.jobs[i]
+		if state.submitted && state.step.Verdict == Pending && state.step.StartNow {
+			inFlight++
 		}
 		switch {
-		case l.violation != "":
-			return fmt.Errorf("job %d: %s", i, l.violation)
-		case l.runs > 1 && w.cfg.Classes[l.class].Effect != Safe:
-			return fmt.Errorf("job %d ran %d times", i, l.runs)
+		case state.violation != "":
+			return fmt.Errorf("job %d: %s", i, state.violation)
+		case state.runs > 1 && m.cfg.Classes[state.class].Effect != Safe:
+			return fmt.Errorf("job %d ran %d times", i, state.runs)
 		}
 	}
-	if w.plan.InFlight() != open {
-		return fmt.Errorf("%d attempts are in flight, the plan counts %d", open, w.plan.InFlight())
+	if m.plan.InFlight() != inFlight {
+		return fmt.Errorf("%d attempts are in flight, the plan counts %d", inFlight, m.plan.InFlight())
 	}
 	return nil
 }
 
 // AppendState implements modelcheck.Model.
-func (w *world) AppendState(b []byte) []byte {
+func (m *clientModel) AppendState(b []byte) []byte {
 	num := func(n int64) { b = binary.AppendVarint(b, n) }
 	at := func(t time.Time) {
 		if t.IsZero() {
@@ -267,39 +267,39 @@
 			num(0)
 		}
 	}
-	at(w.now)
-	num(int64(w.faults))
-	num(int64(w.plan.tokens * 100))
-	for i := range w.down {
-		s := &w.plan.schedulers[i]
-		flag(w.down[i])
+	at(m.now)
+	num(int64(m.faultsLeft))
+	num(int64(m.plan.tokens * 100))
+	for i := range m.stopped {
+		s := &m.plan.schedulers[i]
+		flag(m.stopped[i])
 		num(int64(s.inFlight))
 		num(int64(s.consecutiveFailures))
 		num(int64(s.refusalRate * 1000))
-		num(int64(s.ejection))
+		num(int64(s.ejectionDuration))
 		at(s.ejectedUntil)
 		flag(s.probing)
 	}
-	for i := range w.jobs {
-		l := &w.jobs[i]
-		flag(l.begun)
-		flag(l.read)
-		num(int64(l.runs))
-		at(l.ranAt)
-		at(l.began)
-		flag(l.racks[0])
-		flag(l.racks[1])
-		b = append(b, l.violation...)
-		num(int64(l.step.Verdict))
-		flag(l.step.StartNow)
-		num(int64(l.step.Scheduler))
-		at(l.step.At)
-		if j := l.job; j != nil {
+	for i := range m.jobs {
+		state := &m.jobs[i]
+		flag(state.submitted)
+		flag(state.received)
+		num(int64(state.runs))
+		at(state.firstRun)
+		at(state.attemptStart)
+		flag(state.ranOnRack[0])
+		flag(state.ranOnRack[1])
+		b = append(b, state.violation...)
+		num(int64(state.step.Verdict))
+		flag(state.step.StartNow)
+		num(int64(state.step.Scheduler))
+		at(state.step.At)
+		if j := state.job; j != nil {
 			num(int64(j.attempts))
 			at(j.firstMayHaveRun)
 			num(int64(j.scheduler))
 			flag(j.inFlight)
-			num(int64(j.fallback))
+			num(int64(j.fallbackVerdict))
 			flag(j.done)
 		}
 	}
@@ -311,15 +311,15 @@
 // in flight.
 func TestEveryOrder(t *testing.T) {
 	for class, name := range []string{"once", "rack", "anywhere", "safe"} {
-		one := newWorld(class, 1)
-		two := newWorld(class, 2)
-		two.faults = 2
-		for _, w := range []*world{one, two} {
-			tour := modelcheck.Exhaust(w, 3_000_000)
-			if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
-				t.Errorf("%s, %d jobs: %v, %v, by %q", name, len(w.jobs), tour, tour.Violation, tour.Path)
+		one := newClientModel(class, 1)
+		two := newClientModel(class, 2)
+		two.faultsLeft = 2
+		for _, m := range []*clientModel{one, two} {
+			search := modelcheck.Exhaust(m, 3_000_000)
+			if search.Violation != nil || !search.Exhausted || search.States < 1000 {
+				t.Errorf("%s, %d jobs: %v, %v, by %q", name, len(m.jobs), search, search.Violation, search.Path)
 			}
-			t.Logf("%s, %d jobs: %v", name, len(w.jobs), tour)
+			t.Logf("%s, %d jobs: %v", name, len(m.jobs), search)
 		}
 	}
 }
@@ -327,8 +327,8 @@
 // A client that takes one outcome for another violates a property.
 func TestMisjudgedOutcomesAreFound(t *testing.T) {
 	for _, c := range []struct {
-		class      int
-		was, taken Outcome
+		class             int
+		actual, misreadAs Outcome
 	}{
 		{onceClass, ReusedClosed, ConnectFailed}, // a reused connection that closed, taken for a refused one
 		{onceClass, ReusedClosed, NotSent},
@@ -336,20 +336,20 @@
 		{rackClass, Malformed, ClientLimited},
 		{anywhereClass, NoResponse, NotSent}, // beyond its window
 	} {
-		w := newWorld(c.class, 1)
-		w.cfg.Classes = slices.Clone(w.cfg.Classes)
-		w.plan.cfg.Classes = w.cfg.Classes
-		w.cfg.Classes[anywhereClass].Window = 200 * time.Millisecond
-		w.misread = func(p Outcome) Outcome {
-			if p == c.was {
-				return c.taken
+		m := newClientModel(c.class, 1)
+		m.cfg.Classes = slices.Clone(m.cfg.Classes)
+		m.plan.cfg.Classes = m.cfg.Classes
+		m.cfg.Classes[anywhereClass].Window = 200 * time.Millisecond
+		m.misread = func(p Outcome) Outcome {
+			if p == c.actual {
+				return c.misreadAs
 			}
 			return p
 		}
-		if tour := modelcheck.Exhaust(w, 3_000_000); tour.Violation == nil {
-			t.Errorf("class %d, %v taken for %v: not found, %v", c.class, c.was, c.taken, tour)
+		if search := modelcheck.Exhaust(m, 3_000_000); search.Violation == nil {
+			t.Errorf("class %d, %v taken for %v: not found, %v", c.class, c.actual, c.misreadAs, search)
 		} else {
-			t.Logf("%v, by %q", tour.Violation, tour.Path)
+			t.Logf("%v, by %q", search.Violation, search.Path)
 		}
 	}
 }
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -43,10 +43,10 @@
 	MaxTokens   float64
 	// Backoff is the range of the first wait after a refusal without Retry-After. It doubles up to MaxBackoff.
 	Backoff, MaxBackoff time.Duration
-	// EjectAfter failed attempts in a row eject a scheduler, for about BaseEjection, which doubles up to
+	// EjectAfterFailures failed attempts in a row eject a scheduler, for about BaseEjection, which doubles up to
 	// MaxEjection. At most half of the schedulers are ejected so. Those that refuse connections do not count
 	// towards that half: one such failure is proof enough, and all of them may be ejected.
-	EjectAfter                int
+	EjectAfterFailures        int
 	BaseEjection, MaxEjection time.Duration
 }
 
@@ -87,7 +87,7 @@
 	firstMayHaveRun time.Time // when the first attempt that may have run started; zero: none may have
 	scheduler       int       // of the current or last attempt; -1: none yet
 	inFlight        bool      // an attempt is in flight
-	fallback        Verdict   // the verdict if no further attempt starts
+	fallbackVerdict Verdict   // the verdict if no further attempt starts
 	done            bool
 }
 
@@ -97,7 +97,7 @@
 	cfg        Config
 	random     *rand.Rand
 	tokens     float64 // retries that the budget allows now
-	schedulers []scheduler
+	schedulers []schedulerState
 	preference []int // the order in which this client uses the schedulers
 	throttled  int
 }
@@ -112,7 +112,7 @@
 		cfg:        cfg,
 		random:     random,
 		tokens:     min(1, cfg.MaxTokens),
-		schedulers: make([]scheduler, cfg.Schedulers),
+		schedulers: make([]schedulerState, cfg.Schedulers),
 		preference: random.Perm(cfg.Schedulers),
 	}, nil
 }
@@ -129,7 +129,7 @@
 		return fmt.Errorf("max tokens: %v is negative", cfg.MaxTokens)
 	case cfg.Backoff <= 0 || cfg.MaxBackoff < cfg.Backoff:
 		return errors.New("backoff: it must be positive, and no longer than the longest")
-	case cfg.EjectAfter <= 0 || cfg.BaseEjection <= 0 || cfg.MaxEjection < cfg.BaseEjection:
+	case cfg.EjectAfterFailures <= 0 || cfg.BaseEjection <= 0 || cfg.MaxEjection < cfg.BaseEjection:
 		return errors.New("eject: its figures must be positive, and its time no longer than the longest")
 	}
 	for i, class := range cfg.Classes {
@@ -148,7 +148,7 @@
 // Begin accepts a new job and starts its first attempt. Its deadline is fixed here.
 func (p *Plan) Begin(now time.Time, class int, deadline time.Time) (*Job, Step) {
 	p.tokens = min(p.tokens+p.cfg.RetryBudget, p.cfg.MaxTokens)
-	j := &Job{class: &p.cfg.Classes[class], deadline: deadline, scheduler: -1, fallback: Expired}
+	j := &Job{class: &p.cfg.Classes[class], deadline: deadline, scheduler: -1, fallbackVerdict: Expired}
 	return j, p.Start(now, j)
 }
 
@@ -156,7 +156,7 @@
 // what is known now, and not when the retry was planned.
 func (p *Plan) Start(now time.Time, j *Job) Step {
 	if j.done || j.inFlight || !now.Before(j.deadline) || !retryAllowed(j, now) {
-		return p.finish(j, j.fallback, now)
+		return p.finish(j, j.fallbackVerdict, now)
 	}
 	number, availableAt := p.pickScheduler(now, j.scheduler)
 	if number < 0 {
@@ -173,10 +173,10 @@
 	if availableAt.Before(j.deadline) {
 		return Step{At: availableAt, AllEjected: true}
 	}
-	if j.fallback == Expired {
-		j.fallback = Refused // it did not run, and no scheduler is available in time
+	if j.fallbackVerdict == Expired {
+		j.fallbackVerdict = Refused // it did not run, and no scheduler is available in time
 	}
-	return p.finish(j, j.fallback, availableAt)
+	return p.finish(j, j.fallbackVerdict, availableAt)
 }
 
 func (p *Plan) finish(j *Job, verdict Verdict, at time.Time) Step {
@@ -187,11 +187,11 @@
 // Cancel ends a job whose caller has given up, whether an attempt is in flight or about to start.
 func (p *Plan) Cancel(j *Job) {
 	j.done = true
-	p.release(j)
+	p.releaseAttempt(j)
 }
 
-// release ends the attempt in flight, if there is one.
-func (p *Plan) release(j *Job) {
+// releaseAttempt ends the attempt in flight, if there is one.
+func (p *Plan) releaseAttempt(j *Job) {
 	if j.inFlight {
 		j.inFlight = false
 		p.schedulers[j.scheduler].inFlight--
@@ -205,7 +205,7 @@
 		return Step{Verdict: Unknown}
 	}
 	p.recordOutcome(now, j.scheduler, r)
-	p.release(j)
+	p.releaseAttempt(j)
 	if mayHaveRun(r) && j.firstMayHaveRun.IsZero() {
 		j.firstMayHaveRun = started
 	}
@@ -215,9 +215,9 @@
 	case r.Invalid():
 		return p.finish(j, Invalid, time.Time{})
 	}
-	j.fallback = finalVerdict(r)
-	if !j.firstMayHaveRun.IsZero() && j.fallback == Refused {
-		j.fallback = Unknown // this attempt did not run; an earlier one may have
+	j.fallbackVerdict = finalVerdict(r)
+	if !j.firstMayHaveRun.IsZero() && j.fallbackVerdict == Refused {
+		j.fallbackVerdict = Unknown // this attempt did not run; an earlier one may have
 	}
 	if !r.submitted() {
 		return p.failOver(now, j)
@@ -232,7 +232,7 @@
 	if now.Before(j.deadline) {
 		return Step{At: now}
 	}
-	return p.finish(j, j.fallback, now)
+	return p.finish(j, j.fallbackVerdict, now)
 }
 
 // planRetry plans the next attempt, if the job's class, its deadline and the budget allow one.
@@ -241,10 +241,10 @@
 	switch {
 	case r.Outcome == ClientLimited, j.attempts >= j.class.MaxAttempts,
 		!at.Before(j.deadline), !retryAllowed(j, at):
-		return p.finish(j, j.fallback, at)
+		return p.finish(j, j.fallbackVerdict, at)
 	case p.tokens < 1:
 		p.throttled++
-		return p.finish(j, j.fallback, at)
+		return p.finish(j, j.fallbackVerdict, at)
 	}
 	p.tokens--
 	return Step{At: at}
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -18,8 +18,8 @@
 
 func testConfig() Config {
 	return Config{Schedulers: 3, RetryBudget: 0.1, MaxTokens: 10, Backoff: 50 * time.Millisecond,
-		MaxBackoff: time.Second,
-		EjectAfter: 3, BaseEjection: time.Second, MaxEjection: 30 * time.Second,
+		MaxBackoff:         time.Second,
+		EjectAfterFailures: 3, BaseEjection: time.Second, MaxEjection: 30 * time.Second,
 		Classes: []Class{{Effect: Once, MaxAttempts: 3}, {Effect: Rack, MaxAttempts: 3},
 			{Effect: Anywhere, Window: time.Second, MaxAttempts: 3}, {Effect: Safe, MaxAttempts: 3}}}
 }
@@ -199,9 +199,9 @@
 	}
 }
 
-// playFirstAttempts plays the first attempts of n jobs: those at scheduler i end as fail says, others are
+// runFirstAttempts plays the first attempts of n jobs: those at scheduler i end as fail says, others are
 // served. It counts the attempts at i, which must be the one that the client prefers.
-func playFirstAttempts(p *Plan, at time.Time, n, i int, fail AttemptResult) (attempts int) {
+func runFirstAttempts(p *Plan, at time.Time, n, i int, fail AttemptResult) (attempts int) {
 	for range n {
 		j, s := p.Begin(at, safeClass, at.Add(time.Hour))
 		end := AttemptResult{Status: 200}
@@ -224,7 +224,7 @@
 	}{{AttemptResult{Outcome: ConnectFailed}, 1}, {AttemptResult{Outcome: NoResponse}, 3},
 		{AttemptResult{Outcome: Malformed}, 3}} {
 		p := newPlan(t, testConfig())
-		if got := playFirstAttempts(p, start, 100, p.preference[0], c.end); got != c.want || p.Available() != 2 {
+		if got := runFirstAttempts(p, start, 100, p.preference[0], c.end); got != c.want || p.Available() != 2 {
 			t.Errorf("%+v: %d attempts before it was ejected, %d are available", c.end, got, p.Available())
 		}
 		later := start.Add(2 * time.Second)
@@ -247,12 +247,12 @@
 	}
 	// One that refuses and closes the connection is about to end: it is ejected at once, for a moment.
 	p := newPlan(t, testConfig())
-	if got := playFirstAttempts(p, start, 100, p.preference[0],
+	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
 		t.Errorf("%d jobs went to a scheduler that ends, %d are available", got, p.Available())
 	}
 	p = newPlan(t, testConfig())
-	if got := playFirstAttempts(p, start, 100, p.preference[0],
+	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Outcome: IdleClosed}); got != 1 || p.Available() != 2 {
 		t.Errorf("%d jobs went to one that closed its connections, %d are available", got, p.Available())
 	}
@@ -265,7 +265,7 @@
 		t.Errorf("%d are available after all closed connections, want 1", p.Available())
 	}
 	p = newPlan(t, testConfig())
-	if got := playFirstAttempts(p, start, 100, p.preference[0],
+	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
 		t.Errorf("by the client's own limits a scheduler was ejected after %d attempts", got)
 	}
@@ -352,7 +352,7 @@
 func TestSchedulerThatRefusesAll(t *testing.T) {
 	p := newPlan(t, testConfig())
 	refusal := AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: time.Second}
-	if got := playFirstAttempts(p, start, 1000, p.preference[0], refusal); got > 200 {
+	if got := runFirstAttempts(p, start, 1000, p.preference[0], refusal); got > 200 {
 		t.Errorf("%d of 1,000 jobs went to it", got)
 	}
 	// And a retry goes to another one.
@@ -369,19 +369,19 @@
 }
 
 func TestInvalidSettings(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
+	for want, invalidate := range map[string]func(*Config){
 		"schedulers":        func(c *Config) { c.Schedulers = 0 },
 		"classes: none":     func(c *Config) { c.Classes = nil },
 		"budget":            func(c *Config) { c.RetryBudget = 1.5 },
 		"max tokens":        func(c *Config) { c.MaxTokens = -1 },
 		"backoff":           func(c *Config) { c.MaxBackoff = time.Millisecond },
-		"eject":             func(c *Config) { c.EjectAfter = 0 },
+		"eject":             func(c *Config) { c.EjectAfterFailures = 0 },
 		"classes[0].tries":  func(c *Config) { c.Classes[0].MaxAttempts = 0 },
 		"classes[1].effect": func(c *Config) { c.Classes[1].Effect = 9 },
 		"classes[2].window": func(c *Config) { c.Classes[2].Window = 0 },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		if _, err := New(cfg, 1); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("got %v, want %s", err, want)
 		}
--- a/client/internal/plan/schedulers.go
+++ b/client/internal/plan/schedulers.go
@@ -2,36 +2,38 @@
 
 import "time"
 
-// scheduler is what the client knows of one scheduler.
-type scheduler struct {
+// schedulerState is what the client knows of one scheduler.
+type schedulerState struct {
 	inFlight            int     // attempts
 	consecutiveFailures int     // attempts without a response
 	refusalRate         float64 // the fraction of refusals among its last responses, a moving average
-	ejection            time.Duration
+	ejectionDuration    time.Duration
 	ejectedUntil        time.Time // zero: it is available
 	probing             bool      // its ejection is over, and a single attempt finds out whether it is back
 }
 
 const (
-	refusalWeight = 0.2 // of the last response in the moving average of refusals
-	// refusalCost is how much a scheduler that refuses everything is overrated in its load. Without it, it
+	refusalRateSmoothing = 0.2 // of the last response in the moving average of refusals
+	// refusalLoadWeight is how much a scheduler that refuses everything is overrated in its load. Without it, it
 	// would look idle, as each refusal is quick, and attract all jobs. Where all schedulers refuse alike it
 	// changes nothing.
-	refusalCost = 8
-	// spreadLoad is the load of its own schedulers beyond which a client uses further ones. Below it, it
+	refusalLoadWeight = 8
+	// maxPreferredLoad is the load of its own schedulers beyond which a client uses further ones. Below it, it
 	// keeps to the first available ones in its order of preference: connections are reused only if jobs go to
 	// the same schedulers, and a scheduler has too few sockets for a connection from every client.
-	spreadLoad = 4
-	// ejectionRecheck is the part of the base ejection, one in so many, over which the jobs that wait for a
+	maxPreferredLoad = 4
+	// recheckSpreadDivisor is the part of the base ejection, one in so many, over which the jobs that wait for a
 	// scheduler are spread.
-	ejectionRecheck = 4
+	recheckSpreadDivisor = 4
 )
 
 // load estimates how busy a scheduler is, in attempts.
-func (s *scheduler) load() float64 { return float64(s.inFlight+1) * (1 + refusalCost*s.refusalRate) }
+func (s *schedulerState) load() float64 {
+	return float64(s.inFlight+1) * (1 + refusalLoadWeight*s.refusalRate)
+}
 
 // available reports whether the scheduler is not ejected.
-func (s *scheduler) available() bool { return s.ejectedUntil.IsZero() }
+func (s *schedulerState) available() bool { return s.ejectedUntil.IsZero() }
 
 // Available counts the schedulers that are not ejected.
 func (p *Plan) Available() int { return len(p.schedulers) - p.ejectedCount() }
@@ -74,13 +76,13 @@
 
 // recordResponse takes a response as the sign of a healthy scheduler, even if it is a refusal: then others
 // may be the better choice.
-func (p *Plan) recordResponse(now time.Time, s *scheduler, r AttemptResult) {
-	s.consecutiveFailures, s.ejection, s.ejectedUntil = 0, 0, time.Time{}
+func (p *Plan) recordResponse(now time.Time, s *schedulerState, r AttemptResult) {
+	s.consecutiveFailures, s.ejectionDuration, s.ejectedUntil = 0, 0, time.Time{}
 	refused := 0.0
 	if r.Refused() {
 		refused = 1
 	}
-	s.refusalRate += refusalWeight * (refused - s.refusalRate)
+	s.refusalRate += refusalRateSmoothing * (refused - s.refusalRate)
 	if r.Refused() && r.ConnectionClose && p.mayEjectAnother() {
 		p.eject(now, s)
 	}
@@ -88,10 +90,10 @@
 
 // recordFailure counts an attempt without a response, and ejects the scheduler after enough of them. One that
 // refuses connections is ejected at once, without regard to how many are.
-func (p *Plan) recordFailure(now time.Time, s *scheduler, r AttemptResult) {
+func (p *Plan) recordFailure(now time.Time, s *schedulerState, r AttemptResult) {
 	s.consecutiveFailures++
 	if r.Outcome != ConnectFailed {
-		if s.consecutiveFailures < p.cfg.EjectAfter && !s.probing {
+		if s.consecutiveFailures < p.cfg.EjectAfterFailures && !s.probing {
 			return
 		}
 		if s.available() && !p.mayEjectAnother() {
@@ -109,9 +111,9 @@
 
 // eject ejects a scheduler for a random time around its ejection: all clients lose a scheduler at the same
 // moment, and must not all return at once.
-func (p *Plan) eject(now time.Time, s *scheduler) {
-	s.ejection = min(max(2*s.ejection, p.cfg.BaseEjection), p.cfg.MaxEjection)
-	s.ejectedUntil = now.Add(s.ejection/2 + p.jitter(s.ejection))
+func (p *Plan) eject(now time.Time, s *schedulerState) {
+	s.ejectionDuration = min(max(2*s.ejectionDuration, p.cfg.BaseEjection), p.cfg.MaxEjection)
+	s.ejectedUntil = now.Add(s.ejectionDuration/2 + p.jitter(s.ejectionDuration))
 }
 
 // jitter draws a random time from zero to a limit.
@@ -150,21 +152,21 @@
 	case last >= 0 && p.schedulers[last].available():
 		return last, now
 	}
-	return -1, availableAt.Add(p.jitter(p.cfg.BaseEjection) / ejectionRecheck)
+	return -1, availableAt.Add(p.jitter(p.cfg.BaseEjection) / recheckSpreadDivisor)
 }
 
 // pickByLoad chooses among the first candidates, and among twice as many as long as the choice is too busy.
 func (p *Plan) pickByLoad(candidates []int) int {
 	for subset := 1; ; subset *= 2 {
-		best := p.lessLoaded(candidates[:min(subset, len(candidates))])
-		if subset >= len(candidates) || p.schedulers[best].load() <= spreadLoad {
+		best := p.lessLoadedOfTwo(candidates[:min(subset, len(candidates))])
+		if subset >= len(candidates) || p.schedulers[best].load() <= maxPreferredLoad {
 			return best
 		}
 	}
 }
 
-// lessLoaded draws two schedulers and returns the less loaded one.
-func (p *Plan) lessLoaded(from []int) int {
+// lessLoadedOfTwo draws two schedulers and returns the less loaded one.
+func (p *Plan) lessLoadedOfTwo(from []int) int {
 	a, b := from[p.random.IntN(len(from))], from[p.random.IntN(len(from))]
 	if p.schedulers[b].load() < p.schedulers[a].load() {
 		return b
--- a/client/pool.go
+++ b/client/pool.go
@@ -17,16 +17,16 @@
 // conn is a connection to a scheduler. It belongs to one attempt at a time, or to the pool.
 type conn struct {
 	net.Conn
-	reader    *http1.Reader
-	reused    bool // it has carried a complete exchange before
-	closing   bool // the scheduler closes it after this response
-	idleSince time.Time
+	reader             *http1.Reader
+	reused             bool // it has carried a complete exchange before
+	closeAfterResponse bool // the scheduler closes it after this response
+	idleSince          time.Time
 }
 
 // pool keeps idle connections by scheduler, and bounds the number and the rate of new ones.
 type pool struct {
 	addrs          []string
-	slots          []chan struct{} // by scheduler; one element for each connection in use
+	semaphores     []chan struct{} // by scheduler; one element for each connection in use
 	connectLimiter *rate.Limiter
 	onConnect      func(scheduler int, err error) // is called after each dial
 
@@ -42,25 +42,25 @@
 	idleTimeout = 10 * time.Second
 	// connectTimeout bounds a dial: an unreachable scheduler must leave time to try another one.
 	connectTimeout = time.Second
-	// reconnectSpread is the range of the random delay of new connections after a failure: all clients lose
+	// reconnectJitter is the range of the random delay of new connections after a failure: all clients lose
 	// theirs at the same moment.
-	reconnectSpread = 300 * time.Millisecond
+	reconnectJitter = 300 * time.Millisecond
 	// reconnectWindow is how long after a failure new connections are delayed.
 	reconnectWindow = 2 * time.Second
-	// connectBurst is the part of a second's new connections that may be opened at once: one in so many.
-	connectBurst = 5
+	// connectBurstDivisor is the part of a second's new connections that may be opened at once: one in so many.
+	connectBurstDivisor = 5
 )
 
-// limitError marks a connection that the client's own limits did not allow in time.
-type limitError struct{ error }
+// clientLimitError marks a connection that the client's own limits did not allow in time.
+type clientLimitError struct{ error }
 
 // Unwrap returns what the wait for the limit ended with.
-func (e limitError) Unwrap() error { return e.error }
+func (e clientLimitError) Unwrap() error { return e.error }
 
 var errIdleClosed = errors.New("the scheduler had closed the idle connections")
 
 func newPool(addrs []string, maxConnections int, connectRate float64, onConnect func(int, error)) *pool {
-	burst := max(1, int(math.Ceil(connectRate/connectBurst)))
+	burst := max(1, int(math.Ceil(connectRate/connectBurstDivisor)))
 	p := &pool{
 		addrs:          addrs,
 		idle:           make([][]*conn, len(addrs)),
@@ -68,30 +68,30 @@
 		connectLimiter: rate.NewLimiter(rate.Limit(connectRate), burst),
 	}
 	for range addrs {
-		p.slots = append(p.slots, make(chan struct{}, maxConnections))
+		p.semaphores = append(p.semaphores, make(chan struct{}, maxConnections))
 	}
 	return p
 }
 
-// get takes an idle connection to a scheduler, or opens one as the limits allow. The error is a limitError
+// get takes an idle connection to a scheduler, or opens one as the limits allow. The error is a clientLimitError
 // when they did not in time, errIdleClosed, or that of the dial.
 func (p *pool) get(ctx context.Context, scheduler int) (*conn, error) {
 	select {
-	case p.slots[scheduler] <- struct{}{}:
+	case p.semaphores[scheduler] <- struct{}{}:
 	case <-ctx.Done():
-		return nil, limitError{ctx.Err()}
+		return nil, clientLimitError{ctx.Err()}
 	}
 	c, closed := p.takeIdle(scheduler)
 	if c != nil {
 		return c, nil
 	}
 	if closed {
-		<-p.slots[scheduler]
+		<-p.semaphores[scheduler]
 		return nil, errIdleClosed
 	}
 	opened, err := p.open(ctx, scheduler)
 	if err != nil {
-		<-p.slots[scheduler]
+		<-p.semaphores[scheduler]
 		return nil, err
 	}
 	return &conn{Conn: opened, reader: http1.NewReader(opened)}, nil
@@ -100,27 +100,27 @@
 // open opens a connection when the rate allows it.
 func (p *pool) open(ctx context.Context, scheduler int) (net.Conn, error) {
 	if err := p.connectLimiter.Wait(ctx); err != nil {
-		return nil, limitError{err}
+		return nil, clientLimitError{err}
 	}
 	p.mu.Lock()
 	lastFailure := p.lastFailure
 	p.mu.Unlock()
 	if time.Since(lastFailure) < reconnectWindow {
-		if err := sleepUntil(ctx, time.Now().Add(rand.N(reconnectSpread)), nil); err != nil {
-			return nil, limitError{err}
+		if err := sleepUntil(ctx, time.Now().Add(rand.N(reconnectJitter)), nil); err != nil {
+			return nil, clientLimitError{err}
 		}
 	}
 	dialer := net.Dialer{Deadline: time.Now().Add(connectTimeout)}
 	c, err := dialer.DialContext(ctx, "tcp", p.addrs[scheduler])
 	p.onConnect(scheduler, err)
 	if err != nil {
-		p.noteFailure()
+		p.recordFailure()
 	}
 	return c, err
 }
 
-// noteFailure records that a connection failed or could not be opened.
-func (p *pool) noteFailure() {
+// recordFailure records that a connection failed or could not be opened.
+func (p *pool) recordFailure() {
 	p.mu.Lock()
 	p.lastFailure = time.Now()
 	p.mu.Unlock()
@@ -160,7 +160,7 @@
 	if !reusable {
 		c.Close()
 	}
-	<-p.slots[scheduler]
+	<-p.semaphores[scheduler]
 }
 
 // close closes the idle connections. Those in use are closed when they are given back.
