--- a/client/internal/plan/outcome.go
+++ b/client/internal/plan/outcome.go
@@ -2,67 +2,74 @@
 
 import "time"
 
-// Outcome says how an attempt ended, by what that proves about the job.
+// Outcome classifies how an attempt ended, by what the end proves about whether the job may have run.
 type Outcome uint8
 
 // The outcomes of an attempt.
 const (
-	// Answered: there is a complete response, see AttemptResult.Status.
+	// Answered means that the scheduler sent a complete response; AttemptResult.Status holds its HTTP status.
 	Answered Outcome = iota
-	// ConnectFailed: the connection was refused or could not be opened. No scheduler has the job.
+	// ConnectFailed means that the scheduler refused the connection or that the connection could not be
+	// opened. The scheduler did not receive the job.
 	ConnectFailed
-	// IdleClosed: the scheduler had closed the idle connections, and no other one was opened. It is ending,
-	// or short of sockets.
+	// IdleClosed means that the scheduler had closed all idle connections of the client before the attempt
+	// could use one, and that the client did not open a new connection. The scheduler is shutting down or has
+	// too few sockets. It did not receive the job.
 	IdleClosed
-	// NotSent: the connection broke before the last byte of the request was written. No scheduler can have
-	// read the whole job.
+	// NotSent means that the connection broke before the last byte of the request was written. The scheduler
+	// cannot have read the whole job.
 	NotSent
-	// ClientLimited: the client had no connection for the attempt in time, by its own limits. That says
-	// nothing about the scheduler.
+	// ClientLimited means that the client's own limits on the number and the rate of connections gave the
+	// attempt no connection before the job's deadline. This outcome does not show whether the scheduler is
+	// healthy.
 	ClientLimited
-	// ReusedClosed: a connection that had been used before ended without a byte of a response. The scheduler
-	// may have closed it between requests, before it read this one, or it accepted the job and died. The two
-	// cannot be distinguished, so for what must never run twice this is the same as NoResponse.
+	// ReusedClosed means that a connection that had carried an earlier request closed before the first byte of
+	// the response. Either the scheduler closed the connection as idle before it read this request, or it
+	// accepted the job and crashed. The client cannot distinguish the two cases, so a job that must never run
+	// twice is handled as after NoResponse.
 	ReusedClosed
-	// NoResponse: the request was written, and no complete response came.
+	// NoResponse means that the whole request was written and that no complete response arrived.
 	NoResponse
-	// Malformed: what came is no response: its framing is broken, or it is too large.
+	// Malformed means that the received bytes are not a valid HTTP response, or that the response is too large.
 	Malformed
 )
 
-// The statuses of a response that mean something to the plan.
+// The HTTP statuses of a response that the plan distinguishes.
 const (
 	statusOK              = 200
 	statusTooManyRequests = 429
 	statusUnavailable     = 503
 )
 
-// AttemptResult is the end of an attempt.
+// AttemptResult describes how an attempt ended.
 type AttemptResult struct {
 	Outcome Outcome
-	Status  int // with Answered
-	// RetryAfter is how long after the response the scheduler wants the retry; valid with HasRetryAfter.
+	Status  int // HTTP status of the response; only set if Outcome is Answered
+	// RetryAfter is the delay, counted from the response, before which the scheduler asks the client not to
+	// retry. RetryAfter is only valid if HasRetryAfter is set.
 	HasRetryAfter bool
 	RetryAfter    time.Duration
-	// ConnectionClose: the scheduler closes the connection after its response. Together with a refusal it
-	// means that the scheduler is ending, or short of sockets.
+	// ConnectionClose reports that the scheduler closes the connection after its response. A refusal with
+	// ConnectionClose means that the scheduler is shutting down or has too few sockets.
 	ConnectionClose bool
 }
 
-// Refused reports whether a scheduler refused the job: it did not run there.
+// Refused reports whether the scheduler refused the job with status 429 or 503. A refused job did not run in
+// this attempt.
 func (r AttemptResult) Refused() bool {
 	return r.Outcome == Answered && (r.Status == statusTooManyRequests || r.Status == statusUnavailable)
 }
 
-// Invalid reports whether a scheduler rejected the job as invalid.
+// Invalid reports whether the scheduler rejected the job as invalid: with a 4xx status other than 429.
 func (r AttemptResult) Invalid() bool {
 	return r.Outcome == Answered && r.Status >= 400 && r.Status < 500 && r.Status != statusTooManyRequests
 }
 
-// submitted reports whether a scheduler received any byte of the job.
+// submitted reports whether the attempt counts towards Class.MaxAttempts. An attempt does not count if the
+// connection could not be opened or if all idle connections were closed.
 func (r AttemptResult) submitted() bool { return r.Outcome != ConnectFailed && r.Outcome != IdleClosed }
 
-// mayHaveRun reports whether the job may have run in this attempt.
+// mayHaveRun reports whether a worker may have run the job in an attempt with this result.
 func mayHaveRun(r AttemptResult) bool {
 	switch r.Outcome {
 	case ConnectFailed, IdleClosed, NotSent, ClientLimited:
@@ -73,7 +80,8 @@
 	return true
 }
 
-// finalVerdict is the verdict of a job whose last attempt ended so and that gets no further one.
+// finalVerdict returns the verdict of a job whose last attempt ended with result r, if no other attempt
+// follows and no earlier attempt may have run.
 func finalVerdict(r AttemptResult) Verdict {
 	switch r.Outcome {
 	case Answered:
@@ -82,7 +90,7 @@
 		}
 		return Failed
 	case ConnectFailed, IdleClosed, NotSent, ClientLimited:
-		return Refused // no scheduler has it: submitting it again is harmless
+		return Refused // no scheduler has the whole job, so the caller may submit it again
 	}
 	return Unknown
 }
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -1,6 +1,7 @@
-// Package plan makes the decisions of a client: what to do with a job after each attempt, at which
-// scheduler and when the next one starts, and when to give up. It has no I/O and no clock: what happened
-// goes in with its time, what to do comes out. Package client carries it out.
+// Package plan makes the decisions of the client library: whether a job gets another attempt, which scheduler
+// receives the attempt, when the attempt starts, and when the client gives up. The package does no I/O and
+// reads no clock: each call passes an event with its time and returns the next step. Package client carries
+// out the steps.
 package plan
 
 import (
@@ -10,99 +11,113 @@
 	"time"
 )
 
-// Effect says what may be done once an attempt may have run.
+// Effect says whether a job may be repeated after an attempt in which it may have run.
 type Effect uint8
 
 // The effects of a class.
 const (
 	// Once marks jobs that must never run twice.
 	Once Effect = iota
-	// Rack marks jobs whose duplicates are dropped within one rack only. A client cannot choose the rack that a
-	// retry goes to, so for a client this is as strict as Once.
+	// Rack marks jobs whose duplicates are dropped only if they reach the rack that ran the first copy. A
+	// client cannot choose the rack of a retry, so it treats Rack like Once.
 	Rack
-	// Anywhere marks jobs whose duplicates are dropped everywhere, within the window.
+	// Anywhere marks jobs whose duplicates are dropped in every rack during the deduplication window.
 	Anywhere
-	// Safe marks jobs that may be repeated at will.
+	// Safe marks jobs that may run any number of times.
 	Safe
 )
 
-// Class is a class of jobs.
+// Class describes a class of jobs.
 type Class struct {
-	Effect      Effect
-	Window      time.Duration // for Anywhere: how long duplicates are dropped, from the first attempt on
-	MaxAttempts int           // for one job, the first included; only those that were submitted count
+	Effect Effect
+	// Window is the deduplication window of a class with the effect Anywhere. It starts with the first attempt
+	// in which the job may have run.
+	Window time.Duration
+	// MaxAttempts bounds the attempts for one job, the first attempt included. Attempts that got no connection
+	// to the scheduler do not count.
+	MaxAttempts int
 }
 
 // Config is the configuration of a plan.
 type Config struct {
-	Schedulers int     // how many there are; they are numbered from 0
-	Classes    []Class // by number
-	// RetryBudget is the tokens that each fresh job earns, and MaxTokens how many may be saved up; one is there
-	// at the start. A retry costs one. Without a token a refusal is returned at once.
+	Schedulers int     // number of schedulers; a scheduler is identified by an index from 0 to Schedulers-1
+	Classes    []Class // indexed by class number
+	// RetryBudget is the number of retry tokens that each new job adds, and MaxTokens the largest number of
+	// unused tokens that is kept. A plan starts with one token, and each retry uses one. If no token is left,
+	// the job ends with the result of its last attempt.
 	RetryBudget float64
 	MaxTokens   float64
-	// Backoff is the range of the first wait after a refusal without Retry-After. It doubles up to MaxBackoff.
+	// Backoff is the upper end of the random delay before the first retry. The delay is added to the
+	// scheduler's Retry-After, if it sent one. The upper end doubles with each further retry of the job, up to
+	// MaxBackoff.
 	Backoff, MaxBackoff time.Duration
-	// EjectAfterFailures failed attempts in a row eject a scheduler, for about BaseEjection, which doubles up to
-	// MaxEjection. At most half of the schedulers are ejected so. Those that refuse connections do not count
-	// towards that half: one such failure is proof enough, and all of them may be ejected.
+	// EjectAfterFailures is the number of consecutive attempts without a response after which a scheduler is
+	// ejected. The first ejection lasts about BaseEjection, and each further ejection without a response in
+	// between lasts twice as long, up to MaxEjection. Missing responses eject a scheduler only if at most half
+	// of the schedulers are then ejected. A scheduler that refuses connections is ejected after one failure,
+	// even if all other schedulers are ejected, because a refused connection is proof enough.
 	EjectAfterFailures        int
 	BaseEjection, MaxEjection time.Duration
 }
 
-// MaxRetryAfter bounds the Retry-After that is honoured: a longer one is an error somewhere, and no reason to
-// hold a job for a day.
+// MaxRetryAfter bounds the delay that a client honours from a Retry-After header. A longer delay is taken for
+// a misconfiguration of the scheduler, which must not hold a job for a day.
 const MaxRetryAfter = time.Minute
 
-// Verdict is the end of a job.
+// Verdict says how a job ended.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Pending Verdict = iota // the job has not ended: there will be another attempt
-	Served
-	Refused // it did not run; Step.At is when to submit it again
-	Failed  // it may have run, and failed
-	Unknown // it may have run; its result cannot be determined
-	Invalid // a scheduler rejected it as invalid
-	Expired // there is no time for an attempt, and none may have run
+	Pending Verdict = iota // the job has not ended: an attempt follows
+	Served                 // a scheduler answered with the result of the job
+	Refused                // the job did not run; Step.At is when the caller may submit it again
+	Failed                 // the job may have run, and the scheduler answered with an error status
+	Unknown                // the job may have run, and its result cannot be determined
+	Invalid                // a scheduler rejected the job as invalid
+	Expired                // the deadline passed before the first attempt started
 )
 
-// Step is what to do next. While the verdict is Pending: with StartNow, make an attempt at the scheduler at
-// once; otherwise call Start at the time At, or with AllEjected as soon as Available is no longer zero.
+// Step tells the caller what to do next with a job. While Verdict is Pending and StartNow is set, the caller
+// sends an attempt to Scheduler at once and reports its end by AttemptEnded. While Verdict is Pending and
+// StartNow is not set, the caller waits until At and calls Start. If AllEjected is set, the caller may call
+// Start earlier, once Plan.Available is no longer zero.
 type Step struct {
 	Verdict    Verdict
 	StartNow   bool
-	Scheduler  int
-	Retry      bool // the attempt is not the first one that is submitted
+	Scheduler  int  // index of the scheduler that receives the attempt
+	Retry      bool // an earlier attempt of the job was submitted to a scheduler
 	At         time.Time
-	AllEjected bool // no scheduler is available
+	AllEjected bool // all schedulers are ejected or being probed
 }
 
-// Job is one job from its arrival to its verdict. It belongs to the caller of Begin.
+// Job is the state of one job from Begin to its verdict. The caller of Begin keeps the Job and passes it to
+// the other methods of Plan.
 type Job struct {
-	class           *Class
-	deadline        time.Time
-	attempts        int       // that were submitted, or are in flight
-	firstMayHaveRun time.Time // when the first attempt that may have run started; zero: none may have
-	scheduler       int       // of the current or last attempt; -1: none yet
-	inFlight        bool      // an attempt is in flight
-	fallbackVerdict Verdict   // the verdict if no further attempt starts
-	done            bool
+	class    *Class
+	deadline time.Time
+	attempts int // number of attempts that were submitted or are in flight
+	// firstMayHaveRun is the start time of the first attempt in which the job may have run. It is zero if the
+	// job cannot have run yet.
+	firstMayHaveRun time.Time
+	scheduler       int     // index of the scheduler of the current or last attempt; -1 before the first attempt
+	inFlight        bool    // an attempt is in flight
+	fallbackVerdict Verdict // verdict of the job if no further attempt starts
+	done            bool    // the job has a verdict other than Pending, or its caller cancelled it
 }
 
-// Plan holds what a client knows of its schedulers, and its retry budget. It is not safe for concurrent
-// use: its owner calls it with one event at a time.
+// Plan holds the health and load of the schedulers as this client observes them, and the client's retry
+// budget. A Plan is not safe for concurrent use: its owner must serialize all calls.
 type Plan struct {
 	cfg        Config
 	random     *rand.Rand
-	tokens     float64 // retries that the budget allows now
-	schedulers []schedulerState
-	preference []int // the order in which this client uses the schedulers
-	throttled  int
+	tokens     float64          // retry tokens that are left; each retry uses one
+	schedulers []schedulerState // indexed by scheduler
+	preference []int            // scheduler indexes in the random order in which this client prefers them
+	throttled  int              // number of jobs that got no retry because no token was left
 }
 
-// New returns a plan. The seed determines all random choices. The error names the field that is invalid.
+// New returns a plan. The seed determines all random choices. The error names the invalid field.
 func New(cfg Config, seed uint64) (*Plan, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -120,40 +135,41 @@
 func (cfg Config) validate() error {
 	switch {
 	case cfg.Schedulers <= 0:
-		return errors.New("schedulers: none is named")
+		return errors.New("schedulers: none configured")
 	case len(cfg.Classes) == 0:
-		return errors.New("classes: none is named")
-	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1): // NaN is neither
-		return fmt.Errorf("budget: %v is not within 0 and 1", cfg.RetryBudget)
+		return errors.New("classes: none configured")
+	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1): // this form also rejects NaN
+		return fmt.Errorf("budget: got %v, must be between 0 and 1", cfg.RetryBudget)
 	case !(cfg.MaxTokens >= 0):
-		return fmt.Errorf("max tokens: %v is negative", cfg.MaxTokens)
+		return fmt.Errorf("max tokens: got %v, must not be negative", cfg.MaxTokens)
 	case cfg.Backoff <= 0 || cfg.MaxBackoff < cfg.Backoff:
-		return errors.New("backoff: it must be positive, and no longer than the longest")
+		return errors.New("backoff: must be positive and not above the maximum backoff")
 	case cfg.EjectAfterFailures <= 0 || cfg.BaseEjection <= 0 || cfg.MaxEjection < cfg.BaseEjection:
-		return errors.New("eject: its figures must be positive, and its time no longer than the longest")
+		return errors.New("ejection: count and base duration must be positive, base not above maximum")
 	}
 	for i, class := range cfg.Classes {
 		switch {
 		case class.MaxAttempts <= 0:
-			return fmt.Errorf("classes[%d].tries: %d is not positive", i, class.MaxAttempts)
+			return fmt.Errorf("classes[%d].tries: got %d, must be positive", i, class.MaxAttempts)
 		case class.Effect > Safe:
-			return fmt.Errorf("classes[%d].effect: unknown", i)
+			return fmt.Errorf("classes[%d].effect: unknown effect", i)
 		case class.Effect == Anywhere && class.Window <= 0:
-			return fmt.Errorf("classes[%d].window: it must be positive", i)
+			return fmt.Errorf("classes[%d].window: must be positive", i)
 		}
 	}
 	return nil
 }
 
-// Begin accepts a new job and starts its first attempt. Its deadline is fixed here.
+// Begin accepts a new job of the class with the given number and starts its first attempt. The deadline of
+// the job does not change afterwards.
 func (p *Plan) Begin(now time.Time, class int, deadline time.Time) (*Job, Step) {
 	p.tokens = min(p.tokens+p.cfg.RetryBudget, p.cfg.MaxTokens)
 	j := &Job{class: &p.cfg.Classes[class], deadline: deadline, scheduler: -1, fallbackVerdict: Expired}
 	return j, p.Start(now, j)
 }
 
-// Start begins the next attempt of a job, if there is a scheduler for it. The scheduler is chosen now, by
-// what is known now, and not when the retry was planned.
+// Start starts the next attempt of a job, if a scheduler is available for it. Start chooses the scheduler
+// by the state of the schedulers at this time, not at the time when the retry was planned.
 func (p *Plan) Start(now time.Time, j *Job) Step {
 	if j.done || j.inFlight || !now.Before(j.deadline) || !retryAllowed(j, now) {
 		return p.finish(j, j.fallbackVerdict, now)
@@ -168,29 +184,31 @@
 	return Step{StartNow: true, Scheduler: number, At: now, Retry: j.attempts > 1}
 }
 
-// waitForScheduler lets a job wait until a scheduler may be available, or ends it if that is too late for it.
+// waitForScheduler makes a job wait until availableAt, when a scheduler may be available again. If the job's
+// deadline is not later than availableAt, waitForScheduler ends the job.
 func (p *Plan) waitForScheduler(j *Job, availableAt time.Time) Step {
 	if availableAt.Before(j.deadline) {
 		return Step{At: availableAt, AllEjected: true}
 	}
 	if j.fallbackVerdict == Expired {
-		j.fallbackVerdict = Refused // it did not run, and no scheduler is available in time
+		j.fallbackVerdict = Refused // no attempt was made, so the caller may submit the job again
 	}
 	return p.finish(j, j.fallbackVerdict, availableAt)
 }
 
+// finish ends a job with the given verdict.
 func (p *Plan) finish(j *Job, verdict Verdict, at time.Time) Step {
 	j.done = true
 	return Step{Verdict: verdict, At: at}
 }
 
-// Cancel ends a job whose caller has given up, whether an attempt is in flight or about to start.
+// Cancel ends a job whose caller has cancelled it, whether an attempt is in flight or about to start.
 func (p *Plan) Cancel(j *Job) {
 	j.done = true
 	p.releaseAttempt(j)
 }
 
-// releaseAttempt ends the attempt in flight, if there is one.
+// releaseAttempt removes the attempt of a job, if one is in flight, from the load of its scheduler.
 func (p *Plan) releaseAttempt(j *Job) {
 	if j.inFlight {
 		j.inFlight = false
@@ -199,7 +217,8 @@
 	}
 }
 
-// AttemptEnded takes the end of an attempt and the time when it started, and says what is next.
+// AttemptEnded records that the attempt of job j that started at the time started ended with result r, and
+// returns the next step of the job.
 func (p *Plan) AttemptEnded(now, started time.Time, j *Job, r AttemptResult) Step {
 	if j.done || !j.inFlight {
 		return Step{Verdict: Unknown}
@@ -217,7 +236,7 @@
 	}
 	j.fallbackVerdict = finalVerdict(r)
 	if !j.firstMayHaveRun.IsZero() && j.fallbackVerdict == Refused {
-		j.fallbackVerdict = Unknown // this attempt did not run; an earlier one may have
+		j.fallbackVerdict = Unknown // the job did not run in this attempt but may have run in an earlier one
 	}
 	if !r.submitted() {
 		return p.failOver(now, j)
@@ -225,8 +244,9 @@
 	return p.planRetry(now, j, r)
 }
 
-// failOver follows an attempt that no scheduler received. It does not count, as it adds no load to any. The
-// number of such attempts is bounded, as their schedulers are ejected.
+// failOver starts another attempt at once after an attempt that got no connection to its scheduler. The
+// failed attempt does not count towards the class's maximum, because it put no load on any scheduler. The
+// number of such attempts is bounded, because each one ejects its scheduler.
 func (p *Plan) failOver(now time.Time, j *Job) Step {
 	j.attempts--
 	if now.Before(j.deadline) {
@@ -235,7 +255,8 @@
 	return p.finish(j, j.fallbackVerdict, now)
 }
 
-// planRetry plans the next attempt, if the job's class, its deadline and the budget allow one.
+// planRetry schedules another attempt if the job's class, its deadline and the retry budget allow an attempt,
+// and otherwise ends the job.
 func (p *Plan) planRetry(now time.Time, j *Job, r AttemptResult) Step {
 	at := p.retryAt(now, j, r)
 	switch {
@@ -250,11 +271,11 @@
 	return Step{At: at}
 }
 
-// Throttled counts the jobs that got no further attempt because the retry budget was used up.
+// Throttled returns the number of jobs that got no retry because the retry budget was used up.
 func (p *Plan) Throttled() int { return p.throttled }
 
-// retryAllowed reports whether the class of a job allows an attempt at a time, by what is known of its
-// earlier ones.
+// retryAllowed reports whether the effect of the job's class allows another attempt that starts at the given
+// time, given whether the job may have run in an earlier attempt.
 func retryAllowed(j *Job, at time.Time) bool {
 	if j.firstMayHaveRun.IsZero() {
 		return true
@@ -268,8 +289,9 @@
 	return false
 }
 
-// retryAt is when the next attempt may start: never before the scheduler's Retry-After, and at a random
-// time after it, as all jobs that were refused together would return together.
+// retryAt returns the time at which the next attempt may start: the scheduler's Retry-After, if it sent one,
+// plus a random delay. The random delay keeps jobs that were refused at the same time from being retried at
+// the same time.
 func (p *Plan) retryAt(now time.Time, j *Job, r AttemptResult) time.Time {
 	limit := p.cfg.Backoff
 	for range j.attempts - 1 {
--- a/client/internal/plan/schedulers.go
+++ b/client/internal/plan/schedulers.go
@@ -2,32 +2,40 @@
 
 import "time"
 
-// schedulerState is what the client knows of one scheduler.
+// schedulerState is the client's view of one scheduler.
 type schedulerState struct {
-	inFlight            int     // attempts
-	consecutiveFailures int     // attempts without a response
-	refusalRate         float64 // the fraction of refusals among its last responses, a moving average
-	ejectionDuration    time.Duration
-	ejectedUntil        time.Time // zero: it is available
-	probing             bool      // its ejection is over, and a single attempt finds out whether it is back
+	inFlight            int     // number of this client's attempts that are in flight at the scheduler
+	consecutiveFailures int     // number of attempts without a response since the last response
+	refusalRate         float64 // moving average of the fraction of responses that were refusals, from 0 to 1
+	// ejectionDuration is the nominal duration of the last ejection. It is zero after a response, so that the
+	// next ejection starts from the base duration.
+	ejectionDuration time.Duration
+	ejectedUntil     time.Time // end of the current ejection; zero if the scheduler is not ejected
+	// probing reports that the ejection time has passed and that a single attempt is in flight to test whether
+	// the scheduler responds again.
+	probing bool
 }
 
 const (
-	refusalRateSmoothing = 0.2 // of the last response in the moving average of refusals
-	// refusalLoadWeight is how much a scheduler that refuses everything is overrated in its load. Without it, it
-	// would look idle, as each refusal is quick, and attract all jobs. Where all schedulers refuse alike it
-	// changes nothing.
+	// refusalRateSmoothing is the weight of the newest response in the moving average refusalRate.
+	refusalRateSmoothing = 0.2
+	// refusalLoadWeight is the factor by which refusalRate raises the estimated load of a scheduler. A
+	// scheduler that refuses all jobs answers quickly and has few attempts in flight; without this factor it
+	// would look idle and attract all jobs. If all schedulers refuse the same fraction of jobs, the factor does
+	// not change the choice among them.
 	refusalLoadWeight = 8
-	// maxPreferredLoad is the load of its own schedulers beyond which a client uses further ones. Below it, it
-	// keeps to the first available ones in its order of preference: connections are reused only if jobs go to
-	// the same schedulers, and a scheduler has too few sockets for a connection from every client.
+	// maxPreferredLoad is the estimated load, in attempts, above which the client also considers schedulers
+	// further down in its order of preference. Below this load, the client uses only the first available
+	// schedulers of that order: connections are reused only if jobs go to the same schedulers, and a scheduler
+	// has too few sockets for a connection from every client.
 	maxPreferredLoad = 4
-	// recheckSpreadDivisor is the part of the base ejection, one in so many, over which the jobs that wait for a
-	// scheduler are spread.
+	// recheckSpreadDivisor sets how far the jobs that wait for a scheduler are spread when they start again:
+	// over the base ejection duration divided by recheckSpreadDivisor.
 	recheckSpreadDivisor = 4
 )
 
-// load estimates how busy a scheduler is, in attempts.
+// load estimates how busy the scheduler is: the number of attempts in flight including the one to place,
+// raised in proportion to refusalRate.
 func (s *schedulerState) load() float64 {
 	return float64(s.inFlight+1) * (1 + refusalLoadWeight*s.refusalRate)
 }
@@ -35,9 +43,10 @@
 // available reports whether the scheduler is not ejected.
 func (s *schedulerState) available() bool { return s.ejectedUntil.IsZero() }
 
-// Available counts the schedulers that are not ejected.
+// Available returns the number of schedulers that are not ejected.
 func (p *Plan) Available() int { return len(p.schedulers) - p.ejectedCount() }
 
+// ejectedCount returns the number of schedulers that are ejected or being probed.
 func (p *Plan) ejectedCount() int {
 	n := 0
 	for i := range p.schedulers {
@@ -48,7 +57,7 @@
 	return n
 }
 
-// InFlight counts the attempts that are in flight.
+// InFlight returns the number of attempts that are in flight at all schedulers together.
 func (p *Plan) InFlight() int {
 	n := 0
 	for i := range p.schedulers {
@@ -57,12 +66,12 @@
 	return n
 }
 
-// recordOutcome updates what is known of a scheduler by the end of an attempt there.
+// recordOutcome updates the state of a scheduler after an attempt at the scheduler ended with result r.
 func (p *Plan) recordOutcome(now time.Time, number int, r AttemptResult) {
 	s := &p.schedulers[number]
 	switch r.Outcome {
 	case ClientLimited:
-		// It says nothing about the scheduler.
+		// The client's own limits caused the failure, so the scheduler's state does not change.
 	case IdleClosed:
 		if s.available() && p.Available() > 1 {
 			p.eject(now, s)
@@ -74,8 +83,10 @@
 	}
 }
 
-// recordResponse takes a response as the sign of a healthy scheduler, even if it is a refusal: then others
-// may be the better choice.
+// recordResponse marks a scheduler that sent a response as healthy and ends its ejection, even if the
+// response is a refusal. A refusal raises refusalRate, so that other schedulers are preferred. A refusal that
+// closes the connection means that the scheduler is shutting down or has too few sockets, and ejects the
+// scheduler.
 func (p *Plan) recordResponse(now time.Time, s *schedulerState, r AttemptResult) {
 	s.consecutiveFailures, s.ejectionDuration, s.ejectedUntil = 0, 0, time.Time{}
 	refused := 0.0
@@ -88,8 +99,9 @@
 	}
 }
 
-// recordFailure counts an attempt without a response, and ejects the scheduler after enough of them. One that
-// refuses connections is ejected at once, without regard to how many are.
+// recordFailure counts an attempt without a response, and ejects the scheduler after EjectAfterFailures of
+// them in a row. A scheduler that refuses connections is ejected at once, however many other schedulers are
+// ejected.
 func (p *Plan) recordFailure(now time.Time, s *schedulerState, r AttemptResult) {
 	s.consecutiveFailures++
 	if r.Outcome != ConnectFailed {
@@ -97,32 +109,35 @@
 			return
 		}
 		if s.available() && !p.mayEjectAnother() {
-			return // more than half look unhealthy: the evidence is wrong, or there is nowhere else to go
+			return // more than half of the schedulers would be ejected: a common cause is more likely
 		}
 	}
 	if now.Before(s.ejectedUntil) {
-		return // several attempts that were in flight report the same failure
+		return // the attempt was in flight when the scheduler was ejected and reports the same failure
 	}
 	p.eject(now, s)
 }
 
-// mayEjectAnother reports whether at most half of the schedulers are ejected with one more.
+// mayEjectAnother reports whether at most half of the schedulers are ejected after one more ejection.
 func (p *Plan) mayEjectAnother() bool { return 2*(p.ejectedCount()+1) <= len(p.schedulers) }
 
-// eject ejects a scheduler for a random time around its ejection: all clients lose a scheduler at the same
-// moment, and must not all return at once.
+// eject ejects a scheduler and doubles its ejection duration. The actual time is random, between half and one
+// and a half times the ejection duration: all clients lose a failed scheduler at the same moment, and they
+// must not all try it again at the same moment.
 func (p *Plan) eject(now time.Time, s *schedulerState) {
 	s.ejectionDuration = min(max(2*s.ejectionDuration, p.cfg.BaseEjection), p.cfg.MaxEjection)
 	s.ejectedUntil = now.Add(s.ejectionDuration/2 + p.jitter(s.ejectionDuration))
 }
 
-// jitter draws a random time from zero to a limit.
+// jitter returns a random duration between zero and limit.
 func (p *Plan) jitter(limit time.Duration) time.Duration {
 	return time.Duration(p.random.Float64() * float64(limit))
 }
 
-// pickScheduler chooses an available scheduler, another one than the last if it can; none is -1. One whose
-// ejection is over gets a single attempt first. With none it returns when one may be available.
+// pickScheduler returns the index of the scheduler for the next attempt. It avoids the scheduler of the job's
+// last attempt if another scheduler is available. A scheduler whose ejection time has passed gets a single
+// attempt as a probe, if no available scheduler comes before it in the order of preference. If no scheduler
+// can be used, pickScheduler returns -1 and the time at which a scheduler may be available.
 func (p *Plan) pickScheduler(now time.Time, last int) (number int, availableAt time.Time) {
 	var candidates []int
 	for _, number := range p.preference {
@@ -132,7 +147,7 @@
 			if number != last {
 				candidates = append(candidates, number)
 			}
-		// It would be the first choice if it were available.
+		// The ejection time has passed, and no available scheduler comes before this one: probe the scheduler.
 		case !now.Before(s.ejectedUntil) && !s.probing && len(candidates) == 0:
 			s.probing = true
 			return number, now
@@ -155,7 +170,9 @@
 	return -1, availableAt.Add(p.jitter(p.cfg.BaseEjection) / recheckSpreadDivisor)
 }
 
-// pickByLoad chooses among the first candidates, and among twice as many as long as the choice is too busy.
+// pickByLoad picks a scheduler from the candidates, which are in order of preference. It starts with the
+// first candidate alone and doubles the number of candidates that it considers as long as the picked
+// scheduler's load exceeds maxPreferredLoad.
 func (p *Plan) pickByLoad(candidates []int) int {
 	for subset := 1; ; subset *= 2 {
 		best := p.lessLoadedOfTwo(candidates[:min(subset, len(candidates))])
@@ -165,7 +182,7 @@
 	}
 }
 
-// lessLoadedOfTwo draws two schedulers and returns the less loaded one.
+// lessLoadedOfTwo draws two schedulers at random, with replacement, and returns the one with the lower load.
 func (p *Plan) lessLoadedOfTwo(from []int) int {
 	a, b := from[p.random.IntN(len(from))], from[p.random.IntN(len(from))]
 	if p.schedulers[b].load() < p.schedulers[a].load() {
