--- a/client/alive_other.go
+++ b/client/alive_other.go
@@ -4,5 +4,6 @@
 
 import "net"
 
-// alive cannot look at the socket on this platform: a request on a connection that has ended shows it.
+// alive always returns true on platforms without non-blocking socket peeks. A request on a connection that
+// the scheduler has closed then fails.
 func alive(net.Conn) bool { return true }
--- a/client/alive_unix.go
+++ b/client/alive_unix.go
@@ -8,8 +8,9 @@
 	"syscall"
 )
 
-// alive reports whether an idle connection is still open as far as this side can see: neither its end nor an
-// unexpected byte has arrived. A close that crosses the next request on its way cannot be seen.
+// alive reports whether an idle connection can still be used: the client has received neither the scheduler's
+// close nor an unexpected byte on it. A close that the scheduler sends at the same time as the client's next
+// request cannot be detected.
 func alive(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -24,7 +25,7 @@
 		var next [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		nothingToRead = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK)
-		return true // do not wait for something to read
+		return true // true stops Read from waiting until the socket is readable
 	})
 	return err == nil && nothingToRead
 }
--- a/client/attempt.go
+++ b/client/attempt.go
@@ -14,25 +14,28 @@
 	"dahliaford/internal/http1"
 )
 
-// attemptResult is the end of an attempt.
+// attemptResult describes how an attempt ended.
 type attemptResult struct {
 	plan.AttemptResult
-	body []byte
-	err  error // why there is no response; nil: there is one
+	body []byte // body of the response; nil without a response
+	err  error  // reason why the attempt got no response; nil with a response
 }
 
-// failedAttempt is an attempt that ended without a response.
+// failedAttempt returns the result of an attempt that ended without a response.
 func failedAttempt(outcome plan.Outcome, err error) attemptResult {
 	return attemptResult{AttemptResult: plan.AttemptResult{Outcome: outcome}, err: err}
 }
 
-// submitted reports whether a scheduler received any byte of the job.
+// submitted reports whether the attempt got a connection to a scheduler, so that the scheduler may have
+// received a part of the job.
 func (r attemptResult) submitted() bool {
 	return r.Outcome != plan.ConnectFailed && r.Outcome != plan.IdleClosed && r.Outcome != plan.ClientLimited
 }
 
-// sendAttempt makes one attempt, and says what its end proves.
-func (c *Client) sendAttempt(ctx context.Context, job *Job, step plan.Step, deadline time.Time) attemptResult {
+// sendAttempt sends one attempt to the scheduler of the step and waits for the response, until the deadline
+// at most. The result classifies how the attempt ended, by whether the job may have run.
+func (c *Client) sendAttempt(
+	ctx context.Context, job *Job, step plan.Step, deadline time.Time) attemptResult {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	connection, err := c.pool.get(ctx, step.Scheduler)
@@ -41,14 +44,15 @@
 	}
 	reusable := false
 	defer func() { c.pool.put(step.Scheduler, connection, reusable) }()
-	// When the caller cancels, the connection is closed at once: that is how the scheduler learns of it.
+	// A cancellation by the caller interrupts all reads and writes, so that the connection is closed at once.
+	// The close tells the scheduler of the cancellation.
 	defer context.AfterFunc(ctx, func() { connection.SetDeadline(time.Now()) })()
 	connection.SetDeadline(deadline)
 	remaining := time.Until(deadline).Milliseconds()
 	if remaining <= 0 {
 		return failedAttempt(plan.ClientLimited, context.DeadlineExceeded)
 	}
-	// An error says that the last byte was not written: no scheduler has the whole request.
+	// If Write returns an error, the last byte was not written, and no scheduler has the whole request.
 	if _, err := connection.Write(c.encodeRequest(job, step, remaining)); err != nil {
 		c.pool.recordFailure()
 		return failedAttempt(plan.NotSent, err)
@@ -61,7 +65,7 @@
 	return result
 }
 
-// connectOutcome is the outcome of an attempt that got no connection.
+// connectOutcome returns the outcome of an attempt that got no connection because of err.
 func connectOutcome(err error) plan.Outcome {
 	var limited clientLimitError
 	switch {
@@ -73,7 +77,8 @@
 	return plan.ConnectFailed
 }
 
-// encodeRequest returns the request of an attempt, in bytes.
+// encodeRequest returns the encoded HTTP request of an attempt. remainingMs is the time until the job's
+// deadline, in milliseconds.
 func (c *Client) encodeRequest(job *Job, step plan.Step, remainingMs int64) []byte {
 	id := newID()
 	object, tenant, resent, labels := job.Object, job.Tenant, "", ""
@@ -102,29 +107,31 @@
 	}, job.Body)
 }
 
-// newID returns the id of an attempt.
+// newID returns a new random id for an attempt.
 func newID() string {
 	var id [8]byte
-	_, _ = rand.Read(id[:]) // it never returns an error
+	_, _ = rand.Read(id[:]) // rand.Read never returns an error
 	return hex.EncodeToString(id[:])
 }
 
-// maxInterimResponses bounds the interim responses (1xx) that a scheduler may send before the final one.
+// maxInterimResponses bounds the responses that a client reads for one request: the interim responses (status
+// 1xx) and the final response together.
 const maxInterimResponses = 8
 
 const (
 	statusOK         = 200
-	firstFinalStatus = 200 // those below it are interim responses
-	statusNoContent  = 204 // has no body, and so needs no length
+	firstFinalStatus = 200 // a response with a lower status is an interim response
+	statusNoContent  = 204 // a response with this status has no body and needs no length
 )
 
 var (
-	errMissingLength  = errors.New("a response that does not say how long it is")
-	errTooManyInterim = errors.New("interim responses without end")
+	errMissingLength  = errors.New("response has neither Content-Length nor Transfer-Encoding")
+	errTooManyInterim = errors.New("too many interim responses without a final response")
 )
 
-// readResponse reads the response to a request that was written. Only one that is complete and states its
-// length counts as a response.
+// readResponse reads the response to a request that was written completely. A response counts as received
+// only if it is complete and states its length: without a length, a response that was cut off would look
+// complete.
 func (c *conn) readResponse() attemptResult {
 	if err := c.reader.Wait(); err != nil {
 		if c.reused && !isTimeout(err) {
@@ -151,17 +158,19 @@
 	return failedAttempt(plan.Malformed, errTooManyInterim)
 }
 
+// isTimeout reports whether err is a network time-out.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
+// hasLength reports whether the header of a response determines the length of its body.
 func hasLength(response *http1.Response) bool {
 	return response.Header.Get("Content-Length") != "" || response.Header.Get("Transfer-Encoding") != "" ||
 		response.Status == statusNoContent
 }
 
-// completedAttempt is an attempt with a complete response.
+// completedAttempt returns the result of an attempt that got a complete response.
 func completedAttempt(response *http1.Response) attemptResult {
 	result := attemptResult{
 		AttemptResult: plan.AttemptResult{
@@ -175,7 +184,9 @@
 	return result
 }
 
-// classifyReadError distinguishes a response that violates the protocol from one that was cut off.
+// classifyReadError returns the result of an attempt whose response could not be read: Malformed if the
+// response violates HTTP, and NoResponse if the connection ended or timed out before the response was
+// complete.
 func classifyReadError(err error) attemptResult {
 	var protocolError *http1.Error
 	if errors.As(err, &protocolError) {
@@ -184,11 +195,12 @@
 	return failedAttempt(plan.NoResponse, err)
 }
 
-// parseRetryAfter reads Retry-After: seconds, whole or decimal, plan.MaxRetryAfter at most. A date, or what
-// is no number, counts as no advice.
+// parseRetryAfter parses the value of a Retry-After header as a whole or decimal number of seconds, and
+// limits it to plan.MaxRetryAfter. It returns false for a date, a negative number and any text that is not a
+// number.
 func parseRetryAfter(text string) (time.Duration, bool) {
 	seconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(seconds >= 0) { // NaN is not, either
+	if err != nil || !(seconds >= 0) { // the negated condition also rejects NaN
 		return 0, false
 	}
 	if seconds > plan.MaxRetryAfter.Seconds() {
--- a/client/client.go
+++ b/client/client.go
@@ -1,7 +1,7 @@
-// Package client is the client library of dahliaford: it submits jobs to the schedulers and waits for their
-// results. It keeps a job's deadline over all its attempts, marks retries as such, honours refusals with
-// their Retry-After, repeats nothing that the job's class does not allow, and bounds the load that retries
-// add.
+// Package client is the client library of dahliaford. It submits jobs to the schedulers and waits for their
+// results. One deadline covers all attempts of a job. The client marks retries as retries, honours
+// Retry-After when a scheduler refuses a job, repeats an attempt only if the job's class allows it, and
+// bounds the load that retries add.
 package client
 
 import (
@@ -14,41 +14,41 @@
 	"dahliaford/client/internal/plan"
 )
 
-// MaxBodyBytes is the longest body of a job, in bytes: schedulers accept none that is longer.
+// MaxBodyBytes is the maximum length of a job's body, in bytes. Schedulers reject longer bodies.
 const MaxBodyBytes = 64 << 10
 
 // Job is one job to submit.
 type Job struct {
-	Class  string
-	Tenant string // "": the one of the configuration
-	Object string // what the job is about, the last part of the request's path; "": the id of the attempt
-	Key    string // the idempotency key, the same in all attempts; "": none
-	Body   []byte // at most MaxBodyBytes
-	Slots  int    // slots that it takes at its worker; 0: one
-	// Deadline is when its caller gives up. Zero: the class's deadline, counted from the call. An earlier
-	// deadline of the context takes precedence.
+	Class  string // name of a class in Config.Classes
+	Tenant string // "" means Config.Tenant
+	Object string // name of the job's object, the last element of the request path; "" means the attempt's id
+	Key    string // idempotency key, sent with each attempt; "" means no key
+	Body   []byte // at most MaxBodyBytes long
+	Slots  int    // number of slots that the job takes at its worker; 0 means one slot
+	// Deadline is the time by which Do returns. Zero means the deadline of the job's class, counted from the
+	// call of Do. An earlier deadline of the context takes precedence.
 	Deadline time.Time
 }
 
-// Result is a job's result.
+// Result is the result of a job that was served.
 type Result struct {
-	Body     []byte // as the worker returned it
-	Attempts int    // how many the job took, the last one included
+	Body     []byte // result as the worker returned it
+	Attempts int    // number of attempts that reached a scheduler, including the successful attempt
 }
 
 // Client submits jobs. It is safe for concurrent use.
 type Client struct {
 	cfg     Config
-	classes map[string]int // the plan's number of each class
+	classes map[string]int // class number in the plan, by class name
 	log     *slog.Logger
 	pool    *pool
 
 	mu        sync.Mutex // guards the fields below
 	plan      *plan.Plan
-	available chan struct{} // closed and replaced when a scheduler is available again after none was
+	available chan struct{} // closed and replaced when all schedulers were ejected and one becomes available
 }
 
-// New returns a client. The error names the field that is invalid.
+// New returns a client with the given configuration. The error names the invalid field.
 func New(cfg Config) (*Client, error) {
 	cfg = cfg.withDefaults()
 	planCfg, classes, err := cfg.planConfig()
@@ -70,12 +70,12 @@
 	}, nil
 }
 
-// Close closes the idle connections. Jobs in flight go on.
+// Close closes the idle connections. Jobs in flight are not interrupted.
 func (c *Client) Close() { c.pool.close() }
 
-// Do submits a job and waits for its end. It returns by the job's deadline, with a result or with one of this
-// package's errors. When the context is cancelled, it closes the connection at once, and the error wraps the
-// context's.
+// Do submits a job and waits until the job ends or its deadline passes. It returns a result or an error of
+// one of this package's types. When the context is cancelled, Do closes the connection to the scheduler at
+// once and returns an error that wraps the context's error.
 func (c *Client) Do(ctx context.Context, job Job) (*Result, error) {
 	class, known := c.classes[job.Class]
 	switch {
@@ -83,7 +83,7 @@
 		return nil, &InvalidJobError{Text: fmt.Sprintf("unknown class %q", job.Class)}
 	case len(job.Body) > MaxBodyBytes:
 		return nil, &InvalidJobError{
-			Text: fmt.Sprintf("a body of %d bytes, %d at most", len(job.Body), MaxBodyBytes)}
+			Text: fmt.Sprintf("body of %d bytes is above the limit of %d bytes", len(job.Body), MaxBodyBytes)}
 	}
 	deadline := job.Deadline
 	if deadline.IsZero() {
--- a/client/config.go
+++ b/client/config.go
@@ -11,49 +11,54 @@
 	"dahliaford/client/internal/plan"
 )
 
-// Effect says whether a class of jobs may be repeated once an attempt may have run.
+// Effect says whether jobs of a class may be repeated after an attempt in which they may have run.
 type Effect string
 
 // The effects of a class.
 const (
-	// Once marks jobs that must never run twice. An attempt that may have run is never repeated.
+	// Once marks jobs that must never run twice. The client never repeats an attempt that may have run.
 	Once Effect = "once"
-	// Rack marks jobs whose duplicates are dropped within one rack. A client cannot choose the rack that a
-	// retry goes to, so it repeats no attempt that may have run; the scheduler does.
+	// Rack marks jobs whose duplicates are dropped only if they reach the rack that ran the first copy. A client
+	// cannot choose the rack of a retry, so it never repeats an attempt that may have run. Only the scheduler
+	// repeats such attempts.
 	Rack Effect = "rack"
-	// Anywhere marks jobs whose duplicates are dropped everywhere, within the class's window.
+	// Anywhere marks jobs whose duplicates are dropped in every rack during the class's deduplication window.
 	Anywhere Effect = "anywhere"
-	// Safe marks jobs that may be repeated at will.
+	// Safe marks jobs that may run any number of times.
 	Safe Effect = "safe"
 )
 
+// effects maps each effect to its value in the plan.
 var effects = map[Effect]plan.Effect{Once: plan.Once, Rack: plan.Rack, Anywhere: plan.Anywhere,
 	Safe: plan.Safe}
 
-// Class describes a class of jobs. It must agree with the schedulers' settings of that class.
+// Class describes a class of jobs. The values must match the schedulers' settings for that class.
 type Class struct {
-	Deadline    time.Duration // for a job with all its attempts; it must be positive
-	Effect      Effect
-	Window      time.Duration // for Anywhere: how long duplicates are dropped, from the first attempt on
-	MaxAttempts int           // for one job, the first attempt included; 0: 3
+	Deadline time.Duration // maximum time for a job with all its attempts; must be positive
+	Effect   Effect
+	// Window is the deduplication window of a class with the effect Anywhere. It starts with the first attempt
+	// in which the job may have run.
+	Window      time.Duration
+	MaxAttempts int // maximum number of attempts for one job, including the first attempt; 0 means 3
 }
 
 // Config is a client's configuration. Only Schedulers and Classes must be set.
 type Config struct {
-	Schedulers []string         // host:port of each
-	Classes    map[string]Class // by name
-	Tenant     string           // of jobs that name none
-	// RetryBudget is how many retries each fresh job allows on average: 0.1 lets retries add a tenth to the
-	// load. When it is used up, a refusal is returned at once. 0: 0.1; negative: no retries.
+	Schedulers []string         // address of each scheduler, as host:port
+	Classes    map[string]Class // settings of each class, by class name
+	Tenant     string           // tenant of jobs that do not name a tenant
+	// RetryBudget is the average number of retries that the client allows for each new job: with 0.1, retries
+	// add at most a tenth to the load. When the budget is used up, a job that would be retried ends with the
+	// result of its last attempt. 0 means 0.1, and a negative number means no retries.
 	RetryBudget float64
-	// MaxConnections bounds the connections to each scheduler; 0: 64.
+	// MaxConnections bounds the number of connections to each scheduler. 0 means 64.
 	MaxConnections int
-	// ConnectRate bounds the new connections per second, to all schedulers together. A fifth of that may be
-	// opened in one burst. 0: 50.
+	// ConnectRate bounds the number of new connections per second to all schedulers together. A fifth of that
+	// number may be opened in one burst. 0 means 50.
 	ConnectRate float64
-	Log         *slog.Logger // nil: nothing is logged
-	Observer    Observer     // receives events for metrics; nil: none
-	Seed        uint64       // of the random choices; 0: a new one
+	Log         *slog.Logger // nil disables logging
+	Observer    Observer     // receives events for metrics; nil disables them
+	Seed        uint64       // seed of the random choices; 0 means a seed from the current time
 }
 
 const (
@@ -62,20 +67,21 @@
 	defaultMaxConnections = 64
 	defaultConnectRate    = 50
 
-	// maxRetryTokens is how many unused retries the budget saves up.
+	// maxRetryTokens is the maximum number of unused retries that the retry budget keeps.
 	maxRetryTokens = 10
-	// baseBackoff is the range of the first wait after a refusal without Retry-After. It doubles up to
-	// maxBackoff.
+	// baseBackoff is the upper end of the random delay before the first retry of a job. It doubles with each
+	// further retry, up to maxBackoff.
 	baseBackoff = 50 * time.Millisecond
 	maxBackoff  = time.Second
-	// ejectAfterFailures failed attempts in a row eject a scheduler, for about baseEjection at first, which doubles
-	// up to maxEjection.
+	// ejectAfterFailures is the number of consecutive attempts without a response after which a scheduler is
+	// ejected. The first ejection lasts about baseEjection, and each further ejection without a response in
+	// between lasts twice as long, up to maxEjection.
 	ejectAfterFailures = 3
 	baseEjection       = time.Second
 	maxEjection        = 30 * time.Second
 )
 
-// withDefaults replaces the zero values that stand for defaults.
+// withDefaults returns a copy of the configuration in which defaults replace zero values.
 func (cfg Config) withDefaults() Config {
 	if cfg.RetryBudget == 0 {
 		cfg.RetryBudget = defaultRetryBudget
@@ -98,11 +104,11 @@
 	return cfg
 }
 
-// planConfig returns the configuration of the plan, and the number that each class has there. The error
-// names the field that is invalid, by its path in a configuration file.
+// planConfig returns the configuration of the plan and the plan's class number of each class name. The error
+// names the invalid field by its path in a configuration file.
 func (cfg Config) planConfig() (plan.Config, map[string]int, error) {
 	if cfg.MaxConnections < 0 || cfg.ConnectRate < 0 {
-		return plan.Config{}, nil, errors.New("connections and reconnects must not be negative")
+		return plan.Config{}, nil, errors.New("connections and reconnects_per_s must not be negative")
 	}
 	planCfg := plan.Config{
 		Schedulers:         len(cfg.Schedulers),
@@ -129,17 +135,18 @@
 	return planCfg, numbers, nil
 }
 
+// planClass validates a class and converts it to a class of the plan.
 func planClass(class Class) (plan.Class, error) {
 	effect, known := effects[class.Effect]
 	switch {
 	case !known:
 		return plan.Class{}, fmt.Errorf("effect: unknown effect %q", class.Effect)
 	case class.Deadline <= 0:
-		return plan.Class{}, errors.New("deadline: it must be positive")
+		return plan.Class{}, errors.New("deadline: must be positive")
 	case class.MaxAttempts < 0:
-		return plan.Class{}, errors.New("tries: it must not be negative")
+		return plan.Class{}, errors.New("tries: must not be negative")
 	case class.Effect == Anywhere && class.Window <= 0:
-		return plan.Class{}, errors.New("window: it must be positive")
+		return plan.Class{}, errors.New("window: must be positive for effect anywhere")
 	case class.MaxAttempts == 0:
 		class.MaxAttempts = defaultMaxAttempts
 	}
--- a/client/configfile.go
+++ b/client/configfile.go
@@ -14,9 +14,10 @@
 //go:embed schema.json
 var Schema []byte
 
+// configSchema validates configuration files against Schema.
 var configSchema = schema.New(Schema)
 
-// fileConfig is the configuration in the form that the file has.
+// fileConfig is the JSON form of a configuration file.
 type fileConfig struct {
 	Schedulers  []string             `json:"schedulers"`
 	Tenant      string               `json:"tenant"`
@@ -26,6 +27,7 @@
 	Classes     map[string]fileClass `json:"classes"`
 }
 
+// fileClass is the JSON form of a class in a configuration file.
 type fileClass struct {
 	DeadlineMs  int64  `json:"deadline_ms"`
 	Effect      Effect `json:"effect"`
@@ -33,8 +35,8 @@
 	MaxAttempts int    `json:"tries"`
 }
 
-// ParseConfig reads a configuration file, as Schema describes it. The error is one line and names the field
-// by its path in the file.
+// ParseConfig parses the contents of a configuration file and validates them against Schema. The error is one
+// line and names the invalid field by its path in the file.
 func ParseConfig(raw []byte) (Config, error) {
 	if err := configSchema.Check(raw); err != nil {
 		return Config{}, fmt.Errorf("client: %w", err)
@@ -53,7 +55,7 @@
 	if file.Budget != nil {
 		cfg.RetryBudget = *file.Budget
 		if cfg.RetryBudget == 0 {
-			cfg.RetryBudget = -1 // the file says none, where 0 in Config means the default
+			cfg.RetryBudget = -1 // 0 in the file means no retries, but 0 in Config means the default budget
 		}
 	}
 	for name, class := range file.Classes {
--- a/client/errors.go
+++ b/client/errors.go
@@ -6,63 +6,70 @@
 	"time"
 )
 
-// RefusedError says that a job did not run: submitting it again is harmless.
+// RefusedError reports that a job did not run, so that the caller may submit the job again.
 type RefusedError struct {
-	RetryAfter time.Time // earliest time to submit it again
-	Cause      error     // what kept the client from sending it; nil: a scheduler refused it
+	RetryAfter time.Time // earliest time at which the caller should submit the job again
+	Cause      error     // reason why the client could not send the job; nil if a scheduler refused the job
 }
 
 // Error implements error.
 func (e *RefusedError) Error() string {
 	if e.Cause != nil {
-		return "client: not sent: " + e.Cause.Error()
+		return "client: job not sent: " + e.Cause.Error()
 	}
-	return "client: refused"
+	return "client: job refused by a scheduler"
 }
 
 // Unwrap returns the cause; it may be nil.
 func (e *RefusedError) Unwrap() error { return e.Cause }
 
-// FailedError says that a job failed. It may have run.
-type FailedError struct{ Status int } // the HTTP status that the scheduler answered with
+// FailedError reports that a job failed. The job may have run.
+type FailedError struct{ Status int } // HTTP status of the scheduler's answer
 
 // Error implements error.
-func (e *FailedError) Error() string { return fmt.Sprintf("client: failed, status %d", e.Status) }
+func (e *FailedError) Error() string {
+	return fmt.Sprintf("client: job failed: HTTP status %d", e.Status)
+}
 
-// UnknownOutcomeError says that a job may have run and that its result cannot be determined.
+// UnknownOutcomeError reports that a job may have run and that its result cannot be determined.
 type UnknownOutcomeError struct {
-	Cause error // nil: an earlier attempt may have run, the last one was refused
+	// Cause is the reason why the last attempt got no response, or the context's error if the caller cancelled
+	// the job. Cause is nil if a scheduler refused the last attempt and the job may have run in an earlier
+	// attempt.
+	Cause error
 }
 
 // Error implements error.
 func (e *UnknownOutcomeError) Error() string {
 	if e.Cause == nil {
-		return "client: may have run"
+		return "client: job may have run, result unknown"
 	}
-	return "client: may have run: " + e.Cause.Error()
+	return "client: job may have run, result unknown: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause; it may be nil.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// InvalidJobError says that a job is invalid. It did not run, and will not as it is.
+// InvalidJobError reports that a job is invalid. The job did not run, and submitting it again without a
+// change fails again.
 type InvalidJobError struct {
-	Status int    // of the scheduler's answer; 0: the client rejected the job itself
-	Text   string // what is invalid, in the words of whoever rejected it
+	Status int    // HTTP status of the scheduler's answer; 0 if the client itself rejected the job
+	Text   string // description of the fault, from the scheduler's answer or from the client
 }
 
 // Error implements error.
-func (e *InvalidJobError) Error() string { return "client: invalid: " + e.Text }
+func (e *InvalidJobError) Error() string { return "client: invalid job: " + e.Text }
 
-// ExpiredError says that a job's deadline passed before it could be submitted. It did not run.
+// ExpiredError reports that the deadline of a job passed before the client could submit the job. The job did
+// not run.
 type ExpiredError struct{}
 
 // Error implements error.
-func (e *ExpiredError) Error() string { return "client: no time left" }
+func (e *ExpiredError) Error() string { return "client: deadline passed before the job was submitted" }
 
-// Verdict names how a job ended, by the error that Do returned: served, refused, failed, unknown, invalid
-// or expired; "" for an error that is none of this package's. The names are few and fit for a metric's
-// label.
+// Verdict returns the name of how a job ended, given the error that Do returned: served, refused, failed,
+// unknown, invalid or expired. It returns "" for an error whose type is not from this package. The set of
+// names is fixed and small, so that they are suitable as values of a metric label.
 func Verdict(err error) string {
 	var refused *RefusedError
 	var failed *FailedError
--- a/client/execution.go
+++ b/client/execution.go
@@ -7,23 +7,25 @@
 	"dahliaford/client/internal/plan"
 )
 
-// execution takes one job through its attempts to its end. The plan decides, it carries out.
+// execution carries out the steps that the plan decides for one job, from the first attempt to the verdict.
 type execution struct {
 	client   *Client
 	job      *Job
 	deadline time.Time
 
 	planJob   *plan.Job
-	step      plan.Step     // what the plan wants next
-	available chan struct{} // Client.available as of that step
+	step      plan.Step     // next step of the job, as decided by the plan
+	available chan struct{} // value of Client.available when the plan returned step
 
-	// delivered: a complete request was written to a scheduler. A cancellation then ends as unknown, whatever
-	// the response was.
+	// delivered reports that the client wrote a complete request to a scheduler. If the caller then cancels, the
+	// job ends with an UnknownOutcomeError, even if the scheduler's response to that request was a refusal.
 	delivered  bool
-	attempts   int // that were submitted to a scheduler
+	attempts   int // number of attempts that were submitted to a scheduler
 	lastResult attemptResult
 }
 
+// newExecution starts the first attempt of a job in the plan and returns the execution of the job. class is
+// the plan's class number.
 func (c *Client) newExecution(job *Job, class int, deadline time.Time) *execution {
 	e := &execution{client: c, job: job, deadline: deadline}
 	c.mu.Lock()
@@ -33,7 +35,8 @@
 	return e
 }
 
-// run makes attempts as the plan wants them. It ends early when the caller's context does.
+// run carries out the plan's steps until the job has a verdict. It returns early if the caller's context is
+// cancelled.
 func (e *execution) run(ctx context.Context) (*Result, error) {
 	for e.step.Verdict == plan.Pending {
 		next := e.wait
@@ -47,12 +50,12 @@
 	return e.result()
 }
 
-// wait waits until the next attempt may start, or until a scheduler is available again if it waits for one.
-// The error is the context's.
+// wait waits until the time at which the next attempt may start. If all schedulers are ejected, wait returns
+// earlier when one becomes available. The returned error is the context's error.
 func (e *execution) wait(ctx context.Context) error {
 	wake := e.available
 	if !e.step.AllEjected {
-		wake = nil // a backoff is not cut short
+		wake = nil // a backoff lasts until step.At, even if a scheduler becomes available earlier
 	}
 	if err := sleepUntil(ctx, e.step.At, wake); err != nil {
 		return err
@@ -64,8 +67,8 @@
 	return nil
 }
 
-// sendAttempt makes one attempt and reports its end to the plan. The error is the context's, where it cut the
-// attempt short.
+// sendAttempt sends one attempt and reports its end to the plan. If the caller's context was cancelled before
+// the attempt was answered, sendAttempt returns the context's error.
 func (e *execution) sendAttempt(ctx context.Context) error {
 	c := e.client
 	start := time.Now()
@@ -74,7 +77,7 @@
 		e.attempts++
 		e.delivered = e.delivered || e.lastResult.Outcome != plan.NotSent
 	}
-	// At the deadline the context of the attempt ends, too: that is an ordinary end and not a cancellation.
+	// The caller's context may end at the job's deadline. The attempt then timed out and was not cancelled.
 	if err := ctx.Err(); err != nil && e.lastResult.Outcome != plan.Answered && time.Now().Before(e.deadline) {
 		return err
 	}
@@ -87,8 +90,8 @@
 	return nil
 }
 
-// attemptEnded reports the end of an attempt to the plan, and wakes the jobs that wait for a scheduler if
-// this one is the first to be available again.
+// attemptEnded reports the end of an attempt to the plan. If all schedulers were ejected and the result makes
+// one available again, attemptEnded wakes the jobs that wait for a scheduler.
 func (c *Client) attemptEnded(start time.Time, job *plan.Job, ended attemptResult) (
 	step plan.Step, available chan struct{}) {
 	c.mu.Lock()
@@ -105,7 +108,7 @@
 	return step, c.available
 }
 
-// cancel ends a job whose caller has given up, and returns the error for it.
+// cancel ends a job whose caller has cancelled it because of cause, and returns the error that Do returns.
 func (e *execution) cancel(cause error) error {
 	c := e.client
 	c.mu.Lock()
@@ -117,7 +120,7 @@
 	return &RefusedError{RetryAfter: time.Now(), Cause: cause}
 }
 
-// result turns the plan's verdict into what Do returns.
+// result converts the plan's verdict into the result and the error that Do returns.
 func (e *execution) result() (*Result, error) {
 	switch e.step.Verdict {
 	case plan.Served:
@@ -134,7 +137,8 @@
 	return nil, &UnknownOutcomeError{Cause: e.lastResult.err}
 }
 
-// sleepUntil waits until a time or until wake is closed. The error is the context's, if that ended first.
+// sleepUntil waits until the given time, until wake is closed or until ctx ends. If ctx has ended, sleepUntil
+// returns the error of ctx.
 func sleepUntil(ctx context.Context, until time.Time, wake <-chan struct{}) error {
 	wait := time.Until(until)
 	if wait <= 0 {
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -138,7 +138,7 @@
 		return errors.New("schedulers: none configured")
 	case len(cfg.Classes) == 0:
 		return errors.New("classes: none configured")
-	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1): // this form also rejects NaN
+	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1): // the negated condition also rejects NaN
 		return fmt.Errorf("budget: got %v, must be between 0 and 1", cfg.RetryBudget)
 	case !(cfg.MaxTokens >= 0):
 		return fmt.Errorf("max tokens: got %v, must not be negative", cfg.MaxTokens)
--- a/client/observer.go
+++ b/client/observer.go
@@ -6,19 +6,32 @@
 	"dahliaford/client/internal/plan"
 )
 
-// Observer receives what a client does, for counters and histograms. Its methods must be safe for concurrent
-// use, return at once and not call the client. Package dahliaford/client/prom has one for Prometheus.
+// Observer receives the events of a client, for counters and histograms. Its methods must be safe for
+// concurrent use, must not block and must not call the client. Package dahliaford/client/prom has an Observer
+// for Prometheus.
 type Observer interface {
-	// AttemptEnded is called after each attempt, and after each one that did not begin for lack of a
-	// connection (unreached, parted, no room). outcome is one of served, refused, failed, invalid, unreached,
-	// parted, not sent, no room, crossed, lost and garbled.
+	// AttemptEnded is called after each attempt that the caller did not cancel. outcome says how the attempt
+	// ended:
+	//
+	//	served     the scheduler answered with a result
+	//	refused    the scheduler refused the job with status 429 or 503
+	//	invalid    the scheduler rejected the job as invalid, with another 4xx status
+	//	failed     the scheduler answered with any other status
+	//	unreached  the connection could not be opened
+	//	parted     the scheduler had closed all idle connections, and the client opened no new connection
+	//	no room    the client's own connection limits gave the attempt no connection in time
+	//	not sent   the connection broke before the whole request was written
+	//	crossed    a reused connection closed before the first byte of the response
+	//	lost       the request was written, but no complete response arrived
+	//	garbled    the response was malformed or too large
 	AttemptEnded(scheduler, class, outcome string, took time.Duration)
-	// JobEnded is called for each job, with its Verdict, the attempts that the result took (0 without a
-	// result) and the time from the call of Do to its return.
+	// JobEnded is called before Do returns, unless the client itself rejected the job as invalid. verdict is the
+	// Verdict of the job, attempts is the number of attempts that the result took (0 without a result), and took
+	// is the time since the call of Do.
 	JobEnded(class, verdict string, attempts int, took time.Duration)
-	// Connected is called for each new connection; err is why it could not be opened.
+	// Connected is called after each attempt to open a connection. err is nil if the connection was opened.
 	Connected(scheduler string, err error)
-	// Throttled is called when a job got no retry because the retry budget was used up.
+	// Throttled is called when a job gets no retry because the retry budget is used up.
 	Throttled()
 }
 
@@ -37,8 +50,8 @@
 // Throttled implements Observer.
 func (noObserver) Throttled() {}
 
-// failureLabels name the outcomes without a response. Metrics have them as label values, so that they stay as
-// they are whatever the constants are called.
+// failureLabels maps each outcome without a response to its name for Observer. Metrics use the names as label
+// values, so the names must not change when the constants are renamed.
 var failureLabels = map[plan.Outcome]string{
 	plan.ConnectFailed: "unreached",
 	plan.IdleClosed:    "parted",
@@ -49,7 +62,7 @@
 	plan.Malformed:     "garbled",
 }
 
-// label names how an attempt ended, for Observer.
+// label returns the outcome of an attempt as Observer.AttemptEnded describes it.
 func (r attemptResult) label() string {
 	if label, failed := failureLabels[r.Outcome]; failed {
 		return label
--- a/client/pool.go
+++ b/client/pool.go
@@ -14,51 +14,58 @@
 	"dahliaford/internal/http1"
 )
 
-// conn is a connection to a scheduler. It belongs to one attempt at a time, or to the pool.
+// conn is a connection to a scheduler. At any time it is either used by one attempt or idle in the pool.
 type conn struct {
 	net.Conn
 	reader             *http1.Reader
-	reused             bool // it has carried a complete exchange before
-	closeAfterResponse bool // the scheduler closes it after this response
+	reused             bool // the connection has carried a complete request and response before
+	closeAfterResponse bool // the scheduler announced that it closes the connection after the last response
 	idleSince          time.Time
 }
 
-// pool keeps idle connections by scheduler, and bounds the number and the rate of new ones.
+// pool keeps the idle connections to each scheduler. It bounds the number of connections in use at each
+// scheduler and the rate of new connections to all schedulers.
 type pool struct {
 	addrs          []string
-	semaphores     []chan struct{} // by scheduler; one element for each connection in use
+	semaphores     []chan struct{} // indexed by scheduler; each holds one element for every connection in use
 	connectLimiter *rate.Limiter
-	onConnect      func(scheduler int, err error) // is called after each dial
+	onConnect      func(scheduler int, err error) // called after each dial with the dial's error
 
 	mu          sync.Mutex // guards the fields below
-	idle        [][]*conn  // by scheduler, the one that was used last at the end
-	lastFailure time.Time  // when a connection last failed, or could not be opened
-	closed      bool
+	idle        [][]*conn  // indexed by scheduler; the most recently used connection is last
+	lastFailure time.Time  // time when a connection last failed or could not be opened
+	closed      bool       // close was called, so connections are closed after use
 }
 
 const (
-	// idleTimeout is how long an idle connection may be used again. The scheduler may close one at any time,
-	// and a request that crosses the close may not be repeated in every class.
+	// idleTimeout is the time after which an idle connection is no longer reused. The scheduler may close an
+	// idle connection at any time. If the close coincides with a new request, the job may have run, and not
+	// every class allows a retry then.
 	idleTimeout = 10 * time.Second
-	// connectTimeout bounds a dial: an unreachable scheduler must leave time to try another one.
+	// connectTimeout bounds the time for opening a connection, so that after an unreachable scheduler there is
+	// still time to try another scheduler.
 	connectTimeout = time.Second
-	// reconnectJitter is the range of the random delay of new connections after a failure: all clients lose
-	// theirs at the same moment.
+	// reconnectJitter is the upper end of the random delay before a new connection after a failure. All clients
+	// lose their connections to a failed scheduler at the same moment and must not all reconnect at once.
 	reconnectJitter = 300 * time.Millisecond
-	// reconnectWindow is how long after a failure new connections are delayed.
+	// reconnectWindow is the time after a failed connection during which new connections are delayed by
+	// reconnectJitter.
 	reconnectWindow = 2 * time.Second
-	// connectBurstDivisor is the part of a second's new connections that may be opened at once: one in so many.
+	// connectBurstDivisor determines how many connections may be opened in one burst: the number that the rate
+	// limit allows in one second, divided by connectBurstDivisor.
 	connectBurstDivisor = 5
 )
 
-// clientLimitError marks a connection that the client's own limits did not allow in time.
+// clientLimitError reports that the client's own limits on connections did not allow a connection in time.
 type clientLimitError struct{ error }
 
-// Unwrap returns what the wait for the limit ended with.
+// Unwrap returns the error with which the wait for a connection ended.
 func (e clientLimitError) Unwrap() error { return e.error }
 
-var errIdleClosed = errors.New("the scheduler had closed the idle connections")
+var errIdleClosed = errors.New("scheduler closed all idle connections")
 
+// newPool returns a pool for the schedulers at addrs. connectRate is the maximum number of new connections
+// per second.
 func newPool(addrs []string, maxConnections int, connectRate float64, onConnect func(int, error)) *pool {
 	burst := max(1, int(math.Ceil(connectRate/connectBurstDivisor)))
 	p := &pool{
@@ -73,8 +80,9 @@
 	return p
 }
 
-// get takes an idle connection to a scheduler, or opens one as the limits allow. The error is a clientLimitError
-// when they did not in time, errIdleClosed, or that of the dial.
+// get returns an idle connection to a scheduler, or opens a new connection when the limits allow. The error
+// is a clientLimitError if the limits allowed no connection before ctx ended, errIdleClosed if the scheduler
+// had closed all idle connections, or the error of the dial.
 func (p *pool) get(ctx context.Context, scheduler int) (*conn, error) {
 	select {
 	case p.semaphores[scheduler] <- struct{}{}:
@@ -97,7 +105,8 @@
 	return &conn{Conn: opened, reader: http1.NewReader(opened)}, nil
 }
 
-// open opens a connection when the rate allows it.
+// open opens a connection to a scheduler as soon as the rate limit allows. Shortly after a failed connection,
+// it first waits for a random delay.
 func (p *pool) open(ctx context.Context, scheduler int) (net.Conn, error) {
 	if err := p.connectLimiter.Wait(ctx); err != nil {
 		return nil, clientLimitError{err}
@@ -119,15 +128,17 @@
 	return c, err
 }
 
-// recordFailure records that a connection failed or could not be opened.
+// recordFailure records the current time as the time of the last failed connection.
 func (p *pool) recordFailure() {
 	p.mu.Lock()
 	p.lastFailure = time.Now()
 	p.mu.Unlock()
 }
 
-// takeIdle takes the connection that was used last and is still open, and closes those on its way that have
-// idled too long or have ended. closed reports that there is none left and that the scheduler closed some.
+// takeIdle returns the most recently used idle connection to a scheduler that is still open. It closes the
+// idle connections that it passes over because they exceed idleTimeout or because the scheduler closed them.
+// If no idle connection is left, c is nil, and closed reports whether the scheduler closed at least one of
+// them.
 func (p *pool) takeIdle(scheduler int) (c *conn, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +147,7 @@
 		p.idle[scheduler] = p.idle[scheduler][:n-1]
 		if time.Since(c.idleSince) <= idleTimeout {
 			if alive(c.Conn) {
-				c.SetDeadline(time.Time{}) // clears the last attempt's, which a cancellation may have shortened
+				c.SetDeadline(time.Time{}) // removes the last deadline, which a cancellation may have set to the past
 				return c, false
 			}
 			closed = true
@@ -146,7 +157,8 @@
 	return nil, closed
 }
 
-// put gives a connection back: to be used again, or to be closed.
+// put returns a connection to the pool after an attempt. It keeps the connection as idle if reusable is set
+// and the pool is open, and otherwise closes the connection.
 func (p *pool) put(scheduler int, c *conn, reusable bool) {
 	p.mu.Lock()
 	if p.closed {
@@ -163,7 +175,7 @@
 	<-p.semaphores[scheduler]
 }
 
-// close closes the idle connections. Those in use are closed when they are given back.
+// close closes the idle connections. Connections in use are closed when they are returned to the pool.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/client/prom/prom.go
+++ b/client/prom/prom.go
@@ -1,4 +1,4 @@
-// Package prom counts what a client does, for Prometheus.
+// Package prom exports the metrics of a client to Prometheus.
 package prom
 
 import (
@@ -11,7 +11,7 @@
 )
 
 // Observer is a client.Observer whose counters and histograms are registered with Prometheus. Label values
-// are names from the configuration and from fixed sets, so that their number is bounded.
+// are names from the configuration or from fixed sets, so the number of time series is bounded.
 type Observer struct {
 	attempts    *prometheus.CounterVec
 	jobs        *prometheus.CounterVec
@@ -22,16 +22,17 @@
 
 var _ client.Observer = (*Observer)(nil)
 
-// New registers the metrics of one client, or of several that share them. The error wraps the registerer's:
-// two observers cannot be registered at one place.
+// New returns an Observer whose metrics are registered with registerer. Several clients may share one
+// Observer. A registerer accepts only one Observer: registering a second one fails with an error that wraps
+// the registerer's error.
 //
-//	client_attempts_total{scheduler,class,outcome}  attempts, by how they ended
-//	client_jobs_total{class,verdict}                jobs, by how they ended
-//	client_job_seconds{class,verdict}               from the call of Do to its return
-//	client_connections_total{scheduler,result}      new connections: up or failed
-//	client_throttled_total                          jobs that got no retry because of the budget
+//	client_attempts_total{scheduler,class,outcome}  number of attempts, by outcome (see client.Observer)
+//	client_jobs_total{class,verdict}                number of jobs, by verdict (see client.Verdict)
+//	client_job_seconds{class,verdict}               time from the call of Do to its return, in seconds
+//	client_connections_total{scheduler,result}      number of dials, by result: up or failed
+//	client_throttled_total                          number of jobs not retried for lack of budget
 func New(registerer prometheus.Registerer) (*Observer, error) {
-	// 1 ms to 33 s: a class's deadline lies within.
+	// The buckets range from 1 ms to 33 s, which covers the deadlines of the classes.
 	buckets := prometheus.ExponentialBuckets(0.001, 2, 16)
 	o := &Observer{
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "client_attempts_total",
@@ -48,24 +49,24 @@
 	}
 	for _, c := range []prometheus.Collector{o.attempts, o.jobs, o.jobSeconds, o.connections, o.throttled} {
 		if err := registerer.Register(c); err != nil {
-			return nil, fmt.Errorf("registering the client's metrics: %w", err)
+			return nil, fmt.Errorf("register client metrics: %w", err)
 		}
 	}
 	return o, nil
 }
 
-// AttemptEnded counts an attempt.
+// AttemptEnded implements client.Observer. It counts the attempt.
 func (o *Observer) AttemptEnded(scheduler, class, outcome string, _ time.Duration) {
 	o.attempts.WithLabelValues(scheduler, class, outcome).Inc()
 }
 
-// JobEnded counts a job and the time that it took.
+// JobEnded implements client.Observer. It counts the job and records the time that Do took for it.
 func (o *Observer) JobEnded(class, verdict string, _ int, took time.Duration) {
 	o.jobs.WithLabelValues(class, verdict).Inc()
 	o.jobSeconds.WithLabelValues(class, verdict).Observe(took.Seconds())
 }
 
-// Connected counts a new connection, or one that could not be opened.
+// Connected implements client.Observer. It counts an opened connection or a failed dial.
 func (o *Observer) Connected(scheduler string, err error) {
 	result := "up"
 	if err != nil {
@@ -74,5 +75,5 @@
 	o.connections.WithLabelValues(scheduler, result).Inc()
 }
 
-// Throttled counts a job that got no retry because the budget was used up.
+// Throttled implements client.Observer. It counts a job that got no retry because the budget was used up.
 func (o *Observer) Throttled() { o.throttled.Inc() }
