--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -28,8 +28,8 @@
 			}
 			go func() {
 				defer conn.Close()
-				for read := http1.NewReader(conn); ; {
-					if _, err := read.Request(); err != nil {
+				for reader := http1.NewReader(conn); ; {
+					if _, err := reader.Request(); err != nil {
 						return
 					}
 					if _, err := io.WriteString(conn, served); err != nil {
@@ -47,15 +47,15 @@
 		}
 		defer c.Close()
 		b.ReportAllocs()
-		var took []time.Duration
-		defer func() { percentiles(b, took) }()
+		var latencies []time.Duration
+		defer func() { reportPercentiles(b, latencies) }()
 		for b.Loop() {
-			began := time.Now()
+			start := time.Now()
 			if _, err := c.Do(b.Context(), Job{Class: "post-reading", Object: "17",
 				Body: []byte("4211")}); err != nil {
 				b.Fatal(err)
 			}
-			took = append(took, time.Since(began))
+			latencies = append(latencies, time.Since(start))
 		}
 	})
 	b.Run("net-http", func(b *testing.B) {
@@ -63,10 +63,10 @@
 		defer transport.CloseIdleConnections()
 		c := http.Client{Transport: &transport}
 		b.ReportAllocs()
-		var took []time.Duration
-		defer func() { percentiles(b, took) }()
+		var latencies []time.Duration
+		defer func() { reportPercentiles(b, latencies) }()
 		for b.Loop() {
-			began := time.Now()
+			start := time.Now()
 			r, err := http.NewRequestWithContext(b.Context(), "POST", "http://"+l.Addr().String()+"/post-reading/17",
 				strings.NewReader("4211"))
 			if err != nil {
@@ -76,23 +76,23 @@
 			r.Header.Set("X-Lane", "post-reading")
 			r.Header.Set("X-Org", "sahel")
 			r.Header.Set("X-Remaining-Ms", "5000")
-			answer, err := c.Do(r)
+			response, err := c.Do(r)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if _, err := io.ReadAll(answer.Body); err != nil {
+			if _, err := io.ReadAll(response.Body); err != nil {
 				b.Fatal(err)
 			}
-			_ = answer.Body.Close() // it was read to its end
-			took = append(took, time.Since(began))
+			_ = response.Body.Close() // it was read to its end
+			latencies = append(latencies, time.Since(start))
 		}
 	})
 }
 
-func percentiles(b *testing.B, took []time.Duration) {
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2]), "p50-ns")
-	b.ReportMetric(float64(took[len(took)*99/100]), "p99-ns")
+func reportPercentiles(b *testing.B, latencies []time.Duration) {
+	slices.Sort(latencies)
+	b.ReportMetric(float64(latencies[len(latencies)/2]), "p50-ns")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100]), "p99-ns")
 }
 
 const defaultDeadline = 5_000_000_000 // ns
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -26,8 +26,8 @@
 
 const (
 	keepOpen        afterResponse = "keep"
-	closeIt         afterResponse = "close"
-	resetIt         afterResponse = "reset"
+	closeConnection afterResponse = "close"
+	resetConnection afterResponse = "reset"
 	trickleResponse afterResponse = "trickle" // sends a response a byte a second
 	noResponse      afterResponse = "silent"  // until the client closes the connection
 )
@@ -72,10 +72,10 @@
 		text, then := s.answer(n)
 		_, _ = io.WriteString(conn, text) // the client may be gone: the next read shows it
 		switch then {
-		case resetIt:
+		case resetConnection:
 			_ = conn.(*net.TCPConn).SetLinger(0) // on an open socket it cannot fail
 			return
-		case closeIt:
+		case closeConnection:
 			return
 		case trickleResponse:
 			if !trickle(conn) {
@@ -118,7 +118,7 @@
 // A response that is cut off after each byte: a job that must not run twice is submitted once.
 func TestResponseCutAtEveryByte(t *testing.T) {
 	for cut := range len(served) + 1 {
-		for _, then := range []afterResponse{resetIt, closeIt} {
+		for _, then := range []afterResponse{resetConnection, closeConnection} {
 			s := startScripted(t, func(int64) (string, afterResponse) { return served[:cut], then })
 			c := newTestClient(t, s.Addr().String())
 			result, err := c.Do(t.Context(), Job{Class: "post-reading", Body: []byte("x")})
@@ -127,7 +127,7 @@
 				want = "served"
 			}
 			// A reset may overtake what was written before it.
-			if got := Verdict(err); got != want && (then != resetIt || got != "unknown") {
+			if got := Verdict(err); got != want && (then != resetConnection || got != "unknown") {
 				t.Errorf("cut after %d bytes, %s: %s, want %s (%v)", cut, then, got, want, err)
 			}
 			if err == nil && string(result.Body) != "result" {
@@ -159,7 +159,7 @@
 			"served"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startScripted(t, func(int64) (string, afterResponse) { return c.text, closeIt })
+			s := startScripted(t, func(int64) (string, afterResponse) { return c.text, closeConnection })
 			_, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 			if got := Verdict(err); got != c.want || s.received.Load() != 1 {
 				t.Errorf("%s (%v) after %d requests, want %s", got, err, s.received.Load(), c.want)
@@ -177,10 +177,10 @@
 		}
 		return served, keepOpen
 	})
-	began := time.Now()
+	start := time.Now()
 	r, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading", Key: "k"})
-	if err != nil || r.Attempts != 3 || time.Since(began) < 100*time.Millisecond {
-		t.Fatalf("%+v, %v after %v", r, err, time.Since(began))
+	if err != nil || r.Attempts != 3 || time.Since(start) < 100*time.Millisecond {
+		t.Fatalf("%+v, %v after %v", r, err, time.Since(start))
 	}
 	ids := map[string]bool{}
 	for n := range 3 {
@@ -196,12 +196,12 @@
 		t.Errorf("%d ids in 3 attempts", len(ids))
 	}
 	var refused *RefusedError
-	never := startScripted(t, func(int64) (string, afterResponse) {
+	alwaysRefuses := startScripted(t, func(int64) (string, afterResponse) {
 		return "HTTP/1.1 503 Busy\r\nRetry-After: 0.01\r\nContent-Length: 0\r\n\r\n", keepOpen
 	})
-	_, err = newTestClient(t, never.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
-	if !errors.As(err, &refused) || never.received.Load() != 3 {
-		t.Errorf("%v after %d attempts", err, never.received.Load())
+	_, err = newTestClient(t, alwaysRefuses.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
+	if !errors.As(err, &refused) || alwaysRefuses.received.Load() != 3 {
+		t.Errorf("%v after %d attempts", err, alwaysRefuses.received.Load())
 	}
 }
 
@@ -233,7 +233,7 @@
 		"look": "served"} {
 		s := startScripted(t, func(n int64) (string, afterResponse) {
 			if n == 2 {
-				return "", resetIt
+				return "", resetConnection
 			}
 			return served, keepOpen
 		})
@@ -250,12 +250,12 @@
 // An idle connection that has closed before the next request is not used for it: a scheduler closes idle
 // ones when it runs short of sockets, and that must not cost a job its result.
 func TestIdleConnectionAlreadyClosed(t *testing.T) {
-	for _, then := range []afterResponse{resetIt, closeIt} {
+	for _, then := range []afterResponse{resetConnection, closeConnection} {
 		s := startScripted(t, func(int64) (string, afterResponse) { return served, then })
 		c := newTestClient(t, s.Addr().String())
 		for n := range 5 {
 			// A reset may overtake the answer before it: that is another matter.
-			if _, err := c.Do(t.Context(), Job{Class: "post-reading"}); err != nil && then == closeIt {
+			if _, err := c.Do(t.Context(), Job{Class: "post-reading"}); err != nil && then == closeConnection {
 				t.Fatalf("job %d, %s: %v", n, then, err)
 			}
 			waitFor(t, func() bool {
@@ -292,10 +292,10 @@
 		<-s.requests
 		cancel()
 	}()
-	began := time.Now()
+	start := time.Now()
 	_, err = c.Do(ctx, Job{Class: "post-reading"})
-	if Verdict(err) != "unknown" || !errors.Is(err, context.Canceled) || time.Since(began) > 4*time.Second {
-		t.Errorf("%v after %v", err, time.Since(began))
+	if Verdict(err) != "unknown" || !errors.Is(err, context.Canceled) || time.Since(start) > 4*time.Second {
+		t.Errorf("%v after %v", err, time.Since(start))
 	}
 	_, err = c.Do(t.Context(), Job{Class: "post-reading", Deadline: time.Now().Add(-time.Second)})
 	if Verdict(err) != "expired" {
@@ -360,27 +360,27 @@
 		t.Fatal(err)
 	}
 	defer discovery.Close()
-	p, err := testcluster.Start(bin, t.TempDir(), "n0", discovery.Addr())
+	scheduler, err := testcluster.Start(bin, t.TempDir(), "n0", discovery.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Kill()
-	addr.Store(p.Addr)
-	c, err := New(Config{Schedulers: []string{p.Addr}, Tenant: "sahel", Classes: map[string]Class{
+	defer scheduler.Kill()
+	addr.Store(scheduler.Addr)
+	c, err := New(Config{Schedulers: []string{scheduler.Addr}, Tenant: "sahel", Classes: map[string]Class{
 		"post-reading": {Deadline: 2 * time.Second, Effect: Once}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	var done sync.WaitGroup
-	ends := map[string]int{}
+	verdicts := map[string]int{}
 	for n := range 60 {
 		done.Go(func() {
 			body := fmt.Sprintf("job %d", n)
 			r, err := c.Do(t.Context(), Job{Class: "post-reading", Body: []byte(body)})
 			mu.Lock()
 			defer mu.Unlock()
-			ends[Verdict(err)]++
+			verdicts[Verdict(err)]++
 			if err == nil && string(r.Body) != strings.ToUpper(body) {
 				t.Errorf("%s was served %q", body, r.Body)
 			}
@@ -393,8 +393,8 @@
 			t.Errorf("%s reached the worker %d times", body, n)
 		}
 	}
-	if ends["served"] == 0 {
-		t.Errorf("%v", ends)
+	if verdicts["served"] == 0 {
+		t.Errorf("%v", verdicts)
 	}
-	t.Log(ends)
+	t.Log(verdicts)
 }
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -57,24 +57,24 @@
 	return f
 }
 
-// latenessAllowed is how late after the deadline a call may return on a busy machine; the drill allows 50 ms.
-const latenessAllowed = 2 * time.Second
+// maxLateness is how late after the deadline a call may return on a busy machine; the drill allows 50 ms.
+const maxLateness = 2 * time.Second
 
-// cutter forwards connections to a scheduler, and closes each after so many bytes of one direction.
-type cutter struct {
+// truncatingProxy forwards connections to a scheduler, and closes each after so many bytes of one direction.
+type truncatingProxy struct {
 	net.Listener
 	target      string
 	cutRequests bool // the limit is on the bytes of requests, not of responses
 	limit       int64
 }
 
-func startCutter(t *testing.T, to string, requests bool, after int64) *cutter {
+func startTruncatingProxy(t *testing.T, target string, cutRequests bool, limit int64) *truncatingProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cutter{l, to, requests, after}
+	c := &truncatingProxy{l, target, cutRequests, limit}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -87,25 +87,25 @@
 	return c
 }
 
-func (c *cutter) proxy(caller net.Conn) {
+func (c *truncatingProxy) proxy(caller net.Conn) {
 	defer caller.Close()
 	scheduler, err := net.Dial("tcp", c.target)
 	if err != nil {
 		return
 	}
 	defer scheduler.Close()
-	over := make(chan bool, 2)
+	done := make(chan bool, 2)
 	relay := func(to, from net.Conn, limited bool) {
 		if limited {
 			_, _ = io.CopyN(to, from, c.limit) // either side may close it before that
 		} else {
 			_, _ = io.Copy(to, from) // either side may close it
 		}
-		over <- true
+		done <- true
 	}
 	go relay(scheduler, caller, c.cutRequests)
 	go relay(caller, scheduler, !c.cutRequests)
-	<-over
+	<-done
 }
 
 // The exchange of a post-reading with the real program is cut off after each byte of the request and of the
@@ -114,27 +114,27 @@
 	f := startFleet(t, 1)
 	addr := f.Schedulers()[0]
 	var lengths [2]int64 // of a request and of a response
-	l := newTestClient(t, addr)
-	if _, err := l.Do(t.Context(), Job{Class: "post-reading",
+	direct := newTestClient(t, addr)
+	if _, err := direct.Do(t.Context(), Job{Class: "post-reading",
 		Body: []byte(f.JobPrefix() + "first")}); err != nil {
 		t.Fatal(err)
 	}
 	body := f.JobPrefix() + "post-reading true 100"
-	lengths[0] = int64(len(l.encodeRequest(&Job{Class: "post-reading", Body: []byte(body)}, plan.Step{}, 4000)))
+	lengths[0] = int64(len(direct.encodeRequest(&Job{Class: "post-reading", Body: []byte(body)}, plan.Step{}, 4000)))
 	lengths[1] = int64(len(http1.AppendResponse(nil, 200,
 		[]http1.Field{{Name: "Connection", Value: "keep-alive"}}, []byte(body))))
 	var all sync.WaitGroup
-	parallel := make(chan bool, 16)
+	semaphore := make(chan bool, 16)
 	var mu sync.Mutex
-	ends := map[string]int{}
-	for way, length := range lengths {
-		for after := range length + 2 {
-			parallel <- true
+	verdicts := map[string]int{}
+	for direction, length := range lengths {
+		for limit := range length + 2 {
+			semaphore <- true
 			all.Go(func() {
-				defer func() { <-parallel }()
-				c := startCutter(t, addr, way == 0, after)
+				defer func() { <-semaphore }()
+				c := startTruncatingProxy(t, addr, direction == 0, limit)
 				defer c.Close()
-				body := fmt.Sprint(f.JobPrefix(), "post-reading ", way == 0, " ", after)
+				body := fmt.Sprint(f.JobPrefix(), "post-reading ", direction == 0, " ", limit)
 				client, err := New(Config{Schedulers: []string{c.Addr().String()}, Tenant: "sahel", RetryBudget: 1,
 					Classes: map[string]Class{"post-reading": {Deadline: 2 * time.Second, Effect: Once}}})
 				if err != nil {
@@ -146,7 +146,7 @@
 				ran := f.RunsOf(body)
 				mu.Lock()
 				defer mu.Unlock()
-				ends[Verdict(err)]++
+				verdicts[Verdict(err)]++
 				if ran > 1 || ran > 0 && Verdict(err) == "refused" {
 					t.Errorf("%s ran %d times, %v", body, ran, err)
 				}
@@ -154,11 +154,11 @@
 		}
 	}
 	all.Wait()
-	if saw := f.RunCounts(); saw.Duplicates > 0 {
-		t.Errorf("%d post-readings ran twice", saw.Duplicates)
+	if counts := f.RunCounts(); counts.Duplicates > 0 {
+		t.Errorf("%d post-readings ran twice", counts.Duplicates)
 	}
-	if ends["unknown"] < int(lengths[1])/2 {
-		t.Errorf("the ends were %v: the responses were not cut off", ends)
+	if verdicts["unknown"] < int(lengths[1])/2 {
+		t.Errorf("the ends were %v: the responses were not cut off", verdicts)
 	}
 }
 
@@ -173,10 +173,10 @@
 	}
 	defer c.Close()
 	var mu sync.Mutex
-	ends := map[string]int{}
-	var open sync.WaitGroup
+	verdicts := map[string]int{}
+	var pending sync.WaitGroup
 	stop := make(chan bool)
-	open.Go(func() {
+	pending.Go(func() {
 		tick := time.NewTicker(10 * time.Millisecond)
 		defer tick.Stop()
 		for n := 0; ; n++ {
@@ -185,14 +185,14 @@
 				return
 			case <-tick.C:
 			}
-			open.Go(func() {
+			pending.Go(func() {
 				deadline := time.Now().Add(6 * time.Second)
 				_, err := c.Do(t.Context(), Job{Class: "post-reading", Body: fmt.Append(nil, f.JobPrefix(), "job ", n),
 					Deadline: deadline})
 				mu.Lock()
 				defer mu.Unlock()
-				ends[Verdict(err)]++
-				if late := time.Since(deadline); late > latenessAllowed {
+				verdicts[Verdict(err)]++
+				if late := time.Since(deadline); late > maxLateness {
 					t.Errorf("job %d returned %v late", n, late)
 				}
 			})
@@ -201,43 +201,43 @@
 	served := func() int {
 		mu.Lock()
 		defer mu.Unlock()
-		return ends["served"]
+		return verdicts["served"]
 	}
-	awaitMore := func() {
+	waitForServedJobs := func() {
 		t.Helper()
-		had := served()
-		waitFor(t, func() bool { return served() > had+20 })
+		before := served()
+		waitFor(t, func() bool { return served() > before+20 })
 	}
-	must := func(err error) {
+	check := func(err error) {
 		t.Helper()
 		if err != nil {
 			t.Error(err)
 		}
 	}
-	awaitMore()
-	must(f.Stop(0, time.Now().Add(20*time.Second)))
-	awaitMore()
-	must(f.Restart(0))
+	waitForServedJobs()
+	check(f.Stop(0, time.Now().Add(20*time.Second)))
+	waitForServedJobs()
+	check(f.Restart(0))
 	f.Kill(1)
-	awaitMore()
-	must(f.Restart(1))
+	waitForServedJobs()
+	check(f.Restart(1))
 	f.Kill(0)
 	f.Kill(1)
-	must(f.Restart(0))
-	must(f.Restart(1))
-	awaitMore()
+	check(f.Restart(0))
+	check(f.Restart(1))
+	waitForServedJobs()
 	close(stop)
-	open.Wait()
-	if saw := f.RunCounts(); saw.Duplicates > 0 {
-		t.Errorf("%d post-readings ran twice", saw.Duplicates)
+	pending.Wait()
+	if counts := f.RunCounts(); counts.Duplicates > 0 {
+		t.Errorf("%d post-readings ran twice", counts.Duplicates)
 	}
 	all := 0
-	for _, n := range ends {
+	for _, n := range verdicts {
 		all += n
 	}
 	// Only jobs in flight at a killed scheduler fail; what was refused in between found another one.
-	if notServed := all - ends["served"]; notServed > all/4 {
-		t.Errorf("%v", ends)
+	if notServed := all - verdicts["served"]; notServed > all/4 {
+		t.Errorf("%v", verdicts)
 	}
 }
 
@@ -270,7 +270,7 @@
 				return
 			}
 			if err != nil || time.Duration(wait.Load()) < minWait ||
-				time.Duration(wait.Load()) > minWait+latenessAllowed {
+				time.Duration(wait.Load()) > minWait+maxLateness {
 				t.Errorf("%v, the next attempt came after %v, want %v at least", err, time.Duration(wait.Load()), minWait)
 			}
 		})
@@ -289,25 +289,25 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bad := startScripted(t, answer)
-			c, err := New(Config{Schedulers: []string{bad.Addr().String(), f.Schedulers()[0]}, Tenant: "sahel",
+			unhealthy := startScripted(t, answer)
+			c, err := New(Config{Schedulers: []string{unhealthy.Addr().String(), f.Schedulers()[0]}, Tenant: "sahel",
 				Seed: 3, Classes: map[string]Class{"post-reading": {Deadline: 700 * time.Millisecond, Effect: Once}}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			ends := map[string]int{}
+			verdicts := map[string]int{}
 			for n := range 40 {
 				deadline := time.Now().Add(700 * time.Millisecond)
 				_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline,
 					Body: fmt.Append(nil, f.JobPrefix(), name, n)})
-				ends[Verdict(err)]++
-				if late := time.Since(deadline); late > latenessAllowed {
+				verdicts[Verdict(err)]++
+				if late := time.Since(deadline); late > maxLateness {
 					t.Errorf("job %d returned %v late", n, late)
 				}
 			}
-			if ends["served"] < 20 { // half: a slow machine may miss some of the short deadlines
-				t.Errorf("%v, %d went to the unhealthy one", ends, bad.received.Load())
+			if verdicts["served"] < 20 { // half: a slow machine may miss some of the short deadlines
+				t.Errorf("%v, %d went to the unhealthy one", verdicts, unhealthy.received.Load())
 			}
 		})
 	}
@@ -328,18 +328,18 @@
 	deadline := time.Now().Add(3 * time.Second)
 	var done sync.WaitGroup
 	var returned, late atomic.Int64
-	ends := make([]atomic.Int64, 2) // unknown, not run
+	verdicts := make([]atomic.Int64, 2) // unknown, not run
 	for range jobs {
 		done.Go(func() {
 			_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline})
 			returned.Add(1)
 			switch Verdict(err) {
 			case "unknown":
-				ends[0].Add(1)
+				verdicts[0].Add(1)
 			case "refused", "expired": // either way it did not run; the deadline may come first
-				ends[1].Add(1)
+				verdicts[1].Add(1)
 			}
-			if time.Since(deadline) > latenessAllowed {
+			if time.Since(deadline) > maxLateness {
 				late.Add(1)
 			}
 		})
@@ -355,7 +355,7 @@
 		t.Errorf("%d MB on the heap", m.HeapAlloc>>20)
 	}
 	done.Wait()
-	if ends[0].Load()+ends[1].Load() != jobs || late.Load() > 0 || ends[0].Load() > defaultMaxConnections {
-		t.Errorf("%d unknown, %d not run of %d, %d late", ends[0].Load(), ends[1].Load(), jobs, late.Load())
+	if verdicts[0].Load()+verdicts[1].Load() != jobs || late.Load() > 0 || verdicts[0].Load() > defaultMaxConnections {
+		t.Errorf("%d unknown, %d not run of %d, %d late", verdicts[0].Load(), verdicts[1].Load(), jobs, late.Load())
 	}
 }
--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -77,34 +77,34 @@
 // event is something that may happen to a job, or to a scheduler.
 type event struct {
 	job, scheduler int
-	what           string
-	end            AttemptResult
-	after          time.Duration
+	name           string
+	result         AttemptResult
+	delay          time.Duration
 	fault          bool
 }
 
 // How an attempt may end before a scheduler has read it.
 var endsBeforeReceived = []event{
-	{what: "half written", end: AttemptResult{Outcome: NotSent}, fault: true},
-	{what: "a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
-	{what: "no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
-	{what: "no connection allowed", end: AttemptResult{Outcome: ClientLimited}, fault: true},
-	{what: "idle connections closed", end: AttemptResult{Outcome: IdleClosed}, fault: true},
+	{name: "half written", result: AttemptResult{Outcome: NotSent}, fault: true},
+	{name: "a reused connection closes", result: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{name: "no response", result: AttemptResult{Outcome: NoResponse}, delay: 300 * time.Millisecond, fault: true},
+	{name: "no connection allowed", result: AttemptResult{Outcome: ClientLimited}, fault: true},
+	{name: "idle connections closed", result: AttemptResult{Outcome: IdleClosed}, fault: true},
 }
 
 // How an attempt may end after a scheduler has read it. Those with "runs" let it run, unless it is a
 // duplicate.
 var endsAfterReceived = []event{
-	{what: "runs, served", end: AttemptResult{Status: 200}},
-	{what: "runs, fails", end: AttemptResult{Status: 500}, fault: true},
-	{what: "runs, no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond,
+	{name: "runs, served", result: AttemptResult{Status: 200}},
+	{name: "runs, fails", result: AttemptResult{Status: 500}, fault: true},
+	{name: "runs, no response", result: AttemptResult{Outcome: NoResponse}, delay: 300 * time.Millisecond,
 		fault: true},
-	{what: "runs, a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
-	{what: "runs, a malformed response", end: AttemptResult{Outcome: Malformed}, fault: true},
-	{what: "refused", end: AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 100 * time.Millisecond},
+	{name: "runs, a reused connection closes", result: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{name: "runs, a malformed response", result: AttemptResult{Outcome: Malformed}, fault: true},
+	{name: "refused", result: AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 100 * time.Millisecond},
 		fault: true},
-	{what: "refused, closing", end: AttemptResult{Status: 503, ConnectionClose: true}, fault: true},
-	{what: "invalid", end: AttemptResult{Status: 400}, fault: true},
+	{name: "refused, closing", result: AttemptResult{Status: 503, ConnectionClose: true}, fault: true},
+	{name: "invalid", result: AttemptResult{Status: 400}, fault: true},
 }
 
 func (m *clientModel) events() (all []event) {
@@ -117,30 +117,30 @@
 		state := &m.jobs[i]
 		switch {
 		case !state.submitted:
-			add(event{job: i, what: "begins"})
+			add(event{job: i, name: "begins"})
 		case state.step.Verdict != Pending:
 		case !state.step.StartNow:
-			add(event{job: i, what: "its wait ends"})
+			add(event{job: i, name: "its wait ends"})
 		case state.received:
 			for _, e := range endsAfterReceived {
 				e.job = i
 				add(e)
 			}
 		case m.stopped[state.step.Scheduler]:
-			add(event{job: i, what: "refuses the connection", end: AttemptResult{Outcome: ConnectFailed}})
+			add(event{job: i, name: "refuses the connection", result: AttemptResult{Outcome: ConnectFailed}})
 		default:
-			add(event{job: i, what: "is read"})
+			add(event{job: i, name: "is read"})
 			for _, e := range endsBeforeReceived {
 				e.job = i
 				add(e)
 			}
 		}
 		if state.submitted && state.step.Verdict == Pending {
-			add(event{job: i, what: "its caller cancels", fault: true})
+			add(event{job: i, name: "its caller cancels", fault: true})
 		}
 	}
 	for s := range m.stopped {
-		add(event{scheduler: s, what: map[bool]string{false: "stops", true: "starts"}[m.stopped[s]],
+		add(event{scheduler: s, name: map[bool]string{false: "stops", true: "starts"}[m.stopped[s]],
 			fault: !m.stopped[s]})
 	}
 	return all
@@ -149,7 +149,7 @@
 // Steps implements modelcheck.Model.
 func (m *clientModel) Steps() (names []string) {
 	for _, e := range m.events() {
-		names = append(names, fmt.Sprintf("job %d, scheduler %d: %s", e.job, e.scheduler, e.what))
+		names = append(names, fmt.Sprintf("job %d, scheduler %d: %s", e.job, e.scheduler, e.name))
 	}
 	return names
 }
@@ -162,9 +162,9 @@
 		m.faultsLeft--
 	}
 	state := &m.jobs[e.job]
-	switch e.what {
+	switch e.name {
 	case "stops", "starts":
-		m.stopped[e.scheduler] = e.what == "stops"
+		m.stopped[e.scheduler] = e.name == "stops"
 	case "begins":
 		state.submitted = true
 		var s Step
@@ -179,15 +179,15 @@
 	case "is read":
 		state.received = true
 	default:
-		if state.received && (e.end.Outcome != Answered || e.end.Status == 200 || e.end.Status == 500) {
+		if state.received && (e.result.Outcome != Answered || e.result.Status == 200 || e.result.Status == 500) {
 			m.run(state)
 		}
 		state.received = false
-		m.now = m.now.Add(10*time.Millisecond + e.after)
+		m.now = m.now.Add(10*time.Millisecond + e.delay)
 		if m.misread != nil {
-			e.end.Outcome = m.misread(e.end.Outcome)
+			e.result.Outcome = m.misread(e.result.Outcome)
 		}
-		m.recordStep(state, m.plan.AttemptEnded(m.now, state.attemptStart, state.job, e.end))
+		m.recordStep(state, m.plan.AttemptEnded(m.now, state.attemptStart, state.job, e.result))
 	}
 	return m
 }
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -39,9 +39,9 @@
 func TestAttemptOutcomes(t *testing.T) {
 	retry := [4]Verdict{Pending, Pending, Pending, Pending}
 	for _, c := range []struct {
-		name string
-		end  AttemptResult
-		want [4]Verdict // once, rack, anywhere, safe
+		name   string
+		result AttemptResult
+		want   [4]Verdict // once, rack, anywhere, safe
 	}{
 		{"served", AttemptResult{Status: 200}, [4]Verdict{Served, Served, Served, Served}},
 		{"refused", AttemptResult{Status: 503}, retry},
@@ -65,10 +65,10 @@
 			if s.Verdict != Pending || s.Retry || !s.At.Equal(start) {
 				t.Fatalf("the first attempt: %+v", s)
 			}
-			s = p.AttemptEnded(start.Add(time.Millisecond), start, j, c.end)
+			s = p.AttemptEnded(start.Add(time.Millisecond), start, j, c.result)
 			got[class] = s.Verdict
-			if open := p.InFlight(); open != 0 {
-				t.Errorf("%s: %d attempts are in flight after %v", c.name, open, s.Verdict)
+			if inFlight := p.InFlight(); inFlight != 0 {
+				t.Errorf("%s: %d attempts are in flight after %v", c.name, inFlight, s.Verdict)
 			}
 			if s.Verdict == Pending {
 				if s = p.Start(s.At, j); !s.StartNow || !s.Retry || p.InFlight() != 1 {
@@ -101,7 +101,7 @@
 func TestRetryTimes(t *testing.T) {
 	for _, c := range []struct {
 		name             string
-		end              AttemptResult
+		result           AttemptResult
 		minWait, maxWait time.Duration
 	}{
 		{"at once", AttemptResult{Status: 503, HasRetryAfter: true}, 0, 50 * time.Millisecond},
@@ -123,7 +123,7 @@
 				p.random.Float64()
 			}
 			j, _ := p.Begin(start, onceClass, start.Add(time.Hour))
-			s := p.AttemptEnded(start, start, j, c.end)
+			s := p.AttemptEnded(start, start, j, c.result)
 			wait := s.At.Sub(start)
 			if s.Verdict != Pending || wait < c.minWait || wait > c.maxWait {
 				t.Fatalf("%s: %v after %v, want %v to %v", c.name, s.Verdict, wait, c.minWait, c.maxWait)
@@ -201,15 +201,15 @@
 
 // runFirstAttempts plays the first attempts of n jobs: those at scheduler i end as fail says, others are
 // served. It counts the attempts at i, which must be the one that the client prefers.
-func runFirstAttempts(p *Plan, at time.Time, n, i int, fail AttemptResult) (attempts int) {
+func runFirstAttempts(p *Plan, at time.Time, n, scheduler int, failure AttemptResult) (attempts int) {
 	for range n {
 		j, s := p.Begin(at, safeClass, at.Add(time.Hour))
-		end := AttemptResult{Status: 200}
-		if s.StartNow && s.Scheduler == i {
+		result := AttemptResult{Status: 200}
+		if s.StartNow && s.Scheduler == scheduler {
 			attempts++
-			end = fail
+			result = failure
 		}
-		p.AttemptEnded(at, at, j, end)
+		p.AttemptEnded(at, at, j, result)
 		p.Cancel(j)
 	}
 	return attempts
@@ -219,13 +219,13 @@
 // attempt then finds out whether it is back. A client that reaches its own limits proves nothing about it.
 func TestEjection(t *testing.T) {
 	for _, c := range []struct {
-		end  AttemptResult
-		want int
+		result AttemptResult
+		want   int
 	}{{AttemptResult{Outcome: ConnectFailed}, 1}, {AttemptResult{Outcome: NoResponse}, 3},
 		{AttemptResult{Outcome: Malformed}, 3}} {
 		p := newPlan(t, testConfig())
-		if got := runFirstAttempts(p, start, 100, p.preference[0], c.end); got != c.want || p.Available() != 2 {
-			t.Errorf("%+v: %d attempts before it was ejected, %d are available", c.end, got, p.Available())
+		if got := runFirstAttempts(p, start, 100, p.preference[0], c.result); got != c.want || p.Available() != 2 {
+			t.Errorf("%+v: %d attempts before it was ejected, %d are available", c.result, got, p.Available())
 		}
 		later := start.Add(2 * time.Second)
 		probes := 0
@@ -358,9 +358,9 @@
 	// And a retry goes to another one.
 	for range 50 {
 		j, s := p.Begin(start, safeClass, start.Add(time.Hour))
-		was := s.Scheduler
+		previous := s.Scheduler
 		if s = p.AttemptEnded(start, start, j, AttemptResult{Status: 503}); s.Verdict == Pending {
-			if s = p.Start(s.At, j); s.Scheduler == was {
+			if s = p.Start(s.At, j); s.Scheduler == previous {
 				t.Error("a retry goes to the scheduler that refused")
 			}
 			p.Cancel(j)
@@ -400,93 +400,93 @@
 			t.Fatal(err)
 		}
 		type trackedJob struct {
-			job      *Job
-			class    int
-			deadline time.Time
-			began    time.Time
-			attempts int
-			ran      time.Time
+			job             *Job
+			class           int
+			deadline        time.Time
+			attemptStart    time.Time
+			attempts        int
+			firstMayHaveRun time.Time
 		}
-		now, fresh, retries := start, 0, 0
-		var open []*trackedJob
-		take := func(l *trackedJob, s Step) bool {
+		now, newJobs, retries := start, 0, 0
+		var inFlight []*trackedJob
+		recordStep := func(tracked *trackedJob, s Step) bool {
 			for s.Verdict == Pending && !s.StartNow {
 				if s.At.Before(now) {
 					t.Fatal("a wait ends in the past")
 				}
-				s = p.Start(s.At, l.job) // whatever happens meanwhile to others
+				s = p.Start(s.At, tracked.job) // whatever happens meanwhile to others
 			}
 			if s.Verdict != Pending {
 				return false
 			}
-			l.attempts++
-			l.began = s.At
-			class := cfg.Classes[l.class]
+			tracked.attempts++
+			tracked.attemptStart = s.At
+			class := cfg.Classes[tracked.class]
 			switch {
-			case !s.At.Before(l.deadline):
-				t.Fatalf("an attempt starts %v past its deadline", s.At.Sub(l.deadline))
+			case !s.At.Before(tracked.deadline):
+				t.Fatalf("an attempt starts %v past its deadline", s.At.Sub(tracked.deadline))
 			case s.At.Before(now):
 				t.Fatal("an attempt starts in the past")
-			case l.attempts > class.MaxAttempts:
-				t.Fatalf("attempt %d", l.attempts)
-			case s.Retry != (l.attempts > 1):
+			case tracked.attempts > class.MaxAttempts:
+				t.Fatalf("attempt %d", tracked.attempts)
+			case s.Retry != (tracked.attempts > 1):
 				t.Fatal("a retry is not marked as one")
 			case s.Scheduler < 0 || s.Scheduler >= cfg.Schedulers:
 				t.Fatalf("scheduler %d", s.Scheduler)
 			}
-			if !l.ran.IsZero() && (class.Effect <= Rack || class.Effect == Anywhere &&
-				s.At.Sub(l.ran) >= class.Window) {
+			if !tracked.firstMayHaveRun.IsZero() && (class.Effect <= Rack || class.Effect == Anywhere &&
+				s.At.Sub(tracked.firstMayHaveRun) >= class.Window) {
 				t.Fatalf("a job of effect %d that may have run is repeated", class.Effect)
 			}
-			if l.attempts > 1 {
+			if tracked.attempts > 1 {
 				retries++
 			}
 			return true
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			if n := rapid.IntRange(0, len(open)).Draw(t, "which"); n == len(open) {
-				l := &trackedJob{class: rapid.IntRange(0, 3).Draw(t, "class")}
-				l.deadline = now.Add(time.Duration(rapid.IntRange(-1, 3000).Draw(t, "within")) * time.Millisecond)
-				fresh++
+			if n := rapid.IntRange(0, len(inFlight)).Draw(t, "which"); n == len(inFlight) {
+				tracked := &trackedJob{class: rapid.IntRange(0, 3).Draw(t, "class")}
+				tracked.deadline = now.Add(time.Duration(rapid.IntRange(-1, 3000).Draw(t, "within")) * time.Millisecond)
+				newJobs++
 				var s Step
-				if l.job, s = p.Begin(now, l.class, l.deadline); take(l, s) {
-					open = append(open, l)
+				if tracked.job, s = p.Begin(now, tracked.class, tracked.deadline); recordStep(tracked, s) {
+					inFlight = append(inFlight, tracked)
 				}
 				continue
-			} else if l := open[n]; rapid.IntRange(0, 9).Draw(t, "leave") == 0 {
-				p.Cancel(l.job)
-				open = append(open[:n:n], open[n+1:]...)
+			} else if tracked := inFlight[n]; rapid.IntRange(0, 9).Draw(t, "leave") == 0 {
+				p.Cancel(tracked.job)
+				inFlight = append(inFlight[:n:n], inFlight[n+1:]...)
 			} else {
-				now = latest(now, l.began)
+				now = latest(now, tracked.attemptStart)
 				r := AttemptResult{Outcome: Outcome(rapid.IntRange(0, int(Malformed)).Draw(t, "proof"))}
 				if r.Outcome == Answered {
 					r.Status = rapid.SampledFrom([]int{200, 503, 503, 429, 500, 400, 302}).Draw(t, "status")
 					r.HasRetryAfter = rapid.Bool().Draw(t, "advised")
 					r.RetryAfter = time.Duration(rapid.Int64().Draw(t, "advice"))
 				}
-				if mayHaveRun(r) && l.ran.IsZero() {
-					l.ran = l.began
+				if mayHaveRun(r) && tracked.firstMayHaveRun.IsZero() {
+					tracked.firstMayHaveRun = tracked.attemptStart
 				}
 				if r.Outcome == ConnectFailed || r.Outcome == IdleClosed {
-					if l.attempts--; l.attempts > 0 {
+					if tracked.attempts--; tracked.attempts > 0 {
 						retries--
 					}
 				}
-				s := p.AttemptEnded(now, l.began, l.job, r)
-				if s.Verdict == Refused && !l.ran.IsZero() {
+				s := p.AttemptEnded(now, tracked.attemptStart, tracked.job, r)
+				if s.Verdict == Refused && !tracked.firstMayHaveRun.IsZero() {
 					t.Fatal("called refused though it may have run")
 				}
-				if !take(l, s) {
-					open = append(open[:n:n], open[n+1:]...)
+				if !recordStep(tracked, s) {
+					inFlight = append(inFlight[:n:n], inFlight[n+1:]...)
 				}
 			}
 		}
-		if limit := 1 + cfg.RetryBudget*float64(fresh); float64(retries) > limit {
-			t.Fatalf("%d retries of %d jobs, at most %v", retries, fresh, limit)
+		if limit := 1 + cfg.RetryBudget*float64(newJobs); float64(retries) > limit {
+			t.Fatalf("%d retries of %d jobs, at most %v", retries, newJobs, limit)
 		}
-		if p.InFlight() != len(open) {
-			t.Fatalf("%d attempts are in flight, the plan counts %d", len(open), p.InFlight())
+		if p.InFlight() != len(inFlight) {
+			t.Fatalf("%d attempts are in flight, the plan counts %d", len(inFlight), p.InFlight())
 		}
 	})
 }
