--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -12,8 +12,8 @@
 	"dahliaford/internal/http1"
 )
 
-// A job that is served at once, through the library and by a bare net/http call, against the same scheduler
-// in the same run.
+// BenchmarkServedJob compares the latency of a job that is sent with the client library with the latency of
+// the same request sent with net/http. Both run against the same test server, which answers at once.
 func BenchmarkServedJob(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,16 +83,18 @@
 			if _, err := io.ReadAll(response.Body); err != nil {
 				b.Fatal(err)
 			}
-			_ = response.Body.Close() // it was read to its end
+			_ = response.Body.Close() // the body was read to its end, so the error of Close does not matter
 			latencies = append(latencies, time.Since(start))
 		}
 	})
 }
 
+// reportPercentiles reports the 50th and the 99th percentile of the latencies.
 func reportPercentiles(b *testing.B, latencies []time.Duration) {
 	slices.Sort(latencies)
 	b.ReportMetric(float64(latencies[len(latencies)/2]), "p50-ns")
 	b.ReportMetric(float64(latencies[len(latencies)*99/100]), "p99-ns")
 }
 
-const defaultDeadline = 5_000_000_000 // ns
+// defaultDeadline is the deadline of the benchmark's class, in nanoseconds.
+const defaultDeadline = 5_000_000_000
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -21,25 +21,26 @@
 	"dahliaford/internal/testcluster"
 )
 
-// afterResponse is what a scripted scheduler does with the connection after a response.
+// afterResponse says what a scripted scheduler does with the connection after it has sent the scripted bytes.
 type afterResponse string
 
 const (
 	keepOpen        afterResponse = "keep"
 	closeConnection afterResponse = "close"
 	resetConnection afterResponse = "reset"
-	trickleResponse afterResponse = "trickle" // sends a response a byte a second
-	noResponse      afterResponse = "silent"  // until the client closes the connection
+	trickleResponse afterResponse = "trickle" // send a complete response, one byte per second
+	noResponse      afterResponse = "silent"  // wait until the client closes the connection
 )
 
-// scriptedScheduler answers each request with the bytes that a test gives.
+// scriptedScheduler is a test server that answers each request with bytes chosen by the test.
 type scriptedScheduler struct {
 	net.Listener
-	answer   func(n int64) (text string, then afterResponse) // to the nth request, from 1
-	received atomic.Int64                                    // complete requests
+	answer   func(n int64) (text string, then afterResponse) // answer to the nth request, counted from 1
+	received atomic.Int64                                    // number of complete requests that were received
 	requests chan *http1.Request
 }
 
+// startScripted starts a scriptedScheduler on a free local port.
 func startScripted(t *testing.T, answer func(n int64) (text string, then afterResponse)) *scriptedScheduler {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,6 +61,7 @@
 	return s
 }
 
+// serve answers the requests on one connection.
 func (s *scriptedScheduler) serve(conn net.Conn) {
 	defer conn.Close()
 	for reader := http1.NewReader(conn); ; {
@@ -70,10 +72,10 @@
 		n := s.received.Add(1)
 		s.requests <- request
 		text, then := s.answer(n)
-		_, _ = io.WriteString(conn, text) // the client may be gone: the next read shows it
+		_, _ = io.WriteString(conn, text) // if the client has closed the connection, the next read fails
 		switch then {
 		case resetConnection:
-			_ = conn.(*net.TCPConn).SetLinger(0) // on an open socket it cannot fail
+			_ = conn.(*net.TCPConn).SetLinger(0) // SetLinger cannot fail on an open socket
 			return
 		case closeConnection:
 			return
@@ -88,7 +90,8 @@
 	}
 }
 
-// trickle sends a response a byte a second, and reports whether the client stayed to its end.
+// trickle sends a complete response at one byte per second. It reports whether the client kept the connection
+// open until the last byte was sent.
 func trickle(conn net.Conn) bool {
 	for i := range len(served) {
 		if _, err := io.WriteString(conn, served[i:i+1]); err != nil {
@@ -99,6 +102,8 @@
 	return true
 }
 
+// newTestClient returns a client with one class of each of the effects once, rack and safe. Its retry budget
+// allows one retry for each job.
 func newTestClient(t *testing.T, schedulers ...string) *Client {
 	t.Helper()
 	c, err := New(Config{Schedulers: schedulers, Tenant: "sahel", Seed: 1, RetryBudget: 1,
@@ -113,9 +118,11 @@
 	return c
 }
 
+// served is a complete response with status 200.
 const served = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nresult"
 
-// A response that is cut off after each byte: a job that must not run twice is submitted once.
+// TestResponseCutAtEveryByte cuts the response off after every possible number of bytes. A truncated response
+// must end as unknown, and a job that must not run twice must be submitted only once.
 func TestResponseCutAtEveryByte(t *testing.T) {
 	for cut := range len(served) + 1 {
 		for _, then := range []afterResponse{resetConnection, closeConnection} {
@@ -126,21 +133,23 @@
 			if cut == len(served) {
 				want = "served"
 			}
-			// A reset may overtake what was written before it.
+			// A reset may discard bytes that were sent before it, so that a complete response counts as cut off.
 			if got := Verdict(err); got != want && (then != resetConnection || got != "unknown") {
-				t.Errorf("cut after %d bytes, %s: %s, want %s (%v)", cut, then, got, want, err)
+				t.Errorf("cut after %d bytes, connection action %s: got verdict %s, want %s (error %v)",
+					cut, then, got, want, err)
 			}
 			if err == nil && string(result.Body) != "result" {
-				t.Errorf("cut after %d bytes: %q", cut, result.Body)
+				t.Errorf("cut after %d bytes: got result %q, want \"result\"", cut, result.Body)
 			}
 			if n := s.received.Load(); n != 1 {
-				t.Errorf("cut after %d bytes, %s: submitted %d times", cut, then, n)
+				t.Errorf("cut after %d bytes, connection action %s: job submitted %d times, want once", cut, then, n)
 			}
 		}
 	}
 }
 
-// Malformed responses end in time, and never as served.
+// TestMalformedResponses checks the verdict for responses that violate HTTP, exceed a limit or have an
+// unusual form. A job with a malformed response must be submitted once and must never end as served.
 func TestMalformedResponses(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"no length":    {"HTTP/1.1 200 OK\r\n\r\nresult", "unknown"},
@@ -162,14 +171,15 @@
 			s := startScripted(t, func(int64) (string, afterResponse) { return c.text, closeConnection })
 			_, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 			if got := Verdict(err); got != c.want || s.received.Load() != 1 {
-				t.Errorf("%s (%v) after %d requests, want %s", got, err, s.received.Load(), c.want)
+				t.Errorf("got verdict %s (error %v) after %d requests, want %s after 1 request",
+					got, err, s.received.Load(), c.want)
 			}
 		})
 	}
 }
 
-// A refusal is honoured: the next attempt comes no sooner, with a new id and marked as a retry, and the
-// last refusal is returned to the caller.
+// TestRefusals checks that a client waits for Retry-After after a refusal, sends each retry with a new id and
+// marks it as a retry, and returns a RefusedError when a scheduler refuses the last allowed attempt.
 func TestRefusals(t *testing.T) {
 	s := startScripted(t, func(n int64) (string, afterResponse) {
 		if n < 3 {
@@ -180,7 +190,8 @@
 	start := time.Now()
 	r, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading", Key: "k"})
 	if err != nil || r.Attempts != 3 || time.Since(start) < 100*time.Millisecond {
-		t.Fatalf("%+v, %v after %v", r, err, time.Since(start))
+		t.Fatalf("got result %+v, error %v after %v; want success by attempt 3 after at least 100 ms",
+			r, err, time.Since(start))
 	}
 	ids := map[string]bool{}
 	for n := range 3 {
@@ -189,11 +200,11 @@
 		want := map[bool]string{true: "1"}[n > 0]
 		if diff := cmp.Diff([]string{want, "k", "sahel"}, []string{m.Header.Get("X-Resent"),
 			m.Header.Get("Idempotency-Key"), m.Header.Get("X-Org")}); diff != "" {
-			t.Errorf("attempt %d: %s", n+1, diff)
+			t.Errorf("attempt %d: wrong X-Resent, Idempotency-Key or X-Org (-want +got): %s", n+1, diff)
 		}
 	}
 	if len(ids) != 3 {
-		t.Errorf("%d ids in 3 attempts", len(ids))
+		t.Errorf("got %d different ids in 3 attempts, want 3", len(ids))
 	}
 	var refused *RefusedError
 	alwaysRefuses := startScripted(t, func(int64) (string, afterResponse) {
@@ -201,12 +212,13 @@
 	})
 	_, err = newTestClient(t, alwaysRefuses.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 	if !errors.As(err, &refused) || alwaysRefuses.received.Load() != 3 {
-		t.Errorf("%v after %d attempts", err, alwaysRefuses.received.Load())
+		t.Errorf("scheduler that always refuses: got error %v after %d attempts, want RefusedError after 3",
+			err, alwaysRefuses.received.Load())
 	}
 }
 
-// A scheduler that refuses connections: the job did not run, another scheduler gets it, and without one the
-// caller may submit it again.
+// TestConnectionRefused checks that a job goes to another scheduler if a scheduler refuses connections, and
+// that the job ends as refused if there is no other scheduler.
 func TestConnectionRefused(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -226,8 +238,9 @@
 	}
 }
 
-// A reused connection that closes as the next request crosses it: for what must not run twice the outcome
-// is unknown, and what is safe is repeated.
+// TestReusedConnectionCloses resets a reused connection when the next request arrives on it. The client
+// cannot know whether that job ran. A job that must not run twice must end as unknown, and a job that is safe
+// to repeat must be retried.
 func TestReusedConnectionCloses(t *testing.T) {
 	for class, want := range map[string]string{"post-reading": "unknown", "district-batch": "unknown",
 		"look": "served"} {
@@ -242,21 +255,22 @@
 			t.Fatal(err)
 		}
 		if _, err := c.Do(t.Context(), Job{Class: class}); Verdict(err) != want {
-			t.Errorf("%s: %v, want %s", class, err, want)
+			t.Errorf("class %s: got error %v, want verdict %s", class, err, want)
 		}
 	}
 }
 
-// An idle connection that has closed before the next request is not used for it: a scheduler closes idle
-// ones when it runs short of sockets, and that must not cost a job its result.
+// TestIdleConnectionAlreadyClosed checks that a client does not send a request on an idle connection that the
+// scheduler has already closed. A scheduler closes idle connections when it has too few sockets; a job sent
+// on such a connection would end as unknown although it never ran.
 func TestIdleConnectionAlreadyClosed(t *testing.T) {
 	for _, then := range []afterResponse{resetConnection, closeConnection} {
 		s := startScripted(t, func(int64) (string, afterResponse) { return served, then })
 		c := newTestClient(t, s.Addr().String())
 		for n := range 5 {
-			// A reset may overtake the answer before it: that is another matter.
+			// A reset may discard a response that was sent before it. This test does not check that case.
 			if _, err := c.Do(t.Context(), Job{Class: "post-reading"}); err != nil && then == closeConnection {
-				t.Fatalf("job %d, %s: %v", n, then, err)
+				t.Fatalf("job %d, connection action %s: got error %v, want none", n, then, err)
 			}
 			waitFor(t, func() bool {
 				c.pool.mu.Lock()
@@ -267,24 +281,26 @@
 	}
 }
 
+// waitFor waits until done returns true, and fails the test after 10 s.
 func waitFor(t *testing.T, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the condition did not become true within 10 s")
+			t.Fatal("condition still false after 10 s, want true")
 		}
 	}
 }
 
-// A scheduler that does not respond: the call returns by the deadline. A caller that cancels closes the
-// connection at once.
+// TestNoResponse checks that Do returns at the deadline if the scheduler does not respond, and at once if the
+// caller cancels. A job whose deadline has already passed must end as expired.
 func TestNoResponse(t *testing.T) {
 	s := startScripted(t, func(int64) (string, afterResponse) { return "", noResponse })
 	c := newTestClient(t, s.Addr().String())
 	deadline := time.Now().Add(200 * time.Millisecond)
 	_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline})
 	if late := time.Since(deadline); Verdict(err) != "unknown" || late < 0 || late > 2*time.Second {
-		t.Errorf("%v, %v after the deadline", err, late)
+		t.Errorf("got error %v, %v after the deadline; want verdict unknown within 2 s after the deadline",
+			err, late)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
@@ -295,7 +311,7 @@
 	start := time.Now()
 	_, err = c.Do(ctx, Job{Class: "post-reading"})
 	if Verdict(err) != "unknown" || !errors.Is(err, context.Canceled) || time.Since(start) > 4*time.Second {
-		t.Errorf("%v after %v", err, time.Since(start))
+		t.Errorf("cancelled job: got error %v after %v, want verdict unknown within 4 s", err, time.Since(start))
 	}
 	_, err = c.Do(t.Context(), Job{Class: "post-reading", Deadline: time.Now().Add(-time.Second)})
 	if Verdict(err) != "expired" {
@@ -303,6 +319,8 @@
 	}
 }
 
+// TestInvalidJobsAndSettings checks that the client rejects invalid jobs itself, and that New rejects an
+// invalid configuration with the name of the field.
 func TestInvalidJobsAndSettings(t *testing.T) {
 	c := newTestClient(t, "127.0.0.1:1")
 	for _, job := range []Job{{Class: "nothing"}, {Class: "look", Body: make([]byte, 65<<10)}} {
@@ -324,13 +342,14 @@
 		"connections": {Schedulers: []string{"x"}, Classes: map[string]Class{"a": good}, MaxConnections: -1},
 	} {
 		if _, err := New(cfg); err == nil || !strings.HasPrefix(err.Error(), "client: "+want) {
-			t.Errorf("got %v, want %s", err, want)
+			t.Errorf("got error %v, want prefix \"client: %s\"", err, want)
 		}
 	}
 }
 
-// Clients against the real program: what is served is what the worker returned, nothing that must not run
-// twice does, and every call returns once.
+// TestAgainstTheRealProgram runs a client against a real scheduler process and a fake worker that fails every
+// seventh job. Each served result must be the result that the worker returned, and no job may reach the
+// worker twice.
 func TestAgainstTheRealProgram(t *testing.T) {
 	bin, err := buildScheduler()
 	if err != nil {
@@ -382,7 +401,7 @@
 			defer mu.Unlock()
 			verdicts[Verdict(err)]++
 			if err == nil && string(r.Body) != strings.ToUpper(body) {
-				t.Errorf("%s was served %q", body, r.Body)
+				t.Errorf("%s: got result %q, want the job's body in capitals", body, r.Body)
 			}
 		})
 		time.Sleep(5 * time.Millisecond)
@@ -390,7 +409,7 @@
 	done.Wait()
 	for body, n := range runs {
 		if n > 1 {
-			t.Errorf("%s reached the worker %d times", body, n)
+			t.Errorf("%s reached the worker %d times, want at most once", body, n)
 		}
 	}
 	if verdicts["served"] == 0 {
--- a/client/compat_test.go
+++ b/client/compat_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Files that were written for earlier releases must be read to the same values by each later one. The
-// files in testdata are copies and are never edited.
+// TestFilesOfEarlierReleases checks that configuration files of earlier releases still parse to the same
+// values. The files in testdata are copies of released files and must not be edited.
 func TestFilesOfEarlierReleases(t *testing.T) {
 	for name, want := range map[string]Config{
 		"desk.json": {Schedulers: []string{"127.0.0.1:8443"}, Tenant: "sahel", RetryBudget: 0.1,
--- a/client/configfile_test.go
+++ b/client/configfile_test.go
@@ -9,6 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// TestExampleConfig checks the example configuration file that is shipped with the program.
 func TestExampleConfig(t *testing.T) {
 	checkConfigFile(t, "../examples/client.json", Config{
 		Schedulers: []string{"127.0.0.1:8443"}, Tenant: "sahel", RetryBudget: 0.1,
@@ -17,7 +18,8 @@
 			"district-batch": {Deadline: 20 * time.Second, Effect: Rack, MaxAttempts: 3}}})
 }
 
-// checkConfigFile checks that a file is read to a configuration, and that a client can be made of it.
+// checkConfigFile checks that the file at path parses to the configuration want, and that New accepts the
+// configuration.
 func checkConfigFile(t *testing.T, path string, want Config) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -38,7 +40,8 @@
 	c.Close()
 }
 
-// An invalid file gets one line with the path of the field.
+// TestInvalidConfigs checks that ParseConfig rejects an invalid file with a single line that names the path
+// of the invalid field, and that a budget of 0 in a file means no retries.
 func TestInvalidConfigs(t *testing.T) {
 	const head, class = `{"schedulers":["a:1"],"classes":`, `{"post":{"deadline_ms":1,"effect":"once"}}`
 	for raw, want := range map[string]string{
@@ -57,11 +60,11 @@
 	} {
 		_, err := ParseConfig([]byte(raw))
 		if err == nil || !strings.HasPrefix(err.Error(), "client: "+want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want one line with %q", raw, err, want)
+			t.Errorf("file %s: got error %v, want one line that starts with \"client: \" and %q", raw, err, want)
 		}
 	}
 	cfg, err := ParseConfig([]byte(head + class + `,"budget":0}`))
 	if err != nil || cfg.RetryBudget != -1 {
-		t.Errorf("%+v, %v: a budget of 0 must mean no retries", cfg, err)
+		t.Errorf("got configuration %+v, error %v, want RetryBudget -1 for a budget of 0", cfg, err)
 	}
 }
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -9,8 +9,8 @@
 	"dahliaford/client"
 )
 
-// A job whose scheduler refuses connections did not run: the caller may submit it again, and the error says
-// when.
+// If the only scheduler refuses connections, the job did not run. The caller may submit the job again, and
+// the error contains the earliest time for that.
 func ExampleClient_Do() {
 	c, err := client.New(client.Config{
 		Schedulers: []string{"127.0.0.1:1"},
@@ -36,7 +36,7 @@
 	// Output: not run: submit it again
 }
 
-// A configuration file is checked as it is read; the error names the field.
+// ParseConfig validates a configuration file. Its error names the invalid field.
 func ExampleParseConfig() {
 	cfg, err := client.ParseConfig([]byte(`{
 		"schedulers": ["127.0.0.1:8443"],
@@ -51,7 +51,7 @@
 	// client: classes.a: deadline_ms is required
 }
 
-// The names of how a job ended are few, and fit for a metric's label.
+// Verdict returns one of a few fixed names, which are suitable as values of a metric label.
 func ExampleVerdict() {
 	fmt.Println(client.Verdict(nil))
 	fmt.Println(client.Verdict(&client.RefusedError{RetryAfter: time.Now().Add(time.Second)}))
@@ -62,7 +62,7 @@
 	// unknown
 }
 
-// An invalid configuration is rejected with the name of the field.
+// New rejects an invalid configuration with an error that names the invalid field.
 func ExampleNew() {
 	_, err := client.New(client.Config{Schedulers: []string{"127.0.0.1:8443"},
 		Classes: map[string]client.Class{"post-reading": {Deadline: 5 * time.Second}}})
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -19,7 +19,7 @@
 	"dahliaford/internal/testcluster"
 )
 
-// buildScheduler builds the real scheduler, once for all tests, and returns its path.
+// buildScheduler builds the scheduler's program once for all tests and returns the path of the executable.
 var buildScheduler = sync.OnceValues(func() (string, error) {
 	folder, err := os.MkdirTemp("", "client")
 	if err != nil {
@@ -34,14 +34,17 @@
 	return bin, nil
 })
 
+// TestMain runs the tests and then removes the scheduler's program.
 func TestMain(m *testing.M) {
 	status := m.Run()
 	if bin, err := buildScheduler(); err == nil {
-		_ = os.RemoveAll(filepath.Dir(bin)) // a leftover in the temporary folder fails no test
+		_ = os.RemoveAll(filepath.Dir(bin)) // a leftover file does not affect the result of the tests
 	}
 	os.Exit(status)
 }
 
+// startFleet starts the given number of real schedulers with four fake workers for each, and stops them at
+// the end of the test.
 func startFleet(t *testing.T, schedulers int) *testcluster.Fleet {
 	t.Helper()
 	bin, err := buildScheduler()
@@ -57,17 +60,20 @@
 	return f
 }
 
-// maxLateness is how late after the deadline a call may return on a busy machine; the drill allows 50 ms.
+// maxLateness is the longest time after its deadline at which a call may return. The value allows for a busy
+// machine; schedbench allows only 50 ms.
 const maxLateness = 2 * time.Second
 
-// truncatingProxy forwards connections to a scheduler, and closes each after so many bytes of one direction.
+// truncatingProxy forwards connections to a scheduler. It closes each connection after a fixed number of
+// bytes in one direction.
 type truncatingProxy struct {
 	net.Listener
-	target      string
-	cutRequests bool // the limit is on the bytes of requests, not of responses
-	limit       int64
+	target      string // address of the scheduler
+	cutRequests bool   // limit counts the bytes of requests; if unset, limit counts the bytes of responses
+	limit       int64  // number of bytes that are forwarded in the limited direction
 }
 
+// startTruncatingProxy starts a truncatingProxy on a free local port.
 func startTruncatingProxy(t *testing.T, target string, cutRequests bool, limit int64) *truncatingProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,6 +93,7 @@
 	return c
 }
 
+// proxy forwards one connection until the limit is reached or either side closes the connection.
 func (c *truncatingProxy) proxy(caller net.Conn) {
 	defer caller.Close()
 	scheduler, err := net.Dial("tcp", c.target)
@@ -97,9 +104,9 @@
 	done := make(chan bool, 2)
 	relay := func(to, from net.Conn, limited bool) {
 		if limited {
-			_, _ = io.CopyN(to, from, c.limit) // either side may close it before that
+			_, _ = io.CopyN(to, from, c.limit) // either side may close the connection before the limit
 		} else {
-			_, _ = io.Copy(to, from) // either side may close it
+			_, _ = io.Copy(to, from) // either side may close the connection at any time
 		}
 		done <- true
 	}
@@ -108,19 +115,21 @@
 	<-done
 }
 
-// The exchange of a post-reading with the real program is cut off after each byte of the request and of the
-// response: the job runs once at most, and what ran is never called refused.
+// TestExchangeCutAtEveryByte sends a job to a real scheduler and cuts the connection after every possible
+// number of bytes of the request and of the response. The job must run at most once, and a job that ran must
+// not end as refused.
 func TestExchangeCutAtEveryByte(t *testing.T) {
 	f := startFleet(t, 1)
 	addr := f.Schedulers()[0]
-	var lengths [2]int64 // of a request and of a response
+	var lengths [2]int64 // length of a request and of a response, in bytes
 	direct := newTestClient(t, addr)
 	if _, err := direct.Do(t.Context(), Job{Class: "post-reading",
 		Body: []byte(f.JobPrefix() + "first")}); err != nil {
 		t.Fatal(err)
 	}
 	body := f.JobPrefix() + "post-reading true 100"
-	lengths[0] = int64(len(direct.encodeRequest(&Job{Class: "post-reading", Body: []byte(body)}, plan.Step{}, 4000)))
+	lengths[0] = int64(len(direct.encodeRequest(&Job{Class: "post-reading", Body: []byte(body)}, plan.Step{},
+		4000)))
 	lengths[1] = int64(len(http1.AppendResponse(nil, 200,
 		[]http1.Field{{Name: "Connection", Value: "keep-alive"}}, []byte(body))))
 	var all sync.WaitGroup
@@ -148,22 +157,24 @@
 				defer mu.Unlock()
 				verdicts[Verdict(err)]++
 				if ran > 1 || ran > 0 && Verdict(err) == "refused" {
-					t.Errorf("%s ran %d times, %v", body, ran, err)
+					t.Errorf("%s ran %d times, got error %v; want at most one run, and not refused if it ran",
+						body, ran, err)
 				}
 			})
 		}
 	}
 	all.Wait()
 	if counts := f.RunCounts(); counts.Duplicates > 0 {
-		t.Errorf("%d post-readings ran twice", counts.Duplicates)
+		t.Errorf("%d post-readings ran more than once, want 0", counts.Duplicates)
 	}
 	if verdicts["unknown"] < int(lengths[1])/2 {
-		t.Errorf("the ends were %v: the responses were not cut off", verdicts)
+		t.Errorf("got verdicts %v, want unknown for at least half of the responses that were cut off", verdicts)
 	}
 }
 
-// Schedulers stop in order, then are killed, and at last all at once, under load, and are back within 2 s:
-// jobs wait for them rather than fail, and nothing runs twice.
+// TestRestarts restarts schedulers under load: it stops one scheduler with a drain, then kills the other one,
+// then kills both at once. Jobs must wait for the restarted schedulers instead of failing, and no job may run
+// twice.
 func TestRestarts(t *testing.T) {
 	f := startFleet(t, 2)
 	c, err := New(Config{Schedulers: f.Schedulers(), Tenant: "sahel", Classes: map[string]Class{
@@ -193,7 +204,7 @@
 				defer mu.Unlock()
 				verdicts[Verdict(err)]++
 				if late := time.Since(deadline); late > maxLateness {
-					t.Errorf("job %d returned %v late", n, late)
+					t.Errorf("job %d returned %v after its deadline, want no later than the allowed lateness", n, late)
 				}
 			})
 		}
@@ -229,24 +240,27 @@
 	close(stop)
 	pending.Wait()
 	if counts := f.RunCounts(); counts.Duplicates > 0 {
-		t.Errorf("%d post-readings ran twice", counts.Duplicates)
+		t.Errorf("%d post-readings ran more than once, want 0", counts.Duplicates)
 	}
 	all := 0
 	for _, n := range verdicts {
 		all += n
 	}
-	// Only jobs in flight at a killed scheduler fail; what was refused in between found another one.
+	// Only jobs that are in flight at a killed scheduler should fail. Refused jobs should be retried at another
+	// scheduler.
 	if notServed := all - verdicts["served"]; notServed > all/4 {
 		t.Errorf("%v", verdicts)
 	}
 }
 
-// Each form that Retry-After may have: when the next attempt starts.
+// TestRetryAfter checks for each form of a Retry-After value how long the client waits before the next
+// attempt. A minWait of -1 means that the delay exceeds the deadline, so that the client must not retry and
+// must return a RefusedError with the time.
 func TestRetryAfter(t *testing.T) {
 	for text, minWait := range map[string]time.Duration{
 		"0": 0, "0.05": 50 * time.Millisecond, "2": 2 * time.Second, "-3": 0, "Wed, 21 Oct 2026 07:28:00 GMT": 0,
 		"soon": 0, "NaN": 0, "": 0,
-		"1e300": -1, "Inf": -1, "86400": -1, // beyond the deadline: refused at once, with the time
+		"1e300": -1, "Inf": -1, "86400": -1, // longer than the deadline
 	} {
 		t.Run(text, func(t *testing.T) {
 			t.Parallel()
@@ -265,20 +279,23 @@
 				var refused *RefusedError
 				if !errors.As(err, &refused) || time.Until(refused.RetryAfter) < 30*time.Second ||
 					s.received.Load() != 1 {
-					t.Errorf("%v after %d attempts", err, s.received.Load())
+					t.Errorf("got error %v after %d attempts, want RefusedError with a time after 1 attempt",
+						err, s.received.Load())
 				}
 				return
 			}
 			if err != nil || time.Duration(wait.Load()) < minWait ||
 				time.Duration(wait.Load()) > minWait+maxLateness {
-				t.Errorf("%v, the next attempt came after %v, want %v at least", err, time.Duration(wait.Load()), minWait)
+				t.Errorf("got error %v, next attempt after %v, want no error and at least %v",
+					err, time.Duration(wait.Load()), minWait)
 			}
 		})
 	}
 }
 
-// Beside a healthy one: a scheduler that does not respond, one that responds a byte at a time, and one that
-// refuses everything at once. Most jobs must be served, and all calls return in time.
+// TestUnhealthySchedulerBesideHealthyOne gives a client a healthy scheduler and a scheduler that does not
+// respond, responds with one byte per second or refuses all jobs at once. At least half of the jobs must be
+// served, and all calls must return in time.
 func TestUnhealthySchedulerBesideHealthyOne(t *testing.T) {
 	f := startFleet(t, 1)
 	for name, answer := range map[string]func(int64) (string, afterResponse){
@@ -303,18 +320,20 @@
 					Body: fmt.Append(nil, f.JobPrefix(), name, n)})
 				verdicts[Verdict(err)]++
 				if late := time.Since(deadline); late > maxLateness {
-					t.Errorf("job %d returned %v late", n, late)
+					t.Errorf("job %d returned %v after its deadline, want no later than the allowed lateness", n, late)
 				}
 			}
 			if verdicts["served"] < 20 { // half: a slow machine may miss some of the short deadlines
-				t.Errorf("%v, %d went to the unhealthy one", verdicts, unhealthy.received.Load())
+				t.Errorf("got verdicts %v, %d attempts at the unhealthy scheduler, want at least 20 of 40 jobs served",
+					verdicts, unhealthy.received.Load())
 			}
 		})
 	}
 }
 
-// Ten thousand jobs wait in a client when its only scheduler vanishes: no more goroutines than their
-// callers, memory within bounds, and each call returns by its deadline.
+// TestTenThousandWaiting submits ten thousand jobs (fewer under the race detector) at once and then stops the
+// only scheduler's listener. The client must not start a goroutine for each waiting job, must stay within a
+// memory limit, and must end each job by its deadline.
 func TestTenThousandWaiting(t *testing.T) {
 	const jobs = maxCallers
 	s := startScripted(t, func(int64) (string, afterResponse) { return "", noResponse })
@@ -328,7 +347,7 @@
 	deadline := time.Now().Add(3 * time.Second)
 	var done sync.WaitGroup
 	var returned, late atomic.Int64
-	verdicts := make([]atomic.Int64, 2) // unknown, not run
+	verdicts := make([]atomic.Int64, 2) // number of jobs that ended as unknown, and number that did not run
 	for range jobs {
 		done.Go(func() {
 			_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline})
@@ -336,7 +355,7 @@
 			switch Verdict(err) {
 			case "unknown":
 				verdicts[0].Add(1)
-			case "refused", "expired": // either way it did not run; the deadline may come first
+			case "refused", "expired": // in both cases the job did not run
 				verdicts[1].Add(1)
 			}
 			if time.Since(deadline) > maxLateness {
@@ -345,17 +364,20 @@
 		})
 	}
 	waitFor(t, func() bool { return s.received.Load() > 0 })
-	s.Close() // new connections are refused; open ones get no response
+	s.Close() // new connections are refused, and requests on open connections get no response
 	if maxGoroutines := before + jobs + 1000; runtime.NumGoroutine() > maxGoroutines {
-		t.Errorf("%d goroutines for %d callers", runtime.NumGoroutine(), jobs)
+		t.Errorf("got %d goroutines for %d callers, want at most 1,000 more than callers",
+			runtime.NumGoroutine(), jobs)
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	if m.HeapAlloc > 256<<20 {
-		t.Errorf("%d MB on the heap", m.HeapAlloc>>20)
+		t.Errorf("got %d MB on the heap, want at most 256 MB", m.HeapAlloc>>20)
 	}
 	done.Wait()
-	if verdicts[0].Load()+verdicts[1].Load() != jobs || late.Load() > 0 || verdicts[0].Load() > defaultMaxConnections {
-		t.Errorf("%d unknown, %d not run of %d, %d late", verdicts[0].Load(), verdicts[1].Load(), jobs, late.Load())
+	if verdicts[0].Load()+verdicts[1].Load() != jobs || late.Load() > 0 ||
+		verdicts[0].Load() > defaultMaxConnections {
+		t.Errorf("got %d jobs unknown, %d not run, want a total of %d and at most 64 unknown; %d late, want 0",
+			verdicts[0].Load(), verdicts[1].Load(), jobs, late.Load())
 	}
 }
--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -11,21 +11,22 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// clientModel is one client with a few jobs, two schedulers and a lossy network: the real plan, not a copy, in
-// every order of what may happen to each attempt. The schedulers drop duplicates of a key as the class
-// promises.
+// clientModel is a model of one client with a few jobs, two schedulers and a network that loses messages. It
+// runs the real Plan. The model checker explores every order of the events that may happen to each attempt.
+// The modelled schedulers drop duplicate jobs as the job's class promises.
 type clientModel struct {
 	cfg        Config
 	plan       *Plan
 	now        time.Time
 	jobs       []jobState
 	stopped    [2]bool
-	faultsLeft int // that may still happen
-	// misread returns the outcome that the client takes an outcome for; nil: itself. It injects a fault.
+	faultsLeft int // number of faults that may still happen
+	// misread, if set, replaces the outcome of each attempt before the plan receives it. Tests use misread to
+	// make the client misjudge an outcome.
 	misread func(Outcome) Outcome
 }
 
-// jobState is a job, and what happened to it at the schedulers.
+// jobState is the state of a job at the client and what happened to the job at the schedulers.
 type jobState struct {
 	job          *Job
 	class        int
@@ -34,15 +35,17 @@
 	step         Step
 	attemptStart time.Time
 	attempts     int
-	received     bool // a scheduler has the current attempt
+	received     bool // a scheduler has received the current attempt
 	runs         int
-	firstRun     time.Time // when it first ran
-	ranOnRack    [2]bool   // where it ran
+	firstRun     time.Time // time when the job first ran; zero if it has not run
+	ranOnRack    [2]bool   // whether the job ran on the rack of each scheduler
 	violation    string
 }
 
+// maxFaults is the number of faults that may happen to a model with one job.
 const maxFaults = 4
 
+// newClientModel returns a model with the given number of jobs of one class.
 func newClientModel(class int, jobs int) *clientModel {
 	cfg := testConfig()
 	cfg.Schedulers, cfg.RetryBudget, cfg.MaxTokens = 2, 1, 10
@@ -57,11 +60,12 @@
 	return m
 }
 
+// clone returns a deep copy of the model.
 func (m *clientModel) clone() *clientModel {
 	c := *m
 	p := *m.plan
 	p.schedulers = slices.Clone(p.schedulers)
-	// Random numbers must not distinguish two states that behave alike.
+	// The random numbers depend only on the time, so that equal states have equal successors.
 	p.random = rand.New(rand.NewPCG(7, uint64(m.now.Sub(start))))
 	c.plan = &p
 	c.jobs = slices.Clone(m.jobs)
@@ -74,7 +78,7 @@
 	return &c
 }
 
-// event is something that may happen to a job, or to a scheduler.
+// event is something that may happen to a job or to a scheduler.
 type event struct {
 	job, scheduler int
 	name           string
@@ -83,17 +87,18 @@
 	fault          bool
 }
 
-// How an attempt may end before a scheduler has read it.
+// endsBeforeReceived lists the ways in which an attempt may end before a scheduler has received it.
 var endsBeforeReceived = []event{
 	{name: "half written", result: AttemptResult{Outcome: NotSent}, fault: true},
 	{name: "a reused connection closes", result: AttemptResult{Outcome: ReusedClosed}, fault: true},
-	{name: "no response", result: AttemptResult{Outcome: NoResponse}, delay: 300 * time.Millisecond, fault: true},
+	{name: "no response", result: AttemptResult{Outcome: NoResponse}, delay: 300 * time.Millisecond,
+		fault: true},
 	{name: "no connection allowed", result: AttemptResult{Outcome: ClientLimited}, fault: true},
 	{name: "idle connections closed", result: AttemptResult{Outcome: IdleClosed}, fault: true},
 }
 
-// How an attempt may end after a scheduler has read it. Those with "runs" let it run, unless it is a
-// duplicate.
+// endsAfterReceived lists the ways in which an attempt may end after a scheduler has received it. In the
+// events whose name starts with "runs", the job runs unless the scheduler drops it as a duplicate.
 var endsAfterReceived = []event{
 	{name: "runs, served", result: AttemptResult{Status: 200}},
 	{name: "runs, fails", result: AttemptResult{Status: 500}, fault: true},
@@ -101,12 +106,13 @@
 		fault: true},
 	{name: "runs, a reused connection closes", result: AttemptResult{Outcome: ReusedClosed}, fault: true},
 	{name: "runs, a malformed response", result: AttemptResult{Outcome: Malformed}, fault: true},
-	{name: "refused", result: AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 100 * time.Millisecond},
-		fault: true},
+	{name: "refused", result: AttemptResult{Status: 503, HasRetryAfter: true,
+		RetryAfter: 100 * time.Millisecond}, fault: true},
 	{name: "refused, closing", result: AttemptResult{Status: 503, ConnectionClose: true}, fault: true},
 	{name: "invalid", result: AttemptResult{Status: 400}, fault: true},
 }
 
+// events returns the events that may happen in the current state.
 func (m *clientModel) events() (all []event) {
 	add := func(e event) {
 		if !e.fault || m.faultsLeft > 0 {
@@ -192,7 +198,8 @@
 	return m
 }
 
-// run lets a job run at a scheduler, which drops a duplicate as the job's class promises.
+// run records that a scheduler received a job and runs it, unless the scheduler drops the job as a duplicate,
+// as the job's class promises.
 func (m *clientModel) run(state *jobState) {
 	at := state.step.Scheduler
 	class := m.cfg.Classes[state.class]
@@ -208,7 +215,8 @@
 	state.ranOnRack[at] = true
 }
 
-// recordStep records what the plan wants next, and what is invalid about it.
+// recordStep stores the next step of a job and checks that the step is valid. It records an invalid step as a
+// violation.
 func (m *clientModel) recordStep(state *jobState, s Step) {
 	state.step = s
 	switch {
@@ -216,16 +224,16 @@
 		state.attempts++
 		state.attemptStart = m.now
 		if !m.now.Before(state.deadline) {
-			state.violation = "an attempt starts past the deadline"
+			state.violation = "an attempt starts at or after the deadline"
 		}
 	case s.Verdict == Pending:
 		if !s.At.Before(state.deadline) || s.At.Before(m.now) {
-			state.violation = fmt.Sprint("it waits until ", s.At.Sub(start))
+			state.violation = fmt.Sprint("a wait ends in the past or at or after the deadline: ", s.At.Sub(start))
 		}
 	case (s.Verdict == Refused || s.Verdict == Expired) && state.runs > 0:
-		state.violation = fmt.Sprint("verdict ", s.Verdict, " though it ran")
+		state.violation = fmt.Sprint("verdict ", s.Verdict, " for a job that ran")
 	case s.Verdict == Served && state.runs == 0:
-		state.violation = "served though it never ran"
+		state.violation = "verdict served for a job that never ran"
 	}
 }
 
@@ -241,11 +249,11 @@
 		case state.violation != "":
 			return fmt.Errorf("job %d: %s", i, state.violation)
 		case state.runs > 1 && m.cfg.Classes[state.class].Effect != Safe:
-			return fmt.Errorf("job %d ran %d times", i, state.runs)
+			return fmt.Errorf("job %d ran %d times, want at most once", i, state.runs)
 		}
 	}
 	if m.plan.InFlight() != inFlight {
-		return fmt.Errorf("%d attempts are in flight, the plan counts %d", inFlight, m.plan.InFlight())
+		return fmt.Errorf("%d attempts are in flight, but the plan counts %d", inFlight, m.plan.InFlight())
 	}
 	return nil
 }
@@ -306,9 +314,9 @@
 	return b
 }
 
-// Every order of what may happen to one job, and to two at once with fewer faults: nothing runs twice that
-// must not, only what did not run is called refused, no attempt starts past its deadline, and nothing stays
-// in flight.
+// TestEveryOrder explores every order of events for one job with four faults and for two jobs with two
+// faults. Only jobs of the class safe may run twice, a job that ran must not end as refused or expired, no
+// attempt may start after the job's deadline, and the plan must count the attempts in flight correctly.
 func TestEveryOrder(t *testing.T) {
 	for class, name := range []string{"once", "rack", "anywhere", "safe"} {
 		one := newClientModel(class, 1)
@@ -317,24 +325,26 @@
 		for _, m := range []*clientModel{one, two} {
 			search := modelcheck.Exhaust(m, 3_000_000)
 			if search.Violation != nil || !search.Exhausted || search.States < 1000 {
-				t.Errorf("%s, %d jobs: %v, %v, by %q", name, len(m.jobs), search, search.Violation, search.Path)
+				t.Errorf("%s, %d jobs: explored %v, violation %v by events %q, want all states and no violation",
+					name, len(m.jobs), search, search.Violation, search.Path)
 			}
-			t.Logf("%s, %d jobs: %v", name, len(m.jobs), search)
+			t.Logf("%s, %d jobs: explored %v", name, len(m.jobs), search)
 		}
 	}
 }
 
-// A client that takes one outcome for another violates a property.
+// TestMisjudgedOutcomesAreFound checks that the model checker finds a violation if the client mistakes one
+// outcome of an attempt for another.
 func TestMisjudgedOutcomesAreFound(t *testing.T) {
 	for _, c := range []struct {
 		class             int
 		actual, misreadAs Outcome
 	}{
-		{onceClass, ReusedClosed, ConnectFailed}, // a reused connection that closed, taken for a refused one
+		{onceClass, ReusedClosed, ConnectFailed}, // a closed reused connection, misread as a refused connection
 		{onceClass, ReusedClosed, NotSent},
 		{onceClass, NoResponse, NotSent},
 		{rackClass, Malformed, ClientLimited},
-		{anywhereClass, NoResponse, NotSent}, // beyond its window
+		{anywhereClass, NoResponse, NotSent}, // the retry comes after the deduplication window
 	} {
 		m := newClientModel(c.class, 1)
 		m.cfg.Classes = slices.Clone(m.cfg.Classes)
@@ -347,9 +357,10 @@
 			return p
 		}
 		if search := modelcheck.Exhaust(m, 3_000_000); search.Violation == nil {
-			t.Errorf("class %d, %v taken for %v: not found, %v", c.class, c.actual, c.misreadAs, search)
+			t.Errorf("class %d, outcome %v misread as %v: got no violation, want one; explored %v",
+				c.class, c.actual, c.misreadAs, search)
 		} else {
-			t.Logf("%v, by %q", search.Violation, search.Path)
+			t.Logf("violation %v by events %q", search.Violation, search.Path)
 		}
 	}
 }
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// The class numbers of testConfig.
 const (
 	onceClass = iota
 	rackClass
@@ -16,6 +17,7 @@
 	safeClass
 )
 
+// testConfig returns a configuration with three schedulers and one class for each effect.
 func testConfig() Config {
 	return Config{Schedulers: 3, RetryBudget: 0.1, MaxTokens: 10, Backoff: 50 * time.Millisecond,
 		MaxBackoff:         time.Second,
@@ -24,6 +26,7 @@
 			{Effect: Anywhere, Window: time.Second, MaxAttempts: 3}, {Effect: Safe, MaxAttempts: 3}}}
 }
 
+// start is the time at which the tests begin.
 var start = time.Unix(1000, 0)
 
 func newPlan(t testing.TB, cfg Config) *Plan {
@@ -35,7 +38,8 @@
 	return p
 }
 
-// What the outcome of an attempt means for each class: another attempt, or which verdict.
+// TestAttemptOutcomes checks for each outcome of the first attempt and each class whether the plan retries
+// the job or which verdict it gives.
 func TestAttemptOutcomes(t *testing.T) {
 	retry := [4]Verdict{Pending, Pending, Pending, Pending}
 	for _, c := range []struct {
@@ -63,26 +67,27 @@
 			p := newPlan(t, testConfig())
 			j, s := p.Begin(start, class, start.Add(5*time.Second))
 			if s.Verdict != Pending || s.Retry || !s.At.Equal(start) {
-				t.Fatalf("the first attempt: %+v", s)
+				t.Fatalf("first attempt: got step %+v, want an attempt now that is not marked as a retry", s)
 			}
 			s = p.AttemptEnded(start.Add(time.Millisecond), start, j, c.result)
 			got[class] = s.Verdict
 			if inFlight := p.InFlight(); inFlight != 0 {
-				t.Errorf("%s: %d attempts are in flight after %v", c.name, inFlight, s.Verdict)
+				t.Errorf("%s: got %d attempts in flight after verdict %v, want 0", c.name, inFlight, s.Verdict)
 			}
 			if s.Verdict == Pending {
 				if s = p.Start(s.At, j); !s.StartNow || !s.Retry || p.InFlight() != 1 {
-					t.Errorf("%s: a retry is not marked, or not counted: %+v", c.name, s)
+					t.Errorf("%s: got step %+v, want one attempt in flight that is marked as a retry", c.name, s)
 				}
 			}
 		}
 		if diff := cmp.Diff(c.want, got); diff != "" {
-			t.Errorf("%s: %s", c.name, diff)
+			t.Errorf("%s: wrong verdicts by class (-want +got): %s", c.name, diff)
 		}
 	}
 }
 
-// A refusal after an attempt that may have run proves nothing about that one.
+// TestLaterRefusalProvesNothing checks that a job that may have run in its first attempt ends as unknown, not
+// as refused, if its second attempt is refused.
 func TestLaterRefusalProvesNothing(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[anywhereClass].MaxAttempts = 2
@@ -93,11 +98,12 @@
 		t.Fatal(s)
 	}
 	if s := p.AttemptEnded(start, start, j, AttemptResult{Status: 503}); s.Verdict != Unknown {
-		t.Errorf("got %+v, want Unknown", s)
+		t.Errorf("got step %+v, want verdict Unknown", s)
 	}
 }
 
-// Retry-After is a minimum, whatever it says; without one, waits are bounded and spread.
+// TestRetryTimes checks that a retry starts no earlier than the Retry-After, limited to MaxRetryAfter, and
+// that a bounded random delay follows, also without a Retry-After.
 func TestRetryTimes(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -126,18 +132,19 @@
 			s := p.AttemptEnded(start, start, j, c.result)
 			wait := s.At.Sub(start)
 			if s.Verdict != Pending || wait < c.minWait || wait > c.maxWait {
-				t.Fatalf("%s: %v after %v, want %v to %v", c.name, s.Verdict, wait, c.minWait, c.maxWait)
+				t.Fatalf("%s: got verdict %v after %v, want Pending after %v to %v",
+					c.name, s.Verdict, wait, c.minWait, c.maxWait)
 			}
 			seen[wait] = true
 		}
 		if len(seen) < 10 {
-			t.Errorf("%s: the waits are not spread: %v", c.name, seen)
+			t.Errorf("%s: got waits %v, want at least 10 different waits of 50", c.name, seen)
 		}
 	}
 }
 
-// Refusals may use up the budget: then a caller gets its refusal at once, with the time of the retry. Fresh
-// jobs earn the budget again.
+// TestBudget refuses every attempt of 1,000 jobs. The retry budget must allow one retry for every ten jobs. A
+// job without a retry must end as refused, with the time at which the caller may submit it again.
 func TestBudget(t *testing.T) {
 	p := newPlan(t, testConfig())
 	retries := 0
@@ -155,12 +162,12 @@
 		}
 	}
 	if retries < 100 || retries > 101 {
-		t.Errorf("1,000 refused jobs had %d retries, want a tenth and the first", retries)
+		t.Errorf("got %d retries of 1,000 refused jobs, want 100 or 101", retries)
 	}
 }
 
-// Clients with little load keep to one scheduler each, and all clients together spread over all schedulers;
-// one with much load uses all of them.
+// TestSchedulerSubsets checks that a client with one job at a time uses one scheduler, that 200 such clients
+// spread over all schedulers, and that a client with 120 concurrent jobs uses all schedulers.
 func TestSchedulerSubsets(t *testing.T) {
 	cfg := testConfig()
 	cfg.Schedulers = 6
@@ -174,7 +181,7 @@
 			p.AttemptEnded(start, start, j, AttemptResult{Status: 200})
 		}
 		if len(used) != 1 {
-			t.Fatalf("a client uses %d schedulers for one job at a time", len(used))
+			t.Fatalf("client with one job at a time: got %d schedulers in use, want 1", len(used))
 		}
 		for i := range used {
 			total[i]++
@@ -182,7 +189,7 @@
 	}
 	for i, n := range total {
 		if n < 15 || n > 55 {
-			t.Errorf("scheduler %d has %d of 200 clients, want about 33", i, n)
+			t.Errorf("scheduler %d: got %d of 200 clients, want 15 to 55", i, n)
 		}
 	}
 	p, _ := New(cfg, 1)
@@ -193,14 +200,15 @@
 	}
 	for i := range cfg.Schedulers {
 		if used[i] < 10 {
-			t.Errorf("120 jobs at once: %v", used)
+			t.Errorf("120 concurrent jobs: got jobs by scheduler %v, want at least 10 each", used)
 			break
 		}
 	}
 }
 
-// runFirstAttempts plays the first attempts of n jobs: those at scheduler i end as fail says, others are
-// served. It counts the attempts at i, which must be the one that the client prefers.
+// runFirstAttempts runs the first attempts of n jobs. Attempts at the given scheduler, which must be the one
+// that the client prefers, end with the result failure, and all other attempts are served. runFirstAttempts
+// returns the number of attempts at the given scheduler.
 func runFirstAttempts(p *Plan, at time.Time, n, scheduler int, failure AttemptResult) (attempts int) {
 	for range n {
 		j, s := p.Begin(at, safeClass, at.Add(time.Hour))
@@ -215,8 +223,9 @@
 	return attempts
 }
 
-// A scheduler that fails is ejected after some failures, at once if it refuses connections; a single
-// attempt then finds out whether it is back. A client that reaches its own limits proves nothing about it.
+// TestEjection checks that a scheduler is ejected after three attempts without a response, or after one
+// refused connection, and that a single probe follows after the ejection. An attempt that fails because of
+// the client's own limits must not eject a scheduler.
 func TestEjection(t *testing.T) {
 	for _, c := range []struct {
 		result AttemptResult
@@ -225,7 +234,8 @@
 		{AttemptResult{Outcome: Malformed}, 3}} {
 		p := newPlan(t, testConfig())
 		if got := runFirstAttempts(p, start, 100, p.preference[0], c.result); got != c.want || p.Available() != 2 {
-			t.Errorf("%+v: %d attempts before it was ejected, %d are available", c.result, got, p.Available())
+			t.Errorf("result %+v: got ejection after %d attempts and %d available schedulers, want 2 available",
+				c.result, got, p.Available())
 		}
 		later := start.Add(2 * time.Second)
 		probes := 0
@@ -237,42 +247,47 @@
 			}
 		}
 		if probes != 1 {
-			t.Errorf("%d probes at once", probes)
+			t.Errorf("got %d concurrent probes, want 1", probes)
 			continue
 		}
-		// A refusal is a response, and so the scheduler is healthy.
+		// A refusal is a response, so it ends the ejection.
 		if p.AttemptEnded(later, later, probe, AttemptResult{Status: 503}); p.Available() != 3 {
-			t.Error("it is still ejected")
+			t.Error("scheduler still ejected after a response to the probe, want it available")
 		}
 	}
-	// One that refuses and closes the connection is about to end: it is ejected at once, for a moment.
+	// A scheduler that refuses a job and closes the connection is about to shut down. It must be ejected at
+	// once.
 	p := newPlan(t, testConfig())
 	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
-		t.Errorf("%d jobs went to a scheduler that ends, %d are available", got, p.Available())
+		t.Errorf("scheduler that shuts down: got %d attempts, %d available schedulers, want 1 and 2",
+			got, p.Available())
 	}
 	p = newPlan(t, testConfig())
 	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Outcome: IdleClosed}); got != 1 || p.Available() != 2 {
-		t.Errorf("%d jobs went to one that closed its connections, %d are available", got, p.Available())
+		t.Errorf("scheduler closed its idle connections: got %d attempts, %d available schedulers, want 1 and 2",
+			got, p.Available())
 	}
-	for range 9 { // but never the last one
+	for range 9 { // closed idle connections must not eject the last available scheduler
 		for i := range p.schedulers {
 			p.recordOutcome(start, i, AttemptResult{Outcome: IdleClosed})
 		}
 	}
 	if p.Available() != 1 {
-		t.Errorf("%d are available after all closed connections, want 1", p.Available())
+		t.Errorf("got %d available schedulers after all closed their idle connections, want 1", p.Available())
 	}
 	p = newPlan(t, testConfig())
 	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
-		t.Errorf("by the client's own limits a scheduler was ejected after %d attempts", got)
+		t.Errorf("client's own limits: got an ejection or only %d attempts, want at least 10 and no ejection",
+			got)
 	}
 }
 
-// Where a scheduler refuses connections a job goes to another one at once: it was not submitted, so that
-// this is no retry, neither marked nor charged to the budget.
+// TestRefusedConnectionIsNoAttempt checks that a job goes to another scheduler at once if a scheduler refuses
+// the connection. The job was not submitted, so the next attempt must neither be marked as a retry nor use
+// the retry budget.
 func TestRefusedConnectionIsNoAttempt(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryBudget, cfg.MaxTokens = 0, 0
@@ -283,7 +298,8 @@
 	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	for n := range cfg.Schedulers {
 		if !s.StartNow || s.Retry || p.InFlight() != 1 {
-			t.Fatalf("scheduler %d: %+v, %d in flight", n, s, p.InFlight())
+			t.Fatalf("scheduler %d: got step %+v, %d attempts in flight, want one that is not marked as a retry",
+				n, s, p.InFlight())
 		}
 		if s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: ConnectFailed}); s.Verdict != Pending ||
 			!s.At.Equal(start) {
@@ -292,9 +308,9 @@
 		s = p.Start(start, j)
 	}
 	if !s.AllEjected || p.Available() != 0 {
-		t.Errorf("%+v, %d are available", s, p.Available())
+		t.Errorf("got step %+v, %d available schedulers, want AllEjected and 0", s, p.Available())
 	}
-	// An earlier attempt may have run: then a refused connection is no refusal.
+	// If the job may have run in an earlier attempt, a refused connection must not end it as refused.
 	p = newPlan(t, testConfig())
 	j, _ = p.Begin(start, safeClass, start.Add(time.Second))
 	s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: NoResponse})
@@ -304,12 +320,13 @@
 		}
 	}
 	if s.Verdict != Unknown {
-		t.Errorf("%+v, want Unknown", s)
+		t.Errorf("got step %+v, want verdict Unknown after refused connections", s)
 	}
 }
 
-// At most half are ejected for missing responses; all may be for refused connections. Then jobs wait for
-// one to be back, or are refused at once if that is too late for them.
+// TestEjectionFloor checks that missing responses eject at most half of the schedulers and that refused
+// connections may eject all of them. If all are ejected, a job must wait until one may be available, or end
+// as refused at once if its deadline is earlier.
 func TestEjectionFloor(t *testing.T) {
 	p := newPlan(t, testConfig())
 	for i := range p.schedulers {
@@ -318,25 +335,25 @@
 		}
 	}
 	if n := p.Available(); n != 2 {
-		t.Errorf("%d of 3 are available, want at least half", n)
+		t.Errorf("missing responses: got %d of 3 schedulers available, want 2", n)
 	}
 	for i := range p.schedulers {
 		p.recordOutcome(start, i, AttemptResult{Outcome: ConnectFailed})
 	}
 	if n := p.Available(); n != 0 {
-		t.Errorf("%d are available where all refuse connections", n)
+		t.Errorf("all schedulers refuse connections: got %d available, want 0", n)
 	}
 	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	if s.Verdict != Pending || s.StartNow || !s.AllEjected || s.At.Before(start.Add(400*time.Millisecond)) {
-		t.Fatalf("%+v, want to wait", s)
+		t.Fatalf("got step %+v, want a wait of at least 400 ms with AllEjected", s)
 	}
 	if s = p.Start(s.At, j); !s.StartNow {
-		t.Errorf("no probe after the wait: %+v", s)
+		t.Errorf("got step %+v after the wait, want a probe now", s)
 	}
 	if _, s = p.Begin(start, onceClass, start.Add(100*time.Millisecond)); s.Verdict != Refused || s.At.IsZero() {
-		t.Errorf("%+v, want to be refused at once, with a time", s)
+		t.Errorf("got step %+v, want verdict Refused with a time", s)
 	}
-	// The ejections are spread, as all clients lose a scheduler at once.
+	// All clients lose a failed scheduler at the same moment, so the ends of their ejections must be spread.
 	seen := map[time.Time]bool{}
 	for seed := range uint64(50) {
 		p, _ := New(testConfig(), seed)
@@ -344,30 +361,32 @@
 		seen[p.schedulers[0].ejectedUntil.Truncate(50*time.Millisecond)] = true
 	}
 	if len(seen) < 10 {
-		t.Errorf("50 clients return in %d slots of 50 ms", len(seen))
+		t.Errorf("got ejections of 50 clients that end in %d intervals of 50 ms, want at least 10", len(seen))
 	}
 }
 
-// A scheduler that refuses everything at once looks idle: it must not attract the jobs.
+// TestSchedulerThatRefusesAll checks that a scheduler that refuses all jobs at once does not attract most
+// jobs, although it has few attempts in flight, and that a retry goes to another scheduler.
 func TestSchedulerThatRefusesAll(t *testing.T) {
 	p := newPlan(t, testConfig())
 	refusal := AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: time.Second}
 	if got := runFirstAttempts(p, start, 1000, p.preference[0], refusal); got > 200 {
-		t.Errorf("%d of 1,000 jobs went to it", got)
+		t.Errorf("got %d of 1,000 jobs at the scheduler that refuses all, want at most 200", got)
 	}
-	// And a retry goes to another one.
+	// A retry must go to another scheduler.
 	for range 50 {
 		j, s := p.Begin(start, safeClass, start.Add(time.Hour))
 		previous := s.Scheduler
 		if s = p.AttemptEnded(start, start, j, AttemptResult{Status: 503}); s.Verdict == Pending {
 			if s = p.Start(s.At, j); s.Scheduler == previous {
-				t.Error("a retry goes to the scheduler that refused")
+				t.Error("retry went to the scheduler that refused the job, want another scheduler")
 			}
 			p.Cancel(j)
 		}
 	}
 }
 
+// TestInvalidSettings checks that New rejects an invalid configuration with the name of the field.
 func TestInvalidSettings(t *testing.T) {
 	for want, invalidate := range map[string]func(*Config){
 		"schedulers":        func(c *Config) { c.Schedulers = 0 },
@@ -383,14 +402,15 @@
 		cfg := testConfig()
 		invalidate(&cfg)
 		if _, err := New(cfg, 1); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("got %v, want %s", err, want)
+			t.Errorf("got error %v, want an error that starts with %s", err, want)
 		}
 	}
 }
 
-// Whatever happens: no attempt starts at or past the deadline, none beyond the class's number, nothing that
-// may have run is repeated unless its class allows it, retries keep to the budget, and nothing stays in
-// flight.
+// TestProperties runs random sequences of events. No attempt may start at or after the job's deadline or
+// exceed the class's maximum number of attempts, a job that may have run may be repeated only if its class
+// allows it, the retries must stay within the budget, and the plan must count the attempts in flight
+// correctly.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
@@ -412,9 +432,9 @@
 		recordStep := func(tracked *trackedJob, s Step) bool {
 			for s.Verdict == Pending && !s.StartNow {
 				if s.At.Before(now) {
-					t.Fatal("a wait ends in the past")
+					t.Fatal("got a wait that ends in the past, want it to end now or later")
 				}
-				s = p.Start(s.At, tracked.job) // whatever happens meanwhile to others
+				s = p.Start(s.At, tracked.job) // events of other jobs are not played during the wait
 			}
 			if s.Verdict != Pending {
 				return false
@@ -424,19 +444,20 @@
 			class := cfg.Classes[tracked.class]
 			switch {
 			case !s.At.Before(tracked.deadline):
-				t.Fatalf("an attempt starts %v past its deadline", s.At.Sub(tracked.deadline))
+				t.Fatalf("got an attempt that starts %v after the deadline, want it to start before",
+					s.At.Sub(tracked.deadline))
 			case s.At.Before(now):
-				t.Fatal("an attempt starts in the past")
+				t.Fatal("got an attempt that starts in the past, want it to start now or later")
 			case tracked.attempts > class.MaxAttempts:
-				t.Fatalf("attempt %d", tracked.attempts)
+				t.Fatalf("got attempt %d, want no more attempts than the class allows", tracked.attempts)
 			case s.Retry != (tracked.attempts > 1):
-				t.Fatal("a retry is not marked as one")
+				t.Fatal("step is wrongly marked or not marked as a retry")
 			case s.Scheduler < 0 || s.Scheduler >= cfg.Schedulers:
-				t.Fatalf("scheduler %d", s.Scheduler)
+				t.Fatalf("got scheduler %d, want an index of a configured scheduler", s.Scheduler)
 			}
 			if !tracked.firstMayHaveRun.IsZero() && (class.Effect <= Rack || class.Effect == Anywhere &&
 				s.At.Sub(tracked.firstMayHaveRun) >= class.Window) {
-				t.Fatalf("a job of effect %d that may have run is repeated", class.Effect)
+				t.Fatalf("got another attempt of a job of effect %d that may have run, want none", class.Effect)
 			}
 			if tracked.attempts > 1 {
 				retries++
@@ -475,7 +496,7 @@
 				}
 				s := p.AttemptEnded(now, tracked.attemptStart, tracked.job, r)
 				if s.Verdict == Refused && !tracked.firstMayHaveRun.IsZero() {
-					t.Fatal("called refused though it may have run")
+					t.Fatal("got verdict Refused for a job that may have run, want Unknown")
 				}
 				if !recordStep(tracked, s) {
 					inFlight = append(inFlight[:n:n], inFlight[n+1:]...)
@@ -483,14 +504,15 @@
 			}
 		}
 		if limit := 1 + cfg.RetryBudget*float64(newJobs); float64(retries) > limit {
-			t.Fatalf("%d retries of %d jobs, at most %v", retries, newJobs, limit)
+			t.Fatalf("got %d retries of %d jobs, want at most %v", retries, newJobs, limit)
 		}
 		if p.InFlight() != len(inFlight) {
-			t.Fatalf("%d attempts are in flight, the plan counts %d", len(inFlight), p.InFlight())
+			t.Fatalf("%d attempts are in flight, but the plan counts %d", len(inFlight), p.InFlight())
 		}
 	})
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/client/prom/example_test.go
+++ b/client/prom/example_test.go
@@ -10,7 +10,7 @@
 	"dahliaford/client/prom"
 )
 
-// A client whose counters are registered with Prometheus.
+// This example creates a client whose metrics are registered with Prometheus.
 func ExampleNew() {
 	observer, err := prom.New(prometheus.NewRegistry())
 	if err != nil {
--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -16,8 +16,8 @@
 	"dahliaford/client/prom"
 )
 
-// What a client does shows in its counters: a refusal, a result, and one job whose scheduler refused the
-// connection.
+// TestCounts checks the metrics after three jobs: a scheduler refuses the first, serves the second, and
+// another scheduler refuses the connection for the third.
 func TestCounts(t *testing.T) {
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if _, err := prom.New(registry); err == nil {
-		t.Error("two observers were registered at one place")
+		t.Error("a second observer was registered with the same registry, want an error")
 	}
 	do := func(addr string, want string) {
 		c, err := client.New(client.Config{Schedulers: []string{addr}, Observer: o, RetryBudget: -1,
@@ -43,7 +43,7 @@
 		}
 		defer c.Close()
 		if _, err = c.Do(t.Context(), client.Job{Class: "a"}); client.Verdict(err) != want {
-			t.Fatalf("%v, want %s", err, want)
+			t.Fatalf("got error %v, want verdict %s", err, want)
 		}
 	}
 	do(addr, "refused")
@@ -78,6 +78,6 @@
 		t.Error(err)
 	}
 	if n, err := testutil.GatherAndCount(registry, "client_job_seconds"); err != nil || n != 2 {
-		t.Errorf("%d histograms of client_job_seconds, %v, want one for each verdict", n, err)
+		t.Errorf("got %d histograms of client_job_seconds, error %v, want 2: one for each verdict", n, err)
 	}
 }
