--- a/client/attempt.go
+++ b/client/attempt.go
@@ -200,7 +200,7 @@
 // number.
 func parseRetryAfter(text string) (time.Duration, bool) {
 	seconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(seconds >= 0) { // the negated condition also rejects NaN
+	if err != nil || !(seconds >= 0) { // the negation also rejects NaN
 		return 0, false
 	}
 	if seconds > plan.MaxRetryAfter.Seconds() {
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -172,9 +172,9 @@
 	}
 }
 
-// TestRestarts restarts schedulers under load: it stops one scheduler with a drain, then kills the other one,
-// then kills both at once. Jobs must wait for the restarted schedulers instead of failing, and no job may run
-// twice.
+// TestRestarts restarts schedulers under load: it shuts one scheduler down gracefully, then kills the other
+// one, then kills both at once. Each scheduler is back within 2 s. Jobs must wait for the restarted
+// schedulers instead of failing, and no job may run twice.
 func TestRestarts(t *testing.T) {
 	f := startFleet(t, 2)
 	c, err := New(Config{Schedulers: f.Schedulers(), Tenant: "sahel", Classes: map[string]Class{
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -83,10 +83,12 @@
 // StartNow is not set, the caller waits until At and calls Start. If AllEjected is set, the caller may call
 // Start earlier, once Plan.Available is no longer zero.
 type Step struct {
-	Verdict    Verdict
-	StartNow   bool
-	Scheduler  int  // index of the scheduler that receives the attempt
-	Retry      bool // an earlier attempt of the job was submitted to a scheduler
+	Verdict   Verdict
+	StartNow  bool
+	Scheduler int  // index of the scheduler that receives the attempt
+	Retry     bool // an earlier attempt of the job was submitted to a scheduler
+	// At is the time at which an attempt starts, at which to call Start, or, with the verdict Refused, at which
+	// the caller may submit the job again.
 	At         time.Time
 	AllEjected bool // all schedulers are ejected or being probed
 }
@@ -138,7 +140,7 @@
 		return errors.New("schedulers: none configured")
 	case len(cfg.Classes) == 0:
 		return errors.New("classes: none configured")
-	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1): // the negated condition also rejects NaN
+	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1): // the negation also rejects NaN
 		return fmt.Errorf("budget: got %v, must be between 0 and 1", cfg.RetryBudget)
 	case !(cfg.MaxTokens >= 0):
 		return fmt.Errorf("max tokens: got %v, must not be negative", cfg.MaxTokens)
--- a/client/internal/plan/schedulers.go
+++ b/client/internal/plan/schedulers.go
@@ -19,18 +19,19 @@
 const (
 	// refusalRateSmoothing is the weight of the newest response in the moving average refusalRate.
 	refusalRateSmoothing = 0.2
-	// refusalLoadWeight is the factor by which refusalRate raises the estimated load of a scheduler. A
-	// scheduler that refuses all jobs answers quickly and has few attempts in flight; without this factor it
-	// would look idle and attract all jobs. If all schedulers refuse the same fraction of jobs, the factor does
-	// not change the choice among them.
+	// refusalLoadWeight raises the estimated load of a scheduler that refuses jobs: a refusal rate of 1
+	// multiplies the load by 1 + refusalLoadWeight. A scheduler that refuses all jobs answers quickly and has
+	// few attempts in flight; without the weight it would look idle and attract all jobs. If all schedulers
+	// refuse the same fraction of jobs, the weight does not change the choice among them.
 	refusalLoadWeight = 8
 	// maxPreferredLoad is the estimated load, in attempts, above which the client also considers schedulers
 	// further down in its order of preference. Below this load, the client uses only the first available
 	// schedulers of that order: connections are reused only if jobs go to the same schedulers, and a scheduler
 	// has too few sockets for a connection from every client.
 	maxPreferredLoad = 4
-	// recheckSpreadDivisor sets how far the jobs that wait for a scheduler are spread when they start again:
-	// over the base ejection duration divided by recheckSpreadDivisor.
+	// recheckSpreadDivisor determines the random delay of jobs that wait until an ejection ends: the delay is
+	// at most the base ejection duration divided by recheckSpreadDivisor. It keeps the jobs from starting at the
+	// same moment.
 	recheckSpreadDivisor = 4
 )
 
@@ -109,11 +110,11 @@
 			return
 		}
 		if s.available() && !p.mayEjectAnother() {
-			return // more than half of the schedulers would be ejected: a common cause is more likely
+			return // more than half would be ejected: the evidence is doubtful, and few alternatives remain
 		}
 	}
 	if now.Before(s.ejectedUntil) {
-		return // the attempt was in flight when the scheduler was ejected and reports the same failure
+		return // attempts that were in flight at the ejection report the same failure again
 	}
 	p.eject(now, s)
 }
@@ -147,7 +148,7 @@
 			if number != last {
 				candidates = append(candidates, number)
 			}
-		// The ejection time has passed, and no available scheduler comes before this one: probe the scheduler.
+		// The ejection time has passed, and no available scheduler is preferred to this one: probe the scheduler.
 		case !now.Before(s.ejectedUntil) && !s.probing && len(candidates) == 0:
 			s.probing = true
 			return number, now
