--- a/client/errors.go
+++ b/client/errors.go
@@ -9,7 +9,9 @@
 // RefusedError reports that a job did not run, so that the caller may submit the job again.
 type RefusedError struct {
 	RetryAfter time.Time // earliest time at which the caller should submit the job again
-	Cause      error     // reason why the client could not send the job; nil if a scheduler refused the job
+	// Cause is the reason why the client could not send the job. Cause is nil if a scheduler refused the job, or
+	// if all schedulers were ejected before the first attempt and none became available in time.
+	Cause error
 }
 
 // Error implements error.
@@ -17,7 +19,7 @@
 	if e.Cause != nil {
 		return "client: job not sent: " + e.Cause.Error()
 	}
-	return "client: job refused by a scheduler"
+	return "client: job refused"
 }
 
 // Unwrap returns the cause; it may be nil.
