--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -192,8 +192,8 @@
 }
 
 func (w *worker) loadReport() dispatch.Report {
-	return dispatch.Report{FreeKnown: true, Free: w.kind.slots - w.usedSlots, Outstanding: float64(len(w.attempts)),
-		Errors: w.recentErrors()}
+	return dispatch.Report{FreeKnown: true, Free: w.kind.slots - w.usedSlots,
+		Outstanding: float64(len(w.attempts)), Errors: w.recentErrors()}
 }
 
 // sendCallback sends a callback to the attempt's scheduler. One that a cut holds up for longer than the
