--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -6,26 +6,51 @@
 	"strconv"
 )
 
-// Admission: quotas, the gate, and conditions (4) and (6) of the paper, which decide how much it gaps.
+// Admission: which arriving jobs are queued and which are rejected.
+//
+// Admission follows a published overload control. It gives each flow (the jobs of one tenant and class) a
+// guaranteed rate and tests two conditions, which worstConditionRatio computes:
+//
+//   - deadline feasibility of a class, condition (4) of the publication: the jobs that have to start within
+//     the class's wait target T_k can start within it, including the guaranteed jobs of classes with shorter
+//     wait targets that have yet to arrive;
+//   - deadline feasibility of a pair of classes, condition (6): the jobs that have to start in the window of
+//     length T_k that ends at the longer wait target T_i can start within that window.
+//
+// If a condition fails, or holds without the margin f, call gapping by rank limits the flows to their
+// guaranteed rates: ranks (class, within or beyond the quota) with the least value for each unit of work come
+// first. The symbols of the publication are x (serviceTimePerJob), d (flow.rate), f (conditionMargin), T_k
+// (classState.waitTarget), N(t) (queuedWithin) and X (gappingStepInterval).
 
 const (
-	conditionMargin        = 0.9  // f of the paper: the margin on the right side of (4) and (6)
-	levelChangeAssessments = 5    // consecutive overload assessments before the level changes (the paper's)
-	quotaBurstSeconds      = 2.0  // how much of its quota a tenant may save up, in seconds
-	minQuotaBurst          = 2.0  // it may save up so many jobs: many dispatchers split a small quota too fine
-	classMixDecay          = 0.96 // what a second leaves of the counts for the class mix
+	// conditionMargin is the fraction of the right side of both conditions, deadline feasibility of a class and
+	// of a pair of classes, that the left side may reach in normal load.
+	conditionMargin = 0.9
+
+	// levelChangeAssessments is the number of consecutive overload assessments with the same result after which
+	// the overload level changes. The value is that of the publication.
+	levelChangeAssessments = 5
+
+	quotaBurstSeconds = 2.0 // seconds of its quota that a tenant may save up
+
+	// minQuotaBurst is the least number of jobs that a tenant may save up. Each dispatcher has only its part of
+	// the quota, and quotaBurstSeconds of a small part could be less than a whole job.
+	minQuotaBurst = 2.0
+
+	// classMixDecay is the factor by which each second multiplies the counts of arrivals by class.
+	classMixDecay = 0.96
 )
 
-// overloadLevel is how conditions (4) and (6) stand, and what the gate does about it.
+// overloadLevel says how far the feasibility conditions of classes and of pairs of classes hold.
 type overloadLevel int
 
 const (
-	levelNormal   overloadLevel = iota // both hold with the margin: gapping is lifted rank by rank
-	levelOverload                      // both hold, but not with the margin: rank by rank is gapped
-	levelSevere                        // one fails: all ranks are gapped
+	levelNormal   overloadLevel = iota // both conditions hold with the margin: gapping is lifted rank by rank
+	levelOverload                      // both conditions hold, but not with the margin: rank by rank is gapped
+	levelSevere                        // at least one condition fails: all ranks are gapped
 )
 
-// onJobArrived queues a job and decides whether it passes the gate.
+// onJobArrived queues an arriving job and gives it its final answer at once if admits rejects it.
 func (d *Dispatcher) onJobArrived(e *Event) {
 	if _, known := d.jobs[e.Job]; known {
 		return
@@ -39,7 +64,8 @@
 		j.tenant = 0
 	}
 	c, st := &d.settings.Classes[j.class], &d.classes[j.class]
-	clientTimeout := min(max(e.ClientTimeout, 0), c.Deadline) // none left is legal: answered at once
+	// A client timeout of 0 is legal: the job is answered at once.
+	clientTimeout := min(max(e.ClientTimeout, 0), c.Deadline)
 	j.deadline = d.now + clientTimeout
 	j.work = float64(e.Work)
 	if j.hinted = e.Work > 0; j.hinted {
@@ -63,8 +89,8 @@
 	}
 }
 
-// exceedsQuota reports whether a tenant is over its quota, and takes a token of it for a first attempt.
-// Retries take none.
+// exceedsQuota reports whether an arriving job is beyond its tenant's quota. A job within the quota takes one
+// token from it, unless the job is a retry by the client.
 func (d *Dispatcher) exceedsQuota(tenant int, retried bool) bool {
 	q := d.quotaShare(tenant)
 	if q == 0 {
@@ -82,7 +108,7 @@
 	return false
 }
 
-// value is what a timely answer earns.
+// value returns the weight that an answer within the objective earns.
 func (d *Dispatcher) value(j *job) float64 {
 	v := d.settings.Classes[j.class].PriorityWeight
 	if d.settings.WeightByWork {
@@ -94,8 +120,9 @@
 	return v
 }
 
-// admits is the gate: call gapping on the ranks that advanceGapping has reached. An interval passes its
-// first job.
+// admits reports whether an arriving job is admitted. Ranks that advanceGapping has not reached are admitted
+// without limit. In a gapped rank call gapping applies: time is divided into gapping intervals whose length
+// is the inverse of the flow's guaranteed rate, and the first job of the flow in each interval is admitted.
 func (d *Dispatcher) admits(j *job) bool {
 	d.advanceGapping()
 	over := 0
@@ -116,10 +143,11 @@
 	return false
 }
 
-// advanceGapping moves the gate: overload gaps one rank more every step, severe overload all, and
-// normal load lifts one every step, highest first.
+// advanceGapping changes the number of gapped ranks by one for each gappingStepInterval that has passed:
+// under overload the next higher rank is gapped as well, in normal load the highest gapped rank is released.
+// setOverloadLevel gaps all ranks at once under severe overload.
 func (d *Dispatcher) advanceGapping() {
-	for x := d.gappingStepInterval; d.now >= d.gappingSteppedAt+x; {
+	for step := d.gappingStepInterval; d.now >= d.gappingSteppedAt+step; {
 		switch {
 		case d.level == levelOverload && d.gappedRanks < d.rankCount:
 			d.gappedRanks++
@@ -129,12 +157,12 @@
 			d.gappingSteppedAt = d.now
 			return
 		}
-		d.gappingSteppedAt += x
+		d.gappingSteppedAt += step
 	}
 }
 
-// updateOverloadLevel tests (4) and (6) at an arrival or a departure and changes the level after enough
-// assessments in a row.
+// updateOverloadLevel makes an overload assessment when a job arrives or an attempt ends, and changes the
+// overload level after levelChangeAssessments consecutive assessments that call for another level.
 func (d *Dispatcher) updateOverloadLevel() {
 	if d.now-d.parametersRefreshedAt >= second {
 		d.refreshAdmissionParameters()
@@ -158,18 +186,21 @@
 	}
 }
 
+// setOverloadLevel changes the overload level. Overload gaps at least the lowest rank from now on, severe
+// overload all ranks.
 func (d *Dispatcher) setOverloadLevel(level overloadLevel) {
 	switch level {
 	case levelOverload:
 		d.gappedRanks = max(d.gappedRanks, 1)
 	case levelSevere:
 		d.gappedRanks = d.rankCount
-		d.log("severe overload: all tenants gapped, held " + strconv.Itoa(len(d.queue)))
+		d.log("severe overload: call gapping limits all tenants, queued jobs: " + strconv.Itoa(len(d.queue)))
 	}
 	d.level, d.gappingSteppedAt = level, d.now
 }
 
-// overloadAssessment is the level that (4) and (6) call for now.
+// overloadAssessment returns the level that deadline feasibility of the classes and of the pairs of classes
+// calls for now.
 func (d *Dispatcher) overloadAssessment() overloadLevel {
 	if len(d.queue) == 0 {
 		return levelNormal
@@ -184,49 +215,61 @@
 	return levelSevere
 }
 
-// worstConditionRatio is the largest left side of (4) and (6) over its right side, with x the time per slot.
-func (d *Dispatcher) worstConditionRatio(x float64) float64 {
+// worstConditionRatio returns the largest ratio of left to right side among the deadline feasibility
+// conditions of all classes and all pairs of classes. A ratio of 1 or more means that a condition fails. The
+// left side is the time that the jobs of the condition need, the right side the wait target T_k that is
+// available for them.
+//
+// For a class, these jobs are the queued jobs whose latest start is within T_k, and the guaranteed jobs of
+// classes with shorter wait targets that have yet to arrive and must start within T_k. For a pair of classes,
+// they are those guaranteed jobs, the queued jobs whose latest start is in the last T_k of the longer wait
+// target T_i, and the guaranteed jobs that will have to start in that window.
+func (d *Dispatcher) worstConditionRatio(serviceTime float64) float64 {
 	worst := 0.0
-	for a, k := range d.classesByWaitTarget {
+	for tighter, k := range d.classesByWaitTarget {
 		tk := d.classes[k].waitTarget
-		before := d.tighterClassArrivals(a, tk)
-		worst = max(worst, (float64(d.queuedWithin(tk))+before)*x/float64(tk))
-		for b := a + 1; b < len(d.classesByWaitTarget); b++ {
-			ti := d.classes[d.classesByWaitTarget[b]].waitTarget
+		arrivals := d.tighterClassArrivals(tighter, tk)
+		worst = max(worst, (float64(d.queuedWithin(tk))+arrivals)*serviceTime/float64(tk))
+		for looser := tighter + 1; looser < len(d.classesByWaitTarget); looser++ {
+			ti := d.classes[d.classesByWaitTarget[looser]].waitTarget
 			n := float64(d.queuedWithin(ti) - d.queuedWithin(ti-tk))
-			for c := 0; c < b; c++ {
+			for c := 0; c < looser; c++ {
 				st := &d.classes[d.classesByWaitTarget[c]]
-				if c < a {
+				if c < tighter {
 					n += st.guaranteedRate * float64(st.waitTarget)
 				} else {
 					n += st.guaranteedRate * float64(min(tk, ti-st.waitTarget))
 				}
 			}
-			worst = max(worst, (n+before)*x/float64(tk))
+			worst = max(worst, (n+arrivals)*serviceTime/float64(tk))
 		}
 	}
 	return worst
 }
 
-// tighterClassArrivals is (4)'s second term: guaranteed jobs of tighter classes yet to come.
-func (d *Dispatcher) tighterClassArrivals(a int, tk Micros) float64 {
+// tighterClassArrivals returns a term of both feasibility conditions: the number of guaranteed jobs that have
+// yet to arrive and must start within the wait target tk of a class. It counts the classes with shorter wait
+// targets; position is that of the class in classesByWaitTarget.
+func (d *Dispatcher) tighterClassArrivals(position int, tk Micros) float64 {
 	n := 0.0
-	for _, k := range d.classesByWaitTarget[:a] {
+	for _, k := range d.classesByWaitTarget[:position] {
 		n += d.classes[k].guaranteedRate * float64(tk-d.classes[k].waitTarget)
 	}
 	return n
 }
 
-// serviceTimePerJob is the paper's x: the time in which this dispatcher's slots clear one job, as
-// exactly as overloadAssessment needs it. With fewer slots it is longer, so none are counted past those that
-// pass.
+// serviceTimePerJob returns the mean time between two jobs that this dispatcher's slots finish, in
+// microseconds (x of the publication). It falls with the number of slots. Counting of slots ends once those
+// counted suffice for all feasibility conditions with the margin, as more slots would not change the
+// assessment.
 func (d *Dispatcher) serviceTimePerJob() float64 {
-	x := func(slots float64) float64 { return d.slotTimes.value / max(1, slots) }
-	pass := func(slots float64) bool { return d.worstConditionRatio(x(slots)) < conditionMargin }
-	return x(d.usableSlots(anyZone, pass))
+	serviceTime := func(slots float64) float64 { return d.slotTimes.value / max(1, slots) }
+	enough := func(slots float64) bool { return d.worstConditionRatio(serviceTime(slots)) < conditionMargin }
+	return serviceTime(d.usableSlots(anyZone, enough))
 }
 
-// refreshAdmissionParameters computes what changes slowly: T_k, ranks and guaranteed rates.
+// refreshAdmissionParameters computes the parameters of admission that change slowly: wait targets, ranks and
+// guaranteed rates. It runs at most once a second.
 func (d *Dispatcher) refreshAdmissionParameters() {
 	d.parametersRefreshedAt = d.now
 	d.parameterRefreshes++
@@ -256,7 +299,8 @@
 	}
 }
 
-// rankClasses orders (class, within or over quota) by value per unit of work: utility (2) of the paper.
+// rankClasses gives each class, within and beyond the quota, a rank by its utility: the value for each unit
+// of work, (2) of the publication. Rank 0 has the least utility and is gapped first.
 func (d *Dispatcher) rankClasses() {
 	utility := make([]float64, len(d.ranks))
 	for k := range d.classes {
@@ -276,10 +320,12 @@
 	d.rankCount = len(distinct)
 }
 
-// setGuaranteedRates sets the paper's d for each flow: its quota by the class mix, cut from the lowest rank
-// up until the fleet can carry the sum, (1) of the paper.
+// setGuaranteedRates sets the guaranteed rate of each flow within its tenant's quota. A flow's full rate is
+// the share of the quota that the class has in the arrivals. Ranks are served in descending order until the
+// capacity of the fleet is spent, so that the sum of guaranteed rates does not exceed it, (1) of the
+// publication, and lower ranks get less or nothing.
 func (d *Dispatcher) setGuaranteedRates(arrivals float64) {
-	capacity := 0.0 // slot-seconds a second that this dispatcher's part of the fleet gives
+	capacity := 0.0 // slot-seconds per second that this dispatcher's share of the fleet provides
 	for _, w := range d.subset {
 		capacity += max(1, d.kindOf(w).maxBusySlots)
 	}
@@ -288,18 +334,18 @@
 	for k := range d.classes {
 		d.classes[k].guaranteedRate = 0
 	}
-	spend := func(t, k int, rate float64) {
+	guarantee := func(t, k int, rate float64) {
 		cost := d.classes[k].meanWork(float64(d.settings.Classes[k].LatencyObjective)) / d.fleetSpeed() / second
 		rate = min(rate, capacity/cost)
 		capacity -= rate * cost
 		d.flows[(t*nc+k)*2].rate += rate
 		d.classes[k].guaranteedRate += rate / second
 	}
-	full := func(t, k int) float64 {
+	fullRate := func(t, k int) float64 {
 		if t < len(d.settings.Tenants) && d.settings.Tenants[t].Quota > 0 {
 			return d.quotaShare(t) * d.classes[k].arrivals / arrivals
 		}
-		return capacity // no quota: what the fleet can carry
+		return capacity // a tenant without a quota may use all capacity that is left
 	}
 	for i := range d.flows {
 		d.flows[i].rate = 0
@@ -310,11 +356,12 @@
 				continue
 			}
 			for t := range d.quotaTokens {
-				spend(t, k, full(t, k))
+				guarantee(t, k, fullRate(t, k))
 			}
 		}
 	}
-	// (4) and (6) count no more than arrives: what nobody sends takes no capacity.
+	// The feasibility conditions count at most the measured arrival rate of each class: guaranteed jobs that
+	// nobody sends take no capacity.
 	seconds := (1 - math.Pow(classMixDecay, float64(d.parameterRefreshes))) / (1 - classMixDecay)
 	for k := range d.classes {
 		st := &d.classes[k]
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -1,126 +1,136 @@
-// Package dispatch decides for a dispatcher that pushes jobs to workers: which
-// job leaves next, to which worker, what is refused and what is tried again.
+// Package dispatch makes the decisions of a dispatcher that pushes jobs to workers: which job is sent next
+// and to which worker, which job is refused, and which attempt is retried.
 //
-// The package holds no clock, no network and no goroutines. Feed a Dispatcher
-// one Event at a time and carry out the actions that it appends.
+// The package uses no clock, no network and no goroutines. The caller feeds a Dispatcher one Event at a time
+// and carries out the actions that Step appends.
 //
-// It queues jobs by latest start, tests conditions (4) and (6) of a paper on overload control, gaps
-// tenants when they fail and releases jobs to workers with free slots. docs/design.md says what departs
-// from the paper, when and why. The files that hold decisions are listed under policy in
-// deploy/balancer.toml; state.go and records.go have the state, the estimate files what decisions rest on.
+// A Dispatcher queues jobs by latest start and sends them to workers with free slots. A published overload
+// control decides about admission: when the queued jobs would not all start in time (see
+// worstConditionRatio), call gapping rejects a part of the new jobs, lowest rank first. docs/design.md says
+// where and why the package departs from the publication.
+//
+// The files that hold decisions are listed under policy in deploy/balancer.toml. state.go and records.go
+// define the state, and the estimate files compute the estimates on which decisions rest.
 package dispatch
 
-// Micros is a time or a span in microseconds. Times count from an arbitrary
-// start and never run backwards.
+// Micros is a point in time or a duration, in microseconds. Points in time count from an arbitrary start and
+// never decrease.
 type Micros int64
 
-// JobID identifies a job. Nothing is read from its value.
+// JobID identifies a job. Its value has no meaning.
 type JobID uint64
 
-// WorkerID identifies a worker. Dispatchers compute the worker's owner in slow start from its value.
+// WorkerID identifies a worker. From its value each dispatcher computes which dispatcher may send to the
+// worker while it is in slow start.
 type WorkerID uint32
 
-// Effect says what a class allows once an attempt may have run.
+// Effect says whether a job may be attempted again once an attempt may have run.
 type Effect uint8
 
-// The effects a class can have.
+// The values of Effect.
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // a repeat is dropped by the workers of the same group
-	Unsafe               // must never run twice
+	Safe   Effect = iota // the job may run any number of times
+	Keyed                // the job has an idempotency key: workers of one deduplication group drop repeats
+	Unsafe               // the job must never run twice
 )
 
-// DedupScope is the set of workers that drop repeats of a keyed job.
+// DedupScope says which workers form a deduplication group: each worker of a group drops a keyed job that
+// another worker of the group has received within the deduplication window.
 type DedupScope uint8
 
-// The groups of a keyed class.
+// The values of DedupScope.
 const (
-	ScopeAll DedupScope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  DedupScope = iota // all workers form one group
+	ScopeZone                   // the workers of each zone form a group
+	ScopeCell                   // the workers of each cell form a group
 )
 
 // Class describes one class of jobs.
 type Class struct {
-	LatencyObjective Micros  // an answer within this earns the full weight
-	ObjectiveStretch float64 // the objective grows by this multiple of the job's own work
-	Deadline         Micros  // the client's total wait, over all its tries
-	PriorityWeight   float64 // weight of a job, or of a unit of its work
-	LateWeight       float64 // fraction of the weight earned after the objective
+	LatencyObjective Micros  // an answer within this time earns the full weight; 0: the deadline
+	ObjectiveStretch float64 // multiple of the job's own work that is added to the latency objective
+	Deadline         Micros  // the longest time that the client waits, over all its tries
+	PriorityWeight   float64 // weight of each job, or of each unit of work if Settings.WeightByWork is set
+	LateWeight       float64 // fraction of the weight that an answer after the objective earns
 	Effect           Effect
-	DedupScope       DedupScope // for Keyed
-	DedupWindow      Micros     // for Keyed: how long repeats are dropped
-	Stream           bool       // the answer streams
-	Kind             int        // the machine kind that it needs, or -1
+	DedupScope       DedupScope // only for Keyed
+	DedupWindow      Micros     // only for Keyed: how long workers drop repeats, counted from the first receipt
+	Stream           bool       // the worker streams the answer
+	Kind             int        // the machine kind that a job needs; -1: any kind
 }
 
-// Tenant is one of those who share the fleet.
+// Tenant describes one of the tenants that share the fleet.
 type Tenant struct {
-	Quota float64 // jobs a second, over all dispatchers; 0: no quota
+	Quota float64 // guaranteed jobs per second, over all dispatchers; 0: the tenant has no quota
 }
 
-// Settings configures a dispatcher. They do not change while it runs.
+// Settings configures a dispatcher. The settings do not change while the dispatcher runs.
 type Settings struct {
-	Index       int // this dispatcher's number
-	Dispatchers int // how many dispatchers there are
-	Zone        int // the zone it is in
+	Index       int // number of this dispatcher, from 0
+	Dispatchers int // number of dispatchers that share the fleet
+	Zone        int // zone in which this dispatcher runs
 
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // fraction of the weight for a job over its tenant's quota
-	WeightByWork    bool    // the weight counts for each unit of work
-
-	PollEndpoints  bool   // the worker list must be polled
-	PollInterval   Micros // longest time without a poll, where it must be polled; 0: 10 s
-	MaxStaleness   Micros // a change counts as known this long after, received or not; 0: once received
-	UnmeteredPolls bool   // polls cost nobody anything, so none is spread or put off
-
-	Granularity Micros // shortest time between two batches of events; 1 ms at least
-
-	SlowStart        Micros  // a worker is in slow start for so long after its start
-	SlowStartInitial float64 // the fraction of its capacity that it starts with
-	OverloadFactor   float64 // more than this multiple of its present capacity ...
-	OverloadWindow   Micros  // ... over this long overloads a worker in slow start
-
-	MaxAttempts    int
-	CancelAllowed  bool
-	HedgingAllowed bool // two attempts of a job may be in flight together
-	GossipAllowed  bool
-	MaxRetryAfter  Micros // longest Retry-After that clients obey; 0: none
-	RetriesMarked  bool   // clients mark their tries after the first
-	ConnectTimeout Micros
-
-	StartReported    bool   // workers report when a job starts
-	ProgressInterval Micros // workers report a running job's progress this often; 0: never
-	LoadReports      bool   // answers carry load reports
-
-	CrossZonePrice float64 // of an attempt that leaves the zone, in mean jobs' weight
+	OverQuotaWeight float64 // fraction of its weight that a job beyond its tenant's quota keeps
+	WeightByWork    bool    // the weight of a job is PriorityWeight times its work
+
+	// PollEndpoints is set if the dispatcher has to poll the worker list or renew a subscription to it.
+	PollEndpoints bool
+	PollInterval  Micros // longest time between two polls if PollEndpoints is set; 0: 10 s
+	// MaxStaleness is the time after a change of the worker list from which the dispatcher must obey the change
+	// even if it has not received it: an older list is not used. 0: only received changes bind it.
+	MaxStaleness   Micros
+	UnmeteredPolls bool // polls put no load on discovery, so they need not be spread over time or delayed
+
+	Granularity Micros // shortest time between two batches of events; raised to 1 ms if below that
+
+	SlowStart        Micros  // time after its start during which a worker is in slow start
+	SlowStartInitial float64 // fraction of its full capacity that a worker has when it starts
+	// OverloadFactor and OverloadWindow limit what a worker in slow start is sent: within any OverloadWindow,
+	// more work than OverloadFactor times what its present capacity can do in that time overloads the worker.
+	OverloadFactor float64
+	OverloadWindow Micros
+
+	MaxAttempts    int    // most attempts of one job; at least 1
+	CancelAllowed  bool   // attempts in flight may be cancelled
+	HedgingAllowed bool   // two attempts of a job may be in flight at the same time
+	GossipAllowed  bool   // dispatchers may send each other messages
+	MaxRetryAfter  Micros // longest Retry-After that clients obey; 0: refusals carry no Retry-After
+	RetriesMarked  bool   // clients mark each retry of a request as a retry
+	ConnectTimeout Micros // longest time until a connect to a worker fails
+
+	StartReported    bool   // workers report when a job starts to run
+	ProgressInterval Micros // time between two progress reports of a running job; 0: workers report none
+	LoadReports      bool   // answers of workers carry load reports
+
+	CrossZonePrice float64 // cost of an attempt at a worker of another zone, in mean values of a job
 }
 
-// Status is what the list says of a worker.
+// Status is the state of a worker in the worker list.
 type Status uint8
 
-// The states of a listed worker.
+// The values of Status.
 const (
-	Removed Status = iota
-	Ready
-	Draining
+	Removed  Status = iota // the worker is not on the list
+	Ready                  // the worker accepts jobs
+	Draining               // the worker finishes its jobs and must be sent no more
 )
 
-// WorkerEntry is one line of the worker list.
+// WorkerEntry is one entry of the worker list.
 type WorkerEntry struct {
 	Worker  WorkerID
 	Zone    int
 	Cell    int
-	Kind    int
+	Kind    int // machine kind
 	Status  Status
-	Started Micros // its latest start; 0: long ago
+	Started Micros // time of the worker's latest start; 0: too long ago to matter for slow start
 }
 
-// EventKind says what an event is about.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The kinds of events, with the fields that each uses.
+// The kinds of events. A comment lists the fields of Event that the kind uses.
 const (
 	JobArrived         EventKind = iota // Job, Class, Tenant, ClientTimeout, Retry, Work, Slots
 	AttemptEnded                        // Job, Attempt, Worker, Outcome, Final, Report
@@ -130,86 +140,94 @@
 	EndpointsUpdated                    // Scope, Workers, Age
 	GossipReceived                      // Peer, Message
 	TimerFired                          // Token
-	Started                             // sent once, before all else
+	Started                             // no fields; sent once, before all other events
 )
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome uint8
 
-// The outcomes. AtCapacity, ConnectFailed, NotSent and HandedBack prove that nothing ran.
+// The values of Outcome. AtCapacity, ConnectFailed, NotSent and HandedBack prove that the job did not run.
 const (
-	OK Outcome = iota
-	Failed
-	AtCapacity
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	NotSent
-	HandedBack // like AtCapacity, but reported later and perhaps again: see eligible
+	OK            Outcome = iota // the worker finished the job
+	Failed                       // the worker reported an error
+	AtCapacity                   // the worker rejected the job because it has no room
+	TimedOut                     // no result came before the attempt's deadline
+	ConnectFailed                // no connection to the worker could be made
+	Reset                        // the connection broke or the worker aborted the job
+	Cancelled                    // the attempt was cancelled
+	NotSent                      // the attempt never left the scheduler
+
+	// HandedBack means that the worker accepted the job and later returned it without starting it. The worker
+	// may report this more than once; eligible says what follows from that.
+	HandedBack
 )
 
 // Note is the kind of a report about a running attempt.
 type Note uint8
 
-// The notes.
+// The values of Note.
 const (
-	NoteOther Note = iota
-	NoteStarted
-	NoteProgress
+	NoteOther    Note = iota // a sign of life and nothing else
+	NoteStarted              // the job has started to run
+	NoteProgress             // Event.Value is the fraction of the work that is done
 )
 
-// UpdateScope says how a list event applies.
+// UpdateScope says which part of the worker list an EndpointsUpdated event carries.
 type UpdateScope uint8
 
-// The scopes of list events.
+// The values of UpdateScope.
 const (
-	UpdateDelta  UpdateScope = iota // changed entries only
+	UpdateDelta  UpdateScope = iota // the changed entries only
 	UpdateFull                      // the complete list
-	UpdateCached                    // the complete list as last seen, perhaps stale
-	UpdateFailed                    // a call failed or the subscription dropped; what is known may be older: Age
-	UpdateDrains                    // entries that leave, from elsewhere than the list itself; Age likewise
+	UpdateCached                    // the complete list as stored before a restart; it may be stale
+
+	// UpdateFailed means that a call to discovery failed or the subscription ended. It carries no entries. The
+	// list that the dispatcher has may be older than assumed: Event.Age says how old at least.
+	UpdateFailed
+	// UpdateDrains carries only entries of workers that drain or are removed, from another source than the
+	// present worker list; it may carry none. Event.Age has the meaning that it has for UpdateFailed.
+	UpdateDrains
 )
 
 // Report is the part of a worker's load report that decisions use.
 type Report struct {
-	FreeKnown   bool // there is a count of free slots
-	Free        float64
-	Outstanding float64 // jobs in flight there, waiting ones too; negative: not known
-	Errors      float64 // errors a second, of all dispatchers' jobs
+	FreeKnown   bool    // the report contains a count of free slots
+	Free        float64 // free slots
+	Outstanding float64 // jobs in flight at the worker, including waiting jobs; negative: unknown
+	Errors      float64 // errors per second, over the jobs of all dispatchers
 }
 
-// Event is one thing that happened. Kind says which fields count.
+// Event is an input of Dispatcher.Step. Kind says which fields are used.
 type Event struct {
 	Kind          EventKind
 	Note          Note
 	Scope         UpdateScope
 	Outcome       Outcome
-	Final         bool // the job is finished
+	Final         bool // the client already has its final answer, so that no retry may follow
 	Job           JobID
 	Class         int
 	Tenant        int
 	ClientTimeout Micros  // time until the client abandons this try
-	Retry         bool    // the client says that it tried before
-	Work          Micros  // expected work on a standard core; 0: unknown
-	Slots         float64 // slots (or memory units, if more) that the job takes
+	Retry         bool    // the client marked this try as a retry
+	Work          Micros  // the client's cost hint: expected run time on a standard core; 0: unknown
+	Slots         float64 // slots that the job takes; memory in units of a slot's share if that is more
 	Worker        WorkerID
-	Attempt       int
-	Value         float64
+	Attempt       int     // number of the attempt within its job, from 0
+	Value         float64 // of NoteProgress: fraction of the work that is done
 	Report        Report
 	Workers       []WorkerEntry
-	Age           Micros // how long ago the list was so
-	Peer          int
+	Age           Micros // time since the worker list was last known to be current
+	Peer          int    // number of the dispatcher that sent the message
 	Message       []byte
-	Token         uint64
+	Token         uint64 // token of the SetTimer action whose timer fired
 }
 
-// ActionKind says what to do.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The kinds of actions, with the fields that each uses.
+// The kinds of actions. A comment lists the fields of Action that the kind uses.
 const (
-	Send           ActionKind = iota // Job, Attempt (its number), Worker, Deadline (abandon it then), SendBy
+	Send           ActionKind = iota // Job, Attempt, Worker, Deadline, SendBy
 	Refuse                           // Job, Delay (Retry-After for the client)
 	Fail                             // Job
 	Cancel                           // Job, Attempt
@@ -219,17 +237,19 @@
 	Log                              // Text
 )
 
-// Action is one thing to do. Kind says which fields count.
+// Action is an output of Dispatcher.Step that the caller carries out. Kind says which fields are used.
 type Action struct {
 	Kind     ActionKind
 	Job      JobID
 	Worker   WorkerID
-	Attempt  int
-	Deadline Micros
-	SendBy   Micros // of a Send: nothing may leave from then on, or it comes outside its DedupWindow
-	Delay    Micros
-	Token    uint64
-	Peer     int
-	Message  []byte
-	Text     string
+	Attempt  int    // number of the attempt within its job, from 0
+	Deadline Micros // of a Send: time at which the attempt has to be abandoned
+	// SendBy is the time from which a Send must not leave any more. After it, a repeat of a keyed job could
+	// reach a worker outside the deduplication window.
+	SendBy  Micros
+	Delay   Micros // of a Refuse: Retry-After; of a SetTimer: time until the timer fires
+	Token   uint64 // of a SetTimer: token that the TimerFired event has to carry
+	Peer    int    // number of the dispatcher to which a SendGossip goes
+	Message []byte
+	Text    string // of a Log: the log line
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,6 +1,7 @@
 package dispatch
 
-// Step takes one event at its time and appends the actions that it calls for.
+// Step handles one event at time now and appends the resulting actions to out. Times must not decrease from
+// call to call.
 func (d *Dispatcher) Step(now Micros, e *Event, out []Action) []Action {
 	d.now, d.actions, d.cachedBestSpeed = now, out, 0
 	d.eventCount++
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -5,18 +5,24 @@
 // Placement: which worker a job goes to.
 
 const (
-	fullLoadCostRuns = 0.8 // cost of a fully busy worker, in runs: other dispatchers fill it unseen
-	concurrentProbes = 2   // dispatchers that may probe a worker past its slot limit within one run
+	// fullLoadCostRuns is the cost that full load adds to a worker, in expected run times of the job; part load
+	// adds a proportional part. Other dispatchers may fill a busy worker before the job arrives there.
+	fullLoadCostRuns = 0.8
+
+	// concurrentProbes is the number of dispatchers that may probe one worker with a job beyond its capacity
+	// within one run time.
+	concurrentProbes = 2
 )
 
-// selectWorker picks the worker for a queued job, or nil to hold it. A large subset is not scanned: the
-// index names some that likely cost least. If none of them will do, the scan decides.
+// selectWorker returns the worker for a queued job, or nil if the job has to stay in the queue. In a large
+// subset it first tries the workers that the index lists as likely cheapest, and scans all candidates only if
+// none of those workers is suitable.
 func (d *Dispatcher) selectWorker(j *job) *worker {
-	from, free := d.candidates(j)
-	own := free && len(from) == len(d.subset)
-	if free && d.largeSubset() {
-		if own && d.noCapacityEvent == d.eventCount {
-			return nil // the scan for another job found no slot at all
+	from, unbound := d.candidates(j)
+	wholeSubset := unbound && len(from) == len(d.subset)
+	if unbound && d.largeSubset() {
+		if wholeSubset && d.noCapacityEvent == d.eventCount {
+			return nil // in this event a scan for another job found no free slot in the whole subset
 		}
 		if w := d.cheapest(j, d.shortlist(j)); w != nil {
 			return w
@@ -24,17 +30,17 @@
 	}
 	d.freeCapacitySeen = false
 	w := d.cheapest(j, from)
-	if w == nil && own && !d.freeCapacitySeen {
+	if w == nil && wholeSubset && !d.freeCapacitySeen {
 		d.noCapacityEvent = d.eventCount
 	}
 	return w
 }
 
-// cheapest takes the worker with the least cost, the run and the wait expected there. One of another
-// zone is taken only when that justifies its price.
+// cheapest returns the worker with the lowest placement cost. It prefers workers of this dispatcher's zone
+// and takes a worker of another zone only if the lower cost justifies the cross-zone price.
 func (d *Dispatcher) cheapest(j *job, from []*worker) *worker {
-	var near, far *worker
-	nearCost, farCost := math.Inf(1), math.Inf(1)
+	var local, remote *worker
+	localCost, remoteCost := math.Inf(1), math.Inf(1)
 	remaining := float64(j.objective - d.now)
 	for _, w := range from {
 		cost, ok := d.placementCost(j, w, remaining)
@@ -42,24 +48,25 @@
 			continue
 		}
 		if d.settings.CrossZonePrice == 0 || w.entry.Zone == d.settings.Zone {
-			if cost < nearCost {
-				near, nearCost = w, cost
+			if cost < localCost {
+				local, localCost = w, cost
 			}
-		} else if cost < farCost {
-			far, farCost = w, cost
+		} else if cost < remoteCost {
+			remote, remoteCost = w, cost
 		}
 	}
-	if far == nil || near != nil && nearCost <= d.crossZoneCost(farCost, remaining) {
-		return near
+	if remote == nil || local != nil && localCost <= d.crossZoneCost(remoteCost, remaining) {
+		return local
 	}
-	if near == nil && !d.crossZoneJustified(j) {
+	if local == nil && !d.crossZoneJustified(j) {
 		return nil
 	}
-	return far
+	return remote
 }
 
-// placementCost is what a worker costs a job: the run and the wait expected there, in microseconds. It
-// is false if the worker will not do.
+// placementCost returns the cost of placing a job at a worker: the expected wait and run time there, in
+// microseconds, with additions for load, failures and random spread. remaining is the time until the job's
+// objective. The second result is false if the worker is not suitable for the job.
 func (d *Dispatcher) placementCost(j *job, w *worker, remaining float64) (float64, bool) {
 	d.workersExamined++
 	if !d.usable(w) {
@@ -78,8 +85,9 @@
 		return 0, false
 	}
 	run, queueing := j.work/d.speed(w), d.expectedWait(w)
-	// The objective cannot be met there, but elsewhere: see expire. A worker in slow start may have the job
-	// all the same where late answers earn, or a new fleet stands idle.
+	// expire has found that some worker can meet the objective, so the job waits for a worker like that rather
+	// than go to this one if this one would be late. A worker in slow start is an exception if late answers earn
+	// weight. Otherwise a new fleet, in which all workers are in slow start, would stay idle.
 	earns := d.slowStartSince(w) != 0 && d.settings.Classes[j.class].LateWeight > 0
 	if !j.late && !earns && queueing+d.requiredRunFraction(j)*run > remaining {
 		return 0, false
@@ -91,7 +99,9 @@
 		d.choiceJitter(w), true
 }
 
-// crossZoneJustified weighs the price of leaving the zone against what waiting risks.
+// crossZoneJustified reports whether the value that a job risks by waiting for a worker of this dispatcher's
+// zone exceeds the price of an attempt in another zone. The risk is estimated from the time until one of the
+// local slots becomes free, compared with the time until the job's latest start.
 func (d *Dispatcher) crossZoneJustified(j *job) bool {
 	justified := func(local float64) bool {
 		risk := 1.0
@@ -104,26 +114,31 @@
 	return justified(d.usableSlots(d.settings.Zone, func(local float64) bool { return !justified(local) }))
 }
 
-// eligible reports whether the class of a job and its earlier attempts allow a worker.
+// eligible reports whether a worker may run a job according to the job's class, its earlier attempts, the
+// error rate of the worker, the repetition rule and the slow-start rule.
 func (d *Dispatcher) eligible(j *job, w *worker) bool {
 	if k := d.settings.Classes[j.class].Kind; k >= 0 && k != w.entry.Kind || d.shouldAvoidFailing(j, w) {
 		return false
 	}
 	for _, a := range j.attempts {
 		if a.worker == w && (a.inFlight || a.mayHaveRun || a.handedBack) {
-			return false // another worker, if any: this one had its chance
+			// The worker still has the job, may have run it, or returned it. After a return the worker may
+			// report the return again, which would look like the end of a new attempt there.
+			return false
 		}
 	}
 	return d.attemptAllowed(j, w) && d.slowStartAllows(j, w)
 }
 
-// usable reports whether a worker may be given work at all.
+// usable reports whether any job may be sent to a worker now: the worker is ready, the list is current, and
+// the worker is not at capacity, ejected or suspect. In panic mode ejected and suspect workers are usable,
+// too.
 func (d *Dispatcher) usable(w *worker) bool {
 	if w.entry.Status != Ready || d.endpointsStale() || d.now < w.blockedUntil {
 		return false
 	}
 	if d.settings.StartReported && w.unstartedAttempts > 0 || d.peerJobWaits(w) {
-		return false // its last job has not begun: it is full, or down
+		return false // a job sent there has not begun, so the worker has no free slot or is down
 	}
 	if d.now < w.ejectedUntil || w.consecutiveFailures > 0 && len(w.attempts) > 0 {
 		return d.panicMode
@@ -131,8 +146,9 @@
 	return d.panicMode || !w.suspect || d.now >= w.suspectRetryAt && len(w.attempts) == 0
 }
 
-// mayProbe reports whether one job beyond a worker's capacity may be tried. Each dispatcher that shares
-// the worker probes alike, so the pause grows with their number.
+// mayProbe reports whether one job beyond a worker's known capacity may be sent there, to find out whether
+// the capacity is larger. All dispatchers that share the worker probe in this way, so the pause between the
+// probes of one dispatcher grows with their number.
 func (d *Dispatcher) mayProbe(w *worker) bool {
 	if d.peerJobWaits(w) || d.peerJobArriving(w) {
 		return false
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -1,15 +1,16 @@
 package dispatch
 
-// Retries, and second attempts beside one at a silent worker.
+// Retries after an attempt has ended, and hedging: a second attempt while the first is at a silent worker.
 
 const (
-	retryBudgetPerJob = 0.2 // further attempts earned by each first one
-	maxRetryBudget    = 20  // further attempts saved up at most
+	retryBudgetPerJob = 0.2 // further attempts that each arriving job adds to the retry budget
+	maxRetryBudget    = 20  // upper bound of the retry budget, in further attempts
 )
 
-// retry gives a job without attempts in flight another one, if its class, its time and the retry budget
-// allow, or its final answer. A refused connect takes nothing from the budget: its worker is ejected,
-// which bounds them, and when half a fleet is cut off at once they would use the budget up.
+// retry queues a job without attempts in flight for another attempt if its class, its deadline and the retry
+// budget allow that; otherwise it gives the job its final answer. An attempt whose connect failed does not
+// count against the budget. The ejection of its worker bounds the number of such attempts already, and if
+// half of a fleet became unreachable at once, they would exhaust the budget.
 func (d *Dispatcher) retry(j *job, outcome Outcome) {
 	if j.queued {
 		return
@@ -26,7 +27,8 @@
 	d.finish(j)
 }
 
-// hedge queues the repeatable jobs of a silent worker for a second attempt.
+// hedge queues the jobs at a silent worker for a second attempt, unless their class forbids any repetition.
+// Each second attempt counts against the retry budget.
 func (d *Dispatcher) hedge(w *worker) {
 	if !d.settings.HedgingAllowed {
 		return
--- a/internal/dispatch/rules.go
+++ b/internal/dispatch/rules.go
@@ -1,10 +1,19 @@
 package dispatch
 
-// The rules: what leaves the module is checked here again, whatever was decided before.
+// The safety rules, by the names that comments of this package use:
+//
+//   - single-answer rule: each request gets one final answer, in time;
+//   - repetition rule: an attempt that may have run is repeated only as the job's class allows;
+//   - drain rule: no new attempt goes to a worker that drains, is removed or is missing from a complete list;
+//   - slow-start rule: all dispatchers together do not send a worker in slow start more than its limit.
+//
+// The functions below check these rules for every attempt and every final answer that leaves the module,
+// even if an earlier decision has checked them already.
 
-// send is the only way to a worker. It guards that nothing is sent for a finished job or one past its
-// deadline (rule 1), that no effect can happen twice (rule 2), that drains are observed (rule 3) and
-// that no worker in slow start is overloaded (rule 4).
+// send is the only function that sends an attempt. It reports whether the attempt was sent. It sends nothing
+// for a finished job or a job past its deadline (single-answer rule), nothing that could make an effect
+// happen twice (repetition rule), nothing to a worker that is not ready or while the worker list is stale
+// (drain rule), and nothing that exceeds the budget of a worker in slow start (slow-start rule).
 func (d *Dispatcher) send(j *job, w *worker) bool {
 	if j.finished || j.streaming || d.now >= j.deadline-d.deadlineMargin() ||
 		len(j.attempts) >= d.settings.MaxAttempts {
@@ -34,14 +43,16 @@
 	if d.slowStartSince(w) != 0 {
 		w.slowStartBudget -= d.slowStartCost(j)
 	}
-	// The attempt ends before the client gives up, so its time-out can still be answered in time.
+	// The attempt's deadline is before the client's, so that the client still gets an answer in time if the
+	// attempt times out.
 	end := j.deadline - 2*d.settings.Granularity
 	d.emit(Action{Kind: Send, Job: j.id, Attempt: a.number, Worker: w.entry.Worker,
 		Deadline: end, SendBy: sendBy})
 	return true
 }
 
-// latestSend is rule 2 for sends: until when an attempt may leave for a worker; 0: it may not.
+// latestSend returns the time before which the repetition rule allows an attempt of a job to be sent to a
+// worker. 0 means that the rule forbids the attempt.
 func (d *Dispatcher) latestSend(j *job, w *worker) Micros {
 	if j.inFlight > 0 && !d.settings.HedgingAllowed {
 		return 0
@@ -49,7 +60,7 @@
 	sendBy, c := j.deadline, &d.settings.Classes[j.class]
 	for _, a := range j.attempts {
 		if !a.inFlight && !a.mayHaveRun || c.Effect == Safe {
-			continue // it provably never ran, or may run again
+			continue // the attempt provably never ran, or the class allows any repetition
 		}
 		if c.Effect == Unsafe || !sameDedupGroup(c.DedupScope, &a.worker.entry, &w.entry) {
 			return 0
@@ -59,11 +70,12 @@
 	return sendBy
 }
 
-// attemptAllowed reports whether rule 2 allows an attempt at a worker now.
+// attemptAllowed reports whether the repetition rule allows an attempt of a job at a worker now.
 func (d *Dispatcher) attemptAllowed(j *job, w *worker) bool { return d.now < d.latestSend(j, w) }
 
-// finish is the only way to a final answer of our own: one for each job (rule 1), and a refusal only
-// where trying again is harmless (rule 2).
+// finish is the only function that gives a job a final answer that no worker reported. It gives one answer
+// for each job (single-answer rule). It refuses a job, which invites the client to retry, only if a retry by
+// the client obeys the repetition rule; otherwise it fails the job.
 func (d *Dispatcher) finish(j *job) {
 	if j.finished {
 		return
@@ -71,7 +83,8 @@
 	if d.refusalAllowed(j) {
 		wait, earnsNothing := Micros(0), d.now >= j.objective && d.settings.Classes[j.class].LateWeight == 0
 		if earnsNothing || d.level > levelNormal && (j.overQuota || !d.feasible(j, 1)) {
-			wait = d.settings.MaxRetryAfter // a retry now helps nobody; others may yet be in time
+			// A prompt retry would most likely be too late as well and would take capacity from other jobs.
+			wait = d.settings.MaxRetryAfter
 		}
 		d.emit(Action{Kind: Refuse, Job: j.id, Delay: wait})
 	} else {
@@ -80,7 +93,8 @@
 	d.closeJob(j)
 }
 
-// refusalAllowed reports whether a client that tries a job again after a refusal does no harm.
+// refusalAllowed reports whether the repetition rule is kept if the client retries a job after a refusal. The
+// retry may reach any worker, so an attempt that may have run must be repeatable at every worker.
 func (d *Dispatcher) refusalAllowed(j *job) bool {
 	c := &d.settings.Classes[j.class]
 	if c.Effect == Safe || c.Effect == Keyed && c.DedupScope == ScopeAll {
@@ -94,7 +108,8 @@
 	return true
 }
 
-// closeJob ends a job that has its answer. Attempts still in flight are cancelled.
+// closeJob marks a job as answered and forgets it once no attempt is in flight. It cancels attempts in flight
+// where the settings allow that and the answer does not stream.
 func (d *Dispatcher) closeJob(j *job) {
 	j.finished = true
 	d.dequeue(j)
@@ -111,7 +126,8 @@
 	}
 }
 
-// sameDedupGroup reports whether two workers drop each other's repeats.
+// sameDedupGroup reports whether two workers are in one deduplication group of a scope, that is, whether each
+// drops a job that the other has already received.
 func sameDedupGroup(g DedupScope, a, b *WorkerEntry) bool {
 	switch g {
 	case ScopeAll:
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// validate refuses settings that make no sense and fills in safe defaults.
+// validate returns an error for settings out of range and replaces missing settings by their defaults.
 func validate(s *Settings) error {
 	switch {
 	case s.Dispatchers < 0:
 		return fmt.Errorf("dispatch: Dispatchers is negative: %d", s.Dispatchers)
 	case len(s.Classes) == 0:
-		return fmt.Errorf("dispatch: Classes is empty")
+		return fmt.Errorf("dispatch: Classes is empty: at least one class is needed")
 	case s.Granularity < 0:
 		return fmt.Errorf("dispatch: Granularity is negative: %d", s.Granularity)
 	case s.SlowStartInitial < 0 || s.SlowStartInitial > 1:
-		return fmt.Errorf("dispatch: SlowStartInitial is not within 0 and 1: %v", s.SlowStartInitial)
+		return fmt.Errorf("dispatch: SlowStartInitial is not in the range 0 to 1: %v", s.SlowStartInitial)
 	case s.OverloadFactor < 0 || s.SlowStart < 0 || s.OverloadWindow < 0:
 		return fmt.Errorf("dispatch: SlowStart, OverloadWindow or OverloadFactor is negative")
 	case s.MaxAttempts < 0:
@@ -32,7 +32,7 @@
 	}
 	for i, t := range s.Tenants {
 		if t.Quota < 0 {
-			return fmt.Errorf("dispatch: Tenants[%d] has a negative Quota", i)
+			return fmt.Errorf("dispatch: Tenants[%d].Quota is negative", i)
 		}
 	}
 	s.Dispatchers = max(1, s.Dispatchers)
@@ -44,6 +44,7 @@
 	return nil
 }
 
+// validateClass returns an error that names the class by its index if one of its settings is out of range.
 func validateClass(i int, c *Class) error {
 	switch {
 	case c.Deadline <= 0:
@@ -58,12 +59,14 @@
 	return nil
 }
 
-// LargeFleet reports whether there are so many dispatchers that each meets a worker seldom.
+// LargeFleet reports whether there are so many dispatchers that each of them sends to a given worker only
+// seldom and therefore learns little about it from its own jobs.
 func (s *Settings) LargeFleet() bool { return s.Dispatchers > maxSmallFleetDispatchers }
 
-// RemovedRetention is how long a removed worker is still known: it may come back, and what was learned
-// of it holds. No open job has an attempt there by then. A fleet that is replaced for years must not
-// fill the memory.
+// RemovedRetention returns how long the record of a removed worker is kept. If the worker is listed again
+// within that time, its estimates still apply. The time is longer than any deadline, so that no open job has
+// an attempt at the worker when its record is dropped. The bound keeps memory use constant in a fleet whose
+// workers are replaced again and again.
 func (s *Settings) RemovedRetention() Micros {
 	longest := Micros(600 * second)
 	for i := range s.Classes {
