--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -320,10 +320,10 @@
 	d.rankCount = len(distinct)
 }
 
-// setGuaranteedRates sets the guaranteed rate of each flow within its tenant's quota. A flow's full rate is
-// the share of the quota that the class has in the arrivals. Ranks are served in descending order until the
-// capacity of the fleet is spent, so that the sum of guaranteed rates does not exceed it, (1) of the
-// publication, and lower ranks get less or nothing.
+// setGuaranteedRates sets the guaranteed rate of each flow within its tenant's quota; flows beyond the quota
+// have none. A flow's full rate is the share of the quota that the class has in the arrivals. Ranks are
+// served in descending order until the capacity of the fleet is spent, so that the sum of guaranteed rates
+// does not exceed it, (1) of the publication, and lower ranks get less or nothing.
 func (d *Dispatcher) setGuaranteedRates(arrivals float64) {
 	capacity := 0.0 // slot-seconds per second that this dispatcher's share of the fleet provides
 	for _, w := range d.subset {
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -112,7 +112,7 @@
 
 // The values of Status.
 const (
-	Removed  Status = iota // the worker is not on the list
+	Removed  Status = iota // the worker has been removed from the list
 	Ready                  // the worker accepts jobs
 	Draining               // the worker finishes its jobs and must be sent no more
 )
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Attempts: what their reports and ends lead to.
+// Attempts: how the dispatcher handles reports about attempts and their ends.
 
-// onAttemptReported takes note of a running attempt's start or progress.
+// onAttemptReported handles a worker's report that an attempt has started, has made progress, or is alive.
 func (d *Dispatcher) onAttemptReported(e *Event) {
 	a := d.attempt(e)
 	if a == nil {
@@ -20,7 +20,8 @@
 	}
 }
 
-// recordAttemptStarted records that an attempt runs, and what that shows of the worker's slots.
+// recordAttemptStarted records the time at which an attempt began to run, and updates the estimates of the
+// worker's slots and waits. It ignores a second start report of the attempt.
 func (d *Dispatcher) recordAttemptStarted(a *attempt, at Micros) {
 	if a.startedAt != 0 {
 		return
@@ -40,7 +41,7 @@
 	}
 }
 
-// onAttemptEnded learns from the outcome of an attempt, and ends or retries its job.
+// onAttemptEnded updates the estimates by the outcome of an attempt, and closes or retries its job.
 func (d *Dispatcher) onAttemptEnded(e *Event) {
 	a := d.attempt(e)
 	if a == nil {
@@ -49,11 +50,13 @@
 	j, w := a.job, a.worker
 	turnedAway := e.Outcome == AtCapacity || e.Outcome == HandedBack
 	if a.startOverdue && a.startedAt == 0 && !turnedAway {
-		d.recordWait(w, 2*float64(d.now-a.sentAt)) // it was given up half way, on average
+		// The job would have waited longer than until now. On average an attempt is abandoned after half of
+		// the wait, so twice the time so far is recorded.
+		d.recordWait(w, 2*float64(d.now-a.sentAt))
 	}
 	d.detach(a)
 	d.recordOutcome(a, e)
-	if !turnedAway { // it is surer than a report that promises slots
+	if !turnedAway { // a rejection for lack of a slot is more reliable than a report of free slots
 		d.learnLoadReport(w, e.Report, j.slots)
 	}
 	a.mayHaveRun, a.handedBack = e.Outcome.MayHaveRun(), e.Outcome == HandedBack
@@ -69,7 +72,9 @@
 	d.updateOverloadLevel()
 }
 
-// learnLoadReport learns free slots from a load report. It lacks attempts younger than a report can be.
+// learnLoadReport updates the slot limit of a worker from a load report that ended an attempt; leaving is the
+// number of slots of that attempt, which the report still counts as in use. The report may be up to a quarter
+// of a second old, so attempts sent since then are taken to be missing from it.
 func (d *Dispatcher) learnLoadReport(w *worker, r Report, leaving float64) {
 	if !r.FreeKnown || d.settings.StartReported {
 		return
@@ -80,8 +85,9 @@
 			seen += a.job.slots
 		}
 	}
-	// Free slots and jobs there add up to the slots while none waits. Beyond that, what waits counts
-	// against us: else a queue of our own would pass for slots, and the limit would never come down.
+	// While no job waits at the worker, its free slots and the jobs in flight there add up to its slots. With no
+	// free slot, jobs in flight beyond that number are waiting and are subtracted from the limit. Otherwise
+	// jobs of this dispatcher that wait there would count as slots, and the limit would never fall.
 	free, blend := math.Round(max(r.Free, 0)), 1-workerSampleDecay
 	if w.reportedSlots == 0 {
 		blend = 1
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -1,12 +1,16 @@
 package dispatch
 
-// Endpoints: updates of the worker list, and polls for it.
+// Endpoints: updates of the worker list, and requests for it.
 
-const watchRenewalIntervals = 3.0 // poll intervals after which a silent subscription is renewed
+// watchRenewalIntervals is the time, in poll intervals, after which a subscription to the worker list that
+// has delivered nothing is renewed.
+const watchRenewalIntervals = 3.0
 
-// onEndpointsUpdated takes an update of the worker list, or notes that none came.
+// onEndpointsUpdated applies an update of the worker list, or records that a request for the list failed.
 func (d *Dispatcher) onEndpointsUpdated(e *Event) {
-	if e.Scope >= UpdateFailed { // nothing new, and perhaps less to rely on
+	// A failure or an update from another source does not make the list more current, and may show that it is
+	// older than assumed.
+	if e.Scope >= UpdateFailed {
 		d.endpointsAsOf = min(d.endpointsAsOf, d.now-e.Age)
 	}
 	if e.Scope == UpdateFailed {
@@ -17,7 +21,8 @@
 		}
 		return
 	}
-	if e.Scope < UpdateCached && d.settings.PollEndpoints { // what a start knew may be of any age
+	// A cached list does not count as current: its age is unknown.
+	if e.Scope < UpdateCached && d.settings.PollEndpoints {
 		d.pollFailures, d.endpointsAsOf = 0, d.now-e.Age
 		d.pollAt = d.now + Micros(watchRenewalIntervals*float64(d.settings.PollInterval))
 	}
@@ -29,7 +34,7 @@
 			w = &worker{slotLimit: 1, placementBias: d.random.uniform() * 0.05}
 			d.workers[entry.Worker] = w
 		}
-		if entry.Started > w.entry.Started { // known to be back: no need to find out
+		if entry.Started > w.entry.Started { // the worker has restarted, so earlier failures no longer count
 			w.unreachable, w.consecutiveFailures, w.ejectedUntil = false, 0, 0
 			w.slowStartBudgetAt, w.slowStartBudget = 0, -d.workInTransit(w)
 		}
@@ -49,7 +54,8 @@
 	d.invalidateIndex()
 }
 
-// pollEndpoints subscribes to the list, and again if no answer comes.
+// pollEndpoints requests a subscription to the worker list and sets the time at which the request is repeated
+// if no answer has come, about half a poll interval later.
 func (d *Dispatcher) pollEndpoints() {
 	d.emit(Action{Kind: WatchEndpoints})
 	d.pollAt = d.now + Micros(float64(d.settings.PollInterval)*(0.45+0.05*d.random.uniform()))
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -5,18 +5,28 @@
 	"slices"
 )
 
-// Gossip: dispatchers that share a worker report to each other what they have there.
+// Gossip: dispatchers that share a worker report to each other how many of its slots they use.
 
 const (
-	gossipMessageSize   = 7    // bytes: the sender's zone, worker, slots in use, slots of jobs that wait
-	waitReportBatches   = 4    // batches until a job that has not begun is reported to wait
-	maxGossipPeers      = 12.0 // dispatchers that a job is reported to: 1.5 * targetDispatchersPerWorker
-	peerUseLifetimeRuns = 4.0  // upper run times for which a peer's report counts
+	// gossipMessageSize is the length of a message in bytes: the sender's zone (1), the worker (4), slots in use
+	// (1) and slots of jobs that wait at the worker (1).
+	gossipMessageSize = 7
+
+	// waitReportBatches is the time, in batches of events (Settings.Granularity), after which a job that has not
+	// begun is reported to peers as waiting.
+	waitReportBatches = 4
+
+	// maxGossipPeers is the largest number of dispatchers to which one change is reported, 1.5 times
+	// targetDispatchersPerWorker.
+	maxGossipPeers = 12.0
+
+	// peerUseLifetimeRuns is the time for which a peer's report counts, in upper quartiles of run times.
+	peerUseLifetimeRuns = 4.0
 )
 
-// sendGossip reports to those who share a worker what changed in our use of it. Lost or late messages
-// only make their view of free slots worse; no rule depends on it. Peers assume that a job has begun
-// unless it is reported to wait: that saves a message.
+// sendGossip reports changes in this dispatcher's use of workers to the peers that share them. Lost or late
+// messages only make the peers' estimates of free slots worse; no safety rule depends on gossip. Peers assume
+// that a job has begun unless it is reported as waiting, which saves a message for most jobs.
 func (d *Dispatcher) sendGossip() {
 	later := d.gossipQueue[:0]
 	for _, w := range d.gossipQueue {
@@ -35,9 +45,12 @@
 	d.gossipQueue = later
 }
 
-// multicast sends a message to those who share a worker: those of its zone, those of other zones who
-// send here, and all while they are few. One who comes from another zone and receives nothing takes
-// every worker for free and fills it; when we cross, others of our zone likely do so, too.
+// multicast sends a message about a worker to the peers that cover the worker and are in its zone, have
+// recently sent jobs to another zone than their own, or are in an unknown zone; to all peers that cover the
+// worker if few dispatchers share a worker. A peer from another zone that receives no gossip would take every
+// worker here for free and fill it. If the worker is in another zone than this dispatcher, all peers that
+// cover the worker get the message, because other dispatchers of this dispatcher's zone likely send there as
+// well.
 func (d *Dispatcher) multicast(w *worker, message []byte) {
 	sent, small := 0.0, d.dispatchersPerWorker() <= targetDispatchersPerWorker
 	for i := range d.neighbours {
@@ -47,14 +60,15 @@
 		crosses := peer.crossedZoneAt != 0 && d.now-peer.crossedZoneAt < crossZoneGossipSeconds*second
 		if p != d.settings.Index && (small || near || crosses) && d.covers(peer.position, w) {
 			d.emit(Action{Kind: SendGossip, Peer: p, Message: message})
-			if sent++; sent >= maxGossipPeers { // a fleet that shrinks has many to a worker
+			// In a fleet whose number of workers has fallen, many dispatchers share a worker.
+			if sent++; sent >= maxGossipPeers {
 				return
 			}
 		}
 	}
 }
 
-// onGossip takes a peer's report of its use of a worker.
+// onGossip handles a peer's report of its use of a worker.
 func (d *Dispatcher) onGossip(e *Event) {
 	m := e.Message
 	if len(m) != gossipMessageSize || e.Peer < 0 || e.Peer >= d.settings.Dispatchers {
@@ -64,7 +78,7 @@
 	peer.zone = int(m[0])
 	w := d.workers[WorkerID(binary.BigEndian.Uint32(m[1:]))]
 	if w == nil {
-		return // not on our list: a peer's report is not enough
+		return // the worker is not on this dispatcher's list, and a peer's report does not add it
 	}
 	if peer.zone != w.entry.Zone {
 		peer.crossedZoneAt = d.now
@@ -72,7 +86,8 @@
 	d.recordPeerUse(w, e.Peer, slotUse{m[5], m[6]})
 }
 
-// recordPeerUse records what a peer has at a worker.
+// recordPeerUse records how many slots of a worker a peer uses, and how many of them its waiting jobs need.
+// It drops the record of a peer that uses none, and outdated records when a peer is added.
 func (d *Dispatcher) recordPeerUse(w *worker, peer int, u slotUse) {
 	i := slices.IndexFunc(w.peerUses, func(p peerUse) bool { return p.peer == peer })
 	if i < 0 {
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -2,26 +2,42 @@
 
 import "strconv"
 
-// Outlier detection: workers that fail jobs are ejected for a while, silent ones get nothing more.
+// Outlier detection: a worker that fails jobs is ejected for a time, and a silent worker is suspect and gets
+// no new jobs until it gives a sign of life or is tried again.
 
 const (
-	maxConsecutiveFailures = 3   // errors in a row from a worker, while others serve, that eject it
-	maxBackoffDoublings    = 5   // of the wait before an ejected worker is tried again
-	panicThreshold         = 0.5 // more outliers in the subset: the evidence is at fault, not the fleet
+	maxConsecutiveFailures = 3 // failed or reset attempts in a row at a worker that eject it
+	maxBackoffDoublings    = 5 // most doublings of the ejection time
 
-	startReportTimeoutBatches         = 8   // until a start report is overdue: send, handshake, report back
-	startReportTimeoutBatchesNoGossip = 32  // the same without gossip: a crossing and a handshake are no wait
-	silenceTimeoutProgressIntervals   = 1.5 // progress intervals without a sign of life: the worker is suspect
-	silenceTimeoutRuns                = 4.0 // the same in upper run times, where workers report no progress
+	// panicThreshold is the largest fraction of the subset that may be outliers. If more are, the evidence is
+	// taken to be wrong (a fault of the network or of the reports), not the workers, and all workers are used.
+	panicThreshold = 0.5
+
+	// startReportTimeoutBatches is the time, in batches of events (Settings.Granularity), after which the start
+	// report of an attempt is overdue. Sending the job, a handshake and the report back fit into it.
+	startReportTimeoutBatches = 8
+	// startReportTimeoutBatchesNoGossip replaces startReportTimeoutBatches in a large fleet without gossip,
+	// where overdue starts are evidence of waiting jobs: a path to another zone with a handshake must not look
+	// like a wait.
+	startReportTimeoutBatchesNoGossip = 32
+
+	// silenceTimeoutProgressIntervals is the time without a sign of life, in progress intervals, after which a
+	// worker with attempts in flight is suspect.
+	silenceTimeoutProgressIntervals = 1.5
+	// silenceTimeoutRuns replaces silenceTimeoutProgressIntervals where workers report no progress; its unit is
+	// the upper quartile of run times.
+	silenceTimeoutRuns = 4.0
 )
 
-// recordOutcome learns from an outcome about the worker, and ejects one that fails too often.
+// recordOutcome updates the state of a worker by the outcome of an attempt, and ejects a worker that cannot
+// be reached or fails too often.
 func (d *Dispatcher) recordOutcome(a *attempt, e *Event) {
 	w := a.worker
 	switch e.Outcome {
 	case OK:
 		if w.unreachable {
-			w.inferredStart, w.unreachable = d.now, false // it answers, so it has restarted, listed or not
+			// The worker was unreachable and now answers, so it has restarted, even if the list does not say so.
+			w.inferredStart, w.unreachable = d.now, false
 		}
 		w.consecutiveFailures = 0
 		d.recordError(w, 0, e.Report)
@@ -32,10 +48,12 @@
 		w.blockedUntil = d.now + max(d.inspectionInterval(), Micros(d.slotTimes.value/4))
 		w.markAlive(d.now)
 	case ConnectFailed:
-		w.unreachable = w.unreachable || w.consecutiveFailures > 0 // one may be an accident on the way
+		// A single failed connect may be a fault of the network, so only a further failure makes the worker
+		// count as unreachable.
+		w.unreachable = w.unreachable || w.consecutiveFailures > 0
 		d.eject(w)
 	case Failed, Reset:
-		// Quick errors empty a worker and would draw more work to it.
+		// A worker that fails jobs quickly always has free slots. Without this record it would attract more jobs.
 		d.recordError(w, 1, e.Report)
 		if w.consecutiveFailures++; w.consecutiveFailures >= maxConsecutiveFailures {
 			w.consecutiveFailures--
@@ -44,10 +62,11 @@
 	}
 }
 
-// eject gives a failing worker nothing for a while that doubles with each failure.
+// eject keeps jobs away from a failing worker for a time that doubles with each consecutive failure, up to
+// maxBackoffDoublings times, and varies at random by a quarter.
 func (d *Dispatcher) eject(w *worker) {
 	if d.now < w.ejectedUntil {
-		return // the same failure, seen by another attempt
+		return // another attempt met the failure for which the worker is ejected already
 	}
 	w.consecutiveFailures++
 	wait := max(d.settings.ConnectTimeout, second/4) << min(w.consecutiveFailures, maxBackoffDoublings)
@@ -57,10 +76,12 @@
 	d.log("worker " + strconv.Itoa(int(w.entry.Worker)) + " set aside: attempts fail")
 }
 
-// inspect looks for what no event reports: jobs whose time is up, overdue starts and silent workers.
+// inspect finds conditions that no event reports: queued jobs near their deadline or too late for their
+// objective, overdue starts and silent workers. It also updates panic mode and polls the worker list when
+// due.
 func (d *Dispatcher) inspect() {
-	// Every queued job is checked: release stops at the first few that find no worker, and a job behind
-	// them must still be answered in time.
+	// Every queued job is checked. release stops after a few jobs that find no worker, and the jobs behind them
+	// must still be answered in time.
 	for i := 0; i < len(d.queue); {
 		if !d.expire(d.queue[i]) {
 			i++
@@ -74,12 +95,13 @@
 			d.detectOverdueAndSilent(w, startTimeout, maxSilence)
 		}
 	}
-	// A fault of the network or of the reports looks like a whole fleet that fails at once: then none counts.
+	// A fault of the network or of the reports looks as if most workers failed at once. In that case panic mode
+	// ignores the outliers.
 	tooMany := float64(d.countOutliers()) > panicThreshold*float64(len(d.subset))
 	if tooMany != d.panicMode {
 		d.panicMode = tooMany
 		if tooMany {
-			d.log("over half of the workers are outliers: the evidence is not trusted, all are used")
+			d.log("panic mode: more than half of the workers are outliers; sending to all ready workers")
 		}
 	}
 	if d.pollAt != 0 && d.now >= d.pollAt {
@@ -87,8 +109,9 @@
 	}
 }
 
-// abandonLateStarts answers jobs that still wait at a worker when their objective can no longer be met.
-// In its queue they would take the time of those behind them and earn nothing.
+// abandonLateStarts answers jobs that still wait at a worker when they can no longer meet their objective, if
+// a late answer earns nothing and their attempts may be cancelled. Left in the worker's queue, they would
+// delay the jobs behind them.
 func (d *Dispatcher) abandonLateStarts(w *worker) {
 	for _, a := range w.attempts {
 		j := a.job
@@ -100,7 +123,8 @@
 	}
 }
 
-// detectOverdueAndSilent marks overdue starts at a worker, and a worker without a sign of life as suspect.
+// detectOverdueAndSilent marks the attempts at a worker whose start report is overdue, and makes the worker
+// suspect if it has given no sign of life for maxSilence.
 func (d *Dispatcher) detectOverdueAndSilent(w *worker, startTimeout, maxSilence Micros) {
 	running, oldest := d.ownRunningSlots(w), d.now
 	for _, a := range w.attempts {
@@ -113,18 +137,20 @@
 	}
 	silence := d.now - max(w.lastSeen, oldest)
 	if running == 0 {
-		silence /= 2 // it may wait behind the jobs of others
+		// No job of this dispatcher is known to run there. Its jobs may wait behind jobs of other dispatchers, so
+		// the worker is given twice the time.
+		silence /= 2
 	}
 	if silence > maxSilence && !w.suspect {
 		w.suspect = true
 		d.markSuspect(w)
 		w.suspectRetryAt = d.now + maxSilence
-		d.log("worker " + strconv.Itoa(int(w.entry.Worker)) + " is silent: nothing more goes there")
+		d.log("worker " + strconv.Itoa(int(w.entry.Worker)) + " is suspect: no sign of life; no new jobs go there")
 		d.hedge(w)
 	}
 }
 
-// markAlive records a sign of life, which ends any suspicion.
+// markAlive records a sign of life of the worker, which is not suspect from then on.
 func (w *worker) markAlive(now Micros) {
 	w.lastSeen, w.suspect = now, false
 }
--- a/internal/dispatch/subset.go
+++ b/internal/dispatch/subset.go
@@ -5,20 +5,30 @@
 // Subsetting: which workers this dispatcher sends to.
 
 const (
-	targetDispatchersPerWorker = 8.0 // dispatchers that share a worker of each zone, about
-	minSubsetSize              = 5.0 // workers of each zone in a subset, at least
-	maxSmallFleetDispatchers   = 8   // so many dispatchers meet seldom enough to need no gossip
-	crossZoneGossipSeconds     = 10  // how long one that sent from another zone is sent gossip
+	// targetDispatchersPerWorker is the number of dispatchers that share a worker, as a target for each zone.
+	targetDispatchersPerWorker = 8.0
+	minSubsetSize              = 5.0 // least number of workers of each zone in a subset
 
-	targetDispatchersPerWorkerNoGossip = 4.0 // own jobs show more where fewer dispatchers share a worker
+	// maxSmallFleetDispatchers is the largest number of dispatchers of a small fleet. Up to this number they
+	// send to one worker at the same time so seldom that they need no gossip.
+	maxSmallFleetDispatchers = 8
+
+	// crossZoneGossipSeconds is the time, in seconds, for which a dispatcher that has sent a job to a worker of
+	// another zone is sent gossip about workers of other zones than its own.
+	crossZoneGossipSeconds = 10
+
+	// The following constants replace targetDispatchersPerWorker and minSubsetSize in a large fleet without
+	// gossip. With fewer dispatchers for each worker, the own jobs of a dispatcher show more of its state.
+	targetDispatchersPerWorkerNoGossip = 4.0
 	minSubsetSizeNoGossip              = 3.0
 )
 
-// updateSubset picks this dispatcher's subset of the fleet. Hundreds of dispatchers would each see a
-// worker once in minutes: too seldom to know its slots, speed or health, and gossip to all peers for
-// each job is more than all can take. So both have positions on a ring, and those that are near share
-// workers, of all zones and kinds alike. In a small fleet each has all workers; a worker in slow start
-// is in its owner's subset, too.
+// updateSubset chooses this dispatcher's subset of the fleet after an update of the worker list. If each of
+// hundreds of dispatchers used all workers, it would send to a given worker once in minutes, too seldom to
+// know the worker's slots, speed or health, and gossip about each job to all peers would be more than the
+// dispatchers can process. So dispatchers and workers have positions on a ring, and a dispatcher uses the
+// workers in the interval that begins at its position, of all zones and kinds alike. In a small fleet the
+// interval covers all workers. A worker in slow start is in its owner's subset as well.
 func (d *Dispatcher) updateSubset(updated []*worker) {
 	d.reorder(updated)
 	ringCoverage := min(1, float64(d.ring.Zones())*d.subsetFraction(d.ring.Len()))
