--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -6,7 +6,7 @@
 //
 // A Dispatcher queues jobs by latest start and sends them to workers with free slots. A published overload
 // control decides about admission: when the queued jobs would not all start in time (see
-// worstConditionRatio), call gapping rejects a part of the new jobs, lowest rank first. docs/design.md says
+// admission.go), call gapping rejects a part of the new jobs, lowest rank first. docs/design.md says
 // where and why the package departs from the publication.
 //
 // The files that hold decisions are listed under policy in deploy/balancer.toml. state.go and records.go
@@ -53,8 +53,8 @@
 	PriorityWeight   float64 // weight of each job, or of each unit of work if Settings.WeightByWork is set
 	LateWeight       float64 // fraction of the weight that an answer after the objective earns
 	Effect           Effect
-	DedupScope       DedupScope // only for Keyed
-	DedupWindow      Micros     // only for Keyed: how long workers drop repeats, counted from the first receipt
+	DedupScope       DedupScope // deduplication groups of the workers; used only if Effect is Keyed
+	DedupWindow      Micros     // time for which a group drops repeats of a job; used only if Effect is Keyed
 	Stream           bool       // the worker streams the answer
 	Kind             int        // the machine kind that a job needs; -1: any kind
 }
@@ -210,10 +210,10 @@
 	ClientTimeout Micros  // time until the client abandons this try
 	Retry         bool    // the client marked this try as a retry
 	Work          Micros  // the client's cost hint: expected run time on a standard core; 0: unknown
-	Slots         float64 // slots that the job takes; memory in units of a slot's share if that is more
+	Slots         float64 // slots that the job takes, or its units of memory if that number is larger
 	Worker        WorkerID
 	Attempt       int     // number of the attempt within its job, from 0
-	Value         float64 // of NoteProgress: fraction of the work that is done
+	Value         float64 // fraction of the work that is done, if Note is NoteProgress
 	Report        Report
 	Workers       []WorkerEntry
 	Age           Micros // time since the worker list was last known to be current
@@ -243,13 +243,13 @@
 	Job      JobID
 	Worker   WorkerID
 	Attempt  int    // number of the attempt within its job, from 0
-	Deadline Micros // of a Send: time at which the attempt has to be abandoned
+	Deadline Micros // time at which the attempt of a Send has to be abandoned
 	// SendBy is the time from which a Send must not leave any more. After it, a repeat of a keyed job could
 	// reach a worker outside the deduplication window.
 	SendBy  Micros
-	Delay   Micros // of a Refuse: Retry-After; of a SetTimer: time until the timer fires
-	Token   uint64 // of a SetTimer: token that the TimerFired event has to carry
+	Delay   Micros // Retry-After that a Refuse carries, or time until the timer of a SetTimer fires
+	Token   uint64 // token that the TimerFired event of a SetTimer has to carry
 	Peer    int    // number of the dispatcher to which a SendGossip goes
 	Message []byte
-	Text    string // of a Log: the log line
+	Text    string // log line of a Log action
 }
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -45,12 +45,12 @@
 	d.gossipQueue = later
 }
 
-// multicast sends a message about a worker to the peers that cover the worker and are in its zone, have
-// recently sent jobs to another zone than their own, or are in an unknown zone; to all peers that cover the
-// worker if few dispatchers share a worker. A peer from another zone that receives no gossip would take every
-// worker here for free and fill it. If the worker is in another zone than this dispatcher, all peers that
-// cover the worker get the message, because other dispatchers of this dispatcher's zone likely send there as
-// well.
+// multicast sends a message about a worker to peers that cover the worker on the ring. If few dispatchers
+// share a worker, or if the worker is in another zone than this dispatcher, all these peers get the message:
+// other dispatchers of this dispatcher's zone likely send to that zone as well. Otherwise the message goes to
+// peers of the worker's zone, to peers whose zone is unknown, and to peers that have recently sent jobs to
+// another zone than their own. A peer from another zone that received no gossip would take every worker here
+// for free and fill it.
 func (d *Dispatcher) multicast(w *worker, message []byte) {
 	sent, small := 0.0, d.dispatchersPerWorker() <= targetDispatchersPerWorker
 	for i := range d.neighbours {
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -81,10 +81,11 @@
 	}
 	limit := rate * float64(d.settings.OverloadWindow)
 	if d.largeFleetWithoutGossip() {
-		limit /= 2 // several owners may each send one job that exceeds their part
+		limit /= 2 // the other half is a reserve, because several owners may each send one job too many
 	}
 	if w.slowStartBudgetAt == 0 && d.now-d.startedAt >= d.settings.OverloadWindow {
-		// The budget is negative before, by the work in transit when the worker's start was listed.
+		// Before its first refill the budget is minus the work that was in transit when the worker's start was
+		// listed, or 0.
 		w.slowStartBudget += limit
 	} else {
 		w.slowStartBudget = min(limit, w.slowStartBudget+rate*float64(d.now-max(w.slowStartBudgetAt, d.startedAt)))
