--- a/cmd/dahliaford/check.go
+++ b/cmd/dahliaford/check.go
@@ -7,10 +7,11 @@
 )
 
 type checkFileCmd struct {
-	File string `arg:"" type:"path" help:"An appliance's file, such as deploy/appliance.json."`
+	File string `arg:"" type:"path" help:"The configuration file, such as deploy/appliance.json."`
 }
 
-// Run says that a file is in order, or in one line what is invalid in it.
+// Run prints one line that says that the file is valid and whether it configures a job store. The error of an
+// invalid file is one line with the path of the invalid field.
 func (c *checkFileCmd) Run(s *streams) error {
 	raw, err := readFile(c.File, maxFileBytes)
 	if err != nil {
@@ -24,6 +25,6 @@
 	if cfg.Store != nil {
 		configured = "job store in " + cfg.Store.Path
 	}
-	_, err = fmt.Fprintf(s.out, "%s is in order: %s\n", c.File, configured)
+	_, err = fmt.Fprintf(s.out, "%s is valid: %s\n", c.File, configured)
 	return err
 }
--- a/cmd/dahliaford/compat_test.go
+++ b/cmd/dahliaford/compat_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// scalars lists the values within v in the order of their fields, whatever the fields are called and
-// however their types print themselves.
+// scalars lists the scalar values within v in the order of the fields. Neither the names of the fields nor
+// the String methods of their types have an influence on the list.
 func scalars(v reflect.Value) []string {
 	var all []string
 	switch v.Kind() {
@@ -40,13 +40,14 @@
 		}
 		all = append(all, scalars(v.Elem())...)
 	default:
-		panic("no way to list a " + v.Type().String())
+		panic("cannot list the values of a " + v.Type().String())
 	}
 	return all
 }
 
-// A configuration that was written for an earlier release must be read to the same values by each later
-// one. The files in testdata are copies and are never edited.
+// A configuration file that was written for an earlier release must be read as the same values by each later
+// release. testdata/config.json is a copy of such a file, config.values lists its values; neither is ever
+// edited.
 func TestConfigurationOfEarlierRelease(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	if err != nil {
--- a/cmd/dahliaford/config.go
+++ b/cmd/dahliaford/config.go
@@ -13,7 +13,7 @@
 	"dahliaford/internal/settings"
 )
 
-// readOccasion says why the configuration is read.
+// readOccasion says whether the configuration is read at the start of the process or on a reload.
 type readOccasion int
 
 const (
@@ -21,13 +21,14 @@
 	onReload
 )
 
-// configuration reads the file that BALANCER_CONFIG names. The other variables take precedence over it
-// where they are set. On a reload the file alone says where discovery is: the variables are as old as the
-// process, and could never be changed.
+// configuration reads the file that BALANCER_CONFIG names. The environment variables BALANCER_NAME,
+// BALANCER_LISTEN and BALANCER_DISCOVERY override the fields of the file if they are set. On a reload
+// BALANCER_DISCOVERY is ignored: the environment of a running process cannot be changed from outside, so that
+// a set variable would make a new discovery address in the file impossible.
 func configuration(env func(string) string, occasion readOccasion) (node.Config, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
-		return node.Config{}, errors.New("BALANCER_CONFIG names no file")
+		return node.Config{}, errors.New("BALANCER_CONFIG is not set")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -51,14 +52,15 @@
 	return cfg, err
 }
 
-// override sets a field to the value of a variable, where that is set.
+// override sets a field to the value of an environment variable, unless the value is empty.
 func override(field *string, value string) {
 	if value != "" {
 		*field = value
 	}
 }
 
-// parse reads the text of a configuration. Unknown fields are skipped, and null is the same as absent.
+// parse decodes the JSON text of a configuration. Unknown fields are skipped, and a field that is null counts
+// as absent.
 func parse(raw []byte) (cfg node.Config, err error) {
 	var known, settingsObject []byte
 	var seed string
@@ -91,8 +93,8 @@
 		return cfg, err
 	}
 	if len(known) > 0 {
-		// It may be of any age, and nothing is sent to a worker because of it alone: an invalid one does not keep
-		// the program from starting.
+		// The known endpoint list may be outdated, and no job is sent to a worker on the strength of this list
+		// alone. An invalid list therefore does not keep the program from starting.
 		known, invalid, err := node.DecodeList(known)
 		cfg.Known, cfg.InvalidKnown = known, invalid
 		if err != nil {
@@ -106,7 +108,7 @@
 	return cfg, err
 }
 
-// parseSeed reads a hexadecimal number; without one the seed is 0.
+// parseSeed parses a hexadecimal number. The seed of an empty text is 0.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -132,8 +134,8 @@
 	return sockets, memoryMB
 }
 
-// needsRestart reports whether a configuration differs from the one that the process started with in a
-// field that a reload does not apply.
+// needsRestart reports whether the configuration now differs from the configuration started, with which the
+// process started, in a field that a reload does not apply.
 func needsRestart(started, now node.Config) bool {
 	return started.Name != now.Name || started.Listen != now.Listen || started.Sockets != now.Sockets ||
 		started.MemoryMB != now.MemoryMB || !reflect.DeepEqual(started.Settings, now.Settings)
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -17,11 +17,14 @@
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"rev":41,"all":true,"targets":[]},
 	"settings":{"discovery":"on_request","grades":[{"name":"a","semantics":"idempotent","deadline":5}]}}`
 
+// readConfiguration reads a configuration at the start of the process. It returns the name, the addresses and
+// the class names, separated by spaces.
 func readConfiguration(t *testing.T, text string, env map[string]string) (string, error) {
 	t.Helper()
 	return readConfigurationOn(t, text, env, atStart)
 }
 
+// readConfigurationOn does the work of readConfiguration for a given occasion.
 func readConfigurationOn(t *testing.T, text string, env map[string]string, occasion readOccasion) (
 	string, error) {
 	t.Helper()
@@ -51,22 +54,22 @@
 	}
 }
 
-// A field that is null is the same as one that is absent, whatever the order, and unknown ones are skipped.
+// A field that is null counts as absent, whatever the order of the fields, and unknown fields are skipped.
 func TestNullIsAbsent(t *testing.T) {
 	const text = `{"settings":{"limits":null,"new":[{}],"customers":null,"guarantees":null,"family_info":null,
 		"grades":[{"deadline":5,"dedup_scope":null,"semantics":"idempotent","name":"a"}]},"limits":null,"seed":null,
 		"known":null,"later":{"x":[null]},"discovery":"127.0.0.1:1","listen":"127.0.0.1:0","name":null}`
 	if got, err := readConfiguration(t, text, nil); err != nil || got != " 127.0.0.1:0 127.0.0.1:1 a" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("configuration with null fields: got %q, error %v", got, err)
 	}
 	within := strings.Replace(text, `"limits":null,"seed"`, `"limits":{"sockets":null,"x":1},"seed"`, 1)
 	cfg, err := parse([]byte(within))
 	if err != nil || cfg.Sockets != 0 {
-		t.Errorf("%d sockets, %v", cfg.Sockets, err)
+		t.Errorf("sockets is null: got a limit of %d sockets, error %v, want 0 and no error", cfg.Sockets, err)
 	}
 }
 
-// Each mistake gets an error of one line that names its place.
+// The error of an invalid configuration is one line that names the invalid field or the kind of error.
 func TestInvalidConfigurations(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"not JSON":            {`{"name"`, `name`, "parse error"},
@@ -81,13 +84,14 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := readConfiguration(t, strings.Replace(validConfig, c.old, c.new, 1), nil)
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want one line with %q", err, c.want)
+				t.Errorf("got error %v, want one line that contains %q", err, c.want)
 			}
 		})
 	}
 }
 
-// The known list may be of any age. If it is invalid, the start goes on without it.
+// The known endpoint list of the configuration may be outdated. If some of its entries or the whole list are
+// invalid, the scheduler starts without them.
 func TestInvalidKnownListEndsNoStart(t *testing.T) {
 	const valid = `{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"ready"}`
 	for targets, want := range map[string]int{
@@ -96,12 +100,14 @@
 		cfg, err := parse([]byte(strings.Replace(validConfig, `"targets":[]`, `"targets":`+targets, 1)))
 		if invalid := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
 			(cfg.InvalidKnown != nil) != invalid || len(cfg.Known.Workers) != want {
-			t.Errorf("%s: %v, invalid %v, %d workers", targets, err, cfg.InvalidKnown, len(cfg.Known.Workers))
+			t.Errorf("known list %s: got error %v, InvalidKnown %v, %d workers", targets, err, cfg.InvalidKnown,
+				len(cfg.Known.Workers))
 		}
 	}
 }
 
-// On a reload the file says where discovery is, whatever the process was started with.
+// On a reload the discovery address of the file takes precedence over BALANCER_DISCOVERY, which is as old as
+// the process.
 func TestFileWinsOnReload(t *testing.T) {
 	env := map[string]string{"BALANCER_NAME": "n4", "BALANCER_DISCOVERY": "127.0.0.1:9"}
 	for occasion, want := range map[readOccasion]string{atStart: "n4 127.0.0.1:0 127.0.0.1:9 a",
@@ -113,7 +119,7 @@
 	}
 }
 
-// sendSignal sends a signal to the test's own process.
+// sendSignal sends a signal to the process that runs the test.
 func sendSignal(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), signal); err != nil {
@@ -121,8 +127,8 @@
 	}
 }
 
-// SIGHUP moves the watch to the discovery that the file now names, more than once, and a half-written file
-// changes nothing: the next complete one does. SIGTERM still ends the program.
+// Each SIGHUP moves the watch to the discovery address that the file then names. A half-written file changes
+// nothing until the complete file is read by a retry. SIGTERM ends the program after the reloads.
 func TestSIGHUP(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("BALANCER_CONFIG", path)
@@ -162,7 +168,7 @@
 	expectPoll(first)
 	expectPoll(nextDiscovery(syscall.SIGHUP))
 	expectPoll(nextDiscovery(syscall.SIGHUP))
-	// The signal comes once, while the file is being written: it is read again without another signal.
+	// One SIGHUP arrives while the file is half written. The reload is retried without another signal.
 	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dahliaford/log.go
+++ b/cmd/dahliaford/log.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// The log takes maxLines lines of one message in lineWindow.
+// The log writes at most maxLines lines with the same message in each window of lineWindow.
 const (
 	maxLines   = 20
 	lineWindow = 5 * time.Second
 )
 
-// rateLimitedHandler limits the lines of each message and counts the dropped ones, so that a client that
-// sends invalid requests at full speed neither fills the log nor uses up the core.
+// rateLimitedHandler limits how many lines with the same message are written and counts the lines that it
+// drops, so that a client that sends invalid requests at full speed neither fills the log nor takes up the
+// processor core of the scheduler.
 type rateLimitedHandler struct {
 	slog.Handler
 	counts *messageCounts
@@ -24,7 +25,8 @@
 	return rateLimitedHandler{h, &messageCounts{byMessage: map[string]*messageWindow{}}}
 }
 
-// Handle writes a line, or drops it. The first line after dropped ones says how many they were.
+// Handle writes the record as a line, or drops it when the limit of its message is reached. The first line
+// of the message that is written afterwards has the number of dropped lines in the attribute left_out.
 func (h rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	dropped, allowed := h.counts.add(r.Message, r.Time)
 	if !allowed {
@@ -36,19 +38,21 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-// messageCounts counts lines by message. Messages are constants of the program: there are few.
+// messageCounts counts log lines by message. Messages are constants of the program, so that the map stays
+// small.
 type messageCounts struct {
 	sync.Mutex
 	byMessage map[string]*messageWindow
 }
 
-// messageWindow counts the lines of a message since the window began.
+// messageWindow counts the written and the dropped lines of one message since the start of its window.
 type messageWindow struct {
-	since            time.Time
+	since            time.Time // the start of the window
 	written, dropped int
 }
 
-// add counts a line, and reports whether it may be written and how many were dropped in the window before.
+// add counts a line of a message, and reports whether the line may be written. At the first line of a new
+// window, dropped is the number of lines that were dropped in the window before.
 func (c *messageCounts) add(message string, at time.Time) (dropped int, allowed bool) {
 	c.Lock()
 	defer c.Unlock()
--- a/cmd/dahliaford/log_test.go
+++ b/cmd/dahliaford/log_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Thousands of invalid requests must not make a line each, and must not hide lines with another message.
+// Thousands of invalid requests must neither write a log line each nor suppress lines with other messages.
 func TestLogIsRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	h := newRateLimitedHandler(slog.NewTextHandler(&out, nil))
--- a/cmd/dahliaford/main.go
+++ b/cmd/dahliaford/main.go
@@ -1,5 +1,5 @@
-// Command dahliaford serves as one scheduler on sockets, submits jobs to schedulers, and maintains job
-// stores.
+// Command dahliaford runs one scheduler that serves jobs over HTTP, submits jobs to schedulers, and maintains
+// job stores.
 package main
 
 import (
@@ -12,24 +12,25 @@
 	"github.com/alecthomas/kong"
 )
 
-// The exit statuses.
+// The exit statuses of all commands.
 const (
 	exitOK       = 0
 	exitFailed   = 1
 	exitUsage    = 2
-	exitTempFail = 75 // EX_TEMPFAIL: the job did not run, submitting it again is harmless
+	exitTempFail = 75 // EX_TEMPFAIL of sysexits.h: the job did not run and may be submitted again
 )
 
 type commands struct {
-	Serve   serveCmd     `cmd:"" help:"Serve as one scheduler; what it does without any argument."`
-	Send    sendCmd      `cmd:"" help:"Submit one job, or a file of jobs, and wait for results."`
-	Check   checkFileCmd `cmd:"" help:"Check an appliance's file."`
+	Serve   serveCmd     `cmd:"" help:"Run one scheduler; the default when no command is given."`
+	Send    sendCmd      `cmd:"" help:"Submit one job, or a file of jobs, and wait for the results."`
+	Check   checkFileCmd `cmd:"" help:"Check the configuration file of an appliance."`
 	Store   storeCmd     `cmd:"" help:"Maintain a job store: check, show, backup, restore, compact."`
 	Version versionCmd   `cmd:"" help:"Print the version."`
 	Help    helpCmd      `cmd:"" help:"Print this help."`
 }
 
-// exitError ends the program with a status of its own. Without a text nothing is printed.
+// exitError makes the program exit with the given status. The text is printed to standard error unless it is
+// empty.
 type exitError struct {
 	status int
 	text   string
@@ -44,7 +45,8 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
 
-// run runs a command and returns the exit status.
+// run executes the command that the arguments name, prints its error, and returns the exit status of the
+// program.
 func run(args []string, in io.Reader, out, errs io.Writer) int {
 	err := command(args, in, out, errs)
 	var exit exitError
@@ -55,19 +57,21 @@
 		exit = exitError{exitFailed, err.Error()}
 	}
 	if exit.text != "" {
-		_, _ = fmt.Fprintln(errs, "dahliaford:", exit.text) // the status tells it, too
+		// A write error is ignored, because the exit status reports the failure as well.
+		_, _ = fmt.Fprintln(errs, "dahliaford:", exit.text)
 	}
 	return exit.status
 }
 
-// command runs one command. Without arguments that is to serve, and nothing else is set up for it:
-// schedulers are started often, all at once, on part of a core.
+// command executes the command that the arguments name, or serve when there are none. Without arguments it
+// does not build the command-line parser: schedulers are started often, many at the same time, on a fraction
+// of a processor core.
 func command(args []string, in io.Reader, out, errs io.Writer) error {
 	if len(args) == 0 {
 		return serveCmd{}.Run()
 	}
 	var c commands
-	helpStatus := -1 // of the help, once it was printed
+	helpStatus := -1 // the exit status that kong requests after it has printed a help text; -1 before
 	parser, err := kong.New(&c, kong.Name("dahliaford"), kong.Writers(out, errs),
 		kong.Description("The job scheduler of Compteurs Réunis du Sahel."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
@@ -85,22 +89,22 @@
 	return ctx.Run(&streams{in, out, errs})
 }
 
-// streams are the standard ones, or a test's.
+// streams are the standard input, output and error of the process, or their replacements in a test.
 type streams struct {
 	in        io.Reader
 	out, errs io.Writer
 }
 
-// printf writes to standard output. An error is ignored: then nobody reads it, and the exit status says how
-// the command ended.
+// printf writes to standard output. A write error is ignored: it means that nobody reads the output, and the
+// exit status reports how the command ended.
 func (s *streams) printf(format string, args ...any) { _, _ = fmt.Fprintf(s.out, format, args...) }
 
-// reportf writes to standard error. An error is ignored, as in printf.
+// reportf writes to standard error. A write error is ignored for the reason given at printf.
 func (s *streams) reportf(format string, args ...any) { _, _ = fmt.Fprintf(s.errs, format, args...) }
 
 type versionCmd struct{}
 
-// Run prints the version that the build recorded in the program.
+// Run prints the module version and the commit that the Go tool chain recorded in the binary.
 func (versionCmd) Run(s *streams) error {
 	version, commit := "(unknown)", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -119,7 +123,7 @@
 	Command []string `arg:"" optional:"" help:"The command to explain."`
 }
 
-// Run prints the help of the program, or of a command.
+// Run prints the help text of the program, or of the named command.
 func (h helpCmd) Run(s *streams) error {
 	return command(append(h.Command, "--help"), s.in, s.out, s.errs)
 }
--- a/cmd/dahliaford/send.go
+++ b/cmd/dahliaford/send.go
@@ -15,27 +15,29 @@
 )
 
 type sendCmd struct {
-	// The flag was once called desk: scripts that still use that name go on working.
+	// The flag --config was called --desk in earlier releases. The alias keeps scripts working that use the
+	// former name.
 	Config    string        `help:"The client's configuration file." placeholder:"FILE" aliases:"desk"`
-	Scheduler []string      `help:"Instead of the file's; repeatable." sep:"none" placeholder:"ADDR"`
+	Scheduler []string      `help:"Scheduler, in place of the file's; repeatable." sep:"none" placeholder:"ADDR"`
 	Class     string        `help:"The job's class."`
-	Tenant    string        `help:"Whose job it is, in place of the file's tenant."`
-	Object    string        `help:"What it is about: the last part of the path."`
+	Tenant    string        `help:"The job's tenant, in place of the tenant of the file."`
+	Object    string        `help:"The object of the job: the last segment of the request path."`
 	Key       string        `help:"The idempotency key of a keyed class."`
-	Within    time.Duration `help:"How long to wait for its end, in place of the class's deadline."`
-	Data      string        `help:"Its body: TEXT, @FILE, or - for standard input." placeholder:"TEXT|@FILE|-"`
-	Jobs      string        `help:"A file of jobs, one JSON object a line." placeholder:"FILE"`
-	AtOnce    int           `help:"How many jobs of a file may be in flight at once." default:"16"`
+	Within    time.Duration `help:"How long to wait, in place of the class's deadline."`
+	Data      string        `help:"The body: TEXT, @FILE, or - for standard input." placeholder:"TEXT|@FILE|-"`
+	Jobs      string        `help:"A file of jobs, one JSON object per line." placeholder:"FILE"`
+	AtOnce    int           `help:"The limit of jobs of a file in flight at the same time." default:"16"`
 }
 
 const (
 	maxAtOnce    = 1024
-	maxFileBytes = 1 << 20 // of a configuration file
-	// defaultDeadline is the deadline of a class that no file describes.
+	maxFileBytes = 1 << 20 // the largest size of a configuration file
+	// defaultDeadline is the deadline of a job whose class no configuration file describes.
 	defaultDeadline = 5 * time.Second
 )
 
-// Run submits what the arguments say.
+// Run submits the job that the flags describe, or the jobs of the file that --jobs names. SIGINT and SIGTERM
+// end the wait for results.
 func (c *sendCmd) Run(s *streams) error {
 	if err := c.validate(); err != nil {
 		return err
@@ -55,18 +57,18 @@
 func (c *sendCmd) validate() error {
 	switch {
 	case c.Within < 0:
-		return usageError("--within must be longer than nothing")
+		return usageError("--within must not be negative")
 	case c.AtOnce < 1 || c.AtOnce > maxAtOnce:
 		return usageError("--at-once must be between 1 and %d", maxAtOnce)
 	case c.Jobs != "" && (c.Class != "" || c.Data != "" || c.Object != "" || c.Key != ""):
-		return usageError("--jobs names the jobs: --class, --data, --object and --key do not go with it")
+		return usageError("--jobs cannot be combined with --class, --data, --object or --key")
 	case c.Jobs == "" && c.Class == "":
-		return usageError("--class or --jobs must say what to submit")
+		return usageError("one of --class or --jobs is required")
 	}
 	return nil
 }
 
-// sendOne submits the job that the arguments describe, and prints its result.
+// sendOne submits the job that the flags describe, and writes the body of the result to standard output.
 func (c *sendCmd) sendOne(ctx context.Context, cfg client.Config, s *streams) error {
 	body, err := c.body(s.in)
 	if err != nil {
@@ -87,7 +89,8 @@
 	return err
 }
 
-// config returns the client's configuration, as the file and the arguments say.
+// config returns the client's configuration: the contents of the file that --config names, with the
+// schedulers replaced by those of --scheduler if there are any.
 func (c *sendCmd) config() (cfg client.Config, err error) {
 	if c.Config != "" {
 		raw, err := readFile(c.Config, maxFileBytes)
@@ -107,8 +110,9 @@
 	return cfg, nil
 }
 
-// newClient makes the client. Without a file it is unknown what the classes allow: then their jobs are
-// never repeated once they may have run.
+// newClient creates the client. Without a configuration file the effect of repeating a job of a class is
+// unknown. The classes are then declared with the effect client.Once: a job that may have run is not
+// repeated.
 func newClient(cfg client.Config, classes ...string) (*client.Client, error) {
 	if cfg.Classes == nil {
 		cfg.Classes = map[string]client.Class{}
@@ -123,7 +127,8 @@
 	return c, nil
 }
 
-// body returns the body that --data gives.
+// body returns the body of the job: the text of --data, the contents of the file that it names, or standard
+// input.
 func (c *sendCmd) body(in io.Reader) ([]byte, error) {
 	switch {
 	case c.Data == "-":
@@ -147,7 +152,8 @@
 	return readLimited(f, path, maxBytes)
 }
 
-// closeReadOnly closes a file that was only read: an error loses nothing.
+// closeReadOnly closes a file that was opened for reading only. The error is ignored because no data can be
+// lost.
 func closeReadOnly(f io.Closer) { _ = f.Close() }
 
 func readLimited(in io.Reader, name string, maxBytes int) ([]byte, error) {
@@ -158,8 +164,9 @@
 	return b, err
 }
 
-// deadline is when a job's caller gives up, by the span of its line or else by --within; zero: the class's
-// own deadline holds.
+// deadline returns the time at which the client stops waiting for a job: within, the duration that the job's
+// line in the file gives, or else --within, counted from now. The zero time means that neither is given and
+// the deadline of the class applies.
 func (c *sendCmd) deadline(within string) time.Time {
 	span := c.Within
 	if d, err := time.ParseDuration(within); err == nil {
@@ -171,7 +178,7 @@
 	return time.Now().Add(span)
 }
 
-// exitStatus is the exit status for how a job ended.
+// exitStatus returns the exit status for a verdict of the client package.
 func exitStatus(verdict string) int {
 	switch verdict {
 	case "served":
@@ -184,12 +191,13 @@
 	return exitFailed
 }
 
-// describe says how a job ended, and when to submit it again where that is known.
+// describe returns the text of a job's error, and after a refusal also how long to wait before submitting the
+// job again, if the scheduler gave a time.
 func describe(err error) string {
 	var refused *client.RefusedError
 	if errors.As(err, &refused) {
 		if wait := time.Until(refused.RetryAfter); wait > 0 {
-			return fmt.Sprintf("%v; come back in %v", err, wait.Round(10*time.Millisecond))
+			return fmt.Sprintf("%v; retry after %v", err, wait.Round(10*time.Millisecond))
 		}
 	}
 	return err.Error()
--- a/cmd/dahliaford/send_test.go
+++ b/cmd/dahliaford/send_test.go
@@ -16,8 +16,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// startScheduler starts a scheduler that answers by the body of a job: "busy" is refused, "broken" fails,
-// "odd" is invalid, and all else is served in capitals.
+// startScheduler starts a fake scheduler whose answer depends on the body of the job: "busy" is refused,
+// "broken" fails, "odd" is invalid, and any other body is returned in capitals. The channel seen gets the
+// headers of each request, with its path as the header Path.
 func startScheduler(t *testing.T) (addr string, seen chan http.Header) {
 	t.Helper()
 	seen = make(chan http.Header, 100)
@@ -33,7 +34,7 @@
 			w.WriteHeader(500)
 		case "odd":
 			w.WriteHeader(400)
-			_, _ = io.WriteString(w, "no such thing") // a client that is gone shows in the test itself
+			_, _ = io.WriteString(w, "no such thing") // a write error means a lost answer, which fails the test
 		default:
 			_, _ = io.WriteString(w, strings.ToUpper(string(body)))
 		}
@@ -67,7 +68,7 @@
 		in     string
 		status int
 		out    string
-		errs   string // a part of it
+		errs   string // a part of what is printed to standard error
 	}{
 		{name: "text", args: []string{at, "--class=a", "--data=4211x"}, out: "4211X"},
 		{name: "standard input", args: []string{at, "--class=a", "--data=-"}, in: "in", out: "IN"},
@@ -79,7 +80,7 @@
 		{name: "both names of the flag", args: []string{"--desk=/nowhere/x", "--config=" + config, at,
 			"--class=post-reading", "--data=x"}, out: "X"},
 		{name: "refused", args: []string{at, "--class=a", "--data=busy"}, status: exitTempFail,
-			errs: "come back in"},
+			errs: "retry after"},
 		{name: "connection refused", args: []string{"--config=" + config, "--class=post-reading"},
 			status: exitTempFail, errs: "not sent"},
 		{name: "failed", args: []string{at, "--class=a", "--data=broken"}, status: exitFailed, errs: "status 500"},
@@ -89,7 +90,7 @@
 			errs: `unknown class "b"`},
 		{name: "no scheduler", args: []string{"--class=a"}, status: exitUsage, errs: "must name a scheduler"},
 		{name: "no class", args: []string{at}, status: exitUsage, errs: "--class or --jobs"},
-		{name: "both", args: []string{at, "--class=a", "--jobs=x"}, status: exitUsage, errs: "do not go with it"},
+		{name: "both", args: []string{at, "--class=a", "--jobs=x"}, status: exitUsage, errs: "cannot be combined"},
 		{name: "no such file", args: []string{at, "--class=a", "--data=@/nowhere/x"}, status: exitUsage,
 			errs: "--data: open /nowhere/x"},
 		{name: "no such configuration", args: []string{"--config=/nowhere/x", "--class=a"}, status: exitUsage,
@@ -109,14 +110,14 @@
 			got := run(append([]string{"send"}, c.args...), strings.NewReader(c.in), &out, &errs)
 			if got != c.status || out.String() != c.out || !strings.Contains(errs.String(), c.errs) ||
 				strings.Count(errs.String(), "\n") > 1 {
-				t.Errorf("status %d, %q, %q, want %d, %q, a line with %q", got, out.String(), errs.String(),
-					c.status, c.out, c.errs)
+				t.Errorf("got status %d, output %q, errors %q; want status %d, output %q, one line of errors with %q",
+					got, out.String(), errs.String(), c.status, c.out, c.errs)
 			}
 		})
 	}
 }
 
-// The request that a scheduler gets has what the arguments say.
+// The path and the headers of the request to the scheduler hold the values of the flags.
 func TestSendHeaders(t *testing.T) {
 	addr, seen := startScheduler(t)
 	if got := run([]string{"send", "--scheduler", addr, "--class", "district-batch", "--tenant", "north",
@@ -131,7 +132,7 @@
 	var remaining int
 	if _, err := fmt.Sscan(h.Get("X-Remaining-Ms"), &remaining); err != nil || remaining < 1000 ||
 		remaining > 3000 {
-		t.Errorf("%d ms remain of 3 s", remaining)
+		t.Errorf("X-Remaining-Ms is %d, want 1000 to 3000 with --within 3s", remaining)
 	}
 }
 
@@ -146,7 +147,7 @@
 	var out, errs bytes.Buffer
 	got := run([]string{"send", "--scheduler", addr, "--jobs", jobs, "--at-once", "1"}, nil, &out, &errs)
 	if got != exitFailed {
-		t.Errorf("status %d", got)
+		t.Errorf("got exit status %d, want that of a failed job", got)
 	}
 	var ends []jobOutcome
 	for d := json.NewDecoder(&out); d.More(); {
@@ -166,7 +167,7 @@
 	}
 	for _, line := range []string{"a      refused  1", "b      served   1"} {
 		if !strings.Contains(errs.String(), line) {
-			t.Errorf("no %q in the summary:\n%s", line, errs.String())
+			t.Errorf("the summary has no line %q:\n%s", line, errs.String())
 		}
 	}
 	sent := len(seen)
@@ -182,7 +183,8 @@
 		var errs bytes.Buffer
 		if got := run([]string{"send", "--scheduler", addr, "--jobs", tempFile(t, text)}, nil, io.Discard,
 			&errs); got != exitUsage || !strings.Contains(errs.String(), want) {
-			t.Errorf("%.40s: status %d, %q, want %q", text, got, errs.String(), want)
+			t.Errorf("file of jobs %.40s: got exit status %d, errors %q, want a usage error with %q", text, got,
+				errs.String(), want)
 		}
 	}
 	if len(seen) != sent {
@@ -190,11 +192,11 @@
 	}
 }
 
-// The flag's former name works and is not offered any more.
+// The flag --config still works under its former name --desk, which the help text does not mention.
 func TestHelpHidesTheFormerFlag(t *testing.T) {
 	var out bytes.Buffer
 	if got := run([]string{"help", "send"}, nil, &out, io.Discard); got != exitOK {
-		t.Fatalf("status %d", got)
+		t.Fatalf("got exit status %d, want 0", got)
 	}
 	if text := out.String(); !strings.Contains(text, "--config=FILE") || strings.Contains(text, "desk") {
 		t.Error(text)
@@ -205,24 +207,25 @@
 	for _, c := range []struct {
 		args   []string
 		status int
-		out    string // parts of what is printed
-		errs   string
+		out    string // a part of what is printed to standard output
+		errs   string // a part of what is printed to standard error
 	}{
 		{[]string{"version"}, exitOK, "dahliaford ", ""},
 		{[]string{"help"}, exitOK, "Usage: dahliaford", ""},
 		{[]string{"help", "send"}, exitOK, "--jobs", ""},
 		{[]string{"send", "--help"}, exitOK, "--at-once", ""},
-		{[]string{"check", "../../deploy/appliance.json"}, exitOK, "in order: job store in /var/lib", ""},
+		{[]string{"check", "../../deploy/appliance.json"}, exitOK, "is valid: job store in /var/lib", ""},
 		{[]string{"check", "../../examples/client.json"}, exitFailed, "", "the file: Additional property"},
 		{[]string{"dance"}, exitUsage, "", "unexpected argument dance"},
-		{[]string{"serve"}, exitFailed, "", "BALANCER_CONFIG names no file"},
-		{nil, exitFailed, "", "BALANCER_CONFIG names no file"},
+		{[]string{"serve"}, exitFailed, "", "BALANCER_CONFIG is not set"},
+		{nil, exitFailed, "", "BALANCER_CONFIG is not set"},
 	} {
 		t.Setenv("BALANCER_CONFIG", "")
 		var out, errs bytes.Buffer
 		if got := run(c.args, nil, &out, &errs); got != c.status || !strings.Contains(out.String(), c.out) ||
 			!strings.Contains(errs.String(), c.errs) {
-			t.Errorf("%v: status %d, %q, %q", c.args, got, out.String(), errs.String())
+			t.Errorf("arguments %v: got exit status %d, output %q, errors %q", c.args, got, out.String(),
+				errs.String())
 		}
 	}
 }
--- a/cmd/dahliaford/sendfile.go
+++ b/cmd/dahliaford/sendfile.go
@@ -16,10 +16,11 @@
 	"dahliaford/client"
 )
 
-// maxLineBytes is the longest line of a file of jobs: a body of 64 KiB may be escaped.
+// maxLineBytes is the largest length of a line in a file of jobs. It leaves room for a body of 64 KiB in
+// which JSON escapes make each byte up to six bytes long.
 const maxLineBytes = 512 << 10
 
-// fileJob is one line of a file of jobs.
+// fileJob is the JSON object on one line of a file of jobs.
 type fileJob struct {
 	Class  string `json:"class"`
 	Tenant string `json:"tenant"`
@@ -30,7 +31,7 @@
 	Slots  int    `json:"slots"`
 }
 
-// parseJob reads one line of a file of jobs.
+// parseJob decodes and checks one line of a file of jobs.
 func parseJob(line []byte) (job fileJob, err error) {
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
@@ -38,7 +39,7 @@
 		return job, err
 	}
 	if d.More() {
-		return job, errors.New("more than one object")
+		return job, errors.New("more than one object on the line")
 	}
 	if job.Within != "" {
 		span, err := time.ParseDuration(job.Within)
@@ -46,7 +47,7 @@
 			return job, err
 		}
 		if span <= 0 {
-			return job, errors.New("within must be longer than nothing")
+			return job, errors.New("within must be a positive duration")
 		}
 	}
 	if job.Class == "" {
@@ -55,8 +56,9 @@
 	return job, nil
 }
 
-// forEachJob reads a file of jobs and calls do with each and the number of its line. Blank lines are
-// skipped. The error names the line.
+// forEachJob reads a file of jobs and calls do for each job, with the line number of the job. Blank lines are
+// skipped. The reading stops at the first invalid line, whose number is in the error, or at the first error
+// of do.
 func forEachJob(in io.Reader, do func(line int, j fileJob) error) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLineBytes)
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// checkJobs reads a whole file of jobs, and returns how many there are and their classes.
+// checkJobs reads and checks a whole file of jobs, and returns the number of jobs and their distinct classes.
 func checkJobs(in io.Reader, cfg client.Config) (total int, classes []string, err error) {
 	err = forEachJob(in, func(line int, job fileJob) error {
 		total++
@@ -96,8 +98,8 @@
 	return total, classes, err
 }
 
-// sendFile submits the jobs of a file. Nothing is sent before the whole file has been read and found valid:
-// half a batch is worse than none.
+// sendFile submits the jobs of a file. It checks the whole file before it submits the first job, so that an
+// invalid line does not leave a part of the batch submitted.
 func (c *sendCmd) sendFile(ctx context.Context, cfg client.Config, s *streams) error {
 	f, err := os.Open(c.Jobs)
 	if err != nil {
@@ -126,8 +128,8 @@
 	return err
 }
 
-// submitAll calls submit for each job of a file, with so many calls at once, and waits for all of them. It
-// stops reading when the context ends.
+// submitAll calls submit for each job of a file, with up to parallel calls at the same time, and waits for
+// all calls to return. When the context ends, submitAll reads no further jobs.
 func submitAll(ctx context.Context, in io.Reader, parallel int, submit func(int, fileJob)) error {
 	calls := make(chan func())
 	var callers sync.WaitGroup
@@ -143,7 +145,7 @@
 		case calls <- func() { submit(line, job) }:
 			return nil
 		case <-ctx.Done():
-			return exitError{exitFailed, fmt.Sprintf("stopped before line %d", line)}
+			return exitError{exitFailed, fmt.Sprintf("interrupted: nothing submitted from line %d on", line)}
 		}
 	})
 	close(calls)
@@ -151,7 +153,8 @@
 	return err
 }
 
-// submit submits one job of a file, and returns how it ended.
+// submit submits one job of a file, waits for its result, and returns the outcome. The flag --tenant gives
+// the tenant of a job whose line names no tenant.
 func (c *sendCmd) submit(ctx context.Context, jobClient *client.Client, line int, job fileJob) jobOutcome {
 	tenant := job.Tenant
 	if tenant == "" {
--- a/cmd/dahliaford/serve.go
+++ b/cmd/dahliaford/serve.go
@@ -14,22 +14,26 @@
 
 const (
 	defaultMemoryMB = 192
-	// memoryLimitFraction is the part of the memory limit from which on the garbage collector works harder.
+	// memoryLimitFraction is the fraction of the configured memory that is set as the soft memory limit of the
+	// Go runtime. Near this limit the garbage collector runs more often.
 	memoryLimitFraction = 0.7
 
-	// A signal comes once, and may find the file half written: the reload is retried after reloadBackoff, which
-	// doubles, at most maxReloadRetries times.
+	// SIGHUP is sent once and may arrive while the file is half written. A failed reload is retried at most
+	// maxReloadRetries times, the first time after reloadBackoff, each further time after twice the delay
+	// before.
 	reloadBackoff    = 100 * time.Millisecond
 	maxReloadRetries = 8
 )
 
 type serveCmd struct{}
 
-// Run serves until a signal ends it. Its configuration is the file that BALANCER_CONFIG names.
+// Run serves as one scheduler until SIGTERM or SIGINT stops it. The configuration is the file that the
+// environment variable BALANCER_CONFIG names.
 func (serveCmd) Run() error {
-	runtime.GOMAXPROCS(1) // a scheduler gets one core
-	// Each kind of signal has its channel: a burst of SIGHUP must not displace the SIGTERM behind it. They are
-	// caught before all else and until the process has ended, as either would kill it.
+	runtime.GOMAXPROCS(1) // a scheduler is given one processor core
+	// Stop signals and reload signals have separate channels: in a shared channel, repeated SIGHUPs could fill
+	// the buffer so that a following SIGTERM is dropped. The signals are caught before anything else is done
+	// and until the process exits, because an uncaught SIGHUP or SIGTERM kills the process.
 	stop, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -53,8 +57,8 @@
 	return n.Run()
 }
 
-// handleSignals stops the node or reloads its configuration as signals ask for, until ended is closed. A
-// reload that finds no complete configuration is retried.
+// handleSignals stops the node on a stop signal and reloads the configuration on a reload signal, until ended
+// is closed. A failed reload is retried with exponential backoff.
 func handleSignals(n *node.Node, cfg node.Config, log *slog.Logger, stop, reloads <-chan os.Signal,
 	ended <-chan struct{}) {
 	var retry <-chan time.Time
@@ -79,17 +83,17 @@
 	}
 }
 
-// reload reads the configuration again, and reports whether it could. An invalid or half-written file changes
-// nothing.
+// reload reads the configuration again and passes it to the node. It reports whether the configuration could
+// be read. An invalid or half-written file leaves the node's configuration unchanged.
 func reload(n *node.Node, started node.Config, log *slog.Logger) bool {
 	cfg, err := configuration(os.Getenv, onReload)
 	if err != nil {
-		log.Warn("configuration not taken: the old one holds", "error", err)
+		log.Warn("configuration not reloaded, the previous one stays in force", "error", err)
 		return false
 	}
-	log.Info("configuration taken", "discovery", cfg.Discovery)
+	log.Info("configuration reloaded", "discovery", cfg.Discovery)
 	if needsRestart(started, cfg) {
-		log.Warn("only discovery's address is applied: the rest needs a restart")
+		log.Warn("only the discovery address is applied, the other changes need a restart")
 	}
 	n.Reload(cfg)
 	return true
--- a/cmd/dahliaford/signal_test.go
+++ b/cmd/dahliaford/signal_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// A signal that comes between the end of serving and the end of the process does not kill it: by its status
-// that would look like a crash.
+// A signal that arrives after the scheduler has stopped serving and before the process exits must not kill
+// the process: the exit status of a killed process would look like a crash.
 func TestSignalsAfterServing(t *testing.T) {
 	if os.Getenv("DAHLIAFORD_TEST_CHILD") != "" { // this is the child process
 		err := (serveCmd{}).Run()
@@ -36,7 +36,7 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = child.Process.Kill() }() // it has ended, unless the test failed
+	defer func() { _ = child.Process.Kill() }() // the child has exited already, unless the test fails
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		if strings.Contains(lines.Text(), "msg=serving") {
 			if err := child.Process.Signal(syscall.SIGTERM); err != nil {
@@ -45,6 +45,6 @@
 		}
 	}
 	if err := child.Wait(); err != nil || !strings.Contains(out.String(), "ended: <nil>") {
-		t.Errorf("%v, %q", err, out)
+		t.Errorf("child process: got error %v, output %q, want no error and a Run without error", err, out)
 	}
 }
--- a/cmd/dahliaford/store.go
+++ b/cmd/dahliaford/store.go
@@ -12,18 +12,18 @@
 )
 
 type storeCmd struct {
-	Check   checkCmd   `cmd:"" help:"Check each record, and name what is broken."`
-	Show    showCmd    `cmd:"" help:"Print the history of an item."`
-	Backup  backupCmd  `cmd:"" help:"Copy a store that no process has open into a new file."`
-	Restore restoreCmd `cmd:"" help:"Make a store of a backup, where there is none yet."`
-	Compact compactCmd `cmd:"" help:"Give back the space of deleted items."`
+	Check   checkCmd   `cmd:"" help:"Check each record and print the faults."`
+	Show    showCmd    `cmd:"" help:"Print the history of a stored job."`
+	Backup  backupCmd  `cmd:"" help:"Copy a store into a new file; no process may have the store open."`
+	Restore restoreCmd `cmd:"" help:"Create a store from a backup; the file must not exist yet."`
+	Compact compactCmd `cmd:"" help:"Release the disk space of deleted jobs."`
 }
 
 type checkCmd struct {
 	File string `arg:"" type:"path" help:"The store."`
 }
 
-// Run prints a line for each fault. The status is 1 if there is one.
+// Run prints a line for each fault of the store, and a summary. The exit status is 1 if there is a fault.
 func (c *checkCmd) Run(s *streams) error {
 	items, faults, err := store.Check(c.File)
 	if err != nil {
@@ -32,7 +32,7 @@
 	for _, fault := range faults {
 		s.printf("%v\n", fault)
 	}
-	s.printf("%d items in order, %d faults\n", items, len(faults))
+	s.printf("%d valid items, %d faults\n", items, len(faults))
 	if len(faults) > 0 {
 		return exitError{status: exitFailed}
 	}
@@ -41,10 +41,11 @@
 
 type showCmd struct {
 	File string `arg:"" type:"path" help:"The store."`
-	ID   string `arg:"" help:"The item's id."`
+	ID   string `arg:"" help:"The job's id."`
 }
 
-// Run prints what the record says, in the order of the events. The error is the first fault of the record.
+// Run prints the events that the record of a job holds, in the order in which they happened. The error is
+// the first fault of the record.
 func (c *showCmd) Run(s *streams) error {
 	r, err := store.OpenReader(c.File)
 	if err != nil {
@@ -60,7 +61,8 @@
 	return errors.Join(h.Flush(), it.Check())
 }
 
-// history prints an item as a table. Its lines are kept in memory: Flush reports an error of the output.
+// history prints an item as a table. The lines are buffered in memory until Flush, which reports the errors
+// of writing the output.
 type history struct{ *tabwriter.Writer }
 
 func (h history) line(label, format string, args ...any) {
@@ -81,9 +83,9 @@
 		h.line(showTime(it.Answered), "answered: %v, %d bytes, readable until %s", it.Verdict, len(it.Result),
 			showMillis(it.KeepUntil))
 	case it.Outstanding():
-		h.line("now", "the attempt is in flight, as far as the store knows")
+		h.line("now", "the last attempt is in flight: the store has no record of its end")
 	default:
-		h.line("now", "it waits")
+		h.line("now", "the job waits for an attempt")
 	}
 }
 
@@ -100,7 +102,7 @@
 	Backup string `arg:"" type:"path" help:"The new file."`
 }
 
-// Run makes the copy.
+// Run copies the store to the backup file.
 func (c *backupCmd) Run() error { return store.BackupTo(c.File, c.Backup) }
 
 type restoreCmd struct {
@@ -108,7 +110,7 @@
 	File   string `arg:"" type:"path" help:"The new store."`
 }
 
-// Run makes the store and prints how many items it has.
+// Run creates the store from the backup and prints the number of restored items.
 func (c *restoreCmd) Run(s *streams) error {
 	n, err := store.Restore(c.Backup, c.File)
 	if err != nil {
@@ -122,12 +124,12 @@
 	File string `arg:"" type:"path" help:"The store."`
 }
 
-// Run compacts the store and prints its size, and what it was before.
+// Run compacts the store and prints the size of its file after and before, in bytes.
 func (c *compactCmd) Run(s *streams) error {
 	before, after, err := store.Compact(c.File)
 	if err != nil {
 		return err
 	}
-	s.printf("%d bytes, %d before\n", after, before)
+	s.printf("%d bytes after compaction, %d bytes before\n", after, before)
 	return nil
 }
--- a/cmd/dahliaford/store_test.go
+++ b/cmd/dahliaford/store_test.go
@@ -12,8 +12,8 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// The commands as somebody on call would use them: check, show, back up, restore, compact; and what they
-// print where something is invalid.
+// The store commands check, show, backup, restore and compact work on a valid store. On an invalid record, a
+// store in use, a missing file or an existing backup file, they fail with an error that names the cause.
 func TestStoreCommands(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "jobs")
@@ -54,41 +54,41 @@
 	}
 	if status, _, errs := call("check", path); status != exitFailed ||
 		!strings.Contains(errs, "another process") {
-		t.Errorf("a store in use: %d, %q", status, errs)
+		t.Errorf("check of a store in use: got exit status %d, errors %q", status, errs)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	status, out, _ := call("check", path)
 	if status != exitFailed || !strings.Contains(out, `item "b2": attempt 2: an attempt may have run`) ||
-		!strings.Contains(out, "1 items in order, 1 faults") {
-		t.Errorf("check: %d, %q", status, out)
+		!strings.Contains(out, "1 valid items, 1 faults") {
+		t.Errorf("check of a store with an invalid item: got exit status %d, output %q", status, out)
 	}
 	status, out, _ = call("show", path, "a1")
 	for _, want := range []string{"00:00:01.000000  accepted: class post-reading",
 		"00:00:02.000000  attempt 1: routed to s-1, rack north/0", "00:00:03.000000  attempt 1: it may have run",
 		"00:00:04.000000  answered: failed"} {
 		if !strings.Contains(out, want) || status != exitOK {
-			t.Errorf("show: status %d, no %q in\n%s", status, want, out)
+			t.Errorf("show: got exit status %d, and no line %q in the output\n%s", status, want, out)
 		}
 	}
 	if status, _, errs := call("show", path, "zz"); status != exitFailed ||
 		!strings.Contains(errs, "no such item") {
-		t.Errorf("show of nothing: %d, %q", status, errs)
+		t.Errorf("show of an unknown item: got exit status %d, errors %q", status, errs)
 	}
 	backup, other := filepath.Join(folder, "backup"), filepath.Join(folder, "other")
 	if status, _, errs := call("backup", path, backup); status != exitOK {
-		t.Fatalf("backup: %d, %q", status, errs)
+		t.Fatalf("backup: got exit status %d, errors %q, want status 0", status, errs)
 	}
 	if status, _, errs := call("backup", path, backup); status != exitFailed ||
 		!strings.Contains(errs, "exists") {
-		t.Errorf("backup over a file: %d, %q", status, errs)
+		t.Errorf("backup to an existing file: got exit status %d, errors %q", status, errs)
 	}
 	if status, _, errs := call("restore", backup, other); status != exitFailed ||
 		!strings.Contains(errs, "not in order") {
-		t.Errorf("restore of what is not in order: %d, %q", status, errs)
+		t.Errorf("restore of a backup with an invalid item: got exit status %d, errors %q", status, errs)
 	}
-	// Without the invalid item all commands succeed, and the copy has what the store had.
+	// After the invalid item is deleted all commands succeed, and the restored store has the valid item.
 	if s, err = store.Open(store.Config{Path: path}); err != nil {
 		t.Fatal(err)
 	}
@@ -102,15 +102,15 @@
 	for _, args := range [][]string{{"backup", path, backup}, {"restore", backup, other}, {"compact", other},
 		{"check", other}} {
 		if status, out, errs := call(args...); status != exitOK {
-			t.Errorf("%v: %d, %q, %q", args, status, out, errs)
+			t.Errorf("store %v: got exit status %d, output %q, errors %q, want status 0", args, status, out, errs)
 		}
 	}
 	if status, out, _ := call("show", other, "a1"); status != exitOK ||
 		!strings.Contains(out, "answered: failed") {
-		t.Errorf("after restore and compact: %d, %q", status, out)
+		t.Errorf("show after restore and compact: got exit status %d, output %q", status, out)
 	}
 	if status, _, errs := call("check", filepath.Join(folder, "none")); status != exitFailed ||
 		!strings.Contains(errs, "no such file") {
-		t.Errorf("no file: %d, %q", status, errs)
+		t.Errorf("check of a missing file: got exit status %d, errors %q", status, errs)
 	}
 }
--- a/cmd/dahliaford/tally.go
+++ b/cmd/dahliaford/tally.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// jobOutcome is one line of what is printed: how the job of a line of the file ended.
+// jobOutcome tells how one job of the file ended. It is printed as one line of JSON.
 type jobOutcome struct {
-	Line     int    `json:"line"`
+	Line     int    `json:"line"` // the line number of the job in the file, from 1
 	Class    string `json:"class"`
 	Outcome  string `json:"outcome"`
 	Attempts int    `json:"tries,omitempty"`
@@ -21,8 +21,9 @@
 	Error    string `json:"error,omitempty"`
 }
 
-// tally prints how a file's jobs end: a line for each, progress now and then, and a summary by class and
-// outcome. It is safe for concurrent use.
+// tally reports how the jobs of a file end: one line of JSON for each job, the progress at most once a
+// second, and at the end a table of the number of jobs by class and outcome. A tally is safe for concurrent
+// use.
 type tally struct {
 	*streams
 	total    int
@@ -31,7 +32,7 @@
 	mu       sync.Mutex
 	done     int
 	counts   map[tallyKey]int
-	writeErr error // the first that kept a line from being written
+	writeErr error // the first error of writing the line of a job
 }
 
 type tallyKey struct{ class, outcome string }
@@ -40,7 +41,7 @@
 	return &tally{streams: s, total: total, counts: map[tallyKey]int{}, progress: time.NewTicker(time.Second)}
 }
 
-// add prints how a job ended.
+// add counts the outcome of a job and prints its line.
 func (t *tally) add(outcome jobOutcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,25 +56,26 @@
 	}
 	select {
 	case <-t.progress.C:
-		t.reportf("%d of %d jobs\n", t.done, t.total)
+		t.reportf("%d of %d jobs done\n", t.done, t.total)
 	default:
 	}
 }
 
-// close prints the summary. The error has the exit status of the worst outcome.
+// close prints the table of outcomes. It returns the first error of writing a line, or an error with the exit
+// status of the worst outcome.
 func (t *tally) close() error {
 	t.progress.Stop()
 	byClass := func(a, b tallyKey) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.outcome, b.outcome))
 	}
 	table := tabwriter.NewWriter(t.errs, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "class\toutcome\tjobs") // into memory: Flush reports an error
+	_, _ = fmt.Fprintln(table, "class\toutcome\tjobs") // buffered in memory: only Flush writes
 	worst := exitOK
 	for _, key := range slices.SortedFunc(maps.Keys(t.counts), byClass) {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\n", key.class, key.outcome, t.counts[key])
 		worst = worse(worst, exitStatus(key.outcome))
 	}
-	_ = table.Flush() // ignored as in reportf
+	_ = table.Flush() // a write error is ignored, as in reportf
 	if t.writeErr != nil {
 		return t.writeErr
 	}
@@ -83,8 +85,8 @@
 	return nil
 }
 
-// worse returns the worse of two exit statuses. A failure goes before a usage error, and that before a
-// refusal: it has to be looked into.
+// worse returns the worse of two exit statuses. A failed job is worse than a usage error, because a failure
+// has to be investigated, and a usage error is worse than a refused job.
 func worse(a, b int) int {
 	order := []int{exitOK, exitTempFail, exitUsage, exitFailed}
 	if slices.Index(order, b) > slices.Index(order, a) {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts dispatchers for the simulator: it reads batches of events from standard input and
-// writes the actions to standard output, in the format of package wire.
+// Command simhost runs dispatchers for the simulator. It reads batches of events from standard input and
+// writes the actions of the dispatchers to standard output, in the format of package wire.
 package main
 
 import (
@@ -11,7 +11,8 @@
 	"dahliaford/internal/wire"
 )
 
-// gcPercent trades memory, of which little is used, for processor time.
+// gcPercent is the garbage collection target of the Go runtime (GOGC). A value above the default of 100 saves
+// processor time and costs memory, of which the program uses little.
 const gcPercent = 800
 
 func main() {
--- a/internal/testcluster/idle_bench_test.go
+++ b/internal/testcluster/idle_bench_test.go
@@ -104,7 +104,7 @@
 	took := i.waitUntilIdle(b, i.process) - before
 	reloads := 0
 	for _, line := range i.process.Log() {
-		reloads += strings.Count(line, "configuration taken")
+		reloads += strings.Count(line, "configuration reloaded")
 	}
 	if reloads == 0 {
 		b.Fatal("no configuration was taken")
