--- a/examples/toyserver/main.go
+++ b/examples/toyserver/main.go
@@ -1,5 +1,5 @@
-// Command toyserver fakes all that a scheduler needs around it: discovery, and one worker that runs a job by
-// sleeping. It is for trying dahliaford by hand.
+// Command toyserver runs fakes of the services that a scheduler depends on: a discovery service, and one
+// worker that runs each job by sleeping. With these fakes dahliaford can be tried out by hand.
 package main
 
 import (
@@ -13,10 +13,10 @@
 )
 
 func main() {
-	discovery := flag.String("discovery", "127.0.0.1:8500", "where discovery listens")
-	worker := flag.String("worker", "127.0.0.1:9001", "where the worker listens")
-	scheduler := flag.String("scheduler", "127.0.0.1:8443", "where the worker reports its jobs")
-	run := flag.Duration("run", 300*time.Millisecond, "how long a job runs")
+	discovery := flag.String("discovery", "127.0.0.1:8500", "address on which the discovery service listens")
+	worker := flag.String("worker", "127.0.0.1:9001", "address on which the worker listens")
+	scheduler := flag.String("scheduler", "127.0.0.1:8443", "address to which the worker reports results")
+	run := flag.Duration("run", 300*time.Millisecond, "run time of a job")
 	flag.Parse()
 	const uid = "s-00000001"
 	script := func(fakes.Job) fakes.Script { return fakes.Script{RunTime: *run} }
@@ -30,6 +30,6 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	log.Print("discovery on ", fakeDiscovery.Addr(), ", a worker on ", fakeWorker.Addr())
-	select {} // until it is interrupted
+	log.Print("discovery listens on ", fakeDiscovery.Addr(), ", worker listens on ", fakeWorker.Addr())
+	select {} // the program runs until a signal ends it
 }
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -1,5 +1,5 @@
-// Package appliance reads the settings of an appliance: an installation of our own, which has what the
-// platform does not offer, a persistent disk.
+// Package appliance reads the configuration file of an appliance. An appliance is an installation of the
+// scheduler outside the platform that, unlike the platform, has a persistent disk for a job store.
 package appliance
 
 import (
@@ -13,34 +13,34 @@
 	"dahliaford/internal/store"
 )
 
-// Schema is the JSON Schema of the file.
+// Schema is the JSON Schema of the configuration file.
 //
 //go:embed schema.json
 var Schema []byte
 
 var checker = schema.New(Schema)
 
-// Config is the content of the file.
+// Config is the content of the configuration file.
 type Config struct {
-	Store *Store // nil: there is no job store
+	Store *Store // nil if the appliance has no job store
 }
 
 // Store is the configuration of the job store.
 type Store struct {
 	store.Config
-	AnswerRetention time.Duration // how long an answer can be read
-	CallbackWait    time.Duration // how long workers may call back after a start
-	ExitOnDiskError bool          // the program ends when the disk fails, instead of serving on
+	AnswerRetention time.Duration // how long the answer of a job can be read after it was given
+	CallbackWait    time.Duration // how long the scheduler waits after a start for workers to call back
+	ExitOnDiskError bool          // whether the scheduler exits when the disk fails, instead of serving on
 }
 
 const (
 	storeFile              = "jobs.db"
 	defaultAnswerRetention = time.Hour
 	defaultCallbackWait    = 5 * time.Second
-	exitOnFailure          = "end" // the value of on_failure
+	exitOnFailure          = "end" // the value of on_failure by which the scheduler exits when the disk fails
 )
 
-// file is the file's form.
+// file is the JSON form of the configuration file.
 type file struct {
 	Store *fileStore `json:"store"`
 }
@@ -54,7 +54,8 @@
 	OnDiskFailure string   `json:"on_failure"`
 }
 
-// Parse reads a file. The error is one line and names the field by its path.
+// Parse checks and decodes the text of a configuration file. The error is one line and names the invalid
+// field by its path.
 func Parse(raw []byte) (Config, error) {
 	if err := checker.Check(raw); err != nil {
 		return Config{}, err
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -27,12 +27,12 @@
 	} {
 		got, err := Parse([]byte(raw))
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
-			t.Errorf("%s: %v %s", raw, err, diff)
+			t.Errorf("file %s: error %v, difference (-want +got) %s", raw, err, diff)
 		}
 	}
 }
 
-// An invalid file gets one line with the path of the field.
+// The error of an invalid file is one line that begins with the path of the invalid field.
 func TestInvalidFiles(t *testing.T) {
 	for raw, want := range map[string]string{
 		`{`:                          "not JSON",
@@ -49,7 +49,7 @@
 	} {
 		_, err := Parse([]byte(raw))
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want one line with %q", raw, err, want)
+			t.Errorf("file %s: got error %v, want one line that begins with %q", raw, err, want)
 		}
 	}
 }
--- a/internal/appliance/compat_test.go
+++ b/internal/appliance/compat_test.go
@@ -10,8 +10,8 @@
 	"dahliaford/internal/store"
 )
 
-// A file that was written for an earlier release must be read to the same values by each later one. The
-// file in testdata is a copy and is never edited.
+// A configuration file that was written for an earlier release must be read as the same values by each later
+// release. testdata/appliance.json is a copy of such a file and is never edited.
 func TestFileOfEarlierRelease(t *testing.T) {
 	raw, err := os.ReadFile("testdata/appliance.json")
 	if err != nil {
--- a/internal/regression/fit.go
+++ b/internal/regression/fit.go
@@ -1,5 +1,5 @@
-// Package regression fits how a measured cost grows with a size: not at all, linearly, with n log n, or with
-// the square. It knows nothing of what was measured.
+// Package regression fits growth models to a cost that was measured at several sizes n: linear, n log n and
+// quadratic growth. It also tells whether the cost grows with the size at all.
 package regression
 
 import (
@@ -11,16 +11,17 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is what was measured at one size.
+// Point holds the values that were measured at one size.
 type Point struct {
-	Size   float64 // above 0
+	Size   float64 // above 0, since the models take the logarithm of the size
 	Values []float64
 }
 
-// Mean is the mean of the values.
+// Mean returns the arithmetic mean of the values.
 func (p Point) Mean() float64 { return stat.Mean(p.Values, nil) }
 
-// spread is the range of the values, relative to their mean.
+// spread returns the difference between the largest and the smallest value, as a fraction of their mean, or 0
+// if the mean is 0.
 func (p Point) spread() float64 {
 	if mean := p.Mean(); mean != 0 {
 		return (slices.Max(p.Values) - slices.Min(p.Values)) / math.Abs(mean)
@@ -28,7 +29,8 @@
 	return 0
 }
 
-// weight makes residuals relative to the mean, so that small sizes count as much as large ones.
+// weight returns the weight of the squared residual at the point in the least-squares fit. It makes residuals
+// relative to the mean of the point, so that points of small sizes count as much as points of large sizes.
 func (p Point) weight() float64 {
 	if mean := p.Mean(); mean != 0 {
 		return 1 / (mean * mean)
@@ -36,52 +38,52 @@
 	return 1
 }
 
-// Sorted returns the points by size.
+// Sorted returns the points in ascending order of size.
 func Sorted(points []Point) []Point {
 	return slices.SortedFunc(slices.Values(points), func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
 }
 
-// Model is how a cost may grow.
+// Model is a function of the size to which the variable part of a cost may be proportional.
 type Model struct {
 	Name  string
 	apply func(n float64) float64
 }
 
-// Models are those that Fit fits.
+// Models lists the growth models that Fit compares.
 var Models = []Model{
 	{"n", func(n float64) float64 { return n }},
 	{"n log n", func(n float64) float64 { return n * math.Log2(n) }},
 	{"n²", func(n float64) float64 { return n * n }},
 }
 
-// Curve is Intercept + Slope x model(n).
+// Curve is the fitted curve of one model: cost(n) = Intercept + Slope * model(n).
 type Curve struct {
 	Model            Model
 	Intercept, Slope float64
-	MaxResidual      float64 // the largest, relative to what was measured
-	squares          float64 // the sum of the squares of the relative residuals
+	MaxResidual      float64 // the largest residual at a point, as a fraction of the measured mean
+	sumOfSquares     float64 // the sum of the squares of the relative residuals of all points
 }
 
-// At is the curve's value at a size.
+// At returns the cost that the curve predicts for size n.
 func (c Curve) At(n float64) float64 { return c.Intercept + c.Slope*c.Model.apply(n) }
 
-// Result is what the fits show.
+// Result holds the fitted curves of all models and the comparison of them.
 type Result struct {
-	Points []Point // by size
-	Curves []Curve // one for each of Models, in their order
-	Best   int     // the index in Curves of the one with the least residuals
-	Flat   bool    // the best curve rises by less between the first and the last size than repeats scatter
-	Spread float64 // the largest range of the values at one size, relative to their mean
+	Points []Point // in ascending order of size
+	Curves []Curve // one curve for each model, in the order of Models
+	Best   int     // the index in Curves of the curve with the least sum of squared residuals
+	Flat   bool    // whether the best curve changes by no more than Spread from the smallest to the largest size
+	Spread float64 // the largest relative spread of the values at one size: (largest - smallest) / mean
 }
 
-// MinSizes is how many sizes it takes to distinguish the models.
+// MinSizes is the least number of sizes at which the models can be distinguished.
 const MinSizes = 5
 
-// ErrNotEnoughSizes is the error of Fit for points of fewer than MinSizes sizes.
-var ErrNotEnoughSizes = errors.New("too few sizes to tell how it grows")
+// ErrNotEnoughSizes is the error of Fit for fewer than MinSizes points.
+var ErrNotEnoughSizes = errors.New("too few sizes to fit growth models")
 
-// Fit fits all models to points, by least squares of the relative residuals. With fewer than MinSizes sizes
-// the error is ErrNotEnoughSizes, and the result has no curves.
+// Fit fits each of Models to points, which have distinct sizes, by least squares of the relative residuals.
+// With fewer than MinSizes points the error is ErrNotEnoughSizes, and the result has no curves.
 func Fit(points []Point) (r Result, err error) {
 	r.Points = Sorted(points)
 	for _, p := range r.Points {
@@ -92,7 +94,7 @@
 	}
 	for i, model := range Models {
 		r.Curves = append(r.Curves, fitModel(model, r.Points))
-		if r.Curves[i].squares < r.Curves[r.Best].squares {
+		if r.Curves[i].sumOfSquares < r.Curves[r.Best].sumOfSquares {
 			r.Best = i
 		}
 	}
@@ -102,6 +104,7 @@
 	return r, nil
 }
 
+// fitModel fits one model to points by weighted linear regression.
 func fitModel(model Model, points []Point) Curve {
 	xs, ys, weights := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
@@ -112,7 +115,7 @@
 	for i, p := range points {
 		residual := (c.At(p.Size) - ys[i]) * math.Sqrt(weights[i])
 		c.MaxResidual = max(c.MaxResidual, math.Abs(residual))
-		c.squares += residual * residual
+		c.sumOfSquares += residual * residual
 	}
 	return c
 }
--- a/internal/regression/fit_test.go
+++ b/internal/regression/fit_test.go
@@ -9,7 +9,8 @@
 
 var sizes = []float64{200, 450, 800, 2400, 4800, 7200}
 
-// pointsOf is five values at each size, scattered evenly by so much to both sides of a curve.
+// pointsOf returns a point with five values for each of sizes. The values scatter uniformly around the value
+// of the curve, to both sides by up to the fraction noise of the curve's value.
 func pointsOf(noise float64, curve func(n float64) float64) (points []Point) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, n := range sizes {
@@ -22,7 +23,7 @@
 	return points
 }
 
-// Each model is distinguished from the others although values scatter by a twentieth, and its slope is found.
+// Fit finds the model and the slope by which values were generated that scatter by up to 5% around the curve.
 func TestModelsAreDistinguished(t *testing.T) {
 	for i, model := range Models {
 		curve := func(n float64) float64 { return 30 + 0.25*model.apply(n) }
@@ -32,39 +33,40 @@
 		}
 		c := r.Curves[r.Best]
 		if r.Best != i || r.Flat || math.Abs(c.Slope-0.25) > 0.02 || c.MaxResidual > 0.1 {
-			t.Errorf("%s is taken for %+v", model.Name, r)
+			t.Errorf("values of model %s with slope 0.25: got the fit %+v", model.Name, r)
 		}
 		if off := c.At(7200)/curve(7200) - 1; math.Abs(off) > 0.05 {
-			t.Errorf("%s at 7,200: off by %v", model.Name, off)
+			t.Errorf("model %s at size 7200: the fit is off by the fraction %v, want at most 0.05", model.Name, off)
 		}
 	}
 }
 
-// What does not grow is flat; what grows slowly but steadily is not.
+// A constant cost with scattered values is flat. A cost that grows slowly, but by more than its values
+// scatter, is not flat.
 func TestFlat(t *testing.T) {
 	if r, err := Fit(pointsOf(0.1, func(float64) float64 { return 12 })); err != nil || !r.Flat {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("constant cost: got %+v, error %v, want a flat result", r, err)
 	}
 	if r, err := Fit(pointsOf(0.01, func(n float64) float64 { return 12 + n/2000 })); err != nil || r.Flat {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("growing cost: got %+v, error %v, want a result that is not flat", r, err)
 	}
 }
 
-// Two sizes fit any model, so they show none.
+// With fewer than MinSizes sizes Fit returns ErrNotEnoughSizes and no curves: few points fit any model.
 func TestNotEnoughSizes(t *testing.T) {
 	points := pointsOf(0, func(n float64) float64 { return n })
 	if r, err := Fit(points[:MinSizes-1]); !errors.Is(err, ErrNotEnoughSizes) || len(r.Curves) != 0 {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("fewer than MinSizes points: got %+v, error %v, want no curves and ErrNotEnoughSizes", r, err)
 	}
 	if _, err := Fit(points[:MinSizes]); err != nil {
 		t.Error(err)
 	}
 }
 
-// Costs of nothing are fitted, too.
+// A cost of 0 at each size is fitted without a division by zero, and the result is flat.
 func TestZeroCost(t *testing.T) {
 	r, err := Fit(pointsOf(0, func(float64) float64 { return 0 }))
 	if c := r.Curves[r.Best]; err != nil || !r.Flat || c.At(7200) != 0 || math.IsNaN(c.MaxResidual) {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("cost 0: got %+v, error %v, want a flat curve of value 0", r, err)
 	}
 }
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -13,19 +13,21 @@
 	"github.com/xeipuuv/gojsonschema"
 )
 
-// Checker compiles its schema at the first use. The library is chosen for what it costs a program that only
-// links it: schedulers are started often, all at once, and one that compiles its own schemas at start took
-// 5 ms more.
+// Checker returns a compiled JSON Schema, which it compiles at the first call. The library gojsonschema is
+// used because a program that only links the library does not pay for it at start: schedulers are started
+// often, many at the same time, and a library that compiles schemas of its own at program start made the
+// start take 5 ms longer.
 type Checker func() (*gojsonschema.Schema, error)
 
-// New returns a checker against a schema.
+// New returns a checker for the schema whose JSON text is raw.
 func New(raw []byte) Checker {
 	return sync.OnceValues(func() (*gojsonschema.Schema, error) {
 		return gojsonschema.NewSchema(gojsonschema.NewBytesLoader(raw))
 	})
 }
 
-// Check reports the first fault of a file in one line, with the path of the field.
+// Check checks the JSON text of a file against the schema. The error is one line that names one fault and the
+// path of its field: of several faults the one of the most deeply nested field.
 func (c Checker) Check(raw []byte) error {
 	compiled, err := c()
 	if err != nil {
@@ -33,7 +35,8 @@
 	}
 	if !json.Valid(raw) {
 		var ignored any
-		return fmt.Errorf("not JSON: %w", json.Unmarshal(raw, &ignored)) // it says where
+		// The error of Unmarshal names the place of the syntax error.
+		return fmt.Errorf("not JSON: %w", json.Unmarshal(raw, &ignored))
 	}
 	result, err := compiled.Validate(gojsonschema.NewBytesLoader(raw))
 	switch {
@@ -45,22 +48,24 @@
 	return nil
 }
 
-// deepestFault returns the fault of the deepest field: those above it only say that something below them is
-// invalid. Of several it returns the first by name.
+// deepestFault returns the fault of the most deeply nested field: the faults of the enclosing objects only
+// say that something within the objects is invalid. Of several faults at this depth it returns the first in
+// alphabetical order.
 func deepestFault(faults []gojsonschema.ResultError) gojsonschema.ResultError {
 	return slices.MinFunc(faults, func(a, b gojsonschema.ResultError) int {
 		return cmp.Or(cmp.Compare(depth(b), depth(a)), strings.Compare(a.String(), b.String()))
 	})
 }
 
+// depth returns the nesting depth of the field that a fault is about.
 func depth(fault gojsonschema.ResultError) int {
 	if strings.HasPrefix(fault.Type(), "condition_") {
-		return -1 // "if" held and "then" did not: another fault says why
+		return -1 // says only that a "then" or "else" failed; another fault gives the reason
 	}
 	return strings.Count(fault.Context().String(), ".")
 }
 
-// describe returns the path of the field and what is invalid about it.
+// describe returns the path of the field and the reason why its value is invalid.
 func describe(fault gojsonschema.ResultError) string {
 	path := strings.TrimPrefix(strings.TrimPrefix(fault.Context().String(), "(root)"), ".")
 	if path == "" {
