--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -1,5 +1,5 @@
-// Package knownred tests .ci/known-red, the script by which CI passes over the tests that KNOWN-RED.txt
-// lists.
+// Package knownred tests .ci/known-red, the script by which CI ignores the failures of the tests that
+// KNOWN-RED.txt lists.
 package knownred
 
 import (
@@ -17,7 +17,9 @@
 		"two jobs change places, issue 12\n"
 )
 
-// run calls the script in a module of its own, with a list and the command to be run under it, if any.
+// run calls the script in a temporary Go module whose KNOWN-RED.txt has the text list. The script runs the
+// command, or only checks the list if there is no command. The result passed is true if the script exited
+// with status 0.
 func run(t *testing.T, list string, command ...string) (output string, passed bool) {
 	t.Helper()
 	script, err := filepath.Abs("../../.ci/known-red")
@@ -52,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if out, ok := run(t, list); !ok {
-				t.Errorf("refused: %s", out)
+				t.Errorf("the script rejected a well-formed list: %s", out)
 			}
 		})
 	}
@@ -79,13 +81,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if out, ok := run(t, list); ok {
-				t.Errorf("taken: %s", out)
+				t.Errorf("the script accepted an invalid list: %s", out)
 			}
 		})
 	}
 }
 
-// goTest is a command that prints what `go test` would, and fails.
+// goTest returns a command that stands for a failed run of `go test`: the command prints output and exits
+// with status 1.
 func goTest(output string) []string {
 	return []string{"sh", "-c", "printf '%s' \"$0\"; exit 1", output}
 }
@@ -111,10 +114,10 @@
 		t.Run(name, func(t *testing.T) {
 			out, ok := run(t, listed, goTest(c.output)...)
 			if ok != c.passes {
-				t.Errorf("passes: %t, want %t: %s", ok, c.passes, out)
+				t.Errorf("the script passed: got %t, want %t; output: %s", ok, c.passes, out)
 			}
 			if c.passes && !strings.Contains(out, "passed over: example/queue.TestOrder") {
-				t.Errorf("does not say what it passes over: %s", out)
+				t.Errorf("the output does not name the failed test that was passed over: %s", out)
 			}
 		})
 	}
@@ -122,7 +125,7 @@
 
 func TestListedTestsThatPassAreNamed(t *testing.T) {
 	out, ok := run(t, listed, "true")
-	if !ok || !strings.Contains(out, "take them off the list") {
-		t.Errorf("passes: %t: %s", ok, out)
+	if !ok || !strings.Contains(out, "remove them from the list") {
+		t.Errorf("all listed tests pass: got passed %t, want true and a hint to remove them; output: %s", ok, out)
 	}
 }
