--- a/cmd/dahliaford/config.go
+++ b/cmd/dahliaford/config.go
@@ -24,7 +24,7 @@
 // configuration reads the file that BALANCER_CONFIG names. The environment variables BALANCER_NAME,
 // BALANCER_LISTEN and BALANCER_DISCOVERY override the fields of the file if they are set. On a reload
 // BALANCER_DISCOVERY is ignored: the environment of a running process cannot be changed from outside, so that
-// a set variable would make a new discovery address in the file impossible.
+// a variable that is set would make it impossible to move the scheduler to another discovery address.
 func configuration(env func(string) string, occasion readOccasion) (node.Config, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
--- a/cmd/dahliaford/send.go
+++ b/cmd/dahliaford/send.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	maxAtOnce    = 1024
+	maxAtOnce    = 1024    // the largest value of --at-once, in jobs
 	maxFileBytes = 1 << 20 // the largest size of a configuration file
 	// defaultDeadline is the deadline of a job whose class no configuration file describes.
 	defaultDeadline = 5 * time.Second
--- a/cmd/dahliaford/serve.go
+++ b/cmd/dahliaford/serve.go
@@ -19,8 +19,8 @@
 	memoryLimitFraction = 0.7
 
 	// SIGHUP is sent once and may arrive while the file is half written. A failed reload is retried at most
-	// maxReloadRetries times, the first time after reloadBackoff, each further time after twice the delay
-	// before.
+	// maxReloadRetries times. The first delay is reloadBackoff, and each further delay is twice the previous
+	// delay.
 	reloadBackoff    = 100 * time.Millisecond
 	maxReloadRetries = 8
 )
--- a/cmd/dahliaford/store.go
+++ b/cmd/dahliaford/store.go
@@ -61,8 +61,8 @@
 	return errors.Join(h.Flush(), it.Check())
 }
 
-// history prints an item as a table. The lines are buffered in memory until Flush, which reports the errors
-// of writing the output.
+// history prints an item, that is, a stored job, as a table. The lines are buffered in memory until Flush,
+// which reports the errors of writing the output.
 type history struct{ *tabwriter.Writer }
 
 func (h history) line(label, format string, args ...any) {
--- a/internal/regression/fit.go
+++ b/internal/regression/fit.go
@@ -1,5 +1,6 @@
 // Package regression fits growth models to a cost that was measured at several sizes n: linear, n log n and
-// quadratic growth. It also tells whether the cost grows with the size at all.
+// quadratic growth. It also tells whether the cost grows with the size at all. The package works with any kind
+// of cost, such as time or memory.
 package regression
 
 import (
@@ -67,12 +68,12 @@
 // At returns the cost that the curve predicts for size n.
 func (c Curve) At(n float64) float64 { return c.Intercept + c.Slope*c.Model.apply(n) }
 
-// Result holds the fitted curves of all models and the comparison of them.
+// Result holds the fitted curves of all models and their comparison.
 type Result struct {
 	Points []Point // in ascending order of size
 	Curves []Curve // one curve for each model, in the order of Models
 	Best   int     // the index in Curves of the curve with the least sum of squared residuals
-	Flat   bool    // whether the best curve changes by no more than Spread from the smallest to the largest size
+	Flat   bool    // whether the best curve changes by at most the fraction Spread over the measured sizes
 	Spread float64 // the largest relative spread of the values at one size: (largest - smallest) / mean
 }
 
