--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -72,14 +72,14 @@
 // The error of an invalid configuration is one line that names the invalid field or the kind of error.
 func TestInvalidConfigurations(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
-		"not JSON":            {`{"name"`, `name`, "parse error"},
-		"cut off":             {`"idempotent","deadline":5}]}}`, ``, "EOF"},
-		"invalid seed":        {`8c1f`, `xyz`, "seed"},
-		"no settings":         {`"settings"`, `"sett"`, "no settings"},
-		"invalid settings":    {`idempotent`, `often`, "grades[0].semantics"},
-		"no listener":         {`"listen"`, `"l"`, "no listen address"},
-		"no discovery":        {`"discovery"`, `"d"`, "no discovery address"},
-		"a text for a number": {`1024`, `"many"`, "parse error"},
+		"not JSON":             {`{"name"`, `name`, "parse error"},
+		"cut off":              {`"idempotent","deadline":5}]}}`, ``, "EOF"},
+		"invalid seed":         {`8c1f`, `xyz`, "seed"},
+		"no settings":          {`"settings"`, `"sett"`, "no settings"},
+		"invalid settings":     {`idempotent`, `often`, "grades[0].semantics"},
+		"no listener":          {`"listen"`, `"l"`, "no listen address"},
+		"no discovery":         {`"discovery"`, `"d"`, "no discovery address"},
+		"a string as a number": {`1024`, `"many"`, "parse error"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := readConfiguration(t, strings.Replace(validConfig, c.old, c.new, 1), nil)
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -69,9 +69,9 @@
 		"an empty command":      strings.Replace(listed, "`go test -run 'TestOrder$' ./queue`", "``", 1),
 		"no seed named":         strings.Replace(listed, "seed 7, ", "", 1),
 		"a seed that is a word": strings.Replace(listed, "seed 7", "seed seven", 1),
-		"nothing seen":          strings.Replace(listed, "two jobs change places, ", "", 1),
+		"no observation":        strings.Replace(listed, "two jobs change places, ", "", 1),
 		"no issue":              strings.Replace(listed, ", issue 12", "", 1),
-		"an issue that is none": strings.Replace(listed, "issue 12", "issue x", 1),
+		"an issue of no number": strings.Replace(listed, "issue 12", "issue x", 1),
 		"no such test":          strings.Replace(listed, "queue.TestOrder", "queue.TestOther", 1),
 		"no such package":       strings.Replace(listed, "example/queue", "example/stack", 1),
 		"a subtest":             strings.Replace(listed, "queue.TestOrder", "queue.TestOrder/one", 1),
@@ -103,13 +103,13 @@
 	}{
 		"the listed test":               {order + end, true},
 		"with packages that pass":       {pass + order + end + pass, true},
-		"another test beside it":        {order + "--- FAIL: TestOther (0.00s)\n" + end, false},
-		"the same name elsewhere":       {order + "FAIL\nFAIL\texample/stack\t0.01s\n", false},
+		"another failed test beside it": {order + "--- FAIL: TestOther (0.00s)\n" + end, false},
+		"the name in another package":   {order + "FAIL\nFAIL\texample/stack\t0.01s\n", false},
 		"a panic":                       {order + "panic: index out of range\n" + end, false},
 		"a data race":                   {"WARNING: DATA RACE\n" + order + end, false},
 		"a package that does not build": {order + end + "FAIL\texample/tree [build failed]\n", false},
 		"an early exit":                 {order + "FAIL\texample/queue\t0.01s\n", false},
-		"nothing said":                  {"", false},
+		"a failure without any output":  {"", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, ok := run(t, listed, goTest(c.output)...)
--- a/internal/regression/fit.go
+++ b/internal/regression/fit.go
@@ -1,6 +1,6 @@
 // Package regression fits growth models to a cost that was measured at several sizes n: linear, n log n and
-// quadratic growth. It also tells whether the cost grows with the size at all. The package works with any kind
-// of cost, such as time or memory.
+// quadratic growth. It also tells whether the cost grows with the size at all. The package works with any
+// kind of cost, such as time or memory.
 package regression
 
 import (
