--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -1,5 +1,5 @@
-// Package knownred tests .ci/known-red, the script by which CI passes over the tests that KNOWN-RED.txt
-// lists.
+// Package knownred tests .ci/known-red, the script by which CI ignores the failures of the tests that
+// KNOWN-RED.txt lists.
 package knownred
 
 import (
@@ -17,7 +17,9 @@
 		"two jobs change places, issue 12\n"
 )
 
-// run calls the script in a module of its own, with a list and the command to be run under it, if any.
+// run calls the script in a temporary Go module whose KNOWN-RED.txt has the text list. The script runs the
+// command, or only checks the list if there is no command. The result passed is true if the script exited
+// with status 0.
 func run(t *testing.T, list string, command ...string) (output string, passed bool) {
 	t.Helper()
 	script, err := filepath.Abs("../../.ci/known-red")
@@ -52,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if out, ok := run(t, list); !ok {
-				t.Errorf("refused: %s", out)
+				t.Errorf("the script rejected a well-formed list: %s", out)
 			}
 		})
 	}
@@ -67,9 +69,9 @@
 		"an empty command":      strings.Replace(listed, "`go test -run 'TestOrder$' ./queue`", "``", 1),
 		"no seed named":         strings.Replace(listed, "seed 7, ", "", 1),
 		"a seed that is a word": strings.Replace(listed, "seed 7", "seed seven", 1),
-		"nothing seen":          strings.Replace(listed, "two jobs change places, ", "", 1),
+		"no observation":        strings.Replace(listed, "two jobs change places, ", "", 1),
 		"no issue":              strings.Replace(listed, ", issue 12", "", 1),
-		"an issue that is none": strings.Replace(listed, "issue 12", "issue x", 1),
+		"an issue of no number": strings.Replace(listed, "issue 12", "issue x", 1),
 		"no such test":          strings.Replace(listed, "queue.TestOrder", "queue.TestOther", 1),
 		"no such package":       strings.Replace(listed, "example/queue", "example/stack", 1),
 		"a subtest":             strings.Replace(listed, "queue.TestOrder", "queue.TestOrder/one", 1),
@@ -79,13 +81,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if out, ok := run(t, list); ok {
-				t.Errorf("taken: %s", out)
+				t.Errorf("the script accepted an invalid list: %s", out)
 			}
 		})
 	}
 }
 
-// goTest is a command that prints what `go test` would, and fails.
+// goTest returns a command that stands for a failed run of `go test`: the command prints output and exits
+// with status 1.
 func goTest(output string) []string {
 	return []string{"sh", "-c", "printf '%s' \"$0\"; exit 1", output}
 }
@@ -100,21 +103,21 @@
 	}{
 		"the listed test":               {order + end, true},
 		"with packages that pass":       {pass + order + end + pass, true},
-		"another test beside it":        {order + "--- FAIL: TestOther (0.00s)\n" + end, false},
-		"the same name elsewhere":       {order + "FAIL\nFAIL\texample/stack\t0.01s\n", false},
+		"another failed test beside it": {order + "--- FAIL: TestOther (0.00s)\n" + end, false},
+		"the name in another package":   {order + "FAIL\nFAIL\texample/stack\t0.01s\n", false},
 		"a panic":                       {order + "panic: index out of range\n" + end, false},
 		"a data race":                   {"WARNING: DATA RACE\n" + order + end, false},
 		"a package that does not build": {order + end + "FAIL\texample/tree [build failed]\n", false},
 		"an early exit":                 {order + "FAIL\texample/queue\t0.01s\n", false},
-		"nothing said":                  {"", false},
+		"a failure without any output":  {"", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, ok := run(t, listed, goTest(c.output)...)
 			if ok != c.passes {
-				t.Errorf("passes: %t, want %t: %s", ok, c.passes, out)
+				t.Errorf("the script passed: got %t, want %t; output: %s", ok, c.passes, out)
 			}
 			if c.passes && !strings.Contains(out, "passed over: example/queue.TestOrder") {
-				t.Errorf("does not say what it passes over: %s", out)
+				t.Errorf("the output does not name the failed test that was passed over: %s", out)
 			}
 		})
 	}
@@ -122,7 +125,7 @@
 
 func TestListedTestsThatPassAreNamed(t *testing.T) {
 	out, ok := run(t, listed, "true")
-	if !ok || !strings.Contains(out, "take them off the list") {
-		t.Errorf("passes: %t: %s", ok, out)
+	if !ok || !strings.Contains(out, "remove them from the list") {
+		t.Errorf("all listed tests pass: got passed %t, want true and a hint to remove them; output: %s", ok, out)
 	}
 }
