--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestSettingsErrorsNameTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, makeInvalid := range map[string]func(*Settings){
 		"Classes":             func(s *Settings) { s.Classes = nil },
 		"Classes[1].Deadline": func(s *Settings) { s.Classes[1].Deadline = 0 },
 		"Classes[0]":          func(s *Settings) { s.Classes[0].ObjectiveStretch = -1 },
@@ -18,17 +18,22 @@
 		"Granularity":         func(s *Settings) { s.Granularity = -1 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		makeInvalid(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: got %v", field, err)
+			t.Errorf("settings with an invalid %s: got error %v, want an error that names the field", field, err)
 		}
 	}
 }
 
-// Two classes with T_1 = 1 s and T_2 = 3 s, two guaranteed jobs of the first a
-// second, one slot and runs of 0.25 s, so x = 0.25 s. Worked out by hand:
-// (4), k=1: N(1)/4 < 1;  (4), k=2: (N(3) + 2*(3-1))/4 < 3;
-// (6), k=1, i=2: (N(3)-N(2) + 2*min(1, 3-1))/4 < 1.
+// TestConditions checks the two conditions of the published overload control: the deadline feasibility of a
+// class and the deadline feasibility of a pair of classes. Class 1 has a wait target of 1 s and a guaranteed
+// rate of 2 jobs a second, class 2 a wait target of 3 s and no guaranteed rate. One slot with runs of 0.25 s
+// gives a service time of 0.25 s per job. With N(t) as the number of queued jobs whose latest start is within
+// t seconds, the conditions are, computed by hand:
+//
+//	class 1:             N(1)/4 < 1
+//	class 2:             (N(3) + 2*(3-1))/4 < 3
+//	pair of class 1, 2:  (N(3)-N(2) + 2*min(1, 3-1))/4 < 1
 func TestConditions(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[:2]
@@ -50,51 +55,52 @@
 		want  overloadLevel
 	}{
 		{"empty queue", nil, 0},
-		{"(4) k=1, N=3: 0.75", copies(3, second), 0},
-		{"(4) k=1, N=4: 1", copies(4, second), 2},
-		{"(4) k=2, N=6: 2.5 of 3", append(copies(1, second), copies(5, 2*second)...), 0},
-		{"(4) k=2, N=7: 2.75 of 3, within the margin", append(copies(2, second), copies(5, 2*second)...), 1},
-		{"(4) k=2, N=8: 3 of 3", append(copies(2, second), copies(6, 2*second)...), 2},
-		{"(6) k=1 i=2, 1 to start in (2, 3]: 0.75", copies(1, 3*second), 0},
-		{"(6) k=1 i=2, 2 to start in (2, 3]: 1", copies(2, 3*second), 2},
-		{"to start past T_2 counts in none", copies(50, 4*second), 0},
+		{"class 1, N(1)=3: 0.75 of 1", copies(3, second), 0},
+		{"class 1, N(1)=4: 1 of 1", copies(4, second), 2},
+		{"class 2, N(3)=6: 2.5 of 3", append(copies(1, second), copies(5, 2*second)...), 0},
+		{"class 2, N(3)=7: 2.75 of 3, within the margin", append(copies(2, second), copies(5, 2*second)...), 1},
+		{"class 2, N(3)=8: 3 of 3", append(copies(2, second), copies(6, 2*second)...), 2},
+		{"pair of class 1, 2, 1 latest start in (2, 3]: 0.75 of 1", copies(1, 3*second), 0},
+		{"pair of class 1, 2, 2 latest starts in (2, 3]: 1 of 1", copies(2, 3*second), 2},
+		{"latest starts after the wait target of class 2", copies(50, 4*second), 0},
 	} {
 		b.fillQueue(c.queue...)
 		if got := b.d.overloadAssessment(); got != c.want {
-			t.Errorf("%s: overload assessment %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: got overload assessment %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-func TestLevelNeedsDetectionsInARow(t *testing.T) {
+func TestLevelNeedsConsecutiveAssessments(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.d.parametersRefreshedAt, b.d.parameterRefreshes = b.now, 1
 	b.d.classes[0].waitTarget = second
 	b.d.classes[1].waitTarget, b.d.classes[2].waitTarget = second, second
 	b.d.slotTimes.value = second
-	severe, passing := []Micros{0, 0, 0}, []Micros(nil)
-	see := func(latestStarts []Micros, n int) overloadLevel {
+	overloaded, normal := []Micros{0, 0, 0}, []Micros(nil)
+	assess := func(latestStarts []Micros, n int) overloadLevel {
 		b.fillQueue(latestStarts...)
 		for range n {
 			b.d.updateOverloadLevel()
 		}
 		return b.d.level
 	}
-	if got := see(severe, levelChangeAssessments-1); got != 0 {
-		t.Fatalf("level %d after %d assessments", got, levelChangeAssessments-1)
+	if got := assess(overloaded, levelChangeAssessments-1); got != 0 {
+		t.Fatalf("got overload level %d after %d severe assessments, want 0", got, levelChangeAssessments-1)
 	}
-	see(passing, 1)
-	if got := see(severe, levelChangeAssessments-1); got != 0 {
-		t.Fatalf("a passing check did not break the row: level %d", got)
+	assess(normal, 1)
+	if got := assess(overloaded, levelChangeAssessments-1); got != 0 {
+		t.Fatalf("got overload level %d after a normal assessment between severe ones, want 0", got)
 	}
-	if got := see(severe, 1); got != 2 {
-		t.Fatalf("level %d after %d severe assessments", got, levelChangeAssessments)
+	if got := assess(overloaded, 1); got != 2 {
+		t.Fatalf("got overload level %d after %d consecutive severe assessments, want 2",
+			got, levelChangeAssessments)
 	}
-	if got := see(passing, levelChangeAssessments-1); got != 2 {
-		t.Fatalf("level %d before enough passing checks", got)
+	if got := assess(normal, levelChangeAssessments-1); got != 2 {
+		t.Fatalf("got overload level %d one normal assessment too early, want 2", got)
 	}
-	if got := see(passing, 1); got != 0 {
-		t.Fatalf("level %d after enough passing checks", got)
+	if got := assess(normal, 1); got != 0 {
+		t.Fatalf("got overload level %d after enough consecutive normal assessments, want 0", got)
 	}
 }
 
@@ -102,7 +108,7 @@
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.d.rankClasses()
 	if b.d.rankCount != 6 {
-		t.Fatalf("%d priorities, want 6: three weights, within and over the quota", b.d.rankCount)
+		t.Fatalf("got %d ranks, want 6: three priority weights, each within and over the quota", b.d.rankCount)
 	}
 	x := b.d.gappingStepInterval
 	at := func(after Micros, want int) {
@@ -110,7 +116,7 @@
 		b.d.now += after
 		b.d.advanceGapping()
 		if b.d.gappedRanks != want {
-			t.Fatalf("gapped %d, want %d", b.d.gappedRanks, want)
+			t.Fatalf("got %d gapped ranks, want %d", b.d.gappedRanks, want)
 		}
 	}
 	b.d.now = b.now
@@ -122,7 +128,7 @@
 	at(9*x, 6)
 	b.d.setOverloadLevel(0)
 	at(x-1, 6)
-	at(1, 5) // the highest priority is lifted first
+	at(1, 5) // gapping is lifted from the highest rank first
 	at(2*x, 3)
 	b.d.setOverloadLevel(2)
 	at(0, 6)
@@ -134,99 +140,101 @@
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.d.rankClasses()
 	b.d.level, b.d.gappedRanks, b.d.rankCount = 2, 6, 6
-	b.d.flows[0].rate = 4 // one job in 0.25 s
+	b.d.flows[0].rate = 4 // gapping passes one job in each 0.25 s
 	passed := 0
-	for range 100 { // 2 s, a job every 20 ms
+	for range 100 { // for 2 s, a job arrives every 20 ms
 		b.d.now += second / 50
 		if b.d.admits(&job{class: 0, tenant: 0}) {
 			passed++
 		}
 	}
 	if passed < 8 || passed > 9 {
-		t.Errorf("passed %d jobs in 2 s at 4 a second", passed)
+		t.Errorf("gapping at 4 jobs a second passed %d jobs in 2 s, want 8 or 9", passed)
 	}
 	if b.d.admits(&job{class: 0, tenant: 0, overQuota: true}) {
-		t.Error("a flow without a rate passed while gapped")
+		t.Error("gapping passed a job of a flow whose rate is 0")
 	}
 	b.d.gappedRanks = b.d.ranks[0]
 	if !b.d.admits(&job{class: 0, tenant: 0}) {
-		t.Error("a priority that gapping has not reached was gapped")
+		t.Error("a job was rejected though its rank is not gapped")
 	}
 }
 
 func TestRankByPriorityWeight(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.d.rankClasses()
-	r := b.d.ranks // (class, over quota): weights 1, .2, 3, .6, 2, .4
+	r := b.d.ranks // indexed by class and over quota; the priority weights are 1, .2, 3, .6, 2, .4
 	order := []int{r[1], r[5], r[3], r[0], r[4], r[2]}
 	for i, rank := range order {
 		if rank != i {
-			t.Fatalf("ranks from the lowest weight up: %v", order)
+			t.Fatalf("by ascending priority weight, got ranks %v, want 0 to 5 in order", order)
 		}
 	}
 }
 
 func TestReleaseByLatestStart(t *testing.T) {
 	b := newHarness(t, testSettings())
-	for i, patience := range []Micros{8, 5, 6} { // later tries of a client: less patience, earlier objective
+	// A shorter client timeout marks a later try of the client, whose objective is earlier.
+	for i, clientTimeout := range []Micros{8, 5, 6} {
 		b.feed(Event{Kind: JobArrived, Job: JobID(i), Class: 1, Work: 2 * second, Slots: 1,
-			ClientTimeout: patience * second})
+			ClientTimeout: clientTimeout * second})
 	}
 	sent := actionsOfKind(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull,
 		Workers: []WorkerEntry{ready(1, 0), ready(2, 0), ready(3, 0)}}), Send)
 	if len(sent) != 3 || sent[0].Job != 1 || sent[1].Job != 2 || sent[2].Job != 0 {
-		t.Fatalf("sent %+v", sent)
+		t.Fatalf("got sends %+v, want jobs 1, 2 and 0 in this order", sent)
 	}
 }
 
 func TestHoldsUntilASlotIsFree(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
-	// Its start is overdue: the worker is full, whoever filled it.
+	// Job 1 has not started within the start report timeout, so the worker has no free slot.
 	b.advance(second / 5)
 	b.want(b.arrive(2, 2), Send, 0)
 	b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 	b.want(b.end(1, 0, OK), Send, 1)
 }
 
-func TestFullLowersTheCap(t *testing.T) {
+func TestAtCapacityLowersTheSlotLimit(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	w := b.d.workers[1]
 	for id := JobID(1); id <= 3; id++ {
 		b.want(b.arrive(id, 0), Send, 1)
 		b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-		b.now += second + second/5 // a probe past the limit waits for a run
+		b.now += second + second/5 // the next probe past the slot limit may follow after one run time
 	}
 	b.arrive(4, 0)
 	b.end(4, 0, AtCapacity)
 	if w.slotLimit != 3 {
-		t.Errorf("limit %v after the fourth job was turned away", w.slotLimit)
+		t.Errorf("got slot limit %v after the worker rejected the fourth job as at capacity, want 3", w.slotLimit)
 	}
 }
 
-// A queue of our own at a worker once passed for slots, and the limit never fell.
-func TestReportedQueueLowersTheCap(t *testing.T) {
+// TestReportedQueueLowersTheSlotLimit guards against counting this dispatcher's own jobs that wait at a
+// worker as slots of the worker: the slot limit would then never fall.
+func TestReportedQueueLowersTheSlotLimit(t *testing.T) {
 	s := testSettings()
 	s.StartReported = false
 	b := newHarness(t, s, ready(1, 0))
 	b.d.learnLoadReport(b.d.workers[1], Report{FreeKnown: true, Free: 2, Outstanding: 0}, 0)
 	b.d.learnLoadReport(b.d.workers[1], Report{FreeKnown: true, Free: 0, Outstanding: 4}, 4)
 	if got := b.d.workers[1].slotLimit; got != 2 {
-		t.Errorf("limit %v of a worker with two slots", got)
+		t.Errorf("got slot limit %v of a worker with two slots, want 2", got)
 	}
 }
 
-// A job whose client has no patience left must not be sent over and over.
-func TestNoPatienceIsAnsweredAtOnce(t *testing.T) {
+// A job whose client timeout is 0 is refused at once and is not sent.
+func TestExpiredClientTimeoutIsRefusedAtOnce(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	out := b.feed(Event{Kind: JobArrived, Job: 1, Work: second, Slots: 1})
 	b.want(out, Refuse, 1)
 	b.want(out, Send, 0)
 }
 
-// Jobs far behind the head of the queue must still be answered in time.
+// Jobs that are far behind the head of the queue are still answered before their deadlines.
 func TestEveryQueuedJobIsAnsweredInTime(t *testing.T) {
-	b := newHarness(t, testSettings()) // no worker at all
+	b := newHarness(t, testSettings()) // the worker list is empty
 	start, n := b.now, 60
 	for id := range n {
 		b.arrive(JobID(id), id%3)
@@ -237,15 +245,17 @@
 	}
 	for id, n := range answers {
 		if n != 1 {
-			t.Errorf("job %d was answered %d times", id, n)
+			t.Errorf("job %d was answered %d times, want once", id, n)
 		}
 	}
 	if len(answers) == 0 || len(b.d.jobs) != 0 || b.now-start != 9*second {
-		t.Fatalf("%d answered, %d still owed", len(answers), len(b.d.jobs))
+		t.Fatalf("after 9 s got %d answered and %d unanswered jobs, want every job answered",
+			len(answers), len(b.d.jobs))
 	}
 }
 
-// Rule 1: the time-out at the deadline is answered, once, and nothing follows.
+// The time-out of an attempt at its deadline gives the job its one final answer. Later events of the job
+// cause no action.
 func TestTimeOutAtTheDeadline(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	sent := actionsOfKind(b.arrive(1, 2), Send)[0]
@@ -253,13 +263,14 @@
 	out := b.end(1, 0, TimedOut)
 	b.want(out, Fail, 1)
 	if late := b.now - (100*second + 8*second); late > 0 {
-		t.Errorf("answered %v after the deadline", late)
+		t.Errorf("got the answer %v us after the deadline, want it by the deadline", late)
 	}
 	b.want(b.end(1, 0, TimedOut), Fail, 0)
 	b.want(b.feed(Event{Kind: ClientDisconnected, Job: 1}), Send, 0)
 }
 
-// Rule 1: whatever comes after the end of a job is ignored.
+// A job gets one final answer: events for a finished job, for an unknown job or with invalid fields cause no
+// send and no answer.
 func TestStaleEvents(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	b.arrive(1, 0)
@@ -278,12 +289,13 @@
 		out := b.feed(e)
 		if n := len(actionsOfKind(out, Send)) + len(actionsOfKind(out, Refuse)) +
 			len(actionsOfKind(out, Fail)); n != 0 {
-			t.Errorf("%+v led to %+v", e, out)
+			t.Errorf("event %+v caused actions %+v, want no send and no answer", e, out)
 		}
 	}
 }
 
-// Rule 2, for each effect: what may follow an attempt that may have run.
+// An attempt that may have run is repeated only as its class allows: a safe job on any worker, a keyed job
+// within its deduplication scope and window, an unsafe job never.
 func TestNoDoubleEffects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -294,20 +306,20 @@
 		want    ActionKind
 		worker  WorkerID
 	}{
-		{"safe goes elsewhere", 0, 0, Reset, 0, Send, 0},
-		{"unsafe never goes again", 2, 0, Reset, 0, Fail, 0},
-		{"unsafe may go again when it never ran", 2, 0, ConnectFailed, 0, Send, 0},
-		{"keyed stays in its cell", 1, ScopeCell, Failed, 0, Send, 2},
-		{"keyed stays in its zone", 1, ScopeZone, Failed, 0, Send, 3},
-		{"keyed for all goes anywhere", 1, ScopeAll, Failed, 0, Send, 0},
-		{"keyed not past its window", 1, ScopeCell, Failed, 5 * second, Fail, 0},
+		{"a safe job is repeated on another worker", 0, 0, Reset, 0, Send, 0},
+		{"an unsafe job that may have run is not repeated", 2, 0, Reset, 0, Fail, 0},
+		{"an unsafe job that never ran is repeated", 2, 0, ConnectFailed, 0, Send, 0},
+		{"a keyed job is repeated in its cell", 1, ScopeCell, Failed, 0, Send, 2},
+		{"a keyed job is repeated in its zone", 1, ScopeZone, Failed, 0, Send, 3},
+		{"a keyed job with fleet-wide scope is repeated anywhere", 1, ScopeAll, Failed, 0, Send, 0},
+		{"a keyed job is not repeated past its window", 1, ScopeCell, Failed, 5 * second, Fail, 0},
 	} {
 		s := testSettings()
 		s.Classes[1].DedupScope = c.group
-		s.ProgressInterval = 60 * second // no suspicion here
+		s.ProgressInterval = 60 * second // long enough that no worker becomes suspect
 		b := newHarness(t, s, ready(1, 0))
 		b.want(b.arrive(1, c.class), Send, 1)
-		// Worker 2 shares the cell and 3 the zone; 4 shares neither.
+		// Worker 2 shares the cell of worker 1, worker 3 shares its zone, and worker 4 shares neither.
 		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0),
 			{Worker: 4, Cell: 4, Zone: 4, Status: Ready}}})
 		if c.worker == 2 {
@@ -320,13 +332,15 @@
 		out := b.end(1, 0, c.outcome)
 		b.want(out, c.want, 1)
 		if c.worker != 0 && actionsOfKind(out, Send)[0].Worker != c.worker {
-			t.Errorf("%s: went to %d", c.name, actionsOfKind(out, Send)[0].Worker)
+			t.Errorf("%s: got a repeat on worker %d, which is outside the scope", c.name,
+				actionsOfKind(out, Send)[0].Worker)
 		}
 	}
 }
 
-// Rule 2: a refusal says that trying again is harmless.
-func TestRefusalOnlyWhereNothingRan(t *testing.T) {
+// A refusal tells the client that a retry is harmless. A job that may have run is therefore refused only if
+// its class allows a repeat on any worker, and fails otherwise.
+func TestRefusalOnlyWhereARetryIsHarmless(t *testing.T) {
 	for class, want := range []ActionKind{Refuse, Fail, Fail} {
 		s := testSettings()
 		s.MaxAttempts = 1
@@ -338,8 +352,8 @@
 	}
 }
 
-// Rule 3: nothing to a worker that drains, is removed, or is missing in a full update.
-func TestDrainsAreObserved(t *testing.T) {
+// No job is sent to a worker that drains, is removed, or is missing from a full update.
+func TestNothingIsSentToADrainingWorker(t *testing.T) {
 	for name, update := range map[string]Event{
 		"draining": {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Draining}}},
 		"removed":  {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Removed}}},
@@ -350,7 +364,7 @@
 		for id := JobID(1); id < 40; id++ {
 			for _, a := range actionsOfKind(b.arrive(id, 0), Send) {
 				if a.Worker == 1 {
-					t.Fatalf("%s: job %d was sent there", name, id)
+					t.Fatalf("worker 1 %s: got job %d sent to worker 1, want no job sent to it", name, id)
 				}
 				b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 			}
@@ -358,8 +372,8 @@
 	}
 }
 
-// Rule 3, where the list must be polled: it is polled at the start, again
-// when a poll fails, and again within the stated time when nothing answers.
+// Where the worker list must be polled, the dispatcher polls at its start, again after a failed poll, and
+// again within the poll interval when a poll gets no answer. Otherwise drains would go unnoticed.
 func TestKeepsPollingForTheList(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints, s.PollInterval = true, 10*second
@@ -368,23 +382,23 @@
 	b.want(b.feed(Event{Kind: Started}), WatchEndpoints, 1)
 	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: []WorkerEntry{ready(1, 0)}})
 	if len(actionsOfKind(b.advance(s.PollInterval/2), WatchEndpoints)) == 0 {
-		t.Error("a poll without an answer is not repeated")
+		t.Error("no new poll within half the poll interval after a poll without an answer")
 	}
-	for range 20 { // an outage
+	for range 20 { // discovery is unavailable, and each poll fails
 		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 		if len(actionsOfKind(b.advance(s.PollInterval*2/5), WatchEndpoints)) == 0 {
-			t.Fatal("a failed poll is not repeated")
+			t.Fatal("no new poll within 2/5 of the poll interval after a failed poll")
 		}
 	}
 	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
 	b.want(b.advance(s.PollInterval), WatchEndpoints, 0)
 }
 
-// Rule 4: what goes to a worker in slow start within any window stays under this
-// dispatcher's budget, whether it is new, restarted, or back after failed
-// connects before the list says so.
+// The work sent to a worker in slow start within an overload window stays within this dispatcher's budget.
+// The worker may be new, restarted according to the list, or restarted without an update of the list, which
+// the dispatcher infers from failed connects.
 func TestSlowStartBudget(t *testing.T) {
-	back := func(b *harness) {
+	restartedUnlisted := func(b *harness) {
 		b.arrive(900, 0)
 		b.end(900, 0, ConnectFailed)
 		b.advance(6 * second)
@@ -397,18 +411,18 @@
 			b.feed(Event{Kind: EndpointsUpdated,
 				Workers: []WorkerEntry{{Worker: 1, Status: Ready, Started: b.now - second}}})
 		},
-		"back before the list says so": back,
+		"restarted without an update": restartedUnlisted,
 	} {
 		s := testSettings()
 		s.OverloadWindow = 2 * second
 		b := newHarness(t, s, ready(1, 0))
-		b.now += 3 * second // past the time after a start of our own
+		b.now += 3 * second // longer than the overload window, in which the dispatcher's own start limits budgets
 		make(b)
 		work := 0.0
 		start := b.now
-		// Speed is 1 and one slot is known: the whole budget of the first window.
+		// The worker has speed 1 and one known slot, so the budget below is the whole one of the first window.
 		if !b.d.isSlowStartOwner(b.d.workers[1]) {
-			t.Fatal("this dispatcher does not own worker 1 in slow start")
+			t.Fatal("got another owner of worker 1 in slow start, want this dispatcher")
 		}
 		fraction := s.SlowStartInitial + (1-s.SlowStartInitial)*float64(s.OverloadWindow)/float64(s.SlowStart)
 		budget := s.OverloadFactor * fraction * float64(s.OverloadWindow)
@@ -421,46 +435,48 @@
 			b.now += second / 50
 		}
 		if work > budget {
-			t.Errorf("%s: sent %v of work, the budget is %v", name, work, budget)
+			t.Errorf("worker %s: got %v us of work sent in a window, want at most the budget of %v us",
+				name, work, budget)
 		}
-		if work == 0 && name != "back before the list says so" {
-			t.Errorf("%s: nothing was sent at all", name)
+		if work == 0 && name != "restarted without an update" {
+			t.Errorf("worker %s: got no work sent in a window, want some", name)
 		}
 	}
 }
 
-// Rule 4: after a start of our own, what we sent before is unknown.
+// After its own start a dispatcher does not know what it sent to a worker in slow start before. The
+// slow-start budget therefore begins empty.
 func TestSlowStartBudgetAfterOwnStart(t *testing.T) {
 	b := newHarness(t, testSettings(), WorkerEntry{Worker: 1, Status: Ready, Started: 99 * second})
 	b.want(b.arrive(1, 0), Send, 0)
 	b.want(b.advance(3*second), Send, 1)
 }
 
-// A silent worker keeps its jobs from others only until it is suspected; jobs
-// that may be repeated get a second attempt elsewhere, unsafe ones do not.
+// A worker that reports no progress becomes suspect. Its jobs then get a second attempt on another worker if
+// their class allows a repeat, and unsafe jobs do not. A progress report ends the suspicion.
 func TestSilentWorker(t *testing.T) {
-	for class, copies := range []int{1, 1, 0} {
+	for class, hedges := range []int{1, 1, 0} {
 		s := testSettings()
 		s.Classes[class].LatencyObjective = 5 * second
 		b := newHarness(t, s, ready(1, 0))
 		b.want(b.arrive(1, class), Send, 1)
 		b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
 		b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0), ready(3, 0)}})
-		b.want(b.advance(2*second), Send, copies)
+		b.want(b.advance(2*second), Send, hedges)
 		w := b.d.workers[1]
 		if !w.suspect {
-			t.Fatal("a worker that is silent past its progress interval is not suspected")
+			t.Fatal("worker 1 reported no progress for 2 s: got not suspect, want suspect")
 		}
 		b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteProgress, Value: 0.9})
 		if w.suspect {
-			t.Error("a sign of life does not heal the suspicion")
+			t.Error("worker 1 after a progress report: got suspect, want not suspect")
 		}
 	}
 }
 
-// A fault of the network, the list or the reports makes the whole fleet look
-// unhealthy: no worker is ejected then.
-func TestFalseAlarmDoesNotEmptyTheFleet(t *testing.T) {
+// A fault of the network, the list or the reports makes all workers look unhealthy at the same time. Then no
+// worker is ejected.
+func TestFleetWideFailuresEjectNoWorker(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
 	for id := JobID(1); id <= 3; id++ {
 		b.arrive(id, 2)
@@ -473,30 +489,31 @@
 	b.want(b.arrive(5, 0), Send, 1)
 }
 
-// Quick errors empty a worker and would draw ever more work to it.
+// A worker that fails its jobs quickly has free slots and a low expected cost. It must not attract more jobs
+// for that reason.
 func TestQuickErrorsDoNotAttract(t *testing.T) {
 	s := testSettings()
-	s.ConnectTimeout = 0 // no other cost for its failures
+	s.ConnectTimeout = 0 // the connect timeout adds no cost to the failing worker
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
-	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 0.5, 0.5 // worker 1 comes first
-	bad := 0
+	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 0.5, 0.5 // worker 1 is preferred
+	sentToFailing := 0
 	for id := JobID(1); id <= 50; id++ {
 		for _, a := range actionsOfKind(b.arrive(id, 2), Send) {
-			o := OK
+			outcome := OK
 			if a.Worker == 1 {
-				o, bad = Failed, bad+1
+				outcome, sentToFailing = Failed, sentToFailing+1
 			}
 			b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
 			b.now += second / 100
-			b.end(id, 0, o)
+			b.end(id, 0, outcome)
 		}
 	}
-	if bad > 10 {
-		t.Errorf("%d of 50 jobs went to the worker that fails them", bad)
+	if sentToFailing > 10 {
+		t.Errorf("got %d of 50 jobs sent to the worker that fails them, want at most 10", sentToFailing)
 	}
 }
 
-// Retries stay bounded when every attempt fails.
+// The retry budget bounds the number of attempts when every attempt fails.
 func TestRetriesAreBounded(t *testing.T) {
 	s := testSettings()
 	s.StartReported = false
@@ -516,12 +533,13 @@
 		b.advance(second / 20)
 	}
 	if limit := 400*(1+retryBudgetPerJob) + maxRetryBudget; float64(sent) > limit {
-		t.Errorf("%d attempts for 400 jobs, at most %v", sent, limit)
+		t.Errorf("got %d attempts for 400 jobs, want at most %v", sent, limit)
 	}
 }
 
-// Peers' gossip keeps two dispatchers from the same slot; old gossip is dropped.
-func TestPeersCountAsTaken(t *testing.T) {
+// Slots that a peer reports by gossip count as in use, so that two dispatchers do not fill the same slot. Old
+// gossip no longer counts.
+func TestPeerJobsCountAsSlotsInUse(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
 	b := newHarness(t, s, ready(7, 0))
@@ -531,22 +549,22 @@
 	b.now += waitReportBatches * s.Granularity
 	b.feed(Event{Kind: TimerFired})
 	if used, running := b.d.peerSlots(b.d.workers[7]); used != 3 || running != 2 {
-		t.Fatalf("others have %v, of them running %v", used, running)
+		t.Fatalf("got %v slots in use by peers and %v of them running, want 3 and 2", used, running)
 	}
 	b.advance(60 * second)
 	b.feed(Event{Kind: TimerFired})
 	if used, _ := b.d.peerSlots(b.d.workers[7]); used != 0 {
-		t.Errorf("gossip from a minute ago still counts %v slots", used)
+		t.Errorf("got %v slots in use by peers from gossip that is 60 s old, want 0", used)
 	}
 }
 
-// A job may state any number of slots, or none. That used to break the module down: the
-// count of a worker's slots in use was no number any more, or past an int.
+// A job may state any number of slots: NaN, infinite, negative or zero. Without a clamp, the count of a
+// worker's slots in use becomes NaN or exceeds the range of an int.
 func TestAnyCountOfSlots(t *testing.T) {
 	for _, slots := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1e30, -1, 0} {
 		b := newHarness(t, testSettings(), ready(1, 0))
-		for id, needs := range []float64{slots, 1} {
-			arrived := Event{Kind: JobArrived, Job: JobID(id), Work: second / 5, Slots: needs,
+		for id, jobSlots := range []float64{slots, 1} {
+			arrived := Event{Kind: JobArrived, Job: JobID(id), Work: second / 5, Slots: jobSlots,
 				ClientTimeout: 6 * second}
 			for _, a := range actionsOfKind(b.feed(arrived), Send) {
 				b.feed(Event{Kind: AttemptReported, Job: a.Job, Worker: a.Worker, Note: NoteStarted})
@@ -554,12 +572,13 @@
 			}
 		}
 		if w := b.d.workers[1]; w.ownSlots != 0 {
-			t.Errorf("after a job of %v slots and one of 1, a worker has %v in use", slots, w.ownSlots)
+			t.Errorf("after a job of %v slots and a job of 1 slot have ended: got %v slots in use, want 0",
+				slots, w.ownSlots)
 		}
 	}
 }
 
-// The runs of a slow worker show how slow it is, which moves work away from it.
+// The dispatcher learns the lower speed of a slow worker from its run times.
 func TestSlowWorkerIsLearned(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	for id := JobID(1); id <= 40; id += 2 {
@@ -567,21 +586,22 @@
 		for _, a := range sent {
 			b.feed(Event{Kind: AttemptReported, Job: a.Job, Note: NoteStarted})
 		}
-		begun := b.now
-		for _, on := range []WorkerID{2, 1} {
-			b.now = begun + second/5
-			if on == 1 {
-				b.now = begun + second
+		startedAt := b.now
+		for _, workerID := range []WorkerID{2, 1} {
+			b.now = startedAt + second/5
+			if workerID == 1 {
+				b.now = startedAt + second
 			}
 			for _, a := range sent {
-				if a.Worker == on {
+				if a.Worker == workerID {
 					b.end(a.Job, 0, OK)
 				}
 			}
 		}
 	}
 	if slow, fast := b.d.speed(b.d.workers[1]), b.d.speed(b.d.workers[2]); slow > fast/1.5 {
-		t.Errorf("speeds %v and %v", slow, fast)
+		t.Errorf("got speed %v of the slow and %v of the fast worker, want at most 1/1.5 of the fast",
+			slow, fast)
 	}
 }
 
@@ -591,15 +611,16 @@
 		q.add(float64(i))
 	}
 	if want := math.Round(runTimeQuantile*(quantileInterval-1) + 1); q.value != want {
-		t.Errorf("upper quartile of 1..%d: %v, want %v", quantileInterval, q.value, want)
+		t.Errorf("upper quartile of the numbers 1 to %d: got %v, want %v", quantileInterval, q.value, want)
 	}
 }
 
-// The guards of send and finish hold by themselves, whatever calls them.
+// The functions send and finish check the conditions for a send and for an answer themselves, independent of
+// their callers.
 func TestGuards(t *testing.T) {
 	for name, c := range map[string]struct {
-		class int
-		spoil func(b *harness, j *job, w *worker)
+		class  int
+		forbid func(b *harness, j *job, w *worker)
 	}{
 		"finished":     {0, func(_ *harness, j *job, _ *worker) { j.finished = true }},
 		"streaming":    {0, func(_ *harness, j *job, _ *worker) { j.streaming = true }},
@@ -630,19 +651,19 @@
 		b := newHarness(t, testSettings(), ready(1, 0))
 		b.now += 5 * second
 		b.d.now = b.now
-		fresh := func(id JobID) *job {
+		newJob := func(id JobID) *job {
 			return &job{id: id, class: c.class, deadline: b.now + 5*second, objective: b.now + second,
 				work: second / 5, slots: 1}
 		}
-		j := fresh(1)
+		j := newJob(1)
 		w := b.d.workers[1]
 		if b.d.actions = nil; !b.d.send(j, w) {
-			t.Fatalf("%s: not sent to begin with", name)
+			t.Fatalf("case %s: got no send before the condition was violated, want a send", name)
 		}
-		j = fresh(2)
-		c.spoil(b, j, w)
+		j = newJob(2)
+		c.forbid(b, j, w)
 		if b.d.actions = nil; b.d.send(j, w) || len(b.d.actions) != 0 {
-			t.Errorf("%s: sent all the same", name)
+			t.Errorf("case %s: got a send or another action, want none", name)
 		}
 	}
 	b := newHarness(t, testSettings(), ready(1, 0))
@@ -654,19 +675,21 @@
 	b.want(b.d.actions, Fail, 0)
 }
 
-// withAttemptInFlight gives a job an attempt that is still in flight at an equal worker.
+// withAttemptInFlight gives a job an attempt that is still in flight, at another worker with the list entry
+// of w.
 func withAttemptInFlight(b *harness, j *job, w *worker) {
 	a := &attempt{job: j, worker: &worker{entry: w.entry}, sentAt: b.now, inFlight: true}
 	j.attempts, j.inFlight = []*attempt{a}, 1
 }
 
-// withAttemptNotRun gives a job an attempt that provably never ran.
+// withAttemptNotRun gives a job an attempt that has ended and is known not to have run.
 func withAttemptNotRun(b *harness, j *job, w *worker) {
 	j.attempts = []*attempt{{job: j, worker: &worker{entry: w.entry}, sentAt: b.now}}
 }
 
-// A worker that could not be reached and then answers has started anew.
-func TestBackBeforeTheListSaysSo(t *testing.T) {
+// A worker that could not be reached and later answers counts as restarted, though the list does not report a
+// restart. The worker is then in slow start for the usual time.
+func TestUnlistedRestartEntersSlowStart(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.now += 5 * second
 	b.arrive(1, 0)
@@ -675,7 +698,7 @@
 	b.end(1, 1, ConnectFailed)
 	w := b.d.workers[1]
 	if b.d.slowStartSince(w) == 0 {
-		t.Fatal("a worker that could not be reached does not count as in slow start")
+		t.Fatal("worker 1 after two failed connects: got not in slow start, want in slow start")
 	}
 	for id := JobID(2); w.unreachable && id < 100; id++ {
 		all := append(b.advance(second/2), b.feed(Event{Kind: JobArrived, Job: id, Work: second / 20, Slots: 1,
@@ -686,24 +709,25 @@
 	}
 	b.advance(2 * second)
 	if w.unreachable || b.d.slowStartSince(w) == 0 {
-		t.Fatalf("unreachable %v, in slow start since %v two seconds after it came back", w.unreachable,
-			b.d.slowStartSince(w))
+		t.Fatalf("2 s after worker 1 answers: got unreachable %v, slow start since %v us, want false and a time",
+			w.unreachable, b.d.slowStartSince(w))
 	}
 	b.advance(20 * second)
 	if b.d.slowStartSince(w) != 0 {
-		t.Error("still in slow start after the stated time")
+		t.Error("worker 1 after the slow-start time: got in slow start, want warm")
 	}
 }
 
-// Without hints the scale of work and speed is free; it once drifted until T_k
-// passed the deadline and (4) could not fail.
+// Without cost hints the estimates fix only the ratio of work to speed, so that both can drift by a common
+// factor. If they drift far, the wait target of a class exceeds its deadline, and the condition of deadline
+// feasibility of a class can no longer fail.
 func TestScaleWithoutHints(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	w := b.d.workers[1]
-	b.d.fleetEstimate = speedEstimate{work: 300 * second, time: 100 * second} // drifted to three
+	b.d.fleetEstimate = speedEstimate{work: 300 * second, time: 100 * second} // the fleet speed has drifted to 3
 	w.speed = speedEstimate{work: 600 * second, time: 100 * second}
 	if got := b.d.warmSpeed(w); math.Abs(got-2) > 0.1 {
-		t.Errorf("a worker twice as fast as the fleet has speed %v", got)
+		t.Errorf("worker twice as fast as the fleet: got speed %v, want about 2", got)
 	}
 	for range 100 {
 		b.d.classes[0].addWork(60 * second)
@@ -711,13 +735,13 @@
 	b.d.refreshAdmissionParameters()
 	for k := range b.d.classes {
 		if got := b.d.classes[k].waitTarget; got > b.d.settings.Classes[k].Deadline {
-			t.Errorf("T_%d is %v, past the deadline", k, got)
+			t.Errorf("wait target of class %d: got %v us, want at most the deadline of the class", k, got)
 		}
 	}
 }
 
-// Half the fleet is cut off at once. Finding out costs many refused connects;
-// they must not use up the retries, or jobs with time left would be answered.
+// When half of the workers become unreachable at once, the dispatcher finds out by many failed connects.
+// Failed connects must not use up the retry budget, or jobs with time left would be refused.
 func TestRefusedConnectsCostNoRetries(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 50
@@ -734,123 +758,127 @@
 		sent = actionsOfKind(actions, Send)
 	}
 	if failed != 10 {
-		t.Fatalf("no further attempt after %d refused connects", failed)
+		t.Fatalf("got no further attempt after %d failed connects, want attempts until 10 connects have failed",
+			failed)
 	}
 	if b.d.retryBudget > maxRetryBudget || b.d.retryBudget < 2 {
-		t.Fatalf("retry budget %v, want that of the start", b.d.retryBudget)
+		t.Fatalf("got retry budget %v, want at least the initial 2 and at most the maximum", b.d.retryBudget)
 	}
 }
 
-// Peers fill a worker: one of their jobs waits there. However many slots we
-// assume, nothing more goes there until it runs.
-func TestPeersJobThatWaitsKeepsOursAway(t *testing.T) {
+// A peer's job that waits at a worker shows that the worker is full. This dispatcher then sends nothing to
+// the worker until that job runs, however many slots it assumes the worker to have.
+func TestWaitingPeerJobBlocksSends(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
 	b := newHarness(t, s, ready(7, 0))
 	w := b.d.workers[7]
 	b.setSlots(7, 9)
 	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}})
-	b.want(b.arrive(1, 0), Send, 1) // it may be on its way only
+	// The peer's job may still be on its way, so the worker is not known to be full.
+	b.want(b.arrive(1, 0), Send, 1)
 	b.feed(Event{Kind: AttemptReported, Job: 1, Attempt: 0, Note: NoteStarted})
 	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
 	b.want(b.arrive(2, 0), Send, 0)
 	b.want(b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}}), Send, 1)
-	// Nothing is tried past the limit while a peer's job is on its way.
+	// The dispatcher does not probe past the slot limit while a peer's job is on its way.
 	b.feed(Event{Kind: AttemptReported, Job: 2, Attempt: 0, Note: NoteStarted})
 	b.now += waitReportBatches * s.Granularity
 	b.feed(Event{Kind: TimerFired})
 	b.d.kindOf(w).capacityProbedAt = 1
 	if !b.d.mayProbe(w) {
-		t.Fatal("an old limit may not be passed")
+		t.Fatal("long after the last probe: got no probe allowed, want one allowed")
 	}
 	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 4, 0}})
 	if b.d.mayProbe(w) {
-		t.Error("a probe past the limit while a peer's job has not begun")
+		t.Error("peer's job has not started: got a probe allowed, want none")
 	}
-	// The gossip of a peer that has stopped must not keep the worker idle.
+	// Old gossip of a peer that has stopped must not keep the worker idle.
 	b.advance(60 * second)
 	b.feed(Event{Kind: TimerFired})
 	if b.d.peerJobWaits(w) {
-		t.Error("gossip from a minute ago keeps jobs away")
+		t.Error("gossip that is 60 s old: got a waiting peer job, want none")
 	}
 }
 
-// A retry storm is fed by advice to wait that is too short, and a job that could still be
-// in time is lost by advice that is too long: clients are advised to hold off only
-// where a retry now can earn nothing.
-func TestAdviceToHoldOff(t *testing.T) {
+// A Retry-After that is too short feeds a retry storm, and one that is too long loses a job that could still
+// be answered in time. A refusal therefore carries a delay only where an immediate retry earns nothing.
+func TestRetryAfterOnlyWhenARetryEarnsNothing(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
-	refuse := func(objective Micros, over bool, level overloadLevel) Micros {
+	refuse := func(objective Micros, aboveQuota bool, level overloadLevel) Micros {
 		b.d.level = level
-		j := &job{id: 9, objective: b.now + objective, overQuota: over, work: second / 5}
+		j := &job{id: 9, objective: b.now + objective, overQuota: aboveQuota, work: second / 5}
 		b.d.actions, b.d.cachedBestSpeed = nil, 0
 		b.d.finish(j)
 		return b.d.actions[0].Delay
 	}
-	// Late answers earn nothing, and its objective has passed.
+	// Late answers of class 2 earn nothing, and the objective of this job has passed.
 	b.d.finish(&job{id: 8, class: 2, objective: b.now})
 	b.want(b.d.actions, Refuse, 1)
 	if b.d.actions[0].Delay != b.d.settings.MaxRetryAfter {
-		t.Errorf("its objective has passed: advised to wait for %v", b.d.actions[0].Delay)
+		t.Errorf("job past its objective: got a retry delay of %v us, want the maximum", b.d.actions[0].Delay)
 	}
 	for _, c := range []struct {
-		objective Micros
-		over      bool
-		level     overloadLevel
-		hold      bool
+		objective  Micros
+		aboveQuota bool
+		level      overloadLevel
+		wantDelay  bool
 	}{{second, false, 2, false}, {second, true, 1, true}, {second / 10, false, 1, true},
 		{second / 10, false, 0, false}, {second, true, 0, false}} {
-		if got := refuse(c.objective, c.over, c.level) > 0; got != c.hold {
-			t.Errorf("objective in %v, over %v, level %d: advised to hold off: %v", c.objective, c.over, c.level, got)
+		if got := refuse(c.objective, c.aboveQuota, c.level) > 0; got != c.wantDelay {
+			t.Errorf("objective in %v us, over quota %v, level %d: got a retry delay %v, want the opposite",
+				c.objective, c.aboveQuota, c.level, got)
 		}
 	}
 }
 
-// Rule 3, where a change counts as known MaxStaleness later, received or not: a dispatcher that
-// receives nothing sends nothing, whatever its workers take and whatever list it began with.
-func TestNothingGoesToAWorkerThatMayDrainWithoutOurKnowledge(t *testing.T) {
+// A drain counts as known to every dispatcher MaxStaleness after the change, received or not. A dispatcher
+// that has received no update for that long must send nothing, even if its workers still accept jobs and
+// whatever list it had at its start.
+func TestStaleListStopsSends(t *testing.T) {
 	for name, c := range map[string]struct {
-		within Micros // MaxStaleness
-		silent Micros // since the last update
-		never  bool   // there was none: the list is the one of the start
-		sent   int
+		maxStaleness Micros // the setting MaxStaleness
+		sinceUpdate  Micros // the time since the latest update, or since the start if there was no update
+		noUpdate     bool   // the dispatcher has received only the cached list of its start
+		sent         int    // the number of two jobs that are sent at once
 	}{
-		"a recent update":        {6 * second, 5 * second, false, 2},
-		"an old one":             {6 * second, 7 * second, false, 0},
-		"the one of the start":   {6 * second, 0, true, 0},
-		"the same after a while": {6 * second, 5 * second, true, 0},
-		"updates always arrive":  {0, 60 * second, false, 2},
-		"from the start":         {0, 0, true, 2},
+		"a recent update":                 {6 * second, 5 * second, false, 2},
+		"an old update":                   {6 * second, 7 * second, false, 0},
+		"only the cached list":            {6 * second, 0, true, 0},
+		"only the cached list, 5 s later": {6 * second, 5 * second, true, 0},
+		"no limit on staleness":           {0, 60 * second, false, 2},
+		"no limit, only the cached list":  {0, 0, true, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, c.within
+			s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, c.maxStaleness
 			d, _ := New(s, 3)
 			b := &harness{t: t, d: d, now: 100 * second}
 			b.feed(Event{Kind: Started})
 			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached,
 				Workers: []WorkerEntry{ready(1, 0), ready(2, 0), ready(3, 0)}})
-			if !c.never {
+			if !c.noUpdate {
 				b.feed(Event{Kind: EndpointsUpdated})
 				b.feed(Event{Kind: JobArrived, Job: 9, ClientTimeout: 60 * second, Slots: 1})
-				b.feed(Event{Kind: AttemptReported, Job: 9, Note: NoteStarted}) // it may drain all the same
+				// A worker that accepts jobs may still drain, so a start report proves nothing.
+				b.feed(Event{Kind: AttemptReported, Job: 9, Note: NoteStarted})
 			}
-			b.now += c.silent
+			b.now += c.sinceUpdate
 			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			sent := append(actionsOfKind(b.arrive(1, 0), Send), actionsOfKind(b.arrive(2, 0), Send)...)
 			if len(sent) != c.sent {
-				t.Fatalf("%d jobs were sent, want %d", len(sent), c.sent)
+				t.Fatalf("got %d jobs sent, want %d", len(sent), c.sent)
 			}
-			b.feed(Event{Kind: EndpointsUpdated}) // nothing new
+			b.feed(Event{Kind: EndpointsUpdated}) // an update without changes
 			if later := len(actionsOfKind(b.out, Send)); later != 2-c.sent {
-				t.Errorf("%d jobs left once an update came", later)
+				t.Errorf("got %d jobs sent after an update, want all jobs that were held", later)
 			}
 		})
 	}
 }
 
-// An update that cannot be read may tell any worker to drain: nothing is sent until the next update.
-// Drains that are known from elsewhere do not count as an update.
+// An update that cannot be read may contain the drain of any worker, so nothing is sent until the next
+// update. Drains that are known from another source than the list do not count as an update.
 func TestUnreadableUpdateMakesTheListStale(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, 6*second
@@ -861,34 +889,35 @@
 	b.want(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateDrains, Workers: drains}), Send, 0)
 	sent := actionsOfKind(b.feed(Event{Kind: EndpointsUpdated, Age: second}), Send)
 	if len(sent) != 1 || sent[0].Worker != 2 {
-		t.Errorf("sent %+v, want one to worker 2", sent)
+		t.Errorf("got sends %+v, want one send to worker 2", sent)
 	}
 	b.end(1, 0, OK)
-	b.now += 5*second + 1 // an update is as old as it says
+	b.now += 5*second + 1 // the update was 1 s old on arrival, so the list is 6 s and 1 us old now
 	b.want(b.arrive(2, 0), Send, 0)
 }
 
-// Some clients give up early, and bring less patience to their first try. It is not too late for
-// that; only a retry has used up what is missing.
-func TestFirstAttemptWithLittlePatienceIsNoRetry(t *testing.T) {
-	for name, c := range map[string]struct{ many, marks, repeat, served bool }{
-		"a first try":         {many: true, marks: true, served: true},
-		"a retry":             {many: true, marks: true, repeat: true},
-		"nobody can tell":     {many: true},
-		"marked all the same": {many: true, repeat: true},
-		"few dispatchers":     {marks: true},
+// Some clients abandon a try early and set a short client timeout on their first try. Where retries are
+// marked, such a first try still has its whole objective. Only for a retry does the missing part of the
+// client timeout count as time already spent.
+func TestFirstAttemptWithShortClientTimeoutIsNotARetry(t *testing.T) {
+	for name, c := range map[string]struct{ largeFleet, retriesMarked, isRetry, served bool }{
+		"a first try":                  {largeFleet: true, retriesMarked: true, served: true},
+		"a retry":                      {largeFleet: true, retriesMarked: true, isRetry: true},
+		"retries are not marked":       {largeFleet: true},
+		"a mark without the setting":   {largeFleet: true, isRetry: true},
+		"a first try in a small fleet": {retriesMarked: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
-			if s.RetriesMarked = c.marks; c.many {
+			if s.RetriesMarked = c.retriesMarked; c.largeFleet {
 				largeFleetWithoutGossipSettings(&s)
 				s.Dispatchers = 80
 			}
 			b := newHarness(t, s, ready(1, 0))
 			out := b.feed(Event{Kind: JobArrived, Job: 1, Class: 2, ClientTimeout: 2 * second,
-				Retry: c.repeat, Slots: 1})
+				Retry: c.isRetry, Slots: 1})
 			if served := len(actionsOfKind(out, Send)) == 1; served != c.served {
-				t.Errorf("served: %v, want %v", served, c.served)
+				t.Errorf("got job sent %v, want %v", served, c.served)
 			}
 		})
 	}
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -68,9 +68,9 @@
 			to++
 		}
 		for i, w := range ready[from:to] {
-			place := (float64(i) + 0.5) / float64(to-from)
-			m.ringPositions[w.entry.Worker] = place
-			distance := place - d.position
+			workerPosition := (float64(i) + 0.5) / float64(to-from)
+			m.ringPositions[w.entry.Worker] = workerPosition
+			distance := workerPosition - d.position
 			if distance < 0 {
 				distance++
 			}
@@ -158,7 +158,7 @@
 }
 
 // Any sequence of updates gives the subset, the order and the positions that a build from nothing gives.
-func TestListIsAsBuiltFromNothing(t *testing.T) {
+func TestUpdatesGiveTheStateOfAFullRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dispatchers := rapid.SampledFrom([]int{1, 3, 9, 17, 80, 300}).Draw(t, "dispatchers")
 		index := rapid.IntRange(0, dispatchers-1).Draw(t, "index")
@@ -210,16 +210,16 @@
 // randomEntries lists most of a fleet, some of it in slow start.
 func randomEntries(seed uint64, fleetSize int, now Micros) (list []WorkerEntry) {
 	source := random(seed)
-	fraction, restarted := source.uniform(), source.uniform()
+	listedFraction, restartedFraction := source.uniform(), source.uniform()
 	for i := range fleetSize {
 		e := usualEntry(i, fleetSize)
 		switch {
-		case source.uniform() < restarted:
+		case source.uniform() < restartedFraction:
 			e.Started = now - Micros(source.uniform()*10*second)
 		case source.uniform() < 0.1:
 			e.Status = Status(source.uniform() * 3)
 		}
-		if source.uniform() < fraction {
+		if source.uniform() < listedFraction {
 			list = append(list, e)
 		}
 	}
@@ -239,7 +239,7 @@
 
 // A zone is removed in an update for each worker, in one update, and in both at once while it comes back
 // in slow start: the subset ends up the same, and as built from nothing on the way.
-func TestZoneFailsAndComesBack(t *testing.T) {
+func TestZoneFailsAndRestarts(t *testing.T) {
 	const zones, failedZone = 14, 3
 	list := entriesInZones(700, zones)
 	var failed, restarted []WorkerEntry
@@ -259,30 +259,30 @@
 				updates(f)
 				return f
 			}
-			one := run(func(f *modelHarness) { f.update(200*second, UpdateDelta, failed...) })
-			each := run(func(f *modelHarness) {
+			inOneUpdate := run(func(f *modelHarness) { f.update(200*second, UpdateDelta, failed...) })
+			inDeltas := run(func(f *modelHarness) {
 				for _, e := range failed {
 					f.update(200*second, UpdateDelta, e)
 				}
 			})
-			if !slices.Equal(one.m.subset, each.m.subset) {
+			if !slices.Equal(inOneUpdate.m.subset, inDeltas.m.subset) {
 				t.Errorf("%d dispatchers: a zone removed in one update leaves %v, in %d updates %v", dispatchers,
-					one.m.subset, len(failed), each.m.subset)
+					inOneUpdate.m.subset, len(failed), inDeltas.m.subset)
 			}
-			back := run(func(f *modelHarness) { f.update(200*second, UpdateDelta, restarted...) })
-			both := run(func(f *modelHarness) {
+			restartOnly := run(func(f *modelHarness) { f.update(200*second, UpdateDelta, restarted...) })
+			removedAndRestarted := run(func(f *modelHarness) {
 				for i := range failed {
 					f.update(200*second, UpdateDelta, failed[i])
 					f.update(200*second, UpdateDelta, restarted[i/2])
 				}
 				f.update(200*second, UpdateDelta, append(slices.Clone(failed), restarted...)...)
 			})
-			if !slices.Equal(back.m.subset, both.m.subset) {
+			if !slices.Equal(restartOnly.m.subset, removedAndRestarted.m.subset) {
 				t.Errorf("%d dispatchers: a zone back in slow start gives %v, after its removal %v", dispatchers,
-					back.m.subset, both.m.subset)
+					restartOnly.m.subset, removedAndRestarted.m.subset)
 			}
-			set := &both.d.settings // time alone makes it warm; an empty update shows it
-			both.update(200*second+set.SlowStart, UpdateDelta)
+			set := &removedAndRestarted.d.settings // time alone makes it warm; an empty update shows it
+			removedAndRestarted.update(200*second+set.SlowStart, UpdateDelta)
 		}
 	}
 }
@@ -311,7 +311,7 @@
 }
 
 // A full update that equals what is known but for one entry changes what that entry alone would.
-func TestFullUpdateThatIsKnown(t *testing.T) {
+func TestFullUpdateWithOneChangeEqualsADelta(t *testing.T) {
 	list := entriesInZones(200, 2)
 	for _, dispatchers := range []int{3, 300} {
 		full := newModelHarness(t, endpointsSettings(dispatchers, 1, true))
@@ -338,30 +338,30 @@
 			list := entriesInZones(size[1], 2)
 			f := newModelHarness(t, endpointsSettings(size[0], size[0]/3, false))
 			f.d.Step(100*second, &Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list}, nil)
-			shifts := func() map[int]int { // workers in the subset, to count who came and went
-				in := map[int]int{}
+			subsetMembers := func() map[int]int { // workers in the subset, to count who came and went
+				members := map[int]int{}
 				for _, w := range f.d.subset {
-					in[int(w.entry.Worker)]++
+					members[int(w.entry.Worker)]++
 				}
-				return in
+				return members
 			}
-			before := shifts()
+			before := subsetMembers()
 			for i, step := 0, max(1, len(list)/50); i < len(list); i += step {
 				for _, status := range []Status{Removed, Ready} {
 					e := list[i]
 					e.Status = status
 					f.d.Step(101*second, &Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{e}}, nil)
-					now, moved := shifts(), 0
+					after, moved := subsetMembers(), 0
 					for id := range before {
-						moved += 1 - now[id]
+						moved += 1 - after[id]
 					}
-					for id := range now {
+					for id := range after {
 						moved += 1 - before[id]
 					}
 					if moved > 4 {
 						t.Fatalf("%d came and went as one became %d", moved, status)
 					}
-					before = now
+					before = after
 				}
 			}
 		})
@@ -374,7 +374,7 @@
 	for i := range list {
 		list[i].Started = 100 * second
 	}
-	outside := 0
+	ownedNotCovered := 0
 	for index := range 80 {
 		f := newModelHarness(t, endpointsSettings(80, index, true))
 		f.update(101*second, UpdateFull, list...)
@@ -386,20 +386,21 @@
 				t.Errorf("dispatcher %d has %d, which it neither covers nor owns", index, w.entry.Worker)
 			}
 		}
-		outside += len(f.d.subset) - covered
+		ownedNotCovered += len(f.d.subset) - covered
 		f.continueWithClone()
 		f.update(100*second+f.d.settings.SlowStart, UpdateDelta)
 		if len(f.d.subset) != covered {
 			t.Errorf("dispatcher %d has %d of a warm fleet, and covers %d", index, len(f.d.subset), covered)
 		}
 	}
-	if outside < 100 {
-		t.Errorf("%d of 200 workers in slow start are in the subset of an owner that does not cover them", outside)
+	if ownedNotCovered < 100 {
+		t.Errorf("%d of 200 workers in slow start are in the subset of an owner that does not cover them",
+			ownedNotCovered)
 	}
 }
 
 // One that has long been removed is forgotten also by an update that names it, in another zone at that.
-func TestForgottenByAnUpdateThatNamesIt(t *testing.T) {
+func TestExpiredWorkerIsForgottenByAnUpdateThatNamesIt(t *testing.T) {
 	f := newModelHarness(t, endpointsSettings(3, 0, false))
 	list := entriesInZones(4, 2)
 	f.update(100*second, UpdateFull, list...)
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -6,7 +6,7 @@
 	"dahliaford/internal/dispatch"
 )
 
-// A dispatcher learns of a worker and of a job, and decides where the job goes.
+// This example passes a worker list and a job to a dispatcher, and prints where the dispatcher sends the job.
 func Example() {
 	const second = 1_000_000
 	d, err := dispatch.New(dispatch.Settings{
@@ -21,8 +21,8 @@
 		fmt.Println(err)
 		return
 	}
-	now := dispatch.Micros(second) // your clock, in microseconds
-	var actions []dispatch.Action  // reuse it from call to call
+	now := dispatch.Micros(second) // the time by the caller's clock, in microseconds
+	var actions []dispatch.Action  // the buffer for actions, reused by each call of Step
 	show := func(e dispatch.Event) {
 		actions = d.Step(now, &e, actions[:0])
 		for _, a := range actions {
@@ -32,7 +32,7 @@
 			case dispatch.Refuse:
 				fmt.Printf("refuse job %d\n", a.Job)
 			case dispatch.SetTimer:
-				// After a.Delay, pass an event TimerFired with a.Token.
+				// A real caller passes the event TimerFired with a.Token after a.Delay.
 			}
 		}
 	}
@@ -42,7 +42,7 @@
 	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 1, ClientTimeout: 5 * second, Slots: 1})
 	now += second / 10
 	show(dispatch.Event{Kind: dispatch.AttemptEnded, Job: 1, Worker: 7, Outcome: dispatch.OK, Final: true})
-	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 2}) // its client has no time left
+	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 2}) // its client timeout is 0
 	// Output:
 	// send job 1 to worker 7
 	// refuse job 2
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -8,7 +8,7 @@
 // A tenant sends several times its quota: it is the one that is refused.
 func TestTenantBurst(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
-	var live []Action
+	var inFlight []Action
 	arrivals, refused := [2]int{}, [2]int{}
 	for id := JobID(1); id <= 4000; id++ {
 		tenant := 0
@@ -23,20 +23,20 @@
 		}
 		for _, a := range actionsOfKind(actions, Send) {
 			b.feed(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
-			live = append(live, a)
+			inFlight = append(inFlight, a)
 		}
 		b.now += second / 100
-		if len(live) > 0 && id%3 == 0 { // 33 jobs a second are served
-			ended := b.end(live[0].Job, live[0].Attempt, OK)
-			live = append(live[1:], actionsOfKind(ended, Send)...)
+		if len(inFlight) > 0 && id%3 == 0 { // 33 jobs a second are served
+			ended := b.end(inFlight[0].Job, inFlight[0].Attempt, OK)
+			inFlight = append(inFlight[1:], actionsOfKind(ended, Send)...)
 			for _, a := range actionsOfKind(ended, Refuse) {
 				refused[min(1, int(a.Job+9)%10/9)]++
 			}
 		}
 	}
-	loud, moderate := float64(refused[0])/float64(arrivals[0]), float64(refused[1])/float64(arrivals[1])
-	if loud < 0.3 || moderate > loud/2 {
-		t.Errorf("refused of the loud tenant %.2f, of the calm one %.2f", loud, moderate)
+	overQuota, withinQuota := float64(refused[0])/float64(arrivals[0]), float64(refused[1])/float64(arrivals[1])
+	if overQuota < 0.3 || withinQuota > overQuota/2 {
+		t.Errorf("refused of the loud tenant %.2f, of the calm one %.2f", overQuota, withinQuota)
 	}
 }
 
@@ -53,7 +53,7 @@
 }
 
 // Workers stand still for some tenths of a second: none is suspected for it.
-func TestPausesAreNoSilence(t *testing.T) {
+func TestShortPausesDoNotMakeAWorkerSuspect(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	for id := JobID(1); id <= 20; id++ {
 		sent := actionsOfKind(b.arrive(id, 0), Send)
@@ -74,14 +74,14 @@
 		workers = append(workers, ready(WorkerID(i+1), 0))
 	}
 	b := newHarness(t, testSettings(), workers...)
-	answers, out := map[JobID]int{}, map[WorkerID]int{}
+	answers, sentTo := map[JobID]int{}, map[WorkerID]int{}
 	count := func(actions []Action) {
 		for _, a := range actions {
 			switch a.Kind {
 			case Refuse, Fail:
 				answers[a.Job]++
 			case Send:
-				if out[a.Worker]++; b.d.workers[a.Worker].entry.Status != Ready {
+				if sentTo[a.Worker]++; b.d.workers[a.Worker].entry.Status != Ready {
 					t.Fatalf("job %d sent to worker %d, which drains", a.Job, a.Worker)
 				}
 			}
@@ -107,7 +107,7 @@
 			t.Fatalf("job %d has %d answers", id, answers[id])
 		}
 	}
-	for w, n := range out {
+	for w, n := range sentTo {
 		if n > 12 {
 			t.Errorf("worker %d got %d jobs and ended none", w, n)
 		}
@@ -116,27 +116,27 @@
 
 // A worker takes connections from others but not from us: their gossip does not
 // prove our path. We try it rarely, and use it when the path is back.
-func TestRefusesOnlyUs(t *testing.T) {
+func TestWorkerUnreachableFromThisDispatcherOnly(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
 	b.setSlotLimits(3)
 	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 1, 1 // worker 1 comes first
-	refused, id := 0, JobID(0)
+	failedConnects, id := 0, JobID(0)
 	for range 100 {
 		id++
 		b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 1, byte(1 + id%2), 0}})
 		sent := actionsOfKind(b.arrive(id, 0), Send)
 		for len(sent) == 1 && sent[0].Worker == 1 {
-			refused++
+			failedConnects++
 			sent = actionsOfKind(b.end(id, sent[0].Attempt, ConnectFailed), Send)
 		}
 		if len(sent) == 1 {
 			b.runAttempt(sent[0], second/10)
 		}
 	}
-	if refused == 0 || refused > 10 {
-		t.Errorf("%d tries in ten seconds", refused)
+	if failedConnects == 0 || failedConnects > 10 {
+		t.Errorf("%d tries in ten seconds", failedConnects)
 	}
 	b.advance(10 * second) // the peer's gossip is old
 	for range 20 {
@@ -155,7 +155,7 @@
 
 // Others fill a worker and do not report it: each AtCapacity sends the job on and keeps
 // ours away for a moment, and the limit grows again when they have ended.
-func TestFilledByOthersUnseen(t *testing.T) {
+func TestWorkerFilledByUnreportedJobs(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 6
 	b := newHarness(t, s, ready(1, 0), ready(2, 0))
@@ -209,7 +209,7 @@
 
 // The list and the attempts contradict each other. Removed, but its attempts answer:
 // they count, and nothing new goes there. Ready, but no connect: ejected.
-func TestListAgainstAttempts(t *testing.T) {
+func TestListAndAttemptsContradictEachOther(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	sent := actionsOfKind(b.arrive(1, 0), Send)
 	removed := ready(1, 0)
@@ -233,18 +233,18 @@
 
 // A noisy neighbour takes most of a worker for a while: it loses work meanwhile
 // and has it back afterwards.
-func TestNeighbourComesAndGoes(t *testing.T) {
+func TestSpeedRecoversAfterANoisyNeighbour(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
 	id := JobID(0)
-	serve := func(n int, slow Micros) {
+	serve := func(n int, runTime Micros) {
 		for range n {
 			id++
 			sent := actionsOfKind(b.arrive(id, 0), Send)[0]
-			span := Micros(second / 5)
+			duration := Micros(second / 5)
 			if sent.Worker == 1 {
-				span = slow
+				duration = runTime
 			}
-			b.runAttempt(sent, span)
+			b.runAttempt(sent, duration)
 			b.advance(second)
 		}
 	}
@@ -269,7 +269,7 @@
 
 // A dispatcher restarts among workers that have jobs of its last incarnation: reports
 // of those are not its own, and peers without gossip take nothing away.
-func TestRestartedAmongStrangers(t *testing.T) {
+func TestEventsOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
 	b := newHarness(t, s, ready(1, 0))
@@ -291,8 +291,8 @@
 
 // Many dispatchers fill one worker: each probes past its limit in turn, not all in
 // the same run time.
-func TestProbesPastTheLimitAreShared(t *testing.T) {
-	pause := func(dispatchers int) (steps int) {
+func TestProbePauseGrowsWithTheDispatchers(t *testing.T) {
+	stepsToProbe := func(dispatchers int) (steps int) {
 		s := testSettings()
 		s.Dispatchers = dispatchers
 		b := newHarness(t, s, ready(1, 0))
@@ -303,7 +303,7 @@
 		}
 		return steps
 	}
-	if one, two, ten := pause(1), pause(2), pause(10); one != two || ten < 4*two {
+	if one, two, ten := stepsToProbe(1), stepsToProbe(2), stepsToProbe(10); one != two || ten < 4*two {
 		t.Errorf("quarter seconds before a probe with 1, 2 and 10 dispatchers: %d, %d, %d", one, two, ten)
 	}
 }
@@ -311,10 +311,10 @@
 // A fleet is enlarged under load: its new workers are in slow start and too slow for most
 // objectives. Where late answers earn they still take what the full ones cannot.
 func TestNewWorkersDoNotStandIdle(t *testing.T) {
-	for _, late := range []float64{0, 0.5} {
+	for _, lateWeight := range []float64{0, 0.5} {
 		s := testSettings()
 		s.Dispatchers, s.Index = 1, 0
-		s.Classes[0].LateWeight, s.Classes[0].LatencyObjective = late, second/4
+		s.Classes[0].LateWeight, s.Classes[0].LatencyObjective = lateWeight, second/4
 		b := newHarness(t, s, ready(1, 0))
 		b.advance(2 * s.OverloadWindow) // our own start is long past
 		b.setSlotLimits(1)
@@ -325,7 +325,7 @@
 		b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{
 			{Worker: 2, Status: Ready, Started: b.now - second/10}}})
 		want := 0
-		if late > 0 {
+		if lateWeight > 0 {
 			want = 1
 		}
 		b.want(b.arrive(2, 0), Send, want)
@@ -373,30 +373,30 @@
 	for p := range s.Dispatchers {
 		b.d.neighbours = append(b.d.neighbours, p)
 	}
-	visitor, other := -1, -1
+	crossZonePeer, otherPeer := -1, -1
 	for p := 1; p < s.Dispatchers; p++ {
-		if b.d.covers(dispatcherRingPosition(p), w) && visitor < 0 {
-			visitor = p
+		if b.d.covers(dispatcherRingPosition(p), w) && crossZonePeer < 0 {
+			crossZonePeer = p
 		} else if b.d.covers(dispatcherRingPosition(p), w) {
-			other = p
+			otherPeer = p
 		}
 		b.d.peers[p].zone = 1
 	}
-	receivers := func() (n map[int]bool) {
-		n = map[int]bool{}
+	receivers := func() (targets map[int]bool) {
+		targets = map[int]bool{}
 		b.d.actions = nil
 		b.d.multicast(w, nil)
 		for _, a := range b.d.actions {
-			n[a.Peer] = true
+			targets[a.Peer] = true
 		}
-		return n
+		return targets
 	}
 	if got := receivers(); len(got) > 0 {
 		t.Fatalf("gossip to: %v", got)
 	}
-	b.feed(Event{Kind: GossipReceived, Peer: visitor, Message: []byte{1, 0, 0, 0, 1, 1, 0}})
-	if got := receivers(); !got[visitor] || got[other] {
-		t.Errorf("visitor %d, other %d, gossip to: %v", visitor, other, got)
+	b.feed(Event{Kind: GossipReceived, Peer: crossZonePeer, Message: []byte{1, 0, 0, 0, 1, 1, 0}})
+	if got := receivers(); !got[crossZonePeer] || got[otherPeer] {
+		t.Errorf("visitor %d, other %d, gossip to: %v", crossZonePeer, otherPeer, got)
 	}
 }
 
@@ -433,12 +433,12 @@
 
 // A worker that fails some of its jobs, not all in a row: jobs that must not run twice
 // wait for another one, the rest still go there. When most workers fail jobs, none is avoided.
-func TestUnsafeJobsAvoidWorkersThatErr(t *testing.T) {
+func TestUnsafeJobsAvoidWorkersThatFailJobs(t *testing.T) {
 	const safe, unsafe = 0, 2
 	for name, c := range map[string]struct {
-		errs  []WorkerID
-		class int
-		sent  int
+		failing []WorkerID
+		class   int
+		sent    int
 	}{
 		"nobody errs":          {nil, unsafe, 3},
 		"unsafe, one errs":     {[]WorkerID{1}, unsafe, 2},
@@ -448,7 +448,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
 			b.setSlots(1, 1)
-			for _, w := range c.errs {
+			for _, w := range c.failing {
 				j := &job{id: 90 + JobID(w), class: unsafe, slots: 1, deadline: b.now + second}
 				b.d.jobs[j.id] = j
 				b.d.send(j, b.d.workers[w])
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -2,10 +2,12 @@
 
 import "testing"
 
-// The test harness: one dispatcher, driven by events, and settings and worker lists for it.
+// This file has the test harness: a harness drives one Dispatcher with events, and the other functions make
+// settings and worker lists.
 
-// testSettings has one class of each effect, in this order: safe, keyed (cell),
-// unsafe. Objectives are short enough to be missed and long enough to wait.
+// testSettings returns settings with one class of each effect: class 0 is safe, class 1 is keyed with a cell
+// as its deduplication scope, and class 2 is unsafe. The latency objectives are short enough that tests can
+// exceed them, and long enough that jobs can wait in the queue.
 func testSettings() Settings {
 	return Settings{
 		Index: 1, Dispatchers: 2, OverQuotaWeight: 0.2, WeightByWork: true, Granularity: 5000,
@@ -24,15 +26,16 @@
 	}
 }
 
-// harness drives one dispatcher and keeps the actions of its last event.
+// harness drives one dispatcher and keeps the actions that its latest event returned.
 type harness struct {
 	t   testing.TB
 	d   *Dispatcher
-	now Micros
-	out []Action
+	now Micros   // the time of the next event
+	out []Action // the actions of the latest event
 }
 
-// newHarness is a dispatcher that has the list of workers, at 100 s.
+// newHarness returns a harness at time 100 s whose dispatcher has received the worker list, first as a cached
+// list and then as a full update.
 func newHarness(t *testing.T, s Settings, workers ...WorkerEntry) *harness {
 	t.Helper()
 	d, err := New(s, 1)
@@ -46,26 +49,26 @@
 	return b
 }
 
-// feed passes an event and returns the actions that it called for.
+// feed passes an event to the dispatcher and returns the resulting actions.
 func (b *harness) feed(e Event) []Action {
 	b.out = b.d.Step(b.now, &e, nil)
 	return b.out
 }
 
-// advance lets time go by, with the timers that were set.
+// advance moves the time forward, fires each timer that becomes due, and returns the actions of all of them.
 func (b *harness) advance(span Micros) []Action {
-	var all []Action
+	var actions []Action
 	for end := b.now + span; ; {
 		if b.d.timerDueAt == 0 || b.d.timerDueAt > end {
 			b.now = end
-			return all
+			return actions
 		}
 		b.now = max(b.now, b.d.timerDueAt)
-		all = append(all, b.feed(Event{Kind: TimerFired, Token: b.d.timerToken})...)
+		actions = append(actions, b.feed(Event{Kind: TimerFired, Token: b.d.timerToken})...)
 	}
 }
 
-// setSlots makes the dispatcher know how many slots workers of a kind have.
+// setSlots sets the start counts of the worker's kind so that the dispatcher knows a capacity of n slots.
 func (b *harness) setSlots(w WorkerID, n int) {
 	k := b.d.kindOf(b.d.workers[w])
 	k.maxSlotsTried, k.capacityProbedAt, k.maxBusySlots = n+1, b.now, float64(n)
@@ -73,18 +76,18 @@
 	k.startCountsBySlots[n].prompt, k.startCountsBySlots[n+1].delayed = 9, 9
 }
 
-// arrive passes a job of 200 ms with the patience of its class.
+// arrive passes the arrival of a job of 200 ms. The client waits as long as the deadline of the class allows.
 func (b *harness) arrive(id JobID, class int) []Action {
 	return b.feed(Event{Kind: JobArrived, Job: id, Class: class, Work: second / 5, Slots: 1,
 		ClientTimeout: b.d.settings.Classes[class].Deadline})
 }
 
-// end passes the end of an attempt.
+// end passes the end of an attempt. Only the outcome OK finishes the job.
 func (b *harness) end(id JobID, attempt int, o Outcome) []Action {
 	return b.feed(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Final: o == OK})
 }
 
-// actionsOfKind returns the actions of a kind.
+// actionsOfKind returns the actions that have kind k.
 func actionsOfKind(actions []Action, k ActionKind) (found []Action) {
 	for _, a := range actions {
 		if a.Kind == k {
@@ -94,20 +97,21 @@
 	return found
 }
 
-// want fails the test unless there are n actions of a kind.
+// want fails the test unless exactly n of the actions have kind k.
 func (b *harness) want(actions []Action, k ActionKind, n int) {
 	b.t.Helper()
 	if got := len(actionsOfKind(actions, k)); got != n {
-		b.t.Fatalf("at %v: %d actions of kind %d, want %d: %+v", b.now, got, k, n, actions)
+		b.t.Fatalf("at time %v us: got %d actions of kind %d, want %d; all actions: %+v", b.now, got, k, n, actions)
 	}
 }
 
-// ready is a list entry of a ready worker.
+// ready returns the list entry of a ready worker that is not in slow start.
 func ready(id WorkerID, cell int) WorkerEntry {
 	return WorkerEntry{Worker: id, Cell: cell, Status: Ready}
 }
 
-// fillQueue puts jobs into the queue without an arrival: latest starts from now.
+// fillQueue replaces the queue by jobs with the given latest starts, in microseconds from now. No arrival
+// events are passed.
 func (b *harness) fillQueue(latestStarts ...Micros) {
 	b.d.queue = nil
 	for i, t := range latestStarts {
@@ -116,7 +120,7 @@
 	}
 }
 
-// testFleet lists workers of two zones and two kinds, none of them in slow start.
+// testFleet returns a list of n ready workers in two zones and two kinds. None of them is in slow start.
 func testFleet(n int) []WorkerEntry {
 	list := make([]WorkerEntry, n)
 	source := random(7)
@@ -127,26 +131,27 @@
 	return list
 }
 
-// startDispatchers starts dispatchers that have the list, each in the zone that the function gives for its
-// number.
+// startDispatchers starts the given number of dispatchers with the same cached list. The function zone maps
+// the index of a dispatcher to its zone.
 func startDispatchers(t testing.TB, dispatchers int, list []WorkerEntry, zone func(int) int,
-	change func(*Settings)) []*harness {
+	configure func(*Settings)) []*harness {
 	t.Helper()
 	all := make([]*harness, dispatchers)
 	for i := range all {
-		all[i] = startDispatcher(t, dispatchers, i, list, zone(i), change)
+		all[i] = startDispatcher(t, dispatchers, i, list, zone(i), configure)
 	}
 	return all
 }
 
-// startDispatcher starts one of many dispatchers.
+// startDispatcher starts dispatcher i of a fleet of dispatchers with a cached list. The function configure,
+// if not nil, changes the settings first.
 func startDispatcher(t testing.TB, dispatchers, i int, list []WorkerEntry, zone int,
-	change func(*Settings)) *harness {
+	configure func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
 	s.Dispatchers, s.Index, s.Zone, s.GossipAllowed = dispatchers, i, zone, true
-	if change != nil {
-		change(&s)
+	if configure != nil {
+		configure(&s)
 	}
 	d, err := New(s, uint64(i))
 	if err != nil {
@@ -158,24 +163,25 @@
 	return b
 }
 
-// alternatingZone deals two zones out in turn.
+// alternatingZone assigns dispatchers to two zones alternately.
 func alternatingZone(i int) int { return i % 2 }
 
-// runAttempt lets a sent job run on its worker for a while and succeed.
+// runAttempt reports the start of a sent attempt, and its success after the given span.
 func (b *harness) runAttempt(sent Action, span Micros) {
 	b.feed(Event{Kind: AttemptReported, Job: sent.Job, Attempt: sent.Attempt, Note: NoteStarted})
 	b.now += span
 	b.end(sent.Job, sent.Attempt, OK)
 }
 
-// setSlotLimits sets the slot limit of all workers.
-func (b *harness) setSlotLimits(free float64) {
+// setSlotLimits sets the slot limit of every worker.
+func (b *harness) setSlotLimits(limit float64) {
 	for _, w := range b.d.ordered {
-		w.slotLimit, w.slotLimitAt = free, b.now
+		w.slotLimit, w.slotLimitAt = limit, b.now
 	}
 }
 
-// largeFleetWithoutGossipSettings changes settings to those of the operators' large fleet, without gossip.
+// largeFleetWithoutGossipSettings sets what a production deployment with many dispatchers uses: no gossip, no
+// hedging, a low price for crossing zones, and batches of 2 ms.
 func largeFleetWithoutGossipSettings(s *Settings) {
 	s.GossipAllowed, s.HedgingAllowed, s.CrossZonePrice, s.Granularity = false, false, 0.01, second/500
 }
--- a/internal/dispatch/index_test.go
+++ b/internal/dispatch/index_test.go
@@ -38,7 +38,7 @@
 	attempt    int
 	worker     WorkerID
 	ended      bool // cancelled
-	runs       bool
+	started    bool
 	began      Micros
 }
 
@@ -110,7 +110,7 @@
 func (f *fleetSim) endRun(run *simRun) {
 	w := f.workers[run.worker]
 	run.ended = true
-	if run.runs {
+	if run.started {
 		w.running--
 		w.busy += float64(f.now-run.began) / second
 	}
@@ -124,7 +124,7 @@
 			continue
 		}
 		w.running++
-		run.runs, run.began = true, f.now
+		run.started, run.began = true, f.now
 		j := f.jobs[run.job]
 		f.began = append(f.began, float64(f.now-j.arrived)/second)
 		f.after(oneWayDelay, func() {
@@ -164,7 +164,7 @@
 
 // simulateFleet runs dispatchers that are given their list, workers with uneven speeds, and some
 // seconds of jobs that fill a part of all slots.
-func simulateFleet(t testing.TB, dispatchers, workers, zones int, load, uneven float64, scanLimit int,
+func simulateFleet(t testing.TB, dispatchers, workers, zones int, load, speedSigma float64, scanLimit int,
 	seed int64) fleetResult {
 	t.Helper()
 	f := &fleetSim{r: rand.New(rand.NewSource(seed)), now: 100 * second, workers: map[WorkerID]*simWorker{},
@@ -173,7 +173,7 @@
 	for i := range list {
 		id := WorkerID(f.r.Int31())
 		list[i] = WorkerEntry{Worker: id, Status: Ready, Zone: i % zones, Kind: i / zones % 2, Cell: i / 8}
-		w := &simWorker{slots: 2 + 2*(i/zones%2), speed: math.Exp(f.r.NormFloat64() * uneven)}
+		w := &simWorker{slots: 2 + 2*(i/zones%2), speed: math.Exp(f.r.NormFloat64() * speedSigma)}
 		f.workers[id] = w
 		capacity += float64(w.slots) * w.speed
 	}
@@ -235,24 +235,25 @@
 	return r
 }
 
-const scanAll = 1 << 30
+const unlimitedScan = 1 << 30
 
 // BenchmarkChoice reports the quality of the index beside that of full scans; its time does not matter.
 func BenchmarkChoice(b *testing.B) {
 	for _, size := range []struct {
 		dispatchers, workers, zones int
-		load, uneven                float64
+		load, speedSigma            float64
 	}{{30, 2400, 2, 0.6, 0}, {30, 2400, 2, 0.6, 0.5}, {30, 2400, 2, 0.9, 0.5}, {30, 2400, 14, 0.6, 0.5},
 		{17, 7200, 2, 0.6, 0.5}, {17, 7200, 2, 0.9, 0.5}} {
-		for _, way := range []string{"index", "scan"} {
+		for _, method := range []string{"index", "scan"} {
 			scanLimit := maxScannedSubset
-			if way == "scan" {
-				scanLimit = scanAll
+			if method == "scan" {
+				scanLimit = unlimitedScan
 			}
 			b.Run(fmt.Sprintf("%d,%d,%d zones,load %v,uneven %v,%s", size.dispatchers, size.workers, size.zones,
-				size.load, size.uneven, way), func(b *testing.B) {
+				size.load, size.speedSigma, method), func(b *testing.B) {
 				for range b.N {
-					r := simulateFleet(b, size.dispatchers, size.workers, size.zones, size.load, size.uneven, scanLimit, 5)
+					r := simulateFleet(b, size.dispatchers, size.workers, size.zones, size.load, size.speedSigma,
+						scanLimit, 5)
 					b.Log(r)
 				}
 			})
@@ -265,7 +266,7 @@
 	var scanned, index fleetResult
 	const seeds = 6 // one alone shows little
 	for seed := range int64(seeds) {
-		scanned.add(simulateFleet(t, 17, 400, 2, 0.7, 0.5, scanAll, seed), seeds)
+		scanned.add(simulateFleet(t, 17, 400, 2, 0.7, 0.5, unlimitedScan, seed), seeds)
 		index.add(simulateFleet(t, 17, 400, 2, 0.7, 0.5, maxScannedSubset, seed), seeds)
 	}
 	if index.mean > 1.15*scanned.mean || index.notServed > scanned.notServed+0.002 ||
@@ -301,52 +302,52 @@
 // scanWorkers is the scan of the whole subset as it was before there was an index: selectWorker must
 // give the same worker for a small subset, and any worker for a large one whenever the scan finds one.
 func (d *Dispatcher) scanWorkers(j *job) *worker {
-	var near, far *worker
-	nearCost, farCost := math.Inf(1), math.Inf(1)
+	var local, remote *worker
+	localCost, remoteCost := math.Inf(1), math.Inf(1)
 	remaining := float64(j.objective - d.now)
-	from := d.subset
+	candidates := d.subset
 	if d.settings.Classes[j.class].Effect == Keyed && len(j.attempts) > 0 {
-		from = d.ordered
+		candidates = d.ordered
 	}
-	for _, w := range from {
+	for _, w := range candidates {
 		if !d.usable(w) {
 			continue
 		}
-		taken, wait := d.slotsInUse(w), 0.0
+		inUse, wait := d.slotsInUse(w), 0.0
 		limit := d.capacity(w)
-		if over := taken + j.slots - limit; over > 0 {
+		if excess := inUse + j.slots - limit; excess > 0 {
 			if !d.mayProbe(w) {
 				continue
 			}
-			wait = d.slotTimes.value * (1 + over/max(1, limit))
+			wait = d.slotTimes.value * (1 + excess/max(1, limit))
 		}
 		if !d.eligible(j, w) {
 			continue
 		}
 		run, delay := j.work/d.speed(w), d.expectedWait(w)
-		earns := d.slowStartSince(w) != 0 && d.settings.Classes[j.class].LateWeight > 0
-		if !j.late && !earns && delay+d.requiredRunFraction(j)*run > remaining {
+		earnsLate := d.slowStartSince(w) != 0 && d.settings.Classes[j.class].LateWeight > 0
+		if !j.late && !earnsLate && delay+d.requiredRunFraction(j)*run > remaining {
 			continue
 		}
 		if w.consecutiveFailures > 0 {
 			wait += float64(d.settings.ConnectTimeout)
 		}
-		cost := wait + delay + run*(1+fullLoadCostRuns*taken/max(1, limit)+w.placementBias) + d.choiceJitter(w)
+		cost := wait + delay + run*(1+fullLoadCostRuns*inUse/max(1, limit)+w.placementBias) + d.choiceJitter(w)
 		if d.settings.CrossZonePrice == 0 || w.entry.Zone == d.settings.Zone {
-			if cost < nearCost {
-				near, nearCost = w, cost
+			if cost < localCost {
+				local, localCost = w, cost
 			}
-		} else if cost < farCost {
-			far, farCost = w, cost
+		} else if cost < remoteCost {
+			remote, remoteCost = w, cost
 		}
 	}
-	if far == nil || near != nil && nearCost <= d.crossZoneCost(farCost, remaining) {
-		return near
+	if remote == nil || local != nil && localCost <= d.crossZoneCost(remoteCost, remaining) {
+		return local
 	}
-	if near == nil && !d.crossZoneJustified(j) {
+	if local == nil && !d.crossZoneJustified(j) {
 		return nil
 	}
-	return far
+	return remote
 }
 
 // Whatever state the workers are in, the index gives one that will do whenever the scan finds
@@ -367,14 +368,14 @@
 		d.Step(now, &Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list}, nil)
 		// Workers in a few states, most of them out of use.
 		r := rand.New(rand.NewSource(rapid.Int64().Draw(t, "states")))
-		out := rapid.SampledFrom([]float64{0, 0.5, 0.9, 0.99, 1}).Draw(t, "out of use")
-		scramble := func() {
+		unusableFraction := rapid.SampledFrom([]float64{0, 0.5, 0.9, 0.99, 1}).Draw(t, "out of use")
+		randomizeStates := func() {
 			for _, w := range d.ordered {
 				w.blockedUntil, w.ejectedUntil, w.consecutiveFailures = 0, 0, 0
 				w.suspect, w.suspectRetryAt, w.unstartedAttempts = false, 0, 0
 				w.ownSlots, w.errorRate, w.inferredStart = float64(r.Intn(2)), 0, 0
 				w.speed = speedEstimate{float64(r.Intn(20)) * second / 10, second}
-				if r.Float64() >= out {
+				if r.Float64() >= unusableFraction {
 					continue
 				}
 				switch r.Intn(7) {
@@ -399,7 +400,7 @@
 			}
 		}
 		for range 4 { // the index keeps what it knew of the earlier states
-			scramble()
+			randomizeStates()
 			j := &job{id: 7, class: r.Intn(3), objective: now + Micros(1+r.Intn(2*second)), deadline: now + 8*second,
 				work: second / 5, slots: float64(1 + r.Intn(2)), hinted: true, late: r.Intn(3) == 0}
 			j.latestStart = j.objective
@@ -411,14 +412,14 @@
 			d.eventCount++
 			twin := d.Clone() // the scan draws random numbers and uses up budgets
 			twin.now, twin.eventCount = now, d.eventCount
-			of := *j
-			of.attempts = nil
+			jobCopy := *j
+			jobCopy.attempts = nil
 			for _, a := range j.attempts {
-				copied := *a
-				copied.job, copied.worker = &of, twin.workers[a.worker.entry.Worker]
-				of.attempts = append(of.attempts, &copied)
+				attemptCopy := *a
+				attemptCopy.job, attemptCopy.worker = &jobCopy, twin.workers[a.worker.entry.Worker]
+				jobCopy.attempts = append(jobCopy.attempts, &attemptCopy)
 			}
-			want := twin.scanWorkers(&of)
+			want := twin.scanWorkers(&jobCopy)
 			got := d.selectWorker(j)
 			if (got == nil) != (want == nil) {
 				t.Fatalf("%d workers: the index gives %v, the scan %v", len(d.subset), got, want)
@@ -437,11 +438,11 @@
 }
 
 // newLargeHarness is a harness whose subset is large, with the same slots known of all.
-func newLargeHarness(t *testing.T, change func(*Settings)) *harness {
+func newLargeHarness(t *testing.T, configure func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
-	if change != nil {
-		change(&s)
+	if configure != nil {
+		configure(&s)
 	}
 	b := newHarness(t, s, testFleet(200)...)
 	for kind := range 2 {
@@ -456,25 +457,25 @@
 }
 
 // checkOnlyChoice makes all workers but one unusable, and passes a job.
-func checkOnlyChoice(t *testing.T, b *harness, useless func(*worker), class int, free *worker) {
+func checkSentToOnlyUsable(t *testing.T, b *harness, makeUnusable func(*worker), class int, usable *worker) {
 	t.Helper()
 	for _, w := range b.d.ordered {
-		if w != free {
-			useless(w)
+		if w != usable {
+			makeUnusable(w)
 		}
 	}
 	sent := actionsOfKind(b.arrive(1, class), Send)
 	switch {
-	case free == nil && len(sent) > 0:
+	case usable == nil && len(sent) > 0:
 		t.Errorf("sent to %d", sent[0].Worker)
-	case free != nil && (len(sent) != 1 || sent[0].Worker != free.entry.Worker):
-		t.Errorf("sent as %v, and only %d will do", sent, free.entry.Worker)
+	case usable != nil && (len(sent) != 1 || sent[0].Worker != usable.entry.Worker):
+		t.Errorf("sent as %v, and only %d will do", sent, usable.entry.Worker)
 	}
 }
 
-func TestIndexWhenHardlyAnyWorkerWillDo(t *testing.T) {
+func TestIndexWithOneOrNoUsableWorker(t *testing.T) {
 	later := Micros(200 * second)
-	for name, useless := range map[string]func(*worker){
+	for name, makeUnusable := range map[string]func(*worker){
 		"busy":      func(w *worker) { w.ownSlots = 1 },
 		"beginning": func(w *worker) { w.unstartedAttempts = 1 },
 		"ejected":   func(w *worker) { w.ejectedUntil, w.consecutiveFailures = later, 1 },
@@ -488,14 +489,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newLargeHarness(t, func(s *Settings) { s.Classes[0].LateWeight = 0 })
-			checkOnlyChoice(t, b, useless, 0, b.d.ordered[137])
+			checkSentToOnlyUsable(t, b, makeUnusable, 0, b.d.ordered[137])
 		})
 		if name == "slow" {
 			continue // a job that cannot meet its objective anywhere is sent late
 		}
 		t.Run(name+", all", func(t *testing.T) {
 			b := newLargeHarness(t, func(s *Settings) { s.Classes[0].LateWeight = 0 })
-			checkOnlyChoice(t, b, useless, 0, nil)
+			checkSentToOnlyUsable(t, b, makeUnusable, 0, nil)
 			w := b.d.ordered[55] // one that is usable again is found, whatever the index has of it
 			w.ownSlots, w.unstartedAttempts, w.ejectedUntil, w.consecutiveFailures = 0, 0, 0, 0
 			w.blockedUntil, w.suspect, w.inferredStart = 0, false, 0
@@ -512,7 +513,7 @@
 func TestIndexWithAClassBoundToAKind(t *testing.T) {
 	b := newLargeHarness(t, func(s *Settings) { s.Classes[2].Kind = 1 })
 	i := slices.IndexFunc(b.d.ordered, func(w *worker) bool { return w.entry.Kind == 1 })
-	checkOnlyChoice(t, b, func(w *worker) {
+	checkSentToOnlyUsable(t, b, func(w *worker) {
 		if w.entry.Kind == 1 {
 			w.ownSlots = 1
 		}
@@ -542,7 +543,7 @@
 	}
 }
 
-func TestIndexOfASubsetThatEmptiesAndComesBack(t *testing.T) {
+func TestIndexOfASubsetThatIsEmptiedAndRefilled(t *testing.T) {
 	b := newLargeHarness(t, nil)
 	list := testFleet(200)
 	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: nil})
--- a/internal/dispatch/no_gossip_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -22,12 +22,12 @@
 	return w
 }
 
-// countChosen serves 20 jobs, by which the waits become known, and counts of 20 more those that
+// countSentTo serves 20 jobs, by which the waits become known, and counts of 20 more those that
 // go to some of the workers.
-func (b *harness) countChosen(wait func(*worker) Micros, some func(*worker) bool) (n int) {
+func (b *harness) countSentTo(wait func(*worker) Micros, matches func(*worker) bool) (n int) {
 	b.t.Helper()
 	for i := range 40 {
-		if w := b.serve(JobID(i), wait); i >= 20 && some(w) {
+		if w := b.serve(JobID(i), wait); i >= 20 && matches(w) {
 			n++
 		}
 	}
@@ -45,28 +45,28 @@
 		k := b.d.kindOf(b.d.workers[list[i].Worker])
 		k.speedEstimate = speedEstimate{20 * second, float64(10 * second * (1 + list[i].Kind))}
 	}
-	crowded := func(w *worker) Micros {
+	waitByKind := func(w *worker) Micros {
 		if w.entry.Kind == 0 {
 			return second
 		}
 		return second / 500
 	}
-	there := b.countChosen(crowded, func(w *worker) bool { return w.entry.Kind == 0 })
-	if there > 4 {
-		t.Errorf("%d of 20 jobs went where the last ones had to wait", there)
+	sentToSlow := b.countSentTo(waitByKind, func(w *worker) bool { return w.entry.Kind == 0 })
+	if sentToSlow > 4 {
+		t.Errorf("%d of 20 jobs went where the last ones had to wait", sentToSlow)
 	}
 }
 
 // The same for the own zone: crossing costs a hundredth, waiting costs the job.
 func TestDispatcherWithoutGossipCrossesWhenItsZoneIsCrowded(t *testing.T) {
 	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
-	crowded := func(w *worker) Micros {
+	waitByZone := func(w *worker) Micros {
 		if w.entry.Zone == 0 {
 			return second
 		}
 		return second / 100
 	}
-	crossed := b.countChosen(crowded, func(w *worker) bool { return w.entry.Zone == 1 })
+	crossed := b.countSentTo(waitByZone, func(w *worker) bool { return w.entry.Zone == 1 })
 	if crossed < 12 {
 		t.Errorf("%d of 20 jobs crossed to the zone that is free", crossed)
 	}
@@ -118,11 +118,11 @@
 
 // A job that crosses zones takes a handshake and the way there and back to begin. That is
 // no wait, and says nothing of the worker's slots.
-func TestDispatcherWithoutGossipDoesNotCountACrossingAsAWait(t *testing.T) {
+func TestDispatcherWithoutGossipDoesNotCountZoneCrossingAsWait(t *testing.T) {
 	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
 	for i := range 10 {
 		w := b.serve(JobID(i), func(*worker) Micros { return 40_000 })
-		if of := b.d.startCountsAt(w, 1); of.delayed > 0 {
+		if counts := b.d.startCountsAt(w, 1); counts.delayed > 0 {
 			t.Fatalf("a start after 40 ms was taken for a wait")
 		}
 	}
@@ -135,33 +135,33 @@
 	s.Classes[2].LateWeight = 0
 	b := newHarness(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
-	late := b.advance(s.Classes[2].Deadline - second)
-	b.want(late, Fail, 1) // it may have begun all the same: no refusal, as it must not run twice
-	b.want(late, Cancel, 1)
+	actions := b.advance(s.Classes[2].Deadline - second)
+	b.want(actions, Fail, 1) // it may have begun all the same: no refusal, as it must not run twice
+	b.want(actions, Cancel, 1)
 
 	b = newHarness(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
 	b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
-	late = b.advance(s.Classes[2].Deadline - second)
-	b.want(late, Fail, 0)
-	b.want(late, Cancel, 0)
+	actions = b.advance(s.Classes[2].Deadline - second)
+	b.want(actions, Fail, 0)
+	b.want(actions, Cancel, 0)
 }
 
 // A worker fails many jobs, and each dispatcher of 80 meets it every few seconds. Its report
 // shows what the others met there: one error is enough, for a class that may be repeated, too,
 // and a job that succeeded there by luck shows nothing.
 func TestDispatcherWithoutGossipTrustsReportedErrors(t *testing.T) {
-	for name, o := range map[string]Outcome{"an error": Failed, "luck": OK} {
+	for name, outcome := range map[string]Outcome{"an error": Failed, "luck": OK} {
 		b := startDispatcher(t, 80, 3, testFleet(60), 0, func(s *Settings) {
 			largeFleetWithoutGossipSettings(s)
 			s.LoadReports = true
 		})
-		bad := b.d.workers[actionsOfKind(b.arrive(1, 2), Send)[0].Worker]
+		failing := b.d.workers[actionsOfKind(b.arrive(1, 2), Send)[0].Worker]
 		b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
-		b.feed(Event{Kind: AttemptEnded, Job: 1, Outcome: o, Final: o == OK,
+		b.feed(Event{Kind: AttemptEnded, Job: 1, Outcome: outcome, Final: outcome == OK,
 			Report: Report{FreeKnown: true, Free: 2, Outstanding: -1, Errors: 1.5}})
 		for id := JobID(2); b.now < 107*second; id++ {
-			if b.serve(id, func(*worker) Micros { return second / 500 }) == bad {
+			if b.serve(id, func(*worker) Micros { return second / 500 }) == failing {
 				t.Errorf("%s: a job went there %v us later", name, b.now-100*second)
 				break
 			}
@@ -201,33 +201,33 @@
 // start does it count.
 func simulateRestartedFleet(t *testing.T, dispatchers, workers int, seed uint64) float64 {
 	const work, slots, tick, length = 400_000, 2, second / 50, 6 * second
-	set := func(s *Settings) {
+	configure := func(s *Settings) {
 		largeFleetWithoutGossipSettings(s)
 		s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8*second, 0.3, 4, 2*second
 		s.Classes[0].LatencyObjective = second / 5 // half of what a job takes: nobody knows that at a start
 	}
 	source := random(seed)
 	list := testFleet(workers)
-	all := startDispatchers(t, dispatchers, list, alternatingZone, set)
-	begin := all[0].now
-	started := map[WorkerID]bool{}
+	all := startDispatchers(t, dispatchers, list, alternatingZone, configure)
+	fleetStart := all[0].now
+	restarted := map[WorkerID]bool{}
 	for i := range list {
 		if source.uniform() < 0.6 {
-			list[i].Started, started[list[i].Worker] = begin, true
+			list[i].Started, restarted[list[i].Worker] = fleetStart, true
 		}
 	}
-	rate, updateAt := make([]float64, dispatchers), make([]Micros, dispatchers)
+	jobRate, updateAt := make([]float64, dispatchers), make([]Micros, dispatchers)
 	restartAt := make([]Micros, dispatchers)
 	for i, b := range all {
 		for _, e := range list {
 			b.setSlots(e.Worker, slots)
 		}
-		rate[i], updateAt[i] = 1.2, begin+Micros(source.uniform()*2*second)
+		jobRate[i], updateAt[i] = 1.2, fleetStart+Micros(source.uniform()*2*second)
 		if source.uniform() < 0.15 {
-			rate[i] = 6
+			jobRate[i] = 6
 		}
 		if source.uniform() < 0.3 {
-			restartAt[i] = begin + Micros(source.uniform()*length)
+			restartAt[i] = fleetStart + Micros(source.uniform()*length)
 		}
 	}
 	type run struct {
@@ -242,9 +242,9 @@
 		informed bool
 	}
 	sent := map[WorkerID][]send{}
-	take := func(i int, actions []Action, now Micros) {
+	handleActions := func(i int, actions []Action, now Micros) {
 		for _, a := range actionsOfKind(actions, Send) {
-			if started[a.Worker] {
+			if restarted[a.Worker] {
 				sent[a.Worker] = append(sent[a.Worker], send{now, updateAt[i] == 0})
 			}
 			all[i].feed(Event{Kind: AttemptReported, Job: a.Job, Attempt: a.Attempt, Note: NoteStarted})
@@ -252,7 +252,7 @@
 		}
 	}
 	job := JobID(0)
-	for now := begin; now < begin+length; now += tick {
+	for now := fleetStart; now < fleetStart+length; now += tick {
 		for i, b := range all {
 			if restartAt[i] != 0 && restartAt[i] <= now {
 				restartAt[i], updateAt[i] = 0, 0
@@ -264,18 +264,18 @@
 			if updateAt[i] != 0 && updateAt[i] <= now {
 				updateAt[i] = 0
 				b.now = now
-				take(i, b.feed(Event{Kind: EndpointsUpdated, Workers: list}), now)
+				handleActions(i, b.feed(Event{Kind: EndpointsUpdated, Workers: list}), now)
 			}
-			take(i, b.advance(now-b.now), now)
-			if source.uniform() < rate[i]*float64(tick)/second {
+			handleActions(i, b.advance(now-b.now), now)
+			if source.uniform() < jobRate[i]*float64(tick)/second {
 				job++
-				take(i, b.feed(Event{Kind: JobArrived, Job: job, Slots: 1, ClientTimeout: 6 * second}), now)
+				handleActions(i, b.feed(Event{Kind: JobArrived, Job: job, Slots: 1, ClientTimeout: 6 * second}), now)
 			}
 		}
 		var remaining []run
 		for _, r := range running {
 			if r.ends <= now {
-				take(r.by, all[r.by].end(r.job, r.attempt, OK), now)
+				handleActions(r.by, all[r.by].end(r.job, r.attempt, OK), now)
 			} else {
 				remaining = append(remaining, r)
 			}
@@ -285,15 +285,15 @@
 	worst := 0.0
 	for _, all := range sent {
 		for from := range all {
-			n, knew := 0, 0
+			sends, informedSends := 0, 0
 			for to := from; to < len(all) && all[to].at-all[from].at < 2*second; to++ {
-				if n++; all[to].informed {
-					knew++
+				if sends++; all[to].informed {
+					informedSends++
 				}
 			}
-			warm := 0.3 + 0.7*float64(all[from].at-begin)/(8*second)
-			if 3*knew >= 2*n {
-				worst = max(worst, float64(n)*work/(4*slots*warm*2*second))
+			warm := 0.3 + 0.7*float64(all[from].at-fleetStart)/(8*second)
+			if 3*informedSends >= 2*sends {
+				worst = max(worst, float64(sends)*work/(4*slots*warm*2*second))
 			}
 		}
 	}
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -129,7 +129,7 @@
 		}
 		w.schedule(w.now+max(a.Delay, w.s.Granularity), Event{Kind: TimerFired, Token: a.Token})
 	case WatchEndpoints:
-		w.answerCall()
+		w.answerPoll()
 	case Send:
 		w.checkSend(a)
 	case Refuse, Fail:
@@ -167,17 +167,17 @@
 }
 
 func (w *ruleChecker) checkSend(a Action) {
-	j, to := w.jobs[a.Job], w.workers[a.Worker]
+	j, target := w.jobs[a.Job], w.workers[a.Worker]
 	switch {
-	case j == nil || to == nil:
+	case j == nil || target == nil:
 		w.failf("unknown job or worker in a send: %+v", a)
 	case j.finished || j.answered > 0:
 		w.failf("job %d sent after its end", a.Job)
 	case len(j.attempts) >= w.s.MaxAttempts:
 		w.failf("job %d has too many attempts", a.Job)
-	case to.entry.Status != Ready:
+	case target.entry.Status != Ready:
 		w.failf("job %d sent to worker %d, which drains or is removed since %d", a.Job, a.Worker,
-			w.now-to.statusSince)
+			w.now-target.statusSince)
 	case a.SendBy > j.deadline || a.SendBy <= w.now:
 		w.failf("job %d to leave by %d, given up at %d", a.Job, a.SendBy, j.deadline)
 	case a.Deadline > j.deadline || a.Deadline <= w.now:
@@ -195,41 +195,42 @@
 		case Unsafe:
 			w.failf("unsafe job %d sent again though it may have run", a.Job)
 		case Keyed:
-			if a.SendBy-p.sentAt > c.DedupWindow || !sameDedupGroup(c.DedupScope, &p.worker, &to.entry) {
+			if a.SendBy-p.sentAt > c.DedupWindow || !sameDedupGroup(c.DedupScope, &p.worker, &target.entry) {
 				w.failf("keyed job %d sent out of its group or window", a.Job)
 			}
 		}
 	}
-	w.checkSlowStart(to, j)
+	w.checkSlowStart(target, j)
 	known := w.d.workers[a.Worker]
 	if w.d.slowStartSince(known) != 0 && !known.unreachable && !w.d.isSlowStartOwner(known) {
 		w.failf("another dispatcher owns worker %d in slow start", a.Worker)
 	}
-	j.attempts = append(j.attempts, &attemptRecord{worker: to.entry, sentAt: w.now, inFlight: true})
-	w.scriptOutcome(a, len(j.attempts)-1)
+	j.attempts = append(j.attempts, &attemptRecord{worker: target.entry, sentAt: w.now, inFlight: true})
+	w.scheduleOutcome(a, len(j.attempts)-1)
 }
 
 // checkSlowStart checks rule 4: one dispatcher alone uses the budget, in any window that
 // ends now. Workers here have eight slots of speed 1.
-func (w *ruleChecker) checkSlowStart(to *workerRecord, j *jobRecord) {
-	if to.started == 0 || w.now-to.started >= w.s.SlowStart {
+func (w *ruleChecker) checkSlowStart(target *workerRecord, j *jobRecord) {
+	if target.started == 0 || w.now-target.started >= w.s.SlowStart {
 		return
 	}
-	to.slowStartSends = append(to.slowStartSends, sentWork{w.now, float64(j.work)})
+	target.slowStartSends = append(target.slowStartSends, sentWork{w.now, float64(j.work)})
 	sum := 0.0
-	for _, b := range to.slowStartSends {
-		if w.now-b.at <= w.s.OverloadWindow {
-			sum += b.work
+	for _, send := range target.slowStartSends {
+		if w.now-send.at <= w.s.OverloadWindow {
+			sum += send.work
 		}
 	}
-	warm := w.s.SlowStartInitial + (1-w.s.SlowStartInitial)*float64(w.now-to.started)/float64(w.s.SlowStart)
-	if budget := w.s.OverloadFactor * 8 * warm * float64(w.s.OverloadWindow); sum > budget {
+	fraction := w.s.SlowStartInitial +
+		(1-w.s.SlowStartInitial)*float64(w.now-target.started)/float64(w.s.SlowStart)
+	if budget := w.s.OverloadFactor * 8 * fraction * float64(w.s.OverloadWindow); sum > budget {
 		w.failf("worker in slow start sent %.0f of a budget of %.0f", sum, budget)
 	}
 }
 
 // scriptOutcome decides what becomes of an attempt.
-func (w *ruleChecker) scriptOutcome(a Action, n int) {
+func (w *ruleChecker) scheduleOutcome(a Action, n int) {
 	worker := a.Worker
 	e := Event{Kind: AttemptEnded, Job: a.Job, Attempt: n, Worker: worker, Outcome: OK}
 	end := w.now + w.span(2*second)
@@ -262,7 +263,7 @@
 	w.schedule(end, e)
 }
 
-func (w *ruleChecker) answerCall() {
+func (w *ruleChecker) answerPoll() {
 	if w.r.Intn(3) == 0 {
 		w.schedule(w.now+w.span(2*second), Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 	} else {
@@ -308,9 +309,9 @@
 
 func (w *ruleChecker) run(steps int) []string {
 	w.feed(Event{Kind: Started})
-	firstTrace := Event{Kind: EndpointsUpdated, Scope: UpdateCached}
-	w.fillUpdate(&firstTrace)
-	w.feed(firstTrace)
+	cachedList := Event{Kind: EndpointsUpdated, Scope: UpdateCached}
+	w.fillUpdate(&cachedList)
+	w.feed(cachedList)
 	for n := range steps + 4000 {
 		arriving := n < steps
 		if !arriving && len(w.events) == 0 {
@@ -378,13 +379,13 @@
 		}
 		return a.seq - b.seq
 	})
-	h := w.events[0]
+	next := w.events[0]
 	w.events = w.events[1:]
-	w.now = max(w.now, h.at)
-	if h.event.Kind == EndpointsUpdated {
-		w.fillUpdate(&h.event)
+	w.now = max(w.now, next.at)
+	if next.event.Kind == EndpointsUpdated {
+		w.fillUpdate(&next.event)
 	}
-	w.feed(h.event)
+	w.feed(next.event)
 	for len(w.events) > 0 && w.events[0].at <= w.now {
 		w.nextEvent()
 	}
@@ -392,8 +393,8 @@
 
 // checkDeadlines checks rule 1: every job has its answer in time.
 func (w *ruleChecker) checkDeadlines() {
-	hasCome := func(e scheduledEvent) bool { return e.at <= w.now }
-	for len(w.events) > 0 && slices.ContainsFunc(w.events, hasCome) {
+	due := func(e scheduledEvent) bool { return e.at <= w.now }
+	for len(w.events) > 0 && slices.ContainsFunc(w.events, due) {
 		w.nextEvent()
 	}
 	open := w.open[:0]
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -64,14 +64,14 @@
 // All together keep the budget of a worker in slow start, though each of them has jobs that
 // find no other worker, peers' gossip is lost, and some are restarted.
 func TestSlowStartBudgetHoldsInSumAtSize(t *testing.T) {
-	t.Run("peers", func(t *testing.T) { checkSlowStartBudget(t, nil) })
-	t.Run("without gossip", func(t *testing.T) { checkSlowStartBudget(t, largeFleetWithoutGossipSettings) })
+	t.Run("peers", func(t *testing.T) { checkSlowStartBudgetInSum(t, nil) })
+	t.Run("without gossip", func(t *testing.T) { checkSlowStartBudgetInSum(t, largeFleetWithoutGossipSettings) })
 }
 
-func checkSlowStartBudget(t *testing.T, change func(*Settings)) {
+func checkSlowStartBudgetInSum(t *testing.T, configure func(*Settings)) {
 	const dispatchers = 240
 	list := testFleet(24)
-	all := startDispatchers(t, dispatchers, list, alternatingZone, change)
+	all := startDispatchers(t, dispatchers, list, alternatingZone, configure)
 	for _, b := range all {
 		b.setSlots(list[0].Worker, 4)
 		b.setSlots(list[2].Worker, 4)
@@ -101,21 +101,23 @@
 			}
 		}
 	}
-	set := all[0].d.settings
+	fleetSettings := all[0].d.settings
 	if len(sends) == 0 {
 		t.Fatal("nothing was sent: the test shows nothing")
 	}
-	for w, bookings := range sends {
-		for _, end := range bookings {
+	for w, workerSends := range sends {
+		for _, end := range workerSends {
 			sum := 0.0
-			for _, b := range bookings {
-				if b.at <= end.at && end.at-b.at < set.OverloadWindow {
+			for _, b := range workerSends {
+				if b.at <= end.at && end.at-b.at < fleetSettings.OverloadWindow {
 					sum += b.work
 				}
 			}
-			age := float64(end.at - set.OverloadWindow - started)
-			present := set.SlowStartInitial + (1-set.SlowStartInitial)*age/float64(set.SlowStart)
-			budget := set.OverloadFactor * 4 * max(set.SlowStartInitial, present) * float64(set.OverloadWindow)
+			age := float64(end.at - fleetSettings.OverloadWindow - started)
+			fraction := fleetSettings.SlowStartInitial +
+				(1-fleetSettings.SlowStartInitial)*age/float64(fleetSettings.SlowStart)
+			budget := fleetSettings.OverloadFactor * 4 * max(fleetSettings.SlowStartInitial, fraction) *
+				float64(fleetSettings.OverloadWindow)
 			if sum > budget {
 				t.Fatalf("worker %d in slow start was sent %.0f of a budget of %.0f by all", w, sum, budget)
 			}
@@ -127,7 +129,7 @@
 // over it is detected in sum, too: what bursts allow is bounded.
 func TestQuotasHoldInSumAtSize(t *testing.T) {
 	const dispatchers, quota, seconds = 200, 400.0, 20
-	within := func(rate float64) (n float64) {
+	countWithinQuota := func(rate float64) (n float64) {
 		for _, b := range startDispatchers(t, dispatchers, testFleet(40), alternatingZone, func(s *Settings) {
 			s.Tenants = []Tenant{{Quota: quota}}
 		}) {
@@ -141,11 +143,11 @@
 		}
 		return n
 	}
-	if got := within(quota * 0.9); got < quota*0.9*seconds {
+	if got := countWithinQuota(quota * 0.9); got < quota*0.9*seconds {
 		t.Errorf("%v of %v jobs within a quota that is kept", got, quota*0.9*seconds)
 	}
 	limit := quota*seconds + dispatchers*max(minQuotaBurst, quota/dispatchers*quotaBurstSeconds)
-	if got := within(quota * 4); got > limit {
+	if got := countWithinQuota(quota * 4); got > limit {
 		t.Errorf("%v jobs within the quota, at most %v", got, limit)
 	}
 }
@@ -166,15 +168,15 @@
 
 // Hundreds that lose the list at once do not poll in step.
 func TestPollsOfAllAreSpread(t *testing.T) {
-	at := map[Micros]int{}
-	poll := func(s *Settings) { s.PollEndpoints = true }
-	for _, b := range startDispatchers(t, 260, testFleet(20), alternatingZone, poll) {
+	pollCounts := map[Micros]int{}
+	enablePolling := func(s *Settings) { s.PollEndpoints = true }
+	for _, b := range startDispatchers(t, 260, testFleet(20), alternatingZone, enablePolling) {
 		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
-		at[b.d.pollAt/(second/100)]++
+		pollCounts[b.d.pollAt/(second/100)]++
 	}
-	for when, n := range at {
+	for hundredth, n := range pollCounts {
 		if n > 26 {
-			t.Errorf("%d of 260 poll within the same hundredth of a second, at %d", n, when)
+			t.Errorf("%d of 260 poll within the same hundredth of a second, at %d", n, hundredth)
 		}
 	}
 }
@@ -182,10 +184,10 @@
 // While the list's service is down polls cost it nothing, and as it is back nobody waits there. So after
 // a failed poll the next one comes soon, spread over all, and only several failures in a row, which
 // may mean that it cannot keep up, make the wait longer.
-func TestPollsFollowSoonAfterAFailedOne(t *testing.T) {
+func TestPollBackoffAfterFailures(t *testing.T) {
 	const failures = 8
-	var sum [failures]float64
-	at := map[Micros]int{}
+	var meanWaits [failures]float64
+	pollCounts := map[Micros]int{}
 	all := startDispatchers(t, 260, testFleet(20), alternatingZone, func(s *Settings) { s.PollEndpoints = true })
 	for _, b := range all {
 		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed}) // the watch ends
@@ -196,19 +198,19 @@
 			if limit := b.d.settings.PollInterval / 5; wait > 2*limit || i < fastPollRetries && wait > limit {
 				t.Errorf("failure %d: the next poll comes after %d us", i+1, wait)
 			}
-			sum[i] += float64(wait) / float64(len(all)) / second
+			meanWaits[i] += float64(wait) / float64(len(all)) / second
 			if i == 0 {
-				at[wait/(second/10)]++
+				pollCounts[wait/(second/10)]++
 			}
 		}
 	}
-	for when, n := range at {
+	for tenth, n := range pollCounts {
 		if n > 26 {
-			t.Errorf("%d of %d poll in the same tenth of a second, at %d", n, len(all), when)
+			t.Errorf("%d of %d poll in the same tenth of a second, at %d", n, len(all), tenth)
 		}
 	}
-	if sum[0] > 1.2 || sum[failures-1] < 1.5*sum[0] {
-		t.Errorf("mean waits after each failure: %.2f s", sum)
+	if meanWaits[0] > 1.2 || meanWaits[failures-1] < 1.5*meanWaits[0] {
+		t.Errorf("mean waits after each failure: %.2f s", meanWaits)
 	}
 }
 
@@ -241,7 +243,7 @@
 // they are, as nothing may be sent before the first update.
 func TestFirstPollsOfAllAreSpread(t *testing.T) {
 	for _, dispatchers := range []int{80, 300, 1000} {
-		calls := map[Micros]int{}
+		pollCounts := map[Micros]int{}
 		for i := range dispatchers {
 			s := testSettings()
 			s.Dispatchers, s.Index, s.PollEndpoints, s.PollInterval = dispatchers, i, true, 10*second
@@ -250,14 +252,14 @@
 				t.Fatal(err)
 			}
 			b := &harness{t: t, d: d, now: 100 * second}
-			first := len(actionsOfKind(b.feed(Event{Kind: Started}), WatchEndpoints))
-			for at := Micros(0); at < s.PollInterval/5 && first == 0; at += second / 10 {
-				if first = len(actionsOfKind(b.advance(second/10), WatchEndpoints)); first > 0 {
-					calls[at]++
+			polls := len(actionsOfKind(b.feed(Event{Kind: Started}), WatchEndpoints))
+			for at := Micros(0); at < s.PollInterval/5 && polls == 0; at += second / 10 {
+				if polls = len(actionsOfKind(b.advance(second/10), WatchEndpoints)); polls > 0 {
+					pollCounts[at]++
 				}
 			}
-			if first != 1 {
-				t.Errorf("dispatcher %d of %d polled %d times", i, dispatchers, first)
+			if polls != 1 {
+				t.Errorf("dispatcher %d of %d polled %d times", i, dispatchers, polls)
 			}
 			// It fails, again and again: each time it may wait longer, at random.
 			for range 8 {
@@ -267,7 +269,7 @@
 				}
 			}
 		}
-		for at, n := range calls {
+		for at, n := range pollCounts {
 			if n > dispatchers/8 {
 				t.Errorf("%d of %d poll in the tenth of a second after %d us", n, dispatchers, at)
 			}
--- a/internal/dispatch/slowstart_stated_test.go
+++ b/internal/dispatch/slowstart_stated_test.go
@@ -35,18 +35,18 @@
 // The sum holds with twice as many dispatchers as the settings state.
 func TestSlowStartFleetKeepsItsLimitWithMoreDispatchersThanStated(t *testing.T) {
 	for s := range allDeployments {
-		site := &allDeployments[s]
-		if site.name != "even" && site.name != "steep" { // wide is over by itself, big takes long
+		deployed := &allDeployments[s]
+		if deployed.name != "even" && deployed.name != "steep" { // wide is over by itself, big takes long
 			continue
 		}
-		t.Run(site.name, func(t *testing.T) {
+		t.Run(deployed.name, func(t *testing.T) {
 			t.Parallel()
 			for i, size := range [][2]int{{18, 16}, {30, 16}, {60, 60}} {
-				c := rampCase{deployment: site, dispatchers: size[0], statedDispatchers: size[0] / 2, workers: size[1],
-					restarted: -1, load: 1.2, maxDelay: 2 * second, seed: uint64(i + 1)}
-				if seen := c.run(t); seen.informed > 1 || seen.all > 1 {
+				c := rampCase{deployment: deployed, dispatchers: size[0], statedDispatchers: size[0] / 2,
+					workers: size[1], restarted: -1, load: 1.2, maxDelay: 2 * second, seed: uint64(i + 1)}
+				if result := c.run(t); result.informed > 1 || result.total > 1 {
 					t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v",
-						seen.informed, seen.all, &c)
+						result.informed, result.total, &c)
 				}
 			}
 		})
@@ -64,9 +64,9 @@
 		{deployment: &allDeployments[2], dispatchers: 300, statedDispatchers: 150, workers: 100, seed: 17424},
 	} {
 		c.restarted, c.load, c.maxDelay = -1, 1.2, 2*second
-		if seen := c.run(t); seen.informed > 1 || seen.all > 1 {
+		if result := c.run(t); result.informed > 1 || result.total > 1 {
 			t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v",
-				seen.informed, seen.all, &c)
+				result.informed, result.total, &c)
 		}
 	}
 }
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -100,7 +100,7 @@
 // rampResult is what a simulation showed. Both fractions are of what the rule allows in a window.
 type rampResult struct {
 	informed    float64 // the most that those who knew of the start sent
-	all         float64 // the most that all sent, where over two thirds came from those
+	total       float64 // the most that all sent, where over two thirds came from those
 	utilization float64 // of the capacity of the restarted workers, once all know of the start
 	sends       int
 }
@@ -120,14 +120,15 @@
 		c.workers, restarted, c.load, c.maxDelay/1000, c.dispatcherRestarts, c.secondStart)
 }
 
-func (s *deployment) slowStartFraction(set *Settings, since Micros) float64 {
-	return min(1, set.SlowStartInitial+(1-set.SlowStartInitial)*float64(max(0, since))/float64(set.SlowStart))
+func (s *deployment) slowStartFraction(settings *Settings, since Micros) float64 {
+	return min(1, settings.SlowStartInitial+
+		(1-settings.SlowStartInitial)*float64(max(0, since))/float64(settings.SlowStart))
 }
 
 // run runs a simulation.
 func (c *rampCase) run(t *testing.T) rampResult {
 	deployed, source := c.deployment, random(c.seed*7919)
-	change := func(s *Settings) {
+	applySettings := func(s *Settings) {
 		largeFleetWithoutGossipSettings(s)
 		deployed.configure(s)
 		s.Dispatchers = max(c.statedDispatchers, 1)
@@ -137,22 +138,22 @@
 		s.Tenants = nil
 	}
 	list := testFleet(c.workers)
-	servers := map[WorkerID]*rampWorker{}
-	var order []*rampWorker
-	n := 0
+	workersByID := map[WorkerID]*rampWorker{}
+	var allWorkers []*rampWorker
+	restartedCount := 0
 	for _, e := range list {
 		w := &rampWorker{entry: e}
-		if c.restarted < 0 || e.Zone == 0 && (c.restarted == 0 || n < c.restarted) {
+		if c.restarted < 0 || e.Zone == 0 && (c.restarted == 0 || restartedCount < c.restarted) {
 			w.restarted = true
-			n++
+			restartedCount++
 		}
-		servers[e.Worker], order = w, append(order, w)
+		workersByID[e.Worker], allWorkers = w, append(allWorkers, w)
 	}
 	// Lists are stale in ways of their own: some workers are missing, some are long removed.
 	lists := make([][]WorkerEntry, c.dispatchers)
 	for i := range lists {
 		for _, e := range list {
-			if servers[e.Worker].restarted || source.uniform() > 0.15 {
+			if workersByID[e.Worker].restarted || source.uniform() > 0.15 {
 				lists[i] = append(lists[i], e)
 			}
 		}
@@ -162,22 +163,22 @@
 		}
 	}
 	harnesses := make([]*harness, c.dispatchers)
-	updates, updateAt := make([]int, c.dispatchers), make([]Micros, c.dispatchers)
-	restartAt, rate := make([]Micros, c.dispatchers), make([]float64, c.dispatchers)
-	firstStart, sum := 100*second+rampWarmUp, 0.0
+	updateCount, updateAt := make([]int, c.dispatchers), make([]Micros, c.dispatchers)
+	restartAt, relativeRate := make([]Micros, c.dispatchers), make([]float64, c.dispatchers)
+	firstStart, rateSum := 100*second+rampWarmUp, 0.0
 	for i := range harnesses {
-		harnesses[i] = startDispatcher(t, c.dispatchers, i, lists[i], i%2, change)
+		harnesses[i] = startDispatcher(t, c.dispatchers, i, lists[i], i%2, applySettings)
 		harnesses[i].d.settings.Dispatchers = max(1, harnesses[i].d.settings.Dispatchers)
 		for _, e := range list {
 			if harnesses[i].d.workers[e.Worker] != nil {
 				harnesses[i].setSlots(e.Worker, int(deployed.slots))
 			}
 		}
-		rate[i] = 1
+		relativeRate[i] = 1
 		if source.uniform() < 0.15 {
-			rate[i] = 5
+			relativeRate[i] = 5
 		}
-		sum += rate[i]
+		rateSum += relativeRate[i]
 		updateAt[i] = firstStart + Micros(source.uniform()*float64(c.maxDelay))
 		if source.uniform() < c.dispatcherRestarts {
 			restartAt[i] = firstStart + Micros(source.uniform()*float64(rampLength-rampWarmUp))
@@ -185,13 +186,13 @@
 	}
 	lastStart := firstStart
 	// requests a second
-	total := c.load * float64(c.workers) * deployed.cores / deployed.meanRequestWork() * second
+	totalRate := c.load * float64(c.workers) * deployed.cores / deployed.meanRequestWork() * second
 	jobs := map[JobID]rampJobSize{}
 	var runs []*rampRun
-	seen := rampResult{}
+	result := rampResult{}
 	served, capacity := 0.0, 0.0
-	var take func(i int, actions []Action, now Micros)
-	end := func(r *rampRun, o Outcome, now Micros) {
+	var handleActions func(i int, actions []Action, now Micros)
+	endRun := func(r *rampRun, o Outcome, now Micros) {
 		if r.ended {
 			return
 		}
@@ -199,47 +200,47 @@
 		if r.endsAt != 0 {
 			r.worker.busy -= r.slots
 		}
-		take(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptEnded, Job: r.job,
+		handleActions(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptEnded, Job: r.job,
 			Attempt: r.attempt, Outcome: o, Final: o == OK}), now)
 	}
-	take = func(i int, actions []Action, now Micros) {
+	handleActions = func(i int, actions []Action, now Micros) {
 		for _, a := range actions {
 			switch a.Kind {
 			case Send:
-				r := &rampRun{dispatcher: i, job: a.Job, attempt: a.Attempt, worker: servers[a.Worker],
+				r := &rampRun{dispatcher: i, job: a.Job, attempt: a.Attempt, worker: workersByID[a.Worker],
 					work: jobs[a.Job].work, slots: jobs[a.Job].slots}
 				if w := r.worker; w == nil || w.restarted && now < lastStart && now >= lastStart-second {
-					end(r, ConnectFailed, now) // it is removed, or on its way back
+					endRun(r, ConnectFailed, now) // it is removed, or on its way back
 					continue
 				} else if w.restarted && now >= firstStart {
-					w.sent = append(w.sent, rampSend{now, r.work, updates[i] == len(w.starts)})
-					seen.sends++
+					w.sent = append(w.sent, rampSend{now, r.work, updateCount[i] == len(w.starts)})
+					result.sends++
 				}
 				r.worker.queue = append(r.worker.queue, r)
 				runs = append(runs, r)
 			case Cancel:
 				for _, r := range runs {
 					if r.dispatcher == i && r.job == a.Job && r.attempt == a.Attempt {
-						end(r, Cancelled, now)
+						endRun(r, Cancelled, now)
 					}
 				}
 			}
 		}
 	}
-	update := func(i int, scope UpdateScope) {
+	deliverUpdate := func(i int, scope UpdateScope) {
 		b := harnesses[i]
 		for k := range lists[i] {
-			if w := servers[lists[i][k].Worker]; w != nil && w.restarted {
+			if w := workersByID[lists[i][k].Worker]; w != nil && w.restarted {
 				lists[i][k].Started = w.starts[len(w.starts)-1]
 			}
 		}
-		updates[i]++
-		take(i, b.feed(Event{Kind: EndpointsUpdated, Scope: scope, Workers: lists[i]}), b.now)
+		updateCount[i]++
+		handleActions(i, b.feed(Event{Kind: EndpointsUpdated, Scope: scope, Workers: lists[i]}), b.now)
 	}
 	job := JobID(0)
 	for now := Micros(100 * second); now < firstStart+rampLength-rampWarmUp; now += rampTick {
 		if now == lastStart-second || now == lastStart { // down, and back
-			for _, w := range order {
+			for _, w := range allWorkers {
 				if !w.restarted {
 					continue
 				}
@@ -249,7 +250,7 @@
 				for _, r := range runs {
 					if r.worker == w {
 						harnesses[r.dispatcher].now = max(harnesses[r.dispatcher].now, now)
-						end(r, Reset, now)
+						endRun(r, Reset, now)
 					}
 				}
 				w.queue = nil
@@ -282,18 +283,18 @@
 			if updateAt[i] != 0 && updateAt[i] <= now {
 				updateAt[i] = 0
 				b.now = now
-				update(i, UpdateFull)
+				deliverUpdate(i, UpdateFull)
 			}
-			take(i, b.advance(now-b.now), now)
-			for more := rate[i] / sum * total * float64(rampTick) / second *
-				trafficFactor(now-firstStart); more > 0; more-- {
-				if source.uniform() >= more {
+			handleActions(i, b.advance(now-b.now), now)
+			for expected := relativeRate[i] / rateSum * totalRate * float64(rampTick) / second *
+				trafficFactor(now-firstStart); expected > 0; expected-- {
+				if source.uniform() >= expected {
 					continue
 				}
 				job++
 				e := Event{Kind: JobArrived, Job: job, Slots: 1}
 				for e.Class = 0; e.Class < 2 && source.uniform() >
-					deployed.classMix[e.Class]/(1-sumBefore(deployed.classMix, e.Class)); {
+					deployed.classMix[e.Class]/(1-sumOfEarlierClasses(deployed.classMix, e.Class)); {
 					e.Class++
 				}
 				if e.Class > 0 && source.uniform() < deployed.twoSlotFraction {
@@ -305,7 +306,7 @@
 				}
 				e.ClientTimeout = b.d.settings.Classes[e.Class].Deadline
 				jobs[job] = rampJobSize{work, e.Slots}
-				take(i, b.feed(e), now)
+				handleActions(i, b.feed(e), now)
 			}
 		}
 		for _, r := range runs {
@@ -313,10 +314,10 @@
 				if r.worker.restarted && now >= firstStart+c.maxDelay {
 					served += r.work
 				}
-				end(r, OK, now)
+				endRun(r, OK, now)
 			}
 		}
-		for _, w := range order {
+		for _, w := range allWorkers {
 			speed := 1.0
 			if w.restarted && len(w.starts) > 0 {
 				speed = deployed.slowStartFraction(&harnesses[0].d.settings, now-w.starts[len(w.starts)-1])
@@ -331,24 +332,24 @@
 				}
 				w.busy += r.slots
 				r.endsAt = now + Micros(r.work/speed*max(1, w.busy/deployed.cores))
-				take(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptReported, Job: r.job,
+				handleActions(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptReported, Job: r.job,
 					Attempt: r.attempt,
 					Note:    NoteStarted}), now)
 			}
 		}
-		on := runs[:0]
+		active := runs[:0]
 		for _, r := range runs {
 			if !r.ended {
-				on = append(on, r)
+				active = append(active, r)
 			}
 		}
-		runs = on
+		runs = active
 	}
-	seen.utilization = served / max(1, capacity)
-	for _, w := range order {
-		c.checkWindows(w, &harnesses[0].d.settings, &seen)
+	result.utilization = served / max(1, capacity)
+	for _, w := range allWorkers {
+		c.checkWindows(w, &harnesses[0].d.settings, &result)
 	}
-	return seen
+	return result
 }
 
 // trafficFactor is how much of the mean traffic comes: half as much again for a while in the ramp.
@@ -359,7 +360,7 @@
 	return 1
 }
 
-func sumBefore(shares []float64, class int) (sum float64) {
+func sumOfEarlierClasses(shares []float64, class int) (sum float64) {
 	for _, share := range shares[:class] {
 		sum += share
 	}
@@ -367,31 +368,31 @@
 }
 
 // checkWindows checks what a worker was sent against the rule, in each window from each start on.
-func (c *rampCase) checkWindows(w *rampWorker, set *Settings, seen *rampResult) {
+func (c *rampCase) checkWindows(w *rampWorker, settings *Settings, result *rampResult) {
 	for s, start := range w.starts {
-		until := Micros(math.MaxInt64)
+		nextStart := Micros(math.MaxInt64)
 		if s+1 < len(w.starts) {
-			until = w.starts[s+1]
+			nextStart = w.starts[s+1]
 		}
 		for from, first := range w.sent {
-			if first.at < start || first.at >= until || first.at-start >= set.SlowStart {
+			if first.at < start || first.at >= nextStart || first.at-start >= settings.SlowStart {
 				continue
 			}
 			// The strictest reading: what it could do when the window began.
-			n := c.deployment.slowStartFraction(set, first.at-start) * c.deployment.cores * set.OverloadFactor *
-				float64(set.OverloadWindow) / c.deployment.meanRequestWork()
-			limit := (n + 2*math.Sqrt(n) + 2) * c.deployment.meanRequestWork()
+			meanRequests := c.deployment.slowStartFraction(settings, first.at-start) * c.deployment.cores *
+				settings.OverloadFactor * float64(settings.OverloadWindow) / c.deployment.meanRequestWork()
+			limit := (meanRequests + 2*math.Sqrt(meanRequests) + 2) * c.deployment.meanRequestWork()
 			sum, informed := 0.0, 0.0
 			for _, sent := range w.sent[from:] {
-				if sent.at-first.at >= set.OverloadWindow || sent.at >= until {
+				if sent.at-first.at >= settings.OverloadWindow || sent.at >= nextStart {
 					break
 				}
 				if sum += sent.work; sent.informed {
 					informed += sent.work
 				}
-				seen.informed = max(seen.informed, informed/limit)
+				result.informed = max(result.informed, informed/limit)
 				if 3*informed > 2*sum {
-					seen.all = max(seen.all, sum/limit)
+					result.total = max(result.total, sum/limit)
 				}
 			}
 		}
@@ -406,33 +407,33 @@
 			continue
 		}
 		for _, size := range sizes {
-			site := &allDeployments[s]
-			if site.slots > 10 && size != [2]int{30, 16} {
+			deployed := &allDeployments[s]
+			if deployed.slots > 10 && size != [2]int{30, 16} {
 				continue // simulations of so many requests take long
 			}
-			t.Run(fmt.Sprint(site.name, "/", size[0], "/", size[1]), func(t *testing.T) {
+			t.Run(fmt.Sprint(deployed.name, "/", size[0], "/", size[1]), func(t *testing.T) {
 				t.Parallel()
 				for i := range seeds * len(cases) {
 					c := cases[i%len(cases)]
-					c.deployment, c.dispatchers, c.workers, c.seed = site, size[0], size[1], c.seed+uint64(i+1)
+					c.deployment, c.dispatchers, c.workers, c.seed = deployed, size[0], size[1], c.seed+uint64(i+1)
 					c.statedDispatchers *= size[0]
-					seen := c.run(t)
-					if seen.informed > 1 || seen.all > 1 {
+					result := c.run(t)
+					if result.informed > 1 || result.total > 1 {
 						t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v",
-							seen.informed, seen.all, &c)
+							result.informed, result.total, &c)
 					}
-					if c.restarted < 0 && seen.utilization < 0.1 {
-						t.Errorf("%.2f of a restarted fleet is used: %v", seen.utilization, &c)
+					if c.restarted < 0 && result.utilization < 0.1 {
+						t.Errorf("%.2f of a restarted fleet is used: %v", result.utilization, &c)
 					}
 					t.Logf("informed %.2f, all %.2f, used %.2f, %d sends: %v",
-						seen.informed, seen.all, seen.utilization, seen.sends, &c)
+						result.informed, result.total, result.utilization, result.sends, &c)
 				}
 			})
 		}
 	}
 }
 
-const mainDeployments, everyDeployment = "even steep big", "even steep big wide"
+const deploymentsWithoutWide, everyDeployment = "even steep big", "even steep big wide"
 
 // One worker, some, a zone and the whole fleet restart, under uneven traffic and a burst.
 func TestSlowStartWorkersKeepTheirLimitInSum(t *testing.T) {
@@ -451,7 +452,7 @@
 var fleetRestartCases = []rampCase{{restarted: -1, load: 1.2, maxDelay: 2 * second}}
 
 func TestSlowStartFleetKeepsItsLimitInSum(t *testing.T) {
-	runCases(t, mainDeployments, 2, fleetRestartCases, fleetSizes...)
+	runCases(t, deploymentsWithoutWide, 2, fleetRestartCases, fleetSizes...)
 }
 
 // Where a few long requests bring most of the work, one too many is much.
@@ -467,7 +468,7 @@
 }
 
 func TestSlowStartFleetKeepsItsLimitWhileDispatchersRestart(t *testing.T) {
-	runCases(t, mainDeployments, 1, dispatcherRestartCases, fleetSizes...)
+	runCases(t, deploymentsWithoutWide, 1, dispatcherRestartCases, fleetSizes...)
 }
 
 func TestSlowStartFleetOfLongRequestsKeepsItsLimitWhileDispatchersRestart(t *testing.T) {
