--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -269,7 +269,7 @@
 		}
 	}
 	if after := b.d.speed(w); during > 0.8*before || after < 0.8*before {
-		t.Errorf("got speeds %.2f, %.2f, %.2f before, with, after the neighbour, want below, then above 0.8 of the first",
+		t.Errorf("got speeds %.2f, %.2f, %.2f before, with, after the neighbour, want under, over 0.8 of the first",
 			before, during, after)
 	}
 }
--- a/internal/dispatch/index_test.go
+++ b/internal/dispatch/index_test.go
@@ -11,49 +11,55 @@
 	"pgregory.net/rapid"
 )
 
-// fleetSim measures the quality of placement: many dispatchers without gossip share workers that run
-// what fits and queue the rest. It is compared with itself, once with the index and once with scans.
+// fleetSim is a discrete-event simulation that measures the quality of placement. Many dispatchers without
+// gossip share workers, and each worker queues the attempts for which it has no free slot. Tests compare the
+// result with the placement index to the result with full scans.
 type fleetSim struct {
 	r           *rand.Rand
 	now         Micros
-	seq         int
+	seq         int // number of events scheduled so far, which orders events of the same time
 	events      simQueue
 	dispatchers []*Dispatcher
 	workers     map[WorkerID]*simWorker
 	jobs        map[JobID]*simJob
-	began       []float64 // seconds from arrival to start
-	notServed   int       // refused or failed
+	began       []float64 // seconds from the arrival of a job to the start of an attempt, for each start
+	notServed   int       // number of jobs refused or failed
 }
 
+// simWorker is a simulated worker.
 type simWorker struct {
-	slots, running, done int
+	slots, running, done int // number of slots, of running attempts and of completed attempts
 	speed                float64
 	queue                []*simRun
-	busy                 float64 // seconds of its slots
+	busy                 float64 // slot-seconds in use so far
 }
 
+// simRun is an attempt at a simulated worker.
 type simRun struct {
 	dispatcher int
 	job        JobID
 	attempt    int
 	worker     WorkerID
-	ended      bool // cancelled
+	ended      bool // the attempt has completed or was cancelled
 	started    bool
-	began      Micros
+	began      Micros // time of the start
 }
 
+// simJob is a simulated job.
 type simJob struct {
 	arrived Micros
 	work    float64
-	runs    []*simRun
+	runs    []*simRun // attempts, by number
 }
 
+// simEvent is a function that the simulation calls at a given time.
 type simEvent struct {
 	at  Micros
 	seq int
 	do  func()
 }
 
+// simQueue is a heap of events, ordered by time and then by sequence number.
 type simQueue []simEvent
 
 func (q simQueue) Len() int { return len(q) }
@@ -68,13 +74,15 @@
 	return last
 }
 
+// after schedules a call after the given span.
 func (f *fleetSim) after(span Micros, do func()) {
 	f.seq++
 	heap.Push(&f.events, simEvent{f.now + span, f.seq, do})
 }
 
-const oneWayDelay = second / 1000 // one way
+const oneWayDelay = second / 1000 // network delay between a dispatcher and a worker
 
+// feed passes an event to dispatcher m and carries out the resulting actions.
 func (f *fleetSim) feed(m int, e Event) {
 	for _, a := range f.dispatchers[m].Step(f.now, &e, nil) {
 		switch a.Kind {
@@ -102,11 +110,13 @@
 	}
 }
 
+// end passes the end of an attempt to its dispatcher.
 func (f *fleetSim) end(run *simRun, o Outcome) {
 	f.feed(run.dispatcher, Event{Kind: AttemptEnded, Job: run.job, Attempt: run.attempt, Worker: run.worker,
 		Outcome: o, Final: o == OK})
 }
 
+// endRun frees the slot of an attempt that completes or is cancelled, and starts the next one in the queue.
 func (f *fleetSim) endRun(run *simRun) {
 	w := f.workers[run.worker]
 	run.ended = true
@@ -117,6 +127,7 @@
 	f.serve(w)
 }
 
+// serve starts queued attempts of a worker while it has free slots.
 func (f *fleetSim) serve(w *simWorker) {
 	for len(w.queue) > 0 && w.running < w.slots {
 		run := w.queue[0]
@@ -143,13 +154,13 @@
 
 // fleetResult is the result of a simulation.
 type fleetResult struct {
-	mean, p99 float64 // seconds to the start of an attempt
-	notServed float64 // fraction of jobs that were refused or failed
-	spread    float64 // standard deviation of the workers' load, over its mean
-	examined  float64 // workers examined for a job
+	mean, p99 float64 // seconds from the arrival of a job to the start of an attempt
+	notServed float64 // fraction of the jobs that were refused or failed
+	spread    float64 // standard deviation of the workers' utilization, divided by its mean
+	examined  float64 // mean number of workers examined for a job
 }
 
-// add takes one of so many simulations into their mean.
+// add adds the result of one of the given number of simulations to their mean.
 func (r *fleetResult) add(result fleetResult, simulations float64) {
 	r.mean, r.p99, r.notServed = r.mean+result.mean/simulations, r.p99+result.p99/simulations,
 		r.notServed+result.notServed/simulations
@@ -158,12 +169,13 @@
 
 func (r fleetResult) String() string {
 	return fmt.Sprintf(
-		"to start %.4f s, 99%% %.3f s, not served %.4f, spread of load %.3f, %.0f workers examined for a job",
+		"mean wait to start %.4f s, 99%% %.3f s, not served %.4f, load spread %.3f, %.0f workers examined per job",
 		r.mean, r.p99, r.notServed, r.spread, r.examined)
 }
 
-// simulateFleet runs dispatchers that are given their list, workers with uneven speeds, and some
-// seconds of jobs that fill a part of all slots.
+// simulateFleet simulates dispatchers and workers for up to 8 s of arrivals. The load is a fraction of the
+// fleet's capacity, speedSigma the standard deviation of the logarithm of the workers' speeds, and scanLimit
+// the largest subset that a dispatcher scans instead of using its index.
 func simulateFleet(t testing.TB, dispatchers, workers, zones int, load, speedSigma float64, scanLimit int,
 	seed int64) fleetResult {
 	t.Helper()
@@ -189,7 +201,8 @@
 		f.dispatchers = append(f.dispatchers, d)
 		f.feed(m, Event{Kind: Started})
 		f.feed(m, Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list})
-		for _, w := range d.ordered { // slots are known: placement is compared, not how soon they are learnt
+		// The dispatchers know the slots in advance, as the tests compare placement and not learning.
+		for _, w := range d.ordered {
 			k, n := d.kindOf(w), f.workers[w.entry.Worker].slots
 			k.maxSlotsTried, k.capacityProbedAt, k.maxBusySlots = n+1, f.now, float64(n)
 			k.startCountsBySlots[n].prompt, k.startCountsBySlots[n+1].delayed = 50, 50
@@ -235,9 +248,9 @@
 	return r
 }
 
-const unlimitedScan = 1 << 30
+const unlimitedScan = 1 << 30 // a scan limit, in workers, above the size of any subset
 
-// BenchmarkChoice reports the quality of the index beside that of full scans; its time does not matter.
+// BenchmarkChoice logs the quality of placement with the index and with full scans. Its time has no meaning.
 func BenchmarkChoice(b *testing.B) {
 	for _, size := range []struct {
 		dispatchers, workers, zones int
@@ -261,17 +274,18 @@
 	}
 }
 
-// The index is as good as the scan: jobs start as soon, and all are served.
+// With the index, jobs start about as soon as with full scans, are served as often, and spread over the
+// workers about as evenly.
 func TestIndexChoosesAsWellAsTheScan(t *testing.T) {
 	var scanned, index fleetResult
-	const seeds = 6 // one alone shows little
+	const seeds = 6 // the result of a single seed varies too much
 	for seed := range int64(seeds) {
 		scanned.add(simulateFleet(t, 17, 400, 2, 0.7, 0.5, unlimitedScan, seed), seeds)
 		index.add(simulateFleet(t, 17, 400, 2, 0.7, 0.5, maxScannedSubset, seed), seeds)
 	}
 	if index.mean > 1.15*scanned.mean || index.notServed > scanned.notServed+0.002 ||
 		index.spread > 1.1*scanned.spread {
-		t.Errorf("by the index: %v; by the scan: %v", index, scanned)
+		t.Errorf("got with the index: %v; with the scan: %v; want the index about as good", index, scanned)
 	}
 }
 
@@ -280,11 +294,11 @@
 	examined := func(workers int) uint64 {
 		b := startDispatcher(t, 17, 0, testFleet(workers), 0, largeFleetWithoutGossipSettings)
 		if !b.d.largeSubset() {
-			t.Fatalf("a subset of %d is not large", len(b.d.subset))
+			t.Fatalf("got a subset of %d workers that is not large, want a large one", len(b.d.subset))
 		}
 		before := uint64(0)
 		for i := range 120 {
-			if i == 20 { // the index is made by then
+			if i == 20 { // the dispatcher has built the index by then
 				before = b.d.workersExamined
 			}
 			b.serve(JobID(i), func(*worker) Micros { return second / 500 })
@@ -294,13 +308,15 @@
 	small := examined(400)
 	for _, workers := range []int{1600, 7200} {
 		if n := examined(workers); n > small+small/4 {
-			t.Errorf("%d workers are examined for a job of %d, %d of 400", n, workers, small)
+			t.Errorf("got %d workers examined per job in a fleet of %d, and %d in one of 400, want at most 1/4 more",
+				n, workers, small)
 		}
 	}
 }
 
-// scanWorkers is the scan of the whole subset as it was before there was an index: selectWorker must
-// give the same worker for a small subset, and any worker for a large one whenever the scan finds one.
+// scanWorkers is the reference for selectWorker: it scans the whole subset without an index. For a small
+// subset selectWorker must choose the same worker. For a large one it must find some worker whenever the scan
+// does.
 func (d *Dispatcher) scanWorkers(j *job) *worker {
 	var local, remote *worker
 	localCost, remoteCost := math.Inf(1), math.Inf(1)
@@ -350,8 +366,8 @@
 	return remote
 }
 
-// Whatever state the workers are in, the index gives one that will do whenever the scan finds
-// any, and a small subset gives the very worker that the scan gives.
+// In any state of the workers, the index gives an eligible worker whenever the scan finds one. In a small
+// subset the dispatcher chooses the same worker as the scan.
 func TestIndexFindsAWorkerWheneverTheScanDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
@@ -366,7 +382,7 @@
 		now := Micros(100 * second)
 		list := testFleet(rapid.IntRange(0, 160).Draw(t, "workers"))
 		d.Step(now, &Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list}, nil)
-		// Workers in a few states, most of them out of use.
+		// The workers are in random states, and a random fraction of them is unusable.
 		r := rand.New(rand.NewSource(rapid.Int64().Draw(t, "states")))
 		unusableFraction := rapid.SampledFrom([]float64{0, 0.5, 0.9, 0.99, 1}).Draw(t, "out of use")
 		randomizeStates := func() {
@@ -396,10 +412,10 @@
 				}
 			}
 			for _, k := range d.kinds {
-				k.capacityProbedAt = now // nothing is tried past what is known to fit
+				k.capacityProbedAt = now // prevents probes past the known capacity
 			}
 		}
-		for range 4 { // the index keeps what it knew of the earlier states
+		for range 4 { // the index keeps its information from earlier states
 			randomizeStates()
 			j := &job{id: 7, class: r.Intn(3), objective: now + Micros(1+r.Intn(2*second)), deadline: now + 8*second,
 				work: second / 5, slots: float64(1 + r.Intn(2)), hinted: true, late: r.Intn(3) == 0}
@@ -410,7 +426,7 @@
 			}
 			d.now, d.cachedBestSpeed = now, 0
 			d.eventCount++
-			twin := d.Clone() // the scan draws random numbers and uses up budgets
+			twin := d.Clone() // the scan draws random numbers and changes slow-start budgets
 			twin.now, twin.eventCount = now, d.eventCount
 			jobCopy := *j
 			jobCopy.attempts = nil
@@ -422,22 +438,23 @@
 			want := twin.scanWorkers(&jobCopy)
 			got := d.selectWorker(j)
 			if (got == nil) != (want == nil) {
-				t.Fatalf("%d workers: the index gives %v, the scan %v", len(d.subset), got, want)
+				t.Fatalf("subset of %d workers: got %v from the index, the scan gives %v", len(d.subset), got, want)
 			}
 			if got == nil {
 				continue
 			}
 			if _, ok := d.placementCost(j, got, float64(j.objective-now)); !ok {
-				t.Fatalf("worker %d will not do", got.entry.Worker)
+				t.Fatalf("got worker %d from the index, which is not eligible, want an eligible one", got.entry.Worker)
 			}
 			if !d.largeSubset() && got.entry.Worker != want.entry.Worker {
-				t.Fatalf("%d workers: worker %d, the scan gives %d", len(d.subset), got.entry.Worker, want.entry.Worker)
+				t.Fatalf("small subset of %d workers: got worker %d, want worker %d as by the scan",
+					len(d.subset), got.entry.Worker, want.entry.Worker)
 			}
 		}
 	})
 }
 
-// newLargeHarness is a harness whose subset is large, with the same slots known of all.
+// newLargeHarness returns a harness whose dispatcher has a large subset and knows one slot for each worker.
 func newLargeHarness(t *testing.T, configure func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
@@ -450,13 +467,14 @@
 		b.setSlots(b.d.ordered[i].entry.Worker, 1)
 	}
 	if !b.d.largeSubset() {
-		t.Fatal("the subset is not large")
+		t.Fatal("got a subset that is not large, want a large one")
 	}
-	b.want(b.arrive(1000, 0), Send, 1) // the index is made
+	b.want(b.arrive(1000, 0), Send, 1) // the first job makes the dispatcher build the index
 	return b
 }
 
-// checkOnlyChoice makes all workers but one unusable, and passes a job.
+// checkSentToOnlyUsable makes all workers but one unusable, and checks that a job goes to that worker. If
+// usable is nil, all workers become unusable, and the job must not be sent.
 func checkSentToOnlyUsable(t *testing.T, b *harness, makeUnusable func(*worker), class int, usable *worker) {
 	t.Helper()
 	for _, w := range b.d.ordered {
@@ -467,9 +485,9 @@
 	sent := actionsOfKind(b.arrive(1, class), Send)
 	switch {
 	case usable == nil && len(sent) > 0:
-		t.Errorf("sent to %d", sent[0].Worker)
+		t.Errorf("no worker is usable: got a send to worker %d, want none", sent[0].Worker)
 	case usable != nil && (len(sent) != 1 || sent[0].Worker != usable.entry.Worker):
-		t.Errorf("sent as %v, and only %d will do", sent, usable.entry.Worker)
+		t.Errorf("got sends %v, want one send to worker %d, the only usable one", sent, usable.entry.Worker)
 	}
 }
 
@@ -485,26 +503,26 @@
 		"in slow start": func(w *worker) {
 			w.inferredStart, w.slowStartBudgetAt, w.slowStartBudget = 100*second, 100*second, -1e12
 		},
-		"slow": func(w *worker) { w.speed = speedEstimate{1, 1e12} }, // one alone still meets the objective
+		"slow": func(w *worker) { w.speed = speedEstimate{1, 1e12} }, // only one worker can meet the objective
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newLargeHarness(t, func(s *Settings) { s.Classes[0].LateWeight = 0 })
 			checkSentToOnlyUsable(t, b, makeUnusable, 0, b.d.ordered[137])
 		})
 		if name == "slow" {
-			continue // a job that cannot meet its objective anywhere is sent late
+			continue // a job that cannot meet its objective on any worker is sent all the same
 		}
-		t.Run(name+", all", func(t *testing.T) {
+		t.Run(name+", all workers", func(t *testing.T) {
 			b := newLargeHarness(t, func(s *Settings) { s.Classes[0].LateWeight = 0 })
 			checkSentToOnlyUsable(t, b, makeUnusable, 0, nil)
-			w := b.d.ordered[55] // one that is usable again is found, whatever the index has of it
+			w := b.d.ordered[55] // this worker becomes usable again and must be found in spite of old index data
 			w.ownSlots, w.unstartedAttempts, w.ejectedUntil, w.consecutiveFailures = 0, 0, 0, 0
 			w.blockedUntil, w.suspect, w.inferredStart = 0, false, 0
 			w.entry.Status, w.speed = Ready, speedEstimate{}
 			b.now += second / 100
 			sent := actionsOfKind(b.arrive(2, 0), Send)
 			if len(sent) == 0 || sent[0].Worker != w.entry.Worker {
-				t.Errorf("sent as %v, and %d is usable again", sent, w.entry.Worker)
+				t.Errorf("got sends %v, want a send to worker %d, which is usable again", sent, w.entry.Worker)
 			}
 		})
 	}
@@ -520,7 +538,7 @@
 	}, 2, b.d.ordered[i])
 }
 
-// A keyed job that may have run is repeated in its group, where only one worker is usable.
+// A keyed job that may have run is repeated on the only usable worker of its deduplication group.
 func TestIndexKeepsAKeyedRepeatInItsGroup(t *testing.T) {
 	b := newLargeHarness(t, nil)
 	first := b.d.workers[actionsOfKind(b.arrive(1, 1), Send)[0].Worker]
@@ -536,10 +554,11 @@
 	before := b.d.workersExamined
 	sent := actionsOfKind(b.end(1, 0, Failed), Send)
 	if len(sent) != 1 || sent[0].Worker != sameCell[0].entry.Worker {
-		t.Errorf("repeated as %v, and only %d may", sent, sameCell[0].entry.Worker)
+		t.Errorf("got repeats %v, want one on worker %d, the only usable one of the group",
+			sent, sameCell[0].entry.Worker)
 	}
 	if n := b.d.workersExamined - before; n > 16 {
-		t.Errorf("%d workers were examined for a group of 8", n)
+		t.Errorf("got %d workers examined for a group of 8, want at most 16", n)
 	}
 }
 
@@ -548,23 +567,24 @@
 	list := testFleet(200)
 	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: nil})
 	if sent := actionsOfKind(b.arrive(1, 0), Send); len(b.d.subset) != 0 || len(sent) != 0 {
-		t.Errorf("sent as %v, a subset of %d", sent, len(b.d.subset))
+		t.Errorf("after an empty list: got sends %v and a subset of %d workers, want none", sent, len(b.d.subset))
 	}
 	b.want(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateDelta, Workers: list[7:8]}), Send, 1)
 	b.now += second / 100
 	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list})
 	sent := actionsOfKind(b.arrive(2, 0), Send)
 	if len(sent) != 1 || sent[0].Worker == list[7].Worker {
-		t.Errorf("sent as %v", sent)
+		t.Errorf("all workers are listed again: got sends %v, want one to another worker than the busy one", sent)
 	}
 	for _, w := range b.d.subset {
 		if w.indexNode.Queue() == nil {
-			t.Fatalf("worker %d is in the subset and not in the index", w.entry.Worker)
+			t.Fatalf("worker %d: got in the subset but not in the index, want in both", w.entry.Worker)
 		}
 	}
 }
 
-// When more than half of a large subset are outliers, the evidence is not trusted.
+// When more than half of a large subset are outliers, the dispatcher enters panic mode and uses all workers,
+// as the cause is more likely a fault of the network or of the reports.
 func TestIndexOfASubsetOfOutliers(t *testing.T) {
 	b := newLargeHarness(t, nil)
 	for i, w := range b.d.ordered {
@@ -575,7 +595,8 @@
 	}
 	b.d.inspect()
 	if b.d.panicMode || b.d.countOutliers() != 80 {
-		t.Errorf("%d of 200 are outliers, panic mode %v", b.d.countOutliers(), b.d.panicMode)
+		t.Errorf("got %d outliers of 200 workers and panic mode %v, want 80 and false",
+			b.d.countOutliers(), b.d.panicMode)
 	}
 	for _, w := range b.d.ordered {
 		w.suspect, w.suspectRetryAt = true, 300*second
@@ -583,7 +604,8 @@
 	}
 	b.d.inspect()
 	if !b.d.panicMode || b.d.countOutliers() != 200 {
-		t.Errorf("%d of 200 are outliers, panic mode %v", b.d.countOutliers(), b.d.panicMode)
+		t.Errorf("got %d outliers of 200 workers and panic mode %v, want 200 and true",
+			b.d.countOutliers(), b.d.panicMode)
 	}
 	b.now += second / 100
 	b.want(b.arrive(1, 0), Send, 1)
@@ -592,29 +614,29 @@
 	}
 	b.d.inspect()
 	if b.d.panicMode || len(b.d.suspects) != 0 {
-		t.Errorf("all are well, and %d are suspects", len(b.d.suspects))
+		t.Errorf("all workers are alive: got panic mode or %d suspects, want neither", len(b.d.suspects))
 	}
 }
 
-// A worker that never answered again is forgotten with the list, also among the suspects: a fleet that
-// is renewed under new names would fill the memory.
+// A suspect worker that never answers again is removed from the suspects when it is forgotten. Otherwise a
+// fleet whose workers are replaced under new numbers would fill the memory.
 func TestRemovedOutliersAreForgotten(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	w := b.d.workers[1]
 	w.suspect = true
 	b.d.markSuspect(w)
 	if n := b.d.countOutliers(); n != 1 {
-		t.Fatalf("%d outliers, want 1", n)
+		t.Fatalf("got %d outliers, want 1", n)
 	}
 	removed := ready(1, 0)
 	removed.Status = Removed
 	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}})
 	if n := b.d.countOutliers(); n != 0 || len(b.d.suspects) != 1 {
-		t.Errorf("removed: %d outliers, %d suspects", n, len(b.d.suspects))
+		t.Errorf("removed worker: got %d outliers and %d suspects, want 0 and 1", n, len(b.d.suspects))
 	}
 	b.now += b.d.settings.RemovedRetention()
 	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0)}})
 	if n := b.d.countOutliers(); n != 0 || len(b.d.suspects) != 0 {
-		t.Errorf("forgotten: %d outliers, %d suspects", n, len(b.d.suspects))
+		t.Errorf("forgotten worker: got %d outliers and %d suspects, want 0 and 0", n, len(b.d.suspects))
 	}
 }
--- a/internal/dispatch/no_gossip_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -2,28 +2,29 @@
 
 import "testing"
 
-// Tests of many dispatchers without gossip: what all do together shows in
-// how long jobs wait, and in nothing else.
+// This file has tests of large fleets without gossip. There a dispatcher learns of the load from other
+// dispatchers only by the time that its own jobs wait at workers.
 
-// serve runs one job at a dispatcher: it begins after a wait that depends on its worker.
+// serve passes one job, starts it after a wait that depends on its worker, and completes it. It returns the
+// worker to which the job was sent.
 func (b *harness) serve(id JobID, wait func(*worker) Micros) *worker {
 	b.t.Helper()
 	sent := actionsOfKind(b.arrive(id, 0), Send)
 	if len(sent) != 1 {
-		b.t.Fatalf("job %d: %d sends", id, len(sent))
+		b.t.Fatalf("job %d: got %d sends, want 1", id, len(sent))
 	}
 	w := b.d.workers[sent[0].Worker]
 	for end := b.now + wait(w); b.now < end; b.feed(Event{Kind: TimerFired, Token: b.d.timerToken}) {
-		b.now += min(end-b.now, second/100) // events of other jobs make it inspect
+		b.now += min(end-b.now, second/100) // the timer event causes an inspection, as events of other jobs would
 	}
 	b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-	b.advance(second / 5 * Micros(1+w.entry.Kind)) // the first kind is twice as fast
+	b.advance(second / 5 * Micros(1+w.entry.Kind)) // kind 0 is twice as fast as kind 1
 	b.end(id, 0, OK)
 	return w
 }
 
-// countSentTo serves 20 jobs, by which the waits become known, and counts of 20 more those that
-// go to some of the workers.
+// countSentTo serves 20 jobs, from which the dispatcher learns the waits. Of 20 more jobs it returns the
+// number sent to workers for which the function matches returns true.
 func (b *harness) countSentTo(wait func(*worker) Micros, matches func(*worker) bool) (n int) {
 	b.t.Helper()
 	for i := range 40 {
@@ -34,9 +35,8 @@
 	return n
 }
 
-// Jobs wait long at one kind of worker though this dispatcher has hardly any there: the
-// others do. Then the other kind gets its jobs, and the faster one is not chosen for its
-// speed alone.
+// Jobs wait long at workers of one kind, which other dispatchers fill. This dispatcher then sends its jobs to
+// the other kind, although that kind is slower.
 func TestDispatcherWithoutGossipAvoidsAKindWhereJobsWait(t *testing.T) {
 	list := testFleet(60)
 	b := startDispatcher(t, 80, 3, list, 0, largeFleetWithoutGossipSettings)
@@ -53,11 +53,12 @@
 	}
 	sentToSlow := b.countSentTo(waitByKind, func(w *worker) bool { return w.entry.Kind == 0 })
 	if sentToSlow > 4 {
-		t.Errorf("%d of 20 jobs went where the last ones had to wait", sentToSlow)
+		t.Errorf("got %d of 20 jobs sent to the kind where jobs wait, want at most 4", sentToSlow)
 	}
 }
 
-// The same for the own zone: crossing costs a hundredth, waiting costs the job.
+// Jobs wait long in the dispatcher's own zone. The price of crossing zones is 1/100 of the mean value of a
+// job, and a long wait makes a job miss its objective, so the dispatcher sends its jobs to the other zone.
 func TestDispatcherWithoutGossipCrossesWhenItsZoneIsCrowded(t *testing.T) {
 	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
 	waitByZone := func(w *worker) Micros {
@@ -68,12 +69,12 @@
 	}
 	crossed := b.countSentTo(waitByZone, func(w *worker) bool { return w.entry.Zone == 1 })
 	if crossed < 12 {
-		t.Errorf("%d of 20 jobs crossed to the zone that is free", crossed)
+		t.Errorf("got %d of 20 jobs sent to the other zone, which has free slots, want at least 12", crossed)
 	}
 }
 
-// A small number shares each worker, so that what a dispatcher has there itself is a good part
-// of what is there, and every worker is used.
+// Each worker is in the subsets of a small number of dispatchers, so that a dispatcher's own jobs show a
+// considerable part of the load on the worker. No worker is without dispatchers.
 func TestEachWorkerHasASmallNumberOfDispatchersWithoutGossip(t *testing.T) {
 	list := testFleet(60)
 	users := map[WorkerID]int{}
@@ -84,18 +85,18 @@
 	}
 	for _, e := range list {
 		if n := users[e.Worker]; n < 2 || n > 16 {
-			t.Errorf("a worker has %d dispatchers of 80", n)
+			t.Errorf("got a worker in the subsets of %d of 80 dispatchers, want 2 to 16", n)
 		}
 	}
 }
 
-// The whole fleet restarts. All that cover a worker may use it, and not one of 80
-// alone: else the few that own one would carry what 80 bring.
+// The whole fleet restarts. Several dispatchers that cover a worker own it in slow start together. With a
+// single owner for each worker, the few owners would have to carry the load of all 80 dispatchers.
 func TestDispatchersWithoutGossipAllUseAFleetInSlowStart(t *testing.T) {
 	list := testFleet(60)
 	all := startDispatchers(t, 80, list, alternatingZone, func(s *Settings) {
 		largeFleetWithoutGossipSettings(s)
-		s.SlowStartInitial, s.OverloadFactor = 0.4, 4 // as the operators have them
+		s.SlowStartInitial, s.OverloadFactor = 0.4, 4 // the values of a production deployment
 	})
 	for i := range list {
 		list[i].Started = all[0].now
@@ -105,38 +106,39 @@
 		b.setSlots(list[0].Worker, 2)
 		b.setSlots(list[2].Worker, 3)
 		b.feed(Event{Kind: EndpointsUpdated, Workers: list})
-		b.advance(second / 2) // a part of the budget
+		b.advance(second / 2) // part of the slow-start budget flows in
 		sent := len(actionsOfKind(b.arrive(JobID(i), 0), Send)) + len(actionsOfKind(b.advance(second/2), Send))
 		if sent == 0 {
 			idle++
 		}
 	}
 	if idle > 8 {
-		t.Errorf("%d of 80 dispatchers found no worker for their first job", idle)
+		t.Errorf("got %d of 80 dispatchers without a worker for their first job, want at most 8", idle)
 	}
 }
 
-// A job that crosses zones takes a handshake and the way there and back to begin. That is
-// no wait, and says nothing of the worker's slots.
+// A job that crosses zones starts later, by a handshake and the network delay. That delay does not count as a
+// wait for a slot, and does not lower the capacity learned for the worker.
 func TestDispatcherWithoutGossipDoesNotCountZoneCrossingAsWait(t *testing.T) {
 	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
 	for i := range 10 {
 		w := b.serve(JobID(i), func(*worker) Micros { return 40_000 })
 		if counts := b.d.startCountsAt(w, 1); counts.delayed > 0 {
-			t.Fatalf("a start after 40 ms was taken for a wait")
+			t.Fatalf("start after 40 ms: got counted as delayed, want counted as prompt")
 		}
 	}
 }
 
-// A job that waits at a worker until it cannot meet its objective is answered then, and cancelled:
-// its slot goes to the one behind it. What has begun is left to end.
+// A job that waits at a worker until it can no longer meet its objective is answered and its attempt
+// cancelled, so that the next job in the worker's queue gets the slot. A job that has started is not
+// cancelled.
 func TestJobThatWaitsPastItsObjectiveIsCancelled(t *testing.T) {
 	s := testSettings()
 	s.Classes[2].LateWeight = 0
 	b := newHarness(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
 	actions := b.advance(s.Classes[2].Deadline - second)
-	b.want(actions, Fail, 1) // it may have begun all the same: no refusal, as it must not run twice
+	b.want(actions, Fail, 1) // the unsafe job may have started, so it must fail and not be refused
 	b.want(actions, Cancel, 1)
 
 	b = newHarness(t, s, ready(1, 0))
@@ -147,9 +149,9 @@
 	b.want(actions, Cancel, 0)
 }
 
-// A worker fails many jobs, and each dispatcher of 80 meets it every few seconds. Its report
-// shows what the others met there: one error is enough, for a class that may be repeated, too,
-// and a job that succeeded there by luck shows nothing.
+// A worker fails many jobs, and each of 80 dispatchers sends to it only every few seconds. The load report
+// shows the errors of all dispatchers' jobs there. After one job at the worker, the dispatcher therefore
+// avoids it for all classes, also if that job happened to succeed.
 func TestDispatcherWithoutGossipTrustsReportedErrors(t *testing.T) {
 	for name, outcome := range map[string]Outcome{"an error": Failed, "luck": OK} {
 		b := startDispatcher(t, 80, 3, testFleet(60), 0, func(s *Settings) {
@@ -162,14 +164,17 @@
 			Report: Report{FreeKnown: true, Free: 2, Outstanding: -1, Errors: 1.5}})
 		for id := JobID(2); b.now < 107*second; id++ {
 			if b.serve(id, func(*worker) Micros { return second / 500 }) == failing {
-				t.Errorf("%s: a job went there %v us later", name, b.now-100*second)
+				t.Errorf("%s: got a job sent to the failing worker %v us later, want none for 7 s",
+					name, b.now-100*second)
 				break
 			}
 		}
 	}
 }
 
-// The same in the module: see the reducer's test.
+// Removed workers are forgotten after the retention time, so that the records of a dispatcher do not grow
+// while the workers of a fleet are replaced. The package scheduler has a test of the same name for its own
+// records.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	for i := WorkerID(1); i < 200; i++ {
@@ -177,34 +182,35 @@
 		b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: i, Status: Removed}, ready(i+1, 0)}})
 	}
 	if n := len(b.d.ordered); n > 15 || len(b.d.workers) != n {
-		t.Errorf("%d workers in order, %d by number, 1 in the list", n, len(b.d.workers))
+		t.Errorf("got %d workers in order and %d by number with 1 in the list, want equal numbers of at most 15",
+			n, len(b.d.workers))
 	}
 	b.want(b.arrive(1, 0), Send, 1)
 }
 
-// A job that is cancelled before it began never shows how long it would have waited; its
-// worker is as full as one where a job began late, and must not look free.
+// A job that is cancelled before its start does not show how long it would have waited. Its worker is as full
+// as one where a job starts late, so the time until the cancellation must count as a wait.
 func TestDispatcherWithoutGossipLearnsFromAJobThatNeverBegan(t *testing.T) {
 	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
 	w := b.d.workers[actionsOfKind(b.arrive(1, 2), Send)[0].Worker]
 	b.want(b.advance(7*second), Cancel, 1)
 	b.end(1, 0, Cancelled)
 	if got := b.d.expectedWait(w); got < second {
-		t.Errorf("a wait of %.1f s is expected where a job waited for seconds", got/second)
+		t.Errorf("after a job that waited for 7 s: got an expected wait of %.1f s, want at least 1 s", got/second)
 	}
 }
 
-// simulateRestartedFleet runs many dispatchers without gossip, while three in five workers start anew:
-// traffic is dealt unevenly, all learn of the starts at times of their own, and some dispatchers start
-// themselves. It returns the most work that a worker was sent within any overload window, as a part of
-// the limit on all dispatchers together. Only where two thirds came from dispatchers that knew of the
-// start does it count.
+// simulateRestartedFleet simulates many dispatchers without gossip while three in five workers restart.
+// Traffic is uneven over the dispatchers, each dispatcher learns of the restarts at its own time, and some
+// dispatchers restart, too. The result is the largest work sent to a worker within an overload window, as a
+// fraction of the slow-start limit for all dispatchers together. Only windows count in which at least two
+// thirds of the sends came from dispatchers whose lists show the restart.
 func simulateRestartedFleet(t *testing.T, dispatchers, workers int, seed uint64) float64 {
 	const work, slots, tick, length = 400_000, 2, second / 50, 6 * second
 	configure := func(s *Settings) {
 		largeFleetWithoutGossipSettings(s)
 		s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8*second, 0.3, 4, 2*second
-		s.Classes[0].LatencyObjective = second / 5 // half of what a job takes: nobody knows that at a start
+		s.Classes[0].LatencyObjective = second / 5 // half of the run time, which is not yet learned
 	}
 	source := random(seed)
 	list := testFleet(workers)
@@ -303,9 +309,9 @@
 func TestNoWorkerInSlowStartIsOverloadedByAllTogether(t *testing.T) {
 	for seed := range uint64(8) {
 		if worst := simulateRestartedFleet(t, 300, 200, seed+1); worst > 1 {
-			t.Errorf("seed %d: a worker in slow start got %.2f of the limit", seed+1, worst)
+			t.Errorf("seed %d: got %.2f of the limit sent to a worker in slow start, want at most 1", seed+1, worst)
 		} else {
-			t.Logf("seed %d: %.2f", seed+1, worst)
+			t.Logf("seed %d: at most %.2f of the limit sent to a worker in slow start", seed+1, worst)
 		}
 	}
 }
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -7,57 +7,66 @@
 	"testing"
 )
 
-// ruleChecker feeds a dispatcher legal random events and checks the rules on its
-// actions, from its own records alone.
+// ruleChecker feeds a dispatcher legal random events and checks its actions. The rules are that each request
+// gets one final answer in time, that an attempt that may have run is repeated only as its class allows, that
+// nothing is sent to a worker that drains or is removed, and that a worker in slow start gets no more than
+// its budget. The checks use the records of the checker; only the ownership of a worker in slow start is read
+// from the dispatcher.
 type ruleChecker struct {
 	t         *testing.T
 	r         *rand.Rand
 	s         Settings
 	d         *Dispatcher
 	now       Micros
-	events    []scheduledEvent
+	events    []scheduledEvent // events to come
 	jobs      map[JobID]*jobRecord
-	open      []JobID
+	open      []JobID // jobs without a final answer
 	workers   map[WorkerID]*workerRecord
 	workerIDs []WorkerID
 	lastJob   JobID
-	trace     []string
+	trace     []string // events passed so far, with the actions that they caused
 }
 
+// scheduledEvent is an event to be passed at a given time.
 type scheduledEvent struct {
 	at    Micros
 	seq   int
 	event Event
 }
 
+// jobRecord is the checker's record of a job.
 type jobRecord struct {
 	class    int
 	work     Micros
 	deadline Micros
-	answered int
-	finished bool // the dispatcher knows that it is finished
+	answered int  // number of final answers
+	finished bool // the dispatcher has been told that the job is finished
 	attempts []*attemptRecord
 }
 
+// sentWork is the work of an attempt and the time at which it was sent.
 type sentWork struct {
 	at   Micros
 	work float64
 }
 
+// attemptRecord is the checker's record of an attempt.
 type attemptRecord struct {
-	worker     WorkerEntry
+	worker     WorkerEntry // the list entry of the worker when the attempt was sent
 	sentAt     Micros
 	inFlight   bool
 	mayHaveRun bool
 }
 
+// workerRecord is the checker's record of a worker.
 type workerRecord struct {
 	entry          WorkerEntry
-	statusSince    Micros // when the present status was listed
-	started        Micros
-	slowStartSends []sentWork
+	statusSince    Micros     // time at which an update listed the present status
+	started        Micros     // time of the latest restart; 0 if the worker has not restarted
+	slowStartSends []sentWork // attempts sent in slow start since the latest restart
 }
 
+// newRuleChecker returns a checker with random settings. The seed decides all random choices.
 func newRuleChecker(t *testing.T, seed int64) *ruleChecker {
 	r := rand.New(rand.NewSource(seed))
 	s := testSettings()
@@ -84,20 +93,23 @@
 		workers: map[WorkerID]*workerRecord{}}
 }
 
+// span returns a random positive multiple of the granularity, up to the longest span.
 func (w *ruleChecker) span(longest Micros) Micros {
 	return Micros(w.r.Int63n(int64(longest/w.s.Granularity))+1) * w.s.Granularity
 }
 
+// schedule adds an event to the events to come.
 func (w *ruleChecker) schedule(at Micros, e Event) {
 	w.events = append(w.events, scheduledEvent{at, len(w.trace) + len(w.events), e})
 }
 
+// failf fails the test with the simulated time before the message.
 func (w *ruleChecker) failf(format string, a ...any) {
 	w.t.Helper()
-	w.t.Fatalf("at %d: "+format, append([]any{w.now}, a...)...)
+	w.t.Fatalf("at time %d us: "+format, append([]any{w.now}, a...)...)
 }
 
-// feed passes one event on and checks what comes back.
+// feed passes an event to the dispatcher and checks the resulting actions.
 func (w *ruleChecker) feed(e Event) {
 	if j := w.jobs[e.Job]; j != nil && e.Kind == AttemptEnded {
 		a := j.attempts[e.Attempt]
@@ -121,11 +133,12 @@
 	}
 }
 
+// checkAction checks one action and schedules the events that follow from it.
 func (w *ruleChecker) checkAction(a Action) {
 	switch a.Kind {
 	case SetTimer:
 		if a.Delay < 0 {
-			w.failf("timer in the past")
+			w.failf("got a timer with a negative delay, want a delay of 0 or more")
 		}
 		w.schedule(w.now+max(a.Delay, w.s.Granularity), Event{Kind: TimerFired, Token: a.Token})
 	case WatchEndpoints:
@@ -135,82 +148,90 @@
 	case Refuse, Fail:
 		j := w.jobs[a.Job]
 		if j == nil || j.finished {
-			w.failf("answer for a job that is unknown or over: %+v", a)
+			w.failf("got an answer for an unknown or finished job, want none: %+v", a)
 		}
 		if j.answered++; j.answered > 1 {
-			w.failf("job %d answered twice", a.Job)
+			w.failf("job %d: got a second answer, want one", a.Job)
 		}
 		if w.now > j.deadline {
-			w.failf("job %d answered %d too late", a.Job, w.now-j.deadline)
+			w.failf("job %d: got the answer %d us after the deadline, want it by the deadline",
+				a.Job, w.now-j.deadline)
 		}
 		if a.Kind == Refuse {
 			w.checkRefusal(a.Job, j)
 		}
 	case Cancel:
 		if !w.s.CancelAllowed || a.Attempt >= len(w.jobs[a.Job].attempts) {
-			w.failf("bad cancel %+v", a)
+			w.failf("got a cancel that is not allowed or names no attempt: %+v", a)
 		}
 	case SendGossip:
 		if !w.s.GossipAllowed || len(a.Message) > 256 {
-			w.failf("bad message %+v", a)
+			w.failf("got gossip that is not allowed or longer than 256 bytes: %+v", a)
 		}
 	}
 }
 
+// checkRefusal checks that a refused job did not run, unless its class allows a repeat on any worker.
 func (w *ruleChecker) checkRefusal(id JobID, j *jobRecord) {
 	c := &w.s.Classes[j.class]
 	for _, a := range j.attempts {
 		if (a.inFlight || a.mayHaveRun) && (c.Effect == Unsafe || c.Effect == Keyed && c.DedupScope != ScopeAll) {
-			w.failf("job %d refused though it may have run", id)
+			w.failf("job %d, which may have run and may not be repeated anywhere: got a refusal, want a failure", id)
 		}
 	}
 }
 
+// checkSend checks that a send is allowed, and records the attempt.
 func (w *ruleChecker) checkSend(a Action) {
 	j, target := w.jobs[a.Job], w.workers[a.Worker]
 	switch {
 	case j == nil || target == nil:
-		w.failf("unknown job or worker in a send: %+v", a)
+		w.failf("got a send with an unknown job or worker: %+v", a)
 	case j.finished || j.answered > 0:
-		w.failf("job %d sent after its end", a.Job)
+		w.failf("job %d, finished or answered: got a send, want none", a.Job)
 	case len(j.attempts) >= w.s.MaxAttempts:
-		w.failf("job %d has too many attempts", a.Job)
+		w.failf("job %d: got a send after the maximum of attempts, want none", a.Job)
 	case target.entry.Status != Ready:
-		w.failf("job %d sent to worker %d, which drains or is removed since %d", a.Job, a.Worker,
+		w.failf("got job %d sent to worker %d, which has been draining or removed for %d us, want no send",
+			a.Job, a.Worker,
 			w.now-target.statusSince)
 	case a.SendBy > j.deadline || a.SendBy <= w.now:
-		w.failf("job %d to leave by %d, given up at %d", a.Job, a.SendBy, j.deadline)
+		w.failf("job %d: got latest send time %d us, want it after now and by the deadline at %d us",
+			a.Job, a.SendBy, j.deadline)
 	case a.Deadline > j.deadline || a.Deadline <= w.now:
-		w.failf("job %d to be abandoned at %d, given up at %d", a.Job, a.Deadline, j.deadline)
+		w.failf("job %d: got attempt deadline %d us, want it after now and by the job's deadline at %d us",
+			a.Job, a.Deadline, j.deadline)
 	}
 	c := &w.s.Classes[j.class]
 	for _, p := range j.attempts {
 		if p.inFlight && !w.s.HedgingAllowed {
-			w.failf("job %d has two attempts in flight", a.Job)
+			w.failf("job %d: got a second attempt in flight without hedging, want one", a.Job)
 		}
 		if !p.inFlight && !p.mayHaveRun {
 			continue
 		}
 		switch c.Effect {
 		case Unsafe:
-			w.failf("unsafe job %d sent again though it may have run", a.Job)
+			w.failf("unsafe job %d, which may have run: got a repeat, want none", a.Job)
 		case Keyed:
 			if a.SendBy-p.sentAt > c.DedupWindow || !sameDedupGroup(c.DedupScope, &p.worker, &target.entry) {
-				w.failf("keyed job %d sent out of its group or window", a.Job)
+				w.failf("keyed job %d: got a repeat outside its deduplication group or window, want it within both",
+					a.Job)
 			}
 		}
 	}
 	w.checkSlowStart(target, j)
 	known := w.d.workers[a.Worker]
 	if w.d.slowStartSince(known) != 0 && !known.unreachable && !w.d.isSlowStartOwner(known) {
-		w.failf("another dispatcher owns worker %d in slow start", a.Worker)
+		w.failf("got a send to worker %d in slow start, which another dispatcher owns, want none", a.Worker)
 	}
 	j.attempts = append(j.attempts, &attemptRecord{worker: target.entry, sentAt: w.now, inFlight: true})
 	w.scheduleOutcome(a, len(j.attempts)-1)
 }
 
-// checkSlowStart checks rule 4: one dispatcher alone uses the budget, in any window that
-// ends now. Workers here have eight slots of speed 1.
+// checkSlowStart checks that the work sent to a worker in slow start, in the overload window that ends now,
+// is within the budget. This dispatcher alone uses the budget. The simulated workers have eight slots of
+// speed 1.
 func (w *ruleChecker) checkSlowStart(target *workerRecord, j *jobRecord) {
 	if target.started == 0 || w.now-target.started >= w.s.SlowStart {
 		return
@@ -225,11 +246,12 @@
 	fraction := w.s.SlowStartInitial +
 		(1-w.s.SlowStartInitial)*float64(w.now-target.started)/float64(w.s.SlowStart)
 	if budget := w.s.OverloadFactor * 8 * fraction * float64(w.s.OverloadWindow); sum > budget {
-		w.failf("worker in slow start sent %.0f of a budget of %.0f", sum, budget)
+		w.failf("worker in slow start: got %.0f us of work sent in a window, want at most the budget of %.0f us",
+			sum, budget)
 	}
 }
 
-// scriptOutcome decides what becomes of an attempt.
+// scheduleOutcome schedules a random outcome of an attempt, and the reports before it.
 func (w *ruleChecker) scheduleOutcome(a Action, n int) {
 	worker := a.Worker
 	e := Event{Kind: AttemptEnded, Job: a.Job, Attempt: n, Worker: worker, Outcome: OK}
@@ -244,7 +266,7 @@
 	case 3:
 		e.Outcome, end = ConnectFailed, w.now+w.s.ConnectTimeout
 	case 4, 5:
-		e.Outcome, end = TimedOut, a.Deadline // it hangs
+		e.Outcome, end = TimedOut, a.Deadline // the attempt gets no answer until its deadline
 	case 6:
 		e.Outcome, end = NotSent, w.now+w.s.Granularity
 	}
@@ -263,6 +285,7 @@
 	w.schedule(end, e)
 }
 
+// answerPoll schedules the answer to a poll of the worker list: a failure or a full update.
 func (w *ruleChecker) answerPoll() {
 	if w.r.Intn(3) == 0 {
 		w.schedule(w.now+w.span(2*second), Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
@@ -271,7 +294,7 @@
 	}
 }
 
-// fillUpdate fills a list event with changes and records them.
+// fillUpdate fills an update of the worker list with random changes and records them.
 func (w *ruleChecker) fillUpdate(e *Event) {
 	if e.Scope == UpdateFailed {
 		return
@@ -307,6 +330,8 @@
 	}
 }
 
+// run passes the given number of steps with new random events, then the scheduled events that are left, and
+// returns the trace.
 func (w *ruleChecker) run(steps int) []string {
 	w.feed(Event{Kind: Started})
 	cachedList := Event{Kind: EndpointsUpdated, Scope: UpdateCached}
@@ -327,7 +352,7 @@
 	return w.trace
 }
 
-// newEvent makes one new event happen now.
+// newEvent passes a new random event now, or moves the time forward.
 func (w *ruleChecker) newEvent() {
 	switch w.r.Intn(20) {
 	case 0:
@@ -344,7 +369,7 @@
 		}
 	case 2:
 		w.feed(Event{Kind: GossipReceived, Peer: w.r.Intn(4), Message: []byte{0, 0, 0, 0, 1, 2, 1}})
-	case 3: // a stale or foreign report
+	case 3: // the report may concern a finished job, or a job of another dispatcher
 		w.feed(Event{Kind: AttemptReported, Job: JobID(w.r.Intn(1000)), Attempt: w.r.Intn(9), Note: NoteStarted})
 	case 4, 5, 6:
 		target := w.now + w.span(second/2)
@@ -368,7 +393,7 @@
 	}
 }
 
-// nextEvent feeds the next scheduled event, in order of time.
+// nextEvent passes the next scheduled event in order of time, and all that are due then.
 func (w *ruleChecker) nextEvent() {
 	if len(w.events) == 0 {
 		return
@@ -391,7 +416,8 @@
 	}
 }
 
-// checkDeadlines checks rule 1: every job has its answer in time.
+// checkDeadlines passes the events that are due, and checks that every job past its deadline has its final
+// answer.
 func (w *ruleChecker) checkDeadlines() {
 	due := func(e scheduledEvent) bool { return e.at <= w.now }
 	for len(w.events) > 0 && slices.ContainsFunc(w.events, due) {
@@ -402,7 +428,8 @@
 		j := w.jobs[id]
 		if j.answered == 0 && !j.finished {
 			if w.now > j.deadline {
-				w.failf("job %d (class %d, %d attempts) has no answer %d after its time", id, j.class,
+				w.failf("job %d (class %d, %d attempts): got no answer %d us after the deadline, want one",
+					id, j.class,
 					len(j.attempts), w.now-j.deadline)
 			}
 			open = append(open, id)
@@ -411,13 +438,13 @@
 	w.open = open
 }
 
-// Random legal events, several settings: the rules hold on the actions, and the
-// same events give the same actions.
+// The rules of ruleChecker hold for random legal events and settings, and the same events give the same
+// actions.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range int64(150) {
 		firstTrace := newRuleChecker(t, seed).run(600)
 		if repeated := newRuleChecker(t, seed).run(600); !slices.Equal(firstTrace, repeated) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+			t.Fatalf("seed %d: got different actions for the same events, want equal actions", seed)
 		}
 	}
 }
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Tests at size: hundreds of dispatchers, fed by script. Each has its own state;
-// what they do together is summed up here.
+// This file has tests with hundreds of dispatchers, which share no state. The tests sum up the actions of all
+// dispatchers.
 
-// Every worker belongs to the subsets of about as many dispatchers of its zone, and
-// every subset has some workers of its zone, however zones are dealt out to numbers.
+// Every worker is in the subsets of a similar number of dispatchers of its zone, and every subset has at
+// least three workers of the dispatcher's zone, however zones are assigned to the indexes of dispatchers.
 func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
 	for _, n := range []int{50, 260, 500} {
 		for name, zone := range map[string]func(int) int{
@@ -27,7 +27,8 @@
 					}
 				}
 				if local < 3 {
-					t.Errorf("%d dispatchers, zones %s: %d has %d local workers", n, name, b.d.settings.Index, local)
+					t.Errorf("%d dispatchers, zones %s: dispatcher %d got %d workers of its zone, want at least 3",
+						n, name, b.d.settings.Index, local)
 				}
 			}
 			mean := 0.0
@@ -36,15 +37,16 @@
 			}
 			for _, e := range list {
 				if c := float64(covered[e.Worker]); c < mean/2 || c > mean*2 {
-					t.Errorf("%d dispatchers, zones %s: a worker has %v of its zone, mean %.1f", n, name, c, mean)
+					t.Errorf("%d dispatchers, zones %s: got a worker with %v dispatchers of its zone, want 1/2 to 2 times the mean %.1f",
+						n, name, c, mean)
 				}
 			}
 		}
 	}
 }
 
-// Hundreds that know nothing yet and get a job at the same moment do not all choose
-// the same workers.
+// Hundreds of dispatchers without any learned state each get a job at the same time. They must not all choose
+// the same few workers.
 func TestChoicesSpreadAtSize(t *testing.T) {
 	sent := map[WorkerID]int{}
 	for _, b := range startDispatchers(t, 260, testFleet(200), alternatingZone, nil) {
@@ -57,17 +59,20 @@
 		limit, total = max(limit, n), total+n
 	}
 	if total != 260 || limit > 8 || len(sent) < 70 {
-		t.Errorf("%d jobs went to %d workers, %d to one", total, len(sent), limit)
+		t.Errorf("got %d jobs sent to %d workers, at most %d to one; want 260 jobs, 70 workers or more, 8 to one or fewer",
+			total, len(sent), limit)
 	}
 }
 
-// All together keep the budget of a worker in slow start, though each of them has jobs that
-// find no other worker, peers' gossip is lost, and some are restarted.
+// All dispatchers together keep the slow-start budget of a worker, although each has jobs for which there is
+// no other worker, all gossip is lost, and some dispatchers restart.
 func TestSlowStartBudgetHoldsInSumAtSize(t *testing.T) {
 	t.Run("peers", func(t *testing.T) { checkSlowStartBudgetInSum(t, nil) })
 	t.Run("without gossip", func(t *testing.T) { checkSlowStartBudgetInSum(t, largeFleetWithoutGossipSettings) })
 }
 
+// checkSlowStartBudgetInSum restarts a whole fleet of workers and compares the work that all dispatchers send
+// to each worker within an overload window with the worker's budget.
 func checkSlowStartBudgetInSum(t *testing.T, configure func(*Settings)) {
 	const dispatchers = 240
 	list := testFleet(24)
@@ -85,7 +90,7 @@
 		b.feed(Event{Kind: EndpointsUpdated, Workers: list})
 		for step := range 60 {
 			id := JobID(i*1000 + step)
-			if i%50 == 7 && step == 20 { // restarted: it has the cached list and no state
+			if i%50 == 7 && step == 20 { // the dispatcher restarts with the cached list only
 				s := b.d.settings
 				b.d, _ = New(s, uint64(i+999))
 				b.feed(Event{Kind: Started})
@@ -103,7 +108,7 @@
 	}
 	fleetSettings := all[0].d.settings
 	if len(sends) == 0 {
-		t.Fatal("nothing was sent: the test shows nothing")
+		t.Fatal("got no job sent to any worker, want some to check the budgets")
 	}
 	for w, workerSends := range sends {
 		for _, end := range workerSends {
@@ -119,14 +124,15 @@
 			budget := fleetSettings.OverloadFactor * 4 * max(fleetSettings.SlowStartInitial, fraction) *
 				float64(fleetSettings.OverloadWindow)
 			if sum > budget {
-				t.Fatalf("worker %d in slow start was sent %.0f of a budget of %.0f by all", w, sum, budget)
+				t.Fatalf("worker %d in slow start: got %.0f us of work from all dispatchers, want at most %.0f us",
+					w, sum, budget)
 			}
 		}
 	}
 }
 
-// A tenant that keeps its quota is within it at every dispatcher; what it sends
-// over it is detected in sum, too: what bursts allow is bounded.
+// A tenant that sends less than its quota is within the quota at every dispatcher. If the tenant sends more,
+// all dispatchers together accept at most the quota plus the bounded bursts of each dispatcher.
 func TestQuotasHoldInSumAtSize(t *testing.T) {
 	const dispatchers, quota, seconds = 200, 400.0, 20
 	countWithinQuota := func(rate float64) (n float64) {
@@ -144,16 +150,16 @@
 		return n
 	}
 	if got := countWithinQuota(quota * 0.9); got < quota*0.9*seconds {
-		t.Errorf("%v of %v jobs within a quota that is kept", got, quota*0.9*seconds)
+		t.Errorf("tenant at 0.9 of its quota: got %v of %v jobs within the quota, want all", got, quota*0.9*seconds)
 	}
 	limit := quota*seconds + dispatchers*max(minQuotaBurst, quota/dispatchers*quotaBurstSeconds)
 	if got := countWithinQuota(quota * 4); got > limit {
-		t.Errorf("%v jobs within the quota, at most %v", got, limit)
+		t.Errorf("tenant at 4 times its quota: got %v jobs within the quota, want at most %v", got, limit)
 	}
 }
 
-// A message goes to those who share a worker, not to all: their number does not
-// grow with that of the dispatchers.
+// A gossip message goes only to the dispatchers that share a worker with the sender. The number of receivers
+// does not grow with the number of dispatchers.
 func TestMessagesDoNotGrowWithTheDispatchers(t *testing.T) {
 	for _, n := range []int{60, 240, 480} {
 		messages := 0
@@ -161,12 +167,13 @@
 			messages += len(actionsOfKind(b.arrive(1, 0), SendGossip))
 		}
 		if mean := float64(messages) / float64(n); mean == 0 || mean > 4*targetDispatchersPerWorker {
-			t.Errorf("%d dispatchers: a job is reported to %.1f", n, mean)
+			t.Errorf("%d dispatchers: got %.1f gossip messages for a job, want more than 0 and at most 4 times the sharing target",
+				n, mean)
 		}
 	}
 }
 
-// Hundreds that lose the list at once do not poll in step.
+// Hundreds of dispatchers that lose the subscription to the worker list at once do not poll at the same time.
 func TestPollsOfAllAreSpread(t *testing.T) {
 	pollCounts := map[Micros]int{}
 	enablePolling := func(s *Settings) { s.PollEndpoints = true }
@@ -176,22 +183,22 @@
 	}
 	for hundredth, n := range pollCounts {
 		if n > 26 {
-			t.Errorf("%d of 260 poll within the same hundredth of a second, at %d", n, hundredth)
+			t.Errorf("got %d of 260 polls within the same 10 ms, number %d, want at most 26", n, hundredth)
 		}
 	}
 }
 
-// While the list's service is down polls cost it nothing, and as it is back nobody waits there. So after
-// a failed poll the next one comes soon, spread over all, and only several failures in a row, which
-// may mean that it cannot keep up, make the wait longer.
+// While discovery is down, polls cost it nothing, and after its return no calls wait there. So the next poll
+// follows soon after a failed one, at a time that is spread over the dispatchers. Only several failures in a
+// row make the wait longer, as they may mean that discovery is overloaded by polls.
 func TestPollBackoffAfterFailures(t *testing.T) {
 	const failures = 8
 	var meanWaits [failures]float64
 	pollCounts := map[Micros]int{}
 	all := startDispatchers(t, 260, testFleet(20), alternatingZone, func(s *Settings) { s.PollEndpoints = true })
 	for _, b := range all {
-		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed}) // the watch ends
-		b.now += 10 * second                                       // the last update holds no longer
+		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed}) // the subscription ends
+		b.now += 10 * second                                       // the latest update is too old by now
 		for i := range failures {
 			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			wait := b.d.pollAt - b.now
@@ -206,16 +213,17 @@
 	}
 	for tenth, n := range pollCounts {
 		if n > 26 {
-			t.Errorf("%d of %d poll in the same tenth of a second, at %d", n, len(all), tenth)
+			t.Errorf("got %d of %d polls within the same 100 ms, number %d, want at most 26", n, len(all), tenth)
 		}
 	}
 	if meanWaits[0] > 1.2 || meanWaits[failures-1] < 1.5*meanWaits[0] {
-		t.Errorf("mean waits after each failure: %.2f s", meanWaits)
+		t.Errorf("got mean waits after each failure of %.2f s, want at most 1.2 s first, and 1.5 times the first at the end",
+			meanWaits)
 	}
 }
 
-// An agent of our own answers at once and at no cost: no poll waits, and hundreds of failures leave
-// less than half a second between two.
+// Polls that cost nothing, as of a local agent, are not delayed. Even after hundreds of failures at most half
+// a second passes between two polls.
 func TestUnmeteredPollsDoNotWait(t *testing.T) {
 	for _, dispatchers := range []int{1, 300} {
 		s := testSettings()
@@ -232,15 +240,15 @@
 		for i := range 300 {
 			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			if wait := b.d.pollAt - b.now; wait < second/10 || wait > second/2 {
-				t.Fatalf("failure %d: the next poll comes after %d us", i, wait)
+				t.Fatalf("after failure %d: got the next poll in %d us, want it in 0.1 s to 0.5 s", i, wait)
 			}
 		}
 	}
 }
 
-// Hundreds that start at once do not poll in step: each poll that waits too long at discovery
-// fails, and has cost it as much as one that was answered. Yet none waits long, however many
-// they are, as nothing may be sent before the first update.
+// Hundreds of dispatchers that start at once do not poll at the same time. A poll that waits too long at
+// discovery fails, and costs discovery as much as one that is answered. But no dispatcher delays its first
+// poll for long, whatever their number, as nothing may be sent before the first update.
 func TestFirstPollsOfAllAreSpread(t *testing.T) {
 	for _, dispatchers := range []int{80, 300, 1000} {
 		pollCounts := map[Micros]int{}
@@ -259,25 +267,28 @@
 				}
 			}
 			if polls != 1 {
-				t.Errorf("dispatcher %d of %d polled %d times", i, dispatchers, polls)
+				t.Errorf("dispatcher %d of %d: got %d first polls, want 1", i, dispatchers, polls)
 			}
-			// It fails, again and again: each time it may wait longer, at random.
+			// The poll fails repeatedly, and the random wait before the next one may grow each time.
 			for range 8 {
 				b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 				if wait := b.d.pollAt - b.now; wait < 0 || wait >= s.PollInterval {
-					t.Errorf("dispatcher %d of %d polls again after %d us", i, dispatchers, wait)
+					t.Errorf("dispatcher %d of %d: got the next poll after %d us, want it within the poll interval",
+						i, dispatchers, wait)
 				}
 			}
 		}
 		for at, n := range pollCounts {
 			if n > dispatchers/8 {
-				t.Errorf("%d of %d poll in the tenth of a second after %d us", n, dispatchers, at)
+				t.Errorf("got %d of %d polls in the 100 ms after %d us, want at most 1/8 of the dispatchers",
+					n, dispatchers, at)
 			}
 		}
 	}
 }
 
-// The cost of a job hardly grows with the fleet and the dispatchers.
+// BenchmarkJobByFleet measures the cost of a job, which should hardly grow with the numbers of workers and
+// dispatchers.
 func BenchmarkJobByFleet(b *testing.B) {
 	for _, n := range []int{20, 200, 800} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
