--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -142,7 +142,7 @@
 	b.d.level, b.d.gappedRanks, b.d.rankCount = 2, 6, 6
 	b.d.flows[0].rate = 4 // gapping passes one job in each 0.25 s
 	passed := 0
-	for range 100 { // for 2 s, a job arrives every 20 ms
+	for range 100 { // a job arrives every 20 ms for 2 s
 		b.d.now += second / 50
 		if b.d.admits(&job{class: 0, tenant: 0}) {
 			passed++
@@ -152,11 +152,11 @@
 		t.Errorf("gapping at 4 jobs a second passed %d jobs in 2 s, want 8 or 9", passed)
 	}
 	if b.d.admits(&job{class: 0, tenant: 0, overQuota: true}) {
-		t.Error("gapping passed a job of a flow whose rate is 0")
+		t.Error("gapped flow with rate 0: got a job admitted, want it rejected")
 	}
 	b.d.gappedRanks = b.d.ranks[0]
 	if !b.d.admits(&job{class: 0, tenant: 0}) {
-		t.Error("a job was rejected though its rank is not gapped")
+		t.Error("flow whose rank is not gapped: got a job rejected, want it admitted")
 	}
 }
 
@@ -316,7 +316,7 @@
 	} {
 		s := testSettings()
 		s.Classes[1].DedupScope = c.group
-		s.ProgressInterval = 60 * second // long enough that no worker becomes suspect
+		s.ProgressInterval = 60 * second // a long progress interval prevents that a worker becomes suspect
 		b := newHarness(t, s, ready(1, 0))
 		b.want(b.arrive(1, c.class), Send, 1)
 		// Worker 2 shares the cell of worker 1, worker 3 shares its zone, and worker 4 shares neither.
@@ -355,9 +355,9 @@
 // No job is sent to a worker that drains, is removed, or is missing from a full update.
 func TestNothingIsSentToADrainingWorker(t *testing.T) {
 	for name, update := range map[string]Event{
-		"draining": {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Draining}}},
-		"removed":  {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Removed}}},
-		"left out": {Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(2, 0)}},
+		"draining":             {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Draining}}},
+		"removed":              {Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: 1, Status: Removed}}},
+		"missing in an update": {Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(2, 0)}},
 	} {
 		b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 		b.feed(update)
@@ -382,12 +382,12 @@
 	b.want(b.feed(Event{Kind: Started}), WatchEndpoints, 1)
 	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateCached, Workers: []WorkerEntry{ready(1, 0)}})
 	if len(actionsOfKind(b.advance(s.PollInterval/2), WatchEndpoints)) == 0 {
-		t.Error("no new poll within half the poll interval after a poll without an answer")
+		t.Error("poll without an answer: got no new poll within half the poll interval, want one")
 	}
 	for range 20 { // discovery is unavailable, and each poll fails
 		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 		if len(actionsOfKind(b.advance(s.PollInterval*2/5), WatchEndpoints)) == 0 {
-			t.Fatal("no new poll within 2/5 of the poll interval after a failed poll")
+			t.Fatal("failed poll: got no new poll within 2/5 of the poll interval, want one")
 		}
 	}
 	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0)}})
@@ -416,7 +416,9 @@
 		s := testSettings()
 		s.OverloadWindow = 2 * second
 		b := newHarness(t, s, ready(1, 0))
-		b.now += 3 * second // longer than the overload window, in which the dispatcher's own start limits budgets
+		// The time since the dispatcher's own start exceeds the overload window, so the budget does not begin
+		// empty.
+		b.now += 3 * second
 		make(b)
 		work := 0.0
 		start := b.now
@@ -493,9 +495,9 @@
 // for that reason.
 func TestQuickErrorsDoNotAttract(t *testing.T) {
 	s := testSettings()
-	s.ConnectTimeout = 0 // the connect timeout adds no cost to the failing worker
+	s.ConnectTimeout = 0 // a connect timeout of 0 adds no cost to a worker with failures
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
-	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 0.5, 0.5 // worker 1 is preferred
+	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 0.5, 0.5 // the bias makes worker 1 preferred
 	sentToFailing := 0
 	for id := JobID(1); id <= 50; id++ {
 		for _, a := range actionsOfKind(b.arrive(id, 2), Send) {
@@ -631,12 +633,12 @@
 		}},
 		"draining": {0, func(_ *harness, _ *job, w *worker) { w.entry.Status = Draining }},
 		"removed":  {0, func(_ *harness, _ *job, w *worker) { w.entry.Status = Removed }},
-		"two in flight": {0, func(b *harness, j *job, w *worker) {
+		"two attempts in flight without hedging": {0, func(b *harness, j *job, w *worker) {
 			b.d.settings.HedgingAllowed = false
 			withAttemptInFlight(b, j, w)
 		}},
-		"unsafe and in flight": {2, withAttemptInFlight},
-		"keyed past its time": {1, func(b *harness, j *job, w *worker) {
+		"unsafe with an attempt in flight": {2, withAttemptInFlight},
+		"keyed past its window": {1, func(b *harness, j *job, w *worker) {
 			withAttemptInFlight(b, j, w)
 			j.attempts[0].sentAt -= 5 * second
 		}},
@@ -675,8 +677,8 @@
 	b.want(b.d.actions, Fail, 0)
 }
 
-// withAttemptInFlight gives a job an attempt that is still in flight, at another worker with the list entry
-// of w.
+// withAttemptInFlight gives a job an attempt that is still in flight, at another worker that has the same
+// list entry as w.
 func withAttemptInFlight(b *harness, j *job, w *worker) {
 	a := &attempt{job: j, worker: &worker{entry: w.entry}, sentAt: b.now, inFlight: true}
 	j.attempts, j.inFlight = []*attempt{a}, 1
@@ -840,7 +842,7 @@
 		maxStaleness Micros // the setting MaxStaleness
 		sinceUpdate  Micros // the time since the latest update, or since the start if there was no update
 		noUpdate     bool   // the dispatcher has received only the cached list of its start
-		sent         int    // the number of two jobs that are sent at once
+		sent         int    // expected number of the two jobs that is sent at once
 	}{
 		"a recent update":                 {6 * second, 5 * second, false, 2},
 		"an old update":                   {6 * second, 7 * second, false, 0},
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -123,7 +123,7 @@
 	s.GossipAllowed = true
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
 	b.setSlotLimits(3)
-	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 1, 1 // worker 1 is preferred
+	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 1, 1 // the bias makes worker 1 preferred
 	failedConnects, id := 0, JobID(0)
 	for range 100 {
 		id++
@@ -140,7 +140,7 @@
 	if failedConnects == 0 || failedConnects > 10 {
 		t.Errorf("got %d attempts at the unreachable worker in 10 s, want 1 to 10", failedConnects)
 	}
-	b.advance(10 * second) // the peer's gossip no longer counts
+	b.advance(10 * second) // the peer's gossip is too old to count by now
 	for range 20 {
 		id++
 		b.advance(second)
@@ -324,7 +324,8 @@
 		s.Dispatchers, s.Index = 1, 0
 		s.Classes[0].LateWeight, s.Classes[0].LatencyObjective = lateWeight, second/4
 		b := newHarness(t, s, ready(1, 0))
-		b.advance(2 * s.OverloadWindow) // the dispatcher's own start no longer limits the budgets
+		// The time since the dispatcher's own start exceeds the overload window, so budgets do not begin empty.
+		b.advance(2 * s.OverloadWindow)
 		b.setSlotLimits(1)
 		b.want(b.arrive(1, 0), Send, 1)
 		b.feed(Event{Kind: AttemptReported, Job: 1, Note: NoteStarted})
@@ -490,10 +491,10 @@
 		outcomes     []Outcome
 		usable, warm bool
 	}{
-		"one reset":          {[]Outcome{Reset}, true, true},
-		"resets in a row":    {[]Outcome{Reset, Reset, Reset}, false, true},
-		"one failed connect": {[]Outcome{ConnectFailed}, false, true},
-		"failed connects":    {[]Outcome{ConnectFailed, ConnectFailed}, false, false},
+		"one reset":             {[]Outcome{Reset}, true, true},
+		"three resets in a row": {[]Outcome{Reset, Reset, Reset}, false, true},
+		"one failed connect":    {[]Outcome{ConnectFailed}, false, true},
+		"two failed connects":   {[]Outcome{ConnectFailed, ConnectFailed}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, testSettings(), ready(1, 0))
--- a/internal/dispatch/index_test.go
+++ b/internal/dispatch/index_test.go
@@ -384,7 +384,7 @@
 		d.Step(now, &Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list}, nil)
 		// The workers are in random states, and a random fraction of them is unusable.
 		r := rand.New(rand.NewSource(rapid.Int64().Draw(t, "states")))
-		unusableFraction := rapid.SampledFrom([]float64{0, 0.5, 0.9, 0.99, 1}).Draw(t, "out of use")
+		unusableFraction := rapid.SampledFrom([]float64{0, 0.5, 0.9, 0.99, 1}).Draw(t, "unusable fraction")
 		randomizeStates := func() {
 			for _, w := range d.ordered {
 				w.blockedUntil, w.ejectedUntil, w.consecutiveFailures = 0, 0, 0
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -10,8 +10,8 @@
 // ruleChecker feeds a dispatcher legal random events and checks its actions. The rules are that each request
 // gets one final answer in time, that an attempt that may have run is repeated only as its class allows, that
 // nothing is sent to a worker that drains or is removed, and that a worker in slow start gets no more than
-// its budget. The checks use the records of the checker; only the ownership of a worker in slow start is read
-// from the dispatcher.
+// its budget. The checks use the records of the checker; only whether a worker is in slow start and
+// which dispatcher owns it is read from the dispatcher.
 type ruleChecker struct {
 	t         *testing.T
 	r         *rand.Rand
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -37,7 +37,7 @@
 			}
 			for _, e := range list {
 				if c := float64(covered[e.Worker]); c < mean/2 || c > mean*2 {
-					t.Errorf("%d dispatchers, zones %s: got a worker with %v dispatchers of its zone, want 1/2 to 2 times the mean %.1f",
+					t.Errorf("%d dispatchers, zones %s: got a worker in %v subsets of its zone, want 1/2 to 2 times %.1f",
 						n, name, c, mean)
 				}
 			}
@@ -59,7 +59,7 @@
 		limit, total = max(limit, n), total+n
 	}
 	if total != 260 || limit > 8 || len(sent) < 70 {
-		t.Errorf("got %d jobs sent to %d workers, at most %d to one; want 260 jobs, 70 workers or more, 8 to one or fewer",
+		t.Errorf("got %d jobs sent to %d workers, up to %d to one; want 260, 70 or more, and 8 or fewer",
 			total, len(sent), limit)
 	}
 }
@@ -167,7 +167,7 @@
 			messages += len(actionsOfKind(b.arrive(1, 0), SendGossip))
 		}
 		if mean := float64(messages) / float64(n); mean == 0 || mean > 4*targetDispatchersPerWorker {
-			t.Errorf("%d dispatchers: got %.1f gossip messages for a job, want more than 0 and at most 4 times the sharing target",
+			t.Errorf("%d dispatchers: got %.1f gossip messages for a job, want some, up to 4 times the sharing target",
 				n, mean)
 		}
 	}
@@ -198,12 +198,14 @@
 	all := startDispatchers(t, 260, testFleet(20), alternatingZone, func(s *Settings) { s.PollEndpoints = true })
 	for _, b := range all {
 		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed}) // the subscription ends
-		b.now += 10 * second                                       // the latest update is too old by now
+		// After 10 s the latest update of the worker list no longer holds.
+		b.now += 10 * second
 		for i := range failures {
 			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			wait := b.d.pollAt - b.now
 			if limit := b.d.settings.PollInterval / 5; wait > 2*limit || i < fastPollRetries && wait > limit {
-				t.Errorf("failure %d: the next poll comes after %d us", i+1, wait)
+				t.Errorf("after failure %d: got the next poll in %d us, want it in 1/5 of the poll interval, or 2/5",
+					i+1, wait)
 			}
 			meanWaits[i] += float64(wait) / float64(len(all)) / second
 			if i == 0 {
@@ -217,7 +219,7 @@
 		}
 	}
 	if meanWaits[0] > 1.2 || meanWaits[failures-1] < 1.5*meanWaits[0] {
-		t.Errorf("got mean waits after each failure of %.2f s, want at most 1.2 s first, and 1.5 times the first at the end",
+		t.Errorf("mean waits after failures: got %.2f s, want the first up to 1.2 s, the last 1.5 times the first",
 			meanWaits)
 	}
 }
