--- a/internal/scheduler/cancellation_test.go
+++ b/internal/scheduler/cancellation_test.go
@@ -7,14 +7,16 @@
 	"dahliaford/internal/dispatch"
 )
 
-// newWorldWithCancellation has a batch whose worker may hold it and has been sent a cancellation. The class
-// has time enough for the batch to wait for that.
-func newWorldWithCancellation(t *testing.T) *world {
+// newHarnessWithCancellation returns a harness with a batch request whose first attempt is being cancelled
+// and may be held by worker r1. The latency objective of the class is long enough for the request to wait
+// for the acknowledgement.
+func newHarnessWithCancellation(t *testing.T) *harness {
 	t.Helper()
-	const patientClass = `"slo":19500000`
-	w := newWorldOf(t, parseSettings(t, strings.Replace(testSettings, `"slo":500000`, patientClass, 1)))
-	w.announce(0, dispatch.Ready, "r1")
-	w.play(t, `
+	const longObjective = `"slo":19500000`
+	w := newHarnessWithSettings(t, parseSettings(t,
+		strings.Replace(testSettings, `"slo":500000`, longObjective, 1)))
+	w.sendUpdate(0, dispatch.Ready, "r1")
+	w.runScript(t, `
 		c1 send a1 batch sahel 20s
 		r1 expect a1 payload written in 250ms done in 19.996s
 		r1 close a1
@@ -22,39 +24,36 @@
 	return w
 }
 
-// The connection of a batch's first attempt breaks before its 202, and its worker's machine is cut off: it
-// may hold the job, and its cancellation is not acknowledged. A retry waits for that. 15 s later the
-// cancellation was given up, and with it the wait: at 16 s the job was sent to a second worker of the cell
-// while the first, back by then, could still run it, a second copy of a job that may be repeated only after
-// the first copy has ended or been given up.
-//
-// cancellationLifetime was the same for all, and the deadline of that class is 20 s. The log line "job
-// cancellation failed: its worker may run it for no caller" came 15 s after the break though the caller
-// waited, and behind it "SendAttempt a1 to r2".
+// Guards against a retry that is sent while a worker may still hold the first attempt. The connection of the
+// first attempt breaks before the 202, and the worker is unreachable, so that it cannot acknowledge the
+// cancellation. When the cancellation was given up after cancellationLifetime (15 s) although the request was
+// open until its deadline (20 s), the deferred retry was sent to a second worker, and the job could run twice
+// at once.
 func TestRetryWaitsForAnAcknowledgedCancellationUntilTheDeadline(t *testing.T) {
 	for _, outage := range []string{"1s", "14s", "16s", "18s"} {
 		t.Run(outage, func(t *testing.T) {
-			w := newWorldWithCancellation(t)
-			w.play(t, "wait "+outage)
-			w.announce(0, dispatch.Ready, "r2")
-			w.play(t, `
+			w := newHarnessWithCancellation(t)
+			w.runScript(t, "wait "+outage)
+			w.sendUpdate(0, dispatch.Ready, "r2")
+			w.runScript(t, `
 				wait 1s
 				r2 expect nothing
 				wait 30s
 				c1 expect failed
 				r2 expect nothing
-				log expect job cancellation failed: its worker may run it for no caller
+				log expect job cancellation failed: the worker may run the job though no caller waits for it
 				log expect nothing`)
 		})
 	}
 }
 
-// Once its worker has acknowledged the cancellation, the job goes on, however late that is.
+// The retry is sent as soon as the worker acknowledges the cancellation, even if that takes longer than
+// cancellationLifetime.
 func TestRetryGoesOnOnceTheCancellationIsAcknowledged(t *testing.T) {
-	w := newWorldWithCancellation(t)
-	w.play(t, `
+	w := newHarnessWithCancellation(t)
+	w.runScript(t, `
 		wait 17s
 		r1 send acknowledged a1`)
-	w.announce(0, dispatch.Ready, "r2")
-	w.play(t, `r2 expect a1 payload written in 250ms done in 2.996s`)
+	w.sendUpdate(0, dispatch.Ready, "r2")
+	w.runScript(t, `r2 expect a1 payload written in 250ms done in 2.996s`)
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -24,17 +24,18 @@
 	"guarantees":{"cold":8000000,"cold_from":0.3,"fall":2000000,"overload_factor":4,"ask_within":10000000,
 	 "drain_grace":500000}}`
 
-// world runs a scheduler on a clock of its own. Effects become lines, queued for the actor that they
-// reach.
-type world struct {
-	scheduler *Scheduler
-	now       Micros
-	timerAt   Micros
-	exitBy    Micros // what the Shutdown effect allows; 0: there has been none
-	seen      map[string][]string
-	attempts  map[string]AttemptID // the last one, by request id
-	workers   map[AttemptID]string // where it went
-	callers   map[CallerID]string  // names
+// harness runs a scheduler on a simulated clock, driven by a scenario script. It records each effect as a
+// line of text in the output of the actor that the effect concerns: a client, a worker, discovery, the
+// program or the log.
+type harness struct {
+	scheduler       *Scheduler
+	now             Micros
+	timerAt         Micros               // the time that the last SetTimer effect requested; 0: no timer is set
+	exitDeadline    Micros               // the deadline of the Shutdown effect; 0: there has been no such effect
+	output          map[string][]string  // lines that the script has not yet expected, by actor
+	latestAttempt   map[string]AttemptID // the latest attempt of each request, by request id
+	workerOfAttempt map[AttemptID]string // the UID of the worker to which an attempt was sent
+	callerNames     map[CallerID]string  // the actor that submitted a request
 }
 
 func parseSettings(t *testing.T, text string) settings.Settings {
@@ -46,60 +47,64 @@
 	return set
 }
 
-func newWorld(t *testing.T) *world {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	return newWorldOf(t, parseSettings(t, testSettings))
+	return newHarnessWithSettings(t, parseSettings(t, testSettings))
 }
 
-// newWorldOf is a world with settings of its own.
-func newWorldOf(t *testing.T, set settings.Settings) *world {
+// newHarnessWithSettings returns a harness whose scheduler has the given settings and knows one ready
+// worker, r1.
+func newHarnessWithSettings(t *testing.T, set settings.Settings) *harness {
 	t.Helper()
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{scheduler: s, now: 1000 * second, seen: map[string][]string{}, attempts: map[string]AttemptID{},
-		workers: map[AttemptID]string{}, callers: map[CallerID]string{}}
-	known := WorkerList{Rev: 1, Complete: true, Workers: []Worker{line("r1", 1)}}
+	w := &harness{scheduler: s, now: 1000 * second, output: map[string][]string{},
+		latestAttempt: map[string]AttemptID{}, workerOfAttempt: map[AttemptID]string{},
+		callerNames: map[CallerID]string{}}
+	known := WorkerList{Revision: 1, Complete: true, Workers: []Worker{testWorker("r1", 1)}}
 	w.step(Started{Discovery: "d1", CachedList: known})
 	return w
 }
 
-func line(uid string, status dispatch.Status) Worker {
+func testWorker(uid string, status dispatch.Status) Worker {
 	return Worker{UID: uid, Addr: uid, Zone: "north", Kind: "m1", Status: status}
 }
 
-func (w *world) step(e Event) { w.record(w.scheduler.Step(w.now, e, nil)) }
+func (w *harness) step(e Event) { w.record(w.scheduler.Step(w.now, e, nil)) }
 
-func (w *world) record(effects []Effect) {
-	say := func(who, format string, args ...any) {
-		w.seen[who] = append(w.seen[who], strings.TrimSpace(fmt.Sprintf(format, args...)))
+func (w *harness) record(effects []Effect) {
+	appendLine := func(who, format string, args ...any) {
+		w.output[who] = append(w.output[who], strings.TrimSpace(fmt.Sprintf(format, args...)))
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
 		case SendAttempt:
-			w.attempts[e.ID], w.workers[e.Attempt] = e.Attempt, e.UID
-			say(e.UID, "%s %v written in %v done in %v", e.ID, e.Payload, w.until(e.WriteBy), w.until(e.Deadline))
+			w.latestAttempt[e.RequestID], w.workerOfAttempt[e.Attempt] = e.Attempt, e.WorkerUID
+			appendLine(e.WorkerUID, "%s %v written in %v done in %v", e.RequestID, e.Payload,
+				w.timeUntil(e.WriteDeadline), w.timeUntil(e.Deadline))
 		case CloseConnection:
-			say(w.workers[e.Attempt], "connection closed")
+			appendLine(w.workerOfAttempt[e.Attempt], "connection closed")
 		case CancelAttempt:
-			say(e.Addr, "cancel %s", e.ID)
+			appendLine(e.Addr, "cancel %s", e.RequestID)
 		case Answer:
 			verdict := [...]string{"served", "refused", "failed", "invalid", "conflict"}[e.Verdict]
 			last := map[bool]string{true: "last"}[e.FinalForConnection]
-			say(w.callers[e.Caller], "%s%s%s", verdict, spaced(string(e.Body)), spaced(last))
+			appendLine(w.callerNames[e.Caller], "%s%s%s", verdict, withLeadingSpace(string(e.Body)),
+				withLeadingSpace(last))
 		case OpenWatch:
-			say("discovery", "watch %s from %d", e.Addr, e.Rev)
+			appendLine("discovery", "watch %s from %d", e.Addr, e.Revision)
 		case StopUsingWorker:
-			say(e.Addr, "stop using")
+			appendLine(e.Addr, "stop using")
 		case Shutdown:
-			w.exitBy = e.By
-			say("program", "%T", e)
+			w.exitDeadline = e.Deadline
+			appendLine("program", "%T", e)
 		case CloseIdleClients:
-			say("program", "%T", e)
+			appendLine("program", "%T", e)
 		case Log:
 			if e.Warn {
-				say("log", "%s", e.Text)
+				appendLine("log", "%s", e.Text)
 			}
 		case SetTimer:
 			w.timerAt = e.At
@@ -107,16 +112,18 @@
 	}
 }
 
-func spaced(text string) string {
+func withLeadingSpace(text string) string {
 	if text == "" {
 		return ""
 	}
 	return " " + text
 }
 
-func (w *world) until(at Micros) time.Duration { return time.Duration(at-w.now) * time.Microsecond }
+func (w *harness) timeUntil(at Micros) time.Duration {
+	return time.Duration(at-w.now) * time.Microsecond
+}
 
-func (w *world) Wait(text string) error {
+func (w *harness) Wait(text string) error {
 	span, err := time.ParseDuration(text)
 	for end := w.now + Micros(span.Microseconds()); ; {
 		if w.timerAt == 0 || w.timerAt > end {
@@ -128,19 +135,19 @@
 	}
 }
 
-func (w *world) Actor(name string) scenario.Actor { return actor{w, name} }
+func (w *harness) Actor(name string) scenario.Actor { return actor{w, name} }
 
 type actor struct {
-	*world
+	*harness
 	name string
 }
 
 func (a actor) Expect(string) (string, error) {
-	queue := a.seen[a.name]
+	queue := a.output[a.name]
 	if len(queue) == 0 {
 		return "nothing", nil
 	}
-	a.seen[a.name] = queue[1:]
+	a.output[a.name] = queue[1:]
 	return queue[0], nil
 }
 
@@ -148,10 +155,10 @@
 	switch {
 	case a.name == "discovery":
 		a.step(WatchClosed{})
-	case a.name[0] == 'r': // the connection broke after the request was sent
-		a.step(AttemptEnded{Attempt: a.attempts[text], Outcome: dispatch.Reset})
+	case a.name[0] == 'r': // a worker: its connection breaks after the attempt was sent
+		a.step(AttemptEnded{Attempt: a.latestAttempt[text], Outcome: dispatch.Reset})
 	default:
-		for caller, name := range a.callers {
+		for caller, name := range a.callerNames {
 			if name == a.name {
 				a.step(ClientDisconnected{Caller: caller})
 			}
@@ -173,29 +180,29 @@
 	case a.name == "discovery" && strings.HasPrefix(text, "reload "):
 		a.step(Reloaded{Discovery: fields[1]})
 	case a.name == "discovery":
-		list := WorkerList{Rev: 2}
+		list := WorkerList{Revision: 2}
 		for _, field := range fields {
 			uid, state, _ := strings.Cut(field, "=")
-			list.Workers = append(list.Workers, line(uid, statuses[state]))
+			list.Workers = append(list.Workers, testWorker(uid, statuses[state]))
 		}
 		a.step(EndpointsUpdated{List: list})
 	case a.name[0] == 'r':
 		a.workerEvent(fields[0], fields[1])
 	default:
-		caller := CallerID(len(a.callers) + 1)
-		a.callers[caller] = a.name
+		caller := CallerID(len(a.callerNames) + 1)
+		a.callerNames[caller] = a.name
 		patience, err := time.ParseDuration(fields[3])
-		a.step(Submitted{Caller: caller, ID: fields[0], Class: fields[1], Tenant: fields[2],
+		a.step(Submitted{Caller: caller, RequestID: fields[0], Class: fields[1], Tenant: fields[2],
 			Deadline: a.now + Micros(patience.Microseconds()), Slots: 1, Payload: "payload"})
 		return err
 	}
 	return nil
 }
 
-// panicAndRecover does as a program does whose dispatcher has panicked.
+// panicAndRecover lets the dispatcher panic in Step and calls Recover, as the production program does.
 func (a actor) panicAndRecover() {
 	defer func() {
-		_ = recover() // the panic that the scenario asks for
+		_ = recover() // catches the panic that the scenario has requested
 		effects, _ := a.scheduler.Recover(a.now)
 		a.record(effects)
 	}()
@@ -217,23 +224,23 @@
 
 func (a actor) workerEvent(name, id string) {
 	if outcome, ok := outcomes[name]; ok {
-		a.step(AttemptEnded{Attempt: a.attempts[id], Outcome: outcome})
+		a.step(AttemptEnded{Attempt: a.latestAttempt[id], Outcome: outcome})
 		return
 	}
 	switch name {
 	case "rejected":
-		a.step(AttemptRejected{Attempt: a.attempts[id]})
+		a.step(AttemptRejected{Attempt: a.latestAttempt[id]})
 	case "acknowledged", "unacknowledged":
-		a.step(CancellationResult{Attempt: a.attempts[id], Acknowledged: name == "acknowledged"})
+		a.step(CancellationResult{Attempt: a.latestAttempt[id], Acknowledged: name == "acknowledged"})
 	case "accepted":
-		a.step(AttemptAccepted{Attempt: a.attempts[id]})
+		a.step(AttemptAccepted{Attempt: a.latestAttempt[id]})
 	default:
-		a.step(Callback{ID: id, From: a.name, Kind: callbackKinds[name], Result: []byte("result")})
+		a.step(Callback{RequestID: id, WorkerUID: a.name, Kind: callbackKinds[name], Result: []byte("result")})
 	}
 }
 
 func TestScenarios(t *testing.T) {
-	const submit, begun = `
+	const submit, started = `
 		c1 send a1 post sahel 5s
 		r1 expect a1 payload written in 250ms done in 4.996s`, `
 		r1 send accepted a1
@@ -244,64 +251,64 @@
 		discovery send r2=ready`
 	const retried = "\nr2 expect a1 payload written in 250ms done in 19.996s"
 	for name, script := range map[string]string{
-		"a request is served once": submit + begun + `
+		"a request is served once": submit + started + `
 			r1 send done a1
 			c1 expect served result
 			r1 send done a1
 			r1 send failed a1
 			c1 expect nothing`,
-		"the end may be reported before the start and the acceptance": submit + `
+		"a callback with the result arrives before the start and the acceptance": submit + `
 			r1 send done a1
 			c1 expect served result
 			r1 send started a1
 			r1 send accepted a1
 			r1 expect connection closed
 			r1 expect nothing`,
-		"callbacks count only from the worker that has the attempt": submit + begun + `
+		"a callback from a worker that does not hold the attempt is ignored": submit + started + `
 			r9 send done a1
 			c1 expect nothing
 			r1 send done a1
 			c1 expect served result`,
-		"a connection that ends after the acceptance ends nothing": submit + begun + `
+		"a connection that breaks after the acceptance does not end the attempt": submit + started + `
 			r1 close a1
 			c1 expect nothing
 			r1 send done a1
 			c1 expect served result`,
-		"one that ends before it may have run: no refusal": submit + `
+		"a request whose connection broke before the acceptance fails, as its job may have run": submit + `
 			r1 close a1
 			c1 expect failed`,
-		"an error may have run: no refusal": submit + `
+		"a request whose worker reported an error fails, as its job may have run": submit + `
 			r1 send error a1
 			c1 expect failed`,
-		"an aborted job may have run": submit + begun + `
+		"a request whose job was aborted fails, as the job may have run": submit + started + `
 			r1 send aborted a1
 			c1 expect failed`,
-		"a job that never ran goes to another worker, without an answer to its caller": batch + `
+		"a job refused by a worker at capacity is retried at another worker": batch + `
 			r1 send at-capacity a1` + retried + `
 			c1 expect nothing`,
-		"so does one that was handed back": batch + `
+		"a job that a worker handed back is retried at another worker": batch + `
 			r1 send accepted a1
 			r1 send handed-back a1` + retried,
-		"so does one whose worker was not reached": batch + `
+		"a job is retried at another worker if the connection could not be opened": batch + `
 			r1 send connect-failed a1` + retried,
-		"what the dispatcher gives up is answered at once": `
+		"a request is refused as soon as the dispatcher abandons its job": `
 			discovery send r1=draining
 			c1 send a1 post sahel 5s
 			c1 expect nothing
 			wait 1s
 			c1 expect refused`,
-		"a job without time is answered at once": `
+		"a request whose deadline has passed is refused at once": `
 			c1 send a1 post sahel 0s
 			c1 expect refused
 			r1 expect nothing`,
-		"a caller that disconnects before the acceptance, which may cross the close": submit + `
+		"an attempt is cancelled at the worker if its caller disconnects before the acceptance": submit + `
 			c1 close
 			r1 expect connection closed
 			r1 expect cancel a1
 			r1 send acknowledged a1
 			wait 5s
 			r1 expect nothing`,
-		"a cancellation that fails is retried, and not for ever": submit + begun + `
+		"a failed cancellation is retried until it is acknowledged": submit + started + `
 			c1 close
 			r1 expect cancel a1
 			r1 send unacknowledged a1
@@ -315,26 +322,26 @@
 			r1 send acknowledged a1
 			wait 30s
 			r1 expect nothing`,
-		"a retry is deferred until the worker that may hold the first has acknowledged": batch + `
+		"a retry is deferred until the cancellation of the first attempt is acknowledged": batch + `
 			r1 close a1
 			r1 expect cancel a1
 			r2 expect nothing
 			r1 send acknowledged a1
 			r2 expect a1 payload written in 250ms done in 19.996s`,
-		"or until that worker reports how it ended": batch + `
+		"a result of the first attempt answers the request while the retry is deferred": batch + `
 			r1 close a1
 			r1 expect cancel a1
 			r1 send done a1
 			c1 expect served result
 			r1 expect connection closed
 			r2 expect nothing`,
-		"it is not deferred past its time to be sent": batch + `
+		"a new retry replaces one that was deferred past its write deadline": batch + `
 			r1 close a1
 			r1 expect cancel a1
 			wait 260ms
 			r1 send acknowledged a1
 			r2 expect a1 payload written in 240ms done in 19.736s`,
-		"a shutdown cancels first, and waits 2s for that at most": submit + begun + `
+		"a shutdown waits 2s at most for an open cancellation": submit + started + `
 			program send stop
 			c1 close
 			r1 expect cancel a1
@@ -343,17 +350,17 @@
 			program expect nothing
 			wait 3s
 			program expect scheduler.Shutdown`,
-		"a caller that disconnects after the acceptance": submit + begun + `
+		"an accepted attempt is cancelled if its caller disconnects": submit + started + `
 			c1 close
 			r1 expect cancel a1
 			r1 send done a1
 			c1 expect nothing`,
-		"a start reported before the acceptance: the worker may have accepted it": submit + `
+		"an attempt whose start is reported before its acceptance is cancelled at a disconnect": submit + `
 			r1 send started a1
 			c1 close
 			r1 expect connection closed
 			r1 expect cancel a1`,
-		"a worker that reports nothing": submit + begun + `
+		"a request fails before its deadline if its worker reports no end": submit + started + `
 			wait 4.9s
 			c1 expect nothing
 			wait 97ms
@@ -361,18 +368,18 @@
 			c1 expect failed
 			wait 1s
 			c1 expect nothing`,
-		"two requests of one id would mix their callbacks": submit + `
+		"a second request with the id of an open one is rejected": submit + `
 			c2 send a1 post sahel 5s
 			c2 expect conflict a request of that id is open
 			r1 send done a1
 			c1 expect served result`,
-		"an id is not taken again once its request is over": submit + begun + `
+		"a request with the id of an answered one is rejected": submit + started + `
 			r1 send done a1
 			c1 expect served result
 			c2 send a1 batch sahel 20s
 			c2 expect conflict that id has been used
 			r1 expect nothing`,
-		"a rejected request is at fault, not its worker": `
+		"a rejected request does not count as a failure of its worker": `
 			c1 send b1 batch sahel 20s
 			r1 expect b1 payload written in 250ms done in 19.996s
 			r1 send rejected b1
@@ -387,12 +394,12 @@
 			c1 expect invalid the worker cannot use it
 			c1 send b3 batch sahel 20s
 			r1 expect b3 payload written in 250ms done in 19.996s`,
-		"invalid submissions": `
+		"submissions with an unknown class or tenant are rejected": `
 			c1 send a1 nothing sahel 5s
 			c1 expect invalid unknown class "nothing"
 			c2 send a2 post nobody 5s
 			c2 expect invalid unknown tenant "nobody"`,
-		"a draining worker gets nothing new, a removed one is forgotten": `
+		"a draining or removed worker gets no new attempt": `
 			discovery send r1=draining r2=ready
 			c1 send a1 post sahel 5s
 			r1 expect stop using
@@ -401,7 +408,7 @@
 			discovery send r1=removed
 			discovery send
 			r1 expect nothing`,
-		"a request that is open shortly before the kill gets an answer": `
+		"a request that is still open shortly before the kill is answered": `
 			c1 send a1 batch sahel 20s
 			r1 expect a1 payload written in 250ms done in 19.996s
 			r1 send accepted a1
@@ -412,19 +419,19 @@
 			wait 1ms
 			c1 expect failed last
 			r1 expect cancel a1`,
-		"a dead watch is opened again from where it stood": `
+		"a closed watch is opened again from the known revision": `
 			discovery expect watch d1 from 1
 			discovery send r2=ready
 			discovery close
 			discovery expect nothing
 			wait 2s
 			discovery expect watch d1 from 2`,
-		"a watch that is alive is not opened twice": `
+		"no second watch is opened while one is open": `
 			discovery expect watch d1 from 1
 			discovery send
 			wait 60s
 			discovery expect nothing`,
-		"a reload asks another discovery for the complete list at once, and retries": submit + begun + `
+		"a reload requests the complete list from the new discovery at once, and retries": submit + started + `
 			discovery expect watch d1 from 1
 			discovery send r2=ready
 			discovery send reload d2
@@ -437,7 +444,7 @@
 			discovery expect watch d3 from 0
 			r1 send done a1
 			c1 expect served result`,
-		"a stopping scheduler goes on serving, then refuses, and ends with the last answer": submit + begun + `
+		"a stopping scheduler first serves, then refuses, and exits after the last answer": submit + started + `
 			program send stop
 			wait 500ms
 			c2 send a2 batch sahel 20s
@@ -452,7 +459,7 @@
 			c2 close
 			r1 send acknowledged a2
 			program expect scheduler.Shutdown`,
-		"a panic leaves no request without an answer, and the next is served": submit + begun + `
+		"a panic fails the open requests, and the next request is served": submit + started + `
 			program send panic
 			c1 expect failed
 			r1 expect cancel a1
@@ -462,17 +469,18 @@
 			c2 expect served result`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			scenario.Run(t, newWorld(t), script, func(want, got string) string { return cmp.Diff(want, got) })
+			scenario.Run(t, newHarness(t), script, func(want, got string) string { return cmp.Diff(want, got) })
 		})
 	}
 }
 
-// Where settings allow hedged attempts, the dispatcher would ask for one of a job whose worker sends no
-// more progress. One attempt is live at a time here, so it must not: each time would use up an attempt.
+// Where the settings allow hedging, a dispatcher requests a hedged attempt for a job whose worker reports no
+// more progress. The reducer keeps one attempt of a request live and would suppress the hedged attempt, which
+// would still count against the job's maximum number of attempts. The dispatcher must not request it.
 func TestHedgedAttemptsAreNotRequested(t *testing.T) {
 	text := strings.Replace(testSettings, `"cancel":true`, `"cancel":true,"may_duplicate":true`, 1)
 	set := parseSettings(t, text)
-	scenario.Run(t, newWorldOf(t, set), `
+	scenario.Run(t, newHarnessWithSettings(t, set), `
 		discovery send r1=ready r2=ready
 		c1 send a1 batch sahel 20s
 		r1 expect a1 payload written in 250ms done in 19.996s
@@ -484,8 +492,8 @@
 		r1 expect cancel a1`, func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// A stopping scheduler ends before the kill, whatever its deadlines are and whether or not its workers
-// acknowledge cancellations. Until it ends, clients go on sending.
+// A stopping scheduler must exit before it is killed, for any class deadline and even if a worker does not
+// acknowledge a cancellation. Clients send requests until it exits, and a kill would leave them unanswered.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	for _, longest := range []time.Duration{200 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second,
 		20 * time.Second} {
@@ -494,54 +502,57 @@
 			for i := range set.Dispatch.Classes {
 				set.Dispatch.Classes[i].Deadline = Micros(longest.Microseconds())
 			}
-			w := newWorldOf(t, set)
+			w := newHarnessWithSettings(t, set)
 			kill := w.now + Micros(min(longest, 3*time.Second).Microseconds()) + killGrace
 			scenario.Run(t, w, `
 				discovery send
 				c1 send a1 post sahel `+longest.String()+`
 				r1 send accepted a1
 				program send stop
-				c1 close`, nil) // its cancellation is never acknowledged
-			for w.exitBy == 0 && w.now < kill {
+				c1 close`, nil) // the worker never acknowledges the cancellation
+			for w.exitDeadline == 0 && w.now < kill {
 				if err := w.Wait("10ms"); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if w.exitBy == 0 || w.now >= kill || w.exitBy >= kill {
-				t.Errorf("exit asked for by %v, at %v, with the kill at %v", w.exitBy, w.now, kill)
+			if w.exitDeadline == 0 || w.now >= kill || w.exitDeadline >= kill {
+				t.Errorf("exit deadline %v (0: no exit requested), clock %v; want both before the kill at %v",
+					w.exitDeadline, w.now, kill)
 			}
 		})
 	}
 }
 
-// A dispatcher that never decides must not cost the caller its answer.
+// A request must be answered at its deadline even if the dispatcher has not decided on it.
 func TestDeadlineHoldsWithoutDecision(t *testing.T) {
-	w := newWorld(t)
-	w.step(EndpointsUpdated{List: WorkerList{Workers: []Worker{line("r1", 2)}}})
-	w.callers[7] = "c1"
-	late := &request{caller: 7, id: "x", job: 99, deadline: w.now + second}
-	w.scheduler.byCaller[7], w.scheduler.byID["x"], w.scheduler.byJob[99] = late, late, late
-	w.scheduler.addTimer(timer{at: late.deadline, kind: requestDeadline, id: 7})
+	w := newHarness(t)
+	w.step(EndpointsUpdated{List: WorkerList{Workers: []Worker{testWorker("r1", 2)}}})
+	w.callerNames[7] = "c1"
+	undecided := &request{caller: 7, id: "x", job: 99, deadline: w.now + second}
+	w.scheduler.byCaller[7], w.scheduler.byID["x"], w.scheduler.byJob[99] = undecided, undecided, undecided
+	w.scheduler.addTimer(timer{at: undecided.deadline, kind: requestDeadline, id: 7})
 	w.step(EndpointsUpdated{})
 	scenario.Run(t, w, "wait 1s\nc1 expect failed", func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// Schedulers share no state, yet must give a worker the same number, in whatever order they learned of
-// the workers: the dispatcher computes the owner of a worker in slow start by it.
+// Schedulers share no state, but all must give a worker the same number, in whatever order discovery lists
+// the workers to them: the dispatcher computes the owner of a worker in slow start from the number.
 func TestWorkerNumberDependsOnUIDOnly(t *testing.T) {
-	a, b := newWorld(t).scheduler, newWorld(t).scheduler
-	a.applyUpdate(WorkerList{Workers: []Worker{line("s-1", 1), line("s-2", 1)}}, dispatch.UpdateDelta, 1)
-	b.applyUpdate(WorkerList{Workers: []Worker{line("s-2", 1), line("s-1", 1)}}, dispatch.UpdateDelta, 1)
+	a, b := newHarness(t).scheduler, newHarness(t).scheduler
+	a.applyUpdate(WorkerList{Workers: []Worker{testWorker("s-1", 1), testWorker("s-2", 1)}},
+		dispatch.UpdateDelta, 1)
+	b.applyUpdate(WorkerList{Workers: []Worker{testWorker("s-2", 1), testWorker("s-1", 1)}},
+		dispatch.UpdateDelta, 1)
 	for _, uid := range []string{"s-1", "s-2"} {
 		if diff := cmp.Diff(a.workers[uid].number, b.workers[uid].number); diff != "" {
-			t.Errorf("%s: %s", uid, diff)
+			t.Errorf("the number of worker %s depends on the order of the list: %s", uid, diff)
 		}
 	}
 }
 
-// A connection may come up late. A retry that is sent after its class's deduplication window would run
-// again beside the first attempt, so it must be out by then, the time for which it is deferred by a
-// cancellation included.
+// A retry must be written before the deduplication window of its class ends, because workers would later not
+// recognize it as a repetition and run the job again. The limit includes the time for which the retry is
+// deferred by a cancellation and the time that its connection takes to open.
 func TestRetryIsSentWithinDedupWindow(t *testing.T) {
 	const short = `"memory_span":1000000`
 	for name, script := range map[string]string{
@@ -551,7 +562,7 @@
 			r1 expect cancel a1
 			r1 send acknowledged a1
 			r2 expect a1 payload written in 250ms done in 19.896s`,
-		"shortly before its end": `
+		"shortly before the end of the window": `
 			wait 900ms
 			r1 close a1
 			r1 expect cancel a1
@@ -573,7 +584,8 @@
 			r2 expect nothing`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorldOf(t, parseSettings(t, strings.Replace(testSettings, `"memory_span":30000000`, short, 1)))
+			w := newHarnessWithSettings(t, parseSettings(t,
+				strings.Replace(testSettings, `"memory_span":30000000`, short, 1)))
 			scenario.Run(t, w, `
 				c1 send a1 batch sahel 20s
 				r1 expect a1 payload written in 250ms done in 19.996s
--- a/internal/scheduler/update_bench_test.go
+++ b/internal/scheduler/update_bench_test.go
@@ -7,8 +7,8 @@
 	"dahliaford/internal/dispatch"
 )
 
-// BenchmarkUpdate is one changed entry an update, through the reducer and the dispatcher: workers drain
-// and become ready again in turn, spread over the fleet.
+// BenchmarkUpdate measures a worker list update with one changed entry, through the reducer and the
+// dispatcher. The updates make one worker after another drain and become ready again.
 func BenchmarkUpdate(b *testing.B) {
 	for _, size := range [][2]int{{300, 200}, {300, 800}, {300, 2400}, {300, 7200}, {30, 7200}, {17, 7200},
 		{7200, 7200}} {
@@ -24,30 +24,31 @@
 	}
 }
 
-// updateFeed updates one worker after another, spread over a fleet of newFleet.
+// updateFeed sends worker list updates with one entry each to a scheduler made by newFleet. Consecutive
+// pairs of updates drain a worker and make it ready again; the workers are spread over the fleet.
 type updateFeed struct {
-	workers, at int
-	out         []Effect
-	rev         int64
-	list        WorkerList
+	workerCount, stepCount int
+	out                    []Effect
+	revision               int64
+	list                   WorkerList
 }
 
-func newUpdateFeed(workers int) *updateFeed {
-	f := &updateFeed{workers: workers, rev: 1}
+func newUpdateFeed(workerCount int) *updateFeed {
+	f := &updateFeed{workerCount: workerCount, revision: 1}
 	f.list.Workers = make([]Worker, 1)
 	return f
 }
 
 func (f *updateFeed) step(s *Scheduler) {
-	i := f.at / 2 * 7919 % f.workers
+	i := f.stepCount / 2 * 7919 % f.workerCount
 	status := dispatch.Draining
-	if f.at%2 == 1 {
+	if f.stepCount%2 == 1 {
 		status = dispatch.Ready
 	}
-	f.at++
-	f.rev++
-	f.list.Rev = f.rev
-	w := line(fmt.Sprintf("r%d", i), status)
+	f.stepCount++
+	f.revision++
+	f.list.Revision = f.revision
+	w := testWorker(fmt.Sprintf("r%d", i), status)
 	w.Kind = fmt.Sprintf("m%d", i%2)
 	f.list.Workers[0] = w
 	f.out = s.Step(s.now+second, EndpointsUpdated{List: f.list}, f.out[:0])
--- a/internal/scheduler/update_reference_test.go
+++ b/internal/scheduler/update_reference_test.go
@@ -14,10 +14,11 @@
 	"dahliaford/internal/settings"
 )
 
-// A reference implementation of the worker list: at each update it visits all workers. The reducer,
-// which visits only those that an update changes, must act like it.
+// This file has a reference implementation of worker list updates, which visits all workers at each update.
+// The reducer visits only the workers that an update changes, and must produce the same effects and state.
 
-// stepReference takes an update, or the end of the watch, like Step.
+// stepReference handles an event as Step does. It applies updates by the reference implementation, and passes
+// all other events to Step.
 func (s *Scheduler) stepReference(now Micros, e Event) []Effect {
 	s.now, s.effects = now, nil
 	s.usedIDs.rotate(now, s.idRetention)
@@ -43,14 +44,14 @@
 
 func (s *Scheduler) applyDrainsReference(list WorkerList) {
 	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: dispatch.UpdateDrains}
-	for _, line := range list.Workers {
-		w := s.workers[line.UID]
-		if w == nil || line.Status == dispatch.Ready {
+	for _, listed := range list.Workers {
+		w := s.workers[listed.UID]
+		if w == nil || listed.Status == dispatch.Ready {
 			continue
 		}
 		if w.pendingUpdate = nil; w.drainingSince == 0 {
-			w.Status, w.version = line.Status, version{epoch: -1}
-			e.Workers = append(e.Workers, s.entry(w))
+			w.Status, w.version = listed.Status, version{epoch: -1}
+			e.Workers = append(e.Workers, s.workerEntry(w))
 		}
 	}
 	if len(e.Workers) > 0 {
@@ -60,25 +61,25 @@
 }
 
 func (s *Scheduler) applyUpdateReference(list WorkerList, scope dispatch.UpdateScope) {
-	if list.Complete && list.Rev < s.revision {
+	if list.Complete && list.Revision < s.revision {
 		s.epoch++
 	}
-	if s.revision = max(s.revision, list.Rev); list.Complete {
-		s.revision = list.Rev
+	if s.revision = max(s.revision, list.Revision); list.Complete {
+		s.revision = list.Revision
 	}
-	at := version{s.epoch, list.Rev}
+	at := version{s.epoch, list.Revision}
 	named := map[string]bool{}
 	e := dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope}
-	for _, line := range list.Workers {
-		named[line.UID] = true
-		w := s.workers[line.UID]
+	for _, listed := range list.Workers {
+		named[listed.UID] = true
+		w := s.workers[listed.UID]
 		if w == nil {
-			w = &worker{Worker: line, version: at, number: s.assignNumber(line.UID)}
-			s.workers[line.UID], s.byNumber[w.number] = w, w
+			w = &worker{Worker: listed, version: at, number: s.assignNumber(listed.UID)}
+			s.workers[listed.UID], s.byNumber[w.number] = w, w
 		} else {
-			s.mergeWorker(w, line, at)
+			s.mergeWorker(w, listed, at)
 		}
-		e.Workers = append(e.Workers, s.entry(w))
+		e.Workers = append(e.Workers, s.workerEntry(w))
 	}
 	for _, w := range sortedValues(s.workers) {
 		switch {
@@ -89,7 +90,7 @@
 		default:
 			continue
 		}
-		e.Workers = append(e.Workers, s.entry(w))
+		e.Workers = append(e.Workers, s.workerEntry(w))
 	}
 	s.recordTransitionsReference()
 	s.stepDispatcher(e)
@@ -119,9 +120,9 @@
 	}
 }
 
-// Any sequence of updates, complete lists, updates of the previous discovery and changes to another
-// one, with revisions that repeat and go back and workers at one address, has the effects and leaves
-// the state of the reference implementation.
+// The reducer must produce the effects and the state of the reference implementation for any sequence of
+// updates, complete lists, updates from the previous discovery service, closed watches and reloads. The
+// revisions of the updates repeat and decrease, and pairs of workers share an address.
 func TestUpdatesMatchReferenceImplementation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, reference := schedulerForUpdates(), schedulerForUpdates()
@@ -129,12 +130,12 @@
 		maxWorkers := rapid.SampledFrom([]int{2, 10, 40}).Draw(t, "workers")
 		worker := rapid.Custom(func(t *rapid.T) Worker {
 			i := rapid.IntRange(0, maxWorkers-1).Draw(t, "worker")
-			r := line(fmt.Sprint("r", i), rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready,
+			r := testWorker(fmt.Sprint("r", i), rapid.SampledFrom([]dispatch.Status{dispatch.Ready, dispatch.Ready,
 				dispatch.Ready, dispatch.Draining, dispatch.Removed}).Draw(t, "status"))
 			r.Kind, r.Zone = fmt.Sprint("m", i%2), fmt.Sprint("z", i%3)
-			r.Addr = fmt.Sprint("a", i/2) // two have one address
+			r.Addr = fmt.Sprint("a", i/2) // two workers share each address
 			if r.Status == dispatch.Removed && rapid.Bool().Draw(t, "bare") {
-				r = Worker{UID: r.UID} // an update that removes it need not say more
+				r = Worker{UID: r.UID} // an entry that removes a worker needs no other field than the UID
 			}
 			if rapid.IntRange(0, 3).Draw(t, "restarted") == 0 {
 				r.Started = max(0, now-Micros(rapid.Int64Range(0, 60*second).Draw(t, "age")))
@@ -154,19 +155,20 @@
 			default:
 				rev += rapid.SampledFrom([]int64{1, 1, 1, 1, 0, -1, -3}).Draw(t, "rev")
 				n := rapid.SampledFrom([]int{0, 1, 1, 1, 2, maxWorkers}).Draw(t, "lines")
-				e = EndpointsUpdated{List: WorkerList{Rev: rev, Complete: rapid.IntRange(0, 3).Draw(t, "complete") == 0,
-					Workers: rapid.SliceOfN(worker, n, n).Draw(t, "list")},
+				e = EndpointsUpdated{List: WorkerList{Revision: rev,
+					Complete: rapid.IntRange(0, 3).Draw(t, "complete") == 0,
+					Workers:  rapid.SliceOfN(worker, n, n).Draw(t, "list")},
 					FromPreviousWatch: rapid.IntRange(0, 6).Draw(t, "from previous watch") == 0}
 			}
 			trace = append(trace, fmt.Sprintf("%d %T%+v", now, e, e))
 			got, want := s.Step(now, e, nil), reference.stepReference(now, e)
 			if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
-				t.Fatalf("after %v\neffects %+v\nof the reference %+v", trace, got, want)
+				t.Fatalf("after the events %v\ngot effects %+v\nwant those of the reference %+v", trace, got, want)
 			}
 			requireSameState(t, s, reference, trace)
 			requireSameState(t, s.Clone(), reference, trace)
 			if rapid.IntRange(0, 4).Draw(t, "copied") == 0 {
-				s = s.Clone() // and goes on from there
+				s = s.Clone() // the copy must behave like the original from here on
 			}
 		}
 	})
@@ -175,7 +177,7 @@
 func requireSameState(t *rapid.T, a, b *Scheduler, trace []string) {
 	t.Helper()
 	if !bytes.Equal(a.AppendState(nil), b.AppendState(nil)) {
-		t.Fatalf("after %v\nthe states differ", trace)
+		t.Fatalf("after the events %v\nthe state differs from that of the reference", trace)
 	}
 }
 
@@ -193,13 +195,14 @@
 	return s
 }
 
-// A zone is removed by an update for each worker, by one update, and by both at once while its workers
-// are added again after a restart.
+// The reducer must produce the effects and the state of the reference implementation when all workers of a
+// zone are removed: by one update for each worker, by one update for all of them, by a complete list, and by
+// updates that alternate with updates that add the workers again after a restart.
 func TestZoneRemovedByUpdates(t *testing.T) {
-	const zones, each = 14, 20
-	of := func(zone int, status dispatch.Status, started Micros) (lines []Worker) {
-		for i := range each {
-			r := line(fmt.Sprintf("r%d-%d", zone, i), status)
+	const zones, workersPerZone = 14, 20
+	zoneWorkers := func(zone int, status dispatch.Status, started Micros) (lines []Worker) {
+		for i := range workersPerZone {
+			r := testWorker(fmt.Sprintf("r%d-%d", zone, i), status)
 			r.Zone, r.Started = fmt.Sprint("z", zone), started
 			lines = append(lines, r)
 		}
@@ -207,12 +210,12 @@
 	}
 	var workers []Worker
 	for zone := range zones {
-		workers = append(workers, of(zone, dispatch.Ready, 0)...)
+		workers = append(workers, zoneWorkers(zone, dispatch.Ready, 0)...)
 	}
-	removed, restarted := of(3, dispatch.Removed, 0), of(3, dispatch.Ready, 1002*second)
-	draining := of(3, dispatch.Draining, 0)
+	removed, restarted := zoneWorkers(3, dispatch.Removed, 0), zoneWorkers(3, dispatch.Ready, 1002*second)
+	draining := zoneWorkers(3, dispatch.Draining, 0)
 	update := func(lines ...Worker) WorkerList { return WorkerList{Workers: lines} }
-	singly := func(lines []Worker) (updates []WorkerList) {
+	oneUpdateEach := func(lines []Worker) (updates []WorkerList) {
 		for _, w := range lines {
 			updates = append(updates, update(w))
 		}
@@ -225,17 +228,18 @@
 	known := slices.Clone(workers)
 	known[17].Status = dispatch.Draining
 	for name, updates := range map[string][]WorkerList{
-		"an update each": singly(removed),
-		"draining first": append(singly(draining), singly(removed)...),
-		"one update":     {update(removed...)},
+		"one update for each worker": oneUpdateEach(removed),
+		"draining first":             append(oneUpdateEach(draining), oneUpdateEach(removed)...),
+		"one update":                 {update(removed...)},
 		"missing from the complete list": {{Complete: true,
-			Workers: slices.Concat(workers[:3*each], workers[4*each:])}},
-		"both at once": append(singly(removed), update(removed...), update(restarted...)),
+			Workers: slices.Concat(workers[:3*workersPerZone], workers[4*workersPerZone:])}},
+		"both at once": append(oneUpdateEach(removed), update(removed...), update(restarted...)),
 		"both mixed, restarted": append(mixed,
 			update(removed...), WorkerList{Complete: true, Workers: workers}, update(restarted...)),
-		"known but for one":        {{Complete: true, Workers: known}},
-		"known, and by an old one": {{Complete: true, Workers: workers}, {Complete: true, Rev: -5, Workers: known}},
-		"the whole fleet":          {{Complete: true}, {Complete: true, Workers: workers}},
+		"known but for one": {{Complete: true, Workers: known}},
+		"known, and by an old one": {{Complete: true, Workers: workers},
+			{Complete: true, Revision: -5, Workers: known}},
+		"the whole fleet": {{Complete: true}, {Complete: true, Workers: workers}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, reference := schedulerForUpdates(), schedulerForUpdates()
@@ -243,14 +247,14 @@
 			apply := func(list WorkerList) {
 				now += second / 100
 				rev++
-				list.Rev += rev
+				list.Revision += rev
 				e := EndpointsUpdated{List: list}
 				got, want := s.Step(now, e, nil), reference.stepReference(now, e)
 				if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
-					t.Fatalf("effects %+v\nof the reference %+v", got, want)
+					t.Fatalf("got effects %+v\nwant those of the reference %+v", got, want)
 				}
 				if !bytes.Equal(s.AppendState(nil), reference.AppendState(nil)) {
-					t.Fatal("the states differ")
+					t.Fatal("the state differs from that of the reference")
 				}
 			}
 			apply(WorkerList{Complete: true, Workers: workers})
@@ -258,18 +262,18 @@
 				apply(list)
 			}
 			now += 600 * second
-			apply(WorkerList{}) // removed workers are forgotten
+			apply(WorkerList{}) // deletes the records of the removed workers, as their retention time is over
 			apply(WorkerList{Complete: true, Workers: workers})
 		})
 	}
 }
 
-// What an update allocates does not grow with the fleet: any code that visited all workers made a list
-// of them first. BenchmarkUpdate measures the time.
+// The memory that an update allocates must not grow with the fleet. This detects code that visits all workers
+// at each update, as such code first allocates a list of them. BenchmarkUpdate measures the time.
 func TestUpdateAllocationIndependentOfFleetSize(t *testing.T) {
 	bytesPerUpdate := func(schedulers, workers int) (bytes uint64) {
 		s, updates := newFleet(t, schedulers, workers), newUpdateFeed(workers)
-		for range 200 { // until the reused memory has grown
+		for range 200 { // grows the buffers that later updates reuse
 			updates.step(s)
 		}
 		const n = 400
@@ -284,8 +288,8 @@
 	small := bytesPerUpdate(300, 200)
 	for _, size := range [][2]int{{300, 800}, {300, 2400}, {300, 7200}, {30, 7200}, {17, 7200}, {7200, 7200}} {
 		if large := bytesPerUpdate(size[0], size[1]); large > 2*small {
-			t.Errorf("an update takes %d bytes of 300 schedulers with 200 workers, %d of %d with %d", small, large,
-				size[0], size[1])
+			t.Errorf("bytes per update: %d (300 schedulers, 200 workers), %d (%d schedulers, %d workers), want <= 2 x",
+				small, large, size[0], size[1])
 		}
 	}
 }
