--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -7,21 +7,26 @@
 	"testing"
 )
 
-// Workers in slow start, in sum: each dispatcher has a list of its own, learns of a start at a time of its
-// own, and there is no gossip. What all send together is checked against the rule.
+// The tests in this file simulate many dispatchers without gossip whose workers restart. Each dispatcher has
+// its own worker list and learns of a restart at its own time. The tests check the slow-start limit: all
+// dispatchers together must not send a worker in slow start more work within an overload window than its
+// limit.
 
-// deployment is a deployment: its settings, classes and machines.
+// deployment describes a deployment: its settings, classes and machines.
 type deployment struct {
 	name            string
 	configure       func(*Settings)
-	meanWork        []float64 // mean work of each class
-	classMix        []float64 // of the requests
-	twoSlotFraction float64   // fraction of the requests that take two slots, beyond the first class
-	hinted          bool
-	cores           float64
-	slots           float64 // at the least cores: with more, requests share them
+	meanWork        []float64 // mean work of each class, in core-microseconds
+	classMix        []float64 // fraction of the requests that belong to each class
+	twoSlotFraction float64   // fraction of the requests of classes 1 and 2 that take two slots
+	hinted          bool      // requests carry cost hints
+	cores           float64   // cores of a worker
+	slots           float64   // slots of a worker, at least as many as cores; requests share the cores
 }
 
+// allDeployments has the simulated deployments: "even" has classes of similar work, "wide" has long requests
+// without cost hints that make up most of the work, "steep" has such requests with cost hints, and "big" has
+// workers with 20 cores.
 var allDeployments = []deployment{
 	{name: "even", meanWork: []float64{400_000, 300_000, 600_000}, classMix: []float64{0.5, 0.3, 0.2},
 		cores: 2, slots: 2, configure: func(s *Settings) {
@@ -45,6 +50,7 @@
 		}},
 }
 
+// meanRequestWork returns the mean work of a request over all classes.
 func (s *deployment) meanRequestWork() (meanRequestWork float64) {
 	for k, work := range s.meanWork {
 		meanRequestWork += work * s.classMix[k]
@@ -52,30 +58,34 @@
 	return meanRequestWork
 }
 
-// rampCase is a simulation: who is there, what restarts, and what goes wrong meanwhile.
+// rampCase describes a simulation: the size of the fleet, the workers and dispatchers that restart, and the
+// load.
 type rampCase struct {
-	deployment         *deployment
-	dispatchers        int
-	statedDispatchers  int // as the settings say, in a table a multiple of those there are; 0: as many
+	deployment  *deployment
+	dispatchers int
+	// statedDispatchers is the number of dispatchers in the settings; 0 means the actual number. In the tables
+	// for runCases it is a multiple of the actual number.
+	statedDispatchers  int
 	workers            int
-	restarted          int     // the first ones of zone 0 of fleetList; 0: all of that zone, -1: all
-	load               float64 // of the capacity of the warm fleet
-	maxDelay           Micros  // the latest that a start is listed
-	dispatcherRestarts float64 // fraction of the dispatchers that restart within the ramp
-	secondStart        bool    // the workers start once more, 3 s later
+	restarted          int     // workers of zone 0 that restart; 0 means all of zone 0, -1 the whole fleet
+	load               float64 // offered work as a fraction of the capacity of the warm fleet
+	maxDelay           Micros  // longest time from a restart until a dispatcher's list shows it
+	dispatcherRestarts float64 // fraction of the dispatchers that restart during the simulation
+	secondStart        bool    // the workers stop again 3 s after the first restart, and start 1 s later
 	seed               uint64
 }
 
-// rampWorker is a worker as it is, not as a dispatcher sees it.
+// rampWorker is the actual state of a worker, which no dispatcher sees directly.
 type rampWorker struct {
 	entry     WorkerEntry
-	restarted bool
-	starts    []Micros
-	busy      float64
-	queue     []*rampRun
-	sent      []rampSend
+	restarted bool       // the worker restarts in this simulation
+	starts    []Micros   // times of its restarts
+	busy      float64    // slots in use
+	queue     []*rampRun // attempts that wait for a slot
+	sent      []rampSend // attempts sent since the first restart
 }
 
+// rampRun is an attempt at a simulated worker.
 type rampRun struct {
 	dispatcher int
 	job        JobID
@@ -83,51 +93,61 @@
 	worker     *rampWorker
 	work       float64
 	slots      float64
-	endsAt     Micros // 0: it waits
+	endsAt     Micros // time at which the attempt will end; 0 while it waits for a slot
 	ended      bool
 }
 
+// rampSend records an attempt that a dispatcher sent to a restarted worker.
 type rampSend struct {
 	at       Micros
 	work     float64
-	informed bool // of the start that is the latest by then
+	informed bool // the dispatcher's list shows the worker's latest restart
 }
 
+// rampJobSize is the size of a request.
 type rampJobSize struct {
 	work, slots float64
 }
 
-// rampResult is what a simulation showed. Both fractions are of what the rule allows in a window.
+// rampResult is the result of a simulation. The fields informed and total are maxima over all workers and
+// overload windows, as fractions of the slow-start limit.
 type rampResult struct {
-	informed    float64 // the most that those who knew of the start sent
-	all         float64 // the most that all sent, where over two thirds came from those
-	utilization float64 // of the capacity of the restarted workers, once all know of the start
-	sends       int
+	informed float64 // work from dispatchers whose list shows the restart
+	// total is the work from all dispatchers, taken only from windows in which more than two thirds of the work
+	// came from dispatchers whose list shows the restart.
+	total       float64
+	utilization float64 // used fraction of the restarted workers' capacity after maxDelay
+	sends       int     // attempts sent to restarted workers
 }
 
+// rampTick is the step of the simulated clock, rampWarmUp the time before the first restart, and rampLength
+// the simulated time in all.
 const rampTick, rampWarmUp, rampLength = Micros(second / 50), Micros(3 * second), Micros(12 * second)
 
 func (c *rampCase) String() string {
-	restarted := fmt.Sprint(c.restarted, " of a zone")
+	restarted := fmt.Sprint(c.restarted, " workers of zone 0")
 	switch c.restarted {
 	case 0:
-		restarted = "a zone"
+		restarted = "all of zone 0"
 	case -1:
 		restarted = "all"
 	}
-	return fmt.Sprintf("%s, %d dispatchers (%d said), %d workers, %s restarted, load %v, known within %v ms, "+
-		"%v of the dispatchers restart, second start %v", c.deployment.name, c.dispatchers, c.statedDispatchers,
-		c.workers, restarted, c.load, c.maxDelay/1000, c.dispatcherRestarts, c.secondStart)
+	return fmt.Sprintf(
+		"%s, %d dispatchers (stated %d, 0 for all), %d workers, %s restarted, load %v, listed within %v ms, "+
+			"fraction %v of dispatchers restarts, second restart %v", c.deployment.name, c.dispatchers,
+		c.statedDispatchers, c.workers, restarted, c.load, c.maxDelay/1000, c.dispatcherRestarts, c.secondStart)
 }
 
-func (s *deployment) slowStartFraction(set *Settings, since Micros) float64 {
-	return min(1, set.SlowStartInitial+(1-set.SlowStartInitial)*float64(max(0, since))/float64(set.SlowStart))
+// slowStartFraction returns the fraction of its capacity that a worker has at the given time since its start.
+func (s *deployment) slowStartFraction(settings *Settings, since Micros) float64 {
+	return min(1, settings.SlowStartInitial+
+		(1-settings.SlowStartInitial)*float64(max(0, since))/float64(settings.SlowStart))
 }
 
-// run runs a simulation.
+// run simulates the case and returns its result.
 func (c *rampCase) run(t *testing.T) rampResult {
 	deployed, source := c.deployment, random(c.seed*7919)
-	change := func(s *Settings) {
+	applySettings := func(s *Settings) {
 		largeFleetWithoutGossipSettings(s)
 		deployed.configure(s)
 		s.Dispatchers = max(c.statedDispatchers, 1)
@@ -137,22 +157,23 @@
 		s.Tenants = nil
 	}
 	list := testFleet(c.workers)
-	servers := map[WorkerID]*rampWorker{}
-	var order []*rampWorker
-	n := 0
+	workersByID := map[WorkerID]*rampWorker{}
+	var allWorkers []*rampWorker
+	restartedCount := 0
 	for _, e := range list {
 		w := &rampWorker{entry: e}
-		if c.restarted < 0 || e.Zone == 0 && (c.restarted == 0 || n < c.restarted) {
+		if c.restarted < 0 || e.Zone == 0 && (c.restarted == 0 || restartedCount < c.restarted) {
 			w.restarted = true
-			n++
+			restartedCount++
 		}
-		servers[e.Worker], order = w, append(order, w)
+		workersByID[e.Worker], allWorkers = w, append(allWorkers, w)
 	}
-	// Lists are stale in ways of their own: some workers are missing, some are long removed.
+	// Each dispatcher's list is stale in its own way: some workers are missing, and some listed workers no
+	// longer exist.
 	lists := make([][]WorkerEntry, c.dispatchers)
 	for i := range lists {
 		for _, e := range list {
-			if servers[e.Worker].restarted || source.uniform() > 0.15 {
+			if workersByID[e.Worker].restarted || source.uniform() > 0.15 {
 				lists[i] = append(lists[i], e)
 			}
 		}
@@ -162,36 +183,36 @@
 		}
 	}
 	harnesses := make([]*harness, c.dispatchers)
-	updates, updateAt := make([]int, c.dispatchers), make([]Micros, c.dispatchers)
-	restartAt, rate := make([]Micros, c.dispatchers), make([]float64, c.dispatchers)
-	firstStart, sum := 100*second+rampWarmUp, 0.0
+	updateCount, updateAt := make([]int, c.dispatchers), make([]Micros, c.dispatchers)
+	restartAt, relativeRate := make([]Micros, c.dispatchers), make([]float64, c.dispatchers)
+	firstStart, rateSum := 100*second+rampWarmUp, 0.0
 	for i := range harnesses {
-		harnesses[i] = startDispatcher(t, c.dispatchers, i, lists[i], i%2, change)
+		harnesses[i] = startDispatcher(t, c.dispatchers, i, lists[i], i%2, applySettings)
 		harnesses[i].d.settings.Dispatchers = max(1, harnesses[i].d.settings.Dispatchers)
 		for _, e := range list {
 			if harnesses[i].d.workers[e.Worker] != nil {
 				harnesses[i].setSlots(e.Worker, int(deployed.slots))
 			}
 		}
-		rate[i] = 1
+		relativeRate[i] = 1
 		if source.uniform() < 0.15 {
-			rate[i] = 5
+			relativeRate[i] = 5
 		}
-		sum += rate[i]
+		rateSum += relativeRate[i]
 		updateAt[i] = firstStart + Micros(source.uniform()*float64(c.maxDelay))
 		if source.uniform() < c.dispatcherRestarts {
 			restartAt[i] = firstStart + Micros(source.uniform()*float64(rampLength-rampWarmUp))
 		}
 	}
 	lastStart := firstStart
-	// requests a second
-	total := c.load * float64(c.workers) * deployed.cores / deployed.meanRequestWork() * second
+	// The total arrival rate in requests a second.
+	totalRate := c.load * float64(c.workers) * deployed.cores / deployed.meanRequestWork() * second
 	jobs := map[JobID]rampJobSize{}
 	var runs []*rampRun
-	seen := rampResult{}
+	result := rampResult{}
 	served, capacity := 0.0, 0.0
-	var take func(i int, actions []Action, now Micros)
-	end := func(r *rampRun, o Outcome, now Micros) {
+	var handleActions func(i int, actions []Action, now Micros)
+	endRun := func(r *rampRun, o Outcome, now Micros) {
 		if r.ended {
 			return
 		}
@@ -199,47 +220,47 @@
 		if r.endsAt != 0 {
 			r.worker.busy -= r.slots
 		}
-		take(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptEnded, Job: r.job,
+		handleActions(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptEnded, Job: r.job,
 			Attempt: r.attempt, Outcome: o, Final: o == OK}), now)
 	}
-	take = func(i int, actions []Action, now Micros) {
+	handleActions = func(i int, actions []Action, now Micros) {
 		for _, a := range actions {
 			switch a.Kind {
 			case Send:
-				r := &rampRun{dispatcher: i, job: a.Job, attempt: a.Attempt, worker: servers[a.Worker],
+				r := &rampRun{dispatcher: i, job: a.Job, attempt: a.Attempt, worker: workersByID[a.Worker],
 					work: jobs[a.Job].work, slots: jobs[a.Job].slots}
 				if w := r.worker; w == nil || w.restarted && now < lastStart && now >= lastStart-second {
-					end(r, ConnectFailed, now) // it is removed, or on its way back
+					endRun(r, ConnectFailed, now) // the worker does not exist, or is restarting
 					continue
 				} else if w.restarted && now >= firstStart {
-					w.sent = append(w.sent, rampSend{now, r.work, updates[i] == len(w.starts)})
-					seen.sends++
+					w.sent = append(w.sent, rampSend{now, r.work, updateCount[i] == len(w.starts)})
+					result.sends++
 				}
 				r.worker.queue = append(r.worker.queue, r)
 				runs = append(runs, r)
 			case Cancel:
 				for _, r := range runs {
 					if r.dispatcher == i && r.job == a.Job && r.attempt == a.Attempt {
-						end(r, Cancelled, now)
+						endRun(r, Cancelled, now)
 					}
 				}
 			}
 		}
 	}
-	update := func(i int, scope UpdateScope) {
+	deliverUpdate := func(i int, scope UpdateScope) {
 		b := harnesses[i]
 		for k := range lists[i] {
-			if w := servers[lists[i][k].Worker]; w != nil && w.restarted {
+			if w := workersByID[lists[i][k].Worker]; w != nil && w.restarted {
 				lists[i][k].Started = w.starts[len(w.starts)-1]
 			}
 		}
-		updates[i]++
-		take(i, b.feed(Event{Kind: EndpointsUpdated, Scope: scope, Workers: lists[i]}), b.now)
+		updateCount[i]++
+		handleActions(i, b.feed(Event{Kind: EndpointsUpdated, Scope: scope, Workers: lists[i]}), b.now)
 	}
 	job := JobID(0)
 	for now := Micros(100 * second); now < firstStart+rampLength-rampWarmUp; now += rampTick {
-		if now == lastStart-second || now == lastStart { // down, and back
-			for _, w := range order {
+		if now == lastStart-second || now == lastStart { // the workers stop, and start 1 s later
+			for _, w := range allWorkers {
 				if !w.restarted {
 					continue
 				}
@@ -249,7 +270,7 @@
 				for _, r := range runs {
 					if r.worker == w {
 						harnesses[r.dispatcher].now = max(harnesses[r.dispatcher].now, now)
-						end(r, Reset, now)
+						endRun(r, Reset, now)
 					}
 				}
 				w.queue = nil
@@ -259,7 +280,7 @@
 			}
 		}
 		if lastStart != firstStart && now == firstStart+3*second+second {
-			for i := range updateAt { // all learn of the second start, too
+			for i := range updateAt { // every dispatcher gets an update with the second restart
 				updateAt[i] = now + Micros(source.uniform()*float64(c.maxDelay))
 			}
 		}
@@ -267,7 +288,8 @@
 			if restartAt[i] != 0 && restartAt[i] <= now {
 				restartAt[i] = 0
 				for _, r := range runs {
-					if r.dispatcher == i && !r.ended { // its connections close: what ran is abandoned
+					// The connections of the dispatcher close, and its workers abandon the attempts.
+					if r.dispatcher == i && !r.ended {
 						r.ended = true
 						if r.endsAt != 0 {
 							r.worker.busy -= r.slots
@@ -282,18 +304,18 @@
 			if updateAt[i] != 0 && updateAt[i] <= now {
 				updateAt[i] = 0
 				b.now = now
-				update(i, UpdateFull)
+				deliverUpdate(i, UpdateFull)
 			}
-			take(i, b.advance(now-b.now), now)
-			for more := rate[i] / sum * total * float64(rampTick) / second *
-				trafficFactor(now-firstStart); more > 0; more-- {
-				if source.uniform() >= more {
+			handleActions(i, b.advance(now-b.now), now)
+			for expected := relativeRate[i] / rateSum * totalRate * float64(rampTick) / second *
+				trafficFactor(now-firstStart); expected > 0; expected-- {
+				if source.uniform() >= expected {
 					continue
 				}
 				job++
 				e := Event{Kind: JobArrived, Job: job, Slots: 1}
 				for e.Class = 0; e.Class < 2 && source.uniform() >
-					deployed.classMix[e.Class]/(1-sumBefore(deployed.classMix, e.Class)); {
+					deployed.classMix[e.Class]/(1-sumOfEarlierClasses(deployed.classMix, e.Class)); {
 					e.Class++
 				}
 				if e.Class > 0 && source.uniform() < deployed.twoSlotFraction {
@@ -305,7 +327,7 @@
 				}
 				e.ClientTimeout = b.d.settings.Classes[e.Class].Deadline
 				jobs[job] = rampJobSize{work, e.Slots}
-				take(i, b.feed(e), now)
+				handleActions(i, b.feed(e), now)
 			}
 		}
 		for _, r := range runs {
@@ -313,10 +335,10 @@
 				if r.worker.restarted && now >= firstStart+c.maxDelay {
 					served += r.work
 				}
-				end(r, OK, now)
+				endRun(r, OK, now)
 			}
 		}
-		for _, w := range order {
+		for _, w := range allWorkers {
 			speed := 1.0
 			if w.restarted && len(w.starts) > 0 {
 				speed = deployed.slowStartFraction(&harnesses[0].d.settings, now-w.starts[len(w.starts)-1])
@@ -331,27 +353,28 @@
 				}
 				w.busy += r.slots
 				r.endsAt = now + Micros(r.work/speed*max(1, w.busy/deployed.cores))
-				take(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptReported, Job: r.job,
+				handleActions(r.dispatcher, harnesses[r.dispatcher].feed(Event{Kind: AttemptReported, Job: r.job,
 					Attempt: r.attempt,
 					Note:    NoteStarted}), now)
 			}
 		}
-		on := runs[:0]
+		active := runs[:0]
 		for _, r := range runs {
 			if !r.ended {
-				on = append(on, r)
+				active = append(active, r)
 			}
 		}
-		runs = on
+		runs = active
 	}
-	seen.utilization = served / max(1, capacity)
-	for _, w := range order {
-		c.checkWindows(w, &harnesses[0].d.settings, &seen)
+	result.utilization = served / max(1, capacity)
+	for _, w := range allWorkers {
+		c.checkWindows(w, &harnesses[0].d.settings, &result)
 	}
-	return seen
+	return result
 }
 
-// trafficFactor is how much of the mean traffic comes: half as much again for a while in the ramp.
+// trafficFactor returns the arrival rate as a multiple of the mean: 1.5 from 1 s to 4 s after the restart,
+// and 1 otherwise.
 func trafficFactor(since Micros) float64 {
 	if since >= second && since < 4*second {
 		return 1.5
@@ -359,107 +382,117 @@
 	return 1
 }
 
-func sumBefore(shares []float64, class int) (sum float64) {
+// sumOfEarlierClasses returns the sum of the shares of the classes before the given class.
+func sumOfEarlierClasses(shares []float64, class int) (sum float64) {
 	for _, share := range shares[:class] {
 		sum += share
 	}
 	return sum
 }
 
-// checkWindows checks what a worker was sent against the rule, in each window from each start on.
-func (c *rampCase) checkWindows(w *rampWorker, set *Settings, seen *rampResult) {
+// checkWindows compares the work sent to a worker with the slow-start limit, for the overload window that
+// begins with each attempt sent during slow start, and records the largest fractions in the result.
+func (c *rampCase) checkWindows(w *rampWorker, settings *Settings, result *rampResult) {
 	for s, start := range w.starts {
-		until := Micros(math.MaxInt64)
+		nextStart := Micros(math.MaxInt64)
 		if s+1 < len(w.starts) {
-			until = w.starts[s+1]
+			nextStart = w.starts[s+1]
 		}
 		for from, first := range w.sent {
-			if first.at < start || first.at >= until || first.at-start >= set.SlowStart {
+			if first.at < start || first.at >= nextStart || first.at-start >= settings.SlowStart {
 				continue
 			}
-			// The strictest reading: what it could do when the window began.
-			n := c.deployment.slowStartFraction(set, first.at-start) * c.deployment.cores * set.OverloadFactor *
-				float64(set.OverloadWindow) / c.deployment.meanRequestWork()
-			limit := (n + 2*math.Sqrt(n) + 2) * c.deployment.meanRequestWork()
+			// The limit is based on the worker's capacity at the beginning of the window, which is the strictest
+			// interpretation: the capacity grows during the window.
+			meanRequests := c.deployment.slowStartFraction(settings, first.at-start) * c.deployment.cores *
+				settings.OverloadFactor * float64(settings.OverloadWindow) / c.deployment.meanRequestWork()
+			limit := (meanRequests + 2*math.Sqrt(meanRequests) + 2) * c.deployment.meanRequestWork()
 			sum, informed := 0.0, 0.0
 			for _, sent := range w.sent[from:] {
-				if sent.at-first.at >= set.OverloadWindow || sent.at >= until {
+				if sent.at-first.at >= settings.OverloadWindow || sent.at >= nextStart {
 					break
 				}
 				if sum += sent.work; sent.informed {
 					informed += sent.work
 				}
-				seen.informed = max(seen.informed, informed/limit)
+				result.informed = max(result.informed, informed/limit)
 				if 3*informed > 2*sum {
-					seen.all = max(seen.all, sum/limit)
+					result.total = max(result.total, sum/limit)
 				}
 			}
 		}
 	}
 }
 
-// runCases simulates each deployment at each size, and checks each simulation against the rule: at no moment
-// have those who knew of the start sent more than it allows, nor all together where it is their doing.
+// runCases simulates each named deployment at each size, a pair of the numbers of dispatchers and workers,
+// and checks the slow-start limit. In no window may the dispatchers whose lists show the restart send more
+// than the limit, nor may all dispatchers together where over two thirds of the work comes from those.
 func runCases(t *testing.T, deploymentNames string, seeds int, cases []rampCase, sizes ...[2]int) {
 	for s := range allDeployments {
 		if !strings.Contains(deploymentNames, allDeployments[s].name) {
 			continue
 		}
 		for _, size := range sizes {
-			site := &allDeployments[s]
-			if site.slots > 10 && size != [2]int{30, 16} {
-				continue // simulations of so many requests take long
+			deployed := &allDeployments[s]
+			if deployed.slots > 10 && size != [2]int{30, 16} {
+				continue // simulations of workers with more than 10 slots take long
 			}
-			t.Run(fmt.Sprint(site.name, "/", size[0], "/", size[1]), func(t *testing.T) {
+			t.Run(fmt.Sprint(deployed.name, "/", size[0], "/", size[1]), func(t *testing.T) {
 				t.Parallel()
 				for i := range seeds * len(cases) {
 					c := cases[i%len(cases)]
-					c.deployment, c.dispatchers, c.workers, c.seed = site, size[0], size[1], c.seed+uint64(i+1)
+					c.deployment, c.dispatchers, c.workers, c.seed = deployed, size[0], size[1], c.seed+uint64(i+1)
 					c.statedDispatchers *= size[0]
-					seen := c.run(t)
-					if seen.informed > 1 || seen.all > 1 {
-						t.Errorf("those who knew sent %.2f of the limit, all %.2f: %v",
-							seen.informed, seen.all, &c)
+					result := c.run(t)
+					if result.informed > 1 || result.total > 1 {
+						t.Errorf("informed dispatchers sent %.2f of the limit, all %.2f, want at most 1: %v",
+							result.informed, result.total, &c)
 					}
-					if c.restarted < 0 && seen.utilization < 0.1 {
-						t.Errorf("%.2f of a restarted fleet is used: %v", seen.utilization, &c)
+					if c.restarted < 0 && result.utilization < 0.1 {
+						t.Errorf("got utilization %.2f of the restarted fleet, want at least 0.1: %v", result.utilization, &c)
 					}
-					t.Logf("informed %.2f, all %.2f, used %.2f, %d sends: %v",
-						seen.informed, seen.all, seen.utilization, seen.sends, &c)
+					t.Logf("sent by informed dispatchers %.2f of the limit, by all %.2f; utilization %.2f, %d sends: %v",
+						result.informed, result.total, result.utilization, result.sends, &c)
 				}
 			})
 		}
 	}
 }
 
-const mainDeployments, everyDeployment = "even steep big", "even steep big wide"
+// deploymentsWithoutWide and everyDeployment are names of deployments for runCases.
+const deploymentsWithoutWide, everyDeployment = "even steep big", "even steep big wide"
 
-// One worker, some, a zone and the whole fleet restart, under uneven traffic and a burst.
+// One worker, three workers and a whole zone restart, while traffic is uneven over the dispatchers and has a
+// burst. All dispatchers together must keep the slow-start limit.
 func TestSlowStartWorkersKeepTheirLimitInSum(t *testing.T) {
 	runCases(t, everyDeployment, 1, []rampCase{
 		{restarted: 1, load: 0.7, maxDelay: 2 * second},
 		{restarted: 3, load: 1.2, maxDelay: 2 * second, secondStart: true},
 		{restarted: 0, load: 1.2, maxDelay: 6 * second, dispatcherRestarts: 0.3},
-		// Twice as many dispatchers are stated as there are.
+		// The settings state twice as many dispatchers as exist.
 		{restarted: 0, load: 1.2, maxDelay: 2 * second, statedDispatchers: 2},
 	}, [2]int{3, 10}, [2]int{9, 16}, [2]int{20, 16}, [2]int{30, 16}, [2]int{300, 24})
 }
 
+// fleetSizes has pairs of the numbers of dispatchers and workers.
 var fleetSizes = [][2]int{{3, 10}, {9, 16}, {20, 16}, {30, 16}, {30, 60}, {300, 100}}
 
-// The whole fleet restarts and has too much to do: all of it waits for the budgets.
+// fleetRestartCases restarts the whole fleet under a load of 1.2 times its warm capacity, so that all
+// requests wait for slow-start budgets.
 var fleetRestartCases = []rampCase{{restarted: -1, load: 1.2, maxDelay: 2 * second}}
 
 func TestSlowStartFleetKeepsItsLimitInSum(t *testing.T) {
-	runCases(t, mainDeployments, 2, fleetRestartCases, fleetSizes...)
+	runCases(t, deploymentsWithoutWide, 2, fleetRestartCases, fleetSizes...)
 }
 
-// Where a few long requests bring most of the work, one too many is much.
+// A few long requests make up most of the work of this deployment, so a single request beyond the slow-start
+// limit is a large part of the limit.
 func TestSlowStartFleetOfLongRequestsKeepsItsLimit(t *testing.T) {
 	runCases(t, "wide", 2, fleetRestartCases, fleetSizes...)
 }
 
-// The same while three in ten dispatchers restart: their budgets begin anew.
+// dispatcherRestartCases restarts the whole fleet under the load of fleetRestartCases while a fraction of 0.3
+// of the dispatchers restarts, too. The slow-start budgets of a restarted dispatcher begin anew.
 var dispatcherRestartCases = []rampCase{
 	{restarted: -1, load: 1.2, dispatcherRestarts: 0.3},
 	{restarted: -1, load: 1.2, dispatcherRestarts: 0.3, seed: 12},
@@ -467,7 +500,7 @@
 }
 
 func TestSlowStartFleetKeepsItsLimitWhileDispatchersRestart(t *testing.T) {
-	runCases(t, mainDeployments, 1, dispatcherRestartCases, fleetSizes...)
+	runCases(t, deploymentsWithoutWide, 1, dispatcherRestartCases, fleetSizes...)
 }
 
 func TestSlowStartFleetOfLongRequestsKeepsItsLimitWhileDispatchersRestart(t *testing.T) {
