--- a/client/attempt.go
+++ b/client/attempt.go
@@ -142,7 +142,7 @@
 		case !statesLength(response):
 			return failedAttempt(plan.Malformed, errNoLength)
 		}
-		if err := c.reader.Rest(response); err != nil {
+		if err := c.reader.ResponseBody(response); err != nil {
 			return readFailure(err)
 		}
 		c.closing = response.Close
--- a/cmd/dahliaford/config.go
+++ b/cmd/dahliaford/config.go
@@ -63,7 +63,7 @@
 	var known, settingsObject []byte
 	var seed string
 	in := jlexer.Lexer{Data: raw}
-	node.Fields(&in, func(key string) {
+	node.DecodeObject(&in, func(key string) {
 		switch key {
 		case "name":
 			cfg.Name = in.String()
@@ -74,7 +74,7 @@
 		case "seed":
 			seed = in.String()
 		case "limits":
-			cfg.Sockets, cfg.MemoryMB = parseLimits(&in)
+			cfg.MaxDescriptors, cfg.MemoryMB = parseLimits(&in)
 		case "known":
 			known = in.Raw()
 		case "settings":
@@ -94,9 +94,9 @@
 		// It may be of any age, and nothing is sent to a worker because of it alone: an invalid one does not keep
 		// the program from starting.
 		known, invalid, err := node.DecodeList(known)
-		cfg.Known, cfg.InvalidKnown = known, invalid
+		cfg.InitialList, cfg.InitialListError = known, invalid
 		if err != nil {
-			cfg.Known.Workers, cfg.InvalidKnown = nil, err
+			cfg.InitialList.Workers, cfg.InitialListError = nil, err
 		}
 	}
 	if len(settingsObject) == 0 {
@@ -119,7 +119,7 @@
 }
 
 func parseLimits(in *jlexer.Lexer) (sockets, memoryMB int) {
-	node.Fields(in, func(key string) {
+	node.DecodeObject(in, func(key string) {
 		switch key {
 		case "sockets":
 			sockets = in.Int()
@@ -135,6 +135,7 @@
 // needsRestart reports whether a configuration differs from the one that the process started with in a
 // field that a reload does not apply.
 func needsRestart(started, now node.Config) bool {
-	return started.Name != now.Name || started.Listen != now.Listen || started.Sockets != now.Sockets ||
+	return started.Name != now.Name || started.Listen != now.Listen ||
+		started.MaxDescriptors != now.MaxDescriptors ||
 		started.MemoryMB != now.MemoryMB || !reflect.DeepEqual(started.Settings, now.Settings)
 }
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -45,7 +45,8 @@
 		t.Error(diff, err)
 	}
 	cfg, err := parse([]byte(validConfig))
-	if diff := cmp.Diff([]int{1024, 192, 41}, []int{cfg.Sockets, cfg.MemoryMB, int(cfg.Known.Rev)}); diff != "" {
+	if diff := cmp.Diff([]int{1024, 192, 41},
+		[]int{cfg.MaxDescriptors, cfg.MemoryMB, int(cfg.InitialList.Rev)}); diff != "" {
 		t.Error(diff, err)
 	}
 }
@@ -60,8 +61,8 @@
 	}
 	within := strings.Replace(text, `"limits":null,"seed"`, `"limits":{"sockets":null,"x":1},"seed"`, 1)
 	cfg, err := parse([]byte(within))
-	if err != nil || cfg.Sockets != 0 {
-		t.Errorf("%d sockets, %v", cfg.Sockets, err)
+	if err != nil || cfg.MaxDescriptors != 0 {
+		t.Errorf("%d sockets, %v", cfg.MaxDescriptors, err)
 	}
 }
 
@@ -94,8 +95,9 @@
 	} {
 		cfg, err := parse([]byte(strings.Replace(validConfig, `"targets":[]`, `"targets":`+targets, 1)))
 		if invalid := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
-			(cfg.InvalidKnown != nil) != invalid || len(cfg.Known.Workers) != want {
-			t.Errorf("%s: %v, invalid %v, %d workers", targets, err, cfg.InvalidKnown, len(cfg.Known.Workers))
+			(cfg.InitialListError != nil) != invalid || len(cfg.InitialList.Workers) != want {
+			t.Errorf("%s: %v, invalid %v, %d workers", targets, err, cfg.InitialListError,
+				len(cfg.InitialList.Workers))
 		}
 	}
 }
--- a/internal/connstate/connstate.go
+++ b/internal/connstate/connstate.go
@@ -12,13 +12,13 @@
 // Conn is the state of one connection to a worker. The connection carries one exchange at a time: an
 // attempt, or the cancellation of one. The zero Conn is idle.
 type Conn struct {
-	Attempt  scheduler.AttemptID // the attempt of the current exchange
-	Cancel   bool                // the current exchange cancels the attempt
-	Busy     bool                // an exchange is in progress
-	Used     bool                // an earlier exchange used the connection
-	Written  bool                // the last byte of the exchange's request is written
-	Broken   bool                // nothing more can be read
-	Released bool                // given up: later events of the connection are ignored
+	Attempt    scheduler.AttemptID // the attempt of the current exchange
+	Cancel     bool                // the current exchange cancels the attempt
+	Busy       bool                // an exchange is in progress
+	Reused     bool                // an earlier exchange used the connection
+	Written    bool                // the last byte of the exchange's request is written
+	ReadClosed bool                // nothing more can be read
+	Released   bool                // given up: later events of the connection are ignored
 }
 
 // Disposition says what becomes of the connection.
@@ -41,17 +41,17 @@
 	ConnectRefused                    // WriteFailed, as nobody listens at the address: the process is gone
 )
 
-// Answer is a worker's response to an exchange.
-type Answer struct {
+// WorkerResponse is a worker's response to an exchange.
+type WorkerResponse struct {
 	Status     int  // the HTTP status
-	TurnedAway bool // the worker declares that it did not begin the job
+	NotStarted bool // the worker declares that it did not begin the job
 	Close      bool // the worker closes the connection after this response
 	Report     dispatch.Report
 }
 
 // Assign begins an exchange on an idle connection: the attempt itself, or its cancellation.
 func (c *Conn) Assign(attempt scheduler.AttemptID, cancel bool) {
-	c.Used = c.Attempt != 0
+	c.Reused = c.Attempt != 0
 	c.Attempt, c.Cancel, c.Busy, c.Written = attempt, cancel, true, false
 }
 
@@ -67,7 +67,7 @@
 		return c.end(dispatch.ConnectFailed, result == ConnectRefused)
 	}
 	c.Written = true
-	if c.Broken {
+	if c.ReadClosed {
 		return c.end(dispatch.Reset, false)
 	}
 	return KeepOpen, nil
@@ -78,7 +78,7 @@
 	if c.Released {
 		return KeepOpen, nil
 	}
-	c.Broken = true
+	c.ReadClosed = true
 	switch {
 	case !c.Busy:
 		c.Released = true
@@ -99,24 +99,24 @@
 	return Drop, scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: outcome}
 }
 
-// Answered handles a worker's response to the exchange. A response may come twice, the second time late,
+// ResponseReceived handles a worker's response to the exchange. A response may come twice, the second time late,
 // and nothing in it identifies its exchange. So only an accepted attempt leaves a connection that is used
 // again, and on a used connection only a 202 is trusted: a "turned away" of an earlier attempt would
 // release this one while it runs. An attempt that gets a 202 of an earlier one waits for callbacks, as
 // every accepted attempt does.
-func (c *Conn) Answered(a Answer) (Disposition, scheduler.Event) {
+func (c *Conn) ResponseReceived(a WorkerResponse) (Disposition, scheduler.Event) {
 	switch {
 	case c.Released:
 		return KeepOpen, nil
 	case !c.Busy: // unsolicited
 		c.Released = true
 		return Drop, nil
-	case c.Used && (a.Status != 202 || !c.Written):
+	case c.Reused && (a.Status != 202 || !c.Written):
 		return c.end(dispatch.Reset, false)
 	}
 	c.Busy = false
 	next := Idle
-	if a.Close || c.Broken || c.Cancel || !c.Written || a.Status != 202 {
+	if a.Close || c.ReadClosed || c.Cancel || !c.Written || a.Status != 202 {
 		c.Released, next = true, Drop
 	}
 	switch {
@@ -124,7 +124,7 @@
 		return next, scheduler.CancellationResult{Attempt: c.Attempt, Acknowledged: true}
 	case a.Status == 202:
 		return next, scheduler.AttemptAccepted{Attempt: c.Attempt}
-	case (a.Status == 503 || a.Status == 504) && a.TurnedAway:
+	case (a.Status == 503 || a.Status == 504) && a.NotStarted:
 		return next, scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: dispatch.AtCapacity, Report: a.Report}
 	case a.Status >= 400 && a.Status < 500 && a.Status != 429:
 		return next, scheduler.AttemptRejected{Attempt: c.Attempt}
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -81,8 +81,8 @@
 				for _, digit := range step[:3] {
 					status = status*10 + int(digit-'0')
 				}
-				answer := Answer{Status: status, TurnedAway: step[3:] == "away", Close: step[3:] == "close"}
-				next, got = conn.Answered(answer)
+				answer := WorkerResponse{Status: status, NotStarted: step[3:] == "away", Close: step[3:] == "close"}
+				next, got = conn.ResponseReceived(answer)
 			}
 		}
 		if diff := cmp.Diff([]any{c.next, c.want}, []any{next, got}); diff != "" {
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -140,9 +140,9 @@
 		c.sendReset(attempt)
 	case c.receiveTimedOut(): // the connection was closed before
 	case c.worker.cancel(c.cancelID):
-		c.worker.respond(c, connstate.Answer{Status: 200, Close: true})
+		c.worker.respond(c, connstate.WorkerResponse{Status: 200, Close: true})
 	default:
-		c.worker.respond(c, connstate.Answer{Status: 404, Close: true})
+		c.worker.respond(c, connstate.WorkerResponse{Status: 404, Close: true})
 	}
 }
 
@@ -251,8 +251,8 @@
 }
 
 // handleAnswer handles the worker's answer.
-func (c *conn) handleAnswer(a connstate.Answer) {
-	next, e := c.Answered(a)
+func (c *conn) handleAnswer(a connstate.WorkerResponse) {
+	next, e := c.ResponseReceived(a)
 	if next == connstate.Idle {
 		c.node.addIdle(c)
 	}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -105,13 +105,13 @@
 	if !w.hasCapacity(req.job.slots) {
 		req.record(history.Event{Kind: history.Ended, ID: req.id, Actor: w.uid})
 		w.fleet.tally.model.RejectedAtCapacity++
-		w.respond(c, connstate.Answer{Status: 503, TurnedAway: true, Report: w.loadReport()})
+		w.respond(c, connstate.WorkerResponse{Status: 503, NotStarted: true, Report: w.loadReport()})
 		return
 	}
 	a := &attempt{request: req, worker: w, node: c.node}
 	w.attempts[req.id] = a
 	req.outstanding++
-	w.respond(c, connstate.Answer{Status: 202})
+	w.respond(c, connstate.WorkerResponse{Status: 202})
 	w.queue = append(w.queue, a)
 	w.checkOverload(c, req)
 	if w.running {
@@ -129,7 +129,7 @@
 }
 
 // respond sends an answer on a connection.
-func (w *worker) respond(c *conn, a connstate.Answer) {
+func (w *worker) respond(c *conn, a connstate.WorkerResponse) {
 	attempt := c.Attempt
 	w.fleet.network.send(w.zone, c.node.zone, answerBytes, func() {
 		if c.carries(attempt) {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -14,8 +14,8 @@
 
 // The size limits of a message, in bytes.
 const (
-	MaxHead = 16 << 10 // of the first line and the headers
-	MaxBody = 64 << 10 // of the body
+	MaxHeadBytes = 16 << 10 // of the first line and the headers
+	MaxBodyBytes = 64 << 10 // of the body
 )
 
 // Error is the error of a message that breaks the protocol or exceeds a limit.
@@ -50,8 +50,8 @@
 
 // Reader reads messages one after the other.
 type Reader struct {
-	// Continue, if set, is called before the body of a request whose sender waits for "100 Continue".
-	Continue func()
+	// SendContinue, if set, is called before the body of a request whose sender waits for "100 Continue".
+	SendContinue func()
 
 	limited  io.LimitedReader
 	buffered *bufio.Reader
@@ -68,7 +68,7 @@
 
 // Wait blocks until the next message begins or the stream ends. The error is the stream's.
 func (r *Reader) Wait() error {
-	r.limited.N = MaxHead
+	r.limited.N = MaxHeadBytes
 	_, err := r.buffered.Peek(1)
 	return err
 }
@@ -76,7 +76,7 @@
 // Request reads a request. The error is an *Error if the request is malformed or too long,
 // io.ErrUnexpectedEOF if the stream ends within it, and otherwise the stream's.
 func (r *Reader) Request() (*Request, error) {
-	r.limited.N = MaxHead
+	r.limited.N = MaxHeadBytes
 	line, header, err := r.head()
 	if err != nil {
 		return nil, err
@@ -98,8 +98,8 @@
 		}
 	}
 	request := &Request{Method: method, Target: target, Header: header, Close: wantsClose(header, version)}
-	if r.Continue != nil && strings.EqualFold(header.Get("Expect"), "100-continue") {
-		r.Continue()
+	if r.SendContinue != nil && strings.EqualFold(header.Get("Expect"), "100-continue") {
+		r.SendContinue()
 	}
 	if request.Body, err = r.body(header, 0); err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 
 // Head reads the first line and the headers of a response. Its errors are those of Request.
 func (r *Reader) Head() (*Response, error) {
-	r.limited.N = MaxHead
+	r.limited.N = MaxHeadBytes
 	line, header, err := r.head()
 	if err != nil {
 		return nil, err
@@ -134,28 +134,28 @@
 			return nil, err
 		}
 		if response.Status >= 200 {
-			return response, r.Rest(response)
+			return response, r.ResponseBody(response)
 		}
 	}
 	return nil, protocolError(502, "over %d interim responses", maxInterimResponses)
 }
 
-// Rest reads the body that follows the head of a final response. Its errors are those of Request.
-func (r *Reader) Rest(response *Response) (err error) {
+// ResponseBody reads the body that follows the head of a final response. Its errors are those of Request.
+func (r *Reader) ResponseBody(response *Response) (err error) {
 	switch {
 	case response.Status == 204 || response.Status == 304:
 	case response.Header.Get("Content-Length") == "" && response.Header.Get("Transfer-Encoding") == "":
 		response.Close = true // the body lasts as long as the connection
-		response.Body, err = r.body(response.Header, MaxBody)
+		response.Body, err = r.body(response.Header, MaxBodyBytes)
 	default:
 		response.Body, err = r.body(response.Header, 0)
 	}
 	return err
 }
 
-// Chunks returns the chunked body that follows a head. It is decoded as it arrives and may be endless: only
+// ChunkedBody returns the chunked body that follows a head. It is decoded as it arrives and may be endless: only
 // single chunks and their framing are limited.
-func (r *Reader) Chunks() io.Reader { return &chunkReader{reader: r, unbounded: true} }
+func (r *Reader) ChunkedBody() io.Reader { return &chunkReader{reader: r, unbounded: true} }
 
 // head reads a first line and the headers.
 func (r *Reader) head() (line string, header textproto.MIMEHeader, err error) {
@@ -170,7 +170,7 @@
 	case err == nil:
 		return line, header, nil
 	case r.limited.N <= 0:
-		return "", nil, protocolError(431, "head over %d bytes", MaxHead)
+		return "", nil, protocolError(431, "head over %d bytes", MaxHeadBytes)
 	case errors.As(err, &malformed):
 		return "", nil, protocolError(400, "malformed head")
 	case errors.Is(err, io.EOF) && line != "":
@@ -180,30 +180,30 @@
 }
 
 // body reads a body that is framed by its headers. Without framing it reads until the stream ends, at most
-// untilEOF bytes; with untilEOF 0 there is no body.
-func (r *Reader) body(header textproto.MIMEHeader, untilEOF int64) ([]byte, error) {
+// maxUntilEOF bytes; with maxUntilEOF 0 there is no body.
+func (r *Reader) body(header textproto.MIMEHeader, maxUntilEOF int64) ([]byte, error) {
 	lengths, coding := header["Content-Length"], header["Transfer-Encoding"]
 	if len(coding) > 0 {
 		// Two framings in one message are how requests are smuggled past a front end.
 		if len(lengths) > 0 || len(coding) > 1 || !strings.EqualFold(coding[0], "chunked") {
 			return nil, protocolError(400, "unsupported framing")
 		}
-		r.limited.N = 4 * MaxBody // data and framing
+		r.limited.N = 4 * MaxBodyBytes // data and framing
 		return readLimited(&chunkReader{reader: r}, r)
 	}
 	if len(lengths) == 0 {
-		if untilEOF == 0 {
+		if maxUntilEOF == 0 {
 			return nil, nil
 		}
-		r.limited.N = untilEOF + 1
+		r.limited.N = maxUntilEOF + 1
 		return readLimited(r.buffered, r)
 	}
 	length, err := strconv.ParseUint(lengths[0], 10, 31)
 	if err != nil || len(lengths) > 1 {
 		return nil, protocolError(400, "malformed Content-Length")
 	}
-	if length > MaxBody {
-		return nil, protocolError(413, "body over %d bytes", MaxBody)
+	if length > MaxBodyBytes {
+		return nil, protocolError(413, "body over %d bytes", MaxBodyBytes)
 	}
 	// Memory is allocated as the body arrives, not for the length that is announced.
 	r.limited.N = int64(length)
@@ -225,11 +225,11 @@
 	return token != ""
 }
 
-// readLimited reads a body of at most MaxBody bytes.
+// readLimited reads a body of at most MaxBodyBytes bytes.
 func readLimited(body io.Reader, r *Reader) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(body, MaxBody+1))
-	if len(data) > MaxBody || r.limited.N <= 0 && err != nil {
-		return nil, protocolError(413, "body over %d bytes", MaxBody)
+	data, err := io.ReadAll(io.LimitReader(body, MaxBodyBytes+1))
+	if len(data) > MaxBodyBytes || r.limited.N <= 0 && err != nil {
+		return nil, protocolError(413, "body over %d bytes", MaxBodyBytes)
 	}
 	return data, err
 }
@@ -238,7 +238,7 @@
 type chunkReader struct {
 	reader    *Reader
 	remaining uint64 // bytes of the current chunk
-	begun     bool
+	chunkSeen bool
 	ended     bool
 	unbounded bool // the body has no limit, only each chunk has
 }
@@ -257,7 +257,7 @@
 		}
 	}
 	if c.unbounded {
-		c.reader.limited.N = MaxBody
+		c.reader.limited.N = MaxBodyBytes
 	}
 	n, err := c.reader.buffered.Read(p[:min(uint64(len(p)), c.remaining)])
 	c.remaining -= uint64(n)
@@ -270,14 +270,14 @@
 // next reads the framing up to the data of the next chunk, or to the end of the trailer.
 func (c *chunkReader) next() error {
 	if c.unbounded {
-		c.reader.limited.N = MaxHead
+		c.reader.limited.N = MaxHeadBytes
 	}
-	if c.begun {
+	if c.chunkSeen {
 		if line, err := c.reader.lines.ReadLine(); err != nil || line != "" {
 			return errors.Join(err, protocolError(400, "malformed chunk"))
 		}
 	}
-	c.begun = true
+	c.chunkSeen = true
 	line, err := c.reader.lines.ReadLine()
 	if err != nil {
 		return err
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -53,8 +53,8 @@
 		"long chunks": {text: "POST / HTTP/1.1\nTransfer-Encoding: chunked\n\n10001\n" +
 			strings.Repeat("a", 65537) + "\n0\n\n", status: 413},
 		"odd chunk":        {text: "POST / HTTP/1.1\nTransfer-Encoding: chunked\n\nzz\n", status: 400},
-		"long head":        {text: "GET / HTTP/1.1\nA: " + strings.Repeat("a", MaxHead) + "\n\n", status: 431},
-		"endless line":     {text: "GET /" + strings.Repeat("a", MaxHead), status: 431},
+		"long head":        {text: "GET / HTTP/1.1\nA: " + strings.Repeat("a", MaxHeadBytes) + "\n\n", status: 431},
+		"endless line":     {text: "GET /" + strings.Repeat("a", MaxHeadBytes), status: 431},
 		"broken off":       {text: "POST / HTTP/1.1\nContent-Length: 3\n\nab", status: -1},
 		"head broken off":  {text: "POST / HTTP/1.1\nHost:", status: -1},
 		"chunk broken off": {text: "POST / HTTP/1.1\nTransfer-Encoding: chunked\n\n5\nab", status: -1},
@@ -114,7 +114,7 @@
 	const n = 40
 	chunk := crlf("1000\n" + strings.Repeat("a", 0x1000) + "\n")
 	read := NewReader(strings.NewReader(strings.Repeat(chunk, n) + crlf("0\n\n")))
-	body, err := io.ReadAll(read.Chunks())
+	body, err := io.ReadAll(read.ChunkedBody())
 	if diff := cmp.Diff(n*0x1000, len(body)); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
@@ -139,7 +139,7 @@
 	f.Add([]byte(crlf("POST / HTTP/1.1\nTransfer-Encoding: chunked\n\n1\na\n0\n\n")))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r, err := NewReader(bytes.NewReader(data)).Request()
-		if err == nil && (len(r.Body) > MaxBody || r.Target[0] != '/') {
+		if err == nil && (len(r.Body) > MaxBodyBytes || r.Target[0] != '/') {
 			t.Errorf("accepted: %+v", r)
 		}
 	})
@@ -155,7 +155,7 @@
 			}
 		}
 	}).AllocedBytesPerOp()
-	if got > MaxBody/4 {
+	if got > MaxBodyBytes/4 {
 		t.Errorf("%d bytes allocated for a request that never arrived", got)
 	}
 }
--- a/internal/modelcheck/cancellations.go
+++ b/internal/modelcheck/cancellations.go
@@ -72,7 +72,7 @@
 func (w *World) cancellationAnswered(a Action) {
 	c := &w.cancellations[a.Target]
 	c.conn.WriteEnded(connstate.WriteComplete)
-	_, e := c.conn.Answered(connstate.Answer{Status: statusOK})
+	_, e := c.conn.ResponseReceived(connstate.WorkerResponse{Status: statusOK})
 	w.endCancellation(a.Target, e)
 }
 
--- a/internal/modelcheck/connections.go
+++ b/internal/modelcheck/connections.go
@@ -223,7 +223,8 @@
 
 func (w *World) deliverAnswer(a Action) {
 	c := &w.connections[a.Target]
-	_, e := c.conn.Answered(connstate.Answer{Status: c.status, TurnedAway: c.status == statusAtCapacity})
+	_, e := c.conn.ResponseReceived(connstate.WorkerResponse{Status: c.status,
+		NotStarted: c.status == statusAtCapacity})
 	if c.status == statusAccepted && e != nil {
 		c.phase, c.writeUndelivered = acceptedOpen, false
 		w.step(e)
--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -69,6 +69,6 @@
 
 func (c *connection) append(f *fingerprint.Buffer) {
 	*f = append(*f, c.id, c.worker, byte(c.phase))
-	f.Bools(c.slowStart, c.writeUndelivered, c.conn.Busy, c.conn.Written, c.conn.Broken, c.conn.Released)
+	f.Bools(c.slowStart, c.writeUndelivered, c.conn.Busy, c.conn.Written, c.conn.ReadClosed, c.conn.Released)
 	f.Ints(int64(c.attempt), int64(c.status), int64(c.writeBy), int64(c.sentAt))
 }
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -60,7 +60,7 @@
 	c := &client{node: n, conn: conn, inbound: newInbound(conn)}
 	c.reader = http1.NewReader(c.inbound)
 	c.answers = make(chan scheduler.Answer, 1)
-	c.reader.Continue = func() {
+	c.reader.SendContinue = func() {
 		conn.SetWriteDeadline(time.Now().Add(writeGrace))
 		_, _ = io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n") // if it fails, so does the response
 	}
@@ -149,7 +149,7 @@
 	if !errors.Is(why, os.ErrDeadlineExceeded) {
 		return // the client has disconnected
 	}
-	c.respond(c.node.now(), response{status: 503, last: true, retryAfter: "0"})
+	c.respond(c.node.now(), response{status: 503, closeConn: true, retryAfter: "0"})
 	// Linger, or a reset could overtake the response. A client that never sent anything gets no time, as
 	// others wait for its slot, except at a shutdown, when its front end has only just chosen this node.
 	if c.rank.load() > rankNew || c.node.draining.Load() {
@@ -163,15 +163,16 @@
 	if half, ok := c.conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		c.conn.SetReadDeadline(time.Now().Add(lingerTime))
 		// Whether it ends by the client, the deadline or the limit: the connection is closed next.
-		_, _ = io.Copy(io.Discard, io.LimitReader(c.conn, 4*http1.MaxBody))
+		_, _ = io.Copy(io.Discard, io.LimitReader(c.conn, 4*http1.MaxBodyBytes))
 	}
 }
 
 // closeDisconnected ends a connection whose client has disconnected, or has exceeded the read-ahead limit.
-func (c *client) closeDisconnected(at scheduler.Micros, why error) {
+func (c *client) closeDisconnected(receivedAt scheduler.Micros, why error) {
 	if errors.Is(why, errReadAheadLimit) {
 		c.node.log.Warn("bad request", "from", c.conn.RemoteAddr().String(), "why", errReadAheadLimit.Error())
-		c.respond(at, response{status: 400, last: true, body: []byte(errReadAheadLimit.Error() + "\n")})
+		c.respond(receivedAt, response{status: 400, closeConn: true,
+			body: []byte(errReadAheadLimit.Error() + "\n")})
 		c.linger()
 	}
 }
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -14,7 +14,7 @@
 // A client that connects and sends nothing, or an incomplete request, gets an error or a close in time,
 // however late its last byte arrived. A connection that had a request may be idle for longer.
 func TestSlowClients(t *testing.T) {
-	play(t, newWorld(t, 0, "r1"), `
+	runScenario(t, newHarness(t, 0, "r1"), `
 		kept send GET /_health
 		kept expect 200
 		half send part POST /post/7 HTTP/1.1
@@ -38,8 +38,8 @@
 
 // A request that crosses the node's close of the connection is answered.
 func TestRequestCrossesTheClose(t *testing.T) {
-	w := newWorld(t, 0, "r1")
-	c, theirs := piped(w.node)
+	w := newHarness(t, 0, "r1")
+	c, theirs := pipedClient(w.node)
 	defer theirs.Close()
 	c.closeWhenIdle()
 	go c.serve()
@@ -53,8 +53,8 @@
 // A client's mark of a repeated job is passed on.
 func TestRepeatsAreMarked(t *testing.T) {
 	for mark, want := range map[string]bool{"": false, "X-Resent: 1\r\n": true, "X-Resent: 0\r\n": false} {
-		n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parsed(t)})
-		c, theirs := piped(n)
+		n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parseTestSettings(t)})
+		c, theirs := pipedClient(n)
 		go c.serve()
 		text := "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: post\r\nX-Remaining-Ms: 900\r\n" + mark + "\r\n"
 		write(t, theirs, text)
@@ -75,15 +75,15 @@
 		"the program is late":            {lag: 100 * time.Millisecond, less: 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parsed(t)})
+			n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parseTestSettings(t)})
 			defer n.close()
-			c1, theirs := piped(n)
+			c1, theirs := pipedClient(n)
 			defer theirs.Close()
 			began := n.now()
 			if c.queued > 0 {
 				c1.queuedSince = began - scheduler.Micros(c.queued.Microseconds())
 			}
-			n.lag.note(began, began-scheduler.Micros(c.lag.Microseconds()))
+			n.lag.record(began, began-scheduler.Micros(c.lag.Microseconds()))
 			go c1.serve()
 			write(t, theirs, "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: post\r\nX-Remaining-Ms: 900\r\n\r\n")
 			m, is := (<-n.inbox).(submission)
@@ -102,10 +102,10 @@
 		2 * second: "503 after 0 close",
 		0:          "503 close",
 	} {
-		set := parsed(t)
+		set := parseTestSettings(t)
 		set.Dispatch.MaxRetryAfter = maxRetryAfter
-		w := newWorldOf(t, set, 0, "r1")
-		play(t, w, `
+		w := newHarnessWithSettings(t, set, 0, "r1")
+		runScenario(t, w, `
 			c1 send GET /_health
 			c1 expect 200
 			node send stop
@@ -115,7 +115,7 @@
 
 // A client's reader without processor time finds its deadline and a request together.
 func TestReadDeadlineDoesNotSkipARequest(t *testing.T) {
-	ours, theirs := pair(t)
+	ours, theirs := loopbackPair(t)
 	read := newInbound(ours)
 	write(t, theirs, "request")
 	probe := &watchReader{rawConn: read.rawConn}
@@ -151,8 +151,8 @@
 // A request that arrives between the last read of an idle connection and its close gets an answer: on a busy
 // machine some of a thousand closes cross one, when many clients restart.
 func TestRequestBetweenLastReadAndCloseIsAnswered(t *testing.T) {
-	w := newWorld(t, 0, "r1")
-	ours, theirs := pair(t)
+	w := newHarness(t, 0, "r1")
+	ours, theirs := loopbackPair(t)
 	conn := &lateConn{ours, make(chan struct{}), make(chan struct{})}
 	w.node.clientSlots <- struct{}{}
 	w.node.serving.Add(1)
@@ -162,7 +162,7 @@
 	<-conn.timedOut
 	write(t, theirs, "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\n\r\n")
 	conn.proceed <- struct{}{}
-	theirs.SetReadDeadline(time.Now().Add(patience))
+	theirs.SetReadDeadline(time.Now().Add(testTimeout))
 	read := http1.NewReader(theirs)
 	if r, err := read.Response(); err != nil || r.Status != 503 || !r.Close {
 		t.Errorf("got %v, %v", r, err)
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -14,7 +14,7 @@
 // not affect the others: invalid is the error of the first one. With err nothing of the list is known.
 func DecodeList(line []byte) (list scheduler.WorkerList, invalid, err error) {
 	in := jlexer.Lexer{Data: line}
-	Fields(&in, func(key string) {
+	DecodeObject(&in, func(key string) {
 		switch key {
 		case "rev":
 			list.Rev = in.Int64()
@@ -51,7 +51,7 @@
 	var w scheduler.Worker
 	state := ""
 	in := jlexer.Lexer{Data: raw}
-	Fields(&in, func(key string) {
+	DecodeObject(&in, func(key string) {
 		switch key {
 		case "uid":
 			w.UID = in.String()
@@ -101,7 +101,7 @@
 func decodeCallback(body []byte) (scheduler.Callback, error) {
 	var callback scheduler.Callback
 	in := jlexer.Lexer{Data: body}
-	Fields(&in, func(key string) {
+	DecodeObject(&in, func(key string) {
 		switch key {
 		case "id":
 			callback.ID = in.String()
@@ -126,7 +126,7 @@
 // decodeReport decodes a load report. The lexer holds the error.
 func decodeReport(in *jlexer.Lexer) dispatch.Report {
 	r := dispatch.Report{Outstanding: -1}
-	Fields(in, func(key string) {
+	DecodeObject(in, func(key string) {
 		switch key {
 		case "x0":
 			r.Free, r.Known = in.Float64(), true
@@ -141,9 +141,9 @@
 	return r
 }
 
-// Fields reads an object. It calls value for each key whose value is not null, and value must read that value
+// DecodeObject reads an object. It calls value for each key whose value is not null, and value must read that value
 // from the lexer. The lexer holds the error.
-func Fields(in *jlexer.Lexer, value func(key string)) {
+func DecodeObject(in *jlexer.Lexer, value func(key string)) {
 	in.Delim('{')
 	for !in.IsDelim('}') && in.Error() == nil {
 		key := in.UnsafeFieldName(false)
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -17,9 +17,9 @@
 // Clients that disconnect while their jobs wait leave no state behind, and the next job is accepted, however
 // many have disconnected.
 func TestDisconnectedClientsAreForgotten(t *testing.T) {
-	w := newWorld(t, minSockets, "r1")
+	w := newHarness(t, minDescriptors, "r1")
 	for i := range cap(w.node.clientSlots) {
-		play(t, w, fmt.Sprintf(`
+		runScenario(t, w, fmt.Sprintf(`
 			c%[1]d send job batch a%[1]d || work
 			wait open 1
 			c%[1]d close
@@ -36,9 +36,9 @@
 // The disconnect of a client that has sent more requests ahead is seen, whatever is before it in the stream:
 // the job that waits is cancelled, and none behind it is accepted.
 func TestReadAheadSeesADisconnect(t *testing.T) {
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	w.node.onLoop(func() { w.node.invalidateList(t) }) // no job can be sent yet
-	play(t, w, `
+	runScenario(t, w, `
 		c1 send job batch a1 || one
 		c1 send job batch a2 || two
 		c1 send job batch a3 || three
@@ -47,7 +47,7 @@
 		wait open 0
 	`)
 	w.node.onLoop(func() { w.node.receiveList(t, time.Hour) })
-	play(t, w, `
+	runScenario(t, w, `
 		c2 send job batch b1 || next
 		r1 expect POST /batch/7?a=b txn=b1 key=k body=next
 	`)
@@ -59,9 +59,9 @@
 // A client that sends ahead without end is read up to the limit: it gets an error and a close, and its job
 // waits no longer.
 func TestReadAheadIsBounded(t *testing.T) {
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	w.node.onLoop(func() { w.node.invalidateList(t) })
-	play(t, w, `
+	runScenario(t, w, `
 		c1 send job batch a1 || one
 		wait open 1
 		c1 send part `+strings.Repeat("x", maxReadAhead+8<<10)+`
@@ -72,8 +72,8 @@
 
 // A request and the end of its connection arrive together: nothing of it is submitted.
 func TestDisconnectWithTheRequestIsSeenFirst(t *testing.T) {
-	w := newWorld(t, 0, "r1")
-	ours, theirs := pair(t)
+	w := newHarness(t, 0, "r1")
+	ours, theirs := loopbackPair(t)
 	c := newClient(w.node, ours)
 	const job = "POST /batch/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: batch\r\nX-Org: sahel\r\n" +
 		"X-Remaining-Ms: 30000\r\nContent-Length: 0\r\n\r\n"
@@ -105,21 +105,21 @@
 // worker list to be applied.
 func TestUnsentAttemptOfADisconnectedClient(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
-		set := parsed(t)
+		set := parseTestSettings(t)
 		set.Dispatch.CancelAllowed = allowed
-		w := newWorldOf(t, set, 0, "r1")
+		w := newHarnessWithSettings(t, set, 0, "r1")
 		n := w.node
 		n.onLoop(func() {
 			n.postPendingUpdate()
 		})
-		play(t, w, "c1 send job batch a1 || work\nwait open 1\nc1 close\nwait open 0")
+		runScenario(t, w, "c1 send job batch a1 || work\nwait open 1\nc1 close\nwait open 0")
 		n.onLoop(func() {
 			n.freshness.countApplied(n.now())
 			if k := n.sched.Stats(); k.Attempts != 0 && len(n.attempts) != 0 {
 				t.Errorf("may cancel %v: still in flight: %+v", allowed, k)
 			}
 		})
-		play(t, w, `
+		runScenario(t, w, `
 			c2 send job batch b1 || next
 			r1 expect POST /batch/7?a=b txn=b1 key=k body=next
 		`)
@@ -127,14 +127,14 @@
 }
 
 // awaitGuardCheck returns a function that waits until a writer has asked the freshness guard since.
-func (n *Node) awaitGuardCheck(t *testing.T) func() {
+func (n *Node) guardCheckWaiter(t *testing.T) func() {
 	t.Helper()
-	ours, _ := pair(t)
+	ours, _ := loopbackPair(t)
 	reader, err := n.freshness.newWatchReader(ours, n.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun := reader.emptyAt
+	begun := reader.lastEmptyAt
 	return func() {
 		t.Helper()
 		defer reader.close()
@@ -145,13 +145,13 @@
 }
 
 // withAndWithoutCancel runs a test where attempts that were sent may be cancelled, and where they may not.
-func withAndWithoutCancel(t *testing.T, test func(t *testing.T, w *world), workers ...string) {
+func withAndWithoutCancel(t *testing.T, test func(t *testing.T, w *harness), workers ...string) {
 	for _, allowed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("may cancel %v", allowed), func(t *testing.T) {
 			t.Parallel()
-			set := parsed(t)
+			set := parseTestSettings(t)
 			set.Dispatch.CancelAllowed = allowed
-			test(t, newWorldOf(t, set, 0, workers...))
+			test(t, newHarnessWithSettings(t, set, 0, workers...))
 		})
 	}
 }
@@ -159,29 +159,29 @@
 // A disconnect counts from when it is read, however far behind the loop is: nothing is sent on a connection
 // that comes up after that.
 func TestDisconnectCountsBeforeTheLoopSeesIt(t *testing.T) {
-	withAndWithoutCancel(t, func(t *testing.T, w *world) {
+	withAndWithoutCancel(t, func(t *testing.T, w *harness) {
 		n := w.node
 		for i, way := range disconnectWays {
 			n.onLoop(func() { n.postPendingUpdate() })
-			play(t, w, fmt.Sprintf("c%[1]d send job batch a%[1]d || work\nwait open 1", i))
+			runScenario(t, w, fmt.Sprintf("c%[1]d send job batch a%[1]d || work\nwait open 1", i))
 			resume := n.pauseLoop()
 			w.peers[fmt.Sprint("c", i)].disconnect(t, way)
 			if !eventually(func() bool { return len(n.inbox) > 0 }) { // ClientDisconnected
 				t.Fatal("the disconnect is not read")
 			}
-			checked := n.awaitGuardCheck(t)
+			checked := n.guardCheckWaiter(t)
 			n.freshness.countApplied(n.now()) // now the guard does not block the writer any more
 			checked()
 			resume()
-			play(t, w, fmt.Sprintf(`
+			runScenario(t, w, fmt.Sprintf(`
 				wait open 0
-			`+servedNext, i))
+			`+nextJobServed, i))
 		}
 	}, "r1")
 }
 
 // servedNext is another job, numbered by the format's argument: it is served as usual.
-const servedNext = `
+const nextJobServed = `
 	d%[1]d send job batch d%[1]d || next
 	r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
 	r1 send 202 OK
@@ -216,18 +216,18 @@
 func TestPartialRequestOfADisconnectedClientStaysPartial(t *testing.T) {
 	for name, end := range map[string]func(*workerConn, *payload){
 		"its client disconnects": func(_ *workerConn, p *payload) { p.disconnected.Store(true) },
-		"it is cancelled":        func(c *workerConn, _ *payload) { c.abandoned.Store(true) },
+		"it is cancelled":        func(c *workerConn, _ *payload) { c.discardUnsent.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := newWorld(t, 0, "r1").node
-			ours, theirs := pair(t)
+			n := newHarness(t, 0, "r1").node
+			ours, theirs := loopbackPair(t)
 			p := &payload{method: "POST", target: "/batch/7", body: make([]byte, 32<<20)} // more than all buffers
 			e := &exchange{workerUID: "r1", requestID: "a1", payload: p, writeBy: n.now() + 3600*second}
 			c := &workerConn{node: n, addr: "r1", ctx: t.Context()}
 			done := make(chan error, 1)
 			go func() {
 				err := c.write(ours, e)
-				c.releaseOrder()
+				c.releaseResponseOrder()
 				ours.Close()
 				done <- err
 			}()
@@ -246,9 +246,9 @@
 
 // Nothing is submitted of a request whose client disconnects while its connection waits for a slot.
 func TestDisconnectInTheAcceptQueueIsSeenFirst(t *testing.T) {
-	w := newWorld(t, minSockets, "r1")
+	w := newHarness(t, minDescriptors, "r1")
 	n := w.node
-	play(t, w, "c1 send GET /_health\nc1 expect 200") // from now on the acceptor holds the next slot
+	runScenario(t, w, "c1 send GET /_health\nc1 expect 200") // from now on the acceptor holds the next slot
 	releaseSlots := n.takeFreeSlots()
 	first, err := net.Dial("tcp", n.Addr().String()) // takes the acceptor's slot
 	if err != nil {
@@ -257,11 +257,11 @@
 	defer first.Close()
 	for i, way := range disconnectWays {
 		name := fmt.Sprint("q", i)
-		play(t, w, name+" send job batch "+name+" || work")
+		runScenario(t, w, name+" send job batch "+name+" || work")
 		w.peers[name].disconnect(t, way)
 	}
 	releaseSlots()
-	play(t, w, `
+	runScenario(t, w, `
 		c2 send job batch b1 || next
 		r1 expect POST /batch/7?a=b txn=b1 key=k body=next
 	`)
@@ -275,9 +275,9 @@
 // A job whose next attempt is deferred until the cancellation of the one before is acknowledged is not sent
 // then, if its client has disconnected meanwhile.
 func TestDisconnectDuringADeferredAttempt(t *testing.T) {
-	withAndWithoutCancel(t, func(t *testing.T, w *world) {
+	withAndWithoutCancel(t, func(t *testing.T, w *harness) {
 		for i, way := range disconnectWays {
-			play(t, w, fmt.Sprintf(`
+			runScenario(t, w, fmt.Sprintf(`
 				c%[1]d send job batch a%[1]d || work
 				r1 expect POST /batch/7?a=b txn=a%[1]d key=k body=work
 				r1 close reset
@@ -285,11 +285,11 @@
 				r1 expect DELETE /jobs/a%[1]d
 			`, i))
 			w.peers[fmt.Sprint("c", i)].disconnect(t, way)
-			play(t, w, fmt.Sprintf(`
+			runScenario(t, w, fmt.Sprintf(`
 				wait open 0
 				r1 send 200 OK
 				r1 expect end
-			`+servedNext, i))
+			`+nextJobServed, i))
 		}
 	}, "r1")
 }
@@ -298,11 +298,11 @@
 // no further attempt begins.
 func TestDisconnectAsARetryIsDecided(t *testing.T) {
 	for _, disconnectFirst := range []bool{true, false} {
-		withAndWithoutCancel(t, func(t *testing.T, w *world) {
+		withAndWithoutCancel(t, func(t *testing.T, w *harness) {
 			n := w.node
 			n.onLoop(func() { n.idleTimeout = 0 }) // on a connection that was used before a refusal is not trusted
 			for i, way := range disconnectWays {
-				play(t, w, fmt.Sprintf(`
+				runScenario(t, w, fmt.Sprintf(`
 					c%[1]d send job batch a%[1]d || work
 					r1 expect POST /batch/7?a=b txn=a%[1]d key=k body=work
 				`, i))
@@ -327,7 +327,7 @@
 					}
 				}
 				disconnect := func() { w.peers[fmt.Sprint("c", i)].disconnect(t, way) }
-				refuse := func() { play(t, w, "r1 send 503 Full | X-Turned-Away: 1") }
+				refuse := func() { runScenario(t, w, "r1 send 503 Full | X-Turned-Away: 1") }
 				if disconnectFirst {
 					arrives(disconnect)
 					arrives(refuse)
@@ -337,9 +337,9 @@
 				}
 				resume()
 				if disconnectFirst && n.cfg.Settings.Dispatch.CancelAllowed { // what was sent is cancelled
-					play(t, w, fmt.Sprintf("r1 expect DELETE /jobs/a%d\nr1 send 200 OK\nr1 expect end", i))
+					runScenario(t, w, fmt.Sprintf("r1 expect DELETE /jobs/a%d\nr1 send 200 OK\nr1 expect end", i))
 				}
-				play(t, w, fmt.Sprintf(`
+				runScenario(t, w, fmt.Sprintf(`
 					wait open 0
 					d%[1]d send job batch d%[1]d || next
 					r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
@@ -372,10 +372,10 @@
 // A client disconnects between the first byte that it sends ahead and the read-ahead that this begins.
 func TestDisconnectBetweenReadAheadBytes(t *testing.T) {
 	for _, way := range []string{"in order", "reset"} {
-		w := newWorld(t, 0, "r1")
+		w := newHarness(t, 0, "r1")
 		n := w.node
 		n.onLoop(func() { n.invalidateList(t) }) // no job can be sent yet
-		ours, theirs := pair(t)
+		ours, theirs := loopbackPair(t)
 		h := &pausingConn{Conn: ours, paused: make(chan struct{}), resume: make(chan struct{})}
 		n.clientSlots <- struct{}{}
 		n.serving.Add(1)
@@ -383,7 +383,7 @@
 		const job = "POST /batch/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: batch\r\nX-Org: sahel\r\n" +
 			"X-Remaining-Ms: 30000\r\nContent-Length: 0\r\n\r\n"
 		write(t, theirs, job)
-		play(t, w, "wait open 1")
+		runScenario(t, w, "wait open 1")
 		h.pauseNext.Store(true)
 		write(t, theirs, "P")
 		<-h.paused
@@ -392,6 +392,6 @@
 		}
 		theirs.Close()
 		h.resume <- struct{}{}
-		play(t, w, "wait open 0")
+		runScenario(t, w, "wait open 0")
 	}
 }
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// newcomerGrace is how long a new connection has for its first request before it can be evicted,
+	// newConnGrace is how long a new connection has for its first request before it can be evicted,
 	// however few slots are free.
-	newcomerGrace       = 100 * time.Millisecond
-	newcomerGraceMicros = scheduler.Micros(newcomerGrace / time.Microsecond)
+	newConnGrace       = 100 * time.Millisecond
+	newConnGraceMicros = scheduler.Micros(newConnGrace / time.Microsecond)
 )
 
 // clientRank says what a client connection has done. When slots are scarce the lowest rank is evicted first.
@@ -44,19 +44,19 @@
 func (n *Node) evictClients() {
 	n.evictionRequested.Store(false)
 	free := cap(n.clientSlots) - len(n.clientSlots)
-	newcomers := 0
+	newConns := 0
 	idleSince := map[*client]int64{}
 	for c := range n.clients {
 		since, rank := c.idleSince.Load(), c.rank.load()
 		switch {
 		case c.ctx.Err() != nil:
 			free++ // it is about to close
-		case rank == rankNew && n.now()-c.acceptedAt > newcomerGraceMicros,
-			rank == rankRequester && since != 0 && n.now()-scheduler.Micros(since) > newcomerGraceMicros:
+		case rank == rankNew && n.now()-c.acceptedAt > newConnGraceMicros,
+			rank == rankRequester && since != 0 && n.now()-scheduler.Micros(since) > newConnGraceMicros:
 			c.evict()
 			free++
 		case rank <= rankNew:
-			newcomers++
+			newConns++
 		case since != 0:
 			idleSince[c] = since
 		}
@@ -68,7 +68,7 @@
 		return cmp.Or(cmp.Compare(a.rank.load(), b.rank.load()), cmp.Compare(idleSince[a], idleSince[b]))
 	})
 	for _, c := range candidates[:min(len(candidates), n.callbackSlots-free)] {
-		if c.rank.load() == rankEstablished && newcomers > 0 {
+		if c.rank.load() == rankEstablished && newConns > 0 {
 			return // newcomers that send nothing can be evicted in a moment
 		}
 		c.evict()
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -16,7 +16,7 @@
 // At the limit of sockets idle connections are evicted, jobs of newcomers are refused while all connections
 // are busy, and callbacks are accepted.
 func TestSocketBudget(t *testing.T) {
-	w := newWorld(t, minSockets, "r1")
+	w := newHarness(t, minDescriptors, "r1")
 	script := ""
 	for i := range cap(w.node.clientSlots) * 2 {
 		script += fmt.Sprintf("idle%d send GET /_health\nidle%d expect 200\n", i, i)
@@ -29,7 +29,7 @@
 		script += fmt.Sprintf("last%d send GET /_health\nlast%d expect 200\n", i, i)
 	}
 	script += fmt.Sprintf("wait open %d", limit) // else the last of them may arrive after the next one
-	play(t, w, script+`
+	runScenario(t, w, script+`
 		more send job post b || x
 		more expect 503 after 0 close
 		r1 send 202 OK
@@ -41,7 +41,7 @@
 // Hundreds of clients that send nothing, or stay connected after their answer, delay neither a new job nor a
 // callback for long, and do not cause the eviction of an established client.
 func TestManyIdleClients(t *testing.T) {
-	w := newWorld(t, minSockets, "r1")
+	w := newHarness(t, minDescriptors, "r1")
 	script := `
 		c1 send job post a1 || work
 		r1 expect POST /post/7?a=b txn=a1 key=k body=work
@@ -53,7 +53,7 @@
 		script += fmt.Sprintf("\nmute%d send part\nstays%d send GET /_health\nstays%d expect 200", i, i, i)
 	}
 	began := time.Now()
-	play(t, w, script+`
+	runScenario(t, w, script+`
 		c2 send job post a2 | Connection: close || work
 		r1 expect POST /post/7?a=b txn=a2 key=k body=work
 		r1 send 202 OK
@@ -62,7 +62,7 @@
 		c2 expect 200 close yes
 		c1 send GET /_health
 		c1 expect 200`)
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("took %v", took)
 	}
 }
@@ -104,13 +104,13 @@
 // A client whose request became complete as it was evicted gets a refusal, and nothing is sent on. A client
 // of a higher rank is never cut off, as that would lose its request.
 func TestEvictionCrossesTheRequest(t *testing.T) {
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	for rank, want := range map[clientRank]string{
 		rankEvicted:     "503 close",
 		rankNew:         "200",
 		rankEstablished: "200",
 	} {
-		c, theirs := piped(w.node)
+		c, theirs := pipedClient(w.node)
 		c.rank.store(rank)
 		if rank == rankEstablished {
 			c.evict()
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -27,5 +27,5 @@
 	remaining := strconv.FormatInt(int64(max(e.deadline-now, 0)/1000), 10)
 	return http1.AppendRequest(make([]byte, 0, 512+len(p.body)), p.method, p.target, []http1.Field{
 		{Name: "Host", Value: host}, {Name: "X-Txn", Value: e.requestID},
-		{Name: "X-Remaining-Ms", Value: remaining}, {Name: "Idempotency-Key", Value: p.key}}, p.body)
+		{Name: "X-Remaining-Ms", Value: remaining}, {Name: "Idempotency-Key", Value: p.idempotencyKey}}, p.body)
 }
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -15,31 +15,31 @@
 //
 // The settings are constant. Everything else is under mu, including the fields of the readers.
 type freshnessGuard struct {
-	grace        scheduler.Micros // how long attempts may still be sent to a worker after it begins to drain
-	staleAfter   scheduler.Micros // a change is in force this long after it was made, received or not; 0: never
-	pushed       bool             // without a watch a change is in force at once
+	drainGrace   scheduler.Micros // how long attempts may still be sent to a worker after it begins to drain
+	maxStaleness scheduler.Micros // a change is in force this long after it was made, received or not; 0: never
+	listPushed   bool             // without a watch a change is in force at once
 	pollInterval scheduler.Micros // without a watch a change is in force after this; 0: not stated
 
-	mu         sync.Mutex
-	readers    map[*watchReader]bool
-	draining   map[string]bool  // workers, by UID, that get no new attempts
-	posted     uint64           // updates that readers have sent to the loop
-	applied    uint64           // updates that the loop has applied
-	asOf       scheduler.Micros // all changes up to this time have been applied
-	validUntil scheduler.Micros // until when the list may be used
-	changed    chan struct{}    // closed, and replaced, when writers should check again
+	mu             sync.Mutex
+	readers        map[*watchReader]bool
+	draining       map[string]bool  // workers, by UID, that get no new attempts
+	postedUpdates  uint64           // updates that readers have sent to the loop
+	appliedUpdates uint64           // updates that the loop has applied
+	asOf           scheduler.Micros // all changes up to this time have been applied
+	validUntil     scheduler.Micros // until when the list may be used
+	changed        chan struct{}    // closed, and replaced, when writers should check again
 }
 
-func newFreshnessGuard(grace, staleAfter scheduler.Micros) *freshnessGuard {
-	return &freshnessGuard{grace: grace, staleAfter: staleAfter, readers: map[*watchReader]bool{},
+func newFreshnessGuard(drainGrace, maxStaleness scheduler.Micros) *freshnessGuard {
+	return &freshnessGuard{drainGrace: drainGrace, maxStaleness: maxStaleness, readers: map[*watchReader]bool{},
 		draining: map[string]bool{}, changed: make(chan struct{})}
 }
 
 // Why an attempt may not be sent.
 var (
-	errUnapplied = errors.New("an update of the worker list is not applied yet") // it is soon
-	errDraining  = errors.New("the worker is draining")
-	errStale     = errors.New("the worker list is stale")
+	errUpdatePending  = errors.New("an update of the worker list is not applied yet") // it is soon
+	errWorkerDraining = errors.New("the worker is draining")
+	errListStale      = errors.New("the worker list is stale")
 )
 
 // allowSend returns nil if an attempt may be sent to a worker now, and otherwise the reason. If it may, all
@@ -50,27 +50,27 @@
 	defer g.mu.Unlock()
 	switch {
 	case g.draining[uid]:
-		return errDraining
-	case g.staleAfter > 0 && now > g.validUntil:
-		return errStale
-	case g.posted != g.applied:
-		return errUnapplied
+		return errWorkerDraining
+	case g.maxStaleness > 0 && now > g.validUntil:
+		return errListStale
+	case g.postedUpdates != g.appliedUpdates:
+		return errUpdatePending
 	}
 	for reader := range g.readers {
-		if !reader.observe(now) {
-			return errUnapplied
+		if !reader.checkEmpty(now) {
+			return errUpdatePending
 		}
 	}
 	return nil
 }
 
-// observeReaders notes which readers have nothing to read, as every send does. A scheduler that sends little
+// checkReaders notes which readers have nothing to read, as every send does. A scheduler that sends little
 // would otherwise take the next update for older than it is, and its list for stale too soon.
-func (g *freshnessGuard) observeReaders(now scheduler.Micros) {
+func (g *freshnessGuard) checkReaders(now scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for reader := range g.readers {
-		reader.observe(now)
+		reader.checkEmpty(now)
 	}
 }
 
@@ -93,8 +93,8 @@
 func (g *freshnessGuard) countPosted(reader *watchReader, now scheduler.Micros) (asOf scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.posted++
-	return min(now, reader.emptyAt+g.grace/2)
+	g.postedUpdates++
+	return min(now, reader.lastEmptyAt+g.drainGrace/2)
 }
 
 // countApplied counts an update that the loop has applied. asOf is the time that countPosted returned for
@@ -102,9 +102,9 @@
 func (g *freshnessGuard) countApplied(asOf scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.applied++
+	g.appliedUpdates++
 	if asOf != 0 {
-		g.asOf, g.validUntil = asOf, asOf+g.staleAfter
+		g.asOf, g.validUntil = asOf, asOf+g.maxStaleness
 	}
 	g.notifyChange()
 }
@@ -120,8 +120,8 @@
 	case unreadable:
 		g.validUntil = 0
 	case lastEmpty == 0:
-	case g.pushed: // a change that the agent has is in force, with or without a watch
-		g.validUntil = min(g.validUntil, lastEmpty+g.grace)
+	case g.listPushed: // a change that the agent has is in force, with or without a watch
+		g.validUntil = min(g.validUntil, lastEmpty+g.drainGrace)
 	case g.pollInterval > 0: // a change is in force so long after it was made
 		g.validUntil = min(g.validUntil, g.asOf+g.pollInterval)
 	}
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -16,7 +16,7 @@
 func TestNoSendPastAnUnappliedUpdate(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	clock := 100 * second
-	ours, theirs := pair(t)
+	ours, theirs := loopbackPair(t)
 	reader, err := guard.newWatchReader(ours, func() scheduler.Micros { return clock })
 	if err != nil {
 		t.Fatal(err)
@@ -35,39 +35,39 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	want("nothing received yet", "r1", errStale)
+	want("nothing received yet", "r1", errListStale)
 	guard.countPosted(reader, clock)
-	want("a first update in the inbox", "r1", errStale)
+	want("a first update in the inbox", "r1", errListStale)
 	guard.countApplied(clock)
 	want("it is valid", "r1", nil)
 	deliver("leaves r1\n")
-	want("in the socket", "r1", errUnapplied)
+	want("in the socket", "r1", errUpdatePending)
 	if n, err := reader.Read(buffer); err != nil || string(buffer[:n]) != "leaves r1\n" {
 		t.Fatalf("read %q, %v", buffer[:n], err)
 	}
-	want("with the reader", "r1", errUnapplied)
+	want("with the reader", "r1", errUpdatePending)
 	guard.countPosted(reader, clock)
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := reader.Read(buffer); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("read more: %v", err)
 	}
-	want("in the inbox", "r1", errUnapplied)
+	want("in the inbox", "r1", errUpdatePending)
 	next := guard.nextChange()
 	guard.setDraining("r1", true)
 	guard.countApplied(clock)
 	<-next
-	want("applied", "r1", errDraining)
+	want("applied", "r1", errWorkerDraining)
 	want("applied", "r2", nil)
 	guard.setDraining("r1", false)
 	want("back", "r1", nil)
-	if clock += 6*second + 1; !errors.Is(guard.allowSend("r1", clock), errStale) {
+	if clock += 6*second + 1; !errors.Is(guard.allowSend("r1", clock), errListStale) {
 		t.Error("the list is valid for ever")
 	}
 	guard.countPosted(reader, clock)
 	guard.countApplied(clock)
 	want("received again", "r1", nil)
 	guard.watchClosed(0, true)
-	want("an update that cannot be read", "r1", errStale)
+	want("an update that cannot be read", "r1", errListStale)
 }
 
 // The age of an update counts from when it may have been written, not from when it was read.
@@ -77,7 +77,7 @@
 		"read soon":               {100 * second, 100*second + 100*millisecond, 100*second + 100*millisecond},
 		"half of the grace later": {100 * second, 102 * second, 100*second + 250*millisecond},
 	} {
-		if got := guard.countPosted(&watchReader{emptyAt: c.empty}, c.read); got != c.want {
+		if got := guard.countPosted(&watchReader{lastEmptyAt: c.empty}, c.read); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
@@ -86,24 +86,24 @@
 // A scheduler that sends nothing still observes its watch now and then, so that an update that arrives after
 // a while is not taken for as old as the last send. An update that is unread is never skipped by that.
 func TestIdleSchedulerObservesItsWatch(t *testing.T) {
-	w := newWatchedWorld(t, false, 10*second)
+	w := newWatchHarness(t, false, 10*second)
 	n, reader := w.node, (*watchReader)(nil)
 	n.freshness.mu.Lock()
 	for only := range n.freshness.readers {
 		reader = only
 	}
-	began := reader.emptyAt
+	began := reader.lastEmptyAt
 	n.freshness.mu.Unlock()
 	if !eventually(func() bool { return reader.lastEmpty() >= began+2*second }) {
 		t.Error("the watch is not observed")
 	}
 	guard := newFreshnessGuard(testGrace, 6*second)
-	ours, theirs := pair(t)
+	ours, theirs := loopbackPair(t)
 	reader, err := guard.newWatchReader(ours, func() scheduler.Micros { return 100 * second })
 	if err != nil {
 		t.Fatal(err)
 	}
-	guard.observeReaders(101 * second)
+	guard.checkReaders(101 * second)
 	if got := guard.countPosted(reader, 102*second); got != 101*second+testGrace/2 {
 		t.Errorf("the update counts from %d", got)
 	}
@@ -111,7 +111,7 @@
 	if !eventually(func() bool { return !reader.empty() }) {
 		t.Fatal("nothing arrives")
 	}
-	if guard.observeReaders(103 * second); reader.lastEmpty() != 101*second {
+	if guard.checkReaders(103 * second); reader.lastEmpty() != 101*second {
 		t.Error("an unread update is skipped")
 	}
 }
@@ -119,14 +119,14 @@
 // An attempt is in flight, with its connection up, as the update arrives that its worker drains. The attempt
 // goes to the other worker, and the first one is not ejected as if it had failed.
 func TestAttemptInFlightAvoidsADrainingWorker(t *testing.T) {
-	w := newWorld(t, 0, "r1", "r2")
+	w := newHarness(t, 0, "r1", "r2")
 	n := w.node
 	n.onLoop(func() {
 		n.postPendingUpdate()
 	})
-	play(t, w, "c1 send job post a1 || work\nwait open 1")
+	runScenario(t, w, "c1 send job post a1 || work\nwait open 1")
 	var first string
-	for end := time.Now().Add(patience); first == "" && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); first == "" && time.Now().Before(end); {
 		n.onLoop(func() {
 			for _, c := range n.attempts {
 				first = map[string]string{w.peers["r1"].listener.Addr().String(): "r1",
@@ -142,7 +142,7 @@
 		n.applyUpdate(t, watchUpdate{watch: n.watch,
 			event: scheduler.EndpointsUpdated{List: list, AsOf: n.now() + 3600*second}})
 	})
-	play(t, w, other+" expect POST /post/7?a=b txn=a1 key=k body=work")
+	runScenario(t, w, other+" expect POST /post/7?a=b txn=a1 key=k body=work")
 	received := w.peers[first].received
 	if n := len(received); n > 1 || n == 1 && (<-received).text != "end" {
 		t.Error("the draining worker got the attempt")
@@ -154,7 +154,7 @@
 func TestWriterWakesOnceTheWatchIsDrained(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	clock := 100 * second
-	ours, theirs := pair(t)
+	ours, theirs := loopbackPair(t)
 	reader, err := guard.newWatchReader(ours, func() scheduler.Micros { return clock })
 	if err != nil {
 		t.Fatal(err)
@@ -166,7 +166,7 @@
 	guard.countPosted(reader, clock)
 	guard.countApplied(clock)
 	next := guard.nextChange()
-	if got := guard.allowSend("r1", clock); !errors.Is(got, errUnapplied) {
+	if got := guard.allowSend("r1", clock); !errors.Is(got, errUpdatePending) {
 		t.Errorf("with the reader: %v", got)
 	}
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
@@ -187,14 +187,14 @@
 // worker for draining once its update is applied; and once all are applied the others may get attempts.
 func TestNoSendWhileZoneUpdatesAreApplied(t *testing.T) {
 	const zone, rest = 514, 30
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	n, now := w.node, w.node.now()
 	all := make([]scheduler.Worker, zone+rest)
 	for i := range all {
 		all[i] = scheduler.Worker{UID: fmt.Sprint("z", i), Addr: fmt.Sprintf("127.0.0.9:%d", 1000+i),
 			Zone: "north", Kind: "m1", Status: dispatch.Ready}
 	}
-	reader := &watchReader{emptyAt: now}
+	reader := &watchReader{lastEmptyAt: now}
 	update := func(rev int64, complete bool, workers ...scheduler.Worker) watchUpdate {
 		asOf := n.freshness.countPosted(reader, n.now())
 		return watchUpdate{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: asOf,
@@ -219,7 +219,7 @@
 		}
 		for i, m := range updates {
 			for _, uid := range []string{all[i].UID, all[zone].UID} {
-				if err := n.freshness.allowSend(uid, n.now()); !errors.Is(err, errUnapplied) {
+				if err := n.freshness.allowSend(uid, n.now()); !errors.Is(err, errUpdatePending) {
 					t.Errorf("%d of %d updates are applied, and for %s: %v", i, zone, uid, err)
 					return
 				}
@@ -228,7 +228,7 @@
 				t.Error(err)
 				return
 			}
-			if err := n.freshness.allowSend(all[i].UID, n.now()); !errors.Is(err, errDraining) {
+			if err := n.freshness.allowSend(all[i].UID, n.now()); !errors.Is(err, errWorkerDraining) {
 				t.Errorf("%s is removed: %v", all[i].UID, err)
 				return
 			}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -30,17 +30,17 @@
 
 const second = 1000 * millisecond
 
-const patience = 20 * time.Second // how long a test waits before it fails
+const testTimeout = 20 * time.Second // how long a test waits before it fails
 
 // world is a node with peers on loopback sockets. Clients are c1, c2, ...; workers are r1, r2, ...; rdown is
 // a worker whose address nobody listens at.
-type world struct {
+type harness struct {
 	node  *Node
 	done  chan error
 	peers map[string]*peer
 }
 
-func parsed(t testing.TB) settings.Settings {
+func parseTestSettings(t testing.TB) settings.Settings {
 	t.Helper()
 	set, err := settings.Parse([]byte(testSettings))
 	if err != nil {
@@ -49,15 +49,15 @@
 	return set
 }
 
-func newWorld(t *testing.T, sockets int, workers ...string) *world {
+func newHarness(t *testing.T, sockets int, workers ...string) *harness {
 	t.Helper()
-	return newWorldOf(t, parsed(t), sockets, workers...)
+	return newHarnessWithSettings(t, parseTestSettings(t), sockets, workers...)
 }
 
-// newWorldOf returns a world with the given settings.
-func newWorldOf(t *testing.T, set settings.Settings, sockets int, workers ...string) *world {
+// newHarnessWithSettings returns a world with the given settings.
+func newHarnessWithSettings(t *testing.T, set settings.Settings, sockets int, workers ...string) *harness {
 	t.Helper()
-	w := &world{done: make(chan error, 1), peers: map[string]*peer{}}
+	w := &harness{done: make(chan error, 1), peers: map[string]*peer{}}
 	var lines []string
 	for _, name := range workers {
 		lines = append(lines, workerLine(name, w.serve(t, name).Addr().String()))
@@ -66,7 +66,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.node, err = Listen(Config{Name: "n", Listen: "127.0.0.1:0", Sockets: sockets, Known: known, Settings: set,
+	w.node, err = Listen(Config{Name: "n", Listen: "127.0.0.1:0", MaxDescriptors: sockets, InitialList: known,
+		Settings:  set,
 		Discovery: w.serve(t, "discovery").Addr().String()}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -89,13 +90,13 @@
 	return w
 }
 
-// newLargeFleetWorld returns a world in which connections to workers are used again, however long they were
+// newLargeFleetHarness returns a world in which connections to workers are used again, however long they were
 // idle.
-func newLargeFleetWorld(t *testing.T, sockets int, workers ...string) *world {
+func newLargeFleetHarness(t *testing.T, sockets int, workers ...string) *harness {
 	t.Helper()
-	set := parsed(t)
+	set := parseTestSettings(t)
 	set.Dispatch.Dispatchers = 80
-	w := newWorldOf(t, set, sockets, workers...)
+	w := newHarnessWithSettings(t, set, sockets, workers...)
 	w.node.onLoop(func() { w.node.idleTimeout = 3600 * second })
 	return w
 }
@@ -138,7 +139,7 @@
 
 // eventually waits until a condition is reached, for as long as tests have patience.
 func eventually(reached func() bool) bool {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if reached() {
 			return true
 		}
@@ -181,7 +182,7 @@
 func (n *Node) postPendingUpdate() {
 	n.freshness.mu.Lock()
 	defer n.freshness.mu.Unlock()
-	n.freshness.posted++
+	n.freshness.postedUpdates++
 }
 
 // applyUpdate has a node handle a message of a watch. It is called on the loop.
@@ -225,7 +226,7 @@
 
 // Actor returns the peer, or the node, of a name. A client that is new gets its connection with its first
 // message.
-func (w *world) Actor(name string) scenario.Actor {
+func (w *harness) Actor(name string) scenario.Actor {
 	if name == "node" {
 		return nodePeer{w.node, w}
 	}
@@ -237,7 +238,7 @@
 }
 
 // Wait waits for the end of the node, for a number of open jobs, or for a number of accepted ones.
-func (w *world) Wait(text string) error {
+func (w *harness) Wait(text string) error {
 	if text, matched := strings.CutPrefix(text, "open "); matched {
 		return w.waitOpen(text)
 	}
@@ -251,13 +252,13 @@
 	case err := <-w.done:
 		w.done <- err
 		return err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		return errors.New("the node did not end")
 	}
 }
 
 // waitOpen waits until a number of jobs is open at the node.
-func (w *world) waitOpen(want string) error {
+func (w *harness) waitOpen(want string) error {
 	if eventually(func() (reached bool) {
 		w.node.onLoop(func() { reached = fmt.Sprint(len(w.node.callers)) == want })
 		return reached
@@ -269,7 +270,7 @@
 
 // waitAccepted waits until a number of connections is idle after a 202. A callback that is read before the
 // 202 of its attempt ends the connection.
-func (w *world) waitAccepted(want string) error {
+func (w *harness) waitAccepted(want string) error {
 	if eventually(func() (reached bool) {
 		w.node.onLoop(func() { reached = fmt.Sprint(w.node.idleCount()) == want })
 		return reached
@@ -280,13 +281,13 @@
 }
 
 // play runs a scenario.
-func play(t *testing.T, w *world, script string) {
+func runScenario(t *testing.T, w *harness, script string) {
 	t.Helper()
 	scenario.Run(t, w, script, func(want, got string) string { return cmp.Diff(want, got) })
 }
 
 // pair returns both ends of a connection on loopback.
-func pair(t *testing.T) (ours, theirs net.Conn) {
+func loopbackPair(t *testing.T) (ours, theirs net.Conn) {
 	t.Helper()
 	l := listenLoopback(t)
 	defer l.Close()
@@ -302,7 +303,7 @@
 }
 
 // piped returns a client connection as the acceptor makes it, not served yet, and its other end.
-func piped(n *Node) (*client, net.Conn) {
+func pipedClient(n *Node) (*client, net.Conn) {
 	ours, theirs := net.Pipe()
 	n.clientSlots <- struct{}{}
 	n.serving.Add(1)
--- a/internal/node/inbound.go
+++ b/internal/node/inbound.go
@@ -12,7 +12,7 @@
 
 // maxReadAhead is how many bytes a client may send ahead of a response, beyond what one read returns. One
 // request at a time is the rule; what comes early is read so that a disconnect behind it is seen.
-const maxReadAhead = http1.MaxHead
+const maxReadAhead = http1.MaxHeadBytes
 
 // errReadAheadLimit is reported to the client.
 var errReadAheadLimit = errors.New("too much was sent ahead of an answer")
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -29,11 +29,11 @@
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	defer n.close()
-	err := n.step(scheduler.Started{Discovery: n.cfg.Discovery, CachedList: n.cfg.Known})
+	err := n.step(scheduler.Started{Discovery: n.cfg.Discovery, CachedList: n.cfg.InitialList})
 	n.log.Info("serving", "name", n.cfg.Name, "listen", n.Addr().String(), "discovery", n.cfg.Discovery,
-		"workers", len(n.cfg.Known.Workers))
-	if n.cfg.InvalidKnown != nil {
-		n.log.Warn("the known worker list has an unusable entry", "why", n.cfg.InvalidKnown)
+		"workers", len(n.cfg.InitialList.Workers))
+	if n.cfg.InitialListError != nil {
+		n.log.Warn("the known worker list has an unusable entry", "why", n.cfg.InitialListError)
 	}
 	n.serving.Add(1) // the acceptor counts, so that no connection is added after the count was 0
 	n.spawn(n.accept)
@@ -49,9 +49,9 @@
 			err = n.handle(m)
 		case <-sweep.C:
 			n.dropExpiredIdle()
-			n.freshness.observeReaders(n.now())
+			n.freshness.checkReaders(n.now())
 		case <-n.timer.C:
-			n.lag.note(n.now(), n.wakeAt)
+			n.lag.record(n.now(), n.wakeAt)
 			err = n.step(scheduler.TimerFired{})
 		}
 	}
@@ -95,7 +95,7 @@
 // onSubmission passes a job to the scheduler. The last slots are for callbacks: without those no job that
 // runs would end.
 func (n *Node) onSubmission(m submission) error {
-	n.lag.note(n.now(), m.receivedAt)
+	n.lag.record(n.now(), m.receivedAt)
 	if len(n.callers) >= cap(n.clientSlots)-n.callbackSlots {
 		n.log.Warn("short on connections: a job is refused", "txn", m.ID)
 		m.client.answers <- scheduler.Answer{Verdict: scheduler.Refused, FinalForConnection: true}
@@ -113,9 +113,9 @@
 // step passes one event to the scheduler and executes its effects. After a panic the scheduler recovers;
 // too many panics end the program.
 func (n *Node) step(e scheduler.Event) error {
-	broken := n.reduce(e)
+	panicked := n.reduce(e)
 	var err error
-	if broken {
+	if panicked {
 		n.effects, err = n.sched.Recover(n.now())
 		if n.panics++; n.panics > maxPanics && err == nil {
 			err = errTooManyPanics
@@ -128,10 +128,10 @@
 }
 
 // reduce runs the reducer on one event and reports whether it panicked.
-func (n *Node) reduce(e scheduler.Event) (broken bool) {
+func (n *Node) reduce(e scheduler.Event) (panicked bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			broken = true
+			panicked = true
 			n.log.Error("the decision module broke down: open requests fail", "panic", fmt.Sprint(cause),
 				"event", fmt.Sprintf("%T", e), "open", n.sched.PendingRequests(), "stack", string(debug.Stack()))
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,34 +24,34 @@
 
 // Config is the configuration of a node.
 type Config struct {
-	Name         string               // identifies the node in the log
-	Listen       string               // the address for clients and for callbacks of workers
-	Discovery    string               // the address of the discovery service
-	Seed         uint64               // of the scheduler's random choices
-	Sockets      int                  // descriptors that the process may hold; 0: not stated
-	MemoryMB     int                  // memory that the process may take; 0: not stated
-	Known        scheduler.WorkerList // the worker list that is known before discovery answers
-	InvalidKnown error                // the first entry of Known that cannot be used; nil: none
-	Settings     settings.Settings
+	Name             string               // identifies the node in the log
+	Listen           string               // the address for clients and for callbacks of workers
+	Discovery        string               // the address of the discovery service
+	Seed             uint64               // of the scheduler's random choices
+	MaxDescriptors   int                  // descriptors that the process may hold; 0: not stated
+	MemoryMB         int                  // memory that the process may take; 0: not stated
+	InitialList      scheduler.WorkerList // the worker list that is known before discovery answers
+	InitialListError error                // the first entry of InitialList that cannot be used; nil: none
+	Settings         settings.Settings
 }
 
 // How the descriptors are divided.
 const (
-	spareSockets        = 32 // standard streams, poller, listener, discovery, log, hedged dials
-	workerSocketDivisor = 4  // one in this many is for connections to workers
+	reservedDescriptors = 32 // standard streams, poller, listener, discovery, log, hedged dials
+	workerConnDivisor   = 4  // one in this many is for connections to workers
 	callbackSlotDivisor = 8  // one in this many of the rest is not available to submitted jobs
-	minSockets          = 64
-	defaultSockets      = 1024
+	minDescriptors      = 64
+	defaultDescriptors  = 1024
 )
 
 const (
 	inboxSize     = 1024
 	sweepInterval = time.Second // at which idle connections to workers are checked for their timeout
-	// maxUnreadyTime is the longest from the start until health reports ready. The call for the list is
+	// maxReadinessTimeout is the longest from the start until health reports ready. The call for the list is
 	// made within 2 s and takes some tenths of a second; nine in ten nodes have to be ready after 6 s at the
 	// latest, and the front end checks health only now and then.
-	maxUnreadyTime = 3 * time.Second
-	abortDrainTime = time.Second // for clients to disconnect, when the node ends without a shutdown request
+	maxReadinessTimeout = 3 * time.Second
+	abortDrainTimeout   = time.Second // for clients to disconnect, when the node ends without a shutdown request
 )
 
 // millisecond is a millisecond on the scheduler's clock.
@@ -66,7 +66,7 @@
 	listener         *net.TCPListener
 	start            time.Time
 	epoch            scheduler.Micros // start on the scheduler's clock
-	maxUnready       time.Duration    // from the start until health reports ready without a list
+	readinessTimeout time.Duration    // from the start until health reports ready without a list
 	watchOpenTimeout time.Duration    // that discovery may take to open a watch
 	watchIdleTimeout time.Duration    // that a watch may be silent
 	idleTimeout      scheduler.Micros // for which an idle connection to a worker is used again
@@ -104,11 +104,11 @@
 	callers map[scheduler.CallerID]*client // those that wait for an answer
 
 	// Connections to workers.
-	idleConns       map[string][]*workerConn            // by address, oldest first; the newest is used first
-	attempts        map[scheduler.AttemptID]*workerConn // with an attempt or its cancellation in progress
-	cancelledUnsent scheduler.AttemptID                 // the last attempt closed before any byte was sent
-	openWorkerConns int
-	cancellations   int // cancellations in progress
+	idleConns           map[string][]*workerConn            // by address, oldest first; the newest is used first
+	attempts            map[scheduler.AttemptID]*workerConn // with an attempt or its cancellation in progress
+	lastCancelledUnsent scheduler.AttemptID                 // the last attempt closed before any byte was sent
+	openWorkerConns     int
+	cancellations       int // cancellations in progress
 
 	// Shutdown.
 	drainDeadline  <-chan struct{} // set by beginDrain; closed when the drain ends at the latest
@@ -119,8 +119,8 @@
 // scheduler rejects the settings, or if the address cannot be opened.
 func Listen(cfg Config, log *slog.Logger) (*Node, error) {
 	// On sockets a list that is pushed comes over a watch, too, and the node has to open it.
-	pushed := !cfg.Settings.Dispatch.PollEndpoints
-	cfg.Settings.Dispatch.PollEndpoints, cfg.Settings.Dispatch.UnmeteredPolls = true, pushed
+	listPushed := !cfg.Settings.Dispatch.PollEndpoints
+	cfg.Settings.Dispatch.PollEndpoints, cfg.Settings.Dispatch.UnmeteredPolls = true, listPushed
 	if cfg.Settings.Dispatch.MaxStaleness == 0 { // only tests set it
 		cfg.Settings.Dispatch.MaxStaleness = scheduler.Micros(defaultMaxStaleness / time.Microsecond)
 	}
@@ -132,24 +132,24 @@
 	if err != nil {
 		return nil, err // it names the operation and the address
 	}
-	if cfg.Sockets <= 0 {
-		cfg.Sockets = defaultSockets
+	if cfg.MaxDescriptors <= 0 {
+		cfg.MaxDescriptors = defaultDescriptors
 	}
-	usable := max(cfg.Sockets, minSockets) - spareSockets
+	usable := max(cfg.MaxDescriptors, minDescriptors) - reservedDescriptors
 	n := &Node{cfg: cfg, log: log, listener: listener.(*net.TCPListener),
 		inbox: make(chan any, inboxSize), start: time.Now(), sched: sched,
 		clients: map[*client]bool{}, callers: map[scheduler.CallerID]*client{},
 		idleConns: map[string][]*workerConn{}, attempts: map[scheduler.AttemptID]*workerConn{},
-		maxWorkerConns: usable / workerSocketDivisor}
+		maxWorkerConns: usable / workerConnDivisor}
 	n.freshness = newFreshnessGuard(cfg.Settings.DrainGrace, cfg.Settings.Dispatch.MaxStaleness)
-	n.freshness.pushed = pushed
+	n.freshness.listPushed = listPushed
 	n.freshness.pollInterval = cfg.Settings.Dispatch.PollInterval
 	n.watchOpenTimeout, n.watchIdleTimeout = watchOpenTimeout, watchIdleTimeout
-	if pushed {
+	if listPushed {
 		n.watchOpenTimeout = agentOpenTimeout
 	}
 	n.idleTimeout = idleTimeoutOf(&cfg.Settings)
-	n.maxUnready = maxUnreadyOf(&cfg.Settings)
+	n.readinessTimeout = readinessTimeoutOf(&cfg.Settings)
 	n.epoch = scheduler.Micros(n.start.UnixMicro())
 	clientLimit := usable - n.maxWorkerConns
 	n.clientSlots = make(chan struct{}, clientLimit)
--- a/internal/node/peer_test.go
+++ b/internal/node/peer_test.go
@@ -14,12 +14,12 @@
 
 // peer is one end of sockets: a client dials the node once, a server listens.
 type peer struct {
-	w        *world
+	w        *harness
 	name     string
 	listener net.Listener
 	conn     net.Conn     // the one with the last message
 	received chan message // what reached the peer
-	later    []message    // what arrived before an end that was waited for
+	deferred []message    // what arrived before an end that was waited for
 }
 
 type message struct {
@@ -28,7 +28,7 @@
 }
 
 // serve opens the listener of a worker or of discovery.
-func (w *world) serve(t *testing.T, name string) net.Listener {
+func (w *harness) serve(t *testing.T, name string) net.Listener {
 	t.Helper()
 	l := listenLoopback(t)
 	p := w.newPeer(name)
@@ -60,7 +60,7 @@
 	return l
 }
 
-func (w *world) newPeer(name string) *peer {
+func (w *harness) newPeer(name string) *peer {
 	p := &peer{w: w, name: name, received: make(chan message, 100)}
 	w.peers[name] = p
 	return p
@@ -89,7 +89,7 @@
 		go p.listen(conn, func(r *http1.Reader) (string, error) {
 			m, err := r.Head()
 			if err == nil && m.Status != 100 {
-				err = r.Rest(m)
+				err = r.ResponseBody(m)
 			}
 			if err != nil {
 				return "", err
@@ -143,9 +143,9 @@
 // unless it is waited for. The end of one connection and the messages of another have no order: a server that
 // waits for an end keeps what arrives before it for the next line.
 func (p *peer) Expect(want string) (string, error) {
-	if len(p.later) > 0 && want != "end" {
-		m := p.later[0]
-		p.later, p.conn = p.later[1:], m.conn
+	if len(p.deferred) > 0 && want != "end" {
+		m := p.deferred[0]
+		p.deferred, p.conn = p.deferred[1:], m.conn
 		return m.text, nil
 	}
 	for {
@@ -155,12 +155,12 @@
 				continue
 			}
 			if want == "end" && m.text != "end" && p.listener != nil {
-				p.later = append(p.later, m)
+				p.deferred = append(p.deferred, m)
 				continue
 			}
 			p.conn = m.conn
 			return m.text, nil
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			return "", errors.New("nothing came")
 		}
 	}
@@ -205,7 +205,7 @@
 var disconnectWays = []string{"in order", "reset", "half a request", "two more requests"}
 
 // writeRaw writes a text on the connection of a client, as it is.
-func (w *world) writeRaw(t *testing.T, client, text string) {
+func (w *harness) writeRaw(t *testing.T, client, text string) {
 	t.Helper()
 	write(t, w.peers[client].conn, text)
 }
@@ -213,7 +213,7 @@
 // nodePeer is the node as an actor of scenarios: it is sent stop, or reload.
 type nodePeer struct {
 	*Node
-	w *world
+	w *harness
 }
 
 func (s nodePeer) Send(text string) error {
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -13,7 +13,7 @@
 
 // A node is not ready for clients without a valid list, unless that lasts.
 func TestHealthWaitsForTheList(t *testing.T) {
-	n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parsed(t)})
+	n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parseTestSettings(t)})
 	defer n.close()
 	if n.ready() {
 		t.Error("ready before a list was received")
@@ -30,14 +30,14 @@
 		t.Error("not ready with a list")
 	}
 	n.listReceived.Store(false)
-	if n.start = n.start.Add(-2 * maxUnreadyTime); !n.ready() {
+	if n.start = n.start.Add(-2 * maxReadinessTimeout); !n.ready() {
 		t.Error("never ready without discovery")
 	}
 }
 
-// maxTestUnready is when nine in ten nodes have to be ready on a day that ends soon, less the time that the
+// testReadinessLimit is when nine in ten nodes have to be ready on a day that ends soon, less the time that the
 // front end may need to see it.
-const maxTestUnready = 4 * time.Second
+const testReadinessLimit = 4 * time.Second
 
 // A node whose discovery refuses, fails or does not answer its calls reports ready on real connections as
 // soon as the client with the shortest deadline would have waited in vain: not before, and well within 6 s.
@@ -46,7 +46,7 @@
 		for _, deadline := range []time.Duration{time.Second, 30 * time.Second} {
 			t.Run(fmt.Sprint(way, ", a client waits ", deadline), func(t *testing.T) {
 				t.Parallel()
-				set := parsed(t)
+				set := parseTestSettings(t)
 				set.Dispatch.Dispatchers = 300
 				for i := range set.Dispatch.Classes {
 					c := &set.Dispatch.Classes[i]
@@ -60,7 +60,7 @@
 					t.Fatal(err)
 				}
 				defer conn.Close()
-				conn.SetDeadline(time.Now().Add(2 * patience))
+				conn.SetDeadline(time.Now().Add(2 * testTimeout))
 				read := http1.NewReader(conn)
 				for refused := 0; ; refused++ {
 					polledAt := time.Since(n.start)
@@ -70,11 +70,11 @@
 						t.Fatal(err)
 					}
 					if answered := time.Since(n.start); r.Status == 200 {
-						if answered < min(deadline, maxUnreadyTime) {
+						if answered < min(deadline, maxReadinessTimeout) {
 							t.Errorf("ready after %v", answered)
 						}
 						break
-					} else if polledAt > maxTestUnready {
+					} else if polledAt > testReadinessLimit {
 						t.Fatalf("not ready after %v", polledAt)
 					}
 					time.Sleep(10 * time.Millisecond) // as a front end that checks now and then
--- a/internal/node/remaining_test.go
+++ b/internal/node/remaining_test.go
@@ -20,30 +20,30 @@
 // time: a remaining time of 30,000 ms told 200 ms after that was so.
 func TestRemainingTimeIsThatOfTheFirstByte(t *testing.T) {
 	const wait = 200 * millisecond
-	n := newWorld(t, 0, "r1").node
-	ours, theirs := pair(t)
+	n := newHarness(t, 0, "r1").node
+	ours, theirs := loopbackPair(t)
 	began := n.now()
 	e := &exchange{workerUID: "r1", requestID: "a1", payload: &payload{method: "POST", target: "/batch/7"},
 		writeBy: began + 3600*second, deadline: began + 30*second}
 	c := &workerConn{node: n, addr: "r1", ctx: t.Context()}
-	defer c.releaseOrder()
+	defer c.releaseResponseOrder()
 	raw, err := ours.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	writer := attemptWriter{conn: c, exchange: e}
 
-	n.freshness.countPosted(&watchReader{emptyAt: began}, began) // an update that is not applied
-	if err := raw.Write(writer.writeReady); err != nil || !errors.Is(writer.blocked, errUnapplied) {
-		t.Fatalf("%v, blocked by %v", err, writer.blocked)
+	n.freshness.countPosted(&watchReader{lastEmptyAt: began}, began) // an update that is not applied
+	if err := raw.Write(writer.writeReady); err != nil || !errors.Is(writer.blockReason, errUpdatePending) {
+		t.Fatalf("%v, blocked by %v", err, writer.blockReason)
 	}
 	for n.now() < began+wait {
 		time.Sleep(time.Millisecond)
 	}
 	n.freshness.countApplied(n.now())
 	released := n.now()
-	if err := raw.Write(writer.writeReady); err != nil || writer.blocked != nil || writer.err != nil {
-		t.Fatalf("%v, blocked by %v, %v", err, writer.blocked, writer.err)
+	if err := raw.Write(writer.writeReady); err != nil || writer.blockReason != nil || writer.err != nil {
+		t.Fatalf("%v, blocked by %v, %v", err, writer.blockReason, writer.err)
 	}
 
 	request, err := http.ReadRequest(bufio.NewReader(theirs))
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -20,14 +20,14 @@
 // response is what a client gets.
 type response struct {
 	status     int
-	last       bool   // the connection is closed after it
+	closeConn  bool   // the connection is closed after it
 	retryAfter string // seconds; empty: none
 	body       []byte
 }
 
 // responseTo returns the response that tells a scheduler's answer.
-func responseTo(answer scheduler.Answer, last bool) response {
-	r := response{status: statusOfVerdict[answer.Verdict], last: last, body: answer.Body}
+func responseTo(answer scheduler.Answer, closeConn bool) response {
+	r := response{status: statusOfVerdict[answer.Verdict], closeConn: closeConn, body: answer.Body}
 	switch answer.Verdict {
 	case scheduler.Refused:
 		r.retryAfter = formatRetryAfter(answer.RetryAfter)
@@ -44,7 +44,7 @@
 // respond writes a response in one piece. It reports whether the connection stays open.
 func (c *client) respond(deadline scheduler.Micros, r response) bool {
 	connection := ""
-	if r.last {
+	if r.closeConn {
 		connection = "close"
 	}
 	if c.node.cfg.Settings.Dispatch.MaxRetryAfter == 0 {
@@ -54,5 +54,5 @@
 		[]http1.Field{{Name: "Retry-After", Value: r.retryAfter}, {Name: "Connection", Value: connection}}, r.body)
 	c.conn.SetWriteDeadline(latest(c.node.timeOf(deadline), time.Now()).Add(writeGrace))
 	_, err := c.conn.Write(b)
-	return err == nil && !r.last
+	return err == nil && !r.closeConn
 }
--- a/internal/node/scenarios_test.go
+++ b/internal/node/scenarios_test.go
@@ -153,20 +153,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			world := newWorld
+			harness := newHarness
 			if strings.Contains(name, "reused connection") {
-				world = newLargeFleetWorld // in a small fleet connections are reused for a moment only
+				harness = newLargeFleetHarness // in a small fleet connections are reused for a moment only
 			}
-			play(t, world(t, 0, "r1"), script)
+			runScenario(t, harness(t, 0, "r1"), script)
 		})
 	}
 }
 
 // A worker that cannot be reached never ran the job: the job goes to another one.
 func TestUnreachedWorker(t *testing.T) {
-	w := newWorld(t, 0, "rdown")
+	w := newHarness(t, 0, "rdown")
 	line := workerLine("r2", w.serve(t, "r2").Addr().String())
-	play(t, w, `
+	runScenario(t, w, `
 		discovery expect GET /catalog/members?watch=1&from=4
 		discovery send head
 		c1 send job post a1 || work
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -26,7 +26,7 @@
 // close releases the listener, the watch and all connections. The connections first have until the drain
 // deadline to write the answers that they have.
 func (n *Node) close() {
-	n.beginDrain(time.Now().Add(abortDrainTime))
+	n.beginDrain(time.Now().Add(abortDrainTimeout))
 	if n.clientsDrained != nil {
 		select {
 		case <-n.clientsDrained:
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,14 +14,14 @@
 // Connections that the system has accepted for a node that stops, and the node has not, are answered:
 // complete requests that wait in the listener's queue while all slots, or the processor, are taken.
 func TestAcceptQueueIsServedAtShutdown(t *testing.T) {
-	w := newWorld(t, minSockets, "r1")
+	w := newHarness(t, minDescriptors, "r1")
 	n := w.node
 	first, err := net.Dial("tcp", n.Addr().String()) // from now on the acceptor holds the next slot
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Close()
-	play(t, w, "c1 send GET /_health\nc1 expect 200")
+	runScenario(t, w, "c1 send GET /_health\nc1 expect 200")
 	releaseSlots := n.takeFreeSlots()
 	var waiting []net.Conn
 	for i := range 20 {
@@ -40,7 +40,7 @@
 	}
 	releaseSlots()
 	for i, conn := range waiting { // one or two got a slot before, and their job ends with the node
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if r, err := http1.NewReader(conn).Response(); err != nil || r.Status != 503 && r.Status != 500 {
 			t.Errorf("request %d got %v, %v", i, r, err)
 		}
@@ -50,7 +50,7 @@
 // A stopping node has nothing pending and has closed its listener, when the rest of a request arrives on a
 // connection that it has. The request must still be answered.
 func TestRequestCrossesTheEnd(t *testing.T) {
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	conn, err := net.Dial("tcp", w.node.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 	}
 	w.node.Stop()
 	write(t, conn, "POST /post/7 HTTP/1.1\r\nX-Lane: post\r\n")
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", w.node.Addr().String())
 		if err != nil {
 			break // no connection is accepted any more: it ends
@@ -106,45 +106,45 @@
 // shutdownStage is a stage of a node's shutdown: how it is reached, and how the node ends from there.
 type shutdownStage struct {
 	name   string
-	reach  func(t *testing.T, w *world)
-	finish func(t *testing.T, w *world)
+	reach  func(t *testing.T, w *harness)
+	finish func(t *testing.T, w *harness)
 }
 
 var shutdownStages = []shutdownStage{
-	{"serving on", func(t *testing.T, w *world) {
-		play(t, w, running)
-	}, func(t *testing.T, w *world) {
+	{"serving on", func(t *testing.T, w *harness) {
+		runScenario(t, w, running)
+	}, func(t *testing.T, w *harness) {
 		w.node.waitRefusing(t)
-		play(t, w, ran)
+		runScenario(t, w, ran)
 	}},
-	{"refusing", func(t *testing.T, w *world) {
-		play(t, w, running)
+	{"refusing", func(t *testing.T, w *harness) {
+		runScenario(t, w, running)
 		w.node.waitRefusing(t)
-	}, func(t *testing.T, w *world) {
-		play(t, w, ran)
+	}, func(t *testing.T, w *harness) {
+		runScenario(t, w, ran)
 	}},
-	{"waiting for withdrawals", func(t *testing.T, w *world) {
-		play(t, w, `
+	{"waiting for withdrawals", func(t *testing.T, w *harness) {
+		runScenario(t, w, `
 			c1 send job batch a1 || one
 			r1 expect POST /batch/7?a=b txn=a1 key=k body=one
 			c1 close
 			r1 expect DELETE /jobs/a1
 			node send stop`)
 		w.node.waitRefusing(t)
-	}, func(t *testing.T, w *world) {
-		play(t, w, "r1 send 200 OK\nwait end")
+	}, func(t *testing.T, w *harness) {
+		runScenario(t, w, "r1 send 200 OK\nwait end")
 	}},
 	// Clients with an incomplete request hold it there.
-	{"closing", func(t *testing.T, w *world) {
-		play(t, w, "c3 send GET /_health\nc3 expect 200\nback3 send GET /_health\nback3 expect 200")
+	{"closing", func(t *testing.T, w *harness) {
+		runScenario(t, w, "c3 send GET /_health\nc3 expect 200\nback3 send GET /_health\nback3 expect 200")
 		w.writeRaw(t, "c3", "POST /batch/7 HTTP/1.1\r\nX-Lane: batch\r\n")
 		w.writeRaw(t, "back3", "POST /callback HTTP/1.1\r\n")
-		play(t, w, "node send stop")
+		runScenario(t, w, "node send stop")
 		w.node.waitFor(t, "closing", func() bool { return w.node.drainDeadline != nil })
-	}, func(t *testing.T, w *world) {
+	}, func(t *testing.T, w *harness) {
 		w.writeRaw(t, "c3", "X-Org: sahel\r\nX-Txn: z1\r\nX-Remaining-Ms: 900\r\nContent-Length: 0\r\n\r\n")
 		w.writeRaw(t, "back3", fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(stale), stale))
-		play(t, w, "c3 expect 503 after 0 close\nback3 expect 204\nwait end")
+		runScenario(t, w, "c3 expect 503 after 0 close\nback3 expect 204\nwait end")
 	}},
 }
 
@@ -177,11 +177,11 @@
 			}
 			t.Run(s.name+", "+event, func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t, 0, "r1")
+				w := newHarness(t, 0, "r1")
 				w.serve(t, "discovery2")
 				w.serve(t, "discovery3")
 				s.reach(t, w)
-				play(t, w, happen)
+				runScenario(t, w, happen)
 				s.finish(t, w)
 				w.node.Stop() // neither blocks after the end
 				w.node.Reload(Config{})
@@ -193,16 +193,16 @@
 // A late client is served for as long as a stopping node accepts jobs: its front end may not have noticed
 // yet. A run that takes longer than that shows nothing, and is repeated.
 func TestLateClientIsServedDuringShutdownGrace(t *testing.T) {
-	for end := time.Now().Add(patience); ; {
-		w := newWorld(t, 0, "r1")
+	for end := time.Now().Add(testTimeout); ; {
+		w := newHarness(t, 0, "r1")
 		began := time.Now()
-		play(t, w, "node send stop\nc1 send job batch a1 || one")
+		runScenario(t, w, "node send stop\nc1 send job batch a1 || one")
 		select {
 		case m := <-w.peers["r1"].received:
 			w.peers["r1"].conn = m.conn
-			play(t, w, "r1 send 202 OK")
+			runScenario(t, w, "r1 send 202 OK")
 			w.node.waitRefusing(t)
-			play(t, w, ran)
+			runScenario(t, w, ran)
 			return
 		case m := <-w.peers["c1"].received:
 			if took := time.Since(began); took < 600*time.Millisecond || time.Now().After(end) {
@@ -215,11 +215,11 @@
 // A job that waits for discovery when its node begins to stop is still sent, by the list of a discovery that
 // only a reload names then.
 func TestReloadDuringShutdownServesWaitingJobs(t *testing.T) {
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	w.serve(t, "discovery2")
 	n := w.node
 	n.onLoop(func() { n.invalidateList(t) })
-	play(t, w, "c1 send job batch a1 || one\nwait open 1\nnode send stop")
+	runScenario(t, w, "c1 send job batch a1 || one\nwait open 1\nnode send stop")
 	n.waitRefusing(t)
 	line := workerLine("r1", w.peers["r1"].listener.Addr().String())
 	list := `{"rev":9,"all":true,"targets":[` + line + "]}\n"
@@ -230,7 +230,7 @@
 			}
 		}
 	}()
-	play(t, w, `
+	runScenario(t, w, `
 		node send reload discovery2
 		r1 expect POST /batch/7?a=b txn=a1 key=k body=one
 		r1 send 202 OK`+ran)
--- a/internal/node/slopes_bench_test.go
+++ b/internal/node/slopes_bench_test.go
@@ -98,7 +98,7 @@
 	for _, n := range slopeSizes {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
 			l := listenLoopback(b)
-			set := parsed(b)
+			set := parseTestSettings(b)
 			set.Dispatch.Dispatchers, set.Dispatch.Index = 300, 150
 			node := listenNode(b, Config{Name: "n", Listen: "127.0.0.1:0", Settings: set,
 				Discovery: l.Addr().String()})
@@ -158,7 +158,7 @@
 func (t *freshnessGuard) appliedCount() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.applied
+	return t.appliedUpdates
 }
 
 // BenchmarkSlopeMemory measures the memory that a list takes as a scheduler.WorkerList on its way from the
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -35,7 +35,7 @@
 
 // After every kind of storm a node holds the resources that it held before.
 func TestClientStormsLeakNothing(t *testing.T) {
-	w := newWorld(t, 0)
+	w := newHarness(t, 0)
 	n := w.node
 	worker, err := fakes.NewWorker("r1", "127.0.0.1:0", func() string { return n.Addr().String() },
 		func(fakes.Job) fakes.Script { return fakes.Script{RunTime: 20 * time.Millisecond} },
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -15,15 +15,15 @@
 
 // payload is the part of a client's request that goes to a worker unchanged.
 type payload struct {
-	method, target, key string
-	body                []byte
-	disconnected        atomic.Bool // the client has disconnected: no attempt may begin any more
+	method, target, idempotencyKey string
+	body                           []byte
+	disconnected                   atomic.Bool // the client has disconnected: no attempt may begin any more
 }
 
 var lastCaller atomic.Uint64
 
-// singleHeaders are the headers that a job may have only once: a worker could read another one of several.
-var singleHeaders = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Labels", "Idempotency-Key"}
+// uniqueHeaders are the headers that a job may have only once: a worker could read another one of several.
+var uniqueHeaders = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Labels", "Idempotency-Key"}
 
 // jobHeaders are the headers of a job that are validated here.
 type jobHeaders struct {
@@ -34,7 +34,7 @@
 
 // parseJobHeaders reads and validates the headers of a job. problem is empty if they are valid.
 func parseJobHeaders(r *http1.Request) (job jobHeaders, problem string) {
-	for _, name := range singleHeaders {
+	for _, name := range uniqueHeaders {
 		if len(r.Header[name]) > 1 {
 			problem = "repeated " + name
 		}
@@ -82,47 +82,48 @@
 
 // submit passes a job to the loop and waits until it is answered or the client disconnects. It returns the
 // wait for the next request.
-func (c *client) submit(at scheduler.Micros, r *http1.Request) (next <-chan error, keepOpen bool) {
+func (c *client) submit(receivedAt scheduler.Micros, r *http1.Request) (next <-chan error, keepOpen bool) {
 	n := c.node
 	job, problem := parseJobHeaders(r)
 	if problem != "" {
-		if !c.rejectRequest(at, r, 400, problem) {
+		if !c.rejectRequest(receivedAt, r, 400, problem) {
 			return nil, false
 		}
 		return c.awaitRequest(), true
 	}
 	if err := c.inbound.checkDisconnected(); err != nil { // right behind its request, or it sent too much
-		c.closeDisconnected(at, err)
+		c.closeDisconnected(receivedAt, err)
 		return nil, false
 	}
 	// The request was unread for as long as the loop lags, and its answer will be as late.
 	lagAllowance := 2 * n.lag.estimate(n.now())
 	const maxRemainingMs = 1 << 40 // prevents an overflow of the deadline
-	deadline := at + scheduler.Micros(min(job.remainingMs, maxRemainingMs))*1000 - lagAllowance
-	p := &payload{method: r.Method, target: r.Target, key: r.Header.Get("Idempotency-Key"), body: r.Body}
+	deadline := receivedAt + scheduler.Micros(min(job.remainingMs, maxRemainingMs))*1000 - lagAllowance
+	p := &payload{method: r.Method, target: r.Target,
+		idempotencyKey: r.Header.Get("Idempotency-Key"), body: r.Body}
 	s := scheduler.Submitted{Caller: scheduler.CallerID(lastCaller.Add(1)), ID: job.id, Class: classOf(r),
 		Tenant: r.Header.Get("X-Org"), Deadline: deadline, Slots: job.slots,
 		Retry: r.Header.Get("X-Resent") == "1", Payload: p}
 	n.post(submission{c, n.now(), s})
 	answer, ahead, err := c.awaitAnswer(s.Caller, p)
 	if err != nil {
-		c.closeDisconnected(at, err)
+		c.closeDisconnected(receivedAt, err)
 		return nil, false
 	}
-	last := r.Close || answer.FinalForConnection || c.ctx.Err() != nil ||
+	closeConn := r.Close || answer.FinalForConnection || c.ctx.Err() != nil ||
 		len(n.clientSlots) == cap(n.clientSlots)
 	if ahead.ended != nil { // nobody else may read before it has ended
 		c.conn.SetReadDeadline(time.Now())
-		last = !errors.Is(<-ahead.ended, os.ErrDeadlineExceeded) || last
+		closeConn = !errors.Is(<-ahead.ended, os.ErrDeadlineExceeded) || closeConn
 		c.conn.SetReadDeadline(time.Time{})
 	}
 	if answer.Verdict < scheduler.Invalid {
 		c.rank.store(rankEstablished)
 	}
-	keepOpen = c.respond(deadline, responseTo(answer, last))
+	keepOpen = c.respond(deadline, responseTo(answer, closeConn))
 	if late := n.now() - deadline - lagAllowance; late > millisecond {
 		n.log.Warn("an answer is late", "txn", job.id, "ms", late/millisecond,
-			"read_ms_ago", (n.now()-at)/millisecond)
+			"read_ms_ago", (n.now()-receivedAt)/millisecond)
 	}
 	return ahead.next, keepOpen
 }
--- a/internal/node/validity_test.go
+++ b/internal/node/validity_test.go
@@ -10,13 +10,13 @@
 
 const testGrace = 500 * millisecond
 
-// newWatchedWorld returns a world whose discovery has sent r1 over a watch that is open.
-func newWatchedWorld(t *testing.T, pushed bool, pollInterval scheduler.Micros) *world {
-	set := parsed(t)
+// newWatchHarness returns a world whose discovery has sent r1 over a watch that is open.
+func newWatchHarness(t *testing.T, pushed bool, pollInterval scheduler.Micros) *harness {
+	set := parseTestSettings(t)
 	set.DrainGrace, set.Dispatch.PollEndpoints, set.Dispatch.PollInterval = testGrace, !pushed, pollInterval
-	w := newWorldOf(t, set, 0, "r1")
+	w := newHarnessWithSettings(t, set, 0, "r1")
 	w.serve(t, "discovery2")
-	play(t, w, `
+	runScenario(t, w, `
 		discovery expect GET /catalog/members?watch=1&from=4
 		discovery send head`)
 	w.sendList(t)
@@ -24,11 +24,11 @@
 }
 
 // sendList has discovery send that r1 is ready, and waits until that is applied.
-func (w *world) sendList(t *testing.T) {
+func (w *harness) sendList(t *testing.T) {
 	t.Helper()
 	n := w.node
 	was := n.listAsOf()
-	play(t, w, `discovery send {"rev":5,"all":true,"targets":[`+
+	runScenario(t, w, `discovery send {"rev":5,"all":true,"targets":[`+
 		workerLine("r1", w.peers["r1"].listener.Addr().String())+`]}/n`)
 	if !eventually(func() bool { return n.listAsOf() != was }) {
 		t.Fatal("the update is not applied")
@@ -58,18 +58,18 @@
 // Where lists are pushed, a change that the agent has is in force at once, with or without a watch. So once a
 // watch is reset nothing is sent after the drain grace, until a new one has sent something.
 func TestPushedListsExpireAfterTheGraceWithoutAWatch(t *testing.T) {
-	w := newWatchedWorld(t, true, 10*second)
-	play(t, w, "discovery close reset")
+	w := newWatchHarness(t, true, 10*second)
+	runScenario(t, w, "discovery close reset")
 	until := w.node.waitValidFor(t, testGrace)
 	for w.node.now() <= until {
 		time.Sleep(time.Millisecond)
 	}
-	play(t, w, `
+	runScenario(t, w, `
 		c1 send job post a1 || work
 		wait open 1
 		discovery expect GET /catalog/members?watch=1&from=5
 		discovery send head`)
-	if got := w.node.freshness.allowSend("r1", w.node.now()); !errors.Is(got, errStale) {
+	if got := w.node.freshness.allowSend("r1", w.node.now()); !errors.Is(got, errListStale) {
 		t.Errorf("the guard says %v", got)
 	}
 	w.node.onLoop(func() { // the module queues the job rather than have it turned back
@@ -78,7 +78,7 @@
 		}
 	})
 	w.sendList(t)
-	play(t, w, "r1 expect POST /post/7?a=b txn=a1 key=k body=work")
+	runScenario(t, w, "r1 expect POST /post/7?a=b txn=a1 key=k body=work")
 }
 
 // Where lists are polled, without a watch a change is in force as long after it was made as the settings
@@ -86,9 +86,9 @@
 func TestPolledListsExpireAfterTheConfiguredTime(t *testing.T) {
 	for _, c := range [][2]scheduler.Micros{{2 * second, 2 * second}, {10 * second, 6 * second}} {
 		pollInterval, want := c[0], c[1]
-		w := newWatchedWorld(t, false, pollInterval)
+		w := newWatchHarness(t, false, pollInterval)
 		asOf := w.node.listAsOf()
-		play(t, w, "discovery close reset\ndiscovery expect GET /catalog/members?watch=1&from=5")
+		runScenario(t, w, "discovery close reset\ndiscovery expect GET /catalog/members?watch=1&from=5")
 		w.node.freshness.mu.Lock()
 		if got := w.node.freshness.validUntil - asOf; got != want {
 			t.Errorf("polled within %d: it is valid for %d, want %d", pollInterval, got, want)
@@ -100,10 +100,10 @@
 // After a reload the new discovery is in force 4 s later. Nothing that the old one sends then makes up for
 // its silence, however often the configuration is reloaded.
 func TestUnansweredReloadLimitsValidity(t *testing.T) {
-	w := newWatchedWorld(t, false, 10*second)
+	w := newWatchHarness(t, false, 10*second)
 	n := w.node
 	n.onLoop(func() { n.receiveList(t, time.Hour) }) // whatever was received before
-	play(t, w, `
+	runScenario(t, w, `
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0
 		discovery2 send head
@@ -126,7 +126,7 @@
 // The end of a watch that never sent anything does not limit the validity: nothing depended on it.
 func TestSilentWatchDoesNotLimitValidity(t *testing.T) {
 	guard := newFreshnessGuard(testGrace, 6*second)
-	guard.pushed, guard.posted = true, 1
+	guard.listPushed, guard.postedUpdates = true, 1
 	guard.countApplied(100 * second)
 	if got := guard.watchClosed(0, false); got != 106*second {
 		t.Errorf("valid until %d", got)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -72,7 +72,7 @@
 func (n *Node) onEndpointsUpdated(m watchUpdate, e scheduler.EndpointsUpdated) error {
 	asOf := e.AsOf
 	late := n.now() - m.readAt
-	if m.readAt != 0 && late > n.freshness.grace/2 && n.freshness.grace > 0 {
+	if m.readAt != 0 && late > n.freshness.drainGrace/2 && n.freshness.drainGrace > 0 {
 		n.log.Warn("a worker list update is applied late", "rev", e.List.Rev, "ms", late/millisecond)
 	}
 	if m.watch == n.watch {
--- a/internal/node/watch_reader.go
+++ b/internal/node/watch_reader.go
@@ -17,8 +17,8 @@
 	rawConn syscall.RawConn
 
 	// Under the guard's mutex.
-	unposted bool             // what was read last may hold an update that is not posted yet
-	emptyAt  scheduler.Micros // the latest time at which the socket was seen empty
+	hasUnposted bool             // what was read last may hold an update that is not posted yet
+	lastEmptyAt scheduler.Micros // the latest time at which the socket was seen empty
 }
 
 // newWatchReader returns a reader of a connection that the guard takes into account. It has to be closed
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &watchReader{guard: g, now: now, rawConn: raw, emptyAt: now()}
+	r := &watchReader{guard: g, now: now, rawConn: raw, lastEmptyAt: now()}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.readers[r] = true
@@ -55,10 +55,10 @@
 		r.guard.mu.Lock()
 		defer r.guard.mu.Unlock()
 		if n, err = readSocket(fd, b, 0); errors.Is(err, syscall.EAGAIN) {
-			r.emptyAt = r.now()
+			r.lastEmptyAt = r.now()
 			return false
 		}
-		ready, r.unposted = true, n > 0
+		ready, r.hasUnposted = true, n > 0
 		return true
 	}
 	if waitErr := r.rawConn.Read(readReady); waitErr != nil {
@@ -81,8 +81,8 @@
 func (r *watchReader) markPosted() {
 	r.guard.mu.Lock()
 	defer r.guard.mu.Unlock()
-	if r.unposted {
-		r.unposted = false
+	if r.hasUnposted {
+		r.hasUnposted = false
 		r.guard.notifyChange()
 	}
 }
@@ -94,16 +94,16 @@
 	}
 	r.guard.mu.Lock()
 	defer r.guard.mu.Unlock()
-	return r.emptyAt
+	return r.lastEmptyAt
 }
 
 // observe reports whether all that has arrived has been posted, and notes the time if so. The caller holds
 // the guard's mutex.
-func (r *watchReader) observe(now scheduler.Micros) bool {
-	if r.unposted || !r.empty() {
+func (r *watchReader) checkEmpty(now scheduler.Micros) bool {
+	if r.hasUnposted || !r.empty() {
 		return false
 	}
-	r.emptyAt = now
+	r.lastEmptyAt = now
 	return true
 }
 
--- a/internal/node/watch_reader_test.go
+++ b/internal/node/watch_reader_test.go
@@ -12,7 +12,7 @@
 // A reader that had no processor time finds its deadline and the update together.
 func TestReadDeadlineDoesNotSkipAnUpdate(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
-	ours, theirs := pair(t)
+	ours, theirs := loopbackPair(t)
 	reader, err := guard.newWatchReader(ours, func() scheduler.Micros { return 1 })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/watch_stream.go
+++ b/internal/node/watch_stream.go
@@ -89,17 +89,17 @@
 	if head.Status != 200 || head.Header.Get("Transfer-Encoding") != "chunked" {
 		return nil, fmt.Errorf("discovery answered %d", head.Status)
 	}
-	return messages.Chunks(), nil
+	return messages.ChunkedBody(), nil
 }
 
-// readUpdates reads the lines of a watch. It calls lineRead after each of them, and deliver for each that
+// readUpdates reads the lines of a watch. It calls onLine after each of them, and deliver for each that
 // says what the list is: an object, or an empty line behind one, which confirms it.
-func (n *Node) readUpdates(body io.Reader, lineRead func(), deliver func(scheduler.WorkerList)) error {
+func (n *Node) readUpdates(body io.Reader, onLine func(), deliver func(scheduler.WorkerList)) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLineBytes)
 	lines.Split(splitLines)
-	for begun := false; lines.Scan(); {
-		lineRead()
+	for objectSeen := false; lines.Scan(); {
+		onLine()
 		var list scheduler.WorkerList
 		if line := bytes.TrimSpace(lines.Bytes()); len(line) > 0 {
 			var invalid, err error
@@ -109,9 +109,9 @@
 			if invalid != nil {
 				n.log.Warn("an entry of the worker list is unusable", "rev", list.Rev, "why", invalid)
 			}
-			begun = true
+			objectSeen = true
 		}
-		if begun { // before the first object an empty line says nothing of the list
+		if objectSeen { // before the first object an empty line says nothing of the list
 			deliver(list)
 		}
 	}
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -17,24 +17,24 @@
 )
 
 // lines is the log, for tests to read.
-type lines struct {
+type logBuffer struct {
 	sync.Mutex
 	bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.Lock()
 	defer l.Unlock()
 	return l.Buffer.Write(b)
 }
 
-func (l *lines) count(text string) int {
+func (l *logBuffer) count(text string) int {
 	l.Lock()
 	defer l.Unlock()
 	return strings.Count(l.String(), text)
 }
 
-const silence = "nothing"
+const noResponse = "nothing"
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -62,7 +62,7 @@
 		"cut off in a chunk":    watchHead + "ffff\r\n" + removed,
 		"no list in an object":  watchHead + chunk(`{"rev":9,"targets":{"uid":"s-1","state":"gone"}}`+"\n"),
 		"a line without an end": watchHead + chunk(strings.Repeat(" ", maxLineBytes+2)),
-		"says nothing":          silence,
+		"says nothing":          noResponse,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -76,7 +76,7 @@
 					}
 					response := response
 					if call > 1 { // a fault only once, or a second line would race with the count
-						response = silence
+						response = noResponse
 					}
 					go func() {
 						defer c.Close()
@@ -88,7 +88,7 @@
 						switch response {
 						case "":
 							resetOnClose(t, c)
-						case silence:
+						case noResponse:
 							_, _ = c.Read(b) // until the node closes it
 						default:
 							_, _ = c.Write([]byte(response))
@@ -96,14 +96,14 @@
 					}()
 				}
 			}()
-			set := parsed(t)
+			set := parseTestSettings(t)
 			line := workerLine("s-1", "127.0.0.1:1")
 			known, _, err := DecodeList([]byte(`{"rev":4,"all":true,"targets":[` + line + `]}`))
 			if err != nil {
 				t.Fatal(err)
 			}
-			log := &lines{}
-			cfg := Config{Listen: "127.0.0.1:0", Settings: set, Known: known, Discovery: l.Addr().String()}
+			log := &logBuffer{}
+			cfg := Config{Listen: "127.0.0.1:0", Settings: set, InitialList: known, Discovery: l.Addr().String()}
 			n, err := Listen(cfg, slog.New(slog.NewTextHandler(log, nil)))
 			if err != nil {
 				t.Fatal(err)
@@ -115,7 +115,7 @@
 					if want := "GET " + membersPath + "?watch=1&from=4 HTTP/1.1"; got != want {
 						t.Errorf("called with %q, want %q", got, want)
 					}
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					t.Fatal("discovery is not called again")
 				}
 			}
@@ -132,7 +132,7 @@
 func TestEmptyLinesAreNoList(t *testing.T) {
 	updates := make(chan scheduler.EndpointsUpdated, 10)
 	l := listenLoopback(t)
-	n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parsed(t)})
+	n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parseTestSettings(t)})
 	defer n.close()
 	go func() {
 		if conn, err := l.Accept(); err == nil {
@@ -153,9 +153,9 @@
 
 // A reload moves the watch to the discovery that it names while a job runs.
 func TestReload(t *testing.T) {
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	w.serve(t, "discovery2")
-	play(t, w, `
+	runScenario(t, w, `
 		discovery expect GET /catalog/members?watch=1&from=4
 		discovery send head
 		c1 send job post a1 || work
@@ -173,22 +173,24 @@
 // Until the discovery that a reload names has sent something, the watch before is read: a worker that drains
 // by it gets nothing new. An empty line before the first object says nothing.
 func TestReloadReadsBothWatches(t *testing.T) {
-	set := parsed(t) // no timer fires while the scenario plays discovery
+	set := parseTestSettings(t) // no timer fires while the scenario plays discovery
 	set.Dispatch.PollInterval, set.Dispatch.MaxStaleness = 3600*second, 3600*second
-	w := newWorldOf(t, set, 0, "r1", "r2")
+	w := newHarnessWithSettings(t, set, 0, "r1", "r2")
 	w.serve(t, "discovery2")
 	addr := w.peers["r1"].listener.Addr().String()
-	play(t, w, `
+	runScenario(t, w, `
 		discovery expect GET /catalog/members?watch=1&from=4
 		discovery send head
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0`)
 	w.node.onLoop(func() { w.node.extendValidity(t, time.Hour) }) // else a reload limits the validity to 4 s
-	play(t, w, `
+	runScenario(t, w, `
 		discovery2 send head
 		discovery2 send /n
 		discovery send {"rev":5,"targets":[`+strings.Replace(workerLine("r1", addr), "ready", "draining", 1)+`]}/n`)
-	isDraining := func() bool { return errors.Is(w.node.freshness.allowSend("r1", w.node.now()), errDraining) }
+	isDraining := func() bool {
+		return errors.Is(w.node.freshness.allowSend("r1", w.node.now()), errWorkerDraining)
+	}
 	if !eventually(isDraining) {
 		t.Fatal("the watch before is not read")
 	}
@@ -197,7 +199,7 @@
 			t.Error("the watch before is closed by an empty line")
 		}
 	})
-	play(t, w, `
+	runScenario(t, w, `
 		c1 send job post a1 || work
 		r2 expect POST /post/7?a=b txn=a1 key=k body=work
 		discovery2 send {"rev":1,"all":true,"targets":[`+workerLine("r1", addr)+`]}/n
@@ -223,7 +225,7 @@
 	if err != nil || len(list.Workers) != 20_000 {
 		t.Fatalf("%d workers, %v", len(list.Workers), err)
 	}
-	set := parsed(t)
+	set := parseTestSettings(t)
 	s, err := scheduler.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -239,7 +241,7 @@
 // A change is in force after a while, received or not. The module has to know that time, and a watch that is
 // silent has to be detected before it is over.
 func TestWatchTimeoutIsBelowMaxStaleness(t *testing.T) {
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	within := time.Duration(w.node.cfg.Settings.Dispatch.MaxStaleness) * time.Microsecond
 	if within <= watchIdleTimeout {
 		t.Errorf("changes are in force after %v, silence is detected after %v", within, watchIdleTimeout)
@@ -263,7 +265,7 @@
 func TestPushedListsAreWatched(t *testing.T) {
 	l, n, done := startPushedNode(t, 1)
 	for range 2 { // once more after it broke
-		acceptWithin(t, l, patience).Close()
+		acceptWithin(t, l, testTimeout).Close()
 	}
 	n.Stop()
 	checkEnd(t, done)
@@ -276,7 +278,7 @@
 	const calls = 5
 	began := time.Now()
 	for range calls {
-		defer acceptWithin(t, l, patience).Close() // it sends nothing until then
+		defer acceptWithin(t, l, testTimeout).Close() // it sends nothing until then
 	}
 	if took := time.Since(began); took > calls*2*time.Second {
 		t.Errorf("%d calls in %v", calls, took)
--- a/internal/node/worker_conn.go
+++ b/internal/node/worker_conn.go
@@ -23,7 +23,7 @@
 	}
 	workerResponse struct {
 		conn *workerConn
-		connstate.Answer
+		connstate.WorkerResponse
 	}
 	readEnded        struct{ conn *workerConn } // nothing more can be read
 	workerConnClosed struct{ conn *workerConn } // its descriptor is free
@@ -44,20 +44,20 @@
 	idleSince scheduler.Micros // valid while idle
 
 	// Shared by the loop and the writer.
-	gate      writeGate
-	abandoned atomic.Bool // what has not been sent must not be, even after the connection is closed
+	writeState    atomicWriteState
+	discardUnsent atomic.Bool // what has not been sent must not be, even after the connection is closed
 
 	// responseOrder is held by the writer from the first byte of an exchange until its writeEnded is in the
 	// inbox. The reader waits for it, so that no response overtakes the writeEnded of its exchange.
-	responseOrder sync.Mutex
-	holdsOrder    bool // the writer's: it holds responseOrder
+	responseOrder      sync.Mutex
+	holdsResponseOrder bool // the writer's: it holds responseOrder
 }
 
 // start begins an exchange on an idle or a new connection.
 func (c *workerConn) start(e exchange) {
 	c.Assign(e.attempt, e.payload == nil)
 	c.requestID = e.requestID
-	c.gate.reset()
+	c.writeState.reset()
 	c.exchanges <- e // it has capacity: a connection has one exchange at a time
 }
 
@@ -73,7 +73,7 @@
 		return
 	}
 	defer c.close(conn)
-	defer c.releaseOrder()
+	defer c.releaseResponseOrder()
 	readerDone := make(chan struct{})
 	n.spawn(func() {
 		defer close(readerDone)
@@ -89,7 +89,7 @@
 			}
 		}
 		n.post(writeEnded{c, err})
-		c.releaseOrder()
+		c.releaseResponseOrder()
 		if err != nil {
 			return
 		}
@@ -104,7 +104,7 @@
 // close closes the socket. If the exchange was abandoned, unsent data is discarded: the system would still
 // send it to a machine that is unreachable now, once that is back.
 func (c *workerConn) close(conn net.Conn) {
-	if tcp, ok := conn.(*net.TCPConn); ok && c.abandoned.Load() {
+	if tcp, ok := conn.(*net.TCPConn); ok && c.discardUnsent.Load() {
 		_ = tcp.SetLinger(0) // it fails only if the socket is closed already
 	}
 	conn.Close()
@@ -120,7 +120,7 @@
 			c.node.post(readEnded{c})
 			return
 		}
-		answer := connstate.Answer{Status: r.Status, TurnedAway: r.Header.Get("X-Turned-Away") == "1",
+		answer := connstate.WorkerResponse{Status: r.Status, NotStarted: r.Header.Get("X-Turned-Away") == "1",
 			Close: r.Close, Report: loadReport(r)}
 		c.waitWriteEnded()
 		c.node.post(workerResponse{c, answer})
--- a/internal/node/worker_dial_test.go
+++ b/internal/node/worker_dial_test.go
@@ -18,7 +18,7 @@
 }
 
 // interceptDials passes each dial of a node to the test.
-func (w *world) interceptDials() <-chan pendingDial {
+func (w *harness) interceptDials() <-chan pendingDial {
 	all := make(chan pendingDial, 100)
 	w.node.onLoop(func() {
 		w.node.dial = func(ctx context.Context, addr string, _ time.Time) (net.Conn, error) {
@@ -29,7 +29,7 @@
 				if err != nil {
 					return nil, err
 				}
-				return dialTCP(context.Background(), addr, time.Now().Add(patience))
+				return dialTCP(context.Background(), addr, time.Now().Add(testTimeout))
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -45,25 +45,25 @@
 		"comes up later": func(first pendingDial) { first.result <- nil },
 	} {
 		t.Run(name, func(t *testing.T) {
-			set := parsed(t)
+			set := parseTestSettings(t)
 			set.Dispatch.ConnectTimeout = 2 * second
-			w := newWorldOf(t, set, 0, "r1")
+			w := newHarnessWithSettings(t, set, 0, "r1")
 			dials := w.interceptDials()
-			play(t, w, "c1 send job post a1 || work")
+			runScenario(t, w, "c1 send job post a1 || work")
 			first := <-dials
 			var second pendingDial
 			select {
 			case second = <-dials: // while the first one is still in progress
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("no hedged dial")
 			}
 			if first.ctx.Err() != nil {
 				t.Error("the first one was cancelled")
 			}
 			second.result <- nil
-			play(t, w, "r1 expect POST /post/7?a=b txn=a1 key=k body=work")
+			runScenario(t, w, "r1 expect POST /post/7?a=b txn=a1 key=k body=work")
 			firstEnds(first)
-			play(t, w, `
+			runScenario(t, w, `
 				r1 send 202 OK
 				back send POST /callback || {"id":"a1","from":"r1","state":"done","result":"it"}
 				back expect 204
@@ -79,7 +79,7 @@
 func TestRefusedDialEndsTheHedge(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for _, late := range []bool{false, true} {
-		n := newWorld(t, 0).node
+		n := newHarness(t, 0).node
 		all := make(chan pendingDial, 2)
 		n.dial = func(ctx context.Context, _ string, _ time.Time) (net.Conn, error) {
 			d := pendingDial{ctx, make(chan error, 1)}
@@ -108,7 +108,7 @@
 
 // Hedged dials stay within the spare descriptors, however many dials hang.
 func TestHedgedDialsAreBounded(t *testing.T) {
-	n := newWorld(t, 0).node
+	n := newHarness(t, 0).node
 	const many = 3 * maxHedgedDials
 	var inProgress, maxSeen atomic.Int32
 	n.dial = func(ctx context.Context, _ string, _ time.Time) (net.Conn, error) {
--- a/internal/node/worker_effects.go
+++ b/internal/node/worker_effects.go
@@ -26,16 +26,16 @@
 	delete(n.attempts, attempt)
 	if c.Cancel {
 		n.cancellations--
-	} else if c.gate.cancel() {
-		n.cancelledUnsent = attempt // no worker has it: the cancellation that follows need not be sent
+	} else if c.writeState.cancel() {
+		n.lastCancelledUnsent = attempt // no worker has it: the cancellation that follows need not be sent
 	}
-	c.abandoned.Store(true)
+	c.discardUnsent.Store(true)
 	n.drop(c)
 }
 
 // cancelUnsent cancels an attempt if nothing of it has been sent.
 func (n *Node) cancelUnsent(attempt scheduler.AttemptID) {
-	if c := n.attempts[attempt]; c != nil && c.gate.cancel() {
+	if c := n.attempts[attempt]; c != nil && c.writeState.cancel() {
 		delete(n.attempts, attempt)
 		n.drop(c)
 		n.postAsync(scheduler.AttemptEnded{Attempt: attempt, Outcome: dispatch.NotSent})
@@ -44,7 +44,7 @@
 
 // cancelAttempt sends the cancellation of an attempt to its worker, on a connection of its own.
 func (n *Node) cancelAttempt(cancel scheduler.CancelAttempt) {
-	if n.cancelledUnsent == cancel.Attempt {
+	if n.lastCancelledUnsent == cancel.Attempt {
 		n.postAsync(scheduler.CancellationResult{Attempt: cancel.Attempt, Acknowledged: true})
 		return
 	}
--- a/internal/node/worker_events.go
+++ b/internal/node/worker_events.go
@@ -14,7 +14,7 @@
 	c := m.conn
 	next, e := c.WriteEnded(writeResult(m.err))
 	if end, ok := e.(scheduler.AttemptEnded); ok {
-		if notAllowed(m.err) {
+		if sendNoLongerAllowed(m.err) {
 			n.log.Info("an attempt turned back", "txn", c.requestID, "worker", c.addr, "why", m.err)
 			end.Outcome = dispatch.NotSent // the worker is not at fault
 			e = end
@@ -39,9 +39,9 @@
 	return connstate.WriteFailed
 }
 
-// notAllowed reports whether an attempt was not written as it was not allowed any more.
-func notAllowed(err error) bool {
-	return errors.Is(err, errDraining) || errors.Is(err, errStale) || errors.Is(err, errDisconnected)
+// sendNoLongerAllowed reports whether an attempt was not written as it was not allowed any more.
+func sendNoLongerAllowed(err error) bool {
+	return errors.Is(err, errWorkerDraining) || errors.Is(err, errListStale) || errors.Is(err, errDisconnected)
 }
 
 // atCapacity reports whether a worker cannot take another connection: it refuses one at once while others of
@@ -75,8 +75,8 @@
 func (n *Node) onResponse(m workerResponse) error {
 	c := m.conn
 	wasIdle := !c.Busy
-	unsent := c.Busy && !c.Released && !c.Cancel && c.gate.cancel()
-	next, e := c.Answered(m.Answer)
+	unsent := c.Busy && !c.Released && !c.Cancel && c.writeState.cancel()
+	next, e := c.ResponseReceived(m.WorkerResponse)
 	if unsent { // it came before anything of the attempt was sent, and now nothing will be
 		e = scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: dispatch.NotSent}
 	}
--- a/internal/node/worker_events_test.go
+++ b/internal/node/worker_events_test.go
@@ -43,12 +43,12 @@
 // A worker whose response never ends, and that reports by callback how its job ended, holds no connection: if
 // each job held one, soon nothing could be sent.
 func TestEndlessResponseReleasesItsConnection(t *testing.T) {
-	w := newWorld(t, minSockets, "r1")
+	w := newHarness(t, minDescriptors, "r1")
 	ways := []string{"202 Accepted | Content-Length: 9", "100 Continue",
 		"503 Busy | X-Turned-Away: 1 | Content-Length: 9"}
 	states := []string{"done", "failed", "returned", "lost"}
 	for i := range 2 * w.node.maxWorkerConns {
-		play(t, w, fmt.Sprintf(`
+		runScenario(t, w, fmt.Sprintf(`
 			c%[1]d send job post a%[1]d || work
 			r1 expect POST /post/7?a=b txn=a%[1]d key=k body=work
 			r1 send %[2]s
@@ -69,7 +69,7 @@
 	}
 }
 
-const accepted = `
+const acceptedJob = `
 	c1 send job post a1 || one
 	r1 expect POST /post/7?a=b txn=a1 key=k body=one
 	r1 send 202 OK
@@ -79,10 +79,10 @@
 // A worker responds twice, and the second response arrives during the next exchange of the connection. That
 // attempt runs: it must not be taken for turned away and sent again.
 func TestDuplicateResponseIsNotTheNextExchanges(t *testing.T) {
-	w := newLargeFleetWorld(t, 0, "r1")
-	play(t, w, accepted)
+	w := newLargeFleetHarness(t, 0, "r1")
+	runScenario(t, w, acceptedJob)
 	w.node.waitIdle(t, 1)
-	play(t, w, `
+	runScenario(t, w, `
 		c2 send job post a2 || two
 		r1 expect POST /post/7?a=b txn=a2 key=k body=two
 		r1 send 503 Busy | X-Turned-Away: 1
@@ -93,10 +93,10 @@
 
 // An unsolicited response ends the connection: the next attempt gets a new one.
 func TestUnsolicitedResponseClosesTheConnection(t *testing.T) {
-	w := newLargeFleetWorld(t, 0, "r1")
-	play(t, w, accepted)
+	w := newLargeFleetHarness(t, 0, "r1")
+	runScenario(t, w, acceptedJob)
 	w.node.waitIdle(t, 1)
-	play(t, w, `
+	runScenario(t, w, `
 		r1 send 503 Busy | X-Turned-Away: 1
 		r1 expect end
 		c2 send job post a2 || two
@@ -110,21 +110,22 @@
 // A response that is read before anything of an attempt was sent is not the attempt's: the attempt never ran,
 // and never will by this connection.
 func TestResponseBeforeItsAttemptIsWritten(t *testing.T) {
-	w := newLargeFleetWorld(t, 0, "r1")
-	play(t, w, accepted)
+	w := newLargeFleetHarness(t, 0, "r1")
+	runScenario(t, w, acceptedJob)
 	w.node.waitIdle(t, 1)
 	w.node.onLoop(func() {
 		w.node.postPendingUpdate()
 	})
-	play(t, w, "c2 send job post a2 || two\nwait open 2\nr1 send 503 Busy | X-Turned-Away: 1\nr1 expect end")
+	runScenario(t, w,
+		"c2 send job post a2 || two\nwait open 2\nr1 send 503 Busy | X-Turned-Away: 1\nr1 expect end")
 	w.node.onLoop(func() { w.node.freshness.countApplied(0) })
-	play(t, w, "r1 expect POST /post/7?a=b txn=a2 key=k body=two") // on a new connection
+	runScenario(t, w, "r1 expect POST /post/7?a=b txn=a2 key=k body=two") // on a new connection
 }
 
 // A response that is read before the loop knows that its attempt was written waits for that: the worker was
 // just quick, and its connection can be used again.
 func TestResponseWaitsForTheWriteResult(t *testing.T) {
-	ours, theirs := pair(t)
+	ours, theirs := loopbackPair(t)
 	n := &Node{inbox: make(chan any, 2), ctx: t.Context()}
 	c := &workerConn{node: n}
 	if !c.beginWrite() { // the writer is about to send its first byte
@@ -136,7 +137,7 @@
 		time.Sleep(time.Millisecond) // if it waits as it should, it never arrives here
 	}
 	n.post(writeEnded{c, nil})
-	c.releaseOrder()
+	c.releaseResponseOrder()
 	if m, ok := (<-n.inbox).(writeEnded); !ok {
 		t.Errorf("first came %T", m)
 	}
--- a/internal/node/worker_pool_test.go
+++ b/internal/node/worker_pool_test.go
@@ -35,7 +35,7 @@
 // would open one.
 func TestIdleConnectionsLastLongerInLargeFleets(t *testing.T) {
 	for balancers, want := range map[int]int{3: 0, 80: 1} {
-		set := parsed(t)
+		set := parseTestSettings(t)
 		set.Dispatch.Dispatchers = balancers
 		n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: set})
 		defer n.listener.Close()
@@ -58,7 +58,7 @@
 		idle, want scheduler.Micros
 	}{{3, 60 * second, idleTimeoutSmallFleet}, {3, 0, 0}, {80, 60 * second, 2 * second},
 		{80, 1500 * millisecond, 750 * millisecond}, {80, 0, 0}} {
-		set := parsed(t)
+		set := parseTestSettings(t)
 		set.Dispatch.Dispatchers, set.WorkerIdleTimeout = c.balancers, c.idle
 		if got := idleTimeoutOf(&set); got != c.want {
 			t.Errorf("%d schedulers, closed after %d: timeout %d, want %d", c.balancers, c.idle, got, c.want)
--- a/internal/node/worker_write.go
+++ b/internal/node/worker_write.go
@@ -15,8 +15,8 @@
 	errDisconnected = errors.New("the client has disconnected")
 )
 
-// writeGate decides between the loop, which may cancel an exchange, and its writer: the first one wins.
-type writeGate struct{ state atomic.Int32 }
+// atomicWriteState decides between the loop, which may cancel an exchange, and its writer: the first one wins.
+type atomicWriteState struct{ state atomic.Int32 }
 
 const (
 	writePending int32 = iota
@@ -24,9 +24,9 @@
 	writeCancelled // nothing of the exchange has been sent, nor will be
 )
 
-func (g *writeGate) reset()       { g.state.Store(writePending) }
-func (g *writeGate) begin() bool  { return g.state.CompareAndSwap(writePending, writeBegun) }
-func (g *writeGate) cancel() bool { return g.state.CompareAndSwap(writePending, writeCancelled) }
+func (s *atomicWriteState) reset()       { s.state.Store(writePending) }
+func (s *atomicWriteState) begin() bool  { return s.state.CompareAndSwap(writePending, writeBegun) }
+func (s *atomicWriteState) cancel() bool { return s.state.CompareAndSwap(writePending, writeCancelled) }
 
 // write sends the request of an exchange.
 func (c *workerConn) write(conn net.Conn, e *exchange) error {
@@ -53,16 +53,16 @@
 	writeReady := w.writeReady
 	for {
 		changed := c.node.freshness.nextChange()
-		w.blocked = nil
+		w.blockReason = nil
 		waitErr := raw.Write(writeReady)
 		switch {
-		case errors.Is(w.blocked, errDisconnected) && w.sent > 0:
-			c.abandoned.Store(true) // what has been sent ends with the connection
-			return w.blocked
-		case errors.Is(w.blocked, errUnapplied) || errors.Is(w.blocked, errDisconnected):
+		case errors.Is(w.blockReason, errDisconnected) && w.sent > 0:
+			c.discardUnsent.Store(true) // what has been sent ends with the connection
+			return w.blockReason
+		case errors.Is(w.blockReason, errUpdatePending) || errors.Is(w.blockReason, errDisconnected):
 			// The loop learns the same in a moment, and cancels the exchange if need be.
-		case w.blocked != nil:
-			return w.blocked
+		case w.blockReason != nil:
+			return w.blockReason
 		case waitErr != nil:
 			return waitErr
 		default:
@@ -73,8 +73,8 @@
 		case <-c.ctx.Done():
 			return errCancelled
 		case <-time.After(time.Until(c.node.timeOf(e.writeBy))):
-			if errors.Is(w.blocked, errDisconnected) {
-				return w.blocked
+			if errors.Is(w.blockReason, errDisconnected) {
+				return w.blockReason
 			}
 			return os.ErrDeadlineExceeded
 		}
@@ -83,18 +83,18 @@
 
 // attemptWriter is the progress of writing one attempt.
 type attemptWriter struct {
-	conn     *workerConn
-	exchange *exchange
-	request  []byte // encoded when its first byte can be sent
-	sent     int    // bytes of the request
-	blocked  error  // why nothing may be written now; nil: nothing blocks it
-	err      error  // of the last write
+	conn        *workerConn
+	exchange    *exchange
+	request     []byte // encoded when its first byte can be sent
+	sent        int    // bytes of the request
+	blockReason error  // why nothing may be written now; nil: nothing blocks it
+	err         error  // of the last write
 }
 
 // writeReady writes what the socket takes. It is called by syscall.RawConn.Write and returns false to wait
 // until the socket takes more.
 func (w *attemptWriter) writeReady(fd uintptr) (done bool) {
-	if w.blocked = w.check(); w.blocked != nil {
+	if w.blockReason = w.checkAllowed(); w.blockReason != nil {
 		return true
 	}
 	if w.sent == 0 {
@@ -111,7 +111,7 @@
 
 // check returns why nothing may be written now. Until the last byte is sent the attempt has not begun, so a
 // disconnect stops it at any time.
-func (w *attemptWriter) check() error {
+func (w *attemptWriter) checkAllowed() error {
 	c, e := w.conn, w.exchange
 	if w.sent == 0 {
 		now := c.node.now()
@@ -123,9 +123,9 @@
 		}
 	}
 	switch {
-	case e.payload.disconnected.Load() || c.abandoned.Load():
+	case e.payload.disconnected.Load() || c.discardUnsent.Load():
 		return errDisconnected
-	case !c.holdsOrder && !c.beginWrite():
+	case !c.holdsResponseOrder && !c.beginWrite():
 		return errCancelled
 	}
 	return nil
@@ -134,16 +134,16 @@
 // beginWrite passes the gate when the first byte can be sent, and acquires responseOrder.
 func (c *workerConn) beginWrite() bool {
 	c.responseOrder.Lock()
-	if c.holdsOrder = c.gate.begin(); !c.holdsOrder {
+	if c.holdsResponseOrder = c.writeState.begin(); !c.holdsResponseOrder {
 		c.responseOrder.Unlock()
 	}
-	return c.holdsOrder
+	return c.holdsResponseOrder
 }
 
-// releaseOrder lets responses pass: writeEnded is in the inbox, or none will be.
-func (c *workerConn) releaseOrder() {
-	if c.holdsOrder {
-		c.holdsOrder = false
+// releaseResponseOrder lets responses pass: writeEnded is in the inbox, or none will be.
+func (c *workerConn) releaseResponseOrder() {
+	if c.holdsResponseOrder {
+		c.holdsResponseOrder = false
 		c.responseOrder.Unlock()
 	}
 }
--- a/internal/simfleet/discovery_test.go
+++ b/internal/simfleet/discovery_test.go
@@ -31,7 +31,7 @@
 	if m, err := reader.Head(); err != nil || m.Status != 200 {
 		t.Fatal(m, err)
 	}
-	for in := bufio.NewScanner(reader.Chunks()); len(revisions) < lines && in.Scan(); {
+	for in := bufio.NewScanner(reader.ChunkedBody()); len(revisions) < lines && in.Scan(); {
 		if len(in.Bytes()) == 0 {
 			continue
 		}
