--- a/internal/connstate/connstate.go
+++ b/internal/connstate/connstate.go
@@ -1,7 +1,8 @@
-// Package connstate is the state machine of one connection to a worker: it says what the events of the
-// connection mean for the attempt that the connection carries. What happened on the connection goes in;
-// the event for the scheduler's reducer, and what to do with the connection, come out. The package does
-// no I/O and has no clock. Package node drives it on sockets, package modelcheck in small worlds.
+// Package connstate is the state machine of one connection to a worker. Its inputs are what happens on the
+// connection: a write ends, a response arrives, the input ends. For each input it returns the event that the
+// scheduler's reducer gets for the attempt on the connection, and whether to keep, reuse or close the
+// connection. The package performs no I/O and has no clock. Package node uses it on sockets, and packages
+// modelcheck and emulator use it on simulated connections.
 package connstate
 
 import (
@@ -10,60 +11,64 @@
 )
 
 // Conn is the state of one connection to a worker. The connection carries one exchange at a time: an
-// attempt, or the cancellation of one. The zero Conn is idle.
+// attempt, or the cancellation of an attempt. The zero Conn is idle.
 type Conn struct {
-	Attempt    scheduler.AttemptID // the attempt of the current exchange
-	Cancel     bool                // the current exchange cancels the attempt
-	Busy       bool                // an exchange is in progress
-	Reused     bool                // an earlier exchange used the connection
-	Written    bool                // the last byte of the exchange's request is written
-	ReadClosed bool                // nothing more can be read
-	Released   bool                // given up: later events of the connection are ignored
+	Attempt    scheduler.AttemptID // Attempt is the attempt of the current exchange.
+	Cancel     bool                // Cancel says that the current exchange is the cancellation of Attempt.
+	Busy       bool                // Busy says that an exchange is in progress.
+	Reused     bool                // Reused says that the connection carried an earlier exchange.
+	Written    bool                // Written says that the last byte of the current request has been written.
+	ReadClosed bool                // ReadClosed says that the peer closed or reset the connection.
+	// Released says that the connection is no longer used; its later events are ignored.
+	Released bool
 }
 
-// Disposition says what becomes of the connection.
+// Disposition says what the caller has to do with the connection.
 type Disposition uint8
 
 // The dispositions of a connection.
 const (
-	KeepOpen Disposition = iota
-	Idle                 // ready for another exchange
-	Drop                 // to be closed
+	KeepOpen Disposition = iota // KeepOpen leaves the connection as it is.
+	Idle                        // Idle makes the connection available for another exchange.
+	Drop                        // Drop closes the connection.
 )
 
-// WriteResult is how the writing of a request ended.
+// WriteResult is the result of writing a request.
 type WriteResult uint8
 
 // The results of writing a request.
 const (
-	WriteComplete  WriteResult = iota // the last byte is written
-	WriteFailed                       // the last byte is not written
-	ConnectRefused                    // WriteFailed, as nobody listens at the address: the process is gone
+	WriteComplete WriteResult = iota // WriteComplete means that the last byte of the request was written.
+	WriteFailed                      // WriteFailed means that the last byte was not written.
+	// ConnectRefused means that nothing was written because no process listens at the worker's address, so the
+	// worker's process has exited.
+	ConnectRefused
 )
 
-// WorkerResponse is a worker's response to an exchange.
+// WorkerResponse is a worker's HTTP response to an exchange.
 type WorkerResponse struct {
-	Status     int  // the HTTP status
-	NotStarted bool // the worker declares that it did not begin the job
-	Close      bool // the worker closes the connection after this response
+	Status     int  // Status is the HTTP status.
+	NotStarted bool // NotStarted says that the worker declares that it did not start the job.
+	Close      bool // Close says that the worker closes the connection after this response.
 	Report     dispatch.Report
 }
 
-// Assign begins an exchange on an idle connection: the attempt itself, or its cancellation.
+// Assign begins an exchange on an idle connection: an attempt, or the cancellation of an attempt.
 func (c *Conn) Assign(attempt scheduler.AttemptID, cancel bool) {
 	c.Reused = c.Attempt != 0
 	c.Attempt, c.Cancel, c.Busy, c.Written = attempt, cancel, true, false
 }
 
-// Release gives the connection up, whether or not an exchange is in progress.
+// Release ends the use of the connection, whether or not an exchange is in progress. Later events of the
+// connection are ignored.
 func (c *Conn) Release() { c.Released = true }
 
-// WriteEnded handles the end of writing the exchange's request.
+// WriteEnded handles the result of writing the request of the current exchange.
 func (c *Conn) WriteEnded(result WriteResult) (Disposition, scheduler.Event) {
 	switch {
 	case c.Released:
 		return KeepOpen, nil
-	case result != WriteComplete: // the last byte was not written, so nothing ran
+	case result != WriteComplete: // The last byte was not written, so the worker cannot have started the job.
 		return c.end(dispatch.ConnectFailed, result == ConnectRefused)
 	}
 	c.Written = true
@@ -86,11 +91,11 @@
 	case c.Written:
 		return c.end(dispatch.Reset, false)
 	}
-	return KeepOpen, nil // WriteEnded is still to come and decides between failed and reset
+	return KeepOpen, nil // WriteEnded follows and decides between ConnectFailed and Reset.
 }
 
-// end ends the exchange without a response. processExited says that the worker's process no longer exists,
-// so that nothing is left to cancel: it counts as the acknowledgement.
+// end ends the exchange without a response. processExited says that the worker's process no longer exists.
+// There is then nothing to cancel, so a cancellation counts as acknowledged.
 func (c *Conn) end(outcome dispatch.Outcome, processExited bool) (Disposition, scheduler.Event) {
 	c.Released, c.Busy = true, false
 	if c.Cancel {
@@ -99,16 +104,16 @@
 	return Drop, scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: outcome}
 }
 
-// ResponseReceived handles a worker's response to the exchange. A response may come twice, the second time late,
-// and nothing in it identifies its exchange. So only an accepted attempt leaves a connection that is used
-// again, and on a used connection only a 202 is trusted: a "turned away" of an earlier attempt would
-// release this one while it runs. An attempt that gets a 202 of an earlier one waits for callbacks, as
-// every accepted attempt does.
+// ResponseReceived handles a worker's response. A worker may send a response twice, the second time late, and
+// a response does not identify its exchange. Therefore a connection is reused only after an attempt that was
+// accepted (status 202), and on a reused connection only a 202 is believed. A repeated NotStarted response to
+// an earlier attempt would otherwise end the current attempt as not started while it runs. A repeated 202 is
+// harmless: the scheduler waits for callbacks of the current attempt, as it does for each accepted attempt.
 func (c *Conn) ResponseReceived(a WorkerResponse) (Disposition, scheduler.Event) {
 	switch {
 	case c.Released:
 		return KeepOpen, nil
-	case !c.Busy: // unsolicited
+	case !c.Busy: // The response is unsolicited.
 		c.Released = true
 		return Drop, nil
 	case c.Reused && (a.Status != 202 || !c.Written):
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -10,8 +10,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// Each line is the lifecycle of one connection, as a sequence of steps, with the disposition and the event
-// that its last step must give.
+// Each test case is the lifecycle of one connection as a sequence of steps, with the disposition and the
+// event that the last step must return.
 func TestConnectionLifecycles(t *testing.T) {
 	writeResults := map[string]WriteResult{"written": WriteComplete, "unwritten": WriteFailed,
 		"refused": ConnectRefused}
@@ -26,17 +26,17 @@
 	}{
 		{"attempt unwritten", Drop, ended(dispatch.ConnectFailed)},
 		{"attempt refused", Drop, ended(dispatch.ConnectFailed)},
-		{"attempt broke", KeepOpen, nil}, // the result of writing is still to come
+		{"attempt broke", KeepOpen, nil}, // The result of writing follows.
 		{"attempt broke unwritten", Drop, ended(dispatch.ConnectFailed)},
 		{"attempt broke written", Drop, ended(dispatch.Reset)},
 		{"attempt written broke", Drop, ended(dispatch.Reset)},
 		{"attempt written 202", Idle, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt written 202close", Drop, scheduler.AttemptAccepted{Attempt: 7}},
-		// the response comes before the result of writing, or before the last byte is out
+		// The response arrives before the result of writing, or before the last byte is sent.
 		{"attempt 202", Drop, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt 503away", Drop, ended(dispatch.AtCapacity)},
 		{"attempt written 202 broke", Drop, nil},
-		{"attempt written 202 503", Drop, nil}, // unsolicited
+		{"attempt written 202 503", Drop, nil}, // The 503 is unsolicited.
 		{"202", Drop, nil},
 		{"attempt written broke 202", KeepOpen, nil},
 		{"attempt written 503", Drop, ended(dispatch.Failed)},
@@ -57,7 +57,8 @@
 		{"cancellation written broke", Drop, cancelled(false)},
 		{"attempt written 202 attempt written 202", Idle, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt written 202 attempt written 202 202", Drop, nil},
-		{"attempt written 202 attempt written 503away", Drop, ended(dispatch.Reset)}, // of which attempt?
+		// The 503 may belong to the first attempt.
+		{"attempt written 202 attempt written 503away", Drop, ended(dispatch.Reset)},
 		{"attempt written 202 attempt written 500", Drop, ended(dispatch.Reset)},
 		{"attempt written 202 attempt written 404", Drop, ended(dispatch.Reset)},
 		{"attempt written 202 attempt 202", Drop, ended(dispatch.Reset)},
@@ -86,11 +87,11 @@
 			}
 		}
 		if diff := cmp.Diff([]any{c.next, c.want}, []any{next, got}); diff != "" {
-			t.Errorf("%s: %s", c.steps, diff)
+			t.Errorf("%s: disposition and event (-want +got): %s", c.steps, diff)
 		}
 		if dropped := next == Drop; conn.Released != (dropped || strings.Contains(c.steps, "release") ||
 			c.steps == "attempt written broke 202") {
-			t.Errorf("%s: released is %v", c.steps, conn.Released)
+			t.Errorf("%s: Released has the wrong value %v", c.steps, conn.Released)
 		}
 	}
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 reads and writes HTTP/1.1 messages over a byte stream, with limits on their size. It opens
-// and closes nothing.
+// Package http1 reads and writes HTTP/1.1 messages over byte streams and limits the size of the messages. It
+// opens and closes no connections.
 package http1
 
 import (
@@ -14,20 +14,20 @@
 
 // The size limits of a message, in bytes.
 const (
-	MaxHeadBytes = 16 << 10 // of the first line and the headers
-	MaxBodyBytes = 64 << 10 // of the body
+	MaxHeadBytes = 16 << 10 // MaxHeadBytes limits the first line and the headers together.
+	MaxBodyBytes = 64 << 10 // MaxBodyBytes limits the body.
 )
 
-// Error is the error of a message that breaks the protocol or exceeds a limit.
+// Error reports a message that violates the protocol or exceeds a limit.
 type Error struct {
-	Status int    // the status to respond with
-	Text   string // what is wrong, as a response may tell the sender
+	Status int    // Status is the HTTP status to respond with.
+	Text   string // Text describes the error and may be sent to the peer as the body of the response.
 }
 
-// Error returns the text.
+// Error returns e.Text.
 func (e *Error) Error() string { return e.Text }
 
-// protocolError returns an *Error.
+// protocolError returns an *Error with a formatted text.
 func protocolError(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
@@ -37,20 +37,21 @@
 	Method, Target string
 	Header         textproto.MIMEHeader
 	Body           []byte
-	Close          bool // the sender wants the connection closed after the response
+	Close          bool // Close says that the sender wants the connection to be closed after the response.
 }
 
-// Response is a response. Body is complete, unless only the head was read.
+// Response is a response. Body is complete if it was read by Reader.Response or Reader.ResponseBody.
 type Response struct {
 	Status int
 	Header textproto.MIMEHeader
 	Body   []byte
-	Close  bool // the connection cannot be used again
+	Close  bool // Close says that the connection cannot be reused.
 }
 
-// Reader reads messages one after the other.
+// Reader reads the messages of a stream one after the other.
 type Reader struct {
-	// SendContinue, if set, is called before the body of a request whose sender waits for "100 Continue".
+	// SendContinue, if not nil, is called before the body of a request whose sender waits for the interim
+	// response "100 Continue".
 	SendContinue func()
 
 	limited  io.LimitedReader
@@ -58,7 +59,7 @@
 	lines    *textproto.Reader
 }
 
-// NewReader returns a reader of the messages on a stream.
+// NewReader returns a Reader of the messages on a stream.
 func NewReader(stream io.Reader) *Reader {
 	r := &Reader{limited: io.LimitedReader{R: stream}}
 	r.buffered = bufio.NewReader(&r.limited)
@@ -66,15 +67,16 @@
 	return r
 }
 
-// Wait blocks until the next message begins or the stream ends. The error is the stream's.
+// Wait blocks until the first byte of the next message arrives. It returns the stream's error if the stream
+// fails or ends before that.
 func (r *Reader) Wait() error {
 	r.limited.N = MaxHeadBytes
 	_, err := r.buffered.Peek(1)
 	return err
 }
 
-// Request reads a request. The error is an *Error if the request is malformed or too long,
-// io.ErrUnexpectedEOF if the stream ends within it, and otherwise the stream's.
+// Request reads a request with its body. The error is an *Error if the request is malformed or too long, and
+// io.ErrUnexpectedEOF if the stream ends within the request. Other errors are those of the stream.
 func (r *Reader) Request() (*Request, error) {
 	r.limited.N = MaxHeadBytes
 	line, header, err := r.head()
@@ -91,8 +93,8 @@
 		return nil, protocolError(505, "unsupported version")
 	}
 	for name := range header {
-		// A header whose name has a blank is not the header without it, but others may read it so: a
-		// length that is hidden like this would smuggle a request past this reader.
+		// "Content-Length : 5" is not the header Content-Length, but other HTTP implementations may accept it
+		// as such. A body length that only the other side sees would allow request smuggling.
 		if strings.ContainsAny(name, " \t") {
 			return nil, protocolError(400, "malformed header name")
 		}
@@ -107,7 +109,7 @@
 	return request, nil
 }
 
-// Head reads the first line and the headers of a response. Its errors are those of Request.
+// Head reads the first line and the headers of a response. It returns the same kinds of errors as Request.
 func (r *Reader) Head() (*Response, error) {
 	r.limited.N = MaxHeadBytes
 	line, header, err := r.head()
@@ -123,10 +125,11 @@
 	return &Response{Status: status, Header: header, Close: wantsClose(header, version)}, nil
 }
 
-// maxInterimResponses is how many interim responses are skipped before a final one.
+// maxInterimResponses limits the interim (1xx) responses that are skipped before a final response.
 const maxInterimResponses = 8
 
-// Response reads a response with its body and skips any interim ones. Its errors are those of Request.
+// Response reads a final response with its body, and skips interim (1xx) responses before it. It returns the
+// same kinds of errors as Request.
 func (r *Reader) Response() (*Response, error) {
 	for range maxInterimResponses + 1 {
 		response, err := r.Head()
@@ -140,12 +143,13 @@
 	return nil, protocolError(502, "over %d interim responses", maxInterimResponses)
 }
 
-// ResponseBody reads the body that follows the head of a final response. Its errors are those of Request.
+// ResponseBody reads the body of a final response whose head was read by Head. It returns the same kinds of
+// errors as Request.
 func (r *Reader) ResponseBody(response *Response) (err error) {
 	switch {
 	case response.Status == 204 || response.Status == 304:
 	case response.Header.Get("Content-Length") == "" && response.Header.Get("Transfer-Encoding") == "":
-		response.Close = true // the body lasts as long as the connection
+		response.Close = true // A body without framing ends when the connection does.
 		response.Body, err = r.body(response.Header, MaxBodyBytes)
 	default:
 		response.Body, err = r.body(response.Header, 0)
@@ -153,13 +157,14 @@
 	return err
 }
 
-// ChunkedBody returns the chunked body that follows a head. It is decoded as it arrives and may be endless: only
-// single chunks and their framing are limited.
+// ChunkedBody returns a reader that decodes the chunked body after a head that was read by Head. The body is
+// decoded as it arrives and may be endless: only the size of single reads and of chunk headers is limited.
 func (r *Reader) ChunkedBody() io.Reader { return &chunkReader{reader: r, unbounded: true} }
 
-// head reads a first line and the headers.
+// head reads the first line and the headers of a message.
 func (r *Reader) head() (line string, header textproto.MIMEHeader, err error) {
-	for attempt := 0; line == "" && attempt < 2 && err == nil; attempt++ { // one blank line before is allowed
+	// One blank line before the first line is allowed.
+	for attempt := 0; line == "" && attempt < 2 && err == nil; attempt++ {
 		line, err = r.lines.ReadLine()
 	}
 	if err == nil {
@@ -179,16 +184,16 @@
 	return "", nil, err
 }
 
-// body reads a body that is framed by its headers. Without framing it reads until the stream ends, at most
-// maxUntilEOF bytes; with maxUntilEOF 0 there is no body.
+// body reads a body that the headers frame by Content-Length or Transfer-Encoding. Without such a header it
+// reads until the stream ends, at most maxUntilEOF bytes; with maxUntilEOF 0 the message has no body.
 func (r *Reader) body(header textproto.MIMEHeader, maxUntilEOF int64) ([]byte, error) {
 	lengths, coding := header["Content-Length"], header["Transfer-Encoding"]
 	if len(coding) > 0 {
-		// Two framings in one message are how requests are smuggled past a front end.
+		// A message with two framings would allow request smuggling past a front end.
 		if len(lengths) > 0 || len(coding) > 1 || !strings.EqualFold(coding[0], "chunked") {
 			return nil, protocolError(400, "unsupported framing")
 		}
-		r.limited.N = 4 * MaxBodyBytes // data and framing
+		r.limited.N = 4 * MaxBodyBytes // The limit covers the data and the chunk headers.
 		return readLimited(&chunkReader{reader: r}, r)
 	}
 	if len(lengths) == 0 {
@@ -205,7 +210,7 @@
 	if length > MaxBodyBytes {
 		return nil, protocolError(413, "body over %d bytes", MaxBodyBytes)
 	}
-	// Memory is allocated as the body arrives, not for the length that is announced.
+	// Memory is allocated as the body arrives, and not in advance for the announced length.
 	r.limited.N = int64(length)
 	body, err := io.ReadAll(io.LimitReader(r.buffered, int64(length)))
 	if err == nil && len(body) < int(length) {
@@ -214,8 +219,8 @@
 	return body, err
 }
 
-// isPrintableToken reports whether a token of the request line is not empty and all printable ASCII. A
-// worker closes the connection on anything else.
+// isPrintableToken reports whether a token of the request line is not empty and contains only printable
+// ASCII characters without blanks. Workers close the connection on any other token.
 func isPrintableToken(token string) bool {
 	for i := range len(token) {
 		if token[i] <= ' ' || token[i] >= 0x7f {
@@ -237,20 +242,21 @@
 // chunkReader decodes a chunked body.
 type chunkReader struct {
 	reader    *Reader
-	remaining uint64 // bytes of the current chunk
-	chunkSeen bool
-	ended     bool
-	unbounded bool // the body has no limit, only each chunk has
+	remaining uint64 // remaining counts the unread bytes of the current chunk.
+	chunkSeen bool   // chunkSeen says that the header of a chunk has been read.
+	ended     bool   // ended says that the last chunk and the trailer have been read.
+	unbounded bool   // unbounded says that only single reads and chunk headers are limited, not the whole body.
 }
 
-// Read reads data of the body. A stream that ends before the last chunk gives io.ErrUnexpectedEOF.
+// Read reads data of the body. It returns io.ErrUnexpectedEOF if the stream ends before the last chunk.
 func (c *chunkReader) Read(p []byte) (int, error) {
 	for c.remaining == 0 {
 		if c.ended {
 			return 0, io.EOF
 		}
 		if err := c.next(); err != nil {
-			if err == io.EOF { //nolint:errorlint // an EOF that is joined with a protocol error stays that error
+			// an EOF that next joined with a protocol error must stay a protocol error
+			if err == io.EOF { //nolint:errorlint
 				err = io.ErrUnexpectedEOF
 			}
 			return 0, err
@@ -267,7 +273,8 @@
 	return n, err
 }
 
-// next reads the framing up to the data of the next chunk, or to the end of the trailer.
+// next reads the framing up to the data of the next chunk, or after the last chunk up to the end of the
+// trailer.
 func (c *chunkReader) next() error {
 	if c.unbounded {
 		c.reader.limited.N = MaxHeadBytes
@@ -308,23 +315,24 @@
 	return version == "HTTP/1.0"
 }
 
-// Field is one header of a message to write.
+// Field is one header field of a message to write.
 type Field struct{ Name, Value string }
 
-// AppendRequest appends a request to b. Fields with an empty value are left out.
+// AppendRequest appends a request to b and returns the result. It omits fields with an empty value.
 func AppendRequest(b []byte, method, target string, fields []Field, body []byte) []byte {
 	b = append(append(append(append(b, method...), ' '), target...), " HTTP/1.1\r\n"...)
 	return appendHeadersAndBody(b, fields, body, method != "GET" && method != "DELETE")
 }
 
-// AppendResponse appends a response to b. Fields with an empty value are left out.
+// AppendResponse appends a response to b and returns the result. It omits fields with an empty value.
 func AppendResponse(b []byte, status int, fields []Field, body []byte) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10)
 	b = append(append(append(b, ' '), reasonPhrases[status]...), "\r\n"...)
 	return appendHeadersAndBody(b, fields, body, status != 204)
 }
 
-// appendHeadersAndBody appends all behind the first line. An empty body has a length only if framed.
+// appendHeadersAndBody appends everything after the first line of a message. It writes Content-Length if
+// framed is true or the body is not empty.
 func appendHeadersAndBody(b []byte, fields []Field, body []byte, framed bool) []byte {
 	for _, f := range fields {
 		if f.Value != "" {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,13 +14,13 @@
 
 func crlf(s string) string { return strings.ReplaceAll(s, "\n", "\r\n") }
 
-// Each request is read byte by byte, so that reads may end at every position.
+// The Reader gets each request byte by byte, so that a read ends at every position of the request.
 func TestRequests(t *testing.T) {
 	head := func(h map[string][]string) textproto.MIMEHeader { return h }
 	for name, c := range map[string]struct {
 		text   string
 		want   *Request
-		status int // of the error
+		status int // status is the expected status of the error; -1 means io.ErrUnexpectedEOF and 0 no error.
 	}{
 		"plain": {text: "GET /a?b=c HTTP/1.1\nhost: x\n\n",
 			want: &Request{Method: "GET", Target: "/a?b=c", Header: head(map[string][]string{"Host": {"x"}})}},
@@ -84,7 +84,7 @@
 	}
 }
 
-// Messages follow each other on a connection, whatever their framing.
+// Responses with different framing are read one after the other from the same stream.
 func TestResponsesInARow(t *testing.T) {
 	stream := crlf("HTTP/1.1 100 Continue\n\nHTTP/1.1 202 Accepted\nContent-Length: 0\n\n" +
 		"HTTP/1.1 503 No\nTransfer-Encoding: chunked\n\n1\na\n0\n\nHTTP/1.1 204 No Content\n\n" +
@@ -109,7 +109,7 @@
 	}
 }
 
-// A stream of chunks may exceed every limit of a single message.
+// A chunked body that is read with ChunkedBody may exceed the limits of a single message.
 func TestEndlessChunks(t *testing.T) {
 	const n = 40
 	chunk := crlf("1000\n" + strings.Repeat("a", 0x1000) + "\n")
@@ -140,33 +140,34 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r, err := NewReader(bytes.NewReader(data)).Request()
 		if err == nil && (len(r.Body) > MaxBodyBytes || r.Target[0] != '/') {
-			t.Errorf("accepted: %+v", r)
+			t.Errorf("Request accepted %+v, want a short body and a target that begins with /", r)
 		}
 	})
 }
 
-// A length that is only announced must not allocate memory: hundreds of requests may announce one.
+// A request that announces a large body without sending it must not allocate memory for that body, because
+// hundreds of clients may send such requests.
 func TestAnnouncedLengthCostsNothing(t *testing.T) {
 	text := crlf("POST / HTTP/1.1\nContent-Length: 65536\n\nab")
 	got := testing.Benchmark(func(b *testing.B) {
 		for range b.N {
 			if _, err := NewReader(strings.NewReader(text)).Request(); err == nil {
-				t.Error("a request without its body is read")
+				t.Error("Request returned no error for a request whose body is incomplete")
 			}
 		}
 	}).AllocedBytesPerOp()
 	if got > MaxBodyBytes/4 {
-		t.Errorf("%d bytes allocated for a request that never arrived", got)
+		t.Errorf("%d bytes allocated for an incomplete request, want at most MaxBodyBytes/4", got)
 	}
 }
 
-// Interim responses are skipped, but only a limited number of them.
+// Response skips up to maxInterimResponses interim responses and fails if there are more.
 func TestInterimResponsesEnd(t *testing.T) {
 	const interim, final = "HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n"
 	for n, ok := range map[int]bool{0: true, maxInterimResponses: true, maxInterimResponses + 1: false} {
 		r, err := NewReader(strings.NewReader(strings.Repeat(interim, n) + final)).Response()
 		if (err == nil) != ok || ok && r.Status != 202 {
-			t.Errorf("%d interim responses: %v, %v", n, r, err)
+			t.Errorf("%d interim responses: got %v and error %v, want an error only above the limit", n, r, err)
 		}
 	}
 }
