--- a/internal/node/acceptor.go
+++ b/internal/node/acceptor.go
@@ -11,14 +11,15 @@
 	"dahliaford/internal/scheduler"
 )
 
-// acceptPause is the time between two failing accepts, and between two requests for eviction.
+// acceptPause is the time between two accepts that fail, and between two requests for eviction.
 const acceptPause = 20 * time.Millisecond
 
-// accept is the acceptor's goroutine. It takes a slot before it accepts, so that connections beyond the
-// slots wait in the listener's queue.
+// accept is the acceptor's goroutine. It acquires a client slot before it accepts a connection, so that
+// connections beyond the number of slots wait in the listener's queue.
 func (n *Node) accept() {
 	defer n.serving.Done()
-	queuedSince := scheduler.Micros(0) // since when all slots were taken, without a break; 0: they are not
+	// queuedSince is the time since which all slots have been taken without interruption; 0 if a slot is free.
+	queuedSince := scheduler.Micros(0)
 	for {
 		since, ok := n.acquireSlot()
 		if !ok {
@@ -50,25 +51,26 @@
 	}
 }
 
-// retryAccept handles an error of accept. It reports whether the acceptor goes on.
+// retryAccept handles an error of Accept. It reports whether the acceptor should continue.
 func (n *Node) retryAccept(err error) bool {
 	switch {
 	case n.ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 		return false
-	case n.closingListener.Load() && errors.Is(err, os.ErrDeadlineExceeded): // beginDrain woke it
-		_ = n.listener.SetDeadline(time.Time{}) // if it fails, so does the next accept
+	case n.closingListener.Load() && errors.Is(err, os.ErrDeadlineExceeded): // beginDrain has set a deadline.
+		_ = n.listener.SetDeadline(time.Time{}) // If this fails, the next Accept fails as well.
 		return true
 	}
-	n.log.Warn("cannot accept", "error", err)
+	n.log.Warn("accepting a connection failed", "error", err)
 	n.post(evictionRequest{})
 	time.Sleep(acceptPause)
 	return true
 }
 
-// acquireSlot takes a slot for the next client connection. Evictions are requested before the slots run out,
-// as closing takes a moment; a callback or an established client may be next in the queue. If all slots were
-// taken, since is when that was found: the connection that is accepted next may have been in the queue since
-// then. It fails once the loop has ended.
+// acquireSlot acquires a slot for the next client connection. It requests evictions before all slots are
+// taken, because closing connections takes time and a callback or an established client may be next in the
+// listener's queue. If all slots are taken, since is the time at which acquireSlot found that; the connection
+// that is accepted next may have been in the queue since then. Otherwise since is 0. ok is false once the
+// event loop has ended.
 func (n *Node) acquireSlot() (since scheduler.Micros, ok bool) {
 	scarce := cap(n.clientSlots)-len(n.clientSlots) < max(n.callbackSlots/2, 1)
 	if scarce && n.evictionRequested.CompareAndSwap(false, true) {
@@ -87,14 +89,14 @@
 		case <-n.ctx.Done():
 			return 0, false
 		case <-time.After(acceptPause):
-			n.post(evictionRequest{}) // newcomers are past their grace by now, or a client is idle
+			n.post(evictionRequest{}) // By now newConnGrace may have passed for new clients, or a client may be idle.
 		}
 	}
 }
 
 func (n *Node) releaseSlot() { <-n.clientSlots }
 
-// hasQueuedConn reports whether a connection waits in the listener's queue.
+// hasQueuedConn reports whether a connection waits in the listener's queue to be accepted.
 func (n *Node) hasQueuedConn() bool {
 	raw, err := n.listener.SyscallConn()
 	if err != nil {
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -14,46 +14,53 @@
 )
 
 const (
-	// firstRequestTimeout is the longest from the accept to the end of the first request. A client that
+	// firstRequestTimeout is the longest time from the accept to the end of the first request. A client that
 	// sends nothing, or an incomplete request, must get an error or a close within 3 s.
 	firstRequestTimeout = 2 * time.Second
-	// requestTimeout is the longest that a later request may take from its first byte on.
+	// requestTimeout is the longest time from the first byte to the last byte of a later request.
 	requestTimeout = 5 * time.Second
-	// lingerTime is how long a connection is still read after a response that ends it.
+	// lingerTime is how long the node still reads a connection after its last response.
 	lingerTime = 500 * time.Millisecond
-	// closeGrace is how long a connection is still read before it is closed.
+	// closeGrace is how long the node waits for a further request before it closes an idle connection.
 	closeGrace = 100 * time.Millisecond
-	// requesterCloseGrace is closeGrace for clients whose close cannot lose a job, as they never sent one.
+	// requesterCloseGrace replaces closeGrace for clients that never sent an accepted job, so that closing the
+	// connection cannot lose one.
 	requesterCloseGrace = closeGrace / 10
 )
 
-// Messages of client connections to the loop.
+// The messages of client connections to the event loop.
 type (
 	clientOpened struct{ client *client }
 	clientClosed struct{ client *client }
 	submission   struct {
 		client     *client
-		receivedAt scheduler.Micros // when the request had been read
+		receivedAt scheduler.Micros // receivedAt is the time at which the request had been read.
 		scheduler.Submitted
 	}
-	evictionRequest struct{} // client slots are scarce
+	evictionRequest struct{} // evictionRequest asks the loop to evict clients, because client slots are scarce.
 )
 
-// client is one connection that was accepted. Its goroutine, serve, owns it and closes it; the loop asks for
-// the close with closeWhenIdle. While awaitRequest, or readAhead, waits in a goroutine of its own, only that
-// one reads.
+// client is one accepted connection. The goroutine serve owns the connection and closes it; the event loop
+// requests the close with closeWhenIdle. While awaitRequest or readAhead runs in a goroutine, no other
+// goroutine may read the connection.
 type client struct {
-	node          *Node
-	conn          net.Conn
-	inbound       *inbound
-	reader        *http1.Reader
-	answers       chan scheduler.Answer // holds the answer to the job in progress
-	ctx           context.Context       // ends when the connection should be closed once it is idle
+	node    *Node
+	conn    net.Conn
+	inbound *inbound
+	reader  *http1.Reader
+	// answers receives the scheduler's answer to the job in progress; it has capacity for one.
+	answers chan scheduler.Answer
+	// ctx is cancelled when the connection should be closed as soon as it is idle.
+	ctx           context.Context
 	closeWhenIdle context.CancelFunc
 	acceptedAt    scheduler.Micros
-	queuedSince   scheduler.Micros // since when it may have been in the listener's queue; 0: it was not
-	idleSince     atomic.Int64     // scheduler.Micros since when no request is in progress; 0: one is
-	rank          atomicRank
+	// queuedSince is the earliest time at which the connection can have entered the listener's queue, if it may
+	// have waited there for a client slot; otherwise 0.
+	queuedSince scheduler.Micros
+	// idleSince is the time, as scheduler.Micros, since which the connection has no request in progress; 0 while
+	// a request is in progress.
+	idleSince atomic.Int64
+	rank      atomicRank
 }
 
 func newClient(n *Node, conn net.Conn) *client {
@@ -62,7 +69,8 @@
 	c.answers = make(chan scheduler.Answer, 1)
 	c.reader.SendContinue = func() {
 		conn.SetWriteDeadline(time.Now().Add(writeGrace))
-		_, _ = io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n") // if it fails, so does the response
+		// If this write fails, writing the response fails as well.
+		_, _ = io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
 	c.ctx, c.closeWhenIdle = context.WithCancel(n.ctx)
 	c.acceptedAt = n.now()
@@ -70,7 +78,7 @@
 	return c
 }
 
-// serve is the connection's goroutine: it serves one request after the other.
+// serve is the connection's goroutine. It serves the requests of the connection one after the other.
 func (c *client) serve() {
 	n := c.node
 	defer func() {
@@ -80,7 +88,8 @@
 		n.releaseSlot()
 		n.post(clientClosed{c})
 	}()
-	// Set once, so that neither silence nor a byte now and then extends it.
+	// The deadline for the first request is set only once, so that a client cannot extend it by sending single
+	// bytes.
 	c.conn.SetReadDeadline(n.timeOf(c.acceptedAt).Add(firstRequestTimeout))
 	for next := c.awaitRequest(); ; {
 		if err := c.waitIdle(next); err != nil {
@@ -96,18 +105,20 @@
 	}
 }
 
-// awaitRequest waits in a goroutine of its own until bytes of the next request arrive, which also detects
-// that the client disconnects. Nobody else may read before the result is received.
+// awaitRequest waits in a new goroutine until the first byte of the next request arrives, or until reading
+// fails, for example because the client disconnects. No other goroutine may read the connection until the
+// result has been received from the channel.
 func (c *client) awaitRequest() <-chan error {
 	next := make(chan error, 1)
 	c.node.spawn(func() { next <- c.reader.Wait() })
 	return next
 }
 
-// waitIdle waits until the next request begins. The error says why none does.
+// waitIdle waits until the next request begins. It returns an error if the connection ends or should be
+// closed before that.
 //
-// A request may cross the close of its connection. Bytes that have arrived by then are still served: to the
-// client a close would look like a job that is lost.
+// A request may arrive while the node closes the connection. Bytes that arrive before the close are still
+// served, because the client would take a close after its request for a lost job.
 func (c *client) waitIdle(next <-chan error) error {
 	select {
 	case err := <-next:
@@ -115,10 +126,10 @@
 	case <-c.ctx.Done():
 	}
 	switch c.rank.load() {
-	case rankEvicted: // evict has set a deadline
+	case rankEvicted: // evict has already set the read deadline.
 	case rankRequester:
 		c.conn.SetReadDeadline(time.Now().Add(requesterCloseGrace))
-	case rankNew: // it may just have connected, with its first request on the way
+	case rankNew: // The client may have just connected, and its first request may be in transit.
 		c.conn.SetReadDeadline(time.Now().Add(lingerTime))
 	default:
 		c.conn.SetReadDeadline(time.Now().Add(closeGrace))
@@ -126,7 +137,7 @@
 	if err := <-next; err != nil {
 		return err
 	}
-	if c.rank.load() == rankNew { // its first request has begun and gets the time that it had
+	if c.rank.load() == rankNew { // The first request has begun and gets the rest of its original time.
 		first := c.node.timeOf(c.acceptedAt).Add(firstRequestTimeout)
 		c.conn.SetReadDeadline(latest(first, time.Now().Add(lingerTime)))
 	}
@@ -141,33 +152,37 @@
 	return b
 }
 
-// closeIdle ends an idle connection for the reason that reading ended. If it was our deadline, a request may
-// have arrived since, and a close would lose it: nothing distinguishes the two in time. So the connection
-// gets a response before the request is seen: a refusal, which is true, as nothing of the request goes on. A
-// client that has sent nothing takes an unsolicited response as the end of the connection.
+// closeIdle ends an idle connection; why is the error that ended reading. After the node's own read deadline
+// a request may arrive between the last read and the close, and the close would lose that request without an
+// answer. So closeIdle sends a 503 response before the close. The response is correct for a request that
+// arrives late, because the node never submits it. A client that has sent nothing takes an unsolicited
+// response for the end of the connection.
 func (c *client) closeIdle(why error) {
 	if !errors.Is(why, os.ErrDeadlineExceeded) {
-		return // the client has disconnected
+		return // The client has disconnected.
 	}
 	c.respond(c.node.now(), response{status: 503, closeConn: true, retryAfter: "0"})
-	// Linger, or a reset could overtake the response. A client that never sent anything gets no time, as
-	// others wait for its slot, except at a shutdown, when its front end has only just chosen this node.
+	// Without lingering, a reset could destroy the response before the client reads it. A client that never
+	// sent a complete request is not given that time, because other clients wait for its slot. A shutdown is
+	// the exception: the client's front end may have chosen this node just before.
 	if c.rank.load() > rankNew || c.node.draining.Load() {
 		c.linger()
 	}
 }
 
-// linger closes the sending side and reads on for a moment, after a response to a request that was not read
-// completely. An immediate close would reset the connection, and the client might never see the response.
+// linger closes the sending side of the connection and keeps reading for lingerTime, after a response to a
+// request that was not read completely. An immediate close would reset the connection, and the client might
+// never read the response.
 func (c *client) linger() {
 	if half, ok := c.conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		c.conn.SetReadDeadline(time.Now().Add(lingerTime))
-		// Whether it ends by the client, the deadline or the limit: the connection is closed next.
+		// The connection is closed next, whether the client, the deadline or the limit ends this copy.
 		_, _ = io.Copy(io.Discard, io.LimitReader(c.conn, 4*http1.MaxBodyBytes))
 	}
 }
 
-// closeDisconnected ends a connection whose client has disconnected, or has exceeded the read-ahead limit.
+// closeDisconnected ends a connection whose client has disconnected or has exceeded the read-ahead limit. In
+// the second case it sends a 400 response.
 func (c *client) closeDisconnected(receivedAt scheduler.Micros, why error) {
 	if errors.Is(why, errReadAheadLimit) {
 		c.node.log.Warn("bad request", "from", c.conn.RemoteAddr().String(), "why", errReadAheadLimit.Error())
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -10,8 +10,9 @@
 	"dahliaford/internal/scheduler"
 )
 
-// DecodeList decodes the worker list, or a change to it, in discovery's JSON. An entry that is invalid does
-// not affect the others: invalid is the error of the first one. With err nothing of the list is known.
+// DecodeList decodes a complete worker list, or a change of the list, from the JSON of the discovery service.
+// An invalid entry does not affect other entries; invalid is the error of the first invalid entry. If err is
+// not nil, the text as a whole is malformed and the list must not be used.
 func DecodeList(line []byte) (list scheduler.WorkerList, invalid, err error) {
 	in := jlexer.Lexer{Data: line}
 	DecodeObject(&in, func(key string) {
@@ -45,8 +46,8 @@
 	"ready": dispatch.Ready, "draining": dispatch.Draining, "gone": dispatch.Removed,
 }
 
-// decodeWorker decodes an entry. An invalid one takes its worker out of use, if it names it: whatever it was
-// meant to say, nothing shows that the worker is ready.
+// decodeWorker decodes an entry of the worker list. If the entry is invalid but has a UID, decodeWorker
+// returns the worker as draining, because an invalid entry does not show that the worker is ready.
 func decodeWorker(raw []byte) (scheduler.Worker, error) {
 	var w scheduler.Worker
 	state := ""
@@ -76,7 +77,7 @@
 	switch {
 	case err != nil:
 	case w.UID == "":
-		err = errors.New("a worker without a uid")
+		err = errors.New("worker entry has no uid")
 	case !known:
 		err = fmt.Errorf("worker %q: unknown state %q", w.UID, state)
 	case w.Addr == "" && status != dispatch.Removed:
@@ -97,7 +98,7 @@
 	"lost":     scheduler.CallbackAborted,
 }
 
-// decodeCallback decodes a worker's callback.
+// decodeCallback decodes the body of a worker's callback.
 func decodeCallback(body []byte) (scheduler.Callback, error) {
 	var callback scheduler.Callback
 	in := jlexer.Lexer{Data: body}
@@ -123,7 +124,7 @@
 	return callback, in.Error()
 }
 
-// decodeReport decodes a load report. The lexer holds the error.
+// decodeReport decodes a worker's load report. Errors are left in the lexer.
 func decodeReport(in *jlexer.Lexer) dispatch.Report {
 	r := dispatch.Report{Outstanding: -1}
 	DecodeObject(in, func(key string) {
@@ -141,8 +142,8 @@
 	return r
 }
 
-// DecodeObject reads an object. It calls value for each key whose value is not null, and value must read that value
-// from the lexer. The lexer holds the error.
+// DecodeObject reads a JSON object. It calls value for each key whose value is not null; value must read the
+// key's value from the lexer. Errors are left in the lexer.
 func DecodeObject(in *jlexer.Lexer, value func(key string)) {
 	in.Delim('{')
 	for !in.IsDelim('}') && in.Error() == nil {
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -11,23 +11,27 @@
 )
 
 const (
-	// newConnGrace is how long a new connection has for its first request before it can be evicted,
-	// however few slots are free.
+	// newConnGrace is the minimum time that a new connection has for its first request before it can be
+	// evicted. It applies even when no client slot is free.
 	newConnGrace       = 100 * time.Millisecond
 	newConnGraceMicros = scheduler.Micros(newConnGrace / time.Microsecond)
 )
 
-// clientRank says what a client connection has done. When slots are scarce the lowest rank is evicted first.
+// clientRank orders client connections for eviction by what the client has sent so far. When client slots are
+// scarce, connections of the lowest rank are evicted first.
 type clientRank int32
 
 const (
-	rankEvicted     clientRank = iota - 1 // evicted at rankNew: nothing more is accepted from it
-	rankNew                               // has not sent a complete request
-	rankRequester                         // has sent requests, but no job that was accepted and no callback
-	rankEstablished                       // has sent a callback, or a job that was accepted
+	// A connection with rankEvicted was evicted while it had rankNew; its requests are refused.
+	rankEvicted clientRank = iota - 1
+	rankNew                // A client with rankNew has not sent a complete request.
+	// A client with rankRequester has sent requests, but neither an accepted job nor a callback.
+	rankRequester
+	// A client with rankEstablished has sent a callback or a job that was accepted.
+	rankEstablished
 )
 
-// atomicRank is a clientRank that the loop and the connection's goroutine share.
+// atomicRank is a clientRank that the event loop and the connection's goroutine share.
 type atomicRank struct{ value atomic.Int32 }
 
 func (r *atomicRank) load() clientRank      { return clientRank(r.value.Load()) }
@@ -37,10 +41,11 @@
 	return r.value.CompareAndSwap(int32(old), int32(updated))
 }
 
-// evictClients closes client connections until callbackSlots are free. It closes all connections that never
-// sent a complete request, and all idle ones that never sent a job that was accepted nor a callback, unless
-// they are newcomers: a thousand more may be in the listener's queue, before the established clients. Then
-// it closes the connections of established clients that have been idle longest.
+// evictClients closes client connections until callbackSlots slots are free. It first closes all connections
+// that are older than newConnGrace and never sent a complete request, and all that have been idle for longer
+// than newConnGrace and sent neither an accepted job nor a callback. It closes all of them at once, because a
+// thousand more such connections may be in the listener's queue ahead of established clients. If that does
+// not free enough slots, it closes further idle connections, lowest rank and longest idle first.
 func (n *Node) evictClients() {
 	n.evictionRequested.Store(false)
 	free := cap(n.clientSlots) - len(n.clientSlots)
@@ -50,7 +55,7 @@
 		since, rank := c.idleSince.Load(), c.rank.load()
 		switch {
 		case c.ctx.Err() != nil:
-			free++ // it is about to close
+			free++ // The connection is already about to close.
 		case rank == rankNew && n.now()-c.acceptedAt > newConnGraceMicros,
 			rank == rankRequester && since != 0 && n.now()-scheduler.Micros(since) > newConnGraceMicros:
 			c.evict()
@@ -69,14 +74,14 @@
 	})
 	for _, c := range candidates[:min(len(candidates), n.callbackSlots-free)] {
 		if c.rank.load() == rankEstablished && newConns > 0 {
-			return // newcomers that send nothing can be evicted in a moment
+			return // New connections that send nothing can be evicted soon, which spares established clients.
 		}
 		c.evict()
 	}
 }
 
-// evict closes a client connection to free its slot. One that has never sent a complete request is cut off,
-// also within a request; for the others, a request that crosses the close is answered.
+// evict closes a client connection to free its slot. If the client has never sent a complete request, reading
+// stops at once, even within a request. Otherwise a request that arrives during the close is still answered.
 func (c *client) evict() {
 	if c.rank.compareAndSwap(rankNew, rankEvicted) {
 		c.conn.SetReadDeadline(time.Now())
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -8,16 +8,17 @@
 	"dahliaford/internal/scheduler"
 )
 
-// exchange is one request to a worker: an attempt, or the cancellation of one.
+// exchange is one request to a worker: an attempt, or the cancellation of an attempt.
 type exchange struct {
 	attempt              scheduler.AttemptID
 	requestID, workerUID string
 	writeBy              scheduler.Micros
 	deadline             scheduler.Micros
-	payload              *payload // nil: a cancellation
+	payload              *payload // payload is nil for a cancellation.
 }
 
-// encode returns the bytes of the request.
+// encode returns the HTTP request of the exchange. An attempt tells the worker the client's remaining time
+// as of now.
 func (e *exchange) encode(now scheduler.Micros, host string) []byte {
 	if e.payload == nil {
 		return http1.AppendRequest(nil, "DELETE", "/jobs/"+url.PathEscape(e.requestID),
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -7,27 +7,38 @@
 	"dahliaford/internal/scheduler"
 )
 
-// freshnessGuard is the last check before an attempt is sent: whether what this scheduler knows of the worker
-// list is still fresh. The loop decides on the updates that it has applied by then. But a change is in force
-// once discovery has written it, and the update may still be in the socket, with the watch's reader or in
-// the inbox while an attempt waits for its connection or for the processor. So the writer asks the guard when
-// its first byte can be sent.
+// freshnessGuard is the last check before an attempt is sent. It rejects the attempt unless this scheduler
+// has applied all updates of the worker list that discovery has written by then. The event loop chooses a
+// worker by the updates that the loop has applied. But a change of the list takes effect when discovery
+// writes the update, and the update may still be in the socket, with the watch's reader or in the inbox while
+// the attempt waits for its connection or for processor time. So the goroutine that writes an attempt asks
+// the guard at the moment when the socket accepts the first byte.
 //
-// The settings are constant. Everything else is under mu, including the fields of the readers.
+// The fields drainGrace, maxStaleness, listPushed and pollInterval are constant. mu protects all other fields
+// of the guard, and the fields hasUnposted and lastEmptyAt of its watch readers.
 type freshnessGuard struct {
-	drainGrace   scheduler.Micros // how long attempts may still be sent to a worker after it begins to drain
-	maxStaleness scheduler.Micros // a change is in force this long after it was made, received or not; 0: never
-	listPushed   bool             // without a watch a change is in force at once
-	pollInterval scheduler.Micros // without a watch a change is in force after this; 0: not stated
+	// drainGrace is how long attempts may still be sent to a worker after its drain has taken effect.
+	drainGrace scheduler.Micros
+	// maxStaleness is the time after which a change of the worker list takes effect whether or not this
+	// scheduler has received the change. With 0 a change takes effect only when it is received.
+	maxStaleness scheduler.Micros
+	// listPushed says that an agent pushes worker lists, so a change takes effect at once even without a watch.
+	listPushed bool
+	// pollInterval is the time after which a change takes effect while no watch is open; 0 if not stated.
+	pollInterval scheduler.Micros
 
-	mu             sync.Mutex
-	readers        map[*watchReader]bool
-	draining       map[string]bool  // workers, by UID, that get no new attempts
-	postedUpdates  uint64           // updates that readers have sent to the loop
-	appliedUpdates uint64           // updates that the loop has applied
-	asOf           scheduler.Micros // all changes up to this time have been applied
-	validUntil     scheduler.Micros // until when the list may be used
-	changed        chan struct{}    // closed, and replaced, when writers should check again
+	mu       sync.Mutex
+	readers  map[*watchReader]bool
+	draining map[string]bool // draining holds the UIDs of the workers that get no new attempts.
+	// postedUpdates counts the updates that watch readers have sent to the event loop.
+	postedUpdates  uint64
+	appliedUpdates uint64 // appliedUpdates counts the updates that the event loop has applied.
+	// asOf is the time up to which all changes of the worker list have been applied.
+	asOf scheduler.Micros
+	// validUntil is the time until which attempts may be sent by the present worker list.
+	validUntil scheduler.Micros
+	// changed is closed, and replaced by a new channel, when waiting writers should ask the guard again.
+	changed chan struct{}
 }
 
 func newFreshnessGuard(drainGrace, maxStaleness scheduler.Micros) *freshnessGuard {
@@ -35,16 +46,17 @@
 		draining: map[string]bool{}, changed: make(chan struct{})}
 }
 
-// Why an attempt may not be sent.
+// The reasons why the guard rejects an attempt. errUpdatePending is temporary; the writer waits and asks
+// again.
 var (
-	errUpdatePending  = errors.New("an update of the worker list is not applied yet") // it is soon
+	errUpdatePending  = errors.New("a received update of the worker list is not applied yet")
 	errWorkerDraining = errors.New("the worker is draining")
 	errListStale      = errors.New("the worker list is stale")
 )
 
-// allowSend returns nil if an attempt may be sent to a worker now, and otherwise the reason. If it may, all
-// that discovery has written by now has been applied, so a change that discovery writes next leaves the whole
-// grace for the first byte.
+// allowSend returns nil if an attempt may be sent to a worker now, and otherwise the reason why not. With
+// nil, every update that discovery has written by now has been applied, so if discovery's next update drains
+// the worker, the attempt's first byte is sent within the drain grace.
 func (g *freshnessGuard) allowSend(uid string, now scheduler.Micros) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,8 +76,10 @@
 	return nil
 }
 
-// checkReaders notes which readers have nothing to read, as every send does. A scheduler that sends little
-// would otherwise take the next update for older than it is, and its list for stale too soon.
+// checkReaders records for each watch reader whether the reader's socket is empty, as allowSend does for
+// each attempt. The age of the next update counts from the last time at which the socket was empty. Without
+// checkReaders a scheduler that sends few attempts would overestimate that age and take its worker list for
+// stale too early.
 func (g *freshnessGuard) checkReaders(now scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -74,22 +88,22 @@
 	}
 }
 
-// nextChange returns a channel that is closed when writers should check again.
+// nextChange returns a channel that is closed when writers that wait should call allowSend again.
 func (g *freshnessGuard) nextChange() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.changed
 }
 
-// notifyChange wakes the writers that wait. The caller holds mu.
+// notifyChange wakes the writers that wait for nextChange. The caller holds mu.
 func (g *freshnessGuard) notifyChange() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// countPosted counts an update that goes to the loop. It returns the time up to which the update covers all
-// changes: not before the socket was last seen empty, not after the update was read, and at most half of the
-// grace after the former.
+// countPosted counts an update that a watch reader is about to send to the event loop. It returns the time
+// up to which the update is known to cover all changes of the worker list. That time is when the update was
+// read, but at most half of the drain grace after the reader last found its socket empty.
 func (g *freshnessGuard) countPosted(reader *watchReader, now scheduler.Micros) (asOf scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,8 +111,8 @@
 	return min(now, reader.lastEmptyAt+g.drainGrace/2)
 }
 
-// countApplied counts an update that the loop has applied. asOf is the time that countPosted returned for
-// it, or 0 if the update says nothing of the present list.
+// countApplied counts an update that the event loop has applied. asOf is the time that countPosted returned
+// for the update, or 0 if the update is from a watch that has been replaced.
 func (g *freshnessGuard) countApplied(asOf scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -109,10 +123,10 @@
 	g.notifyChange()
 }
 
-// watchClosed handles the end of the present watch and returns until when the list may be used, as no more
-// changes are received. lastEmpty is when nothing was left to read of the watch; 0 if it never sent
-// anything, so that nothing depended on it. unreadable says that its last update could not be read: any
-// worker may be draining by it.
+// watchClosed handles the end of a watch and returns the time until which the worker list may be used: from
+// now on no more changes are received. lastEmpty is the last time at which the watch's socket was empty; 0
+// means that the watch does not affect validity, as it never sent anything or was replaced. unreadable says
+// that the watch's last update could not be decoded, so that any worker may have begun to drain.
 func (g *freshnessGuard) watchClosed(lastEmpty scheduler.Micros, unreadable bool) (until scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,23 +134,24 @@
 	case unreadable:
 		g.validUntil = 0
 	case lastEmpty == 0:
-	case g.listPushed: // a change that the agent has is in force, with or without a watch
+	case g.listPushed: // A change takes effect when the agent receives it, with or without a watch.
 		g.validUntil = min(g.validUntil, lastEmpty+g.drainGrace)
-	case g.pollInterval > 0: // a change is in force so long after it was made
+	case g.pollInterval > 0: // Without a watch a change takes effect pollInterval after it was made.
 		g.validUntil = min(g.validUntil, g.asOf+g.pollInterval)
 	}
 	return g.validUntil
 }
 
-// limitValidity is called when another discovery service replaces the present one: what it has changed is in
-// force at the given time, whether or not it has answered.
+// limitValidity ends the validity of the worker list at a given time, unless the validity ends earlier. The
+// loop calls it when another discovery service replaces the present one: changes at the new service take
+// effect at that time, whether or not the new service has responded.
 func (g *freshnessGuard) limitValidity(until scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.validUntil = min(g.validUntil, until)
 }
 
-// setDraining sets whether a worker gets new attempts.
+// setDraining sets whether a worker drains, so that it gets no new attempts.
 func (g *freshnessGuard) setDraining(uid string, draining bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/inbound.go
+++ b/internal/node/inbound.go
@@ -10,30 +10,32 @@
 	"dahliaford/internal/http1"
 )
 
-// maxReadAhead is how many bytes a client may send ahead of a response, beyond what one read returns. One
-// request at a time is the rule; what comes early is read so that a disconnect behind it is seen.
+// maxReadAhead limits the bytes that a client may send before it has the response to its present request;
+// the last read may exceed the limit. Clients should send one request at a time. The node buffers early bytes
+// in order to detect a disconnect behind them.
 const maxReadAhead = http1.MaxHeadBytes
 
-// errReadAheadLimit is reported to the client.
+// errReadAheadLimit reports that a client exceeded maxReadAhead. Its text is the body of the response.
 var errReadAheadLimit = errors.New("too much was sent ahead of an answer")
 
-// inbound reads a client's connection. It reads past a deadline if bytes have arrived: a reader that had no
-// processor time finds both at once, and what the system has received must be read.
+// inbound reads a client's connection. When the read deadline has passed, it still returns bytes that have
+// arrived: a reader that got no processor time finds the expired deadline and a request at the same time, and
+// a request that the operating system has received must be served.
 type inbound struct {
 	conn     net.Conn
-	rawConn  syscall.RawConn // nil: not a socket
-	buffered []byte          // read ahead
+	rawConn  syscall.RawConn // rawConn is nil if conn is not a socket, as in some tests.
+	buffered []byte          // buffered holds the bytes that were read ahead.
 }
 
 func newInbound(conn net.Conn) *inbound {
 	in := &inbound{conn: conn}
 	if s, ok := conn.(syscall.Conn); ok {
-		in.rawConn, _ = s.SyscallConn() // an error leaves it nil: no read past a deadline
+		in.rawConn, _ = s.SyscallConn() // After an error rawConn is nil, and an expired deadline ends the read.
 	}
 	return in
 }
 
-// Read returns what has been read ahead, and then reads the connection.
+// Read returns buffered bytes if there are any, and otherwise reads the connection.
 func (in *inbound) Read(b []byte) (n int, err error) {
 	if len(in.buffered) > 0 {
 		n = copy(b, in.buffered)
@@ -45,18 +47,19 @@
 	return in.readConn(b)
 }
 
-// readConn reads the connection. At a deadline it returns what has arrived, if anything.
+// readConn reads the connection. When the read deadline has passed, it still returns bytes that have arrived.
 func (in *inbound) readConn(b []byte) (n int, err error) {
 	if n, err = in.conn.Read(b); n > 0 || in.rawConn == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if n, _ = readSocketNow(in.rawConn, b, 0); n > 0 { // its error: nothing has arrived
+	if n, _ = readSocketNow(in.rawConn, b, 0); n > 0 { // An error means that no bytes have arrived.
 		return n, nil
 	}
 	return 0, err
 }
 
-// readAhead reads until the connection's end, its deadline, or the limit, and buffers what arrives.
+// readAhead reads the connection into the buffer until the connection ends, the read deadline passes, or the
+// limit is reached. It returns the error that ended it.
 func (in *inbound) readAhead() error {
 	for {
 		if err := in.buffer(in.readConn); err != nil {
@@ -65,8 +68,8 @@
 	}
 }
 
-// checkDisconnected buffers what has arrived, without waiting for more. The error says that the client has
-// disconnected, or has exceeded the limit.
+// checkDisconnected buffers the bytes that have arrived, without waiting for more. It returns an error if the
+// client has disconnected or has exceeded the limit.
 func (in *inbound) checkDisconnected() (err error) {
 	if in.rawConn == nil {
 		return nil
@@ -78,7 +81,8 @@
 		return n, err
 	}
 	var peeked [1]byte
-	if _, err = readNow(peeked[:], syscall.MSG_PEEK); err == nil { // rare: clients wait for their response
+	// Bytes here are rare, because clients usually wait for the response before they send again.
+	if _, err = readNow(peeked[:], syscall.MSG_PEEK); err == nil {
 		for err == nil {
 			err = in.buffer(func(b []byte) (int, error) { return readNow(b, 0) })
 		}
@@ -89,7 +93,7 @@
 	return err
 }
 
-// buffer appends the result of one read.
+// buffer appends the bytes of one read to the buffer.
 func (in *inbound) buffer(read func([]byte) (int, error)) error {
 	if len(in.buffered) >= maxReadAhead {
 		return errReadAheadLimit
--- a/internal/node/lag.go
+++ b/internal/node/lag.go
@@ -6,15 +6,17 @@
 	"dahliaford/internal/scheduler"
 )
 
-// lag estimates how late the event loop runs: the worst delay of the last while, of timers and of messages
-// in the inbox. A request has been unread for about as long before it was read, and its answer is decided as
-// late. Only the loop notes delays; any goroutine may ask for the estimate.
+// lag estimates how late the event loop runs. The estimate is the longest recent delay of a timer or of a
+// message in the inbox; it halves every lagDecay. A request has probably been unread for about that long, and
+// the decision on its answer will be about that late. Only the event loop records delays; any goroutine may
+// read the estimate.
 type lag struct{ maxDelay, recordedAt atomic.Int64 }
 
-// lagDecay is the time in which a delay that does not recur counts half.
+// lagDecay is the time in which the estimate halves if no delay of that length recurs.
 const lagDecay = 1000 * millisecond
 
-// note notes the delay of what was scheduled for a time and is done now. 0 was not scheduled.
+// record records the delay of an event that was due at the time scheduled and is handled now. With scheduled
+// 0 the event had no due time, and nothing is recorded.
 func (l *lag) record(now, scheduled scheduler.Micros) {
 	if delay := now - scheduled; scheduled != 0 && delay >= l.estimate(now) {
 		l.maxDelay.Store(int64(delay))
@@ -22,7 +24,7 @@
 	}
 }
 
-// estimate returns the delay to expect.
+// estimate returns the delay that events of the loop must be expected to have.
 func (l *lag) estimate(now scheduler.Micros) scheduler.Micros {
 	age := max(now-scheduler.Micros(l.recordedAt.Load()), 0) / lagDecay
 	return scheduler.Micros(l.maxDelay.Load()) >> min(age, 62)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -10,7 +10,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// post sends a message to the loop. It gives up only once the loop has ended.
+// post sends a message to the event loop and blocks while the inbox is full. After the loop has ended, post
+// discards the message.
 func (n *Node) post(m any) {
 	select {
 	case n.inbox <- m:
@@ -18,11 +19,12 @@
 	}
 }
 
-// postAsync posts from within the loop, which must not block on its own inbox.
+// postAsync sends an event to the event loop from a new goroutine. The loop itself uses it, because the loop
+// must not block on its own inbox.
 func (n *Node) postAsync(e scheduler.Event) { n.spawn(func() { n.post(e) }) }
 
-// Run serves until a shutdown is complete, or until the scheduler cannot recover from a panic: that is its
-// error.
+// Run serves clients until a shutdown is complete. It returns an error if the scheduler cannot recover from
+// a panic, or has panicked more than maxPanics times.
 func (n *Node) Run() error {
 	n.timer = time.NewTimer(time.Hour)
 	defer n.timer.Stop()
@@ -33,12 +35,12 @@
 	n.log.Info("serving", "name", n.cfg.Name, "listen", n.Addr().String(), "discovery", n.cfg.Discovery,
 		"workers", len(n.cfg.InitialList.Workers))
 	if n.cfg.InitialListError != nil {
-		n.log.Warn("the known worker list has an unusable entry", "why", n.cfg.InitialListError)
+		n.log.Warn("initial worker list has an invalid entry", "why", n.cfg.InitialListError)
 	}
-	n.serving.Add(1) // the acceptor counts, so that no connection is added after the count was 0
+	n.serving.Add(1) // The acceptor counts as well, so that the count cannot reach 0 before the last accept.
 	n.spawn(n.accept)
-	// The loop goes on until the clients have disconnected: a request that crosses the close of its
-	// connection still has to be answered, and nobody else reads the inbox.
+	// During a drain the loop runs until all clients have disconnected: a request can arrive while the node
+	// closes its connection, that request still needs an answer, and only this loop reads the inbox.
 	for err == nil && (n.drainDeadline == nil || n.clientsDrained != nil || n.cancellations > 0) {
 		select {
 		case <-n.drainDeadline:
@@ -82,22 +84,22 @@
 	case watchUpdate:
 		return n.onWatchUpdate(m)
 	case scheduler.ClientDisconnected:
-		delete(n.callers, m.Caller) // no answer follows that would do so
+		delete(n.callers, m.Caller) // The scheduler sends no answer for this caller that would remove the entry.
 		return n.step(m)
 	case scheduler.Event:
 		return n.step(m)
-	case func(): // tests inspect what the loop owns
+	case func(): // Tests send functions that inspect the loop's state.
 		m()
 	}
 	return nil
 }
 
-// onSubmission passes a job to the scheduler. The last slots are for callbacks: without those no job that
-// runs would end.
+// onSubmission passes a job to the scheduler. It refuses the job if clients that wait for an answer hold all
+// client slots except those reserved for callbacks: without a slot for callbacks no running job could end.
 func (n *Node) onSubmission(m submission) error {
 	n.lag.record(n.now(), m.receivedAt)
 	if len(n.callers) >= cap(n.clientSlots)-n.callbackSlots {
-		n.log.Warn("short on connections: a job is refused", "txn", m.ID)
+		n.log.Warn("client connection limit reached; job refused", "txn", m.ID)
 		m.client.answers <- scheduler.Answer{Verdict: scheduler.Refused, FinalForConnection: true}
 		return nil
 	}
@@ -105,13 +107,14 @@
 	return n.step(m.Submitted)
 }
 
-// maxPanics is how many panics of the decision module the program survives.
+// maxPanics is the number of panics of the decision module after which the next one ends the program.
 const maxPanics = 10
 
-var errTooManyPanics = errors.New("the decision module keeps breaking down")
+var errTooManyPanics = errors.New("too many panics of the decision module")
 
-// step passes one event to the scheduler and executes its effects. After a panic the scheduler recovers;
-// too many panics end the program.
+// step passes one event to the scheduler and executes the effects that the scheduler returns. After a panic
+// step lets the scheduler recover. It returns an error, which ends the program, if the scheduler cannot
+// recover or has panicked more than maxPanics times.
 func (n *Node) step(e scheduler.Event) error {
 	panicked := n.reduce(e)
 	var err error
@@ -121,7 +124,7 @@
 			err = errTooManyPanics
 		}
 	}
-	for _, effect := range n.effects { // also after a panic, as there are answers among them
+	for _, effect := range n.effects { // Recover's effects contain the answers to all open requests.
 		n.execute(effect)
 	}
 	return err
@@ -132,7 +135,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			panicked = true
-			n.log.Error("the decision module broke down: open requests fail", "panic", fmt.Sprint(cause),
+			n.log.Error("decision module panicked; open requests fail", "panic", fmt.Sprint(cause),
 				"event", fmt.Sprintf("%T", e), "open", n.sched.PendingRequests(), "stack", string(debug.Stack()))
 		}
 	}()
@@ -140,7 +143,7 @@
 	return false
 }
 
-// execute carries out one effect. A failure comes back as an event; an answer never depends on it.
+// execute carries out one effect of the scheduler. A failed effect is reported to the scheduler as an event.
 func (n *Node) execute(e scheduler.Effect) {
 	switch e := e.(type) {
 	case scheduler.SendAttempt:
@@ -154,7 +157,7 @@
 	case scheduler.Answer:
 		if c := n.callers[e.Caller]; c != nil {
 			delete(n.callers, e.Caller)
-			c.answers <- e // it has capacity for the one answer that a caller gets
+			c.answers <- e // The channel has capacity for the single answer that a caller gets.
 		}
 	case scheduler.SetTimer:
 		n.wakeAt = e.At
@@ -182,16 +185,16 @@
 	}
 }
 
-// spawn runs a goroutine that ends with the node. A panic in it ends what that goroutine serves, not the
-// process.
+// spawn runs f in a new goroutine. f must return soon after n.ctx is cancelled. A panic in f is logged and
+// ends only that goroutine, not the process.
 func (n *Node) spawn(f func()) {
 	go func() {
-		defer n.recoverPanic("a connection broke down")
+		defer n.recoverPanic("connection goroutine panicked")
 		f()
 	}()
 }
 
-// recoverPanic is deferred by a goroutine and logs its panic, if any.
+// recoverPanic logs the panic of the calling goroutine, if any, under the message what. Callers defer it.
 func (n *Node) recoverPanic(what string) {
 	if cause := recover(); cause != nil {
 		n.log.Error(what, "panic", fmt.Sprint(cause), "stack", string(debug.Stack()))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,12 +1,12 @@
-// Package node carries out on sockets the effects that the scheduler's reducer returns. It owns the client
-// listener, the connections to workers, the discovery watch and the timer, and runs the event loop that
-// feeds the reducer.
+// Package node runs one scheduler on sockets: it carries out the effects that the scheduler's reducer
+// returns. It owns the client listener, the connections to workers, the watch of the worker list at the
+// discovery service, and the timer, and it runs the event loop that feeds the reducer.
 //
-// The event loop (loop.go) is one goroutine; all others send it messages through the inbox. The acceptor
-// (acceptor.go) starts a goroutine for each client connection (client.go, request.go). Each connection to a
-// worker has a goroutine that dials and writes (worker_conn.go, worker_write.go) and one that reads. A watch
-// of the worker list has a reader (watch.go, watch_stream.go). The freshness guard (freshness.go) is shared
-// by all of them under its mutex.
+// The event loop (loop.go) is one goroutine; all other goroutines send it messages through the inbox
+// channel. The acceptor (acceptor.go) starts a goroutine for each client connection (client.go, request.go).
+// Each connection to a worker has one goroutine that dials and writes (worker_conn.go, worker_write.go) and
+// one that reads responses. Each watch of the worker list has a reader goroutine (watch.go,
+// watch_stream.go). All goroutines share the freshness guard (freshness.go), which has its own mutex.
 package node
 
 import (
@@ -24,104 +24,142 @@
 
 // Config is the configuration of a node.
 type Config struct {
-	Name             string               // identifies the node in the log
-	Listen           string               // the address for clients and for callbacks of workers
-	Discovery        string               // the address of the discovery service
-	Seed             uint64               // of the scheduler's random choices
-	MaxDescriptors   int                  // descriptors that the process may hold; 0: not stated
-	MemoryMB         int                  // memory that the process may take; 0: not stated
-	InitialList      scheduler.WorkerList // the worker list that is known before discovery answers
-	InitialListError error                // the first entry of InitialList that cannot be used; nil: none
+	Name string // Name identifies the node in the log.
+	// Listen is the address that clients send jobs to and workers send callbacks to.
+	Listen    string
+	Discovery string // Discovery is the address of the discovery service.
+	Seed      uint64 // Seed seeds the random number generator of the scheduler.
+	// MaxDescriptors limits the process's open file descriptors; 0 selects defaultDescriptors.
+	MaxDescriptors int
+	// MemoryMB is the memory limit of the process in megabytes; 0 means that no limit is stated.
+	MemoryMB int
+	// InitialList is the worker list to start with, until the discovery service sends one.
+	InitialList scheduler.WorkerList
+	// InitialListError describes the first invalid entry of InitialList; nil if all entries are valid.
+	InitialListError error
 	Settings         settings.Settings
 }
 
-// How the descriptors are divided.
+// The division of the process's file descriptors between clients, workers and everything else.
 const (
-	reservedDescriptors = 32 // standard streams, poller, listener, discovery, log, hedged dials
-	workerConnDivisor   = 4  // one in this many is for connections to workers
-	callbackSlotDivisor = 8  // one in this many of the rest is not available to submitted jobs
+	// reservedDescriptors are kept for standard streams, poller, listener, discovery, log and hedged dials.
+	reservedDescriptors = 32
+	// Connections to workers get 1/workerConnDivisor of the descriptors that are not reserved.
+	workerConnDivisor = 4
+	// 1/callbackSlotDivisor of the client connections is reserved for callbacks; submitted jobs cannot use it.
+	callbackSlotDivisor = 8
 	minDescriptors      = 64
 	defaultDescriptors  = 1024
 )
 
 const (
-	inboxSize     = 1024
-	sweepInterval = time.Second // at which idle connections to workers are checked for their timeout
-	// maxReadinessTimeout is the longest from the start until health reports ready. The call for the list is
-	// made within 2 s and takes some tenths of a second; nine in ten nodes have to be ready after 6 s at the
-	// latest, and the front end checks health only now and then.
+	inboxSize = 1024
+	// sweepInterval is the time between two checks for idle connections to workers that have timed out.
+	sweepInterval = time.Second
+	// maxReadinessTimeout is the longest time from the start of a node until its health check reports ready.
+	// A node requests the worker list within 2 s of its start, and the response takes some tenths of a second.
+	// Nine in ten nodes must be in service 6 s after their start, and the front end that forwards clients
+	// checks health only at intervals, so the health check has to succeed well before 6 s.
 	maxReadinessTimeout = 3 * time.Second
-	abortDrainTimeout   = time.Second // for clients to disconnect, when the node ends without a shutdown request
+	// abortDrainTimeout is how long clients may take to disconnect when Run ends without a shutdown request.
+	abortDrainTimeout = time.Second
 )
 
-// millisecond is a millisecond on the scheduler's clock.
+// millisecond is one millisecond in the unit of the scheduler's clock.
 const millisecond scheduler.Micros = 1000
 
-// Node runs one scheduler on sockets. A field belongs to the event loop's goroutine, in Run, unless its
-// group says otherwise.
+// Node runs one scheduler on sockets. Only the event loop's goroutine, Run, accesses the fields of Node,
+// except for the groups of fields that are marked as constant or shared.
 type Node struct {
-	// Set by Listen and constant from then on.
-	cfg              Config
-	log              *slog.Logger
-	listener         *net.TCPListener
-	start            time.Time
-	epoch            scheduler.Micros // start on the scheduler's clock
-	readinessTimeout time.Duration    // from the start until health reports ready without a list
-	watchOpenTimeout time.Duration    // that discovery may take to open a watch
-	watchIdleTimeout time.Duration    // that a watch may be silent
-	idleTimeout      scheduler.Micros // for which an idle connection to a worker is used again
-	maxWorkerConns   int
-	callbackSlots    int             // client slots that clients with a pending job may not take
-	dial             dialFunc        // set in tests only
-	ctx              context.Context // ends with the loop
-	cancel           context.CancelFunc
-
-	// Shared by goroutines.
-	inbox             chan any       // scheduler.Event or a message of this package; the loop reads it
-	serving           sync.WaitGroup // the acceptor and all client connections
-	clientSlots       chan struct{}  // holds one element for each client connection
-	freshness         *freshnessGuard
-	hedgedDials       atomic.Int32 // second dials that are in progress
-	evictionRequested atomic.Bool  // by acquireSlot, and not handled yet
-	closingListener   atomic.Bool  // the acceptor closes the listener once its queue is empty
-	draining          atomic.Bool  // new requests are refused, and health reports so
-	listReceived      atomic.Bool  // discovery has sent a list
-	lag               lag          // how late the loop runs; only the loop notes it
-
-	// The scheduler.
+	// Listen sets these fields. They are constant afterwards, and any goroutine may read them.
+	cfg      Config
+	log      *slog.Logger
+	listener *net.TCPListener
+	start    time.Time
+	epoch    scheduler.Micros // epoch is the field start, converted to the scheduler's clock.
+	// readinessTimeout is the time from start after which health reports ready even without a worker list.
+	readinessTimeout time.Duration
+	// watchOpenTimeout is how long discovery may take to accept a connection and to respond to the request
+	// for a watch.
+	watchOpenTimeout time.Duration
+	// watchIdleTimeout is how long a watch may stay open without sending a line.
+	watchIdleTimeout time.Duration
+	// idleTimeout is how long an idle connection to a worker can be reused before the loop closes it.
+	idleTimeout    scheduler.Micros
+	maxWorkerConns int
+	// callbackSlots is the number of client slots reserved for callbacks; clients with a pending job get the
+	// others.
+	callbackSlots int
+	dial          dialFunc        // dial replaces dialTCP in tests; it is nil otherwise.
+	ctx           context.Context // ctx is cancelled when the event loop ends.
+	cancel        context.CancelFunc
+
+	// All goroutines share these fields; each field is safe for concurrent use.
+
+	// inbox carries messages to the event loop: values of type scheduler.Event or of this package's message
+	// types.
+	inbox chan any
+	// serving counts the goroutines of the acceptor and of the client connections.
+	serving sync.WaitGroup
+	// clientSlots is a semaphore that holds one element for each client connection.
+	clientSlots chan struct{}
+	freshness   *freshnessGuard
+	hedgedDials atomic.Int32 // hedgedDials counts the hedged (second, parallel) dials in progress.
+	// evictionRequested is true from acquireSlot's request for an eviction until the loop has handled the
+	// request.
+	evictionRequested atomic.Bool
+	// closingListener tells the acceptor to close the listener once no accepted connection is queued there.
+	closingListener atomic.Bool
+	// draining is true when the node refuses new jobs; its health check then fails.
+	draining     atomic.Bool
+	listReceived atomic.Bool // listReceived is true once discovery has sent a worker list.
+	lag          lag         // lag estimates how late the event loop runs; only the loop records delays.
+
+	// The event loop drives the scheduler with these fields.
 	sched   *scheduler.Scheduler
 	effects []scheduler.Effect
 	timer   *time.Timer
-	wakeAt  scheduler.Micros // what the timer is set to
+	wakeAt  scheduler.Micros // wakeAt is the time at which timer fires.
 	panics  int
 
-	// Discovery.
-	watch         *watch // the present one
-	previousWatch *watch // the one before, until the present one has sent something
+	// These fields are the watches of the worker list.
+	watch *watch // watch is the watch that was opened last.
+	// previousWatch is the watch before watch. It stays open until watch has delivered its first update.
+	previousWatch *watch
 
-	// Clients.
+	// These fields are the connections of clients.
 	clients map[*client]bool
-	callers map[scheduler.CallerID]*client // those that wait for an answer
+	callers map[scheduler.CallerID]*client // callers are the clients that wait for the answer to a job.
 
-	// Connections to workers.
-	idleConns           map[string][]*workerConn            // by address, oldest first; the newest is used first
-	attempts            map[scheduler.AttemptID]*workerConn // with an attempt or its cancellation in progress
-	lastCancelledUnsent scheduler.AttemptID                 // the last attempt closed before any byte was sent
+	// The following fields are the connections to workers.
+
+	// idleConns maps a worker's address to its idle connections, longest idle first; reuse takes the last one.
+	idleConns map[string][]*workerConn
+	// attempts maps an attempt to the connection that carries the attempt or its cancellation.
+	attempts map[scheduler.AttemptID]*workerConn
+	// lastCancelledUnsent is the last attempt whose connection was closed before any byte of it was sent.
+	lastCancelledUnsent scheduler.AttemptID
 	openWorkerConns     int
-	cancellations       int // cancellations in progress
+	cancellations       int // cancellations counts the cancellations in progress.
+
+	// The following fields are the state of a shutdown.
 
-	// Shutdown.
-	drainDeadline  <-chan struct{} // set by beginDrain; closed when the drain ends at the latest
-	clientsDrained <-chan struct{} // set by beginDrain; closed without client connections; nil once that is seen
+	// drainDeadline is nil until beginDrain sets it; it is closed at the time limit of the drain.
+	drainDeadline <-chan struct{}
+	// clientsDrained is set by beginDrain and closed when no client is connected; the loop then resets it to
+	// nil.
+	clientsDrained <-chan struct{}
 }
 
-// Listen opens the client address and creates the scheduler. Nothing is accepted until Run. It fails if the
-// scheduler rejects the settings, or if the address cannot be opened.
+// Listen opens the client address and creates the scheduler. No connection is accepted before Run. Listen
+// fails if the scheduler rejects the settings, or if the address cannot be opened.
 func Listen(cfg Config, log *slog.Logger) (*Node, error) {
-	// On sockets a list that is pushed comes over a watch, too, and the node has to open it.
+	// A node gets pushed worker lists over a watch as well, and has to open that watch itself. So the scheduler
+	// is told to poll, with UnmeteredPolls: it neither spreads nor defers its requests.
 	listPushed := !cfg.Settings.Dispatch.PollEndpoints
 	cfg.Settings.Dispatch.PollEndpoints, cfg.Settings.Dispatch.UnmeteredPolls = true, listPushed
-	if cfg.Settings.Dispatch.MaxStaleness == 0 { // only tests set it
+	// Only tests set MaxStaleness before they call Listen; the settings file has no field for it.
+	if cfg.Settings.Dispatch.MaxStaleness == 0 {
 		cfg.Settings.Dispatch.MaxStaleness = scheduler.Micros(defaultMaxStaleness / time.Microsecond)
 	}
 	sched, err := scheduler.New(cfg.Settings, cfg.Seed)
@@ -130,7 +168,7 @@
 	}
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
-		return nil, err // it names the operation and the address
+		return nil, err // The error of net.Listen names the operation and the address.
 	}
 	if cfg.MaxDescriptors <= 0 {
 		cfg.MaxDescriptors = defaultDescriptors
@@ -158,21 +196,22 @@
 	return n, nil
 }
 
-// Addr returns the address for clients and for callbacks of workers.
+// Addr returns the address at which the node accepts clients and workers' callbacks.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// now returns the time on the scheduler's clock: the Unix time at the start, from then on monotonic.
+// now returns the time on the scheduler's clock. The clock starts with the Unix time at the node's start and
+// advances with the monotonic clock, so steps of the system clock do not affect it.
 func (n *Node) now() scheduler.Micros {
 	return n.epoch + scheduler.Micros(time.Since(n.start).Microseconds())
 }
 
-// timeOf converts a time on the scheduler's clock for deadlines of connections.
+// timeOf converts a time on the scheduler's clock to a time.Time, as deadlines of connections need it.
 func (n *Node) timeOf(t scheduler.Micros) time.Time {
 	return n.start.Add(time.Duration(t-n.epoch) * time.Microsecond)
 }
 
-// Stop requests a shutdown: Run returns once everything that is pending has been answered.
+// Stop requests a shutdown: Run returns once all pending jobs have been answered.
 func (n *Node) Stop() { n.post(scheduler.ShutdownRequested{}) }
 
-// Reload applies a new configuration. Only the address of discovery can change.
+// Reload applies a new configuration. Only the address of the discovery service can change.
 func (n *Node) Reload(cfg Config) { n.post(scheduler.Reloaded{Discovery: cfg.Discovery}) }
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -6,14 +6,15 @@
 	"dahliaford/internal/settings"
 )
 
-// ready reports whether front ends should send clients here. Nothing is sent to workers before discovery has
-// sent a list, so clients are better served elsewhere until then; but not for long, as discovery may be down.
+// ready reports whether front ends should send clients to this node. The node sends no attempts before
+// discovery has sent a worker list, so until then clients are better served by other nodes. After
+// readinessTimeout the node is ready without a list, as discovery may be down for all nodes.
 func (n *Node) ready() bool { return n.listReceived.Load() || time.Since(n.start) > n.readinessTimeout }
 
-// readinessTimeoutOf returns how long a node without a list reports that it is not ready: as long as the client
-// with the shortest deadline would wait here in vain, at most maxReadinessTimeout. By then other nodes lack the
-// list, too, and a client whose job is queued, or refused at once with a Retry-After, is better off than one
-// that finds no node at all.
+// readinessTimeoutOf returns how long a node without a worker list reports that it is not ready: the shortest
+// deadline of any class, but at most maxReadinessTimeout. If discovery has not responded in that time, other
+// nodes probably lack the list as well. A client whose job is queued, or refused at once with a Retry-After,
+// is then better off than a client that finds no node at all.
 func readinessTimeoutOf(set *settings.Settings) time.Duration {
 	shortest := maxReadinessTimeout
 	for _, c := range set.Dispatch.Classes {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -11,20 +11,21 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The paths that are not jobs.
+// The paths of requests that are not jobs.
 const (
 	healthPath   = "/_health"
 	callbackPath = "/callback"
 )
 
-// serveRequest reads a request and responds to it. It returns the wait for the next one.
+// serveRequest reads a request and responds to it. If the connection stays open, next receives the result of
+// waiting for the next request.
 func (c *client) serveRequest() (next <-chan error, keepOpen bool) {
 	if c.rank.load() > rankNew {
 		c.conn.SetReadDeadline(time.Now().Add(requestTimeout))
 	}
 	r, err := c.reader.Request()
 	receivedAt := c.node.now()
-	if c.queuedSince != 0 { // its time counts from its last byte, which may have arrived by then
+	if c.queuedSince != 0 { // The request may have been complete when the connection entered the queue.
 		receivedAt, c.queuedSince = c.queuedSince, 0
 	}
 	if err != nil {
@@ -32,11 +33,12 @@
 		return nil, false
 	}
 	c.rank.compareAndSwap(rankNew, rankRequester)
-	if c.rank.load() == rankEvicted { // it was evicted as the request became complete: nothing was sent on
+	if c.rank.load() == rankEvicted { // The client was evicted just before its request became complete.
 		c.respond(receivedAt, response{status: 503, closeConn: true, retryAfter: "0"})
 		return nil, false
 	}
-	c.conn.SetReadDeadline(time.Time{}) // only now: from rankRequester on nobody cuts the connection off
+	// The deadline is cleared after the rank is set: from rankRequester on, evict does not interrupt a read.
+	c.conn.SetReadDeadline(time.Time{})
 	path, _, _ := strings.Cut(r.Target, "?")
 	switch {
 	case path == healthPath:
@@ -68,19 +70,19 @@
 			body: []byte(protocolErr.Text + "\n")})
 		c.linger()
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		log.Warn("request broke off", "from", from)
+		log.Warn("connection ended within a request", "from", from)
 	}
 }
 
-// rejectRequest responds to a request that makes no sense. It reports whether the connection stays open.
+// rejectRequest responds to an invalid request. It reports whether the connection stays open.
 func (c *client) rejectRequest(receivedAt scheduler.Micros, r *http1.Request, status int, why string) bool {
 	from, id := c.conn.RemoteAddr().String(), r.Header.Get("X-Txn")
 	c.node.log.Warn("bad request", "from", from, "txn", id, "why", why)
 	return c.respond(receivedAt, response{status: status, closeConn: r.Close, body: []byte(why + "\n")})
 }
 
-// serveHealth responds to a health check: 503 keeps clients away. It reports whether the connection stays
-// open.
+// serveHealth responds to a health check. A status of 503 tells front ends not to send clients to this node.
+// serveHealth reports whether the connection stays open.
 func (c *client) serveHealth(receivedAt scheduler.Micros, r *http1.Request) bool {
 	status := 200
 	if c.node.draining.Load() || !c.node.ready() {
@@ -92,14 +94,14 @@
 	return c.respond(receivedAt, response{status: status, closeConn: r.Close})
 }
 
-// serveCallback passes a worker's callback to the loop. It reports whether the connection stays open.
+// serveCallback passes a worker's callback to the event loop. It reports whether the connection stays open.
 func (c *client) serveCallback(receivedAt scheduler.Micros, r *http1.Request) bool {
 	callback, err := decodeCallback(r.Body)
 	if err != nil {
 		return c.rejectRequest(receivedAt, r, 400, "callback: "+err.Error())
 	}
 	c.rank.store(rankEstablished)
-	// The response does not wait for the loop: the worker needs no result of it.
+	// The response is sent before the event loop handles the callback, because the worker needs no result.
 	keepOpen := c.respond(receivedAt, response{status: 204, closeConn: r.Close})
 	c.node.post(callback)
 	return keepOpen
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -8,8 +8,9 @@
 	"dahliaford/internal/scheduler"
 )
 
-// writeGrace is how long after its deadline, and after its decision, a response may still be written: a
-// client that does not read must not hold a connection for ever.
+// writeGrace limits the time to write a response. It counts from the job's deadline, or from the start of
+// the write if that is later. A client that does not read its response must not occupy a connection without
+// limit.
 const writeGrace = 5 * time.Second
 
 var statusOfVerdict = map[scheduler.Verdict]int{
@@ -17,22 +18,22 @@
 	scheduler.Conflict: 409,
 }
 
-// response is what a client gets.
+// response is a response to a client's request.
 type response struct {
 	status     int
-	closeConn  bool   // the connection is closed after it
-	retryAfter string // seconds; empty: none
+	closeConn  bool   // closeConn says that the node closes the connection after the response.
+	retryAfter string // retryAfter is the Retry-After header in seconds; empty means no header.
 	body       []byte
 }
 
-// responseTo returns the response that tells a scheduler's answer.
+// responseTo converts the scheduler's answer to a job to a response.
 func responseTo(answer scheduler.Answer, closeConn bool) response {
 	r := response{status: statusOfVerdict[answer.Verdict], closeConn: closeConn, body: answer.Body}
 	switch answer.Verdict {
 	case scheduler.Refused:
 		r.retryAfter = formatRetryAfter(answer.RetryAfter)
 	case scheduler.Invalid, scheduler.Conflict:
-		r.body = append(r.body, '\n') // the body is a line of text
+		r.body = append(r.body, '\n') // The body is one line of text.
 	}
 	return r
 }
@@ -41,14 +42,14 @@
 	return strconv.FormatFloat(float64(wait)/1e6, 'f', -1, 64)
 }
 
-// respond writes a response in one piece. It reports whether the connection stays open.
+// respond writes a response with a single write call. It reports whether the connection stays open.
 func (c *client) respond(deadline scheduler.Micros, r response) bool {
 	connection := ""
 	if r.closeConn {
 		connection = "close"
 	}
 	if c.node.cfg.Settings.Dispatch.MaxRetryAfter == 0 {
-		r.retryAfter = "" // the settings do not allow it
+		r.retryAfter = "" // The settings do not allow a Retry-After header.
 	}
 	b := http1.AppendResponse(make([]byte, 0, 256+len(r.body)), r.status,
 		[]http1.Field{{Name: "Retry-After", Value: r.retryAfter}, {Name: "Connection", Value: connection}}, r.body)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// beginDrain closes all client connections once they have their answers; the drain ends at the given time
-// at the latest. Connections that the system has accepted by now are included: the acceptor closes the
-// listener once its queue is empty.
+// beginDrain closes each client connection once its jobs are answered. The drain ends when no client is
+// connected, or at the given time. It includes connections that wait in the listener's queue: the acceptor
+// closes the listener only when that queue is empty.
 func (n *Node) beginDrain(by time.Time) {
 	if n.drainDeadline != nil {
 		return
@@ -13,7 +13,7 @@
 	n.drainDeadline, n.clientsDrained = drainDeadline, clientsDrained
 	time.AfterFunc(time.Until(by), func() { close(drainDeadline) })
 	n.closingListener.Store(true)
-	_ = n.listener.SetDeadline(time.Now()) // wakes the acceptor; it fails only if the listener is closed
+	_ = n.listener.SetDeadline(time.Now()) // This wakes the acceptor; it fails only if the listener is closed.
 	for c := range n.clients {
 		c.closeWhenIdle()
 	}
@@ -23,8 +23,8 @@
 	}()
 }
 
-// close releases the listener, the watch and all connections. The connections first have until the drain
-// deadline to write the answers that they have.
+// close releases the listener, the watch and all connections. Before that it waits, until the drain deadline,
+// for client connections to write the answers that they have received from the scheduler.
 func (n *Node) close() {
 	n.beginDrain(time.Now().Add(abortDrainTimeout))
 	if n.clientsDrained != nil {
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// readSocketNow reads what has arrived at a socket, without waiting. Nothing is EAGAIN; 0 bytes without an
-// error are the end of the stream.
+// readSocketNow reads the data that has arrived at a socket, without waiting. It returns EAGAIN if there is
+// no data, and 0 bytes without an error at the end of the stream.
 func readSocketNow(raw syscall.RawConn, b []byte, flags int) (n int, err error) {
 	controlErr := raw.Control(func(fd uintptr) { n, err = readSocket(fd, b, flags) })
 	if controlErr != nil {
@@ -15,7 +15,7 @@
 	return n, err
 }
 
-// readSocket is one non-blocking read, repeated if a signal interrupts it.
+// readSocket performs one non-blocking read and repeats the read if a signal interrupts it.
 func readSocket(fd uintptr, b []byte, flags int) (n int, err error) {
 	for {
 		n, _, err = syscall.Recvfrom(int(fd), b, flags|syscall.MSG_DONTWAIT)
@@ -25,7 +25,7 @@
 	}
 }
 
-// writeSocket is one write to a non-blocking socket, repeated if a signal interrupts it.
+// writeSocket performs one write to a non-blocking socket and repeats the write if a signal interrupts it.
 func writeSocket(fd uintptr, b []byte) (n int, err error) {
 	for {
 		if n, err = syscall.Write(int(fd), b); !errors.Is(err, syscall.EINTR) {
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -13,26 +13,28 @@
 	"dahliaford/internal/scheduler"
 )
 
-// payload is the part of a client's request that goes to a worker unchanged.
+// payload is the part of a client's request that is sent to workers unchanged.
 type payload struct {
 	method, target, idempotencyKey string
 	body                           []byte
-	disconnected                   atomic.Bool // the client has disconnected: no attempt may begin any more
+	// disconnected says that the client has left, so that no attempt may begin.
+	disconnected atomic.Bool
 }
 
 var lastCaller atomic.Uint64
 
-// uniqueHeaders are the headers that a job may have only once: a worker could read another one of several.
+// uniqueHeaders are the headers that a job may have only once. If a header were repeated, a worker could use
+// another one of its values than the scheduler does.
 var uniqueHeaders = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Labels", "Idempotency-Key"}
 
-// jobHeaders are the headers of a job that are validated here.
+// jobHeaders are the values of the headers that parseJobHeaders validates.
 type jobHeaders struct {
 	id          string
-	remainingMs int64 // time that the client waits
+	remainingMs int64 // remainingMs is how long the client waits for an answer.
 	slots       float64
 }
 
-// parseJobHeaders reads and validates the headers of a job. problem is empty if they are valid.
+// parseJobHeaders reads and validates the headers of a job. problem is empty if the headers are valid.
 func parseJobHeaders(r *http1.Request) (job jobHeaders, problem string) {
 	for _, name := range uniqueHeaders {
 		if len(r.Header[name]) > 1 {
@@ -49,15 +51,15 @@
 		problem = "no X-Txn"
 	case remaining == "":
 		problem = "no X-Remaining-Ms"
-	case err != nil || remaining[0] < '0': // a sign is malformed, too
+	case err != nil || remaining[0] < '0': // ParseInt accepts a sign, but the header must not have one.
 		problem = "malformed X-Remaining-Ms"
-	case !(job.slots <= dispatch.MaxSlots): // more than any machine has, or NaN
+	case !(job.slots <= dispatch.MaxSlots): // The condition also rejects NaN.
 		problem = "malformed X-Labels"
 	}
 	return job, problem
 }
 
-// classOf returns the class that a request names: in its header, or else in its path.
+// classOf returns the class of a request: the value of X-Lane, or else the first segment of the path.
 func classOf(r *http1.Request) string {
 	if name := r.Header.Get("X-Lane"); name != "" {
 		return name
@@ -67,8 +69,8 @@
 	return name
 }
 
-// requestedSlots returns the number of slots (or memory units, if that is more) that a request's labels
-// state, at least 1.
+// requestedSlots returns the number of slots that a request's labels state, or the number of memory units if
+// that is greater. It returns at least 1.
 func requestedSlots(labels string) float64 {
 	slots := 1.0
 	for label := range strings.SplitSeq(labels, ",") {
@@ -80,8 +82,8 @@
 	return slots
 }
 
-// submit passes a job to the loop and waits until it is answered or the client disconnects. It returns the
-// wait for the next request.
+// submit passes a job to the event loop, and waits until the job is answered or the client disconnects. next
+// receives the result of waiting for the next request on the connection, if the connection stays open.
 func (c *client) submit(receivedAt scheduler.Micros, r *http1.Request) (next <-chan error, keepOpen bool) {
 	n := c.node
 	job, problem := parseJobHeaders(r)
@@ -91,13 +93,15 @@
 		}
 		return c.awaitRequest(), true
 	}
-	if err := c.inbound.checkDisconnected(); err != nil { // right behind its request, or it sent too much
+	// The client may have disconnected right after its request, or may have sent more than maxReadAhead.
+	if err := c.inbound.checkDisconnected(); err != nil {
 		c.closeDisconnected(receivedAt, err)
 		return nil, false
 	}
-	// The request was unread for as long as the loop lags, and its answer will be as late.
+	// The event loop's lag is subtracted twice from the client's time: the request has probably waited that
+	// long before it was read, and its answer will be that late.
 	lagAllowance := 2 * n.lag.estimate(n.now())
-	const maxRemainingMs = 1 << 40 // prevents an overflow of the deadline
+	const maxRemainingMs = 1 << 40 // A larger value could overflow the deadline.
 	deadline := receivedAt + scheduler.Micros(min(job.remainingMs, maxRemainingMs))*1000 - lagAllowance
 	p := &payload{method: r.Method, target: r.Target,
 		idempotencyKey: r.Header.Get("Idempotency-Key"), body: r.Body}
@@ -112,7 +116,7 @@
 	}
 	closeConn := r.Close || answer.FinalForConnection || c.ctx.Err() != nil ||
 		len(n.clientSlots) == cap(n.clientSlots)
-	if ahead.ended != nil { // nobody else may read before it has ended
+	if ahead.ended != nil { // The read-ahead goroutine must end before another one reads the connection.
 		c.conn.SetReadDeadline(time.Now())
 		closeConn = !errors.Is(<-ahead.ended, os.ErrDeadlineExceeded) || closeConn
 		c.conn.SetReadDeadline(time.Time{})
@@ -122,20 +126,21 @@
 	}
 	keepOpen = c.respond(deadline, responseTo(answer, closeConn))
 	if late := n.now() - deadline - lagAllowance; late > millisecond {
-		n.log.Warn("an answer is late", "txn", job.id, "ms", late/millisecond,
+		n.log.Warn("answer sent after its deadline", "txn", job.id, "ms", late/millisecond,
 			"read_ms_ago", (n.now()-receivedAt)/millisecond)
 	}
 	return ahead.next, keepOpen
 }
 
-// lookahead is what is read of a connection while a job waits for its answer.
+// lookahead is the state of reading a connection while a job waits for its answer.
 type lookahead struct {
-	next  <-chan error // the wait for the next request
-	ended chan error   // nil, or receives the end of reading on behind the first bytes of the next request
+	next <-chan error // next receives the result of waiting for the next request.
+	// ended receives the error that ends the read-ahead; it is nil unless the client sent a request early.
+	ended chan error
 }
 
-// awaitAnswer waits for the answer to a job. The error says that the client has disconnected, that it has
-// exceeded the read-ahead limit, or that the node has ended.
+// awaitAnswer waits for the answer to a job. It returns an error if the client has disconnected or exceeded
+// the read-ahead limit, or if the node has ended.
 func (c *client) awaitAnswer(id scheduler.CallerID, p *payload) (scheduler.Answer, lookahead, error) {
 	n := c.node
 	ahead := lookahead{next: c.awaitRequest()}
@@ -145,12 +150,12 @@
 			return answer, ahead, nil
 		case err := <-disconnect:
 			if err != nil {
-				p.disconnected.Store(true) // the loop may be far behind
+				p.disconnected.Store(true) // Writers see the disconnect before a slow loop has processed the event.
 				n.post(scheduler.ClientDisconnected{Caller: id})
 				return scheduler.Answer{}, ahead, err
 			}
-			// The next request arrives before this one's answer and waits. Its bytes must not hide that
-			// the client disconnects, so the connection is read on.
+			// The next request has arrived before the answer to the present one, and waits. The node
+			// keeps reading into a buffer, to detect a disconnect behind the bytes of that request.
 			ready := make(chan error, 1)
 			ready <- nil
 			ended := make(chan error, 1)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,22 +7,25 @@
 	"dahliaford/internal/scheduler"
 )
 
-// watchUpdate is a message of a watch to the loop: an update of the worker list, or the watch's end.
+// watchUpdate is a message of a watch to the event loop: an update of the worker list, or the watch's end.
 type watchUpdate struct {
-	watch       *watch
-	event       scheduler.Event  // EndpointsUpdated or WatchClosed
-	readAt      scheduler.Micros // of an update: when it was read
-	lastEmptyAt scheduler.Micros // of the end: when nothing was left to read; 0: the watch never sent anything
+	watch *watch
+	event scheduler.Event // event is an EndpointsUpdated or a WatchClosed.
+	// readAt is the time at which an update was read; tests leave it 0 to skip the check for delays.
+	readAt scheduler.Micros
+	// lastEmptyAt, of a watch that has ended, is the last time at which the watch's socket was empty; 0 means
+	// that the watch never sent anything.
+	lastEmptyAt scheduler.Micros
 }
 
-// watch is one watch of the worker list. It belongs to the loop.
+// watch is one watch of the worker list. Only the event loop accesses its fields.
 type watch struct {
 	cancel context.CancelFunc
 	ended  bool
 }
 
-// openWatch opens a watch in place of the present one. The present one is read until the new one has sent
-// something: what discovery has written to it is in force.
+// openWatch opens a new watch in place of the present one. The present watch is still read until the new one
+// has sent something, because changes that discovery has written to the present watch have taken effect.
 func (n *Node) openWatch(open scheduler.OpenWatch) {
 	if open.ValidUntil != 0 {
 		n.freshness.limitValidity(open.ValidUntil)
@@ -42,16 +45,16 @@
 	})
 }
 
-// runWatch is the goroutine of a watch: it posts the watch's updates and its end.
+// runWatch is the goroutine of a watch. It posts the watch's updates and the watch's end to the event loop.
 func (n *Node) runWatch(ctx context.Context, w *watch, open scheduler.OpenWatch) {
-	var lastReader *watchReader // nil until the watch has sent something
+	var lastReader *watchReader // lastReader is nil until the watch has sent something.
 	err := n.readWatch(ctx, open, func(e scheduler.EndpointsUpdated, reader *watchReader) {
 		lastReader = reader
 		e.AsOf = n.freshness.countPosted(reader, n.now())
 		n.post(watchUpdate{watch: w, event: e, readAt: n.now()})
 	})
 	closed := scheduler.WatchClosed{}
-	if ctx.Err() == nil { // else the loop has cancelled it
+	if ctx.Err() == nil { // Otherwise the event loop has cancelled the watch, and its end is no failure.
 		n.log.Warn("watch of the worker list failed", "error", err)
 		closed.Unreadable = errors.Is(err, errUnreadableList)
 	}
@@ -73,7 +76,7 @@
 	asOf := e.AsOf
 	late := n.now() - m.readAt
 	if m.readAt != 0 && late > n.freshness.drainGrace/2 && n.freshness.drainGrace > 0 {
-		n.log.Warn("a worker list update is applied late", "rev", e.List.Rev, "ms", late/millisecond)
+		n.log.Warn("worker list update applied late", "rev", e.List.Rev, "ms", late/millisecond)
 	}
 	if m.watch == n.watch {
 		n.listReceived.Store(true)
@@ -85,14 +88,14 @@
 		e.FromPreviousWatch, asOf = true, 0
 	}
 	err := n.step(e)
-	n.freshness.countApplied(asOf) // after the step, which tells the guard who is draining
+	n.freshness.countApplied(asOf) // The step before tells the guard which workers drain.
 	return err
 }
 
 func (n *Node) onWatchClosed(m watchUpdate, e scheduler.WatchClosed) error {
 	m.watch.ended = true
 	if m.watch != n.watch {
-		m.lastEmptyAt = 0 // nothing depends on it any more
+		m.lastEmptyAt = 0 // A watch that was replaced does not affect how long the worker list is valid.
 	}
 	e.ValidUntil = n.freshness.watchClosed(m.lastEmptyAt, e.Unreadable)
 	switch m.watch {
--- a/internal/node/watch_reader.go
+++ b/internal/node/watch_reader.go
@@ -10,19 +10,24 @@
 	"dahliaford/internal/scheduler"
 )
 
-// watchReader reads a watch's connection and tracks whether updates on it still have to be applied.
+// watchReader reads a watch's connection, and tells the freshness guard whether updates may have arrived
+// there that the event loop has not received.
 type watchReader struct {
 	guard   *freshnessGuard
 	now     func() scheduler.Micros
 	rawConn syscall.RawConn
 
-	// Under the guard's mutex.
-	hasUnposted bool             // what was read last may hold an update that is not posted yet
-	lastEmptyAt scheduler.Micros // the latest time at which the socket was seen empty
+	// The guard's mutex protects these fields.
+
+	// hasUnposted is true while the data of the last Read may contain an update that is not posted yet.
+	hasUnposted bool
+	// lastEmptyAt is the latest time at which the socket was found empty with nothing unposted.
+	lastEmptyAt scheduler.Micros
 }
 
-// newWatchReader returns a reader of a connection that the guard takes into account. It has to be closed
-// before the connection is.
+// newWatchReader returns a reader of a watch's connection and registers the reader with the guard: allowSend
+// rejects attempts while that connection has unread data. The caller must close the reader before the
+// connection.
 func (g *freshnessGuard) newWatchReader(
 	conn net.Conn, now func() scheduler.Micros,
 ) (*watchReader, error) {
@@ -37,7 +42,7 @@
 	return r, nil
 }
 
-// close removes the reader from the guard.
+// close removes the reader from the guard and wakes writers that wait.
 func (r *watchReader) close() {
 	r.guard.mu.Lock()
 	defer r.guard.mu.Unlock()
@@ -45,9 +50,9 @@
 	r.guard.notifyChange()
 }
 
-// Read is called again when all complete updates that it returned before have been posted. A deadline ends
-// it only if nothing has arrived by then: a reader without processor time finds the deadline and an update
-// together.
+// Read reads from the connection. The caller must have posted all complete updates of the previous Read's
+// data before it calls Read again. When the read deadline has passed, Read still returns data that has
+// arrived: a reader that got no processor time finds the expired deadline and an update at the same time.
 func (r *watchReader) Read(b []byte) (n int, err error) {
 	r.markPosted()
 	ready := false
@@ -63,7 +68,7 @@
 	}
 	if waitErr := r.rawConn.Read(readReady); waitErr != nil {
 		if errors.Is(waitErr, os.ErrDeadlineExceeded) {
-			// It fails only on a closed socket; then nothing is ready.
+			// Control fails only on a closed socket, and then ready stays false.
 			_ = r.rawConn.Control(func(fd uintptr) { readReady(fd) })
 		}
 		if !ready {
@@ -76,8 +81,8 @@
 	return n, err
 }
 
-// markPosted notes that what was read before has been posted. It may have been applied by now, so writers
-// that wait should check again.
+// markPosted records that all updates of the previous Read's data have been posted. The event loop may have
+// applied these updates already, so markPosted wakes the writers that wait.
 func (r *watchReader) markPosted() {
 	r.guard.mu.Lock()
 	defer r.guard.mu.Unlock()
@@ -87,7 +92,7 @@
 	}
 }
 
-// lastEmpty returns the latest time at which nothing was left to read; 0 for a nil reader.
+// lastEmpty returns the latest time at which the socket was found empty; 0 for a nil reader.
 func (r *watchReader) lastEmpty() scheduler.Micros {
 	if r == nil {
 		return 0
@@ -97,8 +102,8 @@
 	return r.lastEmptyAt
 }
 
-// observe reports whether all that has arrived has been posted, and notes the time if so. The caller holds
-// the guard's mutex.
+// checkEmpty reports whether the socket is empty and every update that was read has been posted. If so, it
+// records the time in lastEmptyAt. The caller holds the guard's mutex.
 func (r *watchReader) checkEmpty(now scheduler.Micros) bool {
 	if r.hasUnposted || !r.empty() {
 		return false
@@ -107,9 +112,9 @@
 	return true
 }
 
-// empty reports whether nothing has arrived at the socket, neither a byte nor the end of the stream.
+// empty reports whether the socket has neither a byte nor the end of the stream to read.
 func (r *watchReader) empty() bool {
 	var peeked [1]byte
 	n, _ := readSocketNow(r.rawConn, peeked[:], syscall.MSG_PEEK)
-	return n == 0 // also after an error: discovery can write nothing more to a socket that is closed
+	return n == 0 // An error counts as empty: discovery cannot write updates to a closed socket.
 }
--- a/internal/node/watch_stream.go
+++ b/internal/node/watch_stream.go
@@ -18,37 +18,40 @@
 const (
 	membersPath = "/catalog/members"
 
-	// watchOpenTimeout is the longest that discovery may take to open a watch. A call that waits longer
-	// there fails.
+	// watchOpenTimeout is how long discovery may take to respond to the request for a watch. Discovery fails
+	// requests that wait longer.
 	watchOpenTimeout = 4 * time.Second
-	// agentOpenTimeout is the same where lists are pushed: the agent answers at once, or not before
-	// discovery is back. Then another call is better than to go on waiting for this one.
+	// agentOpenTimeout replaces watchOpenTimeout where an agent pushes the lists. The agent responds at
+	// once while discovery is up, and not at all to requests from a time when discovery is down. So a new
+	// request succeeds sooner than a longer wait would.
 	agentOpenTimeout = time.Second
-	// watchIdleTimeout is the longest between two lines of a watch. One comes every 2 s, and a change is in
-	// force 6 s after it was made whether it arrives or not, so a dead watch must be detected, and a new one
-	// opened, well within that time.
+	// watchIdleTimeout is the longest time between two lines of a watch. Discovery sends a line every
+	// 2 s. A change of the list takes effect 6 s after it was made even if it does not arrive, so a dead
+	// watch must be detected, and a new one opened, well within 6 s.
 	watchIdleTimeout = 3 * time.Second
 
-	// defaultMaxStaleness is how long after it was made a change is in force, whether it arrived or not.
+	// defaultMaxStaleness is the time after which a change of the worker list takes effect even if the node
+	// has not received the change.
 	defaultMaxStaleness = 6 * time.Second
 
-	maxLineBytes = 4 << 20 // of one object
+	maxLineBytes = 4 << 20 // maxLineBytes limits the length of a line, which holds one JSON object.
 )
 
 var (
-	// errUnreadableList is the error of an update that cannot be read. What it changes is unknown.
-	errUnreadableList = errors.New("unreadable worker list")
-	errWatchEnded     = errors.New("discovery ended the watch")
+	// errUnreadableList reports an update that cannot be decoded, so that its changes are unknown.
+	errUnreadableList = errors.New("malformed update of the worker list")
+	errWatchEnded     = errors.New("discovery closed the watch")
 )
 
-// readWatch opens a watch, calls deliver for each of its updates, and returns why the watch has ended.
+// readWatch opens a watch, calls deliver for each update of the worker list that the watch sends, and returns
+// the error that ended the watch.
 func (n *Node) readWatch(
 	ctx context.Context, open scheduler.OpenWatch, deliver func(scheduler.EndpointsUpdated, *watchReader),
 ) error {
 	dialer := net.Dialer{Deadline: time.Now().Add(n.watchOpenTimeout), KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", open.Addr)
 	if err != nil {
-		return err // it names the operation and the address
+		return err // The dialer's error names the operation and the address.
 	}
 	defer conn.Close()
 	reader, err := n.freshness.newWatchReader(conn, n.now)
@@ -64,7 +67,8 @@
 	}
 	n.log.Info("watch of the worker list open", "discovery", open.Addr, "from", open.Rev)
 	extendDeadline := func() {
-		if ctx.Err() == nil { // else the end of what has arrived is near
+		// After a cancellation the deadline has passed, and only data that has arrived is read.
+		if ctx.Err() == nil {
 			conn.SetReadDeadline(time.Now().Add(n.watchIdleTimeout))
 		}
 	}
@@ -87,13 +91,14 @@
 		return nil, err
 	}
 	if head.Status != 200 || head.Header.Get("Transfer-Encoding") != "chunked" {
-		return nil, fmt.Errorf("discovery answered %d", head.Status)
+		return nil, fmt.Errorf("discovery responded with status %d", head.Status)
 	}
 	return messages.ChunkedBody(), nil
 }
 
-// readUpdates reads the lines of a watch. It calls onLine after each of them, and deliver for each that
-// says what the list is: an object, or an empty line behind one, which confirms it.
+// readUpdates reads the lines of a watch. It calls onLine after each line. It calls deliver with the decoded
+// list after each JSON object, and with an empty update after each empty line that follows an object: an
+// empty line confirms that the list has not changed.
 func (n *Node) readUpdates(body io.Reader, onLine func(), deliver func(scheduler.WorkerList)) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLineBytes)
@@ -107,11 +112,11 @@
 				return fmt.Errorf("%w: %w", errUnreadableList, err)
 			}
 			if invalid != nil {
-				n.log.Warn("an entry of the worker list is unusable", "rev", list.Rev, "why", invalid)
+				n.log.Warn("worker list has an invalid entry", "rev", list.Rev, "why", invalid)
 			}
 			objectSeen = true
 		}
-		if objectSeen { // before the first object an empty line says nothing of the list
+		if objectSeen { // Before the first object an empty line does not confirm any list.
 			deliver(list)
 		}
 	}
@@ -124,8 +129,8 @@
 	return errWatchEnded
 }
 
-// splitLines is a bufio.SplitFunc. It drops the rest of the stream behind the last newline: that part has not
-// been sent completely, so it is not in force.
+// splitLines is a bufio.SplitFunc that splits at newlines. It drops an incomplete last line of the stream: a
+// change whose line was not sent completely has not taken effect.
 func splitLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if end := bytes.IndexByte(data, '\n'); end >= 0 {
 		return end + 1, data[:end], nil
--- a/internal/node/worker_conn.go
+++ b/internal/node/worker_conn.go
@@ -15,9 +15,9 @@
 	"dahliaford/internal/scheduler"
 )
 
-// Messages of connections to workers to the loop.
+// The messages of connections to workers to the event loop.
 type (
-	writeEnded struct { // exactly one for each exchange, unless the connection was dropped
+	writeEnded struct { // writeEnded is sent once for each exchange, unless the loop has dropped the connection.
 		conn *workerConn
 		err  error
 	}
@@ -25,40 +25,49 @@
 		conn *workerConn
 		connstate.WorkerResponse
 	}
-	readEnded        struct{ conn *workerConn } // nothing more can be read
-	workerConnClosed struct{ conn *workerConn } // its descriptor is free
+	// readEnded says that nothing more can be read from the connection.
+	readEnded struct{ conn *workerConn }
+	// workerConnClosed says that the file descriptor has been released.
+	workerConnClosed struct{ conn *workerConn }
 )
 
-// workerConn is a connection to a worker. Its goroutine, run, dials, writes and closes; a second goroutine,
+// workerConn is a connection to a worker. The goroutine run dials, writes and closes; a second goroutine,
 // readResponses, reads.
 type workerConn struct {
-	node      *Node
-	addr      string
-	exchanges chan exchange // from the loop to run; holds one, as the connection has one exchange at a time
+	node *Node
+	addr string
+	// exchanges passes exchanges from the event loop to run. It has capacity for one, because a connection has
+	// one exchange at a time.
+	exchanges chan exchange
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	// The loop's.
+	// Only the event loop accesses these fields.
 	connstate.Conn
-	requestID string           // of the current exchange, for the log
-	idleSince scheduler.Micros // valid while idle
+	requestID string // requestID is the job's ID in the current exchange, for the log.
+	// idleSince is the time since which the connection is idle; it has no meaning during an exchange.
+	idleSince scheduler.Micros
 
-	// Shared by the loop and the writer.
-	writeState    atomicWriteState
-	discardUnsent atomic.Bool // what has not been sent must not be, even after the connection is closed
+	// The event loop and the writer share these fields.
 
-	// responseOrder is held by the writer from the first byte of an exchange until its writeEnded is in the
-	// inbox. The reader waits for it, so that no response overtakes the writeEnded of its exchange.
+	writeState atomicWriteState
+	// discardUnsent says that no further byte of the exchange may be written, and that the close must discard
+	// bytes that are still in the send buffer.
+	discardUnsent atomic.Bool
+
+	// responseOrder keeps a response from reaching the inbox before the writeEnded of the same exchange. The
+	// writer holds the mutex from the first byte of an exchange until the writeEnded is in the inbox, and the
+	// reader waits for the mutex before it posts a response.
 	responseOrder      sync.Mutex
-	holdsResponseOrder bool // the writer's: it holds responseOrder
+	holdsResponseOrder bool // holdsResponseOrder is true while the writer, its only user, holds responseOrder.
 }
 
-// start begins an exchange on an idle or a new connection.
+// start begins an exchange on a connection that is idle or new.
 func (c *workerConn) start(e exchange) {
 	c.Assign(e.attempt, e.payload == nil)
 	c.requestID = e.requestID
 	c.writeState.reset()
-	c.exchanges <- e // it has capacity: a connection has one exchange at a time
+	c.exchanges <- e // This does not block: the channel has capacity for the connection's only exchange.
 }
 
 // run is the goroutine that owns the connection's socket, from the dial to the close.
@@ -81,7 +90,7 @@
 	})
 	for e := first; ; {
 		select {
-		case <-readerDone: // it was closed while idle: an error of writing now would look like a reset
+		case <-readerDone: // The worker has closed the idle connection. A write error now would look like a reset.
 			err = net.ErrClosed
 		default:
 			if err = c.write(conn, &e); errors.Is(err, errCancelled) {
@@ -95,23 +104,22 @@
 		}
 		select {
 		case e = <-c.exchanges:
-		case <-c.ctx.Done(): // the loop has dropped it
+		case <-c.ctx.Done(): // The event loop has dropped the connection.
 			return
 		}
 	}
 }
 
-// close closes the socket. If the exchange was abandoned, unsent data is discarded: the system would still
-// send it to a machine that is unreachable now, once that is back.
+// close closes the socket. With discardUnsent it also discards data in the send buffer: otherwise the
+// operating system would still send that data when a machine that is unreachable now can be reached again.
 func (c *workerConn) close(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok && c.discardUnsent.Load() {
-		_ = tcp.SetLinger(0) // it fails only if the socket is closed already
+		_ = tcp.SetLinger(0) // SetLinger fails only if the socket is already closed.
 	}
 	conn.Close()
 }
 
-// readResponses reads responses until the connection ends, which it also detects while the connection is
-// idle.
+// readResponses reads responses until the connection ends. It also detects the end of an idle connection.
 func (c *workerConn) readResponses(conn net.Conn) {
 	reader := http1.NewReader(conn)
 	for {
@@ -130,13 +138,15 @@
 	}
 }
 
-// waitWriteEnded waits until the writeEnded of an exchange that has begun is in the inbox.
+// waitWriteEnded waits until the writeEnded of the current exchange is in the inbox, if the writer has begun
+// to write the exchange.
 func (c *workerConn) waitWriteEnded() {
 	c.responseOrder.Lock()
 	c.responseOrder.Unlock() //nolint:staticcheck // SA2001: the lock is acquired to wait for the writer
 }
 
-// loadReport returns the load report of a response. One that is missing or malformed is unknown.
+// loadReport returns the load report in the X-Pressure header of a response. It returns the zero Report,
+// which is marked as unknown, if the header is missing or malformed.
 func loadReport(r *http1.Response) dispatch.Report {
 	load := r.Header.Get("X-Pressure")
 	if load == "" {
--- a/internal/node/worker_dial.go
+++ b/internal/node/worker_dial.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// hedgeDelayDivisor is the fraction of the time for a dial after which a hedged one is begun beside it.
+	// hedgeDelayDivisor sets when a hedged (second, parallel) dial begins: after 1/hedgeDelayDivisor of the
+	// time that the first dial may take.
 	hedgeDelayDivisor = 4
-	// maxHedgedDials is how many hedged dials may be in progress at once: their descriptors are among the
-	// spare ones.
+	// maxHedgedDials limits the hedged dials in progress, which use some of the reservedDescriptors.
 	maxHedgedDials = 8
 )
 
-// dialFunc opens a connection by a time.
+// dialFunc opens a TCP connection. It fails if the connection is not open at the time by.
 type dialFunc func(ctx context.Context, addr string, by time.Time) (net.Conn, error)
 
 func dialTCP(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
@@ -23,8 +23,9 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// dial opens the connection by a time. On some networks single dials are slow; a hedged one beside such a
-// dial usually is not. The connection that is up first is used: nothing is sent on the other one.
+// dial opens the connection, or fails at the time by. On some networks single dials are slow, while a second
+// dial at the same time usually is not. So dial starts a hedged dial beside a slow one and uses the
+// connection that opens first. Nothing is sent on the other connection.
 func (c *workerConn) dial(by time.Time) (net.Conn, error) {
 	type result struct {
 		conn net.Conn
@@ -60,7 +61,7 @@
 		case r := <-results:
 			pending--
 			if pending > 0 && os.IsTimeout(r.err) {
-				continue // the other one may be up
+				continue // The other dial may still succeed.
 			}
 			if pending > 0 {
 				n.spawn(func() {
--- a/internal/node/worker_effects.go
+++ b/internal/node/worker_effects.go
@@ -5,19 +5,21 @@
 	"dahliaford/internal/scheduler"
 )
 
-// sendAttempt starts an attempt on a connection to its worker.
+// sendAttempt starts an attempt on a connection to the attempt's worker. It reports ConnectFailed to the
+// scheduler if the limit of connections to workers is reached.
 func (n *Node) sendAttempt(s scheduler.SendAttempt) {
 	c, ok := n.assign(s.Addr, exchange{attempt: s.Attempt, requestID: s.ID, workerUID: s.UID,
 		writeBy: s.WriteBy, deadline: s.Deadline, payload: s.Payload.(*payload)})
 	if !ok {
-		n.log.Warn("short on connections: an attempt is not sent", "txn", s.ID, "worker", s.UID)
+		n.log.Warn("worker connection limit reached; attempt not sent", "txn", s.ID, "worker", s.UID)
 		n.postAsync(scheduler.AttemptEnded{Attempt: s.Attempt, Outcome: dispatch.ConnectFailed})
 		return
 	}
 	n.attempts[s.Attempt] = c
 }
 
-// closeAttemptConn closes the connection of an attempt, or of its cancellation, whatever its state.
+// closeAttemptConn closes the connection that carries an attempt or its cancellation, and discards data that
+// has not been sent.
 func (n *Node) closeAttemptConn(attempt scheduler.AttemptID) {
 	c := n.attempts[attempt]
 	if c == nil {
@@ -27,13 +29,13 @@
 	if c.Cancel {
 		n.cancellations--
 	} else if c.writeState.cancel() {
-		n.lastCancelledUnsent = attempt // no worker has it: the cancellation that follows need not be sent
+		n.lastCancelledUnsent = attempt // No worker has the attempt, so a cancellation need not be sent.
 	}
 	c.discardUnsent.Store(true)
 	n.drop(c)
 }
 
-// cancelUnsent cancels an attempt if nothing of it has been sent.
+// cancelUnsent ends an attempt as NotSent if no byte of the attempt has been sent; otherwise it does nothing.
 func (n *Node) cancelUnsent(attempt scheduler.AttemptID) {
 	if c := n.attempts[attempt]; c != nil && c.writeState.cancel() {
 		delete(n.attempts, attempt)
@@ -42,7 +44,8 @@
 	}
 }
 
-// cancelAttempt sends the cancellation of an attempt to its worker, on a connection of its own.
+// cancelAttempt sends the cancellation of an attempt to the attempt's worker, on a new connection. If no byte
+// of the attempt was ever sent, it reports the cancellation as acknowledged without sending anything.
 func (n *Node) cancelAttempt(cancel scheduler.CancelAttempt) {
 	if n.lastCancelledUnsent == cancel.Attempt {
 		n.postAsync(scheduler.CancellationResult{Attempt: cancel.Attempt, Acknowledged: true})
@@ -51,7 +54,7 @@
 	c, ok := n.assign(cancel.Addr, exchange{attempt: cancel.Attempt, requestID: cancel.ID,
 		writeBy: cancel.Deadline, deadline: cancel.Deadline})
 	if !ok {
-		n.log.Warn("short on connections: a job is not cancelled", "txn", cancel.ID)
+		n.log.Warn("worker connection limit reached; cancellation not sent", "txn", cancel.ID)
 		n.postAsync(scheduler.CancellationResult{Attempt: cancel.Attempt})
 		return
 	}
--- a/internal/node/worker_events.go
+++ b/internal/node/worker_events.go
@@ -9,18 +9,19 @@
 	"dahliaford/internal/scheduler"
 )
 
-// onWriteEnded handles the end of writing an exchange.
+// onWriteEnded handles the result of writing an exchange. It corrects the outcome of an attempt that the node
+// itself stopped (NotSent), and of a worker that refuses connections because it is full (AtCapacity).
 func (n *Node) onWriteEnded(m writeEnded) error {
 	c := m.conn
 	next, e := c.WriteEnded(writeResult(m.err))
 	if end, ok := e.(scheduler.AttemptEnded); ok {
 		if sendNoLongerAllowed(m.err) {
-			n.log.Info("an attempt turned back", "txn", c.requestID, "worker", c.addr, "why", m.err)
-			end.Outcome = dispatch.NotSent // the worker is not at fault
+			n.log.Info("attempt not sent", "txn", c.requestID, "worker", c.addr, "why", m.err)
+			end.Outcome = dispatch.NotSent // The worker did not cause the failure.
 			e = end
 		}
 		if end.Outcome == dispatch.ConnectFailed && n.atCapacity(c, m.err) {
-			n.log.Info("a worker is at its connection limit", "worker", c.addr, "txn", c.requestID)
+			n.log.Info("worker refuses further connections", "worker", c.addr, "txn", c.requestID)
 			end.Outcome = dispatch.AtCapacity
 			e = end
 		}
@@ -28,7 +29,7 @@
 	return n.finishExchange(c, next, e, m.err)
 }
 
-// writeResult returns what an error of dialling or writing means to the state machine.
+// writeResult converts an error of dialling or writing to a result for the connection's state machine.
 func writeResult(err error) connstate.WriteResult {
 	switch {
 	case err == nil:
@@ -39,14 +40,16 @@
 	return connstate.WriteFailed
 }
 
-// sendNoLongerAllowed reports whether an attempt was not written as it was not allowed any more.
+// sendNoLongerAllowed reports whether an attempt was not written because its worker began to drain, the
+// worker list became stale, or the client disconnected.
 func sendNoLongerAllowed(err error) bool {
 	return errors.Is(err, errWorkerDraining) || errors.Is(err, errListStale) || errors.Is(err, errDisconnected)
 }
 
-// atCapacity reports whether a worker cannot take another connection: it refuses one at once while others of
-// ours are up. A process that has exited would have reset those, and a machine that is down refuses nothing.
-// A worker at capacity is not unhealthy and not ejected for it.
+// atCapacity reports whether a worker is running but cannot accept another connection: the worker refuses a
+// connection while this node has other open connections to it. If the worker's process had exited, the other
+// connections would have been reset, and a machine that is down does not refuse connections. A worker at
+// capacity is healthy, so the refusal must not count towards its ejection.
 func (n *Node) atCapacity(c *workerConn, cause error) bool {
 	if !errors.Is(cause, syscall.ECONNREFUSED) && !errors.Is(cause, syscall.ECONNRESET) {
 		return false
@@ -62,26 +65,27 @@
 	return false
 }
 
-// onReadEnded handles the end of reading a connection.
+// onReadEnded handles the end of a connection's input: the worker has closed or reset the connection.
 func (n *Node) onReadEnded(c *workerConn) error {
 	next, e := c.ReadEnded()
-	if next == connstate.Drop && e == nil { // it was idle
+	if next == connstate.Drop && e == nil { // The connection was idle.
 		n.removeIdle(c)
 	}
 	return n.finishExchange(c, next, e, nil)
 }
 
-// onResponse handles a worker's response.
+// onResponse handles a worker's response. A response that arrives on an idle connection, or before any byte
+// of the current attempt was sent, is unsolicited and closes the connection.
 func (n *Node) onResponse(m workerResponse) error {
 	c := m.conn
 	wasIdle := !c.Busy
 	unsent := c.Busy && !c.Released && !c.Cancel && c.writeState.cancel()
 	next, e := c.ResponseReceived(m.WorkerResponse)
-	if unsent { // it came before anything of the attempt was sent, and now nothing will be
+	if unsent { // No byte of the attempt was sent before the response, and none is sent afterwards.
 		e = scheduler.AttemptEnded{Attempt: c.Attempt, Outcome: dispatch.NotSent}
 	}
 	if next == connstate.Drop && (wasIdle || unsent) {
-		n.log.Warn("unsolicited response of a worker", "worker", c.addr, "status", m.Status)
+		n.log.Warn("unsolicited response from worker", "worker", c.addr, "status", m.Status)
 		n.removeIdle(c)
 	}
 	n.logResponse(c, e, m.Status)
@@ -94,7 +98,8 @@
 	return n.finishExchange(c, next, e, nil)
 }
 
-// logResponse logs the responses that are not usual.
+// logResponse logs a worker's response if the worker did not accept a cancellation, rejected a request as
+// invalid, or sent an unexpected status.
 func (n *Node) logResponse(c *workerConn, e scheduler.Event, status int) {
 	switch e := e.(type) {
 	case scheduler.CancellationResult:
@@ -102,16 +107,17 @@
 			n.log.Warn("cancellation not accepted", "worker", c.addr, "txn", c.requestID, "status", status)
 		}
 	case scheduler.AttemptRejected:
-		n.log.Info("a worker rejects a request", "worker", c.addr, "txn", c.requestID, "status", status)
+		n.log.Info("worker rejected request", "worker", c.addr, "txn", c.requestID, "status", status)
 	case scheduler.AttemptEnded:
 		if e.Outcome == dispatch.Failed && status != 500 {
-			n.log.Warn("unexpected answer of a worker", "worker", c.addr, "txn", c.requestID, "status", status)
+			n.log.Warn("unexpected response from worker", "worker", c.addr, "txn", c.requestID, "status", status)
 		}
 	}
 }
 
-// finishExchange does with a connection what its state machine says, and passes the event that this means
-// for its exchange, if any, to the scheduler. cause is logged.
+// finishExchange closes a connection if its state machine returned Drop. If the state machine returned an
+// event, the exchange has ended, and finishExchange passes the event to the scheduler. cause is the error of
+// a failed connection, for the log.
 func (n *Node) finishExchange(
 	c *workerConn, next connstate.Disposition, e scheduler.Event, cause error,
 ) error {
@@ -128,14 +134,14 @@
 	if next == connstate.Drop {
 		n.drop(c)
 		if !isResponse(e) {
-			n.log.Info("connection to a worker failed", "worker", c.addr, "txn", c.requestID, "sent", c.Written,
+			n.log.Info("connection to worker failed", "worker", c.addr, "txn", c.requestID, "sent", c.Written,
 				"error", cause)
 		}
 	}
 	return n.step(e)
 }
 
-// isResponse reports whether an event comes from a worker's response and not from the end of a connection.
+// isResponse reports whether an event results from a worker's response, and not from the end of a connection.
 func isResponse(e scheduler.Event) bool {
 	switch e := e.(type) {
 	case scheduler.AttemptEnded:
--- a/internal/node/worker_pool.go
+++ b/internal/node/worker_pool.go
@@ -8,18 +8,20 @@
 	"dahliaford/internal/settings"
 )
 
-// How long an idle connection is used again. The workers' machines may close it at any time, and not all of
-// them tell: the next request then ends as a reset, and a job that must not run twice is lost. A new
-// connection costs little compared to a job, but may come up late. In a large fleet a scheduler has few
-// workers and returns to each within seconds; there all schedulers together would open a connection for
-// each job, and a close that crosses a request is waited for.
+// The time for which an idle connection can be reused. A worker's machine may close an idle connection at
+// any time, and some machines drop it without notice. A request on such a connection ends as a reset, and a
+// job that must not run twice then fails. A new connection costs little compared to a job, but may open
+// slowly; so a small fleet reuses connections only briefly. In a large fleet each scheduler sends to few
+// workers, and to each of them again within seconds. With a short timeout all schedulers together would open
+// a new connection for each job. A large fleet therefore reuses connections for longer, and waits for the
+// outcome of a request that was written while the worker closed the connection.
 const (
 	idleTimeoutSmallFleet = 50 * millisecond
 	idleTimeoutLargeFleet = 2000 * millisecond
 )
 
-// idleTimeoutOf returns how long an idle connection is used again: at most half of what the workers' machines
-// allow.
+// idleTimeoutOf returns how long an idle connection to a worker can be reused: at most half of the time after
+// which the workers' machines close idle connections.
 func idleTimeoutOf(set *settings.Settings) scheduler.Micros {
 	timeout := idleTimeoutSmallFleet
 	if set.Dispatch.LargeFleet() {
@@ -28,8 +30,8 @@
 	return min(timeout, set.WorkerIdleTimeout/2)
 }
 
-// assign starts an exchange on an idle connection to a worker, or on a new one: a cancellation always gets a
-// new one. It fails when the limit of connections is reached.
+// assign starts an exchange on an idle connection to a worker, or on a new connection. A cancellation always
+// gets a new connection. assign returns false if maxWorkerConns connections are open.
 func (n *Node) assign(addr string, e exchange) (*workerConn, bool) {
 	n.dropExpiredIdle()
 	if idle := n.idleConns[addr]; len(idle) > 0 && e.payload != nil {
@@ -38,7 +40,8 @@
 		c.start(e)
 		return c, true
 	}
-	// Idle connections are dropped before the limit is reached, as they take a moment to close.
+	// From 7/8 of the limit on, each new connection drops an idle one: closing takes some time, so waiting
+	// until the limit is reached would be too late.
 	if n.openWorkerConns >= n.maxWorkerConns-n.maxWorkerConns/8 {
 		n.dropOldestIdle()
 	}
@@ -53,24 +56,24 @@
 	return c, true
 }
 
-// addIdle makes a connection available for other exchanges.
+// addIdle makes a connection available for reuse.
 func (n *Node) addIdle(c *workerConn) {
 	c.idleSince = n.now()
 	n.idleConns[c.addr] = append(n.idleConns[c.addr], c)
 }
 
-// removeIdle removes a connection from the idle ones.
+// removeIdle makes an idle connection unavailable for reuse.
 func (n *Node) removeIdle(c *workerConn) {
 	n.idleConns[c.addr] = slices.DeleteFunc(n.idleConns[c.addr], func(o *workerConn) bool { return o == c })
 }
 
-// drop releases a connection; its goroutine closes it.
+// drop releases a connection. The connection's goroutine then closes the socket.
 func (n *Node) drop(c *workerConn) {
 	c.Release()
 	c.cancel()
 }
 
-// dropOldestIdle drops the connection that has been idle longest.
+// dropOldestIdle drops the connection that has been idle for the longest time.
 func (n *Node) dropOldestIdle() {
 	var oldest *workerConn
 	for _, idle := range n.idleConns {
@@ -84,7 +87,7 @@
 	}
 }
 
-// dropExpiredIdle drops connections that have been idle too long to be used again.
+// dropExpiredIdle drops the connections that have been idle for idleTimeout or longer.
 func (n *Node) dropExpiredIdle() {
 	for addr, idle := range n.idleConns {
 		for len(idle) > 0 && n.now()-idle[0].idleSince >= n.idleTimeout {
@@ -97,7 +100,7 @@
 	}
 }
 
-// dropIdleTo drops the idle connections to a worker.
+// dropIdleTo drops all idle connections to the worker at an address.
 func (n *Node) dropIdleTo(addr string) {
 	for _, c := range n.idleConns[addr] {
 		n.drop(c)
--- a/internal/node/worker_write.go
+++ b/internal/node/worker_write.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// Why an exchange is not written. The freshness guard has more reasons.
+// The reasons why an exchange is not written, in addition to those of the freshness guard.
 var (
-	errCancelled    = errors.New("cancelled before anything was sent")
+	errCancelled    = errors.New("exchange cancelled before its first byte was sent")
 	errDisconnected = errors.New("the client has disconnected")
 )
 
-// atomicWriteState decides between the loop, which may cancel an exchange, and its writer: the first one wins.
+// atomicWriteState resolves the race between the event loop, which may cancel an exchange, and the writer of
+// the exchange: whichever of cancel and begin is called first succeeds, and the other one fails.
 type atomicWriteState struct{ state atomic.Int32 }
 
 const (
 	writePending int32 = iota
 	writeBegun
-	writeCancelled // nothing of the exchange has been sent, nor will be
+	writeCancelled // writeCancelled means that no byte of the exchange has been sent or will be sent.
 )
 
 func (s *atomicWriteState) reset()       { s.state.Store(writePending) }
 func (s *atomicWriteState) begin() bool  { return s.state.CompareAndSwap(writePending, writeBegun) }
 func (s *atomicWriteState) cancel() bool { return s.state.CompareAndSwap(writePending, writeCancelled) }
 
-// write sends the request of an exchange.
+// write sends the request of an exchange: an attempt or a cancellation.
 func (c *workerConn) write(conn net.Conn, e *exchange) error {
 	conn.SetWriteDeadline(c.node.timeOf(e.writeBy))
 	if e.payload != nil {
@@ -41,9 +42,9 @@
 	return err
 }
 
-// writeAttempt sends an attempt. Whether the freshness guard allows it is checked inside the write call, when
-// the first byte can be sent, and again each time until it has been. While an update of the worker list is
-// not applied yet, the writer waits for that.
+// writeAttempt sends an attempt. It asks the freshness guard inside the write call, when the socket accepts
+// data, and asks again each time until the first byte has been sent. While the guard reports
+// errUpdatePending, writeAttempt waits for the update of the worker list to be applied.
 func (c *workerConn) writeAttempt(conn net.Conn, e *exchange) error {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -57,10 +58,11 @@
 		waitErr := raw.Write(writeReady)
 		switch {
 		case errors.Is(w.blockReason, errDisconnected) && w.sent > 0:
-			c.discardUnsent.Store(true) // what has been sent ends with the connection
+			c.discardUnsent.Store(true) // The worker must not get the rest of the request.
 			return w.blockReason
 		case errors.Is(w.blockReason, errUpdatePending) || errors.Is(w.blockReason, errDisconnected):
-			// The loop learns the same in a moment, and cancels the exchange if need be.
+			// The event loop is about to process the update or the disconnect, and cancels the exchange if
+			// necessary.
 		case w.blockReason != nil:
 			return w.blockReason
 		case waitErr != nil:
@@ -81,24 +83,24 @@
 	}
 }
 
-// attemptWriter is the progress of writing one attempt.
+// attemptWriter holds the progress of writing one attempt to its connection.
 type attemptWriter struct {
 	conn        *workerConn
 	exchange    *exchange
-	request     []byte // encoded when its first byte can be sent
-	sent        int    // bytes of the request
-	blockReason error  // why nothing may be written now; nil: nothing blocks it
-	err         error  // of the last write
+	request     []byte // request is encoded when the socket accepts the first byte.
+	sent        int    // sent counts the bytes of the request that the socket has accepted.
+	blockReason error  // blockReason is the reason why nothing may be written now, or nil.
+	err         error  // err is the error of the last write.
 }
 
-// writeReady writes what the socket takes. It is called by syscall.RawConn.Write and returns false to wait
-// until the socket takes more.
+// writeReady writes as many bytes as the socket accepts. syscall.RawConn.Write calls it; it returns false to
+// be called again when the socket accepts more.
 func (w *attemptWriter) writeReady(fd uintptr) (done bool) {
 	if w.blockReason = w.checkAllowed(); w.blockReason != nil {
 		return true
 	}
 	if w.sent == 0 {
-		// Not before: the check may have waited for an update, and the worker is told the time that is left.
+		// The request states the client's remaining time, so it is encoded after any wait for an update.
 		w.request = w.exchange.encode(w.conn.node.now(), w.conn.addr)
 	}
 	var sent int
@@ -109,8 +111,8 @@
 	return w.err != nil || w.sent == len(w.request)
 }
 
-// check returns why nothing may be written now. Until the last byte is sent the attempt has not begun, so a
-// disconnect stops it at any time.
+// checkAllowed returns the reason why nothing may be written now, or nil. A worker runs an attempt only after
+// it has read the whole request, so a disconnect of the client stops the attempt until its last byte is sent.
 func (w *attemptWriter) checkAllowed() error {
 	c, e := w.conn, w.exchange
 	if w.sent == 0 {
@@ -131,7 +133,8 @@
 	return nil
 }
 
-// beginWrite passes the gate when the first byte can be sent, and acquires responseOrder.
+// beginWrite marks the exchange as begun and acquires responseOrder. It returns false, without the mutex, if
+// the event loop has cancelled the exchange.
 func (c *workerConn) beginWrite() bool {
 	c.responseOrder.Lock()
 	if c.holdsResponseOrder = c.writeState.begin(); !c.holdsResponseOrder {
@@ -140,7 +143,8 @@
 	return c.holdsResponseOrder
 }
 
-// releaseResponseOrder lets responses pass: writeEnded is in the inbox, or none will be.
+// releaseResponseOrder lets the reader post responses again. The writer calls it when the writeEnded of the
+// exchange is in the inbox, or when no writeEnded follows.
 func (c *workerConn) releaseResponseOrder() {
 	if c.holdsResponseOrder {
 		c.holdsResponseOrder = false
