--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -11,8 +11,9 @@
 	"dahliaford/internal/scheduler"
 )
 
-// A client that connects and sends nothing, or an incomplete request, gets an error or a close in time,
-// however late its last byte arrived. A connection that had a request may be idle for longer.
+// A client that connects and sends nothing, or an incomplete request, gets an error or a close after
+// firstRequestTimeout, even if single bytes still arrive. Malformed requests get an error at once. A
+// connection that has had a complete request may be idle for longer.
 func TestSlowClients(t *testing.T) {
 	runScenario(t, newHarness(t, 0, "r1"), `
 		kept send GET /_health
@@ -36,7 +37,7 @@
 		kept expect 200`)
 }
 
-// A request that crosses the node's close of the connection is answered.
+// A request that arrives while the node closes its connection is answered.
 func TestRequestCrossesTheClose(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	c, theirs := pipedClient(w.node)
@@ -46,11 +47,11 @@
 	write(t, theirs, "GET /_health HTTP/1.1\r\n\r\n")
 	r, err := http1.NewReader(theirs).Response()
 	if err != nil || r.Status != 200 {
-		t.Errorf("got %v, %v", r, err)
+		t.Errorf("got response %v and error %v, want status 200", r, err)
 	}
 }
 
-// A client's mark of a repeated job is passed on.
+// A client marks a repeated job with "X-Resent: 1", and the node passes that mark to the scheduler.
 func TestRepeatsAreMarked(t *testing.T) {
 	for mark, want := range map[string]bool{"": false, "X-Resent: 1\r\n": true, "X-Resent: 0\r\n": false} {
 		n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parseTestSettings(t)})
@@ -59,20 +60,20 @@
 		text := "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: post\r\nX-Remaining-Ms: 900\r\n" + mark + "\r\n"
 		write(t, theirs, text)
 		if m, matched := (<-n.inbox).(submission); !matched || m.Retry != want {
-			t.Errorf("%q: got %+v", mark, m)
+			t.Errorf("header %q: got %+v, want a submission with Retry true only after X-Resent: 1", mark, m)
 		}
 		theirs.Close()
 		n.close()
 	}
 }
 
-// A request's time counts from its last byte. The time that may have passed before it was read, in the
-// listener's queue or without processor time, is subtracted.
+// A job's remaining time counts from the arrival of its last byte. So the time that the request may have
+// spent unread, in the listener's queue or because the process was late, is subtracted from the deadline.
 func TestTimeBeforeReadingCounts(t *testing.T) {
 	for name, c := range map[string]struct{ queued, lag, less time.Duration }{
-		"read as it came":                {},
-		"in the queue for want of slots": {queued: 400 * time.Millisecond, less: 400 * time.Millisecond},
-		"the program is late":            {lag: 100 * time.Millisecond, less: 200 * time.Millisecond},
+		"read on arrival":            {},
+		"queued without a free slot": {queued: 400 * time.Millisecond, less: 400 * time.Millisecond},
+		"the event loop is late":     {lag: 100 * time.Millisecond, less: 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parseTestSettings(t)})
@@ -90,13 +91,13 @@
 			took := n.now() - began
 			want := began + 900*millisecond - scheduler.Micros(c.less.Microseconds())
 			if !is || m.Deadline < want || m.Deadline > want+took+scheduler.Micros(c.lag.Microseconds()) {
-				t.Errorf("deadline %d us late, want 0 to %d", m.Deadline-want, took)
+				t.Errorf("the deadline is %d us later than expected, want 0 to %d us", m.Deadline-want, took)
 			}
 		})
 	}
 }
 
-// Clients get a Retry-After only where the settings allow it.
+// Responses have a Retry-After header only if the setting max_retry_after is not 0.
 func TestRetryAfterWhereTheSettingsAllow(t *testing.T) {
 	for maxRetryAfter, want := range map[scheduler.Micros]string{
 		2 * second: "503 after 0 close",
@@ -113,7 +114,8 @@
 	}
 }
 
-// A client's reader without processor time finds its deadline and a request together.
+// A client connection's reader that got no processor time finds its read deadline expired and a request in
+// the socket. It must return the request before it reports the deadline.
 func TestReadDeadlineDoesNotSkipARequest(t *testing.T) {
 	ours, theirs := loopbackPair(t)
 	read := newInbound(ours)
@@ -125,14 +127,15 @@
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
 	b := make([]byte, 100)
 	if n, err := read.Read(b); err != nil || string(b[:n]) != "request" {
-		t.Errorf("read %q, %v", b[:n], err)
+		t.Errorf("first read returned %q and error %v, want the request and nil", b[:n], err)
 	}
 	if _, err := read.Read(b); !os.IsTimeout(err) {
-		t.Errorf("then %v", err)
+		t.Errorf("second read returned error %v, want a timeout", err)
 	}
 }
 
-// lateConn is a connection on which a request arrives between the last read and the close.
+// lateConn is a connection that pauses after a read has timed out, so that a test can send a request between
+// the last read and the close.
 type lateConn struct {
 	net.Conn
 	timedOut chan struct{}
@@ -148,8 +151,8 @@
 	return n, err
 }
 
-// A request that arrives between the last read of an idle connection and its close gets an answer: on a busy
-// machine some of a thousand closes cross one, when many clients restart.
+// A request that arrives between the last read of an idle connection and the close gets a response. On a busy
+// machine, when many clients restart, this happens at some of a thousand closes.
 func TestRequestBetweenLastReadAndCloseIsAnswered(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	ours, theirs := loopbackPair(t)
@@ -165,9 +168,9 @@
 	theirs.SetReadDeadline(time.Now().Add(testTimeout))
 	read := http1.NewReader(theirs)
 	if r, err := read.Response(); err != nil || r.Status != 503 || !r.Close {
-		t.Errorf("got %v, %v", r, err)
+		t.Errorf("got response %v and error %v, want status 503 and a close", r, err)
 	}
 	if _, err := read.Response(); err == nil {
-		t.Error("the connection stays open")
+		t.Error("got a second response, want the connection to be closed")
 	}
 }
--- a/internal/node/decode_test.go
+++ b/internal/node/decode_test.go
@@ -26,12 +26,13 @@
 	}
 	for _, bad := range []string{`{"rev":"x"}`, `{"targets":3}`, `{`, `[]`} {
 		if _, _, err := DecodeList([]byte(bad)); err == nil {
-			t.Errorf("%s: accepted", bad)
+			t.Errorf("%s: DecodeList returned no error", bad)
 		}
 	}
 }
 
-// An invalid entry does not affect the others, and takes its own worker out of use.
+// An invalid entry of a worker list does not affect the other entries. A worker whose entry is invalid, but
+// has a UID, is decoded as draining (status 2).
 func TestInvalidEntriesOfAList(t *testing.T) {
 	const good = `{"uid":"s-2","endpoint":"h:2","state":"draining"}`
 	for invalid, want := range map[string]string{
@@ -53,7 +54,7 @@
 			lines = append(lines, fmt.Sprintf("%s=%d", r.UID, r.Status))
 		}
 		if diff := cmp.Diff(want, strings.Join(lines, " ")); diff != "" || why == nil || err != nil {
-			t.Errorf("%s: %v, %v, %s", invalid, why, err, diff)
+			t.Errorf("%s: entry error %v, list error %v, workers (-want +got): %s", invalid, why, err, diff)
 		}
 	}
 }
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clients that disconnect while their jobs wait leave no state behind, and the next job is accepted, however
-// many have disconnected.
+// Clients that disconnect while their jobs wait leave no state in the node, and further jobs are accepted
+// after as many disconnects as there are client slots.
 func TestDisconnectedClientsAreForgotten(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	for i := range cap(w.node.clientSlots) {
@@ -28,19 +28,20 @@
 	}
 	w.node.onLoop(func() {
 		if n := len(w.node.callers); n != 0 {
-			t.Errorf("%d callers are left", n)
+			t.Errorf("%d callers left after all clients disconnected, want 0", n)
 		}
 	})
 }
 
-// The disconnect of a client that has sent more requests ahead is seen, whatever is before it in the stream:
-// the job that waits is cancelled, and none behind it is accepted.
+// A client sends further requests before its first job is answered, and then disconnects. The node must
+// detect the disconnect behind those requests, cancel the job that waits, and accept none of the further
+// jobs.
 func TestReadAheadSeesADisconnect(t *testing.T) {
 	w := newHarness(t, 0, "r1")
-	w.node.onLoop(func() { w.node.invalidateList(t) }) // no job can be sent yet
+	w.node.onLoop(func() { w.node.invalidateList(t) }) // Without a valid list no job can be sent.
 	runScenario(t, w, `
-		c1 send job batch a1 || one
-		c1 send job batch a2 || two
+			c1 send job batch a1 || one
+			c1 send job batch a2 || two
 		c1 send job batch a3 || three
 		wait open 1
 		c1 close
@@ -52,12 +53,12 @@
 		r1 expect POST /batch/7?a=b txn=b1 key=k body=next
 	`)
 	if n := len(w.peers["r1"].received); n != 0 {
-		t.Errorf("%d more reached the worker: jobs of a client that had disconnected", n)
+		t.Errorf("%d further messages reached the worker, want none: their client had disconnected", n)
 	}
 }
 
-// A client that sends ahead without end is read up to the limit: it gets an error and a close, and its job
-// waits no longer.
+// A client that sends more than maxReadAhead bytes before its answer gets an error and a close, and its job
+// is cancelled.
 func TestReadAheadIsBounded(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	w.node.onLoop(func() { w.node.invalidateList(t) })
@@ -70,7 +71,7 @@
 	`)
 }
 
-// A request and the end of its connection arrive together: nothing of it is submitted.
+// If a request and the end of its connection arrive together, the request's job is not submitted.
 func TestDisconnectWithTheRequestIsSeenFirst(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	ours, theirs := loopbackPair(t)
@@ -79,11 +80,11 @@
 		"X-Remaining-Ms: 30000\r\nContent-Length: 0\r\n\r\n"
 	write(t, theirs, job+job)
 	theirs.Close()
-	for seen := false; !seen; { // until both have arrived
+	for seen := false; !seen; { // Both the requests and the end of the connection have to arrive.
 		if err := c.inbound.rawConn.Control(func(fd uintptr) {
 			state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 			if _, err := unix.Poll(state, 100); err != nil && !errors.Is(err, unix.EINTR) {
-				t.Errorf("poll: %v", err)
+				t.Errorf("polling the connection failed: %v", err)
 			}
 			seen = state[0].Revents&unix.POLLRDHUP != 0
 		}); err != nil {
@@ -95,14 +96,14 @@
 	c.serve()
 	w.node.onLoop(func() {
 		if n := w.node.sched.Stats().ReservedIDs; n != 0 {
-			t.Errorf("%d jobs were submitted", n)
+			t.Errorf("%d jobs were submitted, want 0", n)
 		}
 	})
 }
 
-// An attempt that has not been sent when its client disconnects never is, whether or not attempts that were
-// sent may be cancelled: not sending is not cancelling. Here it is connected and waits for an update of the
-// worker list to be applied.
+// An attempt that has not been sent when its client disconnects is never sent. This holds also where the
+// settings do not allow cancelling attempts, because an unsent attempt needs no cancellation. In this test
+// the attempt's connection is open, and the attempt waits for an update of the worker list to be applied.
 func TestUnsentAttemptOfADisconnectedClient(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		set := parseTestSettings(t)
@@ -116,7 +117,7 @@
 		n.onLoop(func() {
 			n.freshness.countApplied(n.now())
 			if k := n.sched.Stats(); k.Attempts != 0 && len(n.attempts) != 0 {
-				t.Errorf("may cancel %v: still in flight: %+v", allowed, k)
+				t.Errorf("cancelling allowed is %v: scheduler state %+v, want no attempt", allowed, k)
 			}
 		})
 		runScenario(t, w, `
@@ -126,7 +127,8 @@
 	}
 }
 
-// awaitGuardCheck returns a function that waits until a writer has asked the freshness guard since.
+// guardCheckWaiter returns a function that waits until a writer has asked the freshness guard after the call
+// of guardCheckWaiter.
 func (n *Node) guardCheckWaiter(t *testing.T) func() {
 	t.Helper()
 	ours, _ := loopbackPair(t)
@@ -139,12 +141,13 @@
 		t.Helper()
 		defer reader.close()
 		if !eventually(func() bool { return reader.lastEmpty() > begun }) {
-			t.Fatal("no writer asks the guard")
+			t.Fatal("no writer asked the freshness guard within testTimeout")
 		}
 	}
 }
 
-// withAndWithoutCancel runs a test where attempts that were sent may be cancelled, and where they may not.
+// withAndWithoutCancel runs a test twice: with settings that allow cancelling attempts, and with settings
+// that do not.
 func withAndWithoutCancel(t *testing.T, test func(t *testing.T, w *harness), workers ...string) {
 	for _, allowed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("may cancel %v", allowed), func(t *testing.T) {
@@ -156,8 +159,8 @@
 	}
 }
 
-// A disconnect counts from when it is read, however far behind the loop is: nothing is sent on a connection
-// that comes up after that.
+// A disconnect takes effect when the node reads it from the socket, even if the event loop handles it much
+// later. A writer that is allowed to send only after that must not send the attempt.
 func TestDisconnectCountsBeforeTheLoopSeesIt(t *testing.T) {
 	withAndWithoutCancel(t, func(t *testing.T, w *harness) {
 		n := w.node
@@ -166,11 +169,11 @@
 			runScenario(t, w, fmt.Sprintf("c%[1]d send job batch a%[1]d || work\nwait open 1", i))
 			resume := n.pauseLoop()
 			w.peers[fmt.Sprint("c", i)].disconnect(t, way)
-			if !eventually(func() bool { return len(n.inbox) > 0 }) { // ClientDisconnected
-				t.Fatal("the disconnect is not read")
+			if !eventually(func() bool { return len(n.inbox) > 0 }) { // The message is a ClientDisconnected.
+				t.Fatal("no message about the disconnect reached the inbox within testTimeout")
 			}
 			checked := n.guardCheckWaiter(t)
-			n.freshness.countApplied(n.now()) // now the guard does not block the writer any more
+			n.freshness.countApplied(n.now()) // From here on the guard allows the writer to send.
 			checked()
 			resume()
 			runScenario(t, w, fmt.Sprintf(`
@@ -180,7 +183,8 @@
 	}, "r1")
 }
 
-// servedNext is another job, numbered by the format's argument: it is served as usual.
+// nextJobServed is a scenario in which another job, numbered by the format's argument, is served
+// successfully.
 const nextJobServed = `
 	d%[1]d send job batch d%[1]d || next
 	r1 expect POST /batch/7?a=b txn=d%[1]d key=k body=next
@@ -189,8 +193,8 @@
 	back%[1]d expect 204
 	d%[1]d expect 200`
 
-// waitSendBufferFull waits until a connection that nobody reads from takes no more: its queue does not grow
-// any more.
+// waitSendBufferFull waits until the send buffer of a connection whose peer does not read is full: the number
+// of bytes in the buffer has stopped growing.
 func waitSendBufferFull(t *testing.T, conn net.Conn) {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -207,12 +211,12 @@
 		last = queued
 		return same >= 50
 	}) {
-		t.Fatalf("the send buffer still grows: %d, %v", last, err)
+		t.Fatalf("the send buffer still grows after testTimeout: %d bytes, error %v", last, err)
 	}
 }
 
-// A request that is partly written when its client disconnects, or when its attempt is cancelled, stays
-// incomplete: what a worker has read of it by then is no attempt, and the rest would make it one.
+// If a client disconnects, or an attempt is cancelled, while the request is partly written, the node must not
+// write the rest. A worker runs a request only when it is complete, so the rest would start the job.
 func TestPartialRequestOfADisconnectedClientStaysPartial(t *testing.T) {
 	for name, end := range map[string]func(*workerConn, *payload){
 		"its client disconnects": func(_ *workerConn, p *payload) { p.disconnected.Store(true) },
@@ -221,7 +225,8 @@
 		t.Run(name, func(t *testing.T) {
 			n := newHarness(t, 0, "r1").node
 			ours, theirs := loopbackPair(t)
-			p := &payload{method: "POST", target: "/batch/7", body: make([]byte, 32<<20)} // more than all buffers
+			// The body is larger than all socket buffers.
+			p := &payload{method: "POST", target: "/batch/7", body: make([]byte, 32<<20)}
 			e := &exchange{workerUID: "r1", requestID: "a1", payload: p, writeBy: n.now() + 3600*second}
 			c := &workerConn{node: n, addr: "r1", ctx: t.Context()}
 			done := make(chan error, 1)
@@ -231,26 +236,28 @@
 				ours.Close()
 				done <- err
 			}()
-			if _, err := io.ReadFull(theirs, make([]byte, 100)); err != nil { // it has begun
+			if _, err := io.ReadFull(theirs, make([]byte, 100)); err != nil { // The writer has begun to send.
 				t.Fatal(err)
 			}
-			waitSendBufferFull(t, ours) // else one system call may go on for as long as the peer reads
+			waitSendBufferFull(t, ours) // Otherwise a single system call may continue for as long as the peer reads.
 			end(c, p)
-			all, _ := io.Copy(io.Discard, theirs) // it may end by a reset
+			all, _ := io.Copy(io.Discard, theirs) // The connection may end by a reset, so the error is ignored.
 			if err := <-done; !errors.Is(err, errDisconnected) || all >= int64(len(p.body)) {
-				t.Errorf("%v, and %d more bytes of %d arrived", err, all, len(p.body))
+				t.Errorf("write returned %v, want errDisconnected; %d more bytes arrived, want fewer than %d",
+					err, all, len(p.body))
 			}
 		})
 	}
 }
 
-// Nothing is submitted of a request whose client disconnects while its connection waits for a slot.
+// If a client disconnects while its connection waits in the listener's queue for a client slot, its request
+// is not submitted.
 func TestDisconnectInTheAcceptQueueIsSeenFirst(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	n := w.node
-	runScenario(t, w, "c1 send GET /_health\nc1 expect 200") // from now on the acceptor holds the next slot
+	runScenario(t, w, "c1 send GET /_health\nc1 expect 200") // After this the acceptor holds the next slot.
 	releaseSlots := n.takeFreeSlots()
-	first, err := net.Dial("tcp", n.Addr().String()) // takes the acceptor's slot
+	first, err := net.Dial("tcp", n.Addr().String()) // This connection gets the acceptor's slot.
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -267,13 +274,13 @@
 	`)
 	n.onLoop(func() {
 		if k := n.sched.Stats(); k.ReservedIDs != 1 {
-			t.Errorf("%d jobs were submitted", k.ReservedIDs)
+			t.Errorf("%d jobs were submitted, want 1", k.ReservedIDs)
 		}
 	})
 }
 
-// A job whose next attempt is deferred until the cancellation of the one before is acknowledged is not sent
-// then, if its client has disconnected meanwhile.
+// The next attempt of a job may be deferred until the cancellation of the previous attempt is acknowledged.
+// If the client disconnects meanwhile, the next attempt must not be sent.
 func TestDisconnectDuringADeferredAttempt(t *testing.T) {
 	withAndWithoutCancel(t, func(t *testing.T, w *harness) {
 		for i, way := range disconnectWays {
@@ -294,19 +301,19 @@
 	}, "r1")
 }
 
-// A worker turns a job away just as its client disconnects: the loop gets both events, in either order, and
-// no further attempt begins.
+// A worker refuses a job at the same time as the job's client disconnects. The event loop gets both events,
+// in either order, and no further attempt may begin.
 func TestDisconnectAsARetryIsDecided(t *testing.T) {
 	for _, disconnectFirst := range []bool{true, false} {
 		withAndWithoutCancel(t, func(t *testing.T, w *harness) {
 			n := w.node
-			n.onLoop(func() { n.idleTimeout = 0 }) // on a connection that was used before a refusal is not trusted
+			n.onLoop(func() { n.idleTimeout = 0 }) // A refusal is believed only on a connection that was not reused.
 			for i, way := range disconnectWays {
 				runScenario(t, w, fmt.Sprintf(`
 					c%[1]d send job batch a%[1]d || work
 					r1 expect POST /batch/7?a=b txn=a%[1]d key=k body=work
 				`, i))
-				written := func() (reached bool) { // the loop knows the result of writing
+				written := func() (reached bool) { // The event loop must have handled the writeEnded message.
 					n.onLoop(func() {
 						for _, c := range n.attempts {
 							reached = reached || c.Written
@@ -315,7 +322,7 @@
 					return reached
 				}
 				if !eventually(written) {
-					t.Fatal("the attempt is not written")
+					t.Fatal("the attempt was not written within testTimeout")
 				}
 				resume := n.pauseLoop()
 				posted := len(n.inbox)
@@ -323,7 +330,7 @@
 					step()
 					posted++
 					if !eventually(func() bool { return len(n.inbox) >= posted }) {
-						t.Fatal("the event does not arrive")
+						t.Fatal("the event did not reach the inbox within testTimeout")
 					}
 				}
 				disconnect := func() { w.peers[fmt.Sprint("c", i)].disconnect(t, way) }
@@ -336,7 +343,7 @@
 					arrives(disconnect)
 				}
 				resume()
-				if disconnectFirst && n.cfg.Settings.Dispatch.CancelAllowed { // what was sent is cancelled
+				if disconnectFirst && n.cfg.Settings.Dispatch.CancelAllowed { // The attempt that was sent is cancelled.
 					runScenario(t, w, fmt.Sprintf("r1 expect DELETE /jobs/a%d\nr1 send 200 OK\nr1 expect end", i))
 				}
 				runScenario(t, w, fmt.Sprintf(`
@@ -353,7 +360,7 @@
 	}
 }
 
-// pausingConn is a connection whose Read can be paused before it returns.
+// pausingConn is a connection whose Read can be paused after it has read data and before it returns.
 type pausingConn struct {
 	net.Conn
 	pauseNext      atomic.Bool
@@ -369,12 +376,13 @@
 	return n, err
 }
 
-// A client disconnects between the first byte that it sends ahead and the read-ahead that this begins.
+// A client sends the first byte of a further request before its answer, and disconnects before the node has
+// begun to read ahead. The node must still detect the disconnect.
 func TestDisconnectBetweenReadAheadBytes(t *testing.T) {
 	for _, way := range []string{"in order", "reset"} {
 		w := newHarness(t, 0, "r1")
 		n := w.node
-		n.onLoop(func() { n.invalidateList(t) }) // no job can be sent yet
+		n.onLoop(func() { n.invalidateList(t) }) // Without a valid list no job can be sent.
 		ours, theirs := loopbackPair(t)
 		h := &pausingConn{Conn: ours, paused: make(chan struct{}), resume: make(chan struct{})}
 		n.clientSlots <- struct{}{}
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -13,22 +13,23 @@
 	"dahliaford/internal/scheduler"
 )
 
-// At the limit of sockets idle connections are evicted, jobs of newcomers are refused while all connections
-// are busy, and callbacks are accepted.
+// At the limit of client connections, idle connections are evicted for new ones. While all slots outside the
+// reserve for callbacks have pending jobs, further jobs are refused and callbacks are still accepted.
 func TestSocketBudget(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	script := ""
 	for i := range cap(w.node.clientSlots) * 2 {
 		script += fmt.Sprintf("idle%d send GET /_health\nidle%d expect 200\n", i, i)
 	}
-	// The client asks for the close itself, so that the answer does not depend on timing.
+	// The client c0 requests the close of its connection, so that its response does not depend on timing.
 	script += "c0 send job post a0 | Connection: close || x\nr1 expect POST /post/7?a=b txn=a0 key=k body=x\n"
 	limit := cap(w.node.clientSlots) - w.node.callbackSlots
 	for i := 1; i < limit; i++ {
 		script += fmt.Sprintf("c%d send job post a%d || x\n", i, i)
 		script += fmt.Sprintf("last%d send GET /_health\nlast%d expect 200\n", i, i)
 	}
-	script += fmt.Sprintf("wait open %d", limit) // else the last of them may arrive after the next one
+	// Without this wait the last of these jobs may arrive after the job b.
+	script += fmt.Sprintf("wait open %d", limit)
 	runScenario(t, w, script+`
 		more send job post b || x
 		more expect 503 after 0 close
@@ -38,8 +39,8 @@
 		c0 expect 200 close yes`)
 }
 
-// Hundreds of clients that send nothing, or stay connected after their answer, delay neither a new job nor a
-// callback for long, and do not cause the eviction of an established client.
+// Many clients that send nothing, or stay connected after a health check, must not delay a new job or a
+// callback for long, and must not cause the eviction of an established client.
 func TestManyIdleClients(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	script := `
@@ -63,12 +64,13 @@
 		c1 send GET /_health
 		c1 expect 200`)
 	if took := time.Since(began); took > testTimeout/2 {
-		t.Errorf("took %v", took)
+		t.Errorf("the scenario took %v, want at most half of testTimeout", took)
 	}
 }
 
-// Clients that sent one request and stay connected are evicted all at once: if it were a few at a time, a
-// thousand of them would delay those in the queue for seconds. Others are not evicted.
+// Clients that sent no accepted job and stay connected are evicted all at once. If only a few were evicted at
+// a time, a thousand of them would delay clients in the listener's queue for seconds. Established clients and
+// connections within their grace period are not evicted.
 func TestEvictionFreesAllSlotsAtOnce(t *testing.T) {
 	n := &Node{start: time.Now().Add(-time.Minute), ctx: t.Context(), clients: map[*client]bool{},
 		clientSlots: make(chan struct{}, 100), callbackSlots: 4}
@@ -86,7 +88,7 @@
 		}
 	}
 	add(rankRequester, time.Second, 40)
-	add(rankRequester, -time.Hour, 10) // has just been answered
+	add(rankRequester, -time.Hour, 10) // These clients are within their grace period.
 	add(rankNew, time.Second, 20)
 	add(rankNew, -time.Hour, 10)
 	add(rankEstablished, time.Second, 20)
@@ -101,8 +103,9 @@
 	}
 }
 
-// A client whose request became complete as it was evicted gets a refusal, and nothing is sent on. A client
-// of a higher rank is never cut off, as that would lose its request.
+// A client that was evicted while its first request became complete gets a refusal, and the request is not
+// submitted. Eviction does not interrupt reading from clients of a higher rank, because that could lose a
+// request.
 func TestEvictionCrossesTheRequest(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	for rank, want := range map[clientRank]string{
@@ -116,7 +119,8 @@
 			c.evict()
 		}
 		go c.serve()
-		go func() { _, _ = io.WriteString(theirs, "GET /_health HTTP/1.1\r\n\r\n") }() // the response shows it
+		// The response shows whether the write succeeded.
+		go func() { _, _ = io.WriteString(theirs, "GET /_health HTTP/1.1\r\n\r\n") }()
 		r, err := http1.NewReader(theirs).Response()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -11,8 +11,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// From when discovery has written an update until the loop has applied it nothing is sent, wherever the
-// update is: in the socket, with the reader, or in the inbox.
+// The freshness guard rejects attempts from the moment when discovery has written an update until the event
+// loop has applied the update, while the update is in the socket, with the watch's reader and in the inbox.
 func TestNoSendPastAnUnappliedUpdate(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	clock := 100 * second
@@ -24,34 +24,34 @@
 	want := func(stage string, uid string, want error) {
 		t.Helper()
 		if got := guard.allowSend(uid, clock); !errors.Is(got, want) {
-			t.Errorf("%s: %v, want %v", stage, got, want)
+			t.Errorf("%s: allowSend returned %v, want %v", stage, got, want)
 		}
 	}
 	buffer := make([]byte, 100)
 	deliver := func(text string) {
 		t.Helper()
 		write(t, theirs, text)
-		for guard.allowSend("r1", clock) == nil { // loopback takes a moment
+		for guard.allowSend("r1", clock) == nil { // The text takes some time to arrive over loopback.
 			time.Sleep(time.Millisecond)
 		}
 	}
-	want("nothing received yet", "r1", errListStale)
+	want("no update received yet", "r1", errListStale)
 	guard.countPosted(reader, clock)
-	want("a first update in the inbox", "r1", errListStale)
+	want("first update in the inbox", "r1", errListStale)
 	guard.countApplied(clock)
-	want("it is valid", "r1", nil)
+	want("first update applied", "r1", nil)
 	deliver("leaves r1\n")
-	want("in the socket", "r1", errUpdatePending)
+	want("update in the socket", "r1", errUpdatePending)
 	if n, err := reader.Read(buffer); err != nil || string(buffer[:n]) != "leaves r1\n" {
-		t.Fatalf("read %q, %v", buffer[:n], err)
+		t.Fatalf("first read returned %q and error %v, want the written line and nil", buffer[:n], err)
 	}
-	want("with the reader", "r1", errUpdatePending)
+	want("update with the reader", "r1", errUpdatePending)
 	guard.countPosted(reader, clock)
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := reader.Read(buffer); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("read more: %v", err)
+		t.Fatalf("second read after the deadline: error %v, want a deadline error", err)
 	}
-	want("in the inbox", "r1", errUpdatePending)
+	want("update in the inbox", "r1", errUpdatePending)
 	next := guard.nextChange()
 	guard.setDraining("r1", true)
 	guard.countApplied(clock)
@@ -61,30 +61,32 @@
 	guard.setDraining("r1", false)
 	want("back", "r1", nil)
 	if clock += 6*second + 1; !errors.Is(guard.allowSend("r1", clock), errListStale) {
-		t.Error("the list is valid for ever")
+		t.Error("the worker list is still valid more than maxStaleness after its last update")
 	}
 	guard.countPosted(reader, clock)
 	guard.countApplied(clock)
-	want("received again", "r1", nil)
+	want("another update applied", "r1", nil)
 	guard.watchClosed(0, true)
-	want("an update that cannot be read", "r1", errListStale)
+	want("watch closed by an unreadable update", "r1", errListStale)
 }
 
-// The age of an update counts from when it may have been written, not from when it was read.
+// The age of an update counts from the earliest time at which discovery can have written the update, not from
+// the time at which the update was read.
 func TestUpdateAgeCountsFromTheEarliestWrite(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	for name, c := range map[string]struct{ empty, read, want scheduler.Micros }{
-		"read soon":               {100 * second, 100*second + 100*millisecond, 100*second + 100*millisecond},
-		"half of the grace later": {100 * second, 102 * second, 100*second + 250*millisecond},
+		"read soon":             {100 * second, 100*second + 100*millisecond, 100*second + 100*millisecond},
+		"capped by drain grace": {100 * second, 102 * second, 100*second + 250*millisecond},
 	} {
 		if got := guard.countPosted(&watchReader{lastEmptyAt: c.empty}, c.read); got != c.want {
-			t.Errorf("%s: %d, want %d", name, got, c.want)
+			t.Errorf("%s: the update covers changes up to %d us, want %d us", name, got, c.want)
 		}
 	}
 }
 
-// A scheduler that sends nothing still observes its watch now and then, so that an update that arrives after
-// a while is not taken for as old as the last send. An update that is unread is never skipped by that.
+// A scheduler that sends no attempts still checks periodically whether its watch's socket is empty. Otherwise
+// the next update would be taken for as old as the last attempt. The check must not record an empty socket
+// while an update is unread.
 func TestIdleSchedulerObservesItsWatch(t *testing.T) {
 	w := newWatchHarness(t, false, 10*second)
 	n, reader := w.node, (*watchReader)(nil)
@@ -95,7 +97,7 @@
 	began := reader.lastEmptyAt
 	n.freshness.mu.Unlock()
 	if !eventually(func() bool { return reader.lastEmpty() >= began+2*second }) {
-		t.Error("the watch is not observed")
+		t.Error("lastEmpty did not advance by 2 s within testTimeout, so the watch's socket is not checked")
 	}
 	guard := newFreshnessGuard(testGrace, 6*second)
 	ours, theirs := loopbackPair(t)
@@ -105,19 +107,19 @@
 	}
 	guard.checkReaders(101 * second)
 	if got := guard.countPosted(reader, 102*second); got != 101*second+testGrace/2 {
-		t.Errorf("the update counts from %d", got)
+		t.Errorf("the update covers changes up to %d us, want 101 s and half of the drain grace", got)
 	}
 	write(t, theirs, "leaves r1\n")
 	if !eventually(func() bool { return !reader.empty() }) {
-		t.Fatal("nothing arrives")
+		t.Fatal("the written line did not arrive at the watch's socket")
 	}
 	if guard.checkReaders(103 * second); reader.lastEmpty() != 101*second {
-		t.Error("an unread update is skipped")
+		t.Error("lastEmpty advanced although an update was unread")
 	}
 }
 
-// An attempt is in flight, with its connection up, as the update arrives that its worker drains. The attempt
-// goes to the other worker, and the first one is not ejected as if it had failed.
+// While an attempt waits on its open connection, an update arrives that its worker drains. The attempt must
+// be sent to the other worker, and the draining worker must not be ejected as if it had failed.
 func TestAttemptInFlightAvoidsADrainingWorker(t *testing.T) {
 	w := newHarness(t, 0, "r1", "r2")
 	n := w.node
@@ -145,12 +147,13 @@
 	runScenario(t, w, other+" expect POST /post/7?a=b txn=a1 key=k body=work")
 	received := w.peers[first].received
 	if n := len(received); n > 1 || n == 1 && (<-received).text != "end" {
-		t.Error("the draining worker got the attempt")
+		t.Error("the draining worker received the attempt, want nothing but the end of the connection")
 	}
 }
 
-// An update is applied before its reader has read again. A writer that asks between the two waits, and is
-// woken when the reader has found nothing: another update may not arrive before the writer's time is over.
+// The event loop may apply an update before the watch's reader has called Read again. A writer that asks the
+// guard between the two has to wait. The guard must wake the writer when the reader finds the socket empty,
+// and not only at the next update, which may arrive after the writer's time limit.
 func TestWriterWakesOnceTheWatchIsDrained(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	clock := 100 * second
@@ -167,24 +170,25 @@
 	guard.countApplied(clock)
 	next := guard.nextChange()
 	if got := guard.allowSend("r1", clock); !errors.Is(got, errUpdatePending) {
-		t.Errorf("with the reader: %v", got)
+		t.Errorf("before the reader reads again: allowSend returned %v, want errUpdatePending", got)
 	}
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := reader.Read(make([]byte, 100)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("read more: %v", err)
+		t.Fatalf("second read after the deadline: error %v, want a deadline error", err)
 	}
 	if got := guard.allowSend("r1", clock); got != nil {
-		t.Errorf("the watch is drained: %v", got)
+		t.Errorf("after the reader found the socket empty: allowSend returned %v, want nil", got)
 	}
 	select {
 	case <-next:
 	default:
-		t.Error("the writer that waits is not woken")
+		t.Error("the channel of nextChange is not closed, so the waiting writer is not woken")
 	}
 }
 
-// While the updates of a zone that is removed are applied, nothing is sent to any worker; the guard takes a
-// worker for draining once its update is applied; and once all are applied the others may get attempts.
+// A zone is removed by one update for each of its workers. While updates are pending, the guard rejects
+// attempts to all workers. It reports a worker as draining once that worker's update is applied. After the
+// last update the remaining workers may get attempts.
 func TestNoSendWhileZoneUpdatesAreApplied(t *testing.T) {
 	const zone, rest = 514, 30
 	w := newHarness(t, 0, "r1")
@@ -202,14 +206,14 @@
 	}
 	n.onLoop(func() {
 		n.freshness.mu.Lock()
-		clear(n.freshness.readers) // no updates but these
+		clear(n.freshness.readers) // Only the updates of this test count.
 		n.freshness.mu.Unlock()
 		if err := n.onWatchUpdate(update(10, true, all...)); err != nil {
 			t.Error(err)
 			return
 		}
 		if err := n.freshness.allowSend("z0", n.now()); err != nil {
-			t.Errorf("the complete list is applied: %v", err)
+			t.Errorf("after the complete list: allowSend returned %v, want nil", err)
 		}
 		updates := make([]watchUpdate, zone)
 		for i := range updates {
@@ -220,7 +224,8 @@
 		for i, m := range updates {
 			for _, uid := range []string{all[i].UID, all[zone].UID} {
 				if err := n.freshness.allowSend(uid, n.now()); !errors.Is(err, errUpdatePending) {
-					t.Errorf("%d of %d updates are applied, and for %s: %v", i, zone, uid, err)
+					t.Errorf("after %d of %d updates: allowSend for %s returned %v, want errUpdatePending",
+						i, zone, uid, err)
 					return
 				}
 			}
@@ -229,12 +234,12 @@
 				return
 			}
 			if err := n.freshness.allowSend(all[i].UID, n.now()); !errors.Is(err, errWorkerDraining) {
-				t.Errorf("%s is removed: %v", all[i].UID, err)
+				t.Errorf("after the removal of %s: allowSend returned %v, want errWorkerDraining", all[i].UID, err)
 				return
 			}
 		}
 		if err := n.freshness.allowSend(all[zone].UID, n.now()); err != nil {
-			t.Errorf("all updates are applied: %v", err)
+			t.Errorf("after all updates: allowSend for a remaining worker returned %v, want nil", err)
 		}
 	})
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -30,10 +30,11 @@
 
 const second = 1000 * millisecond
 
-const testTimeout = 20 * time.Second // how long a test waits before it fails
+const testTimeout = 20 * time.Second // testTimeout is how long a test waits for an event before it fails.
 
-// world is a node with peers on loopback sockets. Clients are c1, c2, ...; workers are r1, r2, ...; rdown is
-// a worker whose address nobody listens at.
+// harness is a node with peers on loopback sockets. Names of workers begin with r, and no process listens at
+// the address of the worker rdown. Names of discovery services begin with discovery. All other names are
+// those of clients or of workers' callback connections.
 type harness struct {
 	node  *Node
 	done  chan error
@@ -54,7 +55,7 @@
 	return newHarnessWithSettings(t, parseTestSettings(t), sockets, workers...)
 }
 
-// newHarnessWithSettings returns a world with the given settings.
+// newHarnessWithSettings returns a harness whose node has the given settings.
 func newHarnessWithSettings(t *testing.T, set settings.Settings, sockets int, workers ...string) *harness {
 	t.Helper()
 	w := &harness{done: make(chan error, 1), peers: map[string]*peer{}}
@@ -72,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Scenarios play discovery, however long they take.
+	// Scenarios act as the discovery service and may be slow, so the watch must not time out.
 	w.node.watchOpenTimeout, w.node.watchIdleTimeout = time.Hour, time.Hour
 	go func() { w.done <- w.node.Run() }()
 	w.node.onLoop(func() { w.node.receiveList(t, time.Hour) })
@@ -80,18 +81,18 @@
 		w.node.Stop()
 		for _, p := range w.peers {
 			if p.conn != nil {
-				p.conn.Close() // clients that still wait disconnect, so that the node can end
+				p.conn.Close() // Clients that still wait have to disconnect before the node can end.
 			}
 		}
 		if w.Wait("end") != nil {
-			t.Error("the node does not end")
+			t.Error("the node did not end without an error within testTimeout")
 		}
 	})
 	return w
 }
 
-// newLargeFleetHarness returns a world in which connections to workers are used again, however long they were
-// idle.
+// newLargeFleetHarness returns a harness of a large fleet whose node reuses idle connections to workers for
+// an hour.
 func newLargeFleetHarness(t *testing.T, sockets int, workers ...string) *harness {
 	t.Helper()
 	set := parseTestSettings(t)
@@ -101,7 +102,7 @@
 	return w
 }
 
-// onLoop runs a function on a node's loop and waits for it.
+// onLoop runs f on the node's event loop and waits until f returns.
 func (n *Node) onLoop(f func()) {
 	done := make(chan struct{})
 	n.post(func() {
@@ -111,7 +112,8 @@
 	<-done
 }
 
-// pauseLoop pauses a node's loop until resume is called. What is posted meanwhile stays in the inbox.
+// pauseLoop pauses the node's event loop until resume is called. Messages that are posted meanwhile stay in
+// the inbox.
 func (n *Node) pauseLoop() (resume func()) {
 	paused, resumed := make(chan struct{}), make(chan struct{})
 	n.post(func() {
@@ -122,7 +124,7 @@
 	return func() { close(resumed) }
 }
 
-// takeFreeSlots takes all client slots that are free, until release is called.
+// takeFreeSlots acquires all free client slots and holds them until release is called.
 func (n *Node) takeFreeSlots() (release func()) {
 	for taken := 0; ; taken++ {
 		select {
@@ -137,7 +139,7 @@
 	}
 }
 
-// eventually waits until a condition is reached, for as long as tests have patience.
+// eventually waits until a condition holds, and returns false if it does not within testTimeout.
 func eventually(reached func() bool) bool {
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if reached() {
@@ -147,18 +149,19 @@
 	return false
 }
 
-// waitFor waits until a condition, checked on a node's loop, is reached.
+// waitFor waits until a condition holds that is checked on the node's event loop. It fails the test after
+// testTimeout.
 func (n *Node) waitFor(t *testing.T, state string, condition func() bool) {
 	t.Helper()
 	if !eventually(func() (reached bool) {
 		n.onLoop(func() { reached = condition() })
 		return reached
 	}) {
-		t.Fatal("never " + state)
+		t.Fatal("the node did not reach this state within testTimeout: " + state)
 	}
 }
 
-// waitIdle waits until a number of connections to workers is idle.
+// waitIdle waits until exactly want connections to workers are idle.
 func (n *Node) waitIdle(t *testing.T, want int) {
 	t.Helper()
 	got := -1
@@ -170,7 +173,7 @@
 	}
 }
 
-// idleCount counts the idle connections to workers.
+// idleCount returns the number of idle connections to workers.
 func (n *Node) idleCount() (count int) {
 	for _, idle := range n.idleConns {
 		count += len(idle)
@@ -178,22 +181,24 @@
 	return count
 }
 
-// postPendingUpdate counts an update on its way to the loop: nothing is sent until it is applied.
+// postPendingUpdate counts an update as posted to the event loop. The freshness guard rejects attempts until
+// an update is counted as applied.
 func (n *Node) postPendingUpdate() {
 	n.freshness.mu.Lock()
 	defer n.freshness.mu.Unlock()
 	n.freshness.postedUpdates++
 }
 
-// applyUpdate has a node handle a message of a watch. It is called on the loop.
+// applyUpdate makes the node handle a message of a watch. The caller is on the node's event loop.
 func (n *Node) applyUpdate(t testing.TB, m watchUpdate) {
 	t.Helper()
 	if err := n.onWatchUpdate(m); err != nil {
-		t.Errorf("apply a watch update: %v", err)
+		t.Errorf("applying a watch update failed: %v", err)
 	}
 }
 
-// receiveList makes the list that a node has valid, as if discovery had just confirmed it.
+// receiveList makes the node's worker list valid until MaxStaleness after the end of span, as if discovery
+// had confirmed the list at the end of span.
 func (n *Node) receiveList(t testing.TB, span time.Duration) {
 	t.Helper()
 	n.postPendingUpdate()
@@ -201,31 +206,31 @@
 	n.applyUpdate(t, watchUpdate{watch: n.watch, event: scheduler.EndpointsUpdated{AsOf: until}})
 }
 
-// invalidateList makes the list that a node has invalid.
+// invalidateList ends the validity of the node's worker list.
 func (n *Node) invalidateList(t testing.TB) {
 	t.Helper()
 	n.applyUpdate(t, watchUpdate{watch: n.watch, event: scheduler.WatchClosed{Unreadable: true}})
 }
 
-// extendValidity makes the list that a node has valid, without an update of any watch.
+// extendValidity makes the node's worker list valid for span, without an update of any watch.
 func (n *Node) extendValidity(t testing.TB, span time.Duration) {
 	t.Helper()
 	until := n.now() + scheduler.Micros(span.Microseconds())
 	if err := n.step(scheduler.EndpointsUpdated{AsOf: until}); err != nil {
-		t.Errorf("extend the validity: %v", err)
+		t.Errorf("extending the validity of the worker list failed: %v", err)
 	}
 	n.freshness.mu.Lock()
 	defer n.freshness.mu.Unlock()
 	n.freshness.validUntil = until
 }
 
-// workerLine returns the entry of a worker that is ready, in discovery's JSON.
+// workerLine returns the entry of a ready worker in the JSON of the discovery service.
 func workerLine(name, addr string) string {
 	return `{"uid":"` + name + `","endpoint":"` + addr + `","az":"north","model":"m1","state":"ready"}`
 }
 
-// Actor returns the peer, or the node, of a name. A client that is new gets its connection with its first
-// message.
+// Actor returns the peer with a name, or the node for the name "node". It creates a peer if there is none; a
+// client connects when it sends its first message.
 func (w *harness) Actor(name string) scenario.Actor {
 	if name == "node" {
 		return nodePeer{w.node, w}
@@ -237,7 +242,8 @@
 	return p
 }
 
-// Wait waits for the end of the node, for a number of open jobs, or for a number of accepted ones.
+// Wait waits for the end of the node ("end"), for a number of open jobs ("open N"), or for a number of
+// connections that are idle after an accepted attempt ("accepted N").
 func (w *harness) Wait(text string) error {
 	if text, matched := strings.CutPrefix(text, "open "); matched {
 		return w.waitOpen(text)
@@ -246,18 +252,18 @@
 		return w.waitAccepted(text)
 	}
 	if text != "end" {
-		return fmt.Errorf("wait %s: only end, open N and accepted N can be waited for", text)
+		return fmt.Errorf("wait %s: unknown condition, want end, open N or accepted N", text)
 	}
 	select {
 	case err := <-w.done:
 		w.done <- err
 		return err
 	case <-time.After(testTimeout):
-		return errors.New("the node did not end")
+		return errors.New("the node did not end within testTimeout")
 	}
 }
 
-// waitOpen waits until a number of jobs is open at the node.
+// waitOpen waits until the given number of jobs is open at the node.
 func (w *harness) waitOpen(want string) error {
 	if eventually(func() (reached bool) {
 		w.node.onLoop(func() { reached = fmt.Sprint(len(w.node.callers)) == want })
@@ -265,11 +271,12 @@
 	}) {
 		return nil
 	}
-	return fmt.Errorf("never %s open jobs", want)
+	return fmt.Errorf("the node did not have %s open jobs within testTimeout", want)
 }
 
-// waitAccepted waits until a number of connections is idle after a 202. A callback that is read before the
-// 202 of its attempt ends the connection.
+// waitAccepted waits until the given number of connections is idle, which they are after a 202. Scenarios use
+// it before a callback, because a callback that is handled before the 202 of its attempt closes the
+// connection.
 func (w *harness) waitAccepted(want string) error {
 	if eventually(func() (reached bool) {
 		w.node.onLoop(func() { reached = fmt.Sprint(w.node.idleCount()) == want })
@@ -277,16 +284,16 @@
 	}) {
 		return nil
 	}
-	return fmt.Errorf("never %s idle connections", want)
+	return fmt.Errorf("the node did not have %s idle connections within testTimeout", want)
 }
 
-// play runs a scenario.
+// runScenario runs a scenario script on a harness.
 func runScenario(t *testing.T, w *harness, script string) {
 	t.Helper()
 	scenario.Run(t, w, script, func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// pair returns both ends of a connection on loopback.
+// loopbackPair returns both ends of a TCP connection on loopback.
 func loopbackPair(t *testing.T) (ours, theirs net.Conn) {
 	t.Helper()
 	l := listenLoopback(t)
@@ -302,7 +309,8 @@
 	return ours, theirs
 }
 
-// piped returns a client connection as the acceptor makes it, not served yet, and its other end.
+// pipedClient returns a client connection as the acceptor creates it, over a pipe, and the pipe's other end.
+// The caller has to start the connection's goroutine.
 func pipedClient(n *Node) (*client, net.Conn) {
 	ours, theirs := net.Pipe()
 	n.clientSlots <- struct{}{}
@@ -310,7 +318,7 @@
 	return newClient(n, ours), theirs
 }
 
-// listenLoopback opens a listener that is closed with the test.
+// listenLoopback opens a listener on loopback, which is closed at the end of the test.
 func listenLoopback(t testing.TB) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -321,23 +329,23 @@
 	return l.(*net.TCPListener)
 }
 
-// write writes a text to a connection. It is called by the test's goroutine only.
+// write writes a text to a connection and fails the test on an error. Only the test's goroutine may call it.
 func write(t testing.TB, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatalf("write: %v", err)
+		t.Fatalf("writing to the connection failed: %v", err)
 	}
 }
 
-// resetOnClose makes the close of a connection a reset.
+// resetOnClose makes the connection send a reset when it is closed.
 func resetOnClose(t testing.TB, conn net.Conn) {
 	t.Helper()
 	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
-		t.Errorf("set linger: %v", err)
+		t.Errorf("setting SO_LINGER failed: %v", err)
 	}
 }
 
-// listenNode opens a node that logs nothing. Nothing runs it.
+// listenNode returns a node that discards its log. The caller has to run the node.
 func listenNode(t testing.TB, cfg Config) *Node {
 	t.Helper()
 	n, err := Listen(cfg, slog.New(slog.DiscardHandler))
@@ -347,22 +355,22 @@
 	return n
 }
 
-// runNode runs a node and returns the result of Run once it has ended.
+// runNode runs a node in a new goroutine. The returned channel receives the result of Run.
 func runNode(n *Node) (done chan error) {
 	done = make(chan error, 1)
 	go func() { done <- n.Run() }()
 	return done
 }
 
-// checkEnd waits until a node that runNode runs has ended, and checks that it did so without an error.
+// checkEnd waits for the result of a node that was started by runNode, and checks that it is not an error.
 func checkEnd(t testing.TB, done <-chan error) {
 	t.Helper()
 	if err := <-done; err != nil {
-		t.Errorf("the node ended: %v", err)
+		t.Errorf("Run returned %v, want nil", err)
 	}
 }
 
-// acceptWithin accepts a connection, and fails the test if none comes in time.
+// acceptWithin accepts a connection. It fails the test if no connection arrives within wait.
 func acceptWithin(t testing.TB, l *net.TCPListener, wait time.Duration) net.Conn {
 	t.Helper()
 	if err := l.SetDeadline(time.Now().Add(wait)); err != nil {
@@ -370,7 +378,7 @@
 	}
 	conn, err := l.Accept()
 	if err != nil {
-		t.Fatalf("no connection comes: %v", err)
+		t.Fatalf("no connection arrived in time: %v", err)
 	}
 	return conn
 }
--- a/internal/node/lag_test.go
+++ b/internal/node/lag_test.go
@@ -6,16 +6,16 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The lag is the worst delay of the last while, and decays.
+// The estimate of the lag is the longest recorded delay and halves every lagDecay.
 func TestLag(t *testing.T) {
 	var l lag
-	l.record(100*second, 0) // nothing was scheduled
+	l.record(100*second, 0) // With scheduled 0 nothing is recorded.
 	l.record(100*second, 100*second-40*millisecond)
 	l.record(100*second+1, 100*second-10*millisecond)
 	for after, want := range map[scheduler.Micros]scheduler.Micros{
 		0: 40 * millisecond, second: 20 * millisecond, 2 * second: 10 * millisecond, 90 * second: 0} {
 		if got := l.estimate(100*second + after); got != want {
-			t.Errorf("after %d us: %d, want %d", after, got, want)
+			t.Errorf("%d us after the records: estimate %d us, want %d us", after, got, want)
 		}
 	}
 }
--- a/internal/node/peer_test.go
+++ b/internal/node/peer_test.go
@@ -12,14 +12,15 @@
 	"dahliaford/internal/http1"
 )
 
-// peer is one end of sockets: a client dials the node once, a server listens.
+// peer is a client, worker or discovery service that a scenario controls. A client dials the node once; a
+// worker or a discovery service listens.
 type peer struct {
 	w        *harness
 	name     string
 	listener net.Listener
-	conn     net.Conn     // the one with the last message
-	received chan message // what reached the peer
-	deferred []message    // what arrived before an end that was waited for
+	conn     net.Conn     // conn is the connection of the last message.
+	received chan message // received holds the messages that have arrived at the peer.
+	deferred []message    // deferred holds messages that arrived while Expect waited for an end.
 }
 
 type message struct {
@@ -27,7 +28,7 @@
 	conn net.Conn
 }
 
-// serve opens the listener of a worker or of discovery.
+// serve opens the listener of a worker or of a discovery service.
 func (w *harness) serve(t *testing.T, name string) net.Listener {
 	t.Helper()
 	l := listenLoopback(t)
@@ -78,7 +79,7 @@
 	}
 }
 
-// Send writes a message: " | " separates its lines, and a body follows " || ".
+// Send writes a message. In text, " | " separates the lines of the head, and a body follows " || ".
 func (p *peer) Send(text string) error {
 	if p.conn == nil && p.listener == nil {
 		conn, err := net.Dial("tcp", p.w.node.Addr().String())
@@ -113,7 +114,7 @@
 		_, err := io.WriteString(p.conn, text)
 		return err
 	}
-	if raw, ok := strings.CutPrefix(text, "part"); ok { // raw, and perhaps nothing
+	if raw, ok := strings.CutPrefix(text, "part"); ok { // The rest is sent unchanged and may be empty.
 		_, err := io.WriteString(p.conn, strings.TrimSpace(raw))
 		return err
 	}
@@ -139,9 +140,9 @@
 	return err
 }
 
-// Expect returns the next message. A server may see an idle connection end at any moment: that is skipped,
-// unless it is waited for. The end of one connection and the messages of another have no order: a server that
-// waits for an end keeps what arrives before it for the next line.
+// Expect returns the next message. At a server an idle connection may end at any time, so Expect skips an end
+// unless want is "end". The end of one connection and the messages of another one may arrive in any order, so
+// while a server waits for an end, Expect defers other messages to the next call.
 func (p *peer) Expect(want string) (string, error) {
 	if len(p.deferred) > 0 && want != "end" {
 		m := p.deferred[0]
@@ -161,13 +162,13 @@
 			p.conn = m.conn
 			return m.text, nil
 		case <-time.After(testTimeout):
-			return "", errors.New("nothing came")
+			return "", errors.New("no message arrived within testTimeout")
 		}
 	}
 }
 
-// Close ends the connection of the last message: with a reset, or in order. A server then receives "end" once
-// the node has closed its side, too.
+// Close closes the connection of the last message; with the text "reset" it resets the connection. After an
+// orderly close a server receives "end" when the node has closed its side as well.
 func (p *peer) Close(text string) error {
 	conn := p.conn.(*net.TCPConn)
 	switch {
@@ -183,7 +184,8 @@
 	return conn.Close()
 }
 
-// disconnect ends a client's connection: in order, by a reset, or with half of another request sent before.
+// disconnect ends a client's connection in one of disconnectWays: by an orderly close, by a reset, or by a
+// close after a part of a request or two further requests.
 func (p *peer) disconnect(t *testing.T, way string) {
 	t.Helper()
 	conn := p.conn.(*net.TCPConn)
@@ -199,18 +201,18 @@
 			}
 		}
 	}
-	_ = conn.Close() // its reader may have closed it, if the node closed its side
+	_ = conn.Close() // The peer's reader may have closed the connection, if the node closed its side.
 }
 
 var disconnectWays = []string{"in order", "reset", "half a request", "two more requests"}
 
-// writeRaw writes a text on the connection of a client, as it is.
+// writeRaw writes a text unchanged on the connection of a client.
 func (w *harness) writeRaw(t *testing.T, client, text string) {
 	t.Helper()
 	write(t, w.peers[client].conn, text)
 }
 
-// nodePeer is the node as an actor of scenarios: it is sent stop, or reload.
+// nodePeer is the node as an actor in scenarios. Scenarios send it "stop" or "reload NAME".
 type nodePeer struct {
 	*Node
 	w *harness
@@ -226,7 +228,7 @@
 }
 
 func (s nodePeer) Expect(string) (string, error) {
-	return "", errors.New("the node is seen by its peers")
+	return "", errors.New("the node cannot expect messages; its peers expect them")
 }
 
-func (s nodePeer) Close(string) error { return errors.New("the node ends when it has stopped") }
+func (s nodePeer) Close(string) error { return errors.New("the node cannot be closed; send it stop") }
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -11,36 +11,37 @@
 	"dahliaford/internal/scheduler"
 )
 
-// A node is not ready for clients without a valid list, unless that lasts.
+// A node reports that it is not ready until it has received a worker list, but for at most readinessTimeout.
 func TestHealthWaitsForTheList(t *testing.T) {
 	n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parseTestSettings(t)})
 	defer n.close()
 	if n.ready() {
-		t.Error("ready before a list was received")
+		t.Error("the node is ready before it has received a list, want not ready")
 	}
 	n.timer, n.watch = time.NewTimer(time.Hour), &watch{}
 	if err := n.handle(watchUpdate{watch: n.watch, event: scheduler.WatchClosed{}}); err != nil {
 		t.Error(err)
 	}
 	if n.ready() {
-		t.Error("ready though discovery did not answer")
+		t.Error("the node is ready after a watch failed without a list, want not ready")
 	}
 	n.receiveList(t, 0)
 	if !n.ready() {
-		t.Error("not ready with a list")
+		t.Error("the node is not ready after it has received a list, want ready")
 	}
 	n.listReceived.Store(false)
 	if n.start = n.start.Add(-2 * maxReadinessTimeout); !n.ready() {
-		t.Error("never ready without discovery")
+		t.Error("the node is not ready without a list after twice maxReadinessTimeout, want ready")
 	}
 }
 
-// testReadinessLimit is when nine in ten nodes have to be ready on a day that ends soon, less the time that the
-// front end may need to see it.
+// testReadinessLimit is the time after the start by which a node has to report ready. Nine in ten nodes must
+// be in service after 6 s; the difference is for the front end, which checks health only at intervals.
 const testReadinessLimit = 4 * time.Second
 
-// A node whose discovery refuses, fails or does not answer its calls reports ready on real connections as
-// soon as the client with the shortest deadline would have waited in vain: not before, and well within 6 s.
+// A node whose discovery service refuses connections, fails requests or does not respond reports ready over
+// real connections when the shortest deadline of any class has passed since the start, but at most after
+// maxReadinessTimeout. It must not report ready before that.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	for _, way := range []string{"refuses", "answers 503", "resets", "is silent"} {
 		for _, deadline := range []time.Duration{time.Second, 30 * time.Second} {
@@ -71,13 +72,13 @@
 					}
 					if answered := time.Since(n.start); r.Status == 200 {
 						if answered < min(deadline, maxReadinessTimeout) {
-							t.Errorf("ready after %v", answered)
+							t.Errorf("ready %v after the start, want not before the shortest deadline", answered)
 						}
 						break
 					} else if polledAt > testReadinessLimit {
-						t.Fatalf("not ready after %v", polledAt)
+						t.Fatalf("not ready %v after the start, want ready within testReadinessLimit", polledAt)
 					}
-					time.Sleep(10 * time.Millisecond) // as a front end that checks now and then
+					time.Sleep(10 * time.Millisecond) // A front end checks health at intervals as well.
 				}
 				n.Stop()
 				checkEnd(t, done)
@@ -86,7 +87,7 @@
 	}
 }
 
-// serveBrokenDiscovery returns the address of a discovery service that fails in one of several ways.
+// serveBrokenDiscovery starts a discovery service that fails in the given way, and returns its address.
 func serveBrokenDiscovery(t *testing.T, way string) string {
 	t.Helper()
 	l := listenLoopback(t)
@@ -102,7 +103,7 @@
 			}
 			go func() {
 				defer c.Close()
-				// The node may close the connection at any time: errors are ignored.
+				// The node may close the connection at any time, so errors are ignored.
 				_, _ = c.Read(make([]byte, 1<<12))
 				switch way {
 				case "answers 503":
@@ -110,7 +111,7 @@
 				case "resets":
 					resetOnClose(t, c)
 				default:
-					_, _ = c.Read(make([]byte, 1)) // until the node closes it
+					_, _ = c.Read(make([]byte, 1)) // This read ends when the node closes the connection.
 				}
 			}()
 		}
--- a/internal/node/remaining_test.go
+++ b/internal/node/remaining_test.go
@@ -12,12 +12,10 @@
 	"dahliaford/internal/scheduler"
 )
 
-// An attempt tells its worker how long its client still waits. That time was computed before the last check,
-// and the check waits for an update of the worker list that is not applied yet: for 250 ms at most, the
-// connect timeout. The worker was told that much more than was left, and the pages allow 150 ms.
-//
-// writeAttempt encoded the request before it called the check for the first time. Seen in this test, every
-// time: a remaining time of 30,000 ms told 200 ms after that was so.
+// An attempt states the client's remaining time, X-Remaining-Ms. That time must be computed when the first
+// byte can be sent, after writeAttempt has waited for an update of the worker list to be applied. The wait
+// can last up to the connect timeout, 250 ms, and the specification allows an error of 150 ms. The failure:
+// if writeAttempt encodes the request before the wait, the stated time is too long by the length of the wait.
 func TestRemainingTimeIsThatOfTheFirstByte(t *testing.T) {
 	const wait = 200 * millisecond
 	n := newHarness(t, 0, "r1").node
@@ -33,9 +31,10 @@
 	}
 	writer := attemptWriter{conn: c, exchange: e}
 
-	n.freshness.countPosted(&watchReader{lastEmptyAt: began}, began) // an update that is not applied
+	n.freshness.countPosted(&watchReader{lastEmptyAt: began}, began) // This update is not applied yet.
 	if err := raw.Write(writer.writeReady); err != nil || !errors.Is(writer.blockReason, errUpdatePending) {
-		t.Fatalf("%v, blocked by %v", err, writer.blockReason)
+		t.Fatalf("write before the update is applied: error %v, block reason %v, want nil and errUpdatePending",
+			err, writer.blockReason)
 	}
 	for n.now() < began+wait {
 		time.Sleep(time.Millisecond)
@@ -43,7 +42,8 @@
 	n.freshness.countApplied(n.now())
 	released := n.now()
 	if err := raw.Write(writer.writeReady); err != nil || writer.blockReason != nil || writer.err != nil {
-		t.Fatalf("%v, blocked by %v, %v", err, writer.blockReason, writer.err)
+		t.Fatalf("write after the update is applied: error %v, block reason %v, write error %v, want all nil",
+			err, writer.blockReason, writer.err)
 	}
 
 	request, err := http.ReadRequest(bufio.NewReader(theirs))
@@ -52,6 +52,6 @@
 	}
 	told, err := strconv.ParseInt(request.Header.Get("X-Remaining-Ms"), 10, 64)
 	if left := e.deadline - released; err != nil || scheduler.Micros(told)*millisecond > left {
-		t.Errorf("%v: told %d ms where %d us are left", err, told, left)
+		t.Errorf("X-Remaining-Ms (parse error %v) is %d ms, want at most the remaining %d us", err, told, left)
 	}
 }
--- a/internal/node/scenarios_test.go
+++ b/internal/node/scenarios_test.go
@@ -19,7 +19,7 @@
 			r1 send 202 OK` + done + `
 			c1 send job post a2 || more
 			r1 expect POST /post/7?a=b txn=a2 key=k body=more`,
-		"callbacks before the 202, and repeated ones": sent + `
+		"callbacks may arrive before the 202, and repeatedly": sent + `
 			back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 			back expect 204` + done + `
 			back send POST /callback || {"id":"a1","from":"r1","state":"done","result":"other"}
@@ -36,24 +36,24 @@
 		"a reset before the 202 is not a refusal": sent + `
 			r1 close reset
 			c1 expect 500`,
-		"an error is not a refusal": sent + `
+		"a status 500 is not a refusal": sent + `
 			r1 send 500 Broken
 			c1 expect 500`,
-		"a worker's refusal is not passed on": sent + `
+		"a job that a worker refuses is retried": sent + `
 			r1 send 503 Full | X-Turned-Away: 1
 			r1 expect POST /post/7?a=b txn=a1 key=k body=work
 			r1 send 202 OK` + done,
-		"what a worker rejects is the client's fault, and is not retried": `
+		"a request that a worker rejects as invalid is not retried": `
 			c1 send job batch a1 || work
 			r1 expect POST /batch/7?a=b txn=a1 key=k body=work
 			r1 send 400 Bad
 			c1 expect 400 the worker cannot use it
 			c1 send job batch a2 || work
 			r1 expect POST /batch/7?a=b txn=a2 key=k body=work`,
-		"a job refused without the mark may have run": sent + `
+		"a job refused without X-Turned-Away may have run": sent + `
 			r1 send 503 Full
 			c1 expect 500`,
-		"nothing is retried after a reused connection ended": sent + `
+		"an attempt is not retried after its reused connection was reset": sent + `
 			r1 send 202 OK
 			wait accepted 1` + done + `
 			r1 close
@@ -62,7 +62,7 @@
 			r1 expect POST /post/7?a=b txn=a2 key=k body=more
 			r1 close reset
 			c1 expect 500`,
-		"a client disconnects before the 202, which may cross the close": sent + `
+		"a client disconnects before the 202 arrives": sent + `
 			c1 close
 			r1 expect end
 			r1 expect DELETE /jobs/a1
@@ -74,7 +74,7 @@
 			c1 close
 			r1 expect DELETE /jobs/a1
 			r1 send 200 OK`,
-		"a request that is sent ahead waits for the one before": sent + `
+		"a request sent before the previous response waits": sent + `
 			c1 send GET /_health
 			r1 send 202 OK` + done + `
 			c1 expect 200`,
@@ -92,7 +92,7 @@
 			back expect 204
 			back send POST /callback || {"id":
 			back expect 400 callback: EOF`,
-		"bad requests get a clear answer, and the connection stays open": `
+		"invalid requests get an error, and the connection stays open": `
 			c1 send POST /post/7 | X-Lane: post | X-Org: sahel | X-Remaining-Ms: 900
 			c1 expect 400 no X-Txn
 			c1 send POST /post/7 | X-Txn: a1 | X-Lane: post | X-Org: sahel
@@ -105,7 +105,7 @@
 			c1 expect 400 unknown tenant "gabes"
 			c1 send GET /post/7 | X-Txn: a1
 			c1 expect 405 jobs come by POST` + sent,
-		"a count of slots that is not a number, or more than any machine has": `
+		"a number of slots that is NaN or above the maximum is invalid": `
 			c1 send job batch a1 | X-Labels: slots=NaN || work
 			c1 expect 400 malformed X-Labels
 			c1 send job batch a1 | X-Labels: memory=1e30 || work
@@ -121,7 +121,7 @@
 			c1 send POST /post/7 | X-Txn: a1 | Content-Length: 65537
 			c1 expect 413 close body over 65536 bytes
 			c1 expect end`,
-		"the list changes, however its objects are split": `
+		"the worker list changes by objects that arrive in parts": `
 			discovery expect GET /catalog/members?watch=1&from=4
 			discovery send head
 			discovery send {"rev":5,"all":false,"tar
@@ -133,7 +133,7 @@
 			discovery expect GET /catalog/members?watch=1&from=6
 			c1 send POST /post/7 | X-Txn: a1 | X-Lane: post | X-Org: sahel | X-Remaining-Ms: 500 || work
 			c1 expect 503 after 0`,
-		"discovery that refuses is called again": `
+		"the node reconnects after discovery closed the connection": `
 			discovery expect GET /catalog/members?watch=1&from=4
 			discovery close
 			discovery expect end
@@ -155,14 +155,14 @@
 			t.Parallel()
 			harness := newHarness
 			if strings.Contains(name, "reused connection") {
-				harness = newLargeFleetHarness // in a small fleet connections are reused for a moment only
+				harness = newLargeFleetHarness // A small fleet reuses connections for only 50 ms.
 			}
 			runScenario(t, harness(t, 0, "r1"), script)
 		})
 	}
 }
 
-// A worker that cannot be reached never ran the job: the job goes to another one.
+// An attempt whose connection cannot be opened has not run, so the job is sent to another worker.
 func TestUnreachedWorker(t *testing.T) {
 	w := newHarness(t, 0, "rdown")
 	line := workerLine("r2", w.serve(t, "r2").Addr().String())
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -11,12 +11,12 @@
 	"dahliaford/internal/http1"
 )
 
-// Connections that the system has accepted for a node that stops, and the node has not, are answered:
-// complete requests that wait in the listener's queue while all slots, or the processor, are taken.
+// Requests in connections that wait in the listener's queue are answered when the node stops. Such
+// connections wait there because all client slots are taken, or because the node gets no processor time.
 func TestAcceptQueueIsServedAtShutdown(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	n := w.node
-	first, err := net.Dial("tcp", n.Addr().String()) // from now on the acceptor holds the next slot
+	first, err := net.Dial("tcp", n.Addr().String()) // After this the acceptor holds the next slot.
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,16 +39,16 @@
 		n.onLoop(func() { draining = n.drainDeadline != nil })
 	}
 	releaseSlots()
-	for i, conn := range waiting { // one or two got a slot before, and their job ends with the node
+	for i, conn := range waiting { // One or two jobs got a slot before the stop and fail with status 500.
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if r, err := http1.NewReader(conn).Response(); err != nil || r.Status != 503 && r.Status != 500 {
-			t.Errorf("request %d got %v, %v", i, r, err)
+			t.Errorf("request %d got response %v and error %v, want status 503 or 500", i, r, err)
 		}
 	}
 }
 
-// A stopping node has nothing pending and has closed its listener, when the rest of a request arrives on a
-// connection that it has. The request must still be answered.
+// A node that stops has no pending jobs and has closed its listener when the rest of a request arrives on an
+// open connection. The request must still be answered.
 func TestRequestCrossesTheEnd(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	conn, err := net.Dial("tcp", w.node.Addr().String())
@@ -71,19 +71,19 @@
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", w.node.Addr().String())
 		if err != nil {
-			break // no connection is accepted any more: it ends
+			break // The node does not accept connections any more.
 		}
 		if c.Close(); time.Now().After(end) {
-			t.Fatal("the node still listens")
+			t.Fatal("the node still listens after testTimeout, want its listener closed")
 		}
 	}
 	r, err := exchange("X-Org: sahel\r\nX-Txn: a1\r\nX-Remaining-Ms: 900\r\nContent-Length: 0\r\n\r\n")
 	if err != nil || r.Status != 503 || !r.Close {
-		t.Errorf("got %v, %v", r, err)
+		t.Errorf("got response %v and error %v, want status 503 and a close", r, err)
 	}
 }
 
-// waitRefusing waits until a node that stops refuses new jobs, while something is still pending.
+// waitRefusing waits until a node that stops refuses new jobs while jobs or cancellations are still pending.
 func (n *Node) waitRefusing(t *testing.T) {
 	t.Helper()
 	n.waitFor(t, "refusing", func() bool { return n.draining.Load() && n.drainDeadline == nil })
@@ -100,10 +100,11 @@
 		back2 expect 204
 		c1 expect 200 close it
 		wait end`
-	stale = `{"id":"a0","from":"r1","state":"done"}` // of an unknown job
+	stale = `{"id":"a0","from":"r1","state":"done"}` // The job a0 is unknown.
 )
 
-// shutdownStage is a stage of a node's shutdown: how it is reached, and how the node ends from there.
+// shutdownStage is a stage of a node's shutdown. reach brings the node into the stage, and finish completes
+// the shutdown from there.
 type shutdownStage struct {
 	name   string
 	reach  func(t *testing.T, w *harness)
@@ -111,7 +112,7 @@
 }
 
 var shutdownStages = []shutdownStage{
-	{"serving on", func(t *testing.T, w *harness) {
+	{"still accepting jobs", func(t *testing.T, w *harness) {
 		runScenario(t, w, running)
 	}, func(t *testing.T, w *harness) {
 		w.node.waitRefusing(t)
@@ -123,7 +124,7 @@
 	}, func(t *testing.T, w *harness) {
 		runScenario(t, w, ran)
 	}},
-	{"waiting for withdrawals", func(t *testing.T, w *harness) {
+	{"waiting for cancellations", func(t *testing.T, w *harness) {
 		runScenario(t, w, `
 			c1 send job batch a1 || one
 			r1 expect POST /batch/7?a=b txn=a1 key=k body=one
@@ -134,7 +135,7 @@
 	}, func(t *testing.T, w *harness) {
 		runScenario(t, w, "r1 send 200 OK\nwait end")
 	}},
-	// Clients with an incomplete request hold it there.
+	// Clients with incomplete requests keep the node in this stage.
 	{"closing", func(t *testing.T, w *harness) {
 		runScenario(t, w, "c3 send GET /_health\nc3 expect 200\nback3 send GET /_health\nback3 expect 200")
 		w.writeRaw(t, "c3", "POST /batch/7 HTTP/1.1\r\nX-Lane: batch\r\n")
@@ -148,8 +149,8 @@
 	}},
 }
 
-// Whichever event comes in whichever stage of the shutdown: everyone gets an answer, and the node ends when
-// all that was pending is answered, as without the event.
+// In each stage of the shutdown each kind of event is handled: every client gets an answer, and the node ends
+// when all pending jobs are answered, as it does without the event.
 func TestEventsInEachStageOfShutdown(t *testing.T) {
 	for _, s := range shutdownStages {
 		for event, happen := range map[string]string{
@@ -171,9 +172,9 @@
 		} {
 			switch {
 			case s.name == "closing" && (event == "a callback" || event == "a late client"):
-				continue // there both have begun before, as the listener may be closed
-			case s.name == "serving on" && event == "a late client":
-				continue // it is served: the next test
+				continue // The stage itself contains both events, because the listener may be closed by then.
+			case s.name == "still accepting jobs" && event == "a late client":
+				continue // In this stage the job is served, see TestLateClientIsServedDuringShutdownGrace.
 			}
 			t.Run(s.name+", "+event, func(t *testing.T) {
 				t.Parallel()
@@ -183,15 +184,15 @@
 				s.reach(t, w)
 				runScenario(t, w, happen)
 				s.finish(t, w)
-				w.node.Stop() // neither blocks after the end
+				w.node.Stop() // Stop and Reload must not block after the node has ended.
 				w.node.Reload(Config{})
 			})
 		}
 	}
 }
 
-// A late client is served for as long as a stopping node accepts jobs: its front end may not have noticed
-// yet. A run that takes longer than that shows nothing, and is repeated.
+// A node that stops still accepts jobs for a short time, because front ends notice the failing health check
+// late. A run in which the job arrives after that time proves nothing and is repeated.
 func TestLateClientIsServedDuringShutdownGrace(t *testing.T) {
 	for end := time.Now().Add(testTimeout); ; {
 		w := newHarness(t, 0, "r1")
@@ -206,14 +207,14 @@
 			return
 		case m := <-w.peers["c1"].received:
 			if took := time.Since(began); took < 600*time.Millisecond || time.Now().After(end) {
-				t.Fatalf("after %v it got %q", took, m.text)
+				t.Fatalf("%v after the stop the client got %q, want its job served", took, m.text)
 			}
 		}
 	}
 }
 
-// A job that waits for discovery when its node begins to stop is still sent, by the list of a discovery that
-// only a reload names then.
+// A job waits for a worker list when its node begins to stop. A reload then names another discovery service,
+// and the job must be sent according to the list of that service.
 func TestReloadDuringShutdownServesWaitingJobs(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	w.serve(t, "discovery2")
@@ -223,10 +224,10 @@
 	n.waitRefusing(t)
 	line := workerLine("r1", w.peers["r1"].listener.Addr().String())
 	list := `{"rev":9,"all":true,"targets":[` + line + "]}\n"
-	go func() { // it answers each call, as discovery does: there may be several
+	go func() { // The node may open several watches, and the discovery service responds to each of them.
 		for m := range w.peers["discovery2"].received {
 			if strings.HasPrefix(m.text, "GET ") {
-				_, _ = io.WriteString(m.conn, watchHead+chunk(list)) // the node may have closed it
+				_, _ = io.WriteString(m.conn, watchHead+chunk(list)) // The node may have closed the connection.
 			}
 		}
 	}()
--- a/internal/node/slopes_bench_test.go
+++ b/internal/node/slopes_bench_test.go
@@ -15,10 +15,11 @@
 	"dahliaford/internal/scheduler"
 )
 
-// slopeSizes are the sizes at which costs are fitted, see docs/CAPACITY.md.
+// slopeSizes are the numbers of workers at which the benchmarks measure. docs/CAPACITY.md fits costs as
+// linear functions of the number of workers to these measurements.
 var slopeSizes = []int{200, 450, 800, 2400, 4800, 7200}
 
-// entry is a line of the worker list with all fields of the protocol, in its order.
+// entry is an entry of the worker list with all fields of the discovery protocol, in the protocol's order.
 type entry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -64,8 +65,8 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1000
 }
 
-// BenchmarkSlopeList measures a complete list on the wire: its bytes, raw and with gzip, and the processor
-// time that decoding it takes before the reducer gets it.
+// BenchmarkSlopeList measures a complete worker list on the wire: the number of bytes, uncompressed and with
+// gzip, and the processor time for decoding the list, without the reducer.
 func BenchmarkSlopeList(b *testing.B) {
 	for _, n := range slopeSizes {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
@@ -92,8 +93,8 @@
 	}
 }
 
-// BenchmarkSlopeApplied measures the time from the write of an update to a socket until the update has been
-// applied: what the freshness guard waits for.
+// BenchmarkSlopeApplied measures the time from the write of an update to a socket until the event loop has
+// applied the update. The freshness guard rejects attempts during that time.
 func BenchmarkSlopeApplied(b *testing.B) {
 	for _, n := range slopeSizes {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
@@ -114,7 +115,7 @@
 			defer conn.Close()
 			head := bufio.NewScanner(conn)
 			for head.Scan() && head.Text() != "" {
-				continue // the request for the watch
+				continue // These lines are the request for the watch.
 			}
 			// apply writes an update and waits until it has been applied.
 			applied := uint64(0)
@@ -161,8 +162,8 @@
 	return t.appliedUpdates
 }
 
-// BenchmarkSlopeMemory measures the memory that a list takes as a scheduler.WorkerList on its way from the
-// reader to the reducer: it is in addition to the reducer's state, and freed afterwards.
+// BenchmarkSlopeMemory measures the memory of a worker list as a scheduler.WorkerList, as the watch's reader
+// passes it to the reducer. This memory is needed in addition to the reducer's state and is freed afterwards.
 func BenchmarkSlopeMemory(b *testing.B) {
 	for _, n := range slopeSizes {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -15,7 +15,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// resources lists what a node and its process hold.
+// resources describes the connections, slots and scheduler state that a node holds, and the goroutines and
+// file descriptors of the process.
 func resources(n *Node) string {
 	var text string
 	n.onLoop(func() {
@@ -24,7 +25,7 @@
 			idle += len(l)
 		}
 		k := n.sched.Stats()
-		k.ReservedIDs, k.Timers = 0, 0 // these expire by time alone
+		k.ReservedIDs, k.Timers = 0, 0 // Reserved IDs and timers are released only by time.
 		text = fmt.Sprintf("clients %d, callers %d, idle %d in %d, open %d, attempts %d, cancellations %d, "+
 			"slots %d, %+v", len(n.clients), len(n.callers), idle, len(n.idleConns), n.openWorkerConns,
 			len(n.attempts), n.cancellations, len(n.clientSlots), k)
@@ -33,7 +34,7 @@
 	return fmt.Sprintf("%s, goroutines %d, descriptors %d", text, runtime.NumGoroutine(), len(files))
 }
 
-// After every kind of storm a node holds the resources that it held before.
+// After many clients misbehave in one of several ways, the node holds the same resources as before.
 func TestClientStormsLeakNothing(t *testing.T) {
 	w := newHarness(t, 0)
 	n := w.node
@@ -75,7 +76,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, _ = io.WriteString(conn, text()) // the node may have closed it
+			_, _ = io.WriteString(conn, text()) // The node may have closed the connection already.
 			all = append(all, conn)
 		}
 		for i, conn := range all {
@@ -85,7 +86,7 @@
 			conn.Close()
 		}
 	}
-	storm(func() string { return "" }) // for what starts with the first connections
+	storm(func() string { return "" }) // The first connections allocate resources that stay.
 	time.Sleep(2 * sweepInterval)
 	before := resources(n)
 	for _, s := range storms {
@@ -94,7 +95,7 @@
 		}
 		var got string
 		if !eventually(func() bool { got = resources(n); return got == before }) {
-			t.Errorf("%s:\nheld %s\nwas  %s", s.name, got, before)
+			t.Errorf("%s: resources after testTimeout:\ngot  %s\nwant %s", s.name, got, before)
 		}
 	}
 }
--- a/internal/node/validity_test.go
+++ b/internal/node/validity_test.go
@@ -10,7 +10,7 @@
 
 const testGrace = 500 * millisecond
 
-// newWatchHarness returns a world whose discovery has sent r1 over a watch that is open.
+// newWatchHarness returns a harness whose discovery service has sent the worker r1 over an open watch.
 func newWatchHarness(t *testing.T, pushed bool, pollInterval scheduler.Micros) *harness {
 	set := parseTestSettings(t)
 	set.DrainGrace, set.Dispatch.PollEndpoints, set.Dispatch.PollInterval = testGrace, !pushed, pollInterval
@@ -23,7 +23,8 @@
 	return w
 }
 
-// sendList has discovery send that r1 is ready, and waits until that is applied.
+// sendList makes the discovery service send a complete list with r1 ready, and waits until the node has
+// applied the list.
 func (w *harness) sendList(t *testing.T) {
 	t.Helper()
 	n := w.node
@@ -31,7 +32,7 @@
 	runScenario(t, w, `discovery send {"rev":5,"all":true,"targets":[`+
 		workerLine("r1", w.peers["r1"].listener.Addr().String())+`]}/n`)
 	if !eventually(func() bool { return n.listAsOf() != was }) {
-		t.Fatal("the update is not applied")
+		t.Fatal("the node did not apply the list within testTimeout")
 	}
 }
 
@@ -40,7 +41,8 @@
 	return at
 }
 
-// waitValidFor waits until a node's list is valid for at most a limit from now on, and returns until when.
+// waitValidFor waits until the node's worker list is valid for at most limit from now on, and returns the
+// time at which the validity ends.
 func (n *Node) waitValidFor(t *testing.T, limit scheduler.Micros) (until scheduler.Micros) {
 	t.Helper()
 	if !eventually(func() bool {
@@ -50,13 +52,14 @@
 		until = n.freshness.validUntil
 		return until <= now+limit
 	}) {
-		t.Fatalf("it is valid for %d more", until-n.now())
+		t.Fatalf("the worker list is still valid for %d us, which exceeds the limit", until-n.now())
 	}
 	return until
 }
 
-// Where lists are pushed, a change that the agent has is in force at once, with or without a watch. So once a
-// watch is reset nothing is sent after the drain grace, until a new one has sent something.
+// Where an agent pushes lists, a change takes effect when the agent has it, even if the node has no watch. So
+// after a watch is reset, the node sends attempts for at most the drain grace, until a new watch has sent a
+// list.
 func TestPushedListsExpireAfterTheGraceWithoutAWatch(t *testing.T) {
 	w := newWatchHarness(t, true, 10*second)
 	runScenario(t, w, "discovery close reset")
@@ -70,19 +73,20 @@
 		discovery expect GET /catalog/members?watch=1&from=5
 		discovery send head`)
 	if got := w.node.freshness.allowSend("r1", w.node.now()); !errors.Is(got, errListStale) {
-		t.Errorf("the guard says %v", got)
+		t.Errorf("after the drain grace allowSend returned %v, want errListStale", got)
 	}
-	w.node.onLoop(func() { // the module queues the job rather than have it turned back
+	// The decision module must queue the job, and not start attempts that the guard rejects.
+	w.node.onLoop(func() {
 		if k := w.node.sched.Stats(); k.Attempts != 0 || k.DispatcherJobs != 1 || len(w.node.attempts) != 0 {
-			t.Errorf("queued %+v", k)
+			t.Errorf("scheduler state %+v, want one queued job and no attempt", k)
 		}
 	})
 	w.sendList(t)
 	runScenario(t, w, "r1 expect POST /post/7?a=b txn=a1 key=k body=work")
 }
 
-// Where lists are polled, without a watch a change is in force as long after it was made as the settings
-// state for polls; the list is valid no longer than that, nor longer than 6 s.
+// Where lists are polled and no watch is open, a change takes effect after the poll interval of the settings.
+// So after a watch is reset the worker list is valid for the poll interval, but for at most 6 s.
 func TestPolledListsExpireAfterTheConfiguredTime(t *testing.T) {
 	for _, c := range [][2]scheduler.Micros{{2 * second, 2 * second}, {10 * second, 6 * second}} {
 		pollInterval, want := c[0], c[1]
@@ -91,18 +95,19 @@
 		runScenario(t, w, "discovery close reset\ndiscovery expect GET /catalog/members?watch=1&from=5")
 		w.node.freshness.mu.Lock()
 		if got := w.node.freshness.validUntil - asOf; got != want {
-			t.Errorf("polled within %d: it is valid for %d, want %d", pollInterval, got, want)
+			t.Errorf("poll interval %d us: the list is valid for %d us, want %d us", pollInterval, got, want)
 		}
 		w.node.freshness.mu.Unlock()
 	}
 }
 
-// After a reload the new discovery is in force 4 s later. Nothing that the old one sends then makes up for
-// its silence, however often the configuration is reloaded.
+// Changes at the discovery service that a reload names take effect 4 s after the reload. If the new service
+// does not respond, the worker list must expire by then. Neither lines from the old service nor further
+// reloads may extend the validity.
 func TestUnansweredReloadLimitsValidity(t *testing.T) {
 	w := newWatchHarness(t, false, 10*second)
 	n := w.node
-	n.onLoop(func() { n.receiveList(t, time.Hour) }) // whatever was received before
+	n.onLoop(func() { n.receiveList(t, time.Hour) }) // Before the reload the list is valid for over an hour.
 	runScenario(t, w, `
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0
@@ -110,28 +115,30 @@
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0`)
 	until := n.waitValidFor(t, 4*second)
-	n.onLoop(func() { // an empty line of the address before, which arrives after the reload
+	n.onLoop(func() { // After the reload an empty line arrives from the old service.
 		n.postPendingUpdate()
 		n.applyUpdate(t, watchUpdate{watch: n.previousWatch, event: scheduler.EndpointsUpdated{AsOf: n.now()}})
 	})
 	if repeated := n.waitValidFor(t, 4*second); repeated > until {
-		t.Errorf("it is valid until %d, not %d", repeated, until)
+		t.Errorf("after a line of the old service the list is valid until %d us, want at most %d us",
+			repeated, until)
 	}
 	n.onLoop(func() { n.receiveList(t, 0) })
 	if n.waitValidFor(t, 6*second) <= until {
-		t.Error("the new address has sent a list, and that is not used")
+		t.Error("a list from the new service did not extend the validity")
 	}
 }
 
-// The end of a watch that never sent anything does not limit the validity: nothing depended on it.
+// The end of a watch that never sent anything does not limit the validity of the worker list, because the
+// list did not come from that watch.
 func TestSilentWatchDoesNotLimitValidity(t *testing.T) {
 	guard := newFreshnessGuard(testGrace, 6*second)
 	guard.listPushed, guard.postedUpdates = true, 1
 	guard.countApplied(100 * second)
 	if got := guard.watchClosed(0, false); got != 106*second {
-		t.Errorf("valid until %d", got)
+		t.Errorf("after a silent watch closed: valid until %d us, want 106 s", got)
 	}
 	if got := guard.watchClosed(101*second, false); got != 101*second+testGrace {
-		t.Errorf("valid until %d", got)
+		t.Errorf("after a watch that was empty at 101 s closed: valid until %d us, want 101 s and the grace", got)
 	}
 }
--- a/internal/node/watch_reader_test.go
+++ b/internal/node/watch_reader_test.go
@@ -9,7 +9,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// A reader that had no processor time finds its deadline and the update together.
+// A watch's reader that got no processor time finds its read deadline expired and an update in the socket. It
+// must return the update before it reports the deadline.
 func TestReadDeadlineDoesNotSkipAnUpdate(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	ours, theirs := loopbackPair(t)
@@ -24,9 +25,9 @@
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
 	buffer := make([]byte, 100)
 	if n, err := reader.Read(buffer); err != nil || string(buffer[:n]) != "word\n" {
-		t.Errorf("read %q, %v", buffer[:n], err)
+		t.Errorf("first read returned %q and error %v, want the written line and nil", buffer[:n], err)
 	}
 	if _, err := reader.Read(buffer); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("then %v", err)
+		t.Errorf("second read returned error %v, want a deadline error", err)
 	}
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -16,7 +16,7 @@
 	"dahliaford/internal/settings"
 )
 
-// lines is the log, for tests to read.
+// logBuffer is a log that tests can read while the node writes to it.
 type logBuffer struct {
 	sync.Mutex
 	bytes.Buffer
@@ -40,7 +40,7 @@
 
 func chunk(text string) string {
 	var b strings.Builder
-	for len(text) > 0 { // in parts, as a network would
+	for len(text) > 0 { // A long text is split into several chunks.
 		n := min(len(text), 1<<16)
 		fmt.Fprintf(&b, "%x\r\n%s\r\n", n, text[:n])
 		text = text[n:]
@@ -48,8 +48,8 @@
 	return b.String()
 }
 
-// Whatever discovery does wrong, the last good list stays in use, the log has one line for it, and discovery
-// is called again.
+// After a fault of the discovery service the last valid list stays in use, the log has one line for the
+// fault, and the node requests the list again.
 func TestDiscoveryFaults(t *testing.T) {
 	const removed = `{"rev":9,"all":true,"targets":[` +
 		`{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"gone"}`
@@ -75,12 +75,12 @@
 						return
 					}
 					response := response
-					if call > 1 { // a fault only once, or a second line would race with the count
+					if call > 1 { // A second fault would add a log line while the test counts the lines.
 						response = noResponse
 					}
 					go func() {
 						defer c.Close()
-						// The node may close the connection at any time: errors are ignored.
+						// The node may close the connection at any time, so errors are ignored.
 						b := make([]byte, 1<<12)
 						n, _ := c.Read(b)
 						first, _, _ := strings.Cut(string(b[:n]), "\r\n")
@@ -89,7 +89,7 @@
 						case "":
 							resetOnClose(t, c)
 						case noResponse:
-							_, _ = c.Read(b) // until the node closes it
+							_, _ = c.Read(b) // This read ends when the node closes the connection.
 						default:
 							_, _ = c.Write([]byte(response))
 						}
@@ -111,16 +111,17 @@
 			done := runNode(n)
 			for range 2 {
 				select {
-				case got := <-requests: // from the version that it has: nothing of the bad one was applied
+				// The node requests changes since revision 4, so it applied nothing of the response.
+				case got := <-requests:
 					if want := "GET " + membersPath + "?watch=1&from=4 HTTP/1.1"; got != want {
-						t.Errorf("called with %q, want %q", got, want)
+						t.Errorf("discovery received the request %q, want %q", got, want)
 					}
 				case <-time.After(testTimeout):
-					t.Fatal("discovery is not called again")
+					t.Fatal("discovery did not receive a second request within testTimeout")
 				}
 			}
 			if got := log.count("watch of the worker list failed"); got != 1 {
-				t.Errorf("%d lines in the log for one watch", got)
+				t.Errorf("the log has %d lines about failed watches, want 1", got)
 			}
 			n.Stop()
 			checkEnd(t, done)
@@ -128,7 +129,7 @@
 	}
 }
 
-// Before the first object a watch says nothing of the list.
+// Empty lines before the first JSON object of a watch do not confirm any list and must not be delivered.
 func TestEmptyLinesAreNoList(t *testing.T) {
 	updates := make(chan scheduler.EndpointsUpdated, 10)
 	l := listenLoopback(t)
@@ -137,21 +138,22 @@
 	go func() {
 		if conn, err := l.Accept(); err == nil {
 			object := `{"rev":3,"all":false,"targets":[]}` + "\n\n"
-			_, _ = io.WriteString(conn, watchHead+chunk("\n\n")+chunk(object)+chunk(`{"rev":4`)) // the updates show it
+			// The delivered updates show whether the write succeeded.
+			_, _ = io.WriteString(conn, watchHead+chunk("\n\n")+chunk(object)+chunk(`{"rev":4`))
 			conn.Close()
 		}
 	}()
 	deliver := func(e scheduler.EndpointsUpdated, _ *watchReader) { updates <- e }
 	err := n.readWatch(n.ctx, scheduler.OpenWatch{Addr: l.Addr().String()}, deliver)
 	if err == nil || errors.Is(err, errUnreadableList) {
-		t.Errorf("an object that is cut off is ignored, not unreadable: %v", err)
+		t.Errorf("after an incomplete last line: got error %v, want any but errUnreadableList", err)
 	}
 	if close(updates); len(updates) != 2 || (<-updates).List.Rev != 3 {
-		t.Errorf("%d updates were delivered, want the object and the empty line behind it", len(updates))
+		t.Errorf("%d updates in the channel, want 2: revision 3 and the empty line that confirms it", len(updates))
 	}
 }
 
-// A reload moves the watch to the discovery that it names while a job runs.
+// A reload while a job runs opens a watch at the new discovery service, and the job is still answered.
 func TestReload(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	w.serve(t, "discovery2")
@@ -170,10 +172,11 @@
 		c1 expect 200 yes`)
 }
 
-// Until the discovery that a reload names has sent something, the watch before is read: a worker that drains
-// by it gets nothing new. An empty line before the first object says nothing.
+// After a reload the node still reads the watch at the old discovery service until the new service has sent a
+// list. A worker that drains according to the old service gets no attempts. An empty line of the new service
+// before its first object does not end the old watch.
 func TestReloadReadsBothWatches(t *testing.T) {
-	set := parseTestSettings(t) // no timer fires while the scenario plays discovery
+	set := parseTestSettings(t) // The long times below keep timers from firing during the scenario.
 	set.Dispatch.PollInterval, set.Dispatch.MaxStaleness = 3600*second, 3600*second
 	w := newHarnessWithSettings(t, set, 0, "r1", "r2")
 	w.serve(t, "discovery2")
@@ -183,7 +186,8 @@
 		discovery send head
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0`)
-	w.node.onLoop(func() { w.node.extendValidity(t, time.Hour) }) // else a reload limits the validity to 4 s
+	// Without this the reload would limit the validity of the list to 4 s.
+	w.node.onLoop(func() { w.node.extendValidity(t, time.Hour) })
 	runScenario(t, w, `
 		discovery2 send head
 		discovery2 send /n
@@ -192,11 +196,11 @@
 		return errors.Is(w.node.freshness.allowSend("r1", w.node.now()), errWorkerDraining)
 	}
 	if !eventually(isDraining) {
-		t.Fatal("the watch before is not read")
+		t.Fatal("the guard did not report r1 as draining, so the old watch is not read")
 	}
 	w.node.onLoop(func() {
 		if w.node.previousWatch == nil {
-			t.Error("the watch before is closed by an empty line")
+			t.Error("an empty line of the new watch closed the old watch")
 		}
 	})
 	runScenario(t, w, `
@@ -207,11 +211,11 @@
 		c2 send job post a2 || work
 		wait open 2`)
 	if !isDraining() {
-		t.Error("an address with an older list brings a worker back")
+		t.Error("r1 no longer drains after the new service sent an older list, want it draining")
 	}
 }
 
-// A list of thousands of workers is applied in a fraction of a second.
+// A list of 20,000 workers is applied within 5 s; a fraction of a second is normal.
 func TestHugeList(t *testing.T) {
 	var all []string
 	for len(all) < 20_000 {
@@ -219,11 +223,11 @@
 	}
 	line := `{"rev":5,"all":true,"targets":[` + strings.Join(all, ",") + `]}`
 	if len(line) > maxLineBytes {
-		t.Fatalf("%d bytes are too long for a list", len(line))
+		t.Fatalf("the list has %d bytes, want at most maxLineBytes", len(line))
 	}
 	list, _, err := DecodeList([]byte(line))
 	if err != nil || len(list.Workers) != 20_000 {
-		t.Fatalf("%d workers, %v", len(list.Workers), err)
+		t.Fatalf("decoded %d workers with error %v, want 20000 and nil", len(list.Workers), err)
 	}
 	set := parseTestSettings(t)
 	s, err := scheduler.New(set, 1)
@@ -232,23 +236,24 @@
 	}
 	s.Step(1, scheduler.Started{CachedList: list}, nil)
 	began := time.Now()
-	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil) // sent twice: no harm
+	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil) // The same list once more must be accepted as well.
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("took %v", took)
+		t.Errorf("applying the list took %v, want at most 5 s", took)
 	}
 }
 
-// A change is in force after a while, received or not. The module has to know that time, and a watch that is
-// silent has to be detected before it is over.
+// A change of the worker list takes effect after MaxStaleness even if it is not received. Listen has to set
+// MaxStaleness for the decision module, and a silent watch has to be detected in less than that time.
 func TestWatchTimeoutIsBelowMaxStaleness(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	within := time.Duration(w.node.cfg.Settings.Dispatch.MaxStaleness) * time.Microsecond
 	if within <= watchIdleTimeout {
-		t.Errorf("changes are in force after %v, silence is detected after %v", within, watchIdleTimeout)
+		t.Errorf("MaxStaleness is %v, want more than watchIdleTimeout, which is %v", within, watchIdleTimeout)
 	}
 }
 
-// startPushedNode runs one of a number of nodes, whose lists are pushed by the agent behind the listener.
+// startPushedNode runs a node with settings for a fleet of the given number of nodes, whose worker lists are
+// pushed by an agent. The test is the agent and accepts the node's watches at the listener.
 func startPushedNode(t *testing.T, nodes int) (agent *net.TCPListener, n *Node, done chan error) {
 	t.Helper()
 	set, err := settings.Parse([]byte(strings.Replace(testSettings, "on_request", "pushed", 1)))
@@ -261,27 +266,28 @@
 	return l, n, runNode(n)
 }
 
-// Where lists are pushed they come over a watch as well: without one no drain is ever received.
+// A node whose lists are pushed has to open a watch as well, because it gets the pushed lists over that
+// watch.
 func TestPushedListsAreWatched(t *testing.T) {
 	l, n, done := startPushedNode(t, 1)
-	for range 2 { // once more after it broke
+	for range 2 { // The second watch follows after the first one was closed.
 		acceptWithin(t, l, testTimeout).Close()
 	}
 	n.Stop()
 	checkEnd(t, done)
 }
 
-// An agent that pushes lists is silent while discovery is down, and answers at once when it is not: a call
-// that it does not answer is given up soon, and the next one follows, however many schedulers there are.
+// An agent that pushes lists does not respond while discovery is down, and responds at once otherwise. So the
+// node must give up an unanswered request soon and send the next one, even in a fleet of 300 schedulers.
 func TestSilentAgentIsRetriedSoon(t *testing.T) {
 	l, n, done := startPushedNode(t, 300)
 	const calls = 5
 	began := time.Now()
 	for range calls {
-		defer acceptWithin(t, l, testTimeout).Close() // it sends nothing until then
+		defer acceptWithin(t, l, testTimeout).Close() // The agent sends nothing on the connection.
 	}
 	if took := time.Since(began); took > calls*2*time.Second {
-		t.Errorf("%d calls in %v", calls, took)
+		t.Errorf("%d requests took %v, want at most 2 s each", calls, took)
 	}
 	n.Stop()
 	checkEnd(t, done)
--- a/internal/node/worker_dial_test.go
+++ b/internal/node/worker_dial_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// pendingDial is a dial of a workerConn that the test intercepts: the test decides how it ends.
+// pendingDial is an intercepted dial of a workerConn. The test decides how the dial ends.
 type pendingDial struct {
 	ctx    context.Context
-	result chan error // nil: it succeeds
+	result chan error // The test sends the dial's error here; nil lets the dial succeed.
 }
 
-// interceptDials passes each dial of a node to the test.
+// interceptDials passes each dial of the harness's node to the test.
 func (w *harness) interceptDials() <-chan pendingDial {
 	all := make(chan pendingDial, 100)
 	w.node.onLoop(func() {
@@ -38,7 +38,8 @@
 	return all
 }
 
-// A hedged dial beside a slow one carries the job, once; the slow one is closed unused.
+// When a dial is slow, a hedged dial starts beside it and its connection carries the job. The job is sent
+// only once, and the connection of the slow dial is closed without use.
 func TestHedgedDialBesideASlowOne(t *testing.T) {
 	for name, firstEnds := range map[string]func(first pendingDial){
 		"never comes up": func(first pendingDial) { <-first.ctx.Done() },
@@ -53,12 +54,12 @@
 			first := <-dials
 			var second pendingDial
 			select {
-			case second = <-dials: // while the first one is still in progress
+			case second = <-dials: // The first dial is still in progress.
 			case <-time.After(testTimeout):
-				t.Fatal("no hedged dial")
+				t.Fatal("no hedged dial started within testTimeout")
 			}
 			if first.ctx.Err() != nil {
-				t.Error("the first one was cancelled")
+				t.Error("the first dial was cancelled when the hedged dial started")
 			}
 			second.result <- nil
 			runScenario(t, w, "r1 expect POST /post/7?a=b txn=a1 key=k body=work")
@@ -69,13 +70,13 @@
 				back expect 204
 				c1 expect 200 it`)
 			if n := w.node; !eventually(func() bool { return n.hedgedDials.Load() == 0 }) {
-				t.Error("hedged dials are still counted")
+				t.Error("hedgedDials did not return to 0 after all dials ended")
 			}
 		})
 	}
 }
 
-// A dial that is refused is the end at once, whether or not another one is in progress.
+// A refused dial ends the attempt to connect at once, whether or not a second dial is in progress.
 func TestRefusedDialEndsTheHedge(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for _, late := range []bool{false, true} {
@@ -98,15 +99,16 @@
 		}
 		first.result <- refused
 		if err := <-done; !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("late %v: %v", late, err)
+			t.Errorf("refused after the hedged dial started (%v): dial returned %v, want ECONNREFUSED", late, err)
 		}
 		if first.ctx.Err() == nil {
-			t.Error("the other one goes on")
+			t.Error("the context of the dials was not cancelled")
 		}
 	}
 }
 
-// Hedged dials stay within the spare descriptors, however many dials hang.
+// At most maxHedgedDials hedged dials run at the same time when many dials hang, so that they stay within the
+// reserved descriptors.
 func TestHedgedDialsAreBounded(t *testing.T) {
 	n := newHarness(t, 0).node
 	const many = 3 * maxHedgedDials
@@ -127,16 +129,17 @@
 		}()
 	}
 	if !eventually(func() bool { return inProgress.Load() == many+maxHedgedDials }) {
-		t.Errorf("%d dials are in progress, want %d", inProgress.Load(), many+maxHedgedDials)
+		t.Errorf("%d dials in progress, want %d", inProgress.Load(), many+maxHedgedDials)
 	}
 	cancel()
 	for range many {
 		if err := <-done; err == nil {
-			t.Error("a dial that never connects has a connection")
+			t.Error("a dial that never connects returned no error")
 		}
 	}
 	over := eventually(func() bool { return n.hedgedDials.Load() == 0 && inProgress.Load() == 0 })
 	if !over || maxSeen.Load() > many+maxHedgedDials {
-		t.Errorf("%d hedged dials, %d dials at most", n.hedgedDials.Load(), maxSeen.Load())
+		t.Errorf("%d hedged dials counted after all ended, want 0; up to %d dials ran at the same time",
+			n.hedgedDials.Load(), maxSeen.Load())
 	}
 }
--- a/internal/node/worker_events_test.go
+++ b/internal/node/worker_events_test.go
@@ -11,8 +11,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// A dial that is refused while another connection to the worker is up means a worker at capacity; without
-// one, or when the dial just times out, the worker is taken to be down.
+// A worker is at capacity if it refuses a dial while another connection to it is open. If there is no other
+// connection, or the dial times out, the worker is treated as down.
 func TestWorkerAtCapacityIsNotDown(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	slow := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
@@ -28,20 +28,21 @@
 		"one is idle": {idleConns: map[string][]*workerConn{"r1": {idle}}, err: refused, want: true},
 		"one is working": {err: refused, want: true,
 			attempts: map[scheduler.AttemptID]*workerConn{1: working}},
-		"none":                       {err: refused},
-		"one to another worker":      {idleConns: map[string][]*workerConn{"r2": {other}}, err: refused},
-		"one that is dialling":       {attempts: map[scheduler.AttemptID]*workerConn{1: idle}, err: refused},
-		"one is idle, but a timeout": {idleConns: map[string][]*workerConn{"r1": {idle}}, err: slow},
+		"none":                        {err: refused},
+		"one to another worker":       {idleConns: map[string][]*workerConn{"r2": {other}}, err: refused},
+		"one that is dialling":        {attempts: map[scheduler.AttemptID]*workerConn{1: idle}, err: refused},
+		"one is idle, dial timed out": {idleConns: map[string][]*workerConn{"r1": {idle}}, err: slow},
 	} {
 		n := &Node{idleConns: c.idleConns, attempts: c.attempts}
 		if got := n.atCapacity(&workerConn{addr: "r1"}, c.err); got != c.want {
-			t.Errorf("%s: at capacity is %v", name, got)
+			t.Errorf("%s: atCapacity returned the wrong result %v", name, got)
 		}
 	}
 }
 
-// A worker whose response never ends, and that reports by callback how its job ended, holds no connection: if
-// each job held one, soon nothing could be sent.
+// A worker may start a response and never complete it, while it reports the end of the job by callback. The
+// connection must be closed then. If each such job kept its connection, the limit of connections to workers
+// would soon be reached.
 func TestEndlessResponseReleasesItsConnection(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	ways := []string{"202 Accepted | Content-Length: 9", "100 Continue",
@@ -76,8 +77,8 @@
 	back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 	back expect 204`
 
-// A worker responds twice, and the second response arrives during the next exchange of the connection. That
-// attempt runs: it must not be taken for turned away and sent again.
+// A worker responds twice to an attempt, and the second response, a refusal, arrives during the next exchange
+// on the connection. The attempt of that exchange runs, so it must not be taken for refused and sent again.
 func TestDuplicateResponseIsNotTheNextExchanges(t *testing.T) {
 	w := newLargeFleetHarness(t, 0, "r1")
 	runScenario(t, w, acceptedJob)
@@ -91,7 +92,7 @@
 	`)
 }
 
-// An unsolicited response ends the connection: the next attempt gets a new one.
+// An unsolicited response closes the connection, and the next attempt gets a new connection.
 func TestUnsolicitedResponseClosesTheConnection(t *testing.T) {
 	w := newLargeFleetHarness(t, 0, "r1")
 	runScenario(t, w, acceptedJob)
@@ -107,8 +108,8 @@
 	`)
 }
 
-// A response that is read before anything of an attempt was sent is not the attempt's: the attempt never ran,
-// and never will by this connection.
+// A response that is read before any byte of the current attempt was sent cannot belong to the attempt. The
+// attempt has not run, is not sent on this connection afterwards, and is sent on a new one.
 func TestResponseBeforeItsAttemptIsWritten(t *testing.T) {
 	w := newLargeFleetHarness(t, 0, "r1")
 	runScenario(t, w, acceptedJob)
@@ -119,29 +120,30 @@
 	runScenario(t, w,
 		"c2 send job post a2 || two\nwait open 2\nr1 send 503 Busy | X-Turned-Away: 1\nr1 expect end")
 	w.node.onLoop(func() { w.node.freshness.countApplied(0) })
-	runScenario(t, w, "r1 expect POST /post/7?a=b txn=a2 key=k body=two") // on a new connection
+	// The attempt arrives on a new connection.
+	runScenario(t, w, "r1 expect POST /post/7?a=b txn=a2 key=k body=two")
 }
 
-// A response that is read before the loop knows that its attempt was written waits for that: the worker was
-// just quick, and its connection can be used again.
+// A worker may respond before the event loop knows that the attempt was written completely. The reader must
+// hold the response back until the writeEnded message is in the inbox, so that the connection can be reused.
 func TestResponseWaitsForTheWriteResult(t *testing.T) {
 	ours, theirs := loopbackPair(t)
 	n := &Node{inbox: make(chan any, 2), ctx: t.Context()}
 	c := &workerConn{node: n}
-	if !c.beginWrite() { // the writer is about to send its first byte
-		t.Fatal("the gate is closed")
+	if !c.beginWrite() { // This is the state when the writer is about to send the first byte.
+		t.Fatal("beginWrite returned false for a new exchange")
 	}
 	go c.readResponses(ours)
 	write(t, theirs, "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n")
 	for end := time.Now().Add(50 * time.Millisecond); len(n.inbox) == 0 && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // if it waits as it should, it never arrives here
+		time.Sleep(time.Millisecond) // A reader that waits correctly posts nothing during this loop.
 	}
 	n.post(writeEnded{c, nil})
 	c.releaseResponseOrder()
 	if m, ok := (<-n.inbox).(writeEnded); !ok {
-		t.Errorf("first came %T", m)
+		t.Errorf("the first message is a %T, want writeEnded", m)
 	}
 	if m, ok := (<-n.inbox).(workerResponse); !ok || m.Status != 202 {
-		t.Errorf("then %+v", m)
+		t.Errorf("the second message is %+v, want a workerResponse with status 202", m)
 	}
 }
--- a/internal/node/worker_pool_test.go
+++ b/internal/node/worker_pool_test.go
@@ -9,8 +9,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// Connections to workers stay within their limit: idle ones are dropped first, and then nothing is sent,
-// without a crash.
+// The number of connections to workers stays within the limit. When the limit is near, idle connections are
+// dropped; at the limit assign fails.
 func TestWorkerConnectionsAreBounded(t *testing.T) {
 	n := &Node{start: time.Now(), idleConns: map[string][]*workerConn{}, maxWorkerConns: 8, ctx: t.Context(),
 		inbox: make(chan any, 100)}
@@ -27,12 +27,12 @@
 		got = append(got, ok)
 	}
 	if diff := cmp.Diff([]bool{true, false}, got); diff != "" || dropped != 2 {
-		t.Errorf("%s dropped %d", diff, dropped)
+		t.Errorf("results of assign (-want +got): %s dropped %d idle connections, want 2", diff, dropped)
 	}
 }
 
-// In a large fleet a connection stays open until the scheduler has likely returned to its worker, or each job
-// would open one.
+// In a large fleet an idle connection stays open for the time after which the scheduler has usually sent
+// another job to the same worker. Otherwise each job would need a new connection.
 func TestIdleConnectionsLastLongerInLargeFleets(t *testing.T) {
 	for balancers, want := range map[int]int{3: 0, 80: 1} {
 		set := parseTestSettings(t)
@@ -50,8 +50,8 @@
 	}
 }
 
-// An idle connection is dropped long before the worker's limit: it may have been closed silently, and a job
-// that is written to it would be lost.
+// An idle connection is dropped long before the worker's machine closes idle connections: the machine may
+// close a connection without notice, and a job that is written to such a connection is lost.
 func TestIdleConnectionTimeout(t *testing.T) {
 	for _, c := range []struct {
 		balancers  int
@@ -61,7 +61,8 @@
 		set := parseTestSettings(t)
 		set.Dispatch.Dispatchers, set.WorkerIdleTimeout = c.balancers, c.idle
 		if got := idleTimeoutOf(&set); got != c.want {
-			t.Errorf("%d schedulers, closed after %d: timeout %d, want %d", c.balancers, c.idle, got, c.want)
+			t.Errorf("%d schedulers, worker timeout %d us: idle timeout %d us, want %d us",
+				c.balancers, c.idle, got, c.want)
 		}
 	}
 }
