--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -130,7 +130,7 @@
 	DecodeObject(in, func(key string) {
 		switch key {
 		case "x0":
-			r.Free, r.Known = in.Float64(), true
+			r.Free, r.FreeKnown = in.Float64(), true
 		case "eps":
 			r.Errors = in.Float64()
 		case "inflight":
