--- a/internal/connstate/connstate.go
+++ b/internal/connstate/connstate.go
@@ -91,7 +91,7 @@
 	case c.Written:
 		return c.end(dispatch.Reset, false)
 	}
-	return KeepOpen, nil // WriteEnded follows and decides between ConnectFailed and Reset.
+	return KeepOpen, nil // The later WriteEnded decides between ConnectFailed and Reset.
 }
 
 // end ends the exchange without a response. processExited says that the worker's process no longer exists.
@@ -113,7 +113,7 @@
 	switch {
 	case c.Released:
 		return KeepOpen, nil
-	case !c.Busy: // The response is unsolicited.
+	case !c.Busy: // A response on an idle connection is unsolicited.
 		c.Released = true
 		return Drop, nil
 	case c.Reused && (a.Status != 202 || !c.Written):
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -26,7 +26,7 @@
 	}{
 		{"attempt unwritten", Drop, ended(dispatch.ConnectFailed)},
 		{"attempt refused", Drop, ended(dispatch.ConnectFailed)},
-		{"attempt broke", KeepOpen, nil}, // The result of writing follows.
+		{"attempt broke", KeepOpen, nil}, // WriteEnded comes later and decides the outcome.
 		{"attempt broke unwritten", Drop, ended(dispatch.ConnectFailed)},
 		{"attempt broke written", Drop, ended(dispatch.Reset)},
 		{"attempt written broke", Drop, ended(dispatch.Reset)},
@@ -36,7 +36,7 @@
 		{"attempt 202", Drop, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt 503away", Drop, ended(dispatch.AtCapacity)},
 		{"attempt written 202 broke", Drop, nil},
-		{"attempt written 202 503", Drop, nil}, // The 503 is unsolicited.
+		{"attempt written 202 503", Drop, nil}, // The 503 on the idle connection is unsolicited.
 		{"202", Drop, nil},
 		{"attempt written broke 202", KeepOpen, nil},
 		{"attempt written 503", Drop, ended(dispatch.Failed)},
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -149,7 +149,7 @@
 	switch {
 	case response.Status == 204 || response.Status == 304:
 	case response.Header.Get("Content-Length") == "" && response.Header.Get("Transfer-Encoding") == "":
-		response.Close = true // A body without framing ends when the connection does.
+		response.Close = true // A body without framing extends to the end of the connection.
 		response.Body, err = r.body(response.Header, MaxBodyBytes)
 	default:
 		response.Body, err = r.body(response.Header, 0)
@@ -193,7 +193,7 @@
 		if len(lengths) > 0 || len(coding) > 1 || !strings.EqualFold(coding[0], "chunked") {
 			return nil, protocolError(400, "unsupported framing")
 		}
-		r.limited.N = 4 * MaxBodyBytes // The limit covers the data and the chunk headers.
+		r.limited.N = 4 * MaxBodyBytes // The limit covers the data and the chunk headers together.
 		return readLimited(&chunkReader{reader: r}, r)
 	}
 	if len(lengths) == 0 {
--- a/internal/node/acceptor.go
+++ b/internal/node/acceptor.go
@@ -56,8 +56,9 @@
 	switch {
 	case n.ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 		return false
-	case n.closingListener.Load() && errors.Is(err, os.ErrDeadlineExceeded): // beginDrain has set a deadline.
-		_ = n.listener.SetDeadline(time.Time{}) // If this fails, the next Accept fails as well.
+	// beginDrain set this deadline to wake accept.
+	case n.closingListener.Load() && errors.Is(err, os.ErrDeadlineExceeded):
+		_ = n.listener.SetDeadline(time.Time{}) // If SetDeadline fails, the next Accept fails as well.
 		return true
 	}
 	n.log.Warn("accepting a connection failed", "error", err)
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -34,7 +34,7 @@
 	clientClosed struct{ client *client }
 	submission   struct {
 		client     *client
-		receivedAt scheduler.Micros // receivedAt is the time at which the request had been read.
+		receivedAt scheduler.Micros // receivedAt is the time at which the request was read completely.
 		scheduler.Submitted
 	}
 	evictionRequest struct{} // evictionRequest asks the loop to evict clients, because client slots are scarce.
@@ -159,7 +159,7 @@
 // response for the end of the connection.
 func (c *client) closeIdle(why error) {
 	if !errors.Is(why, os.ErrDeadlineExceeded) {
-		return // The client has disconnected.
+		return // Reading ended because the client has disconnected.
 	}
 	c.respond(c.node.now(), response{status: 503, closeConn: true, retryAfter: "0"})
 	// Without lingering, a reset could destroy the response before the client reads it. A client that never
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -38,7 +38,7 @@
 // jobs.
 func TestReadAheadSeesADisconnect(t *testing.T) {
 	w := newHarness(t, 0, "r1")
-	w.node.onLoop(func() { w.node.invalidateList(t) }) // Without a valid list no job can be sent.
+	w.node.onLoop(func() { w.node.invalidateList(t) }) // Without a valid worker list the node sends no attempts.
 	runScenario(t, w, `
 			c1 send job batch a1 || one
 			c1 send job batch a2 || two
@@ -169,11 +169,11 @@
 			runScenario(t, w, fmt.Sprintf("c%[1]d send job batch a%[1]d || work\nwait open 1", i))
 			resume := n.pauseLoop()
 			w.peers[fmt.Sprint("c", i)].disconnect(t, way)
-			if !eventually(func() bool { return len(n.inbox) > 0 }) { // The message is a ClientDisconnected.
+			if !eventually(func() bool { return len(n.inbox) > 0 }) { // A ClientDisconnected event is in the inbox.
 				t.Fatal("no message about the disconnect reached the inbox within testTimeout")
 			}
 			checked := n.guardCheckWaiter(t)
-			n.freshness.countApplied(n.now()) // From here on the guard allows the writer to send.
+			n.freshness.countApplied(n.now()) // From here on the freshness guard allows the writer to send.
 			checked()
 			resume()
 			runScenario(t, w, fmt.Sprintf(`
@@ -236,7 +236,8 @@
 				ours.Close()
 				done <- err
 			}()
-			if _, err := io.ReadFull(theirs, make([]byte, 100)); err != nil { // The writer has begun to send.
+			// The read shows that the writer has begun to send.
+			if _, err := io.ReadFull(theirs, make([]byte, 100)); err != nil {
 				t.Fatal(err)
 			}
 			waitSendBufferFull(t, ours) // Otherwise a single system call may continue for as long as the peer reads.
@@ -255,9 +256,11 @@
 func TestDisconnectInTheAcceptQueueIsSeenFirst(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	n := w.node
-	runScenario(t, w, "c1 send GET /_health\nc1 expect 200") // After this the acceptor holds the next slot.
+	// After this scenario the acceptor holds the next client slot.
+	runScenario(t, w, "c1 send GET /_health\nc1 expect 200")
 	releaseSlots := n.takeFreeSlots()
-	first, err := net.Dial("tcp", n.Addr().String()) // This connection gets the acceptor's slot.
+	// This connection gets the client slot that the acceptor holds.
+	first, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -343,7 +346,8 @@
 					arrives(disconnect)
 				}
 				resume()
-				if disconnectFirst && n.cfg.Settings.Dispatch.CancelAllowed { // The attempt that was sent is cancelled.
+				// The node cancels the attempt that was sent.
+				if disconnectFirst && n.cfg.Settings.Dispatch.CancelAllowed {
 					runScenario(t, w, fmt.Sprintf("r1 expect DELETE /jobs/a%d\nr1 send 200 OK\nr1 expect end", i))
 				}
 				runScenario(t, w, fmt.Sprintf(`
@@ -382,7 +386,7 @@
 	for _, way := range []string{"in order", "reset"} {
 		w := newHarness(t, 0, "r1")
 		n := w.node
-		n.onLoop(func() { n.invalidateList(t) }) // Without a valid list no job can be sent.
+		n.onLoop(func() { n.invalidateList(t) }) // Without a valid worker list the node sends no attempts.
 		ours, theirs := loopbackPair(t)
 		h := &pausingConn{Conn: ours, paused: make(chan struct{}), resume: make(chan struct{})}
 		n.clientSlots <- struct{}{}
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -55,7 +55,7 @@
 		since, rank := c.idleSince.Load(), c.rank.load()
 		switch {
 		case c.ctx.Err() != nil:
-			free++ // The connection is already about to close.
+			free++ // The connection is already closing and frees its slot soon.
 		case rank == rankNew && n.now()-c.acceptedAt > newConnGraceMicros,
 			rank == rankRequester && since != 0 && n.now()-scheduler.Micros(since) > newConnGraceMicros:
 			c.evict()
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -31,7 +31,7 @@
 	deliver := func(text string) {
 		t.Helper()
 		write(t, theirs, text)
-		for guard.allowSend("r1", clock) == nil { // The text takes some time to arrive over loopback.
+		for guard.allowSend("r1", clock) == nil { // The loop waits until the text has arrived over loopback.
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -206,7 +206,7 @@
 	}
 	n.onLoop(func() {
 		n.freshness.mu.Lock()
-		clear(n.freshness.readers) // Only the updates of this test count.
+		clear(n.freshness.readers) // Without readers only the updates that this test posts affect the guard.
 		n.freshness.mu.Unlock()
 		if err := n.onWatchUpdate(update(10, true, all...)); err != nil {
 			t.Error(err)
--- a/internal/node/inbound.go
+++ b/internal/node/inbound.go
@@ -52,7 +52,7 @@
 	if n, err = in.conn.Read(b); n > 0 || in.rawConn == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if n, _ = readSocketNow(in.rawConn, b, 0); n > 0 { // An error means that no bytes have arrived.
+	if n, _ = readSocketNow(in.rawConn, b, 0); n > 0 { // A read error means that no bytes have arrived.
 		return n, nil
 	}
 	return 0, err
--- a/internal/node/lag.go
+++ b/internal/node/lag.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// estimate returns the delay that events of the loop must be expected to have.
+// estimate returns the expected delay of events in the event loop at the time now.
 func (l *lag) estimate(now scheduler.Micros) scheduler.Micros {
 	age := max(now-scheduler.Micros(l.recordedAt.Load()), 0) / lagDecay
 	return scheduler.Micros(l.maxDelay.Load()) >> min(age, 62)
--- a/internal/node/lag_test.go
+++ b/internal/node/lag_test.go
@@ -9,7 +9,7 @@
 // The estimate of the lag is the longest recorded delay and halves every lagDecay.
 func TestLag(t *testing.T) {
 	var l lag
-	l.record(100*second, 0) // With scheduled 0 nothing is recorded.
+	l.record(100*second, 0) // A delay with scheduled 0 is not recorded.
 	l.record(100*second, 100*second-40*millisecond)
 	l.record(100*second+1, 100*second-10*millisecond)
 	for after, want := range map[scheduler.Micros]scheduler.Micros{
--- a/internal/node/peer_test.go
+++ b/internal/node/peer_test.go
@@ -114,7 +114,8 @@
 		_, err := io.WriteString(p.conn, text)
 		return err
 	}
-	if raw, ok := strings.CutPrefix(text, "part"); ok { // The rest is sent unchanged and may be empty.
+	// The text after "part" is sent unchanged and may be empty.
+	if raw, ok := strings.CutPrefix(text, "part"); ok {
 		_, err := io.WriteString(p.conn, strings.TrimSpace(raw))
 		return err
 	}
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -111,7 +111,7 @@
 				case "resets":
 					resetOnClose(t, c)
 				default:
-					_, _ = c.Read(make([]byte, 1)) // This read ends when the node closes the connection.
+					_, _ = c.Read(make([]byte, 1)) // This read blocks until the node closes the connection.
 				}
 			}()
 		}
--- a/internal/node/remaining_test.go
+++ b/internal/node/remaining_test.go
@@ -31,7 +31,8 @@
 	}
 	writer := attemptWriter{conn: c, exchange: e}
 
-	n.freshness.countPosted(&watchReader{lastEmptyAt: began}, began) // This update is not applied yet.
+	// Until this update is applied, the guard rejects the attempt.
+	n.freshness.countPosted(&watchReader{lastEmptyAt: began}, began)
 	if err := raw.Write(writer.writeReady); err != nil || !errors.Is(writer.blockReason, errUpdatePending) {
 		t.Fatalf("write before the update is applied: error %v, block reason %v, want nil and errUpdatePending",
 			err, writer.blockReason)
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -33,7 +33,7 @@
 	case scheduler.Refused:
 		r.retryAfter = formatRetryAfter(answer.RetryAfter)
 	case scheduler.Invalid, scheduler.Conflict:
-		r.body = append(r.body, '\n') // The body is one line of text.
+		r.body = append(r.body, '\n') // The response body is one line of text.
 	}
 	return r
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -16,7 +16,7 @@
 func TestAcceptQueueIsServedAtShutdown(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	n := w.node
-	first, err := net.Dial("tcp", n.Addr().String()) // After this the acceptor holds the next slot.
+	first, err := net.Dial("tcp", n.Addr().String()) // After this dial the acceptor holds the next client slot.
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", w.node.Addr().String())
 		if err != nil {
-			break // The node does not accept connections any more.
+			break // A refused dial shows that the node has closed its listener.
 		}
 		if c.Close(); time.Now().After(end) {
 			t.Fatal("the node still listens after testTimeout, want its listener closed")
@@ -100,7 +100,7 @@
 		back2 expect 204
 		c1 expect 200 close it
 		wait end`
-	stale = `{"id":"a0","from":"r1","state":"done"}` // The job a0 is unknown.
+	stale = `{"id":"a0","from":"r1","state":"done"}` // This callback names a job that the node does not know.
 )
 
 // shutdownStage is a stage of a node's shutdown. reach brings the node into the stage, and finish completes
--- a/internal/node/slopes_bench_test.go
+++ b/internal/node/slopes_bench_test.go
@@ -115,7 +115,7 @@
 			defer conn.Close()
 			head := bufio.NewScanner(conn)
 			for head.Scan() && head.Text() != "" {
-				continue // These lines are the request for the watch.
+				continue // The loop skips the node's request for the watch.
 			}
 			// apply writes an update and waits until it has been applied.
 			applied := uint64(0)
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -25,7 +25,7 @@
 			idle += len(l)
 		}
 		k := n.sched.Stats()
-		k.ReservedIDs, k.Timers = 0, 0 // Reserved IDs and timers are released only by time.
+		k.ReservedIDs, k.Timers = 0, 0 // Reserved IDs and timers expire by time, so they are not compared.
 		text = fmt.Sprintf("clients %d, callers %d, idle %d in %d, open %d, attempts %d, cancellations %d, "+
 			"slots %d, %+v", len(n.clients), len(n.callers), idle, len(n.idleConns), n.openWorkerConns,
 			len(n.attempts), n.cancellations, len(n.clientSlots), k)
@@ -86,7 +86,7 @@
 			conn.Close()
 		}
 	}
-	storm(func() string { return "" }) // The first connections allocate resources that stay.
+	storm(func() string { return "" }) // The first connections allocate resources that the process keeps.
 	time.Sleep(2 * sweepInterval)
 	before := resources(n)
 	for _, s := range storms {
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -53,7 +53,7 @@
 		problem = "no X-Remaining-Ms"
 	case err != nil || remaining[0] < '0': // ParseInt accepts a sign, but the header must not have one.
 		problem = "malformed X-Remaining-Ms"
-	case !(job.slots <= dispatch.MaxSlots): // The condition also rejects NaN.
+	case !(job.slots <= dispatch.MaxSlots): // The negated comparison also rejects NaN.
 		problem = "malformed X-Labels"
 	}
 	return job, problem
@@ -101,7 +101,7 @@
 	// The event loop's lag is subtracted twice from the client's time: the request has probably waited that
 	// long before it was read, and its answer will be that late.
 	lagAllowance := 2 * n.lag.estimate(n.now())
-	const maxRemainingMs = 1 << 40 // A larger value could overflow the deadline.
+	const maxRemainingMs = 1 << 40 // A larger remaining time could overflow the deadline.
 	deadline := receivedAt + scheduler.Micros(min(job.remainingMs, maxRemainingMs))*1000 - lagAllowance
 	p := &payload{method: r.Method, target: r.Target,
 		idempotencyKey: r.Header.Get("Idempotency-Key"), body: r.Body}
--- a/internal/node/validity_test.go
+++ b/internal/node/validity_test.go
@@ -107,7 +107,8 @@
 func TestUnansweredReloadLimitsValidity(t *testing.T) {
 	w := newWatchHarness(t, false, 10*second)
 	n := w.node
-	n.onLoop(func() { n.receiveList(t, time.Hour) }) // Before the reload the list is valid for over an hour.
+	// Before the reload the worker list is valid for over an hour.
+	n.onLoop(func() { n.receiveList(t, time.Hour) })
 	runScenario(t, w, `
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -88,7 +88,7 @@
 		e.FromPreviousWatch, asOf = true, 0
 	}
 	err := n.step(e)
-	n.freshness.countApplied(asOf) // The step before tells the guard which workers drain.
+	n.freshness.countApplied(asOf) // n.step has already told the guard which workers drain.
 	return err
 }
 
--- a/internal/node/watch_reader.go
+++ b/internal/node/watch_reader.go
@@ -17,7 +17,7 @@
 	now     func() scheduler.Micros
 	rawConn syscall.RawConn
 
-	// The guard's mutex protects these fields.
+	// The freshness guard's mutex protects the following fields.
 
 	// hasUnposted is true while the data of the last Read may contain an update that is not posted yet.
 	hasUnposted bool
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -89,7 +89,7 @@
 						case "":
 							resetOnClose(t, c)
 						case noResponse:
-							_, _ = c.Read(b) // This read ends when the node closes the connection.
+							_, _ = c.Read(b) // This read blocks until the node closes the connection.
 						default:
 							_, _ = c.Write([]byte(response))
 						}
@@ -176,7 +176,7 @@
 // list. A worker that drains according to the old service gets no attempts. An empty line of the new service
 // before its first object does not end the old watch.
 func TestReloadReadsBothWatches(t *testing.T) {
-	set := parseTestSettings(t) // The long times below keep timers from firing during the scenario.
+	set := parseTestSettings(t) // The long times set below keep timers from firing during the scenario.
 	set.Dispatch.PollInterval, set.Dispatch.MaxStaleness = 3600*second, 3600*second
 	w := newHarnessWithSettings(t, set, 0, "r1", "r2")
 	w.serve(t, "discovery2")
@@ -236,7 +236,8 @@
 	}
 	s.Step(1, scheduler.Started{CachedList: list}, nil)
 	began := time.Now()
-	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil) // The same list once more must be accepted as well.
+	// The scheduler must accept the same list a second time.
+	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil)
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("applying the list took %v, want at most 5 s", took)
 	}
@@ -270,7 +271,7 @@
 // watch.
 func TestPushedListsAreWatched(t *testing.T) {
 	l, n, done := startPushedNode(t, 1)
-	for range 2 { // The second watch follows after the first one was closed.
+	for range 2 { // The node opens a second watch after the first watch is closed.
 		acceptWithin(t, l, testTimeout).Close()
 	}
 	n.Stop()
--- a/internal/node/worker_dial_test.go
+++ b/internal/node/worker_dial_test.go
@@ -54,7 +54,7 @@
 			first := <-dials
 			var second pendingDial
 			select {
-			case second = <-dials: // The first dial is still in progress.
+			case second = <-dials: // The hedged dial starts while the first dial is in progress.
 			case <-time.After(testTimeout):
 				t.Fatal("no hedged dial started within testTimeout")
 			}
--- a/internal/node/worker_events.go
+++ b/internal/node/worker_events.go
@@ -17,7 +17,7 @@
 	if end, ok := e.(scheduler.AttemptEnded); ok {
 		if sendNoLongerAllowed(m.err) {
 			n.log.Info("attempt not sent", "txn", c.requestID, "worker", c.addr, "why", m.err)
-			end.Outcome = dispatch.NotSent // The worker did not cause the failure.
+			end.Outcome = dispatch.NotSent // NotSent does not count against the worker.
 			e = end
 		}
 		if end.Outcome == dispatch.ConnectFailed && n.atCapacity(c, m.err) {
@@ -68,7 +68,7 @@
 // onReadEnded handles the end of a connection's input: the worker has closed or reset the connection.
 func (n *Node) onReadEnded(c *workerConn) error {
 	next, e := c.ReadEnded()
-	if next == connstate.Drop && e == nil { // The connection was idle.
+	if next == connstate.Drop && e == nil { // Drop without an event means that the connection was idle.
 		n.removeIdle(c)
 	}
 	return n.finishExchange(c, next, e, nil)
--- a/internal/node/worker_write.go
+++ b/internal/node/worker_write.go
@@ -58,7 +58,7 @@
 		waitErr := raw.Write(writeReady)
 		switch {
 		case errors.Is(w.blockReason, errDisconnected) && w.sent > 0:
-			c.discardUnsent.Store(true) // The worker must not get the rest of the request.
+			c.discardUnsent.Store(true) // The close must discard the rest of the request in the send buffer.
 			return w.blockReason
 		case errors.Is(w.blockReason, errUpdatePending) || errors.Is(w.blockReason, errDisconnected):
 			// The event loop is about to process the update or the disconnect, and cancels the exchange if
