--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -11,60 +11,64 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// world is one client with a few jobs, two schedulers and a lossy network: the real plan, not a copy, in
-// every order of what may happen to each attempt. The schedulers drop duplicates of a key as the class
-// promises.
-type world struct {
-	cfg    Config
-	plan   *Plan
-	now    time.Time
-	jobs   []jobState
-	down   [2]bool
-	faults int // that may still happen
-	// misread returns the outcome that the client takes an outcome for; nil: itself. It injects a fault.
+// clientModel is a model of one client with a few jobs, two schedulers and a network that loses messages. It
+// runs the real Plan. The model checker explores every order of the events that may happen to each attempt.
+// The modelled schedulers drop duplicate jobs as the job's class promises.
+type clientModel struct {
+	cfg        Config
+	plan       *Plan
+	now        time.Time
+	jobs       []jobState
+	stopped    [2]bool
+	faultsLeft int // number of faults that may still happen
+	// misread, if set, replaces the outcome of each attempt before the plan receives it. Tests use misread to
+	// make the client misjudge an outcome.
 	misread func(Outcome) Outcome
 }
 
-// jobState is a job, and what happened to it at the schedulers.
+// jobState is the state of a job at the client and what happened to the job at the schedulers.
 type jobState struct {
-	job       *Job
-	class     int
-	deadline  time.Time
-	begun     bool
-	step      Step
-	began     time.Time
-	attempts  int
-	read      bool // a scheduler has the current attempt
-	runs      int
-	ranAt     time.Time // when it first ran
-	racks     [2]bool   // where it ran
-	violation string
+	job          *Job
+	class        int
+	deadline     time.Time
+	submitted    bool
+	step         Step
+	attemptStart time.Time
+	attempts     int
+	received     bool // a scheduler has received the current attempt
+	runs         int
+	firstRun     time.Time // time when the job first ran; zero if it has not run
+	ranOnRack    [2]bool   // whether the job ran on the rack of each scheduler
+	violation    string
 }
 
+// maxFaults is the number of faults that may happen to a model with one job.
 const maxFaults = 4
 
-func newWorld(class int, jobs int) *world {
+// newClientModel returns a model with the given number of jobs of one class.
+func newClientModel(class int, jobs int) *clientModel {
 	cfg := testConfig()
 	cfg.Schedulers, cfg.RetryBudget, cfg.MaxTokens = 2, 1, 10
 	p, err := New(cfg, 1)
 	if err != nil {
 		panic(err)
 	}
-	w := &world{cfg: cfg, plan: p, now: start, faults: maxFaults}
+	m := &clientModel{cfg: cfg, plan: p, now: start, faultsLeft: maxFaults}
 	for range jobs {
-		w.jobs = append(w.jobs, jobState{class: class, deadline: start.Add(1200 * time.Millisecond)})
+		m.jobs = append(m.jobs, jobState{class: class, deadline: start.Add(1200 * time.Millisecond)})
 	}
-	return w
+	return m
 }
 
-func (w *world) clone() *world {
-	c := *w
-	p := *w.plan
+// clone returns a deep copy of the model.
+func (m *clientModel) clone() *clientModel {
+	c := *m
+	p := *m.plan
 	p.schedulers = slices.Clone(p.schedulers)
-	// Random numbers must not distinguish two states that behave alike.
-	p.random = rand.New(rand.NewPCG(7, uint64(w.now.Sub(start))))
+	// The random numbers depend only on the time, so that equal states have equal successors.
+	p.random = rand.New(rand.NewPCG(7, uint64(m.now.Sub(start))))
 	c.plan = &p
-	c.jobs = slices.Clone(w.jobs)
+	c.jobs = slices.Clone(m.jobs)
 	for i := range c.jobs {
 		if j := c.jobs[i].job; j != nil {
 			copied := *j
@@ -74,184 +78,188 @@
 	return &c
 }
 
-// event is something that may happen to a job, or to a scheduler.
+// event is something that may happen to a job or to a scheduler.
 type event struct {
 	job, scheduler int
-	what           string
-	end            AttemptResult
-	after          time.Duration
+	name           string
+	result         AttemptResult
+	delay          time.Duration
 	fault          bool
 }
 
-// How an attempt may end before a scheduler has read it.
-var beforeRead = []event{
-	{what: "half written", end: AttemptResult{Outcome: NotSent}, fault: true},
-	{what: "a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
-	{what: "no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond, fault: true},
-	{what: "no connection allowed", end: AttemptResult{Outcome: ClientLimited}, fault: true},
-	{what: "idle connections closed", end: AttemptResult{Outcome: IdleClosed}, fault: true},
+// endsBeforeReceived lists the ways in which an attempt may end before a scheduler has received it.
+var endsBeforeReceived = []event{
+	{name: "half written", result: AttemptResult{Outcome: NotSent}, fault: true},
+	{name: "a reused connection closes", result: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{name: "no response", result: AttemptResult{Outcome: NoResponse}, delay: 300 * time.Millisecond,
+		fault: true},
+	{name: "no connection allowed", result: AttemptResult{Outcome: ClientLimited}, fault: true},
+	{name: "idle connections closed", result: AttemptResult{Outcome: IdleClosed}, fault: true},
 }
 
-// How an attempt may end after a scheduler has read it. Those with "runs" let it run, unless it is a
-// duplicate.
-var afterRead = []event{
-	{what: "runs, served", end: AttemptResult{Status: 200}},
-	{what: "runs, fails", end: AttemptResult{Status: 500}, fault: true},
-	{what: "runs, no response", end: AttemptResult{Outcome: NoResponse}, after: 300 * time.Millisecond,
-		fault: true},
-	{what: "runs, a reused connection closes", end: AttemptResult{Outcome: ReusedClosed}, fault: true},
-	{what: "runs, a malformed response", end: AttemptResult{Outcome: Malformed}, fault: true},
-	{what: "refused", end: AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: 100 * time.Millisecond},
+// endsAfterReceived lists the ways in which an attempt may end after a scheduler has received it. In the
+// events whose name starts with "runs", the job runs unless the scheduler drops it as a duplicate.
+var endsAfterReceived = []event{
+	{name: "runs, served", result: AttemptResult{Status: 200}},
+	{name: "runs, fails", result: AttemptResult{Status: 500}, fault: true},
+	{name: "runs, no response", result: AttemptResult{Outcome: NoResponse}, delay: 300 * time.Millisecond,
 		fault: true},
-	{what: "refused, closing", end: AttemptResult{Status: 503, ConnectionClose: true}, fault: true},
-	{what: "invalid", end: AttemptResult{Status: 400}, fault: true},
+	{name: "runs, a reused connection closes", result: AttemptResult{Outcome: ReusedClosed}, fault: true},
+	{name: "runs, a malformed response", result: AttemptResult{Outcome: Malformed}, fault: true},
+	{name: "refused", result: AttemptResult{Status: 503, HasRetryAfter: true,
+		RetryAfter: 100 * time.Millisecond}, fault: true},
+	{name: "refused, closing", result: AttemptResult{Status: 503, ConnectionClose: true}, fault: true},
+	{name: "invalid", result: AttemptResult{Status: 400}, fault: true},
 }
 
-func (w *world) events() (all []event) {
+// events returns the events that may happen in the current state.
+func (m *clientModel) events() (all []event) {
 	add := func(e event) {
-		if !e.fault || w.faults > 0 {
+		if !e.fault || m.faultsLeft > 0 {
 			all = append(all, e)
 		}
 	}
-	for i := range w.jobs {
-		l := &w.jobs[i]
+	for i := range m.jobs {
+		state := &m.jobs[i]
 		switch {
-		case !l.begun:
-			add(event{job: i, what: "begins"})
-		case l.step.Verdict != Pending:
-		case !l.step.StartNow:
-			add(event{job: i, what: "its wait ends"})
-		case l.read:
-			for _, e := range afterRead {
+		case !state.submitted:
+			add(event{job: i, name: "begins"})
+		case state.step.Verdict != Pending:
+		case !state.step.StartNow:
+			add(event{job: i, name: "its wait ends"})
+		case state.received:
+			for _, e := range endsAfterReceived {
 				e.job = i
 				add(e)
 			}
-		case w.down[l.step.Scheduler]:
-			add(event{job: i, what: "refuses the connection", end: AttemptResult{Outcome: ConnectFailed}})
+		case m.stopped[state.step.Scheduler]:
+			add(event{job: i, name: "refuses the connection", result: AttemptResult{Outcome: ConnectFailed}})
 		default:
-			add(event{job: i, what: "is read"})
-			for _, e := range beforeRead {
+			add(event{job: i, name: "is read"})
+			for _, e := range endsBeforeReceived {
 				e.job = i
 				add(e)
 			}
 		}
-		if l.begun && l.step.Verdict == Pending {
-			add(event{job: i, what: "its caller cancels", fault: true})
+		if state.submitted && state.step.Verdict == Pending {
+			add(event{job: i, name: "its caller cancels", fault: true})
 		}
 	}
-	for s := range w.down {
-		add(event{scheduler: s, what: map[bool]string{false: "stops", true: "starts"}[w.down[s]],
-			fault: !w.down[s]})
+	for s := range m.stopped {
+		add(event{scheduler: s, name: map[bool]string{false: "stops", true: "starts"}[m.stopped[s]],
+			fault: !m.stopped[s]})
 	}
 	return all
 }
 
 // Steps implements modelcheck.Model.
-func (w *world) Steps() (names []string) {
-	for _, e := range w.events() {
-		names = append(names, fmt.Sprintf("job %d, scheduler %d: %s", e.job, e.scheduler, e.what))
+func (m *clientModel) Steps() (names []string) {
+	for _, e := range m.events() {
+		names = append(names, fmt.Sprintf("job %d, scheduler %d: %s", e.job, e.scheduler, e.name))
 	}
 	return names
 }
 
 // Step implements modelcheck.Model.
-func (w *world) Step(i int) *world {
-	e := w.events()[i]
-	w = w.clone()
+func (m *clientModel) Step(i int) *clientModel {
+	e := m.events()[i]
+	m = m.clone()
 	if e.fault {
-		w.faults--
+		m.faultsLeft--
 	}
-	l := &w.jobs[e.job]
-	switch e.what {
+	state := &m.jobs[e.job]
+	switch e.name {
 	case "stops", "starts":
-		w.down[e.scheduler] = e.what == "stops"
+		m.stopped[e.scheduler] = e.name == "stops"
 	case "begins":
-		l.begun = true
+		state.submitted = true
 		var s Step
-		l.job, s = w.plan.Begin(w.now, l.class, l.deadline)
-		w.take(l, s)
+		state.job, s = m.plan.Begin(m.now, state.class, state.deadline)
+		m.recordStep(state, s)
 	case "its wait ends":
-		w.now = latest(w.now, l.step.At)
-		w.take(l, w.plan.Start(w.now, l.job))
+		m.now = latest(m.now, state.step.At)
+		m.recordStep(state, m.plan.Start(m.now, state.job))
 	case "its caller cancels":
-		w.plan.Cancel(l.job)
-		l.step, l.read = Step{Verdict: Unknown}, false
+		m.plan.Cancel(state.job)
+		state.step, state.received = Step{Verdict: Unknown}, false
 	case "is read":
-		l.read = true
+		state.received = true
 	default:
-		if l.read && (e.end.Outcome != Answered || e.end.Status == 200 || e.end.Status == 500) {
-			w.run(l)
+		if state.received && (e.result.Outcome != Answered || e.result.Status == 200 || e.result.Status == 500) {
+			m.run(state)
 		}
-		l.read = false
-		w.now = w.now.Add(10*time.Millisecond + e.after)
-		if w.misread != nil {
-			e.end.Outcome = w.misread(e.end.Outcome)
+		state.received = false
+		m.now = m.now.Add(10*time.Millisecond + e.delay)
+		if m.misread != nil {
+			e.result.Outcome = m.misread(e.result.Outcome)
 		}
-		w.take(l, w.plan.AttemptEnded(w.now, l.began, l.job, e.end))
+		m.recordStep(state, m.plan.AttemptEnded(m.now, state.attemptStart, state.job, e.result))
 	}
-	return w
+	return m
 }
 
-// run lets a job run at a scheduler, which drops a duplicate as the job's class promises.
-func (w *world) run(l *jobState) {
-	at := l.step.Scheduler
-	class := w.cfg.Classes[l.class]
+// run records that a scheduler received a job and runs it, unless the scheduler drops the job as a duplicate,
+// as the job's class promises.
+func (m *clientModel) run(state *jobState) {
+	at := state.step.Scheduler
+	class := m.cfg.Classes[state.class]
 	switch {
-	case l.runs == 0:
-		l.ranAt = w.now
-	case class.Effect == Anywhere && w.now.Sub(l.ranAt) < class.Window:
+	case state.runs == 0:
+		state.firstRun = m.now
+	case class.Effect == Anywhere && m.now.Sub(state.firstRun) < class.Window:
 		return
-	case class.Effect == Rack && l.racks[at]:
+	case class.Effect == Rack && state.ranOnRack[at]:
 		return
 	}
-	l.runs++
-	l.racks[at] = true
+	state.runs++
+	state.ranOnRack[at] = true
 }
 
-// take records what the plan wants next, and what is invalid about it.
-func (w *world) take(l *jobState, s Step) {
-	l.step = s
+// recordStep stores the next step of a job and checks that the step is valid. It records an invalid step as a
+// violation.
+func (m *clientModel) recordStep(state *jobState, s Step) {
+	state.step = s
 	switch {
 	case s.Verdict == Pending && s.StartNow:
-		l.attempts++
-		l.began = w.now
-		if !w.now.Before(l.deadline) {
-			l.violation = "an attempt starts past the deadline"
+		state.attempts++
+		state.attemptStart = m.now
+		if !m.now.Before(state.deadline) {
+			state.violation = "an attempt starts at or after the deadline"
 		}
 	case s.Verdict == Pending:
-		if !s.At.Before(l.deadline) || s.At.Before(w.now) {
-			l.violation = fmt.Sprint("it waits until ", s.At.Sub(start))
+		if !s.At.Before(state.deadline) || s.At.Before(m.now) {
+			state.violation = fmt.Sprint("a wait ends in the past or at or after the deadline: ", s.At.Sub(start))
 		}
-	case (s.Verdict == Refused || s.Verdict == Expired) && l.runs > 0:
-		l.violation = fmt.Sprint("verdict ", s.Verdict, " though it ran")
-	case s.Verdict == Served && l.runs == 0:
-		l.violation = "served though it never ran"
+	case (s.Verdict == Refused || s.Verdict == Expired) && state.runs > 0:
+		state.violation = fmt.Sprint("verdict ", s.Verdict, " for a job that ran")
+	case s.Verdict == Served && state.runs == 0:
+		state.violation = "verdict served for a job that never ran"
 	}
 }
 
 // Check implements modelcheck.Model.
-func (w *world) Check() error {
-	open := 0
-	for i := range w.jobs {
-		l := &w.jobs[i]
-		if l.begun && l.step.Verdict == Pending && l.step.StartNow {
-			open++
+func (m *clientModel) Check() error {
+	inFlight := 0
+	for i := range m.jobs {
+		state := &m.jobs[i]
+		if state.submitted && state.step.Verdict == Pending && state.step.StartNow {
+			inFlight++
 		}
 		switch {
-		case l.violation != "":
-			return fmt.Errorf("job %d: %s", i, l.violation)
-		case l.runs > 1 && w.cfg.Classes[l.class].Effect != Safe:
-			return fmt.Errorf("job %d ran %d times", i, l.runs)
+		case state.violation != "":
+			return fmt.Errorf("job %d: %s", i, state.violation)
+		case state.runs > 1 && m.cfg.Classes[state.class].Effect != Safe:
+			return fmt.Errorf("job %d ran %d times, want at most once", i, state.runs)
 		}
 	}
-	if w.plan.InFlight() != open {
-		return fmt.Errorf("%d attempts are in flight, the plan counts %d", open, w.plan.InFlight())
+	if m.plan.InFlight() != inFlight {
+		return fmt.Errorf("%d attempts are in flight, but the plan counts %d", inFlight, m.plan.InFlight())
 	}
 	return nil
 }
 
 // AppendState implements modelcheck.Model.
-func (w *world) AppendState(b []byte) []byte {
+func (m *clientModel) AppendState(b []byte) []byte {
 	num := func(n int64) { b = binary.AppendVarint(b, n) }
 	at := func(t time.Time) {
 		if t.IsZero() {
@@ -267,89 +275,92 @@
 			num(0)
 		}
 	}
-	at(w.now)
-	num(int64(w.faults))
-	num(int64(w.plan.tokens * 100))
-	for i := range w.down {
-		s := &w.plan.schedulers[i]
-		flag(w.down[i])
+	at(m.now)
+	num(int64(m.faultsLeft))
+	num(int64(m.plan.tokens * 100))
+	for i := range m.stopped {
+		s := &m.plan.schedulers[i]
+		flag(m.stopped[i])
 		num(int64(s.inFlight))
 		num(int64(s.consecutiveFailures))
 		num(int64(s.refusalRate * 1000))
-		num(int64(s.ejection))
+		num(int64(s.ejectionDuration))
 		at(s.ejectedUntil)
 		flag(s.probing)
 	}
-	for i := range w.jobs {
-		l := &w.jobs[i]
-		flag(l.begun)
-		flag(l.read)
-		num(int64(l.runs))
-		at(l.ranAt)
-		at(l.began)
-		flag(l.racks[0])
-		flag(l.racks[1])
-		b = append(b, l.violation...)
-		num(int64(l.step.Verdict))
-		flag(l.step.StartNow)
-		num(int64(l.step.Scheduler))
-		at(l.step.At)
-		if j := l.job; j != nil {
+	for i := range m.jobs {
+		state := &m.jobs[i]
+		flag(state.submitted)
+		flag(state.received)
+		num(int64(state.runs))
+		at(state.firstRun)
+		at(state.attemptStart)
+		flag(state.ranOnRack[0])
+		flag(state.ranOnRack[1])
+		b = append(b, state.violation...)
+		num(int64(state.step.Verdict))
+		flag(state.step.StartNow)
+		num(int64(state.step.Scheduler))
+		at(state.step.At)
+		if j := state.job; j != nil {
 			num(int64(j.attempts))
 			at(j.firstMayHaveRun)
 			num(int64(j.scheduler))
 			flag(j.inFlight)
-			num(int64(j.fallback))
+			num(int64(j.fallbackVerdict))
 			flag(j.done)
 		}
 	}
 	return b
 }
 
-// Every order of what may happen to one job, and to two at once with fewer faults: nothing runs twice that
-// must not, only what did not run is called refused, no attempt starts past its deadline, and nothing stays
-// in flight.
+// TestEveryOrder explores every order of events for one job with four faults and for two jobs with two
+// faults. Only jobs of the class safe may run twice, a job that ran must not end as refused or expired, no
+// attempt may start after the job's deadline, and the plan must count the attempts in flight correctly.
 func TestEveryOrder(t *testing.T) {
 	for class, name := range []string{"once", "rack", "anywhere", "safe"} {
-		one := newWorld(class, 1)
-		two := newWorld(class, 2)
-		two.faults = 2
-		for _, w := range []*world{one, two} {
-			tour := modelcheck.Exhaust(w, 3_000_000)
-			if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
-				t.Errorf("%s, %d jobs: %v, %v, by %q", name, len(w.jobs), tour, tour.Violation, tour.Path)
+		one := newClientModel(class, 1)
+		two := newClientModel(class, 2)
+		two.faultsLeft = 2
+		for _, m := range []*clientModel{one, two} {
+			search := modelcheck.Exhaust(m, 3_000_000)
+			if search.Violation != nil || !search.Exhausted || search.States < 1000 {
+				t.Errorf("%s, %d jobs: explored %v, violation %v by events %q, want all states and no violation",
+					name, len(m.jobs), search, search.Violation, search.Path)
 			}
-			t.Logf("%s, %d jobs: %v", name, len(w.jobs), tour)
+			t.Logf("%s, %d jobs: explored %v", name, len(m.jobs), search)
 		}
 	}
 }
 
-// A client that takes one outcome for another violates a property.
+// TestMisjudgedOutcomesAreFound checks that the model checker finds a violation if the client mistakes one
+// outcome of an attempt for another.
 func TestMisjudgedOutcomesAreFound(t *testing.T) {
 	for _, c := range []struct {
-		class      int
-		was, taken Outcome
+		class             int
+		actual, misreadAs Outcome
 	}{
-		{onceClass, ReusedClosed, ConnectFailed}, // a reused connection that closed, taken for a refused one
+		{onceClass, ReusedClosed, ConnectFailed}, // a closed reused connection, misread as a refused connection
 		{onceClass, ReusedClosed, NotSent},
 		{onceClass, NoResponse, NotSent},
 		{rackClass, Malformed, ClientLimited},
-		{anywhereClass, NoResponse, NotSent}, // beyond its window
+		{anywhereClass, NoResponse, NotSent}, // the retry comes after the deduplication window
 	} {
-		w := newWorld(c.class, 1)
-		w.cfg.Classes = slices.Clone(w.cfg.Classes)
-		w.plan.cfg.Classes = w.cfg.Classes
-		w.cfg.Classes[anywhereClass].Window = 200 * time.Millisecond
-		w.misread = func(p Outcome) Outcome {
-			if p == c.was {
-				return c.taken
+		m := newClientModel(c.class, 1)
+		m.cfg.Classes = slices.Clone(m.cfg.Classes)
+		m.plan.cfg.Classes = m.cfg.Classes
+		m.cfg.Classes[anywhereClass].Window = 200 * time.Millisecond
+		m.misread = func(p Outcome) Outcome {
+			if p == c.actual {
+				return c.misreadAs
 			}
 			return p
 		}
-		if tour := modelcheck.Exhaust(w, 3_000_000); tour.Violation == nil {
-			t.Errorf("class %d, %v taken for %v: not found, %v", c.class, c.was, c.taken, tour)
+		if search := modelcheck.Exhaust(m, 3_000_000); search.Violation == nil {
+			t.Errorf("class %d, outcome %v misread as %v: got no violation, want one; explored %v",
+				c.class, c.actual, c.misreadAs, search)
 		} else {
-			t.Logf("%v, by %q", tour.Violation, tour.Path)
+			t.Logf("violation %v by events %q", search.Violation, search.Path)
 		}
 	}
 }
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -46,7 +46,7 @@
 	}
 	cfg, err := parse([]byte(validConfig))
 	if diff := cmp.Diff([]int{1024, 192, 41},
-		[]int{cfg.MaxDescriptors, cfg.MemoryMB, int(cfg.InitialList.Rev)}); diff != "" {
+		[]int{cfg.MaxDescriptors, cfg.MemoryMB, int(cfg.InitialList.Revision)}); diff != "" {
 		t.Error(diff, err)
 	}
 }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -192,15 +192,15 @@
 }
 
 func (w *worker) loadReport() dispatch.Report {
-	return dispatch.Report{FreeKnown: true, Free: w.kind.slots - w.usedSlots, Outstanding: float64(len(w.attempts)),
-		Errors: w.recentErrors()}
+	return dispatch.Report{FreeKnown: true, Free: w.kind.slots - w.usedSlots,
+		Outstanding: float64(len(w.attempts)), Errors: w.recentErrors()}
 }
 
 // sendCallback sends a callback to the attempt's scheduler. One that a cut holds up for longer than the
 // timeout is undelivered: the worker has stopped retrying.
 func (w *worker) sendCallback(a *attempt, callback scheduler.Callback) {
 	f, sentAt := w.fleet, w.fleet.now
-	callback.ID, callback.From = a.request.id, w.uid
+	callback.RequestID, callback.WorkerUID = a.request.id, w.uid
 	bytes := callbackBytes + len(callback.Result)
 	if callback.Report.FreeKnown {
 		bytes += reportBytes
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -148,7 +148,7 @@
 	if err == nil || errors.Is(err, errUnreadableList) {
 		t.Errorf("after an incomplete last line: got error %v, want any but errUnreadableList", err)
 	}
-	if close(updates); len(updates) != 2 || (<-updates).List.Rev != 3 {
+	if close(updates); len(updates) != 2 || (<-updates).List.Revision != 3 {
 		t.Errorf("%d updates in the channel, want 2: revision 3 and the empty line that confirms it", len(updates))
 	}
 }
--- a/internal/scheduler/callbacks.go
+++ b/internal/scheduler/callbacks.go
@@ -2,19 +2,20 @@
 
 import "dahliaford/internal/dispatch"
 
-// handleCallback takes a worker's callback. It counts if it comes from the worker that has the
-// latest attempt, or one that an open cancellation concerns; a late or repeated one has no effect.
+// handleCallback handles a callback from a worker. A callback has an effect if its worker holds the live
+// attempt of the request, or an earlier attempt whose cancellation is open while the live attempt is
+// deferred. All other callbacks, such as late or repeated ones, are ignored.
 func (s *Scheduler) handleCallback(e *Callback) {
-	r := s.byID[e.ID]
+	r := s.byID[e.RequestID]
 	if r == nil || len(r.attempts) == 0 {
-		return // late, or a repeat: its attempt is over
+		return // The callback is late or repeated: its attempt has ended.
 	}
 	a := r.lastAttempt()
 	if a.deferredUntil != 0 {
 		s.handleEarlierCallback(r, e)
 		return
 	}
-	if a.ended || a.worker.UID != e.From {
+	if a.ended || a.worker.UID != e.WorkerUID {
 		return
 	}
 	report := dispatch.Event{Kind: dispatch.AttemptReported, Job: r.job, Attempt: a.ordinal,
@@ -37,8 +38,9 @@
 	}
 }
 
-// endByCallback closes an attempt by its worker's callback. Its connection may still wait for a
-// response that never comes, or never ends, and from here on nothing times it.
+// endByCallback ends an attempt whose worker has reported the end of the job. If the worker has not accepted
+// the attempt, the connection of the attempt still waits for the response. It is closed here, because the
+// response may never come or never end, and the timer that would close it later ends with the attempt.
 func (s *Scheduler) endByCallback(a *attempt, outcome dispatch.Outcome, report dispatch.Report) {
 	if !a.accepted {
 		s.emit(CloseConnection{Attempt: a.id})
@@ -46,21 +48,23 @@
 	s.endAttempt(a, outcome, report)
 }
 
-// handleEarlierCallback takes the callback of an earlier attempt while the next one is deferred
-// until that is cancelled. Its end is as good as an acknowledged cancellation, and its result as
-// good as any.
+// handleEarlierCallback handles a callback about an earlier attempt that is being cancelled while the
+// latest attempt is deferred. A callback that reports the end of the job counts as acknowledgement of the
+// cancellation, and the result in it answers the request.
 func (s *Scheduler) handleEarlierCallback(r *request, e *Callback) {
 	for _, a := range r.attempts {
 		c := s.cancellations[a.id]
-		if c == nil || a.worker.UID != e.From || e.Kind == CallbackStarted || e.Kind == CallbackRunning {
+		if c == nil || a.worker.UID != e.WorkerUID || e.Kind == CallbackStarted || e.Kind == CallbackRunning {
 			continue
 		}
 		if e.Kind == CallbackDone {
 			s.answer(r, Answer{Verdict: Served, Body: e.Result})
 		}
 		if c.inFlight {
-			s.emit(CloseConnection{Attempt: a.id}) // nothing times the cancellation's connection any more
+			// The connection of the cancellation still waits for a response. It is closed here, because the
+			// timer that would close it later ends with the cancellation.
+			s.emit(CloseConnection{Attempt: a.id})
 		}
-		s.acknowledged(c)
+		s.handleAcknowledgement(c)
 	}
 }
