--- a/cmd/dahliaford/config.go
+++ b/cmd/dahliaford/config.go
@@ -65,7 +65,7 @@
 	var known, settingsObject []byte
 	var seed string
 	in := jlexer.Lexer{Data: raw}
-	node.Fields(&in, func(key string) {
+	node.DecodeObject(&in, func(key string) {
 		switch key {
 		case "name":
 			cfg.Name = in.String()
@@ -76,7 +76,7 @@
 		case "seed":
 			seed = in.String()
 		case "limits":
-			cfg.Sockets, cfg.MemoryMB = parseLimits(&in)
+			cfg.MaxDescriptors, cfg.MemoryMB = parseLimits(&in)
 		case "known":
 			known = in.Raw()
 		case "settings":
@@ -96,9 +96,9 @@
 		// The known endpoint list may be outdated, and no job is sent to a worker on the strength of this list
 		// alone. An invalid list therefore does not keep the program from starting.
 		known, invalid, err := node.DecodeList(known)
-		cfg.Known, cfg.InvalidKnown = known, invalid
+		cfg.InitialList, cfg.InitialListError = known, invalid
 		if err != nil {
-			cfg.Known.Workers, cfg.InvalidKnown = nil, err
+			cfg.InitialList.Workers, cfg.InitialListError = nil, err
 		}
 	}
 	if len(settingsObject) == 0 {
@@ -121,7 +121,7 @@
 }
 
 func parseLimits(in *jlexer.Lexer) (sockets, memoryMB int) {
-	node.Fields(in, func(key string) {
+	node.DecodeObject(in, func(key string) {
 		switch key {
 		case "sockets":
 			sockets = in.Int()
@@ -137,6 +137,7 @@
 // needsRestart reports whether the configuration now differs from the configuration started, with which the
 // process started, in a field that a reload does not apply.
 func needsRestart(started, now node.Config) bool {
-	return started.Name != now.Name || started.Listen != now.Listen || started.Sockets != now.Sockets ||
+	return started.Name != now.Name || started.Listen != now.Listen ||
+		started.MaxDescriptors != now.MaxDescriptors ||
 		started.MemoryMB != now.MemoryMB || !reflect.DeepEqual(started.Settings, now.Settings)
 }
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -49,7 +49,7 @@
 	}
 	cfg, err := parse([]byte(validConfig))
 	if diff := cmp.Diff([]int{1024, 192, 41},
-		[]int{cfg.Sockets, cfg.MemoryMB, int(cfg.Known.Revision)}); diff != "" {
+		[]int{cfg.MaxDescriptors, cfg.MemoryMB, int(cfg.InitialList.Revision)}); diff != "" {
 		t.Error(diff, err)
 	}
 }
@@ -64,8 +64,8 @@
 	}
 	within := strings.Replace(text, `"limits":null,"seed"`, `"limits":{"sockets":null,"x":1},"seed"`, 1)
 	cfg, err := parse([]byte(within))
-	if err != nil || cfg.Sockets != 0 {
-		t.Errorf("sockets is null: got a limit of %d sockets, error %v, want 0 and no error", cfg.Sockets, err)
+	if err != nil || cfg.MaxDescriptors != 0 {
+		t.Errorf("sockets is null: got a limit of %d sockets, error %v, want 0 and no error", cfg.MaxDescriptors, err)
 	}
 }
 
@@ -99,9 +99,9 @@
 	} {
 		cfg, err := parse([]byte(strings.Replace(validConfig, `"targets":[]`, `"targets":`+targets, 1)))
 		if invalid := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
-			(cfg.InvalidKnown != nil) != invalid || len(cfg.Known.Workers) != want {
-			t.Errorf("known list %s: got error %v, InvalidKnown %v, %d workers", targets, err, cfg.InvalidKnown,
-				len(cfg.Known.Workers))
+			(cfg.InitialListError != nil) != invalid || len(cfg.InitialList.Workers) != want {
+			t.Errorf("known list %s: got error %v, InitialListError %v, %d workers", targets, err,
+				cfg.InitialListError, len(cfg.InitialList.Workers))
 		}
 	}
 }
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -8,16 +8,17 @@
 	"dahliaford/internal/scheduler"
 )
 
-// exchange is one request to a worker: an attempt, or the cancellation of one.
+// exchange is one request to a worker: an attempt, or the cancellation of an attempt.
 type exchange struct {
 	attempt              scheduler.AttemptID
 	requestID, workerUID string
 	writeBy              scheduler.Micros
 	deadline             scheduler.Micros
-	payload              *payload // nil: a cancellation
+	payload              *payload // payload is nil if the exchange is a cancellation.
 }
 
-// encode returns the bytes of the request.
+// encode returns the HTTP request of the exchange. An attempt tells the worker the client's remaining time
+// as of now.
 func (e *exchange) encode(now scheduler.Micros, host string) []byte {
 	if e.payload == nil {
 		return http1.AppendRequest(nil, "DELETE", "/jobs/"+url.PathEscape(e.requestID),
@@ -27,5 +28,5 @@
 	remaining := strconv.FormatInt(int64(max(e.deadline-now, 0)/1000), 10)
 	return http1.AppendRequest(make([]byte, 0, 512+len(p.body)), p.method, p.target, []http1.Field{
 		{Name: "Host", Value: host}, {Name: "X-Txn", Value: e.requestID},
-		{Name: "X-Remaining-Ms", Value: remaining}, {Name: "Idempotency-Key", Value: p.key}}, p.body)
+		{Name: "X-Remaining-Ms", Value: remaining}, {Name: "Idempotency-Key", Value: p.idempotencyKey}}, p.body)
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -16,31 +16,31 @@
 	"dahliaford/internal/settings"
 )
 
-// lines is the log, for tests to read.
-type lines struct {
+// logBuffer is a log that tests can read while the node writes to it.
+type logBuffer struct {
 	sync.Mutex
 	bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.Lock()
 	defer l.Unlock()
 	return l.Buffer.Write(b)
 }
 
-func (l *lines) count(text string) int {
+func (l *logBuffer) count(text string) int {
 	l.Lock()
 	defer l.Unlock()
 	return strings.Count(l.String(), text)
 }
 
-const silence = "nothing"
+const noResponse = "nothing"
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(text string) string {
 	var b strings.Builder
-	for len(text) > 0 { // in parts, as a network would
+	for len(text) > 0 { // A long text is split into several chunks.
 		n := min(len(text), 1<<16)
 		fmt.Fprintf(&b, "%x\r\n%s\r\n", n, text[:n])
 		text = text[n:]
@@ -48,8 +48,8 @@
 	return b.String()
 }
 
-// Whatever discovery does wrong, the last good list stays in use, the log has one line for it, and discovery
-// is called again.
+// After a fault of the discovery service the last valid list stays in use, the log has one line for the
+// fault, and the node requests the list again.
 func TestDiscoveryFaults(t *testing.T) {
 	const removed = `{"rev":9,"all":true,"targets":[` +
 		`{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"gone"}`
@@ -62,7 +62,7 @@
 		"cut off in a chunk":    watchHead + "ffff\r\n" + removed,
 		"no list in an object":  watchHead + chunk(`{"rev":9,"targets":{"uid":"s-1","state":"gone"}}`+"\n"),
 		"a line without an end": watchHead + chunk(strings.Repeat(" ", maxLineBytes+2)),
-		"says nothing":          silence,
+		"says nothing":          noResponse,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -75,12 +75,12 @@
 						return
 					}
 					response := response
-					if call > 1 { // a fault only once, or a second line would race with the count
-						response = silence
+					if call > 1 { // A second fault would add a log line while the test counts the lines.
+						response = noResponse
 					}
 					go func() {
 						defer c.Close()
-						// The node may close the connection at any time: errors are ignored.
+						// The node may close the connection at any time, so errors are ignored.
 						b := make([]byte, 1<<12)
 						n, _ := c.Read(b)
 						first, _, _ := strings.Cut(string(b[:n]), "\r\n")
@@ -88,22 +88,22 @@
 						switch response {
 						case "":
 							resetOnClose(t, c)
-						case silence:
-							_, _ = c.Read(b) // until the node closes it
+						case noResponse:
+							_, _ = c.Read(b) // This read blocks until the node closes the connection.
 						default:
 							_, _ = c.Write([]byte(response))
 						}
 					}()
 				}
 			}()
-			set := parsed(t)
+			set := parseTestSettings(t)
 			line := workerLine("s-1", "127.0.0.1:1")
 			known, _, err := DecodeList([]byte(`{"rev":4,"all":true,"targets":[` + line + `]}`))
 			if err != nil {
 				t.Fatal(err)
 			}
-			log := &lines{}
-			cfg := Config{Listen: "127.0.0.1:0", Settings: set, Known: known, Discovery: l.Addr().String()}
+			log := &logBuffer{}
+			cfg := Config{Listen: "127.0.0.1:0", Settings: set, InitialList: known, Discovery: l.Addr().String()}
 			n, err := Listen(cfg, slog.New(slog.NewTextHandler(log, nil)))
 			if err != nil {
 				t.Fatal(err)
@@ -111,16 +111,17 @@
 			done := runNode(n)
 			for range 2 {
 				select {
-				case got := <-requests: // from the version that it has: nothing of the bad one was applied
+				// The node requests changes since revision 4, so it applied nothing of the response.
+				case got := <-requests:
 					if want := "GET " + membersPath + "?watch=1&from=4 HTTP/1.1"; got != want {
-						t.Errorf("called with %q, want %q", got, want)
+						t.Errorf("discovery received the request %q, want %q", got, want)
 					}
-				case <-time.After(patience):
-					t.Fatal("discovery is not called again")
+				case <-time.After(testTimeout):
+					t.Fatal("discovery did not receive a second request within testTimeout")
 				}
 			}
 			if got := log.count("watch of the worker list failed"); got != 1 {
-				t.Errorf("%d lines in the log for one watch", got)
+				t.Errorf("the log has %d lines about failed watches, want 1", got)
 			}
 			n.Stop()
 			checkEnd(t, done)
@@ -128,34 +129,35 @@
 	}
 }
 
-// Before the first object a watch says nothing of the list.
+// Empty lines before the first JSON object of a watch do not confirm any list and must not be delivered.
 func TestEmptyLinesAreNoList(t *testing.T) {
 	updates := make(chan scheduler.EndpointsUpdated, 10)
 	l := listenLoopback(t)
-	n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parsed(t)})
+	n := listenNode(t, Config{Listen: "127.0.0.1:0", Settings: parseTestSettings(t)})
 	defer n.close()
 	go func() {
 		if conn, err := l.Accept(); err == nil {
 			object := `{"rev":3,"all":false,"targets":[]}` + "\n\n"
-			_, _ = io.WriteString(conn, watchHead+chunk("\n\n")+chunk(object)+chunk(`{"rev":4`)) // the updates show it
+			// The delivered updates show whether the write succeeded.
+			_, _ = io.WriteString(conn, watchHead+chunk("\n\n")+chunk(object)+chunk(`{"rev":4`))
 			conn.Close()
 		}
 	}()
 	deliver := func(e scheduler.EndpointsUpdated, _ *watchReader) { updates <- e }
 	err := n.readWatch(n.ctx, scheduler.OpenWatch{Addr: l.Addr().String()}, deliver)
 	if err == nil || errors.Is(err, errUnreadableList) {
-		t.Errorf("an object that is cut off is ignored, not unreadable: %v", err)
+		t.Errorf("after an incomplete last line: got error %v, want any but errUnreadableList", err)
 	}
 	if close(updates); len(updates) != 2 || (<-updates).List.Revision != 3 {
-		t.Errorf("%d updates were delivered, want the object and the empty line behind it", len(updates))
+		t.Errorf("%d updates in the channel, want 2: revision 3 and the empty line that confirms it", len(updates))
 	}
 }
 
-// A reload moves the watch to the discovery that it names while a job runs.
+// A reload while a job runs opens a watch at the new discovery service, and the job is still answered.
 func TestReload(t *testing.T) {
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	w.serve(t, "discovery2")
-	play(t, w, `
+	runScenario(t, w, `
 		discovery expect GET /catalog/members?watch=1&from=4
 		discovery send head
 		c1 send job post a1 || work
@@ -170,34 +172,38 @@
 		c1 expect 200 yes`)
 }
 
-// Until the discovery that a reload names has sent something, the watch before is read: a worker that drains
-// by it gets nothing new. An empty line before the first object says nothing.
+// After a reload the node still reads the watch at the old discovery service until the new service has sent a
+// list. A worker that drains according to the old service gets no attempts. An empty line of the new service
+// before its first object does not end the old watch.
 func TestReloadReadsBothWatches(t *testing.T) {
-	set := parsed(t) // no timer fires while the scenario plays discovery
+	set := parseTestSettings(t) // The long times set below keep timers from firing during the scenario.
 	set.Dispatch.PollInterval, set.Dispatch.MaxStaleness = 3600*second, 3600*second
-	w := newWorldOf(t, set, 0, "r1", "r2")
+	w := newHarnessWithSettings(t, set, 0, "r1", "r2")
 	w.serve(t, "discovery2")
 	addr := w.peers["r1"].listener.Addr().String()
-	play(t, w, `
+	runScenario(t, w, `
 		discovery expect GET /catalog/members?watch=1&from=4
 		discovery send head
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0`)
-	w.node.onLoop(func() { w.node.extendValidity(t, time.Hour) }) // else a reload limits the validity to 4 s
-	play(t, w, `
+	// Without this the reload would limit the validity of the list to 4 s.
+	w.node.onLoop(func() { w.node.extendValidity(t, time.Hour) })
+	runScenario(t, w, `
 		discovery2 send head
 		discovery2 send /n
 		discovery send {"rev":5,"targets":[`+strings.Replace(workerLine("r1", addr), "ready", "draining", 1)+`]}/n`)
-	isDraining := func() bool { return errors.Is(w.node.freshness.allowSend("r1", w.node.now()), errDraining) }
+	isDraining := func() bool {
+		return errors.Is(w.node.freshness.allowSend("r1", w.node.now()), errWorkerDraining)
+	}
 	if !eventually(isDraining) {
-		t.Fatal("the watch before is not read")
+		t.Fatal("the guard did not report r1 as draining, so the old watch is not read")
 	}
 	w.node.onLoop(func() {
 		if w.node.previousWatch == nil {
-			t.Error("the watch before is closed by an empty line")
+			t.Error("an empty line of the new watch closed the old watch")
 		}
 	})
-	play(t, w, `
+	runScenario(t, w, `
 		c1 send job post a1 || work
 		r2 expect POST /post/7?a=b txn=a1 key=k body=work
 		discovery2 send {"rev":1,"all":true,"targets":[`+workerLine("r1", addr)+`]}/n
@@ -205,11 +211,11 @@
 		c2 send job post a2 || work
 		wait open 2`)
 	if !isDraining() {
-		t.Error("an address with an older list brings a worker back")
+		t.Error("r1 no longer drains after the new service sent an older list, want it draining")
 	}
 }
 
-// A list of thousands of workers is applied in a fraction of a second.
+// A list of 20,000 workers is applied within 5 s; a fraction of a second is normal.
 func TestHugeList(t *testing.T) {
 	var all []string
 	for len(all) < 20_000 {
@@ -217,36 +223,38 @@
 	}
 	line := `{"rev":5,"all":true,"targets":[` + strings.Join(all, ",") + `]}`
 	if len(line) > maxLineBytes {
-		t.Fatalf("%d bytes are too long for a list", len(line))
+		t.Fatalf("the list has %d bytes, want at most maxLineBytes", len(line))
 	}
 	list, _, err := DecodeList([]byte(line))
 	if err != nil || len(list.Workers) != 20_000 {
-		t.Fatalf("%d workers, %v", len(list.Workers), err)
+		t.Fatalf("decoded %d workers with error %v, want 20000 and nil", len(list.Workers), err)
 	}
-	set := parsed(t)
+	set := parseTestSettings(t)
 	s, err := scheduler.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Step(1, scheduler.Started{CachedList: list}, nil)
 	began := time.Now()
-	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil) // sent twice: no harm
+	// The scheduler must accept the same list a second time.
+	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil)
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("took %v", took)
+		t.Errorf("applying the list took %v, want at most 5 s", took)
 	}
 }
 
-// A change is in force after a while, received or not. The module has to know that time, and a watch that is
-// silent has to be detected before it is over.
+// A change of the worker list takes effect after MaxStaleness even if it is not received. Listen has to set
+// MaxStaleness for the decision module, and a silent watch has to be detected in less than that time.
 func TestWatchTimeoutIsBelowMaxStaleness(t *testing.T) {
-	w := newWorld(t, 0, "r1")
+	w := newHarness(t, 0, "r1")
 	within := time.Duration(w.node.cfg.Settings.Dispatch.MaxStaleness) * time.Microsecond
 	if within <= watchIdleTimeout {
-		t.Errorf("changes are in force after %v, silence is detected after %v", within, watchIdleTimeout)
+		t.Errorf("MaxStaleness is %v, want more than watchIdleTimeout, which is %v", within, watchIdleTimeout)
 	}
 }
 
-// startPushedNode runs one of a number of nodes, whose lists are pushed by the agent behind the listener.
+// startPushedNode runs a node with settings for a fleet of the given number of nodes, whose worker lists are
+// pushed by an agent. The test is the agent and accepts the node's watches at the listener.
 func startPushedNode(t *testing.T, nodes int) (agent *net.TCPListener, n *Node, done chan error) {
 	t.Helper()
 	set, err := settings.Parse([]byte(strings.Replace(testSettings, "on_request", "pushed", 1)))
@@ -259,27 +267,28 @@
 	return l, n, runNode(n)
 }
 
-// Where lists are pushed they come over a watch as well: without one no drain is ever received.
+// A node whose lists are pushed has to open a watch as well, because it gets the pushed lists over that
+// watch.
 func TestPushedListsAreWatched(t *testing.T) {
 	l, n, done := startPushedNode(t, 1)
-	for range 2 { // once more after it broke
-		acceptWithin(t, l, patience).Close()
+	for range 2 { // The node opens a second watch after the first watch is closed.
+		acceptWithin(t, l, testTimeout).Close()
 	}
 	n.Stop()
 	checkEnd(t, done)
 }
 
-// An agent that pushes lists is silent while discovery is down, and answers at once when it is not: a call
-// that it does not answer is given up soon, and the next one follows, however many schedulers there are.
+// An agent that pushes lists does not respond while discovery is down, and responds at once otherwise. So the
+// node must give up an unanswered request soon and send the next one, even in a fleet of 300 schedulers.
 func TestSilentAgentIsRetriedSoon(t *testing.T) {
 	l, n, done := startPushedNode(t, 300)
 	const calls = 5
 	began := time.Now()
 	for range calls {
-		defer acceptWithin(t, l, patience).Close() // it sends nothing until then
+		defer acceptWithin(t, l, testTimeout).Close() // The agent sends nothing on the connection.
 	}
 	if took := time.Since(began); took > calls*2*time.Second {
-		t.Errorf("%d calls in %v", calls, took)
+		t.Errorf("%d requests took %v, want at most 2 s each", calls, took)
 	}
 	n.Stop()
 	checkEnd(t, done)
--- a/internal/node/worker_effects.go
+++ b/internal/node/worker_effects.go
@@ -5,19 +5,21 @@
 	"dahliaford/internal/scheduler"
 )
 
-// sendAttempt starts an attempt on a connection to its worker.
+// sendAttempt starts an attempt on a connection to the attempt's worker. It reports ConnectFailed to the
+// scheduler if the limit of connections to workers is reached.
 func (n *Node) sendAttempt(s scheduler.SendAttempt) {
 	c, ok := n.assign(s.Addr, exchange{attempt: s.Attempt, requestID: s.RequestID, workerUID: s.WorkerUID,
 		writeBy: s.WriteDeadline, deadline: s.Deadline, payload: s.Payload.(*payload)})
 	if !ok {
-		n.log.Warn("short on connections: an attempt is not sent", "txn", s.RequestID, "worker", s.WorkerUID)
+		n.log.Warn("worker connection limit reached; attempt not sent", "txn", s.RequestID, "worker", s.WorkerUID)
 		n.postAsync(scheduler.AttemptEnded{Attempt: s.Attempt, Outcome: dispatch.ConnectFailed})
 		return
 	}
 	n.attempts[s.Attempt] = c
 }
 
-// closeAttemptConn closes the connection of an attempt, or of its cancellation, whatever its state.
+// closeAttemptConn closes the connection that carries an attempt or its cancellation, and discards data that
+// has not been sent.
 func (n *Node) closeAttemptConn(attempt scheduler.AttemptID) {
 	c := n.attempts[attempt]
 	if c == nil {
@@ -26,32 +28,33 @@
 	delete(n.attempts, attempt)
 	if c.Cancel {
 		n.cancellations--
-	} else if c.gate.cancel() {
-		n.cancelledUnsent = attempt // no worker has it: the cancellation that follows need not be sent
+	} else if c.writeState.cancel() {
+		n.lastCancelledUnsent = attempt // No worker has the attempt, so a cancellation need not be sent.
 	}
-	c.abandoned.Store(true)
+	c.discardUnsent.Store(true)
 	n.drop(c)
 }
 
-// cancelUnsent cancels an attempt if nothing of it has been sent.
+// cancelUnsent ends an attempt as NotSent if no byte of the attempt has been sent; otherwise it does nothing.
 func (n *Node) cancelUnsent(attempt scheduler.AttemptID) {
-	if c := n.attempts[attempt]; c != nil && c.gate.cancel() {
+	if c := n.attempts[attempt]; c != nil && c.writeState.cancel() {
 		delete(n.attempts, attempt)
 		n.drop(c)
 		n.postAsync(scheduler.AttemptEnded{Attempt: attempt, Outcome: dispatch.NotSent})
 	}
 }
 
-// cancelAttempt sends the cancellation of an attempt to its worker, on a connection of its own.
+// cancelAttempt sends the cancellation of an attempt to the attempt's worker, on a new connection. If no byte
+// of the attempt was ever sent, it reports the cancellation as acknowledged without sending anything.
 func (n *Node) cancelAttempt(cancel scheduler.CancelAttempt) {
-	if n.cancelledUnsent == cancel.Attempt {
+	if n.lastCancelledUnsent == cancel.Attempt {
 		n.postAsync(scheduler.CancellationResult{Attempt: cancel.Attempt, Acknowledged: true})
 		return
 	}
 	c, ok := n.assign(cancel.Addr, exchange{attempt: cancel.Attempt, requestID: cancel.RequestID,
 		writeBy: cancel.Deadline, deadline: cancel.Deadline})
 	if !ok {
-		n.log.Warn("short on connections: a job is not cancelled", "txn", cancel.RequestID)
+		n.log.Warn("worker connection limit reached; cancellation not sent", "txn", cancel.RequestID)
 		n.postAsync(scheduler.CancellationResult{Attempt: cancel.Attempt})
 		return
 	}
--- a/internal/node/worker_write.go
+++ b/internal/node/worker_write.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// Why an exchange is not written. The freshness guard has more reasons.
+// The reasons why an exchange is not written, in addition to those of the freshness guard.
 var (
-	errCancelled    = errors.New("cancelled before anything was sent")
+	errCancelled    = errors.New("exchange cancelled before its first byte was sent")
 	errDisconnected = errors.New("the client has disconnected")
 )
 
-// writeGate decides between the loop, which may cancel an exchange, and its writer: the first one wins.
-type writeGate struct{ state atomic.Int32 }
+// atomicWriteState resolves the race between the event loop, which may cancel an exchange, and the writer of
+// the exchange: whichever of cancel and begin is called first succeeds, and the other one fails.
+type atomicWriteState struct{ state atomic.Int32 }
 
 const (
 	writePending int32 = iota
 	writeBegun
-	writeCancelled // nothing of the exchange has been sent, nor will be
+	writeCancelled // writeCancelled means that no byte of the exchange has been sent or will be sent.
 )
 
-func (g *writeGate) reset()       { g.state.Store(writePending) }
-func (g *writeGate) begin() bool  { return g.state.CompareAndSwap(writePending, writeBegun) }
-func (g *writeGate) cancel() bool { return g.state.CompareAndSwap(writePending, writeCancelled) }
+func (s *atomicWriteState) reset()       { s.state.Store(writePending) }
+func (s *atomicWriteState) begin() bool  { return s.state.CompareAndSwap(writePending, writeBegun) }
+func (s *atomicWriteState) cancel() bool { return s.state.CompareAndSwap(writePending, writeCancelled) }
 
-// write sends the request of an exchange.
+// write sends the request of an exchange: an attempt or a cancellation.
 func (c *workerConn) write(conn net.Conn, e *exchange) error {
 	conn.SetWriteDeadline(c.node.timeOf(e.writeBy))
 	if e.payload != nil {
@@ -41,9 +42,9 @@
 	return err
 }
 
-// writeAttempt sends an attempt. Whether the freshness guard allows it is checked inside the write call, when
-// the first byte can be sent, and again each time until it has been. While an update of the worker list is
-// not applied yet, the writer waits for that.
+// writeAttempt sends an attempt. It asks the freshness guard inside the write call, when the socket accepts
+// data, and asks again each time until the first byte has been sent. While the guard reports
+// errUpdatePending, writeAttempt waits for the update of the worker list to be applied.
 func (c *workerConn) writeAttempt(conn net.Conn, e *exchange) error {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -53,16 +54,17 @@
 	writeReady := w.writeReady
 	for {
 		changed := c.node.freshness.nextChange()
-		w.blocked = nil
+		w.blockReason = nil
 		waitErr := raw.Write(writeReady)
 		switch {
-		case errors.Is(w.blocked, errDisconnected) && w.sent > 0:
-			c.abandoned.Store(true) // what has been sent ends with the connection
-			return w.blocked
-		case errors.Is(w.blocked, errUnapplied) || errors.Is(w.blocked, errDisconnected):
-			// The loop learns the same in a moment, and cancels the exchange if need be.
-		case w.blocked != nil:
-			return w.blocked
+		case errors.Is(w.blockReason, errDisconnected) && w.sent > 0:
+			c.discardUnsent.Store(true) // The close must discard the rest of the request in the send buffer.
+			return w.blockReason
+		case errors.Is(w.blockReason, errUpdatePending) || errors.Is(w.blockReason, errDisconnected):
+			// The event loop is about to process the update or the disconnect, and cancels the exchange if
+			// necessary.
+		case w.blockReason != nil:
+			return w.blockReason
 		case waitErr != nil:
 			return waitErr
 		default:
@@ -73,32 +75,32 @@
 		case <-c.ctx.Done():
 			return errCancelled
 		case <-time.After(time.Until(c.node.timeOf(e.writeBy))):
-			if errors.Is(w.blocked, errDisconnected) {
-				return w.blocked
+			if errors.Is(w.blockReason, errDisconnected) {
+				return w.blockReason
 			}
 			return os.ErrDeadlineExceeded
 		}
 	}
 }
 
-// attemptWriter is the progress of writing one attempt.
+// attemptWriter holds the progress of writing one attempt to its connection.
 type attemptWriter struct {
-	conn     *workerConn
-	exchange *exchange
-	request  []byte // encoded when its first byte can be sent
-	sent     int    // bytes of the request
-	blocked  error  // why nothing may be written now; nil: nothing blocks it
-	err      error  // of the last write
+	conn        *workerConn
+	exchange    *exchange
+	request     []byte // request is encoded when the socket accepts the first byte.
+	sent        int    // sent counts the bytes of the request that the socket has accepted.
+	blockReason error  // blockReason is the reason why nothing may be written now, or nil.
+	err         error  // err is the error of the last write.
 }
 
-// writeReady writes what the socket takes. It is called by syscall.RawConn.Write and returns false to wait
-// until the socket takes more.
+// writeReady writes as many bytes as the socket accepts. syscall.RawConn.Write calls it; it returns false to
+// be called again when the socket accepts more.
 func (w *attemptWriter) writeReady(fd uintptr) (done bool) {
-	if w.blocked = w.check(); w.blocked != nil {
+	if w.blockReason = w.checkAllowed(); w.blockReason != nil {
 		return true
 	}
 	if w.sent == 0 {
-		// Not before: the check may have waited for an update, and the worker is told the time that is left.
+		// The request states the client's remaining time, so it is encoded after any wait for an update.
 		w.request = w.exchange.encode(w.conn.node.now(), w.conn.addr)
 	}
 	var sent int
@@ -109,9 +111,9 @@
 	return w.err != nil || w.sent == len(w.request)
 }
 
-// check returns why nothing may be written now. Until the last byte is sent the attempt has not begun, so a
-// disconnect stops it at any time.
-func (w *attemptWriter) check() error {
+// checkAllowed returns the reason why nothing may be written now, or nil. A worker runs an attempt only after
+// it has read the whole request, so a disconnect of the client stops the attempt until its last byte is sent.
+func (w *attemptWriter) checkAllowed() error {
 	c, e := w.conn, w.exchange
 	if w.sent == 0 {
 		now := c.node.now()
@@ -123,27 +125,29 @@
 		}
 	}
 	switch {
-	case e.payload.disconnected.Load() || c.abandoned.Load():
+	case e.payload.disconnected.Load() || c.discardUnsent.Load():
 		return errDisconnected
-	case !c.holdsOrder && !c.beginWrite():
+	case !c.holdsResponseOrder && !c.beginWrite():
 		return errCancelled
 	}
 	return nil
 }
 
-// beginWrite passes the gate when the first byte can be sent, and acquires responseOrder.
+// beginWrite marks the exchange as begun and acquires responseOrder. It returns false, without the mutex, if
+// the event loop has cancelled the exchange.
 func (c *workerConn) beginWrite() bool {
 	c.responseOrder.Lock()
-	if c.holdsOrder = c.gate.begin(); !c.holdsOrder {
+	if c.holdsResponseOrder = c.writeState.begin(); !c.holdsResponseOrder {
 		c.responseOrder.Unlock()
 	}
-	return c.holdsOrder
+	return c.holdsResponseOrder
 }
 
-// releaseOrder lets responses pass: writeEnded is in the inbox, or none will be.
-func (c *workerConn) releaseOrder() {
-	if c.holdsOrder {
-		c.holdsOrder = false
+// releaseResponseOrder lets the reader post responses again. The writer calls it when the writeEnded of the
+// exchange is in the inbox, or when no writeEnded follows.
+func (c *workerConn) releaseResponseOrder() {
+	if c.holdsResponseOrder {
+		c.holdsResponseOrder = false
 		c.responseOrder.Unlock()
 	}
 }
