--- a/internal/dispatch/bookkeeping.go
+++ b/internal/dispatch/bookkeeping.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Bookkeeping of attempts. Nothing here decides.
+// This file keeps the records of attempts. It makes no dispatch decisions.
 
-// attempt finds the attempt in flight that an event is about, or nil.
+// attempt returns the attempt in flight that an event names, or nil.
 func (d *Dispatcher) attempt(e *Event) *attempt {
 	j := d.jobs[e.Job]
 	if j == nil || e.Attempt < 0 || e.Attempt >= len(j.attempts) || !j.attempts[e.Attempt].inFlight {
@@ -13,7 +13,7 @@
 	return j.attempts[e.Attempt]
 }
 
-// detach takes an attempt off its worker.
+// detach ends an attempt in flight and removes it from the records of its worker and its job.
 func (d *Dispatcher) detach(a *attempt) {
 	a.inFlight = false
 	a.job.inFlight--
@@ -30,7 +30,7 @@
 	}
 }
 
-// removeValue removes one value from a list.
+// removeValue removes the first element of a list that equals a value.
 func removeValue[T comparable](list []T, value T) []T {
 	if i := slices.Index(list, value); i >= 0 {
 		return slices.Delete(list, i, i+1)
@@ -38,7 +38,7 @@
 	return list
 }
 
-// MayHaveRun reports whether an outcome leaves open that the job ran.
+// MayHaveRun reports whether a job may have run in an attempt that ended with this outcome.
 func (o Outcome) MayHaveRun() bool {
 	return o != AtCapacity && o != ConnectFailed && o != NotSent && o != HandedBack
 }
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -1,8 +1,9 @@
 package dispatch
 
-// The workers that a job may go to, as far as deduplication groups bind it. Nothing here decides.
+// This file finds the workers to which deduplication groups restrict a job. It makes no dispatch decisions.
 
-// bindingAttempt is the first attempt that may have run, to whose group rule 2 may bind the job, or nil.
+// bindingAttempt returns the first attempt that may have run, or nil. An attempt that may have run is
+// repeated only as its class allows, so a keyed job may be bound to the deduplication group of this attempt.
 func (j *job) bindingAttempt() *attempt {
 	for _, a := range j.attempts {
 		if a.inFlight || a.mayHaveRun {
@@ -12,9 +13,9 @@
 	return nil
 }
 
-// candidates are the workers among which rule 2 and the subset leave a choice: those of the subset, and
-// for a keyed retry those of its group, which may have no worker in the subset. It also reports
-// whether no group binds it.
+// candidates returns the workers among which a job's worker is chosen: the subset, or for the retry of a
+// keyed job all workers of its deduplication group, because the subset may have no worker of that group.
+// free reports that no single group binds the job.
 func (d *Dispatcher) candidates(j *job) (from []*worker, free bool) {
 	c := &d.settings.Classes[j.class]
 	if c.Effect != Keyed || len(j.attempts) == 0 {
@@ -30,7 +31,7 @@
 		}
 		return e.Cell
 	}
-	if d.dedupGroups[c.DedupScope] == nil { // in the order of the list, which breaks ties
+	if d.dedupGroups[c.DedupScope] == nil { // built in list order, which decides between workers of equal cost
 		groups := map[int][]*worker{}
 		for _, w := range d.ordered {
 			groups[groupOf(&w.entry)] = append(groups[groupOf(&w.entry)], w)
@@ -40,7 +41,8 @@
 	return d.dedupGroups[c.DedupScope][groupOf(&a.worker.entry)], false
 }
 
-// anyWorkerAllowed reports whether rule 2 leaves a job any worker at all.
+// anyWorkerAllowed reports whether any ready worker may be sent a further attempt of a job: an attempt that
+// may have run is repeated only as the job's class allows.
 func (d *Dispatcher) anyWorkerAllowed(j *job) bool {
 	from := d.ordered
 	keyed := d.settings.Classes[j.class].Effect == Keyed
@@ -50,7 +52,7 @@
 	for _, w := range from {
 		if w.entry.Status == Ready {
 			if allowed := d.attemptAllowed(j, w); allowed || !keyed {
-				return allowed // only a group makes a difference between workers
+				return allowed // without a deduplication group the result is the same for every worker
 			}
 		}
 	}
--- a/internal/dispatch/clone.go
+++ b/internal/dispatch/clone.go
@@ -7,13 +7,14 @@
 	"dahliaford/internal/subset"
 )
 
-// What a model checker needs of the module: to copy a state (here) and to compare two (state_form.go).
-// Nothing here decides, and the programs that serve use none of it.
+// A model checker copies a dispatcher's state with this file and compares two states with state_form.go. This
+// file makes no dispatch decisions, and the scheduler itself does not use it.
 
-// OpenJobs is the number of jobs that the module keeps.
+// OpenJobs returns the number of jobs that have no final answer or have attempts in flight.
 func (d *Dispatcher) OpenJobs() int { return len(d.jobs) }
 
-// Clone copies the state between two events. The copy shares nothing with the original that either changes.
+// Clone copies the state between two events. The copy and the original share no memory that a later event
+// changes.
 func (d *Dispatcher) Clone() *Dispatcher {
 	c := *d
 	c.actions = nil
@@ -28,7 +29,7 @@
 	return &c
 }
 
-// cloneEstimates copies what is known of kinds and groups.
+// cloneEstimates copies the estimates of machine kinds and of groups.
 func (d *Dispatcher) cloneEstimates(from *Dispatcher) {
 	d.kinds = make(map[int]*kind, len(from.kinds))
 	for number, known := range from.kinds {
@@ -47,7 +48,7 @@
 	d.workers = make(map[WorkerID]*worker, len(from.workers))
 	for id, w := range from.workers {
 		copied := *w
-		copied.group = nil // looked up again
+		copied.group = nil // groupOf looks the group up when it is next needed
 		copied.indexNode, copied.dirty = bucketqueue.Node[*worker]{}, false
 		if w.kind != nil {
 			copied.kind = d.kinds[w.entry.Kind]
@@ -61,7 +62,7 @@
 	}
 }
 
-// cloneWorkerLists copies the lists of workers and the ring, with the copies of the workers.
+// cloneWorkerLists copies the lists of workers and the ring, and replaces each worker by its copy.
 func (d *Dispatcher) cloneWorkerLists(from *Dispatcher) {
 	workers := func(list []*worker) []*worker {
 		copied := make([]*worker, len(list))
@@ -82,11 +83,11 @@
 	}
 	d.ring = from.ring.Clone(func(w *worker) *worker { return d.workers[w.entry.Worker] },
 		func(w *worker, group *subset.Group[*worker]) { w.ringGroup = group })
-	d.index, d.fastestWorker, d.sortedOverdueStarts = nil, nil, nil // built again
+	d.index, d.fastestWorker, d.sortedOverdueStarts = nil, nil, nil // rebuilt when next needed
 	d.dedupGroups = [ScopeCell + 1]map[int][]*worker{}
 }
 
-// cloneJobs copies the jobs with their attempts, and what refers to them.
+// cloneJobs copies the jobs with their attempts, and the lists that refer to jobs or attempts.
 func (d *Dispatcher) cloneJobs(from *Dispatcher) {
 	d.jobs = make(map[JobID]*job, len(from.jobs))
 	for id, j := range from.jobs {
@@ -107,6 +108,7 @@
 	}
 }
 
+// cloneJob copies a job with its attempts, which refer to the cloned workers.
 func (d *Dispatcher) cloneJob(from *job) *job {
 	j := *from
 	j.attempts = make([]*attempt, len(from.attempts))
--- a/internal/dispatch/estimate_errors.go
+++ b/internal/dispatch/estimate_errors.go
@@ -2,19 +2,24 @@
 
 import "math"
 
-// Estimates of how often a worker fails jobs. A healthy one hardly ever does. Nothing here decides.
+// This file estimates what fraction of its jobs a worker fails. A healthy worker hardly ever fails a job.
+// This file makes no dispatch decisions.
 
 const (
-	errorDecay             = 0.6  // what an outcome leaves of those before it
-	reportedErrorRateLimit = 0.3  // errors a second in a report from which on it counts as an error
-	reportedErrorDecay     = 0.2  // like errorDecay, with such a report
-	errorRateLimit         = 0.25 // from which on a worker counts as failing jobs
+	errorDecay             = 0.6  // weight that a new outcome leaves of a worker's earlier outcomes
+	reportedErrorRateLimit = 0.3  // errors per second; an outcome with a higher reported rate is an error
+	reportedErrorDecay     = 0.2  // replaces errorDecay for an outcome with such a report
+	errorRateLimit         = 0.25 // decayed fraction of errors above which a worker counts as failing jobs
+
+	// Time in which the error rate of a worker falls to 1/e while the dispatcher sees no outcome there. The
+	// time is longer in a large fleet without gossip, where a dispatcher seldom sends to the same worker.
 	errorDecayTime         = 3 * second
-	errorDecayTimeNoGossip = 9 * second // the same where each of many meets a worker seldom
+	errorDecayTimeNoGossip = 9 * second
 )
 
-// recordError records an outcome: 1 an error, 0 none. A large fleet without gossip meets a worker
-// seldom; its report shows each dispatcher what the others met there.
+// recordError adds an outcome to a worker's error rate: sample is 1 for an error, else 0. In a large fleet
+// without gossip a dispatcher seldom sends to the same worker, so the error rate that the worker reports
+// counts, too: the report includes the jobs of the other dispatchers.
 func (d *Dispatcher) recordError(w *worker, sample float64, r Report) {
 	keep := errorDecay
 	if d.largeFleetWithoutGossip() && r.FreeKnown && r.Errors > reportedErrorRateLimit {
@@ -23,13 +28,13 @@
 	w.errorRate, w.errorRateAt = d.recentErrorRate(w)*keep+sample*(1-keep), d.now
 }
 
-// recentErrorRate is the recent rate of errors. It fades by itself, as a worker that is avoided shows
-// nothing.
+// recentErrorRate returns a worker's decayed fraction of errors, 0 to 1, as of now. The error rate also
+// decays with time, because a worker that is avoided has no outcomes that could lower the rate.
 func (d *Dispatcher) recentErrorRate(w *worker) float64 {
 	return w.errorRate * math.Exp(-float64(d.now-w.errorRateAt)/d.errorRateDecayTime())
 }
 
-// errorRateDecayTime is the time in which the error rate falls to 1/e, in microseconds.
+// errorRateDecayTime returns the time in microseconds in which an error rate without outcomes falls to 1/e.
 func (d *Dispatcher) errorRateDecayTime() float64 {
 	if d.largeFleetWithoutGossip() {
 		return errorDecayTimeNoGossip
@@ -42,10 +47,11 @@
 	return w.errorRate > 0 && d.recentErrorRate(w) > errorRateLimit
 }
 
-// shouldAvoidFailing reports whether a job should avoid a worker that fails some: its class allows no second
-// attempt after an error. What may be repeated still goes there, uses the slots and finds out whether
-// the errors last, but not in a large fleet without gossip, where each dispatcher would find out. When
-// most workers fail jobs, there is nothing better to wait for.
+// shouldAvoidFailing reports whether a job should avoid a worker that counts as failing jobs. A job whose
+// class allows no second attempt after an error avoids such a worker. A job that may be repeated is still
+// sent: the job uses the slots and shows whether the errors last. In a large fleet without gossip every job
+// avoids such a worker, because each dispatcher would have to see the errors itself. When most workers fail
+// jobs, no job avoids them, because waiting would not lead to a better worker.
 func (d *Dispatcher) shouldAvoidFailing(j *job, w *worker) bool {
 	if d.settings.Classes[j.class].Effect != Unsafe && !d.largeFleetWithoutGossip() || !d.failsJobs(w) {
 		return false
--- a/internal/dispatch/estimate_peers.go
+++ b/internal/dispatch/estimate_peers.go
@@ -1,8 +1,10 @@
 package dispatch
 
-// What peers have at a worker, by their gossip, and what there is to report to them. Nothing here decides.
+// This file derives the peers' use of a worker from their gossip, and this dispatcher's own use that has to
+// be reported to the peers. It makes no dispatch decisions.
 
-// peerSlots is what the peers have at a worker. Old reports are dropped: their senders may be gone.
+// peerSlots returns the number of slots that the peers' jobs use at a worker, and the number of those slots
+// whose jobs run. Reports that are too old do not count, because their senders may have stopped.
 func (d *Dispatcher) peerSlots(w *worker) (used, running float64) {
 	for i := range w.peerUses {
 		if p := &w.peerUses[i]; d.peerUseFresh(p) {
@@ -13,13 +15,14 @@
 	return used, running
 }
 
-// peerUseFresh reports whether a peer's report still counts.
+// peerUseFresh reports whether a peer's report is recent enough to count.
 func (d *Dispatcher) peerUseFresh(p *peerUse) bool {
 	return d.now-p.updatedAt < second+Micros(peerUseLifetimeRuns*d.slotTimes.value)
 }
 
-// peerJobWaits reports whether a peer's job waits at a worker. Then it is full whatever our slot limit
-// says; else each of ten dispatchers would try there.
+// peerJobWaits reports whether a peer's job waits at a worker for its start. Such a worker has no free slot,
+// even if the known capacity is larger than the use. Without this check every dispatcher that shares the
+// worker would send a job there to find out.
 func (d *Dispatcher) peerJobWaits(w *worker) bool {
 	for i := range w.peerUses {
 		if p := &w.peerUses[i]; p.waitingSince != 0 && d.peerUseFresh(p) {
@@ -29,7 +32,8 @@
 	return false
 }
 
-// peerJobArriving reports whether a peer's job may not have begun at a worker yet.
+// peerJobArriving reports whether a peer sent a job to a worker so recently that the job may not have
+// started.
 func (d *Dispatcher) peerJobArriving(w *worker) bool {
 	for i := range w.peerUses {
 		if d.peerArrivingSlots(&w.peerUses[i]) > 0 {
@@ -39,7 +43,8 @@
 	return false
 }
 
-// peerArrivingSlots is the slots of a peer's jobs that may not have begun yet.
+// peerArrivingSlots returns the number of slots by which a peer's use grew so recently that the jobs may not
+// have started.
 func (d *Dispatcher) peerArrivingSlots(p *peerUse) byte {
 	if d.now-p.increasedAt < waitReportBatches*d.settings.Granularity {
 		return p.arrivingSlots
@@ -47,7 +52,8 @@
 	return 0
 }
 
-// queueGossip marks a worker whose use may have to be reported to peers.
+// queueGossip records that this dispatcher's use of a worker changed: the worker's index key is computed
+// again and, where gossip is allowed, the use is reported to the peers.
 func (d *Dispatcher) queueGossip(w *worker) {
 	d.markDirty(w)
 	if d.settings.GossipAllowed && d.settings.Dispatchers > 1 && !w.gossipQueued {
@@ -56,8 +62,8 @@
 	}
 }
 
-// ownWaitingSlots is the slots of own jobs that wait at a worker, and whether others of ours may still be on
-// their way.
+// ownWaitingSlots returns the number of slots of own jobs that wait at a worker for their start, and whether
+// own jobs were sent there so recently that their start may not have been reported.
 func (d *Dispatcher) ownWaitingSlots(w *worker) (slots float64, arriving bool) {
 	for _, a := range w.attempts {
 		if d.settings.StartReported && a.startedAt == 0 {
--- a/internal/dispatch/estimate_sharing.go
+++ b/internal/dispatch/estimate_sharing.go
@@ -6,9 +6,10 @@
 	"dahliaford/internal/subset"
 )
 
-// How dispatchers share workers, and the limits that follow from it. Nothing here decides.
+// This file computes how dispatchers share workers, and the time limits that depend on this sharing. It makes
+// no dispatch decisions.
 
-// subsetFraction is the part of a zone's workers that is a dispatcher's own.
+// subsetFraction returns the fraction of a zone's workers that a dispatcher's subset should have.
 func (d *Dispatcher) subsetFraction(readyWorkers int) float64 {
 	perWorker, minimum := targetDispatchersPerWorker, minSubsetSize
 	if d.largeFleetWithoutGossip() {
@@ -17,7 +18,7 @@
 	return max(perWorker/float64(d.settings.Dispatchers), minimum/max(1, float64(readyWorkers)))
 }
 
-// startReportTimeout is how long a job may take to begin before it counts as waiting.
+// startReportTimeout returns the time after a send from which a job without a start report counts as waiting.
 func (d *Dispatcher) startReportTimeout() Micros {
 	if d.largeFleetWithoutGossip() {
 		return startReportTimeoutBatchesNoGossip * d.settings.Granularity
@@ -25,7 +26,7 @@
 	return startReportTimeoutBatches * d.settings.Granularity
 }
 
-// silenceTimeout is how long a worker with work may give no sign of life.
+// silenceTimeout returns the time without a sign of life after which a worker with jobs counts as suspect.
 func (d *Dispatcher) silenceTimeout() Micros {
 	if d.settings.ProgressInterval == 0 {
 		return Micros(silenceTimeoutRuns * max(d.slotTimes.value, second/4))
@@ -33,29 +34,30 @@
 	return Micros(silenceTimeoutProgressIntervals * float64(d.settings.ProgressInterval))
 }
 
-// largeFleetWithoutGossip reports whether the fleet is large and sends no gossip: what its dispatchers do
-// together shows only in how long jobs wait.
+// largeFleetWithoutGossip reports whether the fleet has more than maxSmallFleetDispatchers dispatchers and
+// these may not gossip. A dispatcher of such a fleet can infer the load by the others only from the time
+// that its jobs wait for their start.
 func (d *Dispatcher) largeFleetWithoutGossip() bool {
 	return !d.settings.GossipAllowed && d.settings.LargeFleet()
 }
 
-// dispatchersPerWorker is how many dispatchers share a worker.
+// dispatchersPerWorker returns the mean number of dispatchers that share a worker.
 func (d *Dispatcher) dispatchersPerWorker() float64 {
 	return d.ringCoverage * float64(d.settings.Dispatchers)
 }
 
-// covers reports whether the interval of the dispatcher at a position has a worker.
+// covers reports whether the interval of the dispatcher at a ring position covers a worker.
 func (d *Dispatcher) covers(position float64, w *worker) bool {
 	return d.ringDistance(position, w) < d.ringCoverage
 }
 
-// ringDistance is how far on the ring a worker comes behind a position.
+// ringDistance returns the distance along the ring from a position forward to a worker, from 0 to 1.
 func (d *Dispatcher) ringDistance(position float64, w *worker) float64 {
 	return subset.Distance(position, d.workerRingPosition(w))
 }
 
-// dispatcherRingPosition is the position of a dispatcher on the ring: steps of the golden section
-// spread any run of numbers evenly, and every second one, too.
+// dispatcherRingPosition returns the position of a dispatcher on the ring, from 0 to 1. Steps of the golden
+// ratio spread any run of consecutive numbers evenly, and also a run of every second number.
 func dispatcherRingPosition(dispatcher int) float64 {
 	_, position := math.Modf(math.Abs(float64(dispatcher)) * math.Phi)
 	return position
--- a/internal/dispatch/estimate_slots.go
+++ b/internal/dispatch/estimate_slots.go
@@ -1,24 +1,29 @@
 package dispatch
 
-// Estimates of slots: how many a worker has, and how many are in use by this dispatcher and its peers.
-// Nothing here decides.
+// This file estimates how many slots a worker has, and how many slots this dispatcher and its peers use. It
+// makes no dispatch decisions.
 
-// maxTrackedSlots is the largest number of slots in use that is counted apart.
+// maxTrackedSlots is the largest number of slots in use for which start counts are kept separately. Larger
+// numbers are counted as this number.
 const maxTrackedSlots = 32
 
-// startCounts counts the jobs that began at once with so many slots in use, and those that did not.
+// startCounts counts the jobs that started promptly with a given number of slots in use, their own included,
+// and the jobs whose start was delayed. Both counts decay with each new job.
 type startCounts struct{ prompt, delayed float64 }
 
-// kind is what is known of a machine kind.
+// kind holds the estimates for a machine kind.
 type kind struct {
 	speedEstimate
-	maxBusySlots       float64 // at work on one of its workers
-	startCountsBySlots [maxTrackedSlots + 1]startCounts
-	maxSlotsTried      int    // the largest number of slots in use at which a job was seen to begin or wait
-	capacityProbedAt   Micros // when more slots than its capacity were last tried
+	// Most slots seen in use together on one worker. Where starts are reported, the field has the capacity
+	// computed after the last prompt start instead.
+	maxBusySlots float64
+
+	startCountsBySlots [maxTrackedSlots + 1]startCounts // by slots in use when a job was sent
+	maxSlotsTried      int                              // most slots in use with which a job started or waited
+	capacityProbedAt   Micros                           // time when more slots than the capacity were last tried
 }
 
-// add counts a job, after a decay of the earlier ones.
+// add counts a job after it multiplies the earlier counts by keep.
 func (c *startCounts) add(prompt bool, keep float64) {
 	c.prompt *= keep
 	c.delayed *= keep
@@ -29,9 +34,10 @@
 	}
 }
 
-// startCountsAt is how jobs fared with n slots of a worker in use: its own, and as far as they do not
-// show it those of its kind. A dispatcher of many sees each worker too seldom, and what peers have
-// there is known too late to trust a single job.
+// startCountsAt returns the start counts for n slots of a worker in use: the worker's own counts plus those
+// of its machine kind, which are scaled down to at most maxKindStartCount jobs. In a large fleet a dispatcher
+// sends to each worker too seldom to rely on the worker's own counts alone. The counts of a single job may
+// also be wrong, because the peers' use of the worker is known late.
 func (d *Dispatcher) startCountsAt(w *worker, n int) startCounts {
 	counts := d.kindOf(w).startCountsBySlots[n]
 	if seen := counts.prompt + counts.delayed; seen > maxKindStartCount {
@@ -44,7 +50,8 @@
 	return counts
 }
 
-// recordStartPromptness records whether a job began at once with so many slots in use.
+// recordStartPromptness counts an attempt as started promptly or as delayed, under the number of slots in use
+// when the attempt was sent.
 func (d *Dispatcher) recordStartPromptness(a *attempt, prompt bool) {
 	n := min(int(a.slotsAtSend), maxTrackedSlots)
 	k := d.kindOf(a.worker)
@@ -61,13 +68,13 @@
 	}
 }
 
-// recordBusySlots records slots of a worker seen at work together.
+// recordBusySlots records the number of slots of a worker that were seen in use at the same time.
 func (d *Dispatcher) recordBusySlots(w *worker, slots float64) {
 	k := d.kindOf(w)
 	k.maxBusySlots = max(k.maxBusySlots, slots)
 }
 
-// kindOf is what is known of a worker's machine kind.
+// kindOf returns the estimates for a worker's machine kind, which it creates if there are none.
 func (d *Dispatcher) kindOf(w *worker) *kind {
 	if w.kind == nil {
 		w.kind = d.kinds[w.entry.Kind]
@@ -79,8 +86,8 @@
 	return w.kind
 }
 
-// capacity is how many slots of a worker may be used. Where starts are reported, it is the largest
-// number at which jobs begin at once rather than wait.
+// capacity returns the number of slots of a worker that may be used. Where starts are reported, the capacity
+// is the largest number of slots in use at which at least as many jobs start promptly as are delayed.
 func (d *Dispatcher) capacity(w *worker) float64 {
 	if !d.settings.StartReported {
 		return w.slotLimit
@@ -92,16 +99,16 @@
 		}
 	}
 	if best == k.maxSlotsTried && best < maxTrackedSlots {
-		best++ // nobody had to wait yet
+		best++ // no larger number was tried, so the worker may have more slots
 	}
 	return float64(max(best, 1))
 }
 
-const anyZone = -2 // no zone has this number
+const anyZone = -2 // stands for all zones; no zone has this number
 
-// usableSlots counts the slots that this dispatcher may fill on the workers of a zone. After 16
-// workers, 32 and so on it calls enough, which reports whether so many settle the question, and may
-// then stop.
+// usableSlots counts the slots that this dispatcher may fill on the usable workers of a zone of its subset.
+// After 16, 32, 64 and so on workers the function calls enough with the number of slots so far, and returns
+// that number if enough reports that a larger number would change nothing for the caller.
 func (d *Dispatcher) usableSlots(zone int, enough func(slots float64) bool) float64 {
 	slots, nextCheck := 0.0, 16
 	for i, w := range d.subset {
@@ -118,25 +125,27 @@
 	return slots
 }
 
-// fillableSlots is how many slots of a worker this dispatcher may fill, those that others use left out.
+// fillableSlots returns the number of slots of a worker that this dispatcher may fill: the capacity without
+// the slots that peers use, but at least the slots that this dispatcher uses already.
 func (d *Dispatcher) fillableSlots(w *worker) float64 {
 	others, _ := d.peerSlots(w)
 	return max(d.capacity(w)-others, w.ownSlots)
 }
 
-// slotsInUse is the slots of a worker that are in use, by all that we know of.
+// slotsInUse returns the number of slots of a worker that this dispatcher's jobs use and peers report to use.
 func (d *Dispatcher) slotsInUse(w *worker) float64 {
 	others, _ := d.peerSlots(w)
 	return w.ownSlots + others
 }
 
-// knownRunningSlots is the slots of a worker whose jobs run, by all that we know of.
+// knownRunningSlots returns the number of slots of a worker whose jobs are known to run: own jobs, and the
+// jobs that peers report.
 func (d *Dispatcher) knownRunningSlots(w *worker) float64 {
 	_, others := d.peerSlots(w)
 	return d.ownRunningSlots(w) + others
 }
 
-// ownRunningSlots is the slots of own jobs that are known to run at a worker.
+// ownRunningSlots returns the number of slots of own jobs that are known to run at a worker.
 func (d *Dispatcher) ownRunningSlots(w *worker) float64 {
 	n := 0.0
 	for _, a := range w.attempts {
--- a/internal/dispatch/estimate_speed.go
+++ b/internal/dispatch/estimate_speed.go
@@ -1,16 +1,19 @@
 package dispatch
 
-// Estimates of speed, from runs. Without cost hints no scale is known: the fleet's mean is 1. Nothing here
-// decides.
+// This file estimates speeds from runs. A speed is work on a standard core per unit of time on one slot. No
+// scale is known without hints of the jobs' work, and the mean speed of the fleet then counts as 1. This file
+// makes no dispatch decisions.
 
-// speedEstimate is recent work done and the time that it took.
+// speedEstimate has the decayed sums of the work done in recent runs and of the time that these runs took,
+// both in microseconds.
 type speedEstimate struct{ work, time float64 }
 
+// add adds a run after it multiplies the earlier sums by keep.
 func (s *speedEstimate) add(work, time, keep float64) {
 	s.work, s.time = s.work*keep+work, s.time*keep+time
 }
 
-// speed is work over time, 1 while nothing is known.
+// speed returns work divided by time, or 1 while there is no run.
 func (s *speedEstimate) speed() float64 {
 	if s.time == 0 {
 		return 1
@@ -18,7 +21,7 @@
 	return s.work / s.time
 }
 
-// fleetSpeed is the speed of a mean worker.
+// fleetSpeed returns the mean speed of the fleet's workers.
 func (d *Dispatcher) fleetSpeed() float64 {
 	if !d.hintsSeen {
 		return 1
@@ -26,8 +29,8 @@
 	return d.fleetEstimate.speed()
 }
 
-// speed is the work that a slot of a worker does in a unit of time: its own recent runs, leaning on
-// those of its kind, less what it lacks in slow start.
+// speed returns the expected speed of a worker now: its warmSpeed, reduced by slowStartFraction while the
+// worker is in slow start.
 func (d *Dispatcher) speed(w *worker) float64 {
 	if at := d.slowStartSince(w); at != 0 {
 		return d.warmSpeed(w) * d.slowStartFraction(at)
@@ -35,7 +38,8 @@
 	return d.warmSpeed(w)
 }
 
-// warmSpeed is the speed that a worker has, or will have after its slow start.
+// warmSpeed returns the speed that a worker has outside slow start. The estimate combines the worker's own
+// recent runs with priorSpeed, which has the weight of speedPriorRunsHinted or speedPriorRunsUnhinted runs.
 func (d *Dispatcher) warmSpeed(w *worker) float64 {
 	prior, unit := d.priorSpeed(w), max(d.slotTimes.value, 1)
 	if d.hintsSeen {
@@ -45,13 +49,14 @@
 	}
 	v := (w.speed.work + prior*unit) / (w.speed.time + unit)
 	if !d.hintsSeen && d.fleetEstimate.work > 0 {
-		// no hint gives the scale: the fleet's mean is 1, or it drifts
+		// Dividing by the fleet's mean speed keeps that mean at 1; without hints the scale would drift.
 		v *= d.fleetEstimate.time / d.fleetEstimate.work
 	}
 	return v
 }
 
-// priorSpeed is the speed of a worker of which nothing is known.
+// priorSpeed returns the speed assumed of a worker without own runs: the speed of its machine kind, or of the
+// fleet while the kind has no runs.
 func (d *Dispatcher) priorSpeed(w *worker) float64 {
 	if k := d.kindOf(w); k.time > 0 {
 		return k.speed()
@@ -59,7 +64,7 @@
 	return d.fleetEstimate.speed()
 }
 
-// typicalSpeed is the speed of a warm worker that is like most of its kind.
+// typicalSpeed returns the speed of a mean worker of the same machine kind outside slow start.
 func (d *Dispatcher) typicalSpeed(w *worker) float64 {
 	if !d.hintsSeen && d.fleetEstimate.work > 0 {
 		return d.priorSpeed(w) * d.fleetEstimate.time / d.fleetEstimate.work
@@ -67,7 +72,8 @@
 	return d.priorSpeed(w)
 }
 
-// bestSpeed is the fastest that a job could still get, computed once an event.
+// bestSpeed returns the speed of the fastest usable worker of the subset, or the fleet's speed if no worker
+// is usable. The result is computed once for each event.
 func (d *Dispatcher) bestSpeed() float64 {
 	if d.cachedBestSpeed > 0 {
 		return d.cachedBestSpeed
@@ -85,8 +91,9 @@
 	return d.cachedBestSpeed
 }
 
-// anyFastEnough reports whether bestSpeed is enough, where more is never worse. In a large subset the
-// fastest worker of the last search is tried first: what is enough for it need not be searched.
+// anyFastEnough reports whether the predicate enough holds for bestSpeed. The predicate must hold for every
+// speed above one for which it holds. In a large subset the fastest worker of the last search is tried first:
+// if its speed is enough, no new search is needed.
 func (d *Dispatcher) anyFastEnough(enough func(speed float64) bool) bool {
 	w := d.fastestWorker
 	if w != nil && d.cachedBestSpeed == 0 && d.largeSubset() && d.usable(w) && enough(d.speed(w)) {
@@ -95,8 +102,9 @@
 	return enough(d.bestSpeed())
 }
 
-// learnSpeed learns a worker's speed from the part of a run that has passed. Without hints only
-// complete runs show it, against the class's mean.
+// learnSpeed updates the speed estimates of an attempt's worker, its machine kind and the fleet, by the part
+// of the run that is not yet included. The parameter done is the fraction of the work that is done, 0 to 1.
+// The work of a job without a hint counts as its class's mean work, and only a complete run is used.
 func (d *Dispatcher) learnSpeed(a *attempt, done float64) {
 	w, work, span := a.worker, a.job.work*(done-a.progress), float64(d.now-a.accountedUntil)
 	if !a.job.hinted {
@@ -105,7 +113,8 @@
 		}
 		st := &d.classes[a.job.class]
 		work = st.meanWork(float64(d.settings.Classes[a.job.class].LatencyObjective))
-		span = min(float64(d.now-a.startedAt), 4*work/d.speed(w)) // a long job is not a slow worker
+		// The limit keeps a job with much work from making its worker seem slow.
+		span = min(float64(d.now-a.startedAt), 4*work/d.speed(w))
 	}
 	a.progress, a.accountedUntil = max(done, a.progress), d.now
 	if work <= 0 || span <= 0 || d.slowStartSince(w) != 0 {
@@ -116,7 +125,8 @@
 	d.fleetEstimate.add(work, span, fleetSampleDecay)
 }
 
-// learnRun takes run time, speed and, without hints, the class's work from a finished run.
+// learnRun updates the estimates from a finished run: the run times of the job's class, the slot times, the
+// speeds and, for a job without a hint, the work of the class.
 func (d *Dispatcher) learnRun(a *attempt) {
 	if a.startedAt == 0 {
 		a.startedAt, a.accountedUntil = a.sentAt, a.sentAt
@@ -131,7 +141,8 @@
 	d.learnSpeed(a, 1)
 }
 
-// slowStartFraction is the fraction of its capacity that a worker in slow start has that started at a time.
+// slowStartFraction returns the fraction of its full capacity that a worker in slow start has now if it
+// started at the given time. The fraction grows linearly from SlowStartInitial to 1 within SlowStart.
 func (d *Dispatcher) slowStartFraction(at Micros) float64 {
 	s := &d.settings
 	return s.SlowStartInitial + (1-s.SlowStartInitial)*max(0, float64(d.now-at))/float64(max(1, s.SlowStart))
--- a/internal/dispatch/estimate_waits.go
+++ b/internal/dispatch/estimate_waits.go
@@ -2,50 +2,54 @@
 
 import "math"
 
-// Estimates of how long jobs wait at workers before they begin. Only a large fleet without gossip needs
-// them. Nothing here decides.
+// This file estimates how long jobs wait at workers before they start. Only a large fleet without gossip uses
+// these estimates, because its dispatchers do not see each other's jobs. This file makes no dispatch
+// decisions.
 
 const (
-	groupWaitDecayRuns  = 12.0 // how long the waits of a group count, in runs
-	groupWaitWeight     = 0.5  // own waits that outweigh those of its group
-	workerWaitDecayRuns = 6.0  // like groupWaitDecayRuns, for the worker itself: it is met seldom
+	groupWaitDecayRuns  = 12.0 // decay time to 1/e of the waits of a group, in upper run times
+	groupWaitWeight     = 0.5  // weight of a group's expected wait, in waits of the worker itself
+	workerWaitDecayRuns = 6.0  // decay time to 1/e of the waits of a single worker, in upper run times
 )
 
-// How far a choice goes at random, and by the distance on the ring, in runs.
+// Additions to the cost of a worker, in upper run times, that make dispatchers choose different workers.
 const (
-	choiceJitterRuns   = 0.25
-	choiceDistanceRuns = 0.5
+	choiceJitterRuns   = 0.25 // largest random addition
+	choiceDistanceRuns = 0.5  // addition at the far end of the dispatcher's interval of the ring
 )
 
-// waitEstimate is the mean of how long jobs waited at workers before they began. What was seen fades, as
-// others come to run there.
+// waitEstimate is the mean time that jobs waited at workers before they started. Earlier waits lose weight
+// with time, because the load by other dispatchers changes.
 type waitEstimate struct {
-	sum, count float64
-	decayedAt  Micros
+	sum, count float64 // decayed sum of the waits in microseconds, and decayed number of the waits
+	decayedAt  Micros  // time as of which the sum and the number are decayed
 }
 
-// group is what is known of the waits at the workers of one kind in one zone: those that all dispatchers
-// find alike, and load together.
+// group holds the estimate of the waits at the workers of one machine kind in one zone. All dispatchers rate
+// the workers of a group alike, so they load these workers together.
 type group struct {
 	waitEstimate
-	expectedWait    float64 // what they and the jobs that wait now come to
-	computedInEvent uint64  // the event in which that was computed
+	expectedWait    float64 // mean wait in microseconds, which includes the jobs that wait now
+	computedInEvent uint64  // eventCount when expectedWait was computed
 }
 
+// groupKey identifies a group: the workers of one machine kind in one zone.
 type groupKey struct{ zone, kind int }
 
-// decay lowers the weight of what was seen to 1/e in a span.
+// decay multiplies the weight of the earlier waits by 1/e for each span since the last decay. The span is in
+// microseconds.
 func (s *waitEstimate) decay(now Micros, span float64) {
 	keep := math.Exp(-float64(now-s.decayedAt) / span)
 	s.sum, s.count, s.decayedAt = s.sum*keep, s.count*keep, now
 }
 
+// add adds a wait in microseconds after it decays the earlier waits.
 func (s *waitEstimate) add(now Micros, span, wait float64) {
 	s.decay(now, span)
 	s.sum, s.count = s.sum+wait, s.count+1
 }
 
-// groupOf is what is known of a worker's group.
+// groupOf returns the group of a worker, which it creates if there is none.
 func (d *Dispatcher) groupOf(w *worker) *group {
 	if w.group == nil {
 		key := groupKey{w.entry.Zone, w.entry.Kind}
@@ -57,7 +61,8 @@
 	return w.group
 }
 
-// recordWait records how long a job waited at a worker.
+// recordWait adds the time in microseconds that a job waited at a worker to the estimates of the worker and
+// of its group.
 func (d *Dispatcher) recordWait(w *worker, wait float64) {
 	if !d.largeFleetWithoutGossip() {
 		return
@@ -66,8 +71,10 @@
 	d.groupOf(w).add(d.now, groupWaitDecayRuns*d.upperRunTime(), wait)
 }
 
-// expectedWait is how long a job would likely wait at a worker: as our last ones there did, and as far
-// as they do not show it, as those of its group. One that waits now is on average half way.
+// expectedWait returns the expected time in microseconds that a job would wait at a worker before its start:
+// the mean of this dispatcher's own recent waits there and of the group's expected wait, which has the weight
+// groupWaitWeight. A job that still waits counts with twice its wait so far, because it has on average half
+// of its wait behind it.
 func (d *Dispatcher) expectedWait(w *worker) float64 {
 	if !d.settings.StartReported || !d.largeFleetWithoutGossip() {
 		return 0
@@ -90,8 +97,9 @@
 	return (w.startWait.sum + g.expectedWait*groupWaitWeight) / (w.startWait.count + groupWaitWeight)
 }
 
-// choiceJitter is a part of a run by which the choice of a worker departs from the best one: all
-// dispatchers see much the same, and would send there together.
+// choiceJitter returns an addition, in microseconds, to the cost of a worker: a random part and a part that
+// grows with the worker's distance on the ring. Without this addition all dispatchers, which have similar
+// estimates, would send to the same workers at the same time.
 func (d *Dispatcher) choiceJitter(w *worker) float64 {
 	if !d.largeFleetWithoutGossip() {
 		return 0
@@ -100,8 +108,10 @@
 		d.ringDistance(d.position, w)/d.ringCoverage*choiceDistanceRuns) * d.upperRunTime()
 }
 
-// crossZoneCost is what a cost in another zone comes to here. A small fleet collides less when each
-// dispatcher stays in its zone while that is in time.
+// crossZoneCost returns the cost at which a worker of another zone is compared with one of the own zone, in
+// microseconds. A large fleet without gossip adds a price in proportion to the time that remains until the
+// objective. In other fleets the result is at least that remaining time, so that a dispatcher stays in its
+// zone while a worker there is in time: the dispatchers of different zones then collide less.
 func (d *Dispatcher) crossZoneCost(cost, remaining float64) float64 {
 	if !d.largeFleetWithoutGossip() {
 		return max(remaining, cost)
--- a/internal/dispatch/estimate_work.go
+++ b/internal/dispatch/estimate_work.go
@@ -2,34 +2,38 @@
 
 import "slices"
 
-// Estimates of work and run times, by class. Nothing here decides.
+// This file estimates the work and the run times of jobs by class. It makes no dispatch decisions.
 
-// priorWorkObjectives is the work assumed of a class that nobody saw run, in its latency objectives:
-// workers in slow start show nothing, and all dispatchers would send there by the same guess.
+// priorWorkObjectives is the mean work assumed of a class, in multiples of its latency objective, until runs
+// show the work. The assumption is high because runs on workers in slow start do not count, and because all
+// dispatchers make the same assumption and would overload such workers together.
 const priorWorkObjectives = 2.0
 
-// classState is what is known of a class.
+// classState holds the estimates for a class. Work is in microseconds on a standard core.
 type classState struct {
-	workSum, workSquareSum, workCount float64 // decayed sums of works seen
-	runTimes                          quantileWindow
-	arrivals                          float64 // decayed count of arrivals
-	waitTarget                        Micros  // T_k
-	guaranteedRate                    float64 // jobs a microsecond
+	// Decayed sums over the jobs whose work is known: of the work, of its square, and of 1 for each job.
+	workSum, workSquareSum, workCount float64
+	runTimes                          quantileWindow // latest run times in microseconds
+	arrivals                          float64        // decayed number of arrivals, see classMixDecay
+
+	waitTarget     Micros  // longest wait that meets the objective (T_k in the published overload control)
+	guaranteedRate float64 // jobs per microsecond, of all tenants together (d in the same control, see flow)
 }
 
-// addWork adds the work of a job to the decayed sums.
+// addWork adds the work of a job to the decayed sums, in microseconds on a standard core.
 func (s *classState) addWork(work float64) {
 	s.workSum, s.workSquareSum = s.workSum*classWorkDecay+work, s.workSquareSum*classWorkDecay+work*work
 	s.workCount = s.workCount*classWorkDecay + 1
 }
 
-// meanWork is the mean work seen, with a prior that weighs as much as two jobs.
+// meanWork returns the mean work of the class's jobs. The prior mean counts as much as two jobs.
 func (s *classState) meanWork(prior float64) float64 {
 	return (s.workSum + 2*prior) / (s.workCount + 2)
 }
 
-// sizeBiasedWork is the mean work seen, weighted by work: value goes with work, so long jobs decide how
-// long the objective of an unhinted job is.
+// sizeBiasedWork returns the mean work of the class's jobs, weighted by their work, but at most three times
+// meanWork. The weighting is for the objective of a job without a hint: the value of a job grows with its
+// work, so the objective should suit the long jobs.
 func (s *classState) sizeBiasedWork(prior float64) float64 {
 	mean := s.meanWork(prior)
 	if s.workSum == 0 {
@@ -38,8 +42,9 @@
 	return min(s.workSquareSum/s.workSum, 3*mean)
 }
 
-// unhintedWork is the work that a job without a hint is assumed to need. In a large fleet without
-// gossip that is less than the mean: most jobs are shorter, and sooner too late.
+// unhintedWork returns the work that is assumed for a job without a hint. In a large fleet without gossip the
+// assumption is less than the mean work, because most jobs are shorter than the mean and miss their objective
+// sooner.
 func (d *Dispatcher) unhintedWork(s *classState, prior float64) float64 {
 	if d.largeFleetWithoutGossip() {
 		return unhintedWorkFraction * s.meanWork(prior)
@@ -47,18 +52,19 @@
 	return s.sizeBiasedWork(prior)
 }
 
-// slowStartCost is what a job takes of the budget of a worker in slow start.
+// slowStartCost returns the work that a job takes from the budget of a worker in slow start.
 func (d *Dispatcher) slowStartCost(j *job) float64 {
 	work := j.work
 	if !j.hinted {
 		objective := float64(d.settings.Classes[j.class].LatencyObjective)
 		work = d.classes[j.class].meanWork(priorWorkObjectives * objective)
 	}
-	return work + float64(d.settings.Granularity) // a handshake may come with it
+	return work + float64(d.settings.Granularity) // the worker may also have to do a connection handshake
 }
 
-// sizeBiasedMeanWork is the mean size of the jobs that arrive here, weighted by their work: a few long jobs
-// bring most of it. Before a class was seen to run, twice its objective stands for its work.
+// sizeBiasedMeanWork returns the mean work of the arriving jobs of all classes, weighted by their work,
+// because a few long jobs can bring most of the work. The prior work of a class is priorWorkObjectives times
+// its latency objective.
 func (d *Dispatcher) sizeBiasedMeanWork() float64 {
 	sum, squares := 0.0, 0.0
 	for k := range d.classes {
@@ -69,8 +75,8 @@
 	return squares / max(1, sum)
 }
 
-// workInTransit is the work of jobs that left for a worker and are not known to have begun: if it
-// restarts now, they reach it in slow start.
+// workInTransit returns the slow-start cost of the jobs that were sent to a worker and are not known to have
+// started. If the worker has just restarted, these jobs reach it in slow start.
 func (d *Dispatcher) workInTransit(w *worker) float64 {
 	work := 0.0
 	for _, a := range w.attempts {
@@ -81,14 +87,15 @@
 	return work
 }
 
-// quantileWindow keeps the latest run times and their upper quantile.
+// quantileWindow keeps the latest run times and their quantile runTimeQuantile.
 type quantileWindow struct {
-	samples [maxRunSamples]float64 // a ring buffer
-	count   int                    // samples so far
-	value   float64                // the quantile
+	samples [maxRunSamples]float64 // ring buffer of the latest samples
+	count   int                    // number of samples so far, including overwritten ones
+	value   float64                // quantile of the samples when last computed; 0 before the first sample
 }
 
-// add takes a run time. The quantile is computed with every quantileInterval-th one.
+// add adds a run time. The quantile is computed for each of the first quantileInterval run times, and then
+// for every quantileInterval-th one.
 func (q *quantileWindow) add(v float64) {
 	q.samples[q.count%maxRunSamples] = v
 	q.count++
@@ -100,5 +107,5 @@
 	}
 }
 
-// upperRunTime is the length of a run, a quarter second at least.
+// upperRunTime returns the upper quartile of run time times slots, in microseconds, but at least 0.25 s.
 func (d *Dispatcher) upperRunTime() float64 { return max(d.slotTimes.value, second/4) }
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -2,34 +2,35 @@
 
 import "dahliaford/internal/bucketqueue"
 
-// The index of a large subset: which workers selectWorker weighs for a job, and what it need not scan for.
-// What a worker costs is for placement.go to say. docs/design-choice.md has the reasons.
+// The index of a large subset lets selectWorker examine a few workers for a job instead of all of them.
+// placement.go computes the cost of a worker. docs/design-choice.md has the reasons for this design.
 
 const (
-	maxScannedSubset  = 64 // workers up to which the subset is scanned: that costs no more than the index
-	shortlistPerGroup = 8  // workers of a group that are weighed for a job
-	shortlistTotal    = 32 // the same of all groups together, two of each at least
-	reindexedPerJob   = 8  // workers whose key is recomputed for a job, in turn
-	keysPerRun        = 16 // keys to the length of a mean run
-	unusableWorkerKey = bucketqueue.Buckets - 1
-	fullWorkerKey     = bucketqueue.Buckets - 2
+	maxScannedSubset  = 64 // largest subset, in workers, that is scanned: up to here the index costs no less
+	shortlistPerGroup = 8  // number of workers of one group that are examined for a job
+	shortlistTotal    = 32 // number of workers of all groups that are examined for a job, but 2 of each at least
+	reindexedPerJob   = 8  // number of workers whose key is computed again for each job, in rotation
+	keysPerRun        = 16 // number of keys by which two workers differ whose costs are one mean run apart
+
+	unusableWorkerKey = bucketqueue.Buckets - 1 // key of the workers that must not be given work
+	fullWorkerKey     = bucketqueue.Buckets - 2 // key of the usable workers without a free slot
 )
 
-// index holds the subset by group, in order of what a mean job would cost there when last computed.
+// index holds the workers of the subset by group, sorted by the cost of a mean job when last computed.
 type index struct {
 	queues       []*groupQueue
 	byGroup      map[groupKey]*groupQueue
-	members      []*worker // the subset that it was made for
-	meanWork     float64   // of recent jobs
-	stale        bool      // the subset may have changed
-	version      uint64    // counts the changes
-	nextMember   int       // whose key is recomputed next
-	dirty        []*worker // those to which something happened
-	nodeBuffer   []*bucketqueue.Node[*worker]
-	workerBuffer []*worker
+	members      []*worker                    // subset for which the index was built
+	meanWork     float64                      // moving mean of the work of recent jobs, in microseconds
+	stale        bool                         // the subset may have changed since the index was built
+	version      uint64                       // number of times that the index was built
+	nextMember   int                          // index in members of the last worker reindexed in rotation
+	dirty        []*worker                    // workers that changed since their key was computed
+	nodeBuffer   []*bucketqueue.Node[*worker] // buffer of appendSmallest, reused to save allocations
+	workerBuffer []*worker                    // latest shortlist; its memory is reused
 }
 
-// groupQueue is the members of one group, by index key.
+// groupQueue holds the workers of one group by index key.
 type groupQueue struct {
 	bucketqueue.Queue[*worker]
 	key groupKey
@@ -38,7 +39,7 @@
 // largeSubset reports whether the subset is too large to be scanned for every job.
 func (d *Dispatcher) largeSubset() bool { return len(d.subset) > d.scanLimit }
 
-// invalidateIndex takes note that the list has changed.
+// invalidateIndex marks as outdated what was computed from the worker list, after a change of the list.
 func (d *Dispatcher) invalidateIndex() {
 	d.fastestWorker, d.dedupGroups = nil, [ScopeCell + 1]map[int][]*worker{}
 	if d.index != nil {
@@ -46,7 +47,7 @@
 	}
 }
 
-// markDirty takes note that something happened to a worker.
+// markDirty marks a worker whose index key may have changed, so that the key is computed again.
 func (d *Dispatcher) markDirty(w *worker) {
 	if x := d.index; x != nil && !w.dirty {
 		w.dirty = true
@@ -54,7 +55,8 @@
 	}
 }
 
-// currentIndex returns the index of a large subset as it is now.
+// currentIndex returns the index of a large subset, and first builds or updates the index if the subset may
+// have changed.
 func (d *Dispatcher) currentIndex() *index {
 	if d.index == nil {
 		d.index = &index{byGroup: map[groupKey]*groupQueue{}, stale: true, meanWork: d.upperRunTime()}
@@ -89,6 +91,7 @@
 	return x
 }
 
+// dropEmptyQueues removes the queues of groups that have no worker in the subset any more.
 func (x *index) dropEmptyQueues() {
 	remaining := x.queues[:0]
 	for _, s := range x.queues {
@@ -102,8 +105,8 @@
 	x.queues = remaining
 }
 
-// indexKey is the key of a worker: what a mean job would cost there, less what its whole group has in
-// common. It decides nothing but which workers selectWorker examines first.
+// indexKey computes the key of a worker: the cost of a mean job there, without the part of the cost that all
+// workers of the group share. The key only determines which workers selectWorker examines first.
 func (d *Dispatcher) indexKey(w *worker) int {
 	if !d.usable(w) || d.slowStartSince(w) != 0 && !w.unreachable && !d.isSlowStartOwner(w) {
 		return unusableWorkerKey
@@ -114,14 +117,14 @@
 	}
 	load := 1 + fullLoadCostRuns*inUse/max(1, limit) + w.placementBias
 	runs := d.typicalSpeed(w) / d.speed(w) * load
-	if d.largeFleetWithoutGossip() { // against waits and distance it matters how long a run is
+	if d.largeFleetWithoutGossip() { // the length of a run counts, as waits and distance add to the cost
 		own := d.index.meanWork/d.speed(w)*load + d.expectedWait(w) - d.groupOf(w).expectedWait
 		runs = own/d.upperRunTime() + d.ringDistance(d.position, w)/d.ringCoverage*choiceDistanceRuns
 	}
 	return int(min(max(runs*keysPerRun, 0), fullWorkerKey-1))
 }
 
-// reindex puts a member where it belongs by now.
+// reindex computes the key of an indexed worker again and moves the worker to that key.
 func (x *index) reindex(d *Dispatcher, w *worker) {
 	if s := w.indexNode.Queue(); s != nil {
 		d.workersExamined++
@@ -129,8 +132,8 @@
 	}
 }
 
-// shortlist lists some workers that likely cost a job least: a few of each group that may run it, the
-// first of its queue. Old keys are corrected as they come up.
+// shortlist returns workers that likely cost a job least: the first few in the queue of each group that may
+// run the job. It also updates outdated keys of the workers that it meets.
 func (d *Dispatcher) shortlist(j *job) []*worker {
 	x := d.currentIndex()
 	x.meanWork += (j.work - x.meanWork) / 32
@@ -150,7 +153,7 @@
 		if kind >= 0 && kind != s.key.kind {
 			continue
 		}
-		limit := shortlistPerGroup // of the own zone, where the others cost more
+		limit := shortlistPerGroup // the full number for the own zone if other zones cost more
 		if s.key.zone != d.settings.Zone || d.settings.CrossZonePrice == 0 {
 			limit = max(2, min(shortlistPerGroup, shortlistTotal/len(x.queues)))
 		}
@@ -159,10 +162,10 @@
 	return x.workerBuffer
 }
 
-// appendSmallest appends to the workers that are listed the first of a queue, up to a limit, and corrects
-// their keys.
+// appendSmallest appends the first workers of a queue, up to a limit, to the shortlist and computes their
+// keys again.
 func (x *index) appendSmallest(d *Dispatcher, s *groupQueue, limit int) {
-	for range 3 { // those that were corrected may make room for better ones
+	for range 3 { // a worker whose key grew may make room for a better worker
 		moved := false
 		x.nodeBuffer = s.Smallest(x.nodeBuffer[:0], limit, fullWorkerKey-1, uint(d.eventCount))
 		for _, n := range x.nodeBuffer {
--- a/internal/dispatch/ordering.go
+++ b/internal/dispatch/ordering.go
@@ -5,30 +5,32 @@
 	"slices"
 )
 
-// The worker list as an index: what it costs to maintain goes by what changes, not by the size of the
-// fleet. docs/design-list.md has the ways that were weighed. Nothing here decides.
+// This file keeps the worker list sorted. The cost of an update grows with the number of changed workers,
+// not with the size of the fleet. docs/design-list.md compares the alternatives. This file makes no dispatch
+// decisions.
 
-// sortKey is where a worker stands in the list: its order and its position on the ring depend on it.
+// sortKey has the parts of a worker's entry that determine its order in the list and its place on the ring.
 type sortKey struct {
 	zone, kind int
 	ready      bool
 }
 
+// sortKeyOf returns the sort key of an entry.
 func sortKeyOf(e *WorkerEntry) sortKey { return sortKey{e.Zone, e.Kind, e.Status == Ready} }
 
-// compareWorkers orders workers by zone, kind and number, as of the last updateSubset.
+// compareWorkers orders workers by zone, kind and number, with zone and kind as of the last updateSubset.
 func compareWorkers(a, b *worker) int {
 	return cmp.Or(cmp.Compare(a.sortKey.zone, b.sortKey.zone), cmp.Compare(a.sortKey.kind, b.sortKey.kind),
 		cmp.Compare(a.entry.Worker, b.entry.Worker))
 }
 
-// insertSorted puts a worker into a list by sort key.
+// insertSorted inserts a worker into a list that is sorted by compareWorkers.
 func insertSorted(list []*worker, w *worker) []*worker {
 	i, _ := slices.BinarySearchFunc(list, w, compareWorkers)
 	return slices.Insert(list, i, w)
 }
 
-// removeSorted takes a worker out of a list by sort key.
+// removeSorted removes a worker from a list that is sorted by compareWorkers.
 func removeSorted(list []*worker, w *worker) []*worker {
 	if i, found := slices.BinarySearchFunc(list, w, compareWorkers); found {
 		return slices.Delete(list, i, i+1)
@@ -36,12 +38,12 @@
 	return list
 }
 
-// reorder brings the order and the ring in line with the entries of workers that an update named.
+// reorder updates the sorted lists, the ring and the subset for the workers that an update named.
 func (d *Dispatcher) reorder(updated []*worker) {
 	moved := updated[:0]
 	for _, w := range updated {
 		if (!w.inOrder || w.sortKey != sortKeyOf(&w.entry)) && d.workers[w.entry.Worker] == w {
-			d.workerRingPosition(w) // who is ready no more keeps the position that it had
+			d.workerRingPosition(w) // computes the position that a worker keeps when it is no longer ready
 			moved = append(moved, w)
 		}
 	}
@@ -59,7 +61,7 @@
 	for _, w := range moved {
 		w.sortKey = sortKeyOf(&w.entry)
 	}
-	slices.SortFunc(moved, compareWorkers) // each goes behind the last: a first list is not moved about
+	slices.SortFunc(moved, compareWorkers) // so that the first list is built by appending, without moves
 	for _, w := range moved {
 		if !w.inOrder {
 			d.ordered, w.inOrder = insertSorted(d.ordered, w), true
@@ -78,8 +80,9 @@
 	}
 }
 
-// setCovered marks whether the interval has a worker. One that it lacks may be in the subset all the
-// same while it is in slow start: updateSubset looks at those that this dispatcher owns by number.
+// setCovered records whether this dispatcher's interval of the ring covers a worker, and updates the subset.
+// A worker outside the interval that this dispatcher owns by number goes to ownedNotCovered instead:
+// updateSubset keeps such a worker in the subset while the worker is in slow start.
 func (d *Dispatcher) setCovered(w *worker, in bool) {
 	w.covered = in
 	switch {
@@ -93,7 +96,7 @@
 	}
 }
 
-// setInSubset takes a worker into this dispatcher's subset, or out of it.
+// setInSubset adds a worker to this dispatcher's subset, or removes the worker from the subset.
 func (d *Dispatcher) setInSubset(w *worker, in bool) {
 	if w.inSubset == in {
 		return
@@ -105,7 +108,8 @@
 	}
 }
 
-// workerRingPosition is the position of a worker on the ring: by its rank while it is ready, else its last.
+// workerRingPosition returns a worker's position on the ring, from 0 to 1. A ready worker has a position by
+// its rank among the ready workers of its zone and kind; another worker keeps its last position.
 func (d *Dispatcher) workerRingPosition(w *worker) float64 {
 	if w.ringGroup != nil && w.ringVersion != w.ringGroup.Generation() {
 		w.ringPosition, w.ringVersion = w.ringGroup.Position(uint32(w.entry.Worker)), w.ringGroup.Generation()
@@ -113,14 +117,15 @@
 	return w.ringPosition
 }
 
-// removedWorker is a worker that the list has had removed since then, if it still has.
+// removedWorker records when the list first had a worker as removed. The record is void if the worker was
+// listed again since then.
 type removedWorker struct {
 	worker *worker
-	since  Micros
+	since  Micros // time of the removal
 }
 
-// forgetRemoved notes which of those that an update named are removed, and drops those that have long
-// been so.
+// forgetRemoved records which workers of an update are removed, and deletes the workers that have been
+// removed for longer than RemovedRetention.
 func (d *Dispatcher) forgetRemoved(updated []*worker) {
 	for _, w := range updated {
 		if w.entry.Status != Removed {
@@ -142,7 +147,7 @@
 			break
 		}
 		switch {
-		case w.removedAt != g.since || d.workers[w.entry.Worker] != w: // it came back since, or is dropped
+		case w.removedAt != g.since || d.workers[w.entry.Worker] != w: // the worker was listed again, or deleted
 		case len(w.attempts) > 0 || w.gossipQueued:
 			remaining = append(remaining, g)
 		default:
--- a/internal/dispatch/polling.go
+++ b/internal/dispatch/polling.go
@@ -2,17 +2,19 @@
 
 import "math"
 
-// When the worker list is polled, and how long what it said holds. Nothing here decides.
+// This file computes when the worker list is polled and how long an update of the list stays valid. It makes
+// no dispatch decisions.
 
 const (
-	pollServiceTime   = 50 * second / 1000 // what a poll costs the list's service, about
-	fastPollRetries   = 3                  // failed ones in a row after which the backoff grows
-	pollBackoffGrowth = 1.5                // by how much, each time, to twice its length at most
+	pollServiceTime   = 50 * second / 1000 // approximate time that the discovery service spends on one poll
+	fastPollRetries   = 3                  // number of consecutive failed polls after which the backoff grows
+	pollBackoffGrowth = 1.5                // factor of the growth per failed poll, up to twice the backoff
 )
 
-// pollJitter is a random wait before the list is polled, so that not all poll at once: calls that wait
-// too long there fail, and cost it as much. While the last update holds there is time until then, less
-// what a call may take. Otherwise nothing can be sent, and it is short.
+// pollJitter returns a random wait before a poll of the worker list. The wait keeps the dispatchers from
+// polling all at once: a call that waits too long at the discovery service fails, and costs the service as
+// much as a successful call. While the last update is valid, the wait may last until 1 s, the time for the
+// call, before the update becomes stale. When no update is valid, nothing can be sent, so the wait is short.
 func (d *Dispatcher) pollJitter() Micros {
 	if !d.settings.LargeFleet() || d.settings.UnmeteredPolls {
 		return 0
@@ -23,10 +25,12 @@
 	return Micros(d.random.uniform() * longest)
 }
 
-// pollBackoff is the wait from a poll that failed, or a watch that ended, to the next poll. The first
-// one has the time for which the last update holds. While the service is down the next ones cost it
-// nothing, and as it is back nobody waits there: what counts is how soon each polls then. Only after
-// several failures in a row may it be that there are more polls than it can work through.
+// pollBackoff returns the wait from a failed poll, or from the end of a watch, to the next poll. The wait
+// after the first failure may last as long as the last update is valid. Further polls cost a discovery
+// service nothing while the service is down, and the service has no queue when it returns. The wait after
+// further failures is therefore short, so that each dispatcher polls soon after the return of the service.
+// Several consecutive failures may mean that the service receives more polls than it can answer, so the
+// wait grows after fastPollRetries failures.
 func (d *Dispatcher) pollBackoff() Micros {
 	base := float64(second) / 2 * (1 + d.random.uniform())
 	switch {
@@ -47,9 +51,10 @@
 	return Micros(min(base, longest) * min(growth, 2))
 }
 
-// endpointsStale reports whether any worker may drain without our knowledge (rule 3).
-// A change counts as known MaxStaleness later, so the last update holds so long, and the list that a
-// start knew not at all. That a worker takes jobs proves nothing: one that drains may.
+// endpointsStale reports whether the known worker list is too old to send by. Nothing new may go to a worker
+// that drains or is removed, and a change counts as known MaxStaleness after it happened, received or not. So
+// an update is valid for MaxStaleness, and the list that was cached before a start is not valid at all. An
+// accepted job does not show that a worker is still ready, because a draining worker may accept jobs.
 func (d *Dispatcher) endpointsStale() bool {
 	return d.settings.PollEndpoints && d.settings.MaxStaleness > 0 &&
 		(d.endpointsAsOf == 0 || d.now-d.endpointsAsOf > d.settings.MaxStaleness)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// The queue of jobs that wait for a worker. Nothing here decides.
+// This file has the queue of jobs that wait for a worker. It makes no dispatch decisions.
 
-// compareJobs orders queued jobs: by latest start, then by arrival.
+// compareJobs orders queued jobs by latest start, then by arrival.
 func compareJobs(a, b *job) int {
 	return cmp.Or(cmp.Compare(a.latestStart, b.latestStart), cmp.Compare(a.seq, b.seq))
 }
 
-// enqueue puts a job into the queue: on time by latest start, late ones behind.
+// enqueue inserts a job into the queue: jobs on time by latest start, and late jobs by deadline behind them.
 func (d *Dispatcher) enqueue(j *job) {
 	j.latestStart = j.objective - Micros(j.work/d.fleetSpeed())
 	if j.late {
@@ -23,7 +23,7 @@
 	j.queued = true
 }
 
-// dequeue takes a job out of the queue.
+// dequeue removes a job from the queue if the job is queued.
 func (d *Dispatcher) dequeue(j *job) {
 	if !j.queued {
 		return
@@ -35,12 +35,13 @@
 	j.queued = false
 }
 
-// queuedWithin is the paper's N(t): queued jobs whose latest start is within t, late ones among them.
+// queuedWithin counts the queued jobs whose latest start is at most t from now, and all late jobs. The
+// published overload control calls this number N(t).
 func (d *Dispatcher) queuedWithin(t Micros) int {
 	return d.queuedBefore(d.now+t+1) + len(d.queue) - d.queuedBefore(lateOffset)
 }
 
-// queuedBefore counts the queued jobs at the front whose latest start is before a time.
+// queuedBefore counts the queued jobs whose latest start is before a time.
 func (d *Dispatcher) queuedBefore(limit Micros) int {
 	n, _ := slices.BinarySearchFunc(d.queue, limit, func(j *job, limit Micros) int {
 		return cmp.Compare(j.latestStart, limit)
@@ -48,7 +49,7 @@
 	return n
 }
 
-// countConsecutive counts how often in a row something has been true.
+// countConsecutive returns the next value of a count of consecutive events for which a condition holds.
 func countConsecutive(n int, holds bool) int {
 	if holds {
 		return n + 1
--- a/internal/dispatch/random.go
+++ b/internal/dispatch/random.go
@@ -1,9 +1,9 @@
 package dispatch
 
-// random is a pseudo-random source (splitmix64).
+// random is the state of a pseudo-random number generator (splitmix64).
 type random uint64
 
-// uniform returns a number in [0, 1).
+// uniform returns the next random number in [0, 1).
 func (r *random) uniform() float64 {
 	*r += 0x9e3779b97f4a7c15
 	z := uint64(*r)
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -5,121 +5,123 @@
 	"dahliaford/internal/subset"
 )
 
-// The records that the module keeps of jobs, attempts, workers and peers. Nothing here decides.
+// This file has the records of jobs, attempts, workers and peers. It makes no dispatch decisions.
 
 // attempt is one try of a job at a worker.
 type attempt struct {
 	job            *job
 	worker         *worker
-	number         int // within the job, from 0
-	sentAt         Micros
-	startedAt      Micros  // 0: not known to have started
-	accountedUntil Micros  // up to when its run went into the speed estimates
-	progress       float64 // the fraction of its work that did
-	inFlight       bool
-	mayHaveRun     bool
-	handedBack     bool    // its worker may report that again, as if of a next attempt there
-	slotsAtSend    float64 // slots of its worker in use, with its own, as known when it left
-	startOverdue   bool    // its start notice did not come in time
+	number         int     // number of the attempt within its job, from 0
+	sentAt         Micros  // time of the Send action
+	startedAt      Micros  // time of the reported or inferred start; 0 if no start is known
+	accountedUntil Micros  // end of the part of the run that the speed estimates already include
+	progress       float64 // fraction of the job's work, 0 to 1, that the speed estimates already include
+	inFlight       bool    // the attempt was sent and its end is not known
+	mayHaveRun     bool    // the attempt ended with an outcome after which the job may have run
+	handedBack     bool    // the worker handed the job back and may repeat this report for a later attempt
+	slotsAtSend    float64 // known slots in use at the worker just after the send, this attempt's included
+	startOverdue   bool    // no start was reported within startReportTimeout
 }
 
 // job is a job that has no final answer, or has attempts in flight.
 type job struct {
 	id            JobID
 	class, tenant int
-	overQuota     bool   // beyond its tenant's quota
-	deadline      Micros // the client abandons this try
-	objective     Micros // an answer earns the full weight until then
-	latestStart   Micros // to meet the objective: the order of release
-	seq           uint64
-	work          float64 // expected, in microseconds on a standard core
-	slots         float64
-	attempts      []*attempt
-	inFlight      int // attempts
-	queued        bool
-	late          bool // it cannot meet its objective: behind all that can
-	hinted        bool // the client stated the work
-	streaming     bool
-	finished      bool
+	overQuota     bool       // the job arrived when its tenant had used up its quota
+	deadline      Micros     // time when the client abandons this try
+	objective     Micros     // time until which an answer earns the full weight
+	latestStart   Micros     // latest start that meets the objective; the queue is sorted by this time
+	seq           uint64     // arrival number of the job in this dispatcher, from 1
+	work          float64    // expected work, in microseconds on a standard core
+	slots         float64    // worker slots that the job takes while in flight
+	attempts      []*attempt // all attempts so far, by number
+	inFlight      int        // number of attempts in flight
+	queued        bool       // the job is in the queue
+	late          bool       // the job cannot meet its objective and is queued behind all jobs that can
+	hinted        bool       // the client stated the work
+	streaming     bool       // the answer has begun to stream to the client
+	finished      bool       // the job has its final answer, or its client has disconnected
 }
 
-// worker is what is known of a worker of the list.
+// worker holds what the dispatcher knows of a worker of the list.
 type worker struct {
-	// What an update of the worker list touches stands together, in few cache lines.
-	entry      WorkerEntry
-	kind       *kind   // of its machine; nil: not looked up yet
-	group      *group  // of its zone and kind; nil: not looked up yet
-	sortKey    sortKey // as of the last updateSubset
-	inOrder    bool    // it is in the order
-	covered    bool    // by this dispatcher's interval of the ring
-	inSubset   bool
-	lastUpdate uint64 // the last update that named it
-	removedAt  Micros // since when the list has it removed; 0: it has not
-
-	ringPosition float64                // see workerRingPosition
-	ringVersion  uint64                 // the generation of its ring group when that was computed; 0: never
-	ringGroup    *subset.Group[*worker] // the ready ones of its zone and kind; nil: it is not ready
-
-	attempts          []*attempt // in flight
-	ownSlots          float64    // of own attempts in flight
-	unstartedAttempts int        // of them
-
-	slotLimit          float64                           // slots this dispatcher may fill
-	slotLimitAt        Micros                            // when something last spoke against a larger limit
-	reportedSlots      float64                           // that its reports add up to; 0: not known
-	blockedUntil       Micros                            // nothing before this: it was at capacity
-	startCountsBySlots *[maxTrackedSlots + 1]startCounts // by slots in use; nil: none of our jobs showed any yet
-	speed              speedEstimate
-	startWait          waitEstimate
-
-	lastSeen            Micros // last sign of life
-	suspect             bool
-	inSuspects          bool   // it is among those that may be outliers
-	suspectRetryAt      Micros // when a suspect may be tried again
-	consecutiveFailures int
-	errorRate           float64 // recent, when errorRateAt
-	errorRateAt         Micros
-	unreachable         bool // connects fail: in slow start when it is back
-	ejectedUntil        Micros
-
-	inferredStart     Micros  // when it came back after failed connects; 0: it did not
-	slowStartBudget   float64 // work that may go there now, while it is in slow start
-	slowStartBudgetAt Micros  // when that was so; 0: never computed
-
-	peerUses     []peerUse // what other dispatchers say that they have there
-	lastGossiped slotUse   // what peers were sent last
-	gossipQueued bool      // what they were sent may be out of date
-
-	placementBias float64 // small own preference, so that dispatchers spread
+	// The fields that each update of the worker list touches come first, to share a few cache lines.
+	entry      WorkerEntry // latest entry of the worker list
+	kind       *kind       // estimates for the worker's machine kind; nil if not looked up yet
+	group      *group      // wait estimates for the worker's zone and kind; nil if not looked up yet
+	sortKey    sortKey     // sort key as of the last updateSubset
+	inOrder    bool        // the worker is in the list workerState.ordered
+	covered    bool        // this dispatcher's interval of the ring covers the worker
+	inSubset   bool        // the worker is in this dispatcher's subset
+	lastUpdate uint64      // number of the last list update that named the worker
+	removedAt  Micros      // time when the list first had the worker as removed; 0 if the list has not
+
+	ringPosition float64                // position on the ring, see workerRingPosition
+	ringVersion  uint64                 // generation of ringGroup for which ringPosition was computed; 0 if none
+	ringGroup    *subset.Group[*worker] // ready workers of the same zone and kind; nil while not ready
+
+	attempts          []*attempt // own attempts in flight at the worker
+	ownSlots          float64    // slots that these attempts take
+	unstartedAttempts int        // number of these attempts without a known start
+
+	slotLimit          float64                           // slots that may be filled if no starts are reported
+	slotLimitAt        Micros                            // time of the last evidence for slotLimit, see mayProbe
+	reportedSlots      float64                           // mean of reported free and outstanding; 0 if unknown
+	blockedUntil       Micros                            // time until which nothing is sent, set by AtCapacity
+	startCountsBySlots *[maxTrackedSlots + 1]startCounts // by slots in use; nil while no own job showed any
+	speed              speedEstimate                     // speed in this dispatcher's own runs
+	startWait          waitEstimate                      // waits of own jobs before their start
+
+	lastSeen            Micros  // time of the last sign of life, see markAlive
+	suspect             bool    // the worker has work and was silent for longer than silenceTimeout
+	inSuspects          bool    // the worker is in the list outlierState.suspects
+	suspectRetryAt      Micros  // time from which a suspect worker may be sent one job
+	consecutiveFailures int     // number of consecutive failed attempts, see recordOutcome and eject
+	errorRate           float64 // decayed fraction of outcomes that are errors, 0 to 1, at errorRateAt
+	errorRateAt         Micros  // time of the last update of errorRate
+	unreachable         bool    // connects fail; the worker counts as in slow start when it answers again
+	ejectedUntil        Micros  // time when the ejection ends; 0 if the worker never was ejected
+
+	inferredStart     Micros  // time of the first answer after failed connects; 0 if there was none
+	slowStartBudget   float64 // work in microseconds that may be sent during slow start, at slowStartBudgetAt
+	slowStartBudgetAt Micros  // time of the last refill of slowStartBudget; 0 if never computed
+
+	peerUses     []peerUse // slot use at the worker by each other dispatcher, from gossip
+	lastGossiped slotUse   // slot use that was last sent to the peers
+	gossipQueued bool      // the worker is in gossipQueue: lastGossiped may be out of date
+
+	placementBias float64 // random addition to the cost, in runs, by which dispatchers prefer different workers
 	indexNode     bucketqueue.Node[*worker]
-	indexVersion  uint64 // the last version of the index that had it
-	dirty         bool   // its index key has to be recomputed
+	indexVersion  uint64 // last version of the index that contained the worker
+	dirty         bool   // the worker's index key has to be computed again
 }
 
-// slotUse is what a dispatcher has at a worker: slots in use and slots of jobs that wait.
-type slotUse struct{ used, waiting byte }
+// slotUse is a dispatcher's use of a worker, in slots.
+type slotUse struct {
+	used, waiting byte // slots of all jobs in flight, and slots of those jobs that wait for their start
+}
 
-// peerUse is what a peer said of its use of a worker.
+// peerUse is a peer's use of a worker as the peer last reported it.
 type peerUse struct {
 	slotUse
-	peer          int
-	updatedAt     Micros
-	increasedAt   Micros // when its last job left for the worker
-	arrivingSlots byte   // slots that came then
-	waitingSince  Micros // since when one of its jobs there waits; 0: none does
+	peer          int    // number of the peer
+	updatedAt     Micros // time of the last report
+	increasedAt   Micros // time of the last report with more slots in use than the report before
+	arrivingSlots byte   // number of slots by which the use grew at increasedAt
+	waitingSince  Micros // time since which the reports contain waiting slots; 0 if the last one has none
 }
 
-// peer is what is known of another dispatcher.
+// peer holds what the dispatcher knows of another dispatcher.
 type peer struct {
-	position      float64 // on the ring, see updateSubset
-	zone          int     // unknownZone until it says so
-	crossedZoneAt Micros  // when it last sent to a worker of another zone
+	position      float64 // position on the ring, see dispatcherRingPosition
+	zone          int     // zone of the peer; unknownZone until the peer's first gossip message
+	crossedZoneAt Micros  // time of the peer's last report of a worker in another zone than its own
 }
 
 const unknownZone = -1
 
-// flow is one tenant's jobs of one class, within or over its quota.
+// flow is the jobs of one tenant and one class that are within the tenant's quota, or those over the quota.
 type flow struct {
-	rate                float64 // the paper's d, jobs a second
-	lastGappingInterval int64   // the last gapping interval that passed a job
+	rate                float64 // guaranteed rate in jobs per second (d in the published overload control)
+	lastGappingInterval int64   // number of the last gapping interval in which a job passed; -1 if none
 }
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -6,20 +6,20 @@
 	"dahliaford/internal/subset"
 )
 
-// The state of a Dispatcher. Nothing here decides.
+// This file has the state of a Dispatcher. It makes no dispatch decisions.
 
 // Dispatcher makes the decisions of one dispatcher. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings  Settings
-	now       Micros
-	startedAt Micros
-	actions   []Action // those that the present event calls for
-	random    random
+	now       Micros   // time of the current event
+	startedAt Micros   // time of the Started event
+	actions   []Action // actions of the current event, appended to the slice that the caller of Step passed
+	random    random   // source of all random draws
 
-	eventCount uint64 // events so far: marks what holds for one of them
-	timerToken uint64 // of the timer that is set
-	timerDueAt Micros // when it fires; 0: none is set
-	loggedAt   Micros
+	eventCount uint64 // number of events so far; marks values that are valid during one event only
+	timerToken uint64 // token of the latest timer; a timer event with another token is ignored
+	timerDueAt Micros // time when the pending timer fires; 0 if no timer is pending
+	loggedAt   Micros // time of the last log action; 0 if there was none
 
 	jobState
 	workerState
@@ -30,100 +30,105 @@
 	outlierState
 }
 
-// jobState is the jobs that the module keeps.
+// jobState holds the jobs that have no final answer or have attempts in flight.
 type jobState struct {
-	seq         uint64 // jobs so far
-	jobs        map[JobID]*job
-	queue       []*job  // on time by latest start, then the late ones by deadline
-	retryBudget float64 // further attempts that may be made
+	seq         uint64         // number of jobs that arrived so far
+	jobs        map[JobID]*job // all jobs that the dispatcher keeps
+	queue       []*job         // queued jobs, see compareJobs: on-time jobs first, then late jobs
+	retryBudget float64        // number of further attempts that may be made now, see retryBudgetPerJob
 }
 
-// workerState is the workers, in the orders and subsets that are kept of them.
+// workerState holds the known workers and the ordered lists and subsets of these workers.
 type workerState struct {
 	workers         map[WorkerID]*worker
-	ordered         []*worker // by sort key, the removed ones among them
-	subset          []*worker // those that are this dispatcher's own, by sort key, see updateSubset
-	ring            subset.Ring[*worker]
-	ownedNotCovered []*worker // ready ones that it owns by number and the interval lacks, by sort key
-	removed         []removedWorker
-	busy            []*worker // those with attempts in flight
-	gossipQueue     []*worker // those whose use may have to be reported to peers
-
-	position     float64 // of this dispatcher on the ring
-	ringCoverage float64 // the part of the ring that a dispatcher covers
-	neighbours   []int   // peers whose intervals overlap this one's
-	peers        []peer  // the dispatchers, by number
+	ordered         []*worker            // all known workers by sort key, removed workers included
+	subset          []*worker            // workers that this dispatcher sends to, by sort key, see updateSubset
+	ring            subset.Ring[*worker] // ready workers by position on the ring
+	ownedNotCovered []*worker            // ready workers owned by number but outside the interval, by sort key
+	removed         []removedWorker      // workers that the list has as removed, earliest removal first
+	busy            []*worker            // workers with own attempts in flight
+	gossipQueue     []*worker            // workers whose slot use may have to be reported to peers
+
+	position     float64 // this dispatcher's position on the ring, from 0 to 1
+	ringCoverage float64 // fraction of the ring that each dispatcher's interval covers
+	neighbours   []int   // numbers of the dispatchers whose intervals overlap this dispatcher's interval
+	peers        []peer  // all dispatchers, by number
 }
 
-// endpointState is what is known of the worker list itself.
+// endpointState describes the worker list itself: its updates and its age.
 type endpointState struct {
-	updatedBuffer []*worker // named by the present update: kept for its memory
-	updateCount   uint64    // updates of the list so far
-	pollAt        Micros    // when the list is polled next; 0: never
-	pollFailures  int       // in a row
-	endpointsAsOf Micros    // when discovery last said what there is, or nothing new; 0: never
+	updatedBuffer []*worker // buffer for the workers that an update names; reused to save allocations
+	updateCount   uint64    // number of updates of the worker list so far
+	pollAt        Micros    // time of the next poll of the worker list; 0 if the list is not polled
+	pollFailures  int       // number of consecutive failed polls
+	endpointsAsOf Micros    // latest time for which discovery vouched for the known list; 0 if it never did
 }
 
-// estimateState is what was learned of the fleet and the jobs.
+// estimateState holds what the dispatcher has learned about the fleet and the jobs.
 type estimateState struct {
-	classes         []classState
-	kinds           map[int]*kind
-	groups          map[groupKey]*group
-	slotTimes       quantileWindow // run time x slots of all jobs
-	fleetEstimate   speedEstimate
-	cachedBestSpeed float64 // fastest speed in this event; 0: not computed yet
-	fastestWorker   *worker // that had it when last computed
-	meanJobValue    float64 // of a job
-	hintsSeen       bool    // jobs come with cost hints
+	classes         []classState        // estimates for each class, by class number
+	kinds           map[int]*kind       // estimates for each machine kind, by kind number
+	groups          map[groupKey]*group // wait estimates for each pair of zone and kind
+	slotTimes       quantileWindow      // run time in microseconds times slots, over the jobs of all classes
+	fleetEstimate   speedEstimate       // speed of all workers together
+	cachedBestSpeed float64             // result of bestSpeed in the current event; 0 if not computed yet
+	fastestWorker   *worker             // worker with the best speed in the last search; nil if not known
+	meanJobValue    float64             // running mean of the value of a job, see value
+	hintsSeen       bool                // at least one job arrived with a hint of its work
 }
 
-// admissionState is the gate's.
+// admissionState is the state of the admission control: quotas, overload level and call gapping.
 type admissionState struct {
-	quotaTokens     []float64 // by tenant
-	quotaRefilledAt []Micros
+	quotaTokens     []float64 // for each tenant: number of jobs that may arrive now within its quota
+	quotaRefilledAt []Micros  // for each tenant: time of the last refill of its quotaTokens
 
 	level       overloadLevel
-	gappedRanks int // ranks below this are gapped
-
-	consecutiveSevere, consecutiveOverload, consecutiveNormal int // assessments in a row
-
-	gappingSteppedAt      Micros
-	gappingStepInterval   Micros // X: how long gapping stays on a step
-	flows                 []flow // (tenant, class, over quota)
-	ranks                 []int  // (class, over quota): 0 is shed first
-	rankCount             int
-	parametersRefreshedAt Micros
-	parameterRefreshes    int
-	classesByWaitTarget   []int // classes by T_k
+	gappedRanks int // number of ranks that are gapped now: all ranks below this number
+
+	// Numbers of consecutive overload assessments: with result levelSevere, with result levelOverload or
+	// levelSevere, and with result levelNormal.
+	consecutiveSevere, consecutiveOverload, consecutiveNormal int
+
+	gappingSteppedAt      Micros // time of the last change of gappedRanks or of the overload level
+	gappingStepInterval   Micros // time between two steps of gappedRanks (X in the published overload control)
+	flows                 []flow // by (tenant, class, within or over quota), in the order admits computes
+	ranks                 []int  // rank for each (class, within or over quota); rank 0 is gapped first
+	rankCount             int    // number of distinct ranks
+	parametersRefreshedAt Micros // time of the last call of refreshAdmissionParameters
+	parameterRefreshes    int    // number of calls of refreshAdmissionParameters so far
+	classesByWaitTarget   []int  // class numbers by ascending wait target
 }
 
-// placementState is what selectWorker keeps.
+// placementState is the state of selectWorker.
 type placementState struct {
-	scanLimit        int    // workers up to which a subset is scanned: maxScannedSubset
-	index            *index // of a large subset; nil: not needed yet
-	workersExamined  uint64 // for jobs
-	freeCapacitySeen bool   // one of those examined has capacity for one more slot
-	noCapacityEvent  uint64 // the event in which none of the subset has
-	dedupGroups      [ScopeCell + 1]map[int][]*worker
+	scanLimit        int    // largest subset, in workers, that is scanned for each job: maxScannedSubset
+	index            *index // index of a large subset; nil until it is first needed
+	workersExamined  uint64 // number of times that a worker's cost or index key was computed, over all jobs
+	freeCapacitySeen bool   // a worker examined in the current scan has a free slot or may be probed
+	noCapacityEvent  uint64 // eventCount at the last scan in which no worker of the subset had capacity
+
+	// Workers in list order by scope and by the number of the zone or cell. The map of a scope is nil until
+	// a job needs the map.
+	dedupGroups [ScopeCell + 1]map[int][]*worker
 }
 
-// outlierState is what outlier detection keeps.
+// outlierState is the state of outlier detection.
 type outlierState struct {
-	panicMode     bool       // too many outliers: all workers are used
-	suspects      []*worker  // those that may be suspect or ejected
-	overdueStarts []*attempt // in flight, not begun
+	panicMode     bool       // too many workers of the subset are outliers, so all workers are used
+	suspects      []*worker  // workers that may be suspect or ejected, see countOutliers
+	overdueStarts []*attempt // attempts in flight whose report of the start is overdue
 
-	sortedOverdueStarts      []*attempt // the same in order, in the event sortedOverdueStartsEvent
-	sortedOverdueStartsEvent uint64
+	sortedOverdueStarts      []*attempt // overdueStarts in the order of the busy workers
+	sortedOverdueStartsEvent uint64     // eventCount when sortedOverdueStarts was built
 
-	failingWorkers struct { // workers of the subset that fail jobs, in an event
-		event uint64
-		count float64
+	failingWorkers struct { // count of the subset's workers for which failsJobs holds
+		event uint64  // eventCount when the workers were counted
+		count float64 // number of workers
 	}
 }
 
-// New returns a dispatcher with the given settings. The seed decides every random draw. The error names
-// the setting that makes no sense.
+// New returns a dispatcher with the given settings. The seed determines every random draw. The error names
+// the invalid setting.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
 	if err := validate(&s); err != nil {
 		return nil, err
@@ -156,9 +161,10 @@
 	return d, nil
 }
 
+// emit appends an action to the actions of the current event.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// log emits a log action, at most one every logInterval.
+// log emits a log action unless another one was emitted within the last logInterval.
 func (d *Dispatcher) log(text string) {
 	if d.loggedAt == 0 || d.now-d.loggedAt >= logInterval {
 		d.loggedAt = d.now
@@ -166,7 +172,9 @@
 	}
 }
 
-// armTimer sets the timer for the next inspection: soon while jobs are queued, seldom while some run.
+// armTimer sets the timer for the next poll, inspection or gossip message, whichever is due first. The
+// inspection comes after inspectionInterval while jobs are queued, and after at least an eighth of a second
+// while jobs only run.
 func (d *Dispatcher) armTimer() {
 	next := Micros(math.MaxInt64)
 	if d.pollAt != 0 {
--- a/internal/dispatch/state_form.go
+++ b/internal/dispatch/state_form.go
@@ -8,8 +8,8 @@
 	"dahliaford/internal/fingerprint"
 )
 
-// AppendState appends a form of the state between two events that is the same for two
-// states if they act alike from here on.
+// AppendState appends an encoding of the state between two events. A model checker treats two states with
+// equal encodings as the same state, so the encoding has what later decisions depend on and omits caches.
 func (d *Dispatcher) AppendState(b []byte) []byte {
 	f := fingerprint.Buffer(b)
 	d.appendAdmission(&f)
@@ -29,7 +29,7 @@
 	return f
 }
 
-// appendAdmission appends the counters, the gate's state and what is known of classes and flows.
+// appendAdmission appends the counters, the admission state and the estimates of classes and flows.
 func (d *Dispatcher) appendAdmission(f *fingerprint.Buffer) {
 	f.Ints(int64(d.now), int64(d.startedAt), int64(d.random), int64(d.seq), int64(len(d.jobs)),
 		int64(len(d.queue)))
@@ -58,7 +58,7 @@
 	}
 }
 
-// appendEstimates appends the ranks and what is known of peers, kinds and groups.
+// appendEstimates appends the ranks and the records of peers, machine kinds and groups.
 func (d *Dispatcher) appendEstimates(f *fingerprint.Buffer) {
 	for _, list := range [][]int{d.neighbours, d.ranks, d.classesByWaitTarget} {
 		for _, n := range list {
@@ -82,10 +82,12 @@
 	}
 }
 
+// compareGroupKeys orders group keys by zone, then by kind.
 func compareGroupKeys(a, b groupKey) int {
 	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.kind, b.kind))
 }
 
+// appendWorker appends the record of a worker, and the attempts in flight there by job and number.
 func (d *Dispatcher) appendWorker(f *fingerprint.Buffer, w *worker) {
 	e := &w.entry
 	f.Ints(int64(e.Zone), int64(e.Cell), int64(e.Kind), int64(e.Status), int64(e.Started))
@@ -110,6 +112,7 @@
 	}
 }
 
+// appendJob appends the record of a job and of all its attempts.
 func appendJob(f *fingerprint.Buffer, j *job) {
 	f.Ints(int64(j.id), int64(j.class), int64(j.tenant), int64(j.deadline), int64(j.objective),
 		int64(j.latestStart), int64(j.seq), int64(j.inFlight), int64(len(j.attempts)))
@@ -123,6 +126,7 @@
 	}
 }
 
+// appendStartCounts appends the counts that are not zero, each after its number of slots, and -1 at the end.
 func appendStartCounts(f *fingerprint.Buffer, startCountsBySlots *[maxTrackedSlots + 1]startCounts) {
 	for i := range startCountsBySlots {
 		if startCountsBySlots[i] != (startCounts{}) {
@@ -133,6 +137,7 @@
 	f.Ints(-1)
 }
 
+// appendQuantileWindow appends the number of samples so far, the quantile and the samples that are kept.
 func appendQuantileWindow(f *fingerprint.Buffer, q *quantileWindow) {
 	f.Ints(int64(q.count))
 	f.Floats(q.value)
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Bookkeeping of outlier detection. Nothing here decides.
+// This file keeps the records of outlier detection. It makes no dispatch decisions.
 
-// markSuspect takes note of a worker that may be an outlier.
+// markSuspect adds a worker to the list of workers that may be outliers.
 func (d *Dispatcher) markSuspect(w *worker) {
 	if !w.inSuspects {
 		w.inSuspects = true
@@ -12,8 +12,8 @@
 	}
 }
 
-// countOutliers counts the workers of the subset that are suspect or ejected, and forgets who is
-// neither, or no longer known.
+// countOutliers counts the workers of the subset that are suspect or ejected. It also drops workers that are
+// neither, or no longer known, from the list of suspects.
 func (d *Dispatcher) countOutliers() (n int) {
 	d.suspects = slices.DeleteFunc(d.suspects, func(w *worker) bool {
 		w.inSuspects = (w.suspect || d.now < w.ejectedUntil) && d.workers[w.entry.Worker] == w
@@ -25,7 +25,8 @@
 	return n
 }
 
-// overdueAttempts are the attempts whose start is overdue, in the order of the busy workers.
+// overdueAttempts returns the attempts whose start report is overdue. In a subset that is not large they are
+// in the order of the busy workers.
 func (d *Dispatcher) overdueAttempts() []*attempt {
 	if d.largeSubset() || len(d.overdueStarts) < 2 {
 		return d.overdueStarts
@@ -43,7 +44,7 @@
 	return d.sortedOverdueStarts
 }
 
-// clearOverdue takes note that an attempt began or ended.
+// clearOverdue removes an attempt that started or ended from the list of overdue starts.
 func (d *Dispatcher) clearOverdue(a *attempt) {
 	if a.startOverdue {
 		d.overdueStarts = removeValue(d.overdueStarts, a)
