--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -203,7 +203,7 @@
 	d.fleet.after(outage, func() {
 		d.down, d.busyUntil = false, 0
 		d.table.Publish() // so that no revision from before the restart is the present one
-		d.table.Forget()
+		d.table.DropHistory()
 		d.fleet.tally.published(d.table.Revision(), d.fleet.now, 0)
 		d.publish()
 	})
--- a/internal/endpoints/endpoint.go
+++ b/internal/endpoints/endpoint.go
@@ -1,8 +1,8 @@
-// Package endpoints is a versioned table of workers as a discovery service keeps it, with the messages
-// of a watch on it and their form on the wire. It is made for tests and tools that play the discovery
-// service: one core for a scripted one, for one that serves a simulated fleet on sockets, and for one
-// in virtual time. The scheduler itself does not use it: it has a decoder of its own, so that an error
-// here cannot cancel out one there.
+// Package endpoints is a versioned table of workers as a discovery service keeps it, with the messages of a
+// watch on the table and their encoding on the wire. Tests and tools use the package to take the place of the
+// discovery service: the scripted one, the one that serves a simulated fleet on sockets, and the one in
+// virtual time have this common core. The scheduler does not use the package but has its own decoder, so that
+// an error in the encoding here cannot hide the same error in the scheduler.
 package endpoints
 
 // State says whether a worker may be sent jobs.
@@ -11,17 +11,17 @@
 // The states of an endpoint, as they stand on the wire.
 const (
 	Ready    State = "ready"
-	Draining State = "draining" // it finishes what it has and gets nothing new
-	Removed  State = "gone"     // it is no longer part of the list
+	Draining State = "draining" // the worker finishes the jobs that it has and is sent no new job
+	Removed  State = "gone"     // the worker is no longer part of the list
 )
 
-// Endpoint is the entry of one worker. The names on the wire are the discovery service's.
+// Endpoint is the entry of one worker. The discovery service defines the names of the fields on the wire.
 type Endpoint struct {
-	UID    string `json:"uid"`      // unique in a table
-	Addr   string `json:"endpoint"` // host:port
-	Zone   string `json:"az"`
-	Kind   string `json:"model"`     // of its machine
-	Cell   int    `json:"pod_group"` // workers of one cell deduplicate together
+	UID    string `json:"uid"`       // unique name of the worker in a table
+	Addr   string `json:"endpoint"`  // network address as host:port
+	Zone   string `json:"az"`        // name of the worker's zone
+	Kind   string `json:"model"`     // kind of the worker's machine
+	Cell   int    `json:"pod_group"` // number of the cell, whose workers deduplicate jobs together
 	State  State  `json:"state"`
-	BootMs int64  `json:"boot_ms"` // start of its process in milliseconds of Unix time; 0: long ago
+	BootMs int64  `json:"boot_ms"` // start of the worker's process in ms of Unix time; 0 if not recent
 }
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// text shows a message in short.
-func text(m Message) string {
+// summary returns the kind and revision of a message, and the UID and state of each endpoint.
+func summary(m Message) string {
 	kind := "change"
 	if m.Complete {
 		kind = "full"
@@ -23,15 +23,17 @@
 	return strings.Join(fields, " ")
 }
 
+// expect checks the summary of a message.
 func expect(t *testing.T, m Message, want string) {
 	t.Helper()
-	if got := text(m); got != want {
-		t.Errorf("got %q, want %q", got, want)
+	if got := summary(m); got != want {
+		t.Errorf("summary of the message: got %q, want %q", got, want)
 	}
 }
 
 func endpoint(uid string, state State) Endpoint { return Endpoint{UID: uid, State: state} }
 
+// newTable returns a table with the ready endpoints a, b and c.
 func newTable(maxHistory int) *Table {
 	return NewTable(maxHistory, endpoint("a", Ready), endpoint("b", Ready), endpoint("c", Ready))
 }
@@ -66,12 +68,12 @@
 				t.Error("chunk:", diff)
 			}
 			if got := c.message.IsHeartbeat(); got != (name == "heartbeat") {
-				t.Errorf("heartbeat: %v", got)
+				t.Errorf("IsHeartbeat returned %v, want the opposite", got)
 			}
 		})
 	}
 	if got := string(Message{}.Chunk()); got != "1\r\n\n\r\n" {
-		t.Errorf("a heartbeat is the chunk %q", got)
+		t.Errorf("chunk of a heartbeat: got %q, want a chunk with one newline", got)
 	}
 }
 
@@ -83,7 +85,8 @@
 	expect(t, table.Publish(endpoint("b", Draining), endpoint("d", Ready)), "change 3: b/draining d/ready")
 	expect(t, table.Full(), "full 3: a/ready b/draining c/ready d/ready")
 	if table.Len() != 4 || table.Revision() != 3 || table.At(1) != endpoint("b", Draining) {
-		t.Errorf("%d entries at revision %d, %+v", table.Len(), table.Revision(), table.At(1))
+		t.Errorf("got %d entries at revision %d, and %+v at index 1; want 4 entries at 3, and b draining",
+			table.Len(), table.Revision(), table.At(1))
 	}
 }
 
@@ -99,7 +102,7 @@
 		2:  "change 4: b/gone c/ready",
 		3:  "change 4: c/ready",
 		4:  "change 4:",
-		5:  "full 4: a/ready c/ready", // of another table, or from before a restart
+		5:  "full 4: a/ready c/ready", // a revision of another table, or of the time before a restart
 	} {
 		expect(t, table.Since(rev), want)
 	}
@@ -111,22 +114,25 @@
 	for rev, want := range map[int64][]Message{1: {drains, removed}, 2: {removed}, 3: {}} {
 		chunks, ok := table.ChunksSince(rev)
 		if !ok || len(chunks) != len(want) {
-			t.Fatalf("since %d: %d chunks, %v; want %d", rev, len(chunks), ok, len(want))
+			t.Fatalf("changes since revision %d: got %d chunks and ok %v, want %d chunks and true", rev, len(chunks),
+				ok, len(want))
 		}
 		for i := range want {
 			if !slices.Equal(chunks[i], want[i].Chunk()) {
-				t.Errorf("since %d: chunk %d is %q, want %q", rev, i, chunks[i], want[i].Chunk())
+				t.Errorf("changes since revision %d: chunk %d is %q, want %q", rev, i, chunks[i], want[i].Chunk())
 			}
 		}
 	}
 	for _, rev := range []int64{0, 4} {
 		if chunks, ok := table.ChunksSince(rev); ok || chunks != nil {
-			t.Errorf("since %d: %d chunks of an unknown revision", rev, len(chunks))
+			t.Errorf("changes since unknown revision %d: got %d chunks or ok, want no chunks and not ok", rev,
+				len(chunks))
 		}
 	}
 }
 
-// What a change says stays as it was published, whatever is published after.
+// TestPublishedChangeDoesNotChange checks that a published change remains as published after the caller
+// modifies its endpoints and after a later change of the same endpoint.
 func TestPublishedChangeDoesNotChange(t *testing.T) {
 	table := newTable(8)
 	changed := []Endpoint{endpoint("a", Draining)}
@@ -148,8 +154,9 @@
 			}
 			for rev := int64(1); rev <= 6; rev++ {
 				want := rev >= int64(6-c.known)
-				if table.Knows(rev) != want || table.Since(rev).Complete == want {
-					t.Errorf("revision %d of %d: known %v, want %v", rev, table.Revision(), table.Knows(rev), want)
+				if table.HistoryCovers(rev) != want || table.Since(rev).Complete == want {
+					t.Errorf("history covers revision %d of %d: got %v, want %v, and a full list only if not covered",
+						rev, table.Revision(), table.HistoryCovers(rev), want)
 				}
 			}
 		})
@@ -159,12 +166,13 @@
 func TestForget(t *testing.T) {
 	table := newTable(8)
 	table.Publish(endpoint("a", Removed))
-	table.Forget()
+	table.DropHistory()
 	expect(t, table.Since(1), "full 2: b/ready c/ready")
 	expect(t, table.Since(2), "change 2:")
-	// A revision without a change makes the present one unknown, too.
+	// A new revision without a changed endpoint also makes the revision before it unknown when the history is
+	// dropped.
 	expect(t, table.Publish(), "change 3:")
-	table.Forget()
+	table.DropHistory()
 	expect(t, table.Since(2), "full 3: b/ready c/ready")
 	table.Publish(endpoint("a", Ready))
 	expect(t, table.Since(3), "change 4: a/ready")
@@ -182,8 +190,8 @@
 
 func TestAddHasNoRevision(t *testing.T) {
 	table := newTable(8)
-	if place := table.Add(endpoint("d", Removed)); place != 3 {
-		t.Errorf("added at %d", place)
+	if index := table.Add(endpoint("d", Removed)); index != 3 {
+		t.Errorf("index of the added endpoint: got %d, want 3", index)
 	}
 	expect(t, table.Full(), "full 1: a/ready b/ready c/ready")
 	expect(t, table.Since(1), "change 1:")
@@ -191,7 +199,8 @@
 	expect(t, table.Since(1), "change 2: d/ready")
 }
 
-// Whoever follows a table by its messages has what the table has, from any revision and by any way.
+// TestReadersFollowTheTable checks that a reader that applies the messages of Since has the entries of the
+// table, whatever revision the reader starts from and whichever revisions it skips.
 func TestReadersFollowTheTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(rapid.IntRange(0, 6).Draw(t, "history"))
@@ -204,7 +213,7 @@
 			}
 			table.Publish(changed...)
 			if rapid.IntRange(0, 9).Draw(t, "forget") == 0 {
-				table.Forget()
+				table.DropHistory()
 			}
 			if rapid.Bool().Draw(t, "skip") {
 				continue
@@ -225,7 +234,8 @@
 				want[e.UID] = e
 			}
 			if diff := cmp.Diff(want, reader); diff != "" || rev != table.Revision() {
-				t.Fatalf("at %d, the table at %d: %s", rev, table.Revision(), diff)
+				t.Fatalf("reader at revision %d, table at revision %d: entries differ (-want +got): %s", rev,
+					table.Revision(), diff)
 			}
 		}
 	})
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -2,59 +2,61 @@
 
 import "slices"
 
-// Table is the list of endpoints with its revision, and a bounded history of what changed with each
-// revision. An endpoint that is Removed keeps its place, so that places stay valid and a change since
-// an old revision can still say that it was removed. A Table is not safe for concurrent use.
+// Table is the list of endpoints with its revision, and a bounded history of the changes with each revision.
+// A Removed endpoint stays in the table, so that indexes stay valid and a change since an old revision can
+// still contain the removal. A Table is not safe for concurrent use.
 type Table struct {
 	revision   int64
 	entries    []Endpoint
-	places     map[string]int // by UID
-	history    []revision     // what came with each revision after oldest
-	oldest     int64          // changes after this revision are known
-	maxHistory int
+	indexes    map[string]int // index in entries by UID
+	history    []revision     // changes of each revision after oldest, in order
+	oldest     int64          // oldest revision since which all changes are in the history
+	maxHistory int            // largest number of revisions in the history
 }
 
-// revision is what came with one revision of a table.
+// revision is the change with one revision of a table.
 type revision struct {
 	change Message
-	chunk  []byte // of the change; nil: not encoded yet
+	chunk  []byte // encoded change; nil if not encoded yet
 }
 
-// NewTable returns a table at revision 1. It remembers the changes of the last maxHistory revisions;
-// 0 means none, so that each change since an older revision is the full list.
+// NewTable returns a table at revision 1 with the given entries. The table keeps the changes of the last
+// maxHistory revisions. With maxHistory 0 it keeps none, and Since returns the full list for every older
+// revision.
 func NewTable(maxHistory int, entries ...Endpoint) *Table {
-	t := &Table{revision: 1, oldest: 1, maxHistory: maxHistory, places: map[string]int{}}
+	t := &Table{revision: 1, oldest: 1, maxHistory: maxHistory, indexes: map[string]int{}}
 	for _, e := range entries {
 		t.Add(e)
 	}
 	return t
 }
 
-// Add appends an endpoint without a new revision: for a table that nobody has read yet, and for an
-// endpoint that is Removed until it is published otherwise. It returns the endpoint's place.
+// Add appends an endpoint without a new revision and returns the endpoint's index. Readers do not see the
+// change, so Add is for a table that has no readers yet, and for an endpoint that is Removed until a later
+// Publish.
 func (t *Table) Add(e Endpoint) int {
-	place := len(t.entries)
+	index := len(t.entries)
 	t.entries = append(t.entries, e)
-	t.places[e.UID] = place
-	return place
+	t.indexes[e.UID] = index
+	return index
 }
 
-// Revision is the present revision.
+// Revision returns the current revision.
 func (t *Table) Revision() int64 { return t.revision }
 
-// Len is the number of entries, with those that are Removed.
+// Len returns the number of entries, which include Removed endpoints.
 func (t *Table) Len() int { return len(t.entries) }
 
-// At is the entry at a place from 0 to Len()-1.
-func (t *Table) At(place int) Endpoint { return t.entries[place] }
+// At returns the entry at an index from 0 to Len()-1.
+func (t *Table) At(index int) Endpoint { return t.entries[index] }
 
-// Publish puts endpoints in with one new revision, each in the place of the entry with its UID or else
-// at the end. It returns the change, with the endpoints in the order given. Without endpoints only the
-// revision moves on.
+// Publish changes endpoints with one new revision: each replaces the entry with the same UID, or is appended
+// if there is none. Publish returns the change, with the endpoints in the given order. Without endpoints,
+// only the revision is incremented.
 func (t *Table) Publish(changed ...Endpoint) Message {
 	for _, e := range changed {
-		if place, known := t.places[e.UID]; known {
-			t.entries[place] = e
+		if index, known := t.indexes[e.UID]; known {
+			t.entries[index] = e
 		} else {
 			t.Add(e)
 		}
@@ -68,27 +70,27 @@
 	return change
 }
 
-// MoveToEnd moves the endpoint with a UID to the last place, without a new revision. An unknown one
-// is left alone. The places of all endpoints behind it change.
+// MoveToEnd moves the endpoint with the given UID to the end of the table, without a new revision. The
+// indexes of all endpoints behind the old index change. An unknown UID changes nothing.
 func (t *Table) MoveToEnd(uid string) {
-	place, known := t.places[uid]
+	index, known := t.indexes[uid]
 	if !known {
 		return
 	}
-	moved := t.entries[place]
-	t.entries = append(slices.Delete(t.entries, place, place+1), moved)
-	for i, e := range t.entries[place:] {
-		t.places[e.UID] = place + i
+	moved := t.entries[index]
+	t.entries = append(slices.Delete(t.entries, index, index+1), moved)
+	for i, e := range t.entries[index:] {
+		t.indexes[e.UID] = index + i
 	}
 }
 
-// Forget drops the history: each change since an older revision is the full list from then on.
-func (t *Table) Forget() { t.history, t.oldest = nil, t.revision }
+// DropHistory deletes the history. From then on, Since returns the full list for every older revision.
+func (t *Table) DropHistory() { t.history, t.oldest = nil, t.revision }
 
-// Knows tells whether the history reaches back to a revision.
-func (t *Table) Knows(rev int64) bool { return rev >= t.oldest && rev <= t.revision }
+// HistoryCovers reports whether the table has all changes since a revision.
+func (t *Table) HistoryCovers(rev int64) bool { return rev >= t.oldest && rev <= t.revision }
 
-// Full is the full list, without the endpoints that are Removed.
+// Full returns the full list, without Removed endpoints.
 func (t *Table) Full() Message {
 	m := Message{Revision: t.revision, Complete: true, Endpoints: make([]Endpoint, 0, len(t.entries))}
 	for _, e := range t.entries {
@@ -99,32 +101,31 @@
 	return m
 }
 
-// Since is one message that brings a reader from a revision to the present one: each endpoint that
-// changed once, in the order of places, as it is now; or the full list if the history does not reach
-// back that far.
+// Since returns one message that brings a reader from a revision to the current one. The message has each
+// changed endpoint once with its current entry, in table order. If the history does not cover the revision,
+// the message is the full list.
 func (t *Table) Since(rev int64) Message {
-	if !t.Knows(rev) {
+	if !t.HistoryCovers(rev) {
 		return t.Full()
 	}
-	var places []int
+	var indexes []int
 	for _, r := range t.history[rev-t.oldest:] {
 		for _, e := range r.change.Endpoints {
-			places = append(places, t.places[e.UID])
+			indexes = append(indexes, t.indexes[e.UID])
 		}
 	}
-	slices.Sort(places)
+	slices.Sort(indexes)
 	m := Message{Revision: t.revision}
-	for _, place := range slices.Compact(places) {
-		m.Endpoints = append(m.Endpoints, t.entries[place])
+	for _, index := range slices.Compact(indexes) {
+		m.Endpoints = append(m.Endpoints, t.entries[index])
 	}
 	return m
 }
 
-// ChunksSince is the changes since a revision one by one, as they were published, each encoded as a
-// chunk. They are encoded once and shared: the caller must not write to them. ok is false if the
-// history does not reach back that far.
+// ChunksSince returns the changes since a revision as published, each encoded as one chunk. All callers share
+// the encoded chunks and must not modify them. ok is false if the history does not cover the revision.
 func (t *Table) ChunksSince(rev int64) (chunks [][]byte, ok bool) {
-	if !t.Knows(rev) {
+	if !t.HistoryCovers(rev) {
 		return nil, false
 	}
 	missed := t.history[rev-t.oldest:]
--- a/internal/fingerprint/buffer.go
+++ b/internal/fingerprint/buffer.go
@@ -1,5 +1,5 @@
-// Package fingerprint encodes a state as bytes that are the same for two states if these act alike. Model
-// checkers hash them to tell states apart.
+// Package fingerprint encodes a state as bytes. A model checker hashes the bytes and treats two states with
+// equal bytes as the same state.
 package fingerprint
 
 import (
@@ -7,24 +7,24 @@
 	"math"
 )
 
-// Buffer is the encoding as far as it has been written.
+// Buffer is an encoded state, to which each method appends.
 type Buffer []byte
 
-// Ints appends integers.
+// Ints appends integers as varints.
 func (b *Buffer) Ints(vs ...int64) {
 	for _, v := range vs {
 		*b = binary.AppendVarint(*b, v)
 	}
 }
 
-// Floats appends floating-point numbers, bit by bit.
+// Floats appends the bits of floating-point numbers, so that numbers with different bits remain different.
 func (b *Buffer) Floats(vs ...float64) {
 	for _, v := range vs {
 		*b = binary.LittleEndian.AppendUint64(*b, math.Float64bits(v))
 	}
 }
 
-// Bools appends truth values.
+// Bools appends each Boolean as one byte.
 func (b *Buffer) Bools(vs ...bool) {
 	for _, v := range vs {
 		bit := byte(0)
@@ -35,7 +35,7 @@
 	}
 }
 
-// Text appends a text, with its length before it.
+// Text appends the length of a string and then the string.
 func (b *Buffer) Text(v string) {
 	b.Ints(int64(len(v)))
 	*b = append(*b, v...)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,44 +10,48 @@
 	"dahliaford/internal/dispatch"
 )
 
-// Settings is the content of the settings object: for the dispatcher, which numbers classes, tenants,
-// zones and kinds, and for the program, which meets their names.
+// Settings is the content of the settings object. The dispatcher refers to classes, tenants, zones and
+// machine kinds by number, and the program around the dispatcher receives their names.
 type Settings struct {
-	Dispatch          dispatch.Settings
-	Classes           []string // names, by number
-	Tenants           []string
-	Zones             []string
-	Kinds             []string
-	DrainGrace        dispatch.Micros // after a drain, sends to the worker must begin within it; 0: no limit
-	WorkerIdleTimeout dispatch.Micros // a worker closes a connection that has been idle for that long
+	Dispatch dispatch.Settings
+	Classes  []string // names of the classes, by number
+	Tenants  []string // names of the tenants, by number
+	Zones    []string // names of the zones, by number
+	Kinds    []string // names of the machine kinds, by number
+
+	// DrainGrace is the time after the start of a worker's drain within which a send to the worker must
+	// begin; 0 means no limit.
+	DrainGrace dispatch.Micros
+
+	WorkerIdleTimeout dispatch.Micros // time after which a worker closes an idle connection
 }
 
-// parameters is the settings object on the wire. Pointers mark what is optional and has a default other
-// than zero.
+// parameters is the settings object on the wire. All times are in microseconds. A pointer marks an optional
+// field whose default is not zero. The fields of dispatch.Settings and dispatch.Class explain the values.
 type parameters struct {
-	Zones           []string `json:"azs"`
-	Kinds           []string `json:"kinds"`
-	Balancers       int      `json:"balancers"`
-	Me              int      `json:"me"`
-	Locality        int      `json:"locality"`
-	Granularity     int64    `json:"granularity"`
-	Discovery       string   `json:"discovery"`
-	WeightBy        string   `json:"worth_by"`
-	OverQuotaWeight *float64 `json:"over_share_worth"`
-	Grades          []grade  `json:"grades"`
-	Customers       []struct {
+	Zones           []string          `json:"azs"`
+	Kinds           []string          `json:"kinds"`
+	DispatcherCount int               `json:"balancers"`
+	DispatcherIndex int               `json:"me"`
+	ZoneIndex       int               `json:"locality"`
+	Granularity     int64             `json:"granularity"`
+	Discovery       string            `json:"discovery"`
+	WeightBy        string            `json:"worth_by"`
+	OverQuotaWeight *float64          `json:"over_share_worth"`
+	ClassList       []classParameters `json:"grades"`
+	TenantList      []struct {
 		Name  string  `json:"name"`
 		Quota float64 `json:"quota_per_s"`
 	} `json:"customers"`
 	Clients struct {
 		MarksRetry bool `json:"marks_retry"`
 	} `json:"clients"`
-	FamilyInfo struct {
-		ClassKind    []int     `json:"class_kind"`
-		ClassStretch []float64 `json:"class_stretch"`
-		Progress     int64     `json:"progress"`
-		ReportsStart bool      `json:"tells_start"`
-		ReportX0     string    `json:"report_x0"`
+	FleetInfo struct { // properties of the workers; lists are by class number
+		ClassKind       []int     `json:"class_kind"`
+		ClassStretch    []float64 `json:"class_stretch"`
+		ProgressPeriod  int64     `json:"progress"`
+		ReportsStart    bool      `json:"tells_start"`
+		ReportX0Meaning string    `json:"report_x0"`
 	} `json:"family_info"`
 	Guarantees struct {
 		PollInterval     int64    `json:"ask_within"`
@@ -58,13 +62,13 @@
 		OverloadFactor   *float64 `json:"overload_factor"`
 	} `json:"guarantees"`
 	Limits struct {
-		AttemptsCap    int   `json:"attempts_cap"`
-		Cancel         bool  `json:"cancel"`
-		ConnIdle       int64 `json:"conn_idle"`
+		AttemptLimit   int   `json:"attempts_cap"`
+		Cancellation   bool  `json:"cancel"`
+		IdleTimeout    int64 `json:"conn_idle"`
 		ConnectTimeout int64 `json:"connect_timeout"`
 		MaxRetryAfter  int64 `json:"max_retry_after"`
-		MayDuplicate   bool  `json:"may_duplicate"`
-		Peers          bool  `json:"peers"`
+		Hedging        bool  `json:"may_duplicate"`
+		Gossip         bool  `json:"peers"`
 		RetryAfter     bool  `json:"retry_after"`
 	} `json:"limits"`
 	Prices struct {
@@ -72,35 +76,37 @@
 	} `json:"prices"`
 	Report struct {
 		Fields []string `json:"fields"`
-		How    string   `json:"how"`
+		Mode   string   `json:"how"`
 	} `json:"report"`
 }
 
-// grade is a class of jobs on the wire.
-type grade struct {
-	Name             string   `json:"name"`
-	SLO              int64    `json:"slo"`
-	ObjectiveStretch *float64 `json:"aim_stretch"`
-	Deadline         int64    `json:"deadline"`
-	Weight           float64  `json:"worth"`
-	LateWeight       float64  `json:"late_worth"`
-	Semantics        string   `json:"semantics"`
-	DedupScope       string   `json:"dedup_scope"`
-	MemorySpan       int64    `json:"memory_span"`
-	Stream           bool     `json:"stream"`
+// classParameters is the settings of a class of jobs on the wire.
+type classParameters struct {
+	Name              string   `json:"name"`
+	Objective         int64    `json:"slo"`
+	ObjectiveStretch  *float64 `json:"aim_stretch"`
+	Deadline          int64    `json:"deadline"`
+	Weight            float64  `json:"worth"`
+	LateWeight        float64  `json:"late_worth"`
+	EffectName        string   `json:"semantics"`
+	DedupScope        string   `json:"dedup_scope"`
+	DedupWindowLength int64    `json:"memory_span"`
+	Stream            bool     `json:"stream"`
 }
 
+// effectsByName has the effect of a class for each value of the field semantics.
 var effectsByName = map[string]dispatch.Effect{
 	"idempotent": dispatch.Safe, "deduplicated": dispatch.Keyed, "at_most_once": dispatch.Unsafe,
 }
 
+// dedupScopes has the scope for each value of the field dedup_scope. The narrowest scope is the default.
 var dedupScopes = map[string]dispatch.DedupScope{
 	"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
 	"cell": dispatch.ScopeCell, "": dispatch.ScopeCell,
 }
 
-// Parse parses the settings object. What is absent gets the value that promises least. The error names the
-// field that is invalid.
+// Parse parses the settings object. An absent field gets the value that guarantees least. The error names the
+// invalid field.
 func Parse(raw []byte) (Settings, error) {
 	var p parameters
 	if err := json.Unmarshal(raw, &p); err != nil {
@@ -111,9 +117,9 @@
 		Zones:             p.Zones,
 		Kinds:             p.Kinds,
 		DrainGrace:        dispatch.Micros(p.Guarantees.DrainGrace),
-		WorkerIdleTimeout: dispatch.Micros(p.Limits.ConnIdle),
+		WorkerIdleTimeout: dispatch.Micros(p.Limits.IdleTimeout),
 	}
-	for i, g := range p.Grades {
+	for i, g := range p.ClassList {
 		class, err := p.class(i, &g)
 		if err != nil {
 			return Settings{}, err
@@ -121,19 +127,19 @@
 		s.Dispatch.Classes = append(s.Dispatch.Classes, class)
 		s.Classes = append(s.Classes, g.Name)
 	}
-	for _, c := range p.Customers {
+	for _, c := range p.TenantList {
 		s.Dispatch.Tenants = append(s.Dispatch.Tenants, dispatch.Tenant{Quota: c.Quota})
 		s.Tenants = append(s.Tenants, c.Name)
 	}
 	return s, nil
 }
 
-// dispatcher is the dispatcher's part but for the classes and tenants.
+// dispatcher returns the settings of the dispatcher without the classes and tenants.
 func (p *parameters) dispatcher() dispatch.Settings {
 	s := dispatch.Settings{
-		Index:            p.Me,
-		Dispatchers:      p.Balancers,
-		Zone:             p.Locality,
+		Index:            p.DispatcherIndex,
+		Dispatchers:      p.DispatcherCount,
+		Zone:             p.ZoneIndex,
 		WeightByWork:     p.WeightBy == "work",
 		OverQuotaWeight:  valueOr(p.OverQuotaWeight, 1),
 		PollEndpoints:    p.Discovery == "on_request",
@@ -143,29 +149,30 @@
 		SlowStartInitial: p.Guarantees.SlowStartInitial,
 		OverloadFactor:   valueOr(p.Guarantees.OverloadFactor, 1),
 		OverloadWindow:   dispatch.Micros(p.Guarantees.OverloadWindow),
-		MaxAttempts:      p.Limits.AttemptsCap,
-		CancelAllowed:    p.Limits.Cancel,
-		HedgingAllowed:   p.Limits.MayDuplicate,
-		GossipAllowed:    p.Limits.Peers,
+		MaxAttempts:      p.Limits.AttemptLimit,
+		CancelAllowed:    p.Limits.Cancellation,
+		HedgingAllowed:   p.Limits.Hedging,
+		GossipAllowed:    p.Limits.Gossip,
 		ConnectTimeout:   dispatch.Micros(p.Limits.ConnectTimeout),
-		StartReported:    p.FamilyInfo.ReportsStart,
-		ProgressInterval: dispatch.Micros(p.FamilyInfo.Progress),
+		StartReported:    p.FleetInfo.ReportsStart,
+		ProgressInterval: dispatch.Micros(p.FleetInfo.ProgressPeriod),
 		CrossZonePrice:   p.Prices.CrossZone,
 		RetriesMarked:    p.Clients.MarksRetry,
 	}
 	if p.Limits.RetryAfter {
 		s.MaxRetryAfter = dispatch.Micros(p.Limits.MaxRetryAfter)
 	}
-	s.LoadReports = p.Report.How != "off" && slices.Contains(p.Report.Fields, "x0") &&
-		p.FamilyInfo.ReportX0 == "free slots"
+	s.LoadReports = p.Report.Mode != "off" && slices.Contains(p.Report.Fields, "x0") &&
+		p.FleetInfo.ReportX0Meaning == "free slots"
 	return s
 }
 
-// class is the class of a number.
-func (p *parameters) class(number int, g *grade) (dispatch.Class, error) {
-	effect, known := effectsByName[g.Semantics]
+// class returns the class with the given number. An error names the field with an unknown value.
+func (p *parameters) class(number int, g *classParameters) (dispatch.Class, error) {
+	effect, known := effectsByName[g.EffectName]
 	if !known {
-		return dispatch.Class{}, fmt.Errorf("settings: grades[%d].semantics: unknown value %q", number, g.Semantics)
+		return dispatch.Class{}, fmt.Errorf("settings: grades[%d].semantics: unknown value %q", number,
+			g.EffectName)
 	}
 	scope, known := dedupScopes[g.DedupScope]
 	if !known {
@@ -173,26 +180,27 @@
 			g.DedupScope)
 	}
 	class := dispatch.Class{
-		LatencyObjective: dispatch.Micros(g.SLO),
+		LatencyObjective: dispatch.Micros(g.Objective),
 		Deadline:         dispatch.Micros(g.Deadline),
 		PriorityWeight:   g.Weight,
 		LateWeight:       g.LateWeight,
 		Effect:           effect,
 		DedupScope:       scope,
-		DedupWindow:      dispatch.Micros(g.MemorySpan),
+		DedupWindow:      dispatch.Micros(g.DedupWindowLength),
 		Stream:           g.Stream,
 		Kind:             -1,
 	}
-	if number < len(p.FamilyInfo.ClassStretch) {
-		class.ObjectiveStretch = p.FamilyInfo.ClassStretch[number]
+	if number < len(p.FleetInfo.ClassStretch) {
+		class.ObjectiveStretch = p.FleetInfo.ClassStretch[number]
 	}
 	class.ObjectiveStretch = valueOr(g.ObjectiveStretch, class.ObjectiveStretch)
-	if number < len(p.FamilyInfo.ClassKind) {
-		class.Kind = p.FamilyInfo.ClassKind[number]
+	if number < len(p.FleetInfo.ClassKind) {
+		class.Kind = p.FleetInfo.ClassKind[number]
 	}
 	return class, nil
 }
 
+// valueOr returns the value of an optional field, or the fallback if the field is absent.
 func valueOr(value *float64, fallback float64) float64 {
 	if value == nil {
 		return fallback
--- a/internal/simfleet/discovery.go
+++ b/internal/simfleet/discovery.go
@@ -83,7 +83,7 @@
 func (d *discovery) dropHistory() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.table.Forget()
+	d.table.DropHistory()
 }
 
 // addr is where a scheduler finds discovery.
@@ -209,7 +209,7 @@
 	defer d.mu.Unlock()
 	w = &watcher{sent: d.table.Revision(), ready: make(chan struct{}, 1)}
 	switch {
-	case !d.table.Knows(from):
+	case !d.table.HistoryCovers(from):
 		first = d.table.Full().Chunk()
 		d.fullLists.Add(1)
 	case from == d.table.Revision():
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,6 @@
-// Package wire connects dispatchers to the simulator's wire format: it decodes batches of events, hosts one
-// dispatcher for each instance and encodes their actions. It decides nothing.
+// Package wire connects dispatchers to the simulator's wire format. The package decodes batches of events,
+// hosts one dispatcher for each instance and encodes the dispatchers' actions. The package makes no dispatch
+// decisions.
 package wire
 
 import (
@@ -11,40 +12,40 @@
 	"dahliaford/internal/dispatch"
 )
 
-var errNoClock = errors.New("batch without a clock")
+var errNoClock = errors.New("batch has no field t with the time")
 
-// message is one event of a batch as it is on the wire. Which fields count depends on its name; absent ones
-// are zero.
+// message is one event of a batch as on the wire. The event's name determines which fields count. Fields that
+// are absent on the wire are zero. Times are in microseconds.
 type message struct {
-	name     string
-	who      int // the instance
-	job      uint64
-	class    int
-	tenant   int
-	patience int64
-	retry    bool
-	estimate int64
-	needs    float64
-	memory   float64
-	worker   uint32
-	attempt  int
-	status   int
-	terminal bool
-	sort     int
-	value    float64
-	scope    int
-	ref      int
-	tag      uint64
-	from     int
-	blob     string
-	seed     uint64
-	params   []byte
-	report   dispatch.Report
-	workers  []dispatch.WorkerEntry
+	name          string                 // name of the event
+	instance      int                    // number of the instance that the event is for
+	job           uint64                 // ID of the job
+	class         int                    // number of the job's class
+	tenant        int                    // number of the job's tenant
+	clientTimeout int64                  // time until the client abandons this try
+	retry         bool                   // the client says that it tried before
+	work          int64                  // expected work on a standard core; 0 if not known
+	slots         float64                // slots that the job takes
+	memoryUnits   float64                // memory units that the job takes
+	worker        uint32                 // number of the worker
+	attempt       int                    // number of the attempt within its job, from 0
+	status        int                    // status code of the attempt's end, see outcomes
+	final         bool                   // the job is finished
+	note          int                    // kind of a report about a running attempt: 1 started, 2 progress
+	value         float64                // value of this report: for progress the fraction of work done
+	scope         int                    // how an update of the worker list applies, see scopes
+	listNumber    int                    // number under which the process keeps a worker list
+	timerToken    uint64                 // token of the timer that fired
+	sender        int                    // number of the dispatcher that sent the gossip message
+	gossip        string                 // gossip message in hexadecimal digits
+	seed          uint64                 // seed of the new instance's random draws
+	params        []byte                 // settings object of the new instance, as raw JSON
+	report        dispatch.Report        // load report of the worker
+	workers       []dispatch.WorkerEntry // entries of a worker list
 }
 
-// decodeBatch reads one line into the reused slice. Strings and raw fields of the messages point into the
-// line.
+// decodeBatch decodes one line into a slice whose memory it reuses. Strings and raw fields of the messages
+// point into the line.
 func decodeBatch(line []byte, into []message) (now int64, messages []message, err error) {
 	in := jlexer.Lexer{Data: line}
 	messages = into[:0]
@@ -71,6 +72,8 @@
 	return now, messages, err
 }
 
+// decodeInbox appends the events of a batch to the messages. Decoding stops at the first malformed event; the
+// lexer keeps the error.
 func decodeInbox(in *jlexer.Lexer, messages []message) []message {
 	if in.IsNull() {
 		in.Skip()
@@ -97,8 +100,9 @@
 	return messages
 }
 
-// decodeObject reads an object. Its fields are passed to field, which reads the value, or returns false for a
-// key that it does not know. Nulls count as absent.
+// decodeObject decodes an object and calls field for each key. The function field reads the value and returns
+// true, or returns false for an unknown key, whose value is then skipped. A field with the value null counts
+// as absent.
 func decodeObject(in *jlexer.Lexer, field func(key string) bool) {
 	in.Delim('{')
 	for !in.IsDelim('}') {
@@ -115,14 +119,14 @@
 	in.Delim('}')
 }
 
-// decodeFields reads the fields of any event; a name means the same in all.
+// decodeFields decodes the fields of an event. A field has the same meaning in all events.
 func decodeFields(in *jlexer.Lexer, m *message) {
 	decodeObject(in, func(key string) bool {
 		return m.decodeJobField(in, key) || m.decodeAttemptField(in, key) || m.decodeInstanceField(in, key)
 	})
 }
 
-// decodeJobField reads a field that describes a job; false: the key names none.
+// decodeJobField decodes a field that describes a job. It returns false if the key names no such field.
 func (m *message) decodeJobField(in *jlexer.Lexer, key string) bool {
 	switch key {
 	case "op_id":
@@ -132,22 +136,23 @@
 	case "tenant":
 		m.tenant = in.Int()
 	case "patience_left":
-		m.patience = in.Int64()
+		m.clientTimeout = in.Int64()
 	case "estimate":
-		m.estimate = in.Int64()
+		m.work = in.Int64()
 	case "retry":
 		m.retry = in.Bool()
 	case "needs":
-		m.needs = in.Float64()
+		m.slots = in.Float64()
 	case "memory":
-		m.memory = in.Float64()
+		m.memoryUnits = in.Float64()
 	default:
 		return false
 	}
 	return true
 }
 
-// decodeAttemptField reads a field that describes an attempt; false: the key names none.
+// decodeAttemptField decodes a field that describes an attempt. It returns false if the key names no such
+// field.
 func (m *message) decodeAttemptField(in *jlexer.Lexer, key string) bool {
 	switch key {
 	case "worker":
@@ -157,9 +162,9 @@
 	case "status":
 		m.status = in.Int()
 	case "terminal":
-		m.terminal = in.Bool()
+		m.final = in.Bool()
 	case "sort":
-		m.sort = in.Int()
+		m.note = in.Int()
 	case "value":
 		m.value = in.Float64()
 	case "telemetry":
@@ -170,21 +175,22 @@
 	return true
 }
 
-// decodeInstanceField reads a field that concerns an instance as such; false: the key names none.
+// decodeInstanceField decodes a field that concerns an instance and no job. It returns false if the key names
+// no such field.
 func (m *message) decodeInstanceField(in *jlexer.Lexer, key string) bool {
 	switch key {
 	case "who":
-		m.who = in.Int()
+		m.instance = in.Int()
 	case "scope":
 		m.scope = in.Int()
 	case "ref":
-		m.ref = in.Int()
+		m.listNumber = in.Int()
 	case "tag":
-		m.tag = in.Uint64()
+		m.timerToken = in.Uint64()
 	case "from":
-		m.from = in.Int()
+		m.sender = in.Int()
 	case "blob":
-		m.blob = in.UnsafeString()
+		m.gossip = in.UnsafeString()
 	case "rng_seed":
 		m.seed = in.Uint64()
 	case "params":
@@ -197,8 +203,9 @@
 	return true
 }
 
+// decodeReport decodes a worker's load report.
 func decodeReport(in *jlexer.Lexer, m *message) {
-	m.report.Outstanding = -1 // not reported
+	m.report.Outstanding = -1 // a negative number means that the report has no such field
 	decodeObject(in, func(key string) bool {
 		switch key {
 		case "x0":
@@ -214,6 +221,8 @@
 	})
 }
 
+// decodeWorkers decodes the entries of a worker list. Decoding stops at the first malformed entry; the lexer
+// keeps the error.
 func decodeWorkers(in *jlexer.Lexer) []dispatch.WorkerEntry {
 	var list []dispatch.WorkerEntry
 	in.Delim('[')
@@ -228,6 +237,7 @@
 	return list
 }
 
+// decodeWorker decodes one entry of a worker list. A worker without a status is ready.
 func decodeWorker(in *jlexer.Lexer) dispatch.WorkerEntry {
 	e := dispatch.WorkerEntry{Status: dispatch.Ready}
 	decodeObject(in, func(key string) bool {
@@ -252,6 +262,8 @@
 	return e
 }
 
+// workerStatus returns the status for a number on the wire. An unknown number counts as removed, so that
+// nothing is sent to the worker.
 func workerStatus(n int) dispatch.Status {
 	switch n {
 	case 1:
@@ -262,33 +274,33 @@
 	return dispatch.Removed
 }
 
-// outcomes are the outcomes of an attempt by the wire's status codes.
+// outcomes has the outcome of an attempt for each status code on the wire.
 var outcomes = map[int]dispatch.Outcome{
 	0: dispatch.OK, 5: dispatch.Failed, 11: dispatch.AtCapacity, 110: dispatch.TimedOut,
 	111: dispatch.ConnectFailed,
 	104: dispatch.Reset, 125: dispatch.Cancelled, 114: dispatch.NotSent,
 }
 
-// event fills e with the event that a message stands for; false: it has no meaning for a dispatcher.
+// event fills e with the event for a message. It returns false if the message is no event for a dispatcher.
 func (m *message) event(e *dispatch.Event) bool {
 	*e = dispatch.Event{Job: dispatch.JobID(m.job), Worker: dispatch.WorkerID(m.worker),
 		Attempt: m.attempt, Report: m.report}
 	switch m.name {
 	case "knock":
 		e.Kind, e.Class, e.Tenant = dispatch.JobArrived, m.class, m.tenant
-		e.ClientTimeout, e.Work = dispatch.Micros(m.patience), dispatch.Micros(m.estimate)
+		e.ClientTimeout, e.Work = dispatch.Micros(m.clientTimeout), dispatch.Micros(m.work)
 		e.Retry = m.retry
-		e.Slots = max(m.needs, m.memory)
+		e.Slots = max(m.slots, m.memoryUnits)
 	case "completed":
-		e.Kind, e.Final = dispatch.AttemptEnded, m.terminal
+		e.Kind, e.Final = dispatch.AttemptEnded, m.final
 		outcome, known := outcomes[m.status]
 		if !known {
-			outcome = dispatch.Failed // it may have run: the safe reading of a new code
+			outcome = dispatch.Failed // the safe choice for an unknown code, as the job may have run
 		}
 		e.Outcome = outcome
 	case "status_note":
 		e.Kind, e.Value = dispatch.AttemptReported, m.value
-		switch m.sort {
+		switch m.note {
 		case 1:
 			e.Note = dispatch.NoteStarted
 		case 2:
@@ -299,10 +311,11 @@
 	case "client_gone":
 		e.Kind = dispatch.ClientDisconnected
 	case "ring":
-		e.Kind, e.Token = dispatch.TimerFired, m.tag
+		e.Kind, e.Token = dispatch.TimerFired, m.timerToken
 	case "whisper":
-		e.Kind, e.Peer = dispatch.GossipReceived, m.from
-		e.Message, _ = hex.DecodeString(m.blob) // an invalid one is cut short, and the dispatcher checks its length
+		e.Kind, e.Peer = dispatch.GossipReceived, m.sender
+		// Invalid digits cut the message short; the dispatcher checks the length.
+		e.Message, _ = hex.DecodeString(m.gossip)
 	default:
 		return false
 	}
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	maxLists      = 16      // list numbers run below this
-	readBuffer    = 1 << 20 // bytes; most batches fit
-	maxLineLength = 1 << 30 // bytes
+	maxLists      = 16      // number of worker lists that the process keeps, numbered from 0
+	readBuffer    = 1 << 20 // initial size of the line buffer in bytes; most batches fit
+	maxLineLength = 1 << 30 // largest length of a line in bytes
 )
 
-// Host runs the dispatchers of many instances. They share nothing but the worker lists that the wire
-// numbers for the process as a unit. A Host is not safe for concurrent use.
+// Host runs the dispatchers of many instances. The instances share only the worker lists, because the wire
+// format numbers these for the whole process. A Host is not safe for concurrent use.
 type Host struct {
-	dispatchers map[int]*dispatch.Dispatcher // by instance
-	lists       [maxLists][]dispatch.WorkerEntry
-	messages    []message
-	actions     []dispatch.Action
-	event       dispatch.Event
-	reply       []byte
+	dispatchers map[int]*dispatch.Dispatcher     // dispatchers by number of the instance
+	lists       [maxLists][]dispatch.WorkerEntry // worker lists by number, as last registered
+
+	// Buffers of the current batch, reused to save allocations.
+	messages []message
+	actions  []dispatch.Action
+	event    dispatch.Event
+	reply    []byte
 }
 
 // NewHost returns a host without instances.
@@ -31,8 +33,8 @@
 	return &Host{dispatchers: map[int]*dispatch.Dispatcher{}}
 }
 
-// Serve answers batches, one a line, until the input ends. It fails on a line that is not a batch; the error
-// has the line's number, from 1 on.
+// Serve answers batches, one per line, until the input ends. A line that is not a batch ends Serve with an
+// error that has the number of the line, from 1.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, readBuffer), maxLineLength)
@@ -69,33 +71,34 @@
 	return h.reply, nil
 }
 
-// handle passes one message to its dispatcher. A panic in that is reported for the instance, which is then
-// no longer hosted.
+// handle processes one message, and passes an event to the dispatcher of its instance. If the dispatcher
+// panics, the reply reports the panic for the instance, and the host drops the instance.
 func (h *Host) handle(now dispatch.Micros, m *message) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			h.reply = appendFault(h.reply, m.who, fmt.Sprint(cause))
-			delete(h.dispatchers, m.who)
+			h.reply = appendFault(h.reply, m.instance, fmt.Sprint(cause))
+			delete(h.dispatchers, m.instance)
 		}
 	}()
 	switch m.name {
 	case "register":
-		if m.ref >= 0 && m.ref < maxLists {
-			h.lists[m.ref] = m.workers
+		if m.listNumber >= 0 && m.listNumber < maxLists {
+			h.lists[m.listNumber] = m.workers
 		}
 	case "enlist":
 		h.startInstance(now, m)
 	case "exit":
-		delete(h.dispatchers, m.who)
+		delete(h.dispatchers, m.instance)
 	case "update":
 		h.updateEndpoints(now, m)
 	default:
 		if m.event(&h.event) {
-			h.step(now, m.who)
+			h.step(now, m.instance)
 		}
 	}
 }
 
+// startInstance starts the dispatcher of an instance, or reports why the settings are invalid.
 func (h *Host) startInstance(now dispatch.Micros, m *message) {
 	parsed, err := settings.Parse(m.params)
 	var d *dispatch.Dispatcher
@@ -103,37 +106,42 @@
 		d, err = dispatch.New(parsed.Dispatch, m.seed)
 	}
 	if err != nil {
-		h.reply = appendFault(h.reply, m.who, err.Error())
+		h.reply = appendFault(h.reply, m.instance, err.Error())
 		return
 	}
-	h.dispatchers[m.who] = d
+	h.dispatchers[m.instance] = d
 	h.event = dispatch.Event{Kind: dispatch.Started}
-	h.step(now, m.who)
+	h.step(now, m.instance)
 }
 
+// scopes has the scope of an update of the worker list for each number on the wire.
 var scopes = map[int]dispatch.UpdateScope{
 	0: dispatch.UpdateDelta, 1: dispatch.UpdateCached, 2: dispatch.UpdateFailed, 3: dispatch.UpdateFull,
 }
 
+// updateEndpoints passes an update of the worker list to an instance. An update with an unknown scope is
+// ignored.
 func (h *Host) updateEndpoints(now dispatch.Micros, m *message) {
 	scope, known := scopes[m.scope]
 	if !known {
 		return
 	}
 	h.event = dispatch.Event{Kind: dispatch.EndpointsUpdated, Scope: scope}
-	if scope != dispatch.UpdateFailed && m.ref >= 0 && m.ref < maxLists {
-		h.event.Workers = h.lists[m.ref]
+	if scope != dispatch.UpdateFailed && m.listNumber >= 0 && m.listNumber < maxLists {
+		h.event.Workers = h.lists[m.listNumber]
 	}
-	h.step(now, m.who)
+	h.step(now, m.instance)
 }
 
-func (h *Host) step(now dispatch.Micros, who int) {
-	d := h.dispatchers[who]
+// step passes the host's current event to an instance and appends the instance's actions to the reply. An
+// unknown instance is ignored.
+func (h *Host) step(now dispatch.Micros, instance int) {
+	d := h.dispatchers[instance]
 	if d == nil {
 		return
 	}
 	h.actions = d.Step(now, &h.event, h.actions[:0])
 	for i := range h.actions {
-		h.reply = appendAction(h.reply, who, &h.actions[i])
+		h.reply = appendAction(h.reply, instance, &h.actions[i])
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,6 +9,7 @@
 	"dahliaford/internal/settings"
 )
 
+// serve passes lines to a new host and returns its replies and the error that ended it.
 func serve(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
@@ -19,7 +20,7 @@
 func TestEmptyBatch(t *testing.T) {
 	out, err := serve(t, `{"t":5,"inbox":[]}`)
 	if err != nil || out != "{\"do\":[]}\n" {
-		t.Fatalf("got %q, %v", out, err)
+		t.Fatalf("reply to an empty batch: got %q with error %v, want an empty list of actions", out, err)
 	}
 }
 
@@ -27,9 +28,9 @@
 	lines := []string{`{"t":5,"inbox":[`, `nonsense`, `{"inbox":[]}`, `{"t":5,"inbox":[{"ring":3}]}`}
 	for _, line := range lines {
 		if err := NewHost().Serve(strings.NewReader(line), io.Discard); err == nil {
-			t.Errorf("%s: no error", line)
+			t.Errorf("malformed line %s: got no error, want an error", line)
 		} else if !strings.HasPrefix(err.Error(), "line 1: ") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: not one plain message: %v", line, err)
+			t.Errorf("malformed line %s: want one line that begins with \"line 1: \", got %v", line, err)
 		}
 	}
 }
@@ -43,14 +44,16 @@
 	"limits":{"attempts_cap":3,"peers":true,"cancel":true},
 	"guarantees":{"cold":10000000,"ask_within":10000000}}`
 
-func flat(s string) string { return strings.NewReplacer("\n", "", "\t", "").Replace(s) }
+// singleLine removes line breaks and tabs.
+func singleLine(s string) string { return strings.NewReplacer("\n", "", "\t", "").Replace(s) }
 
-func enlist(who string) string {
-	return flat(`{"enlist":{"who":` + who + `,"rng_seed":5,"params":` + testSettings + `}}`)
+// enlist returns the event that starts an instance with testSettings.
+func enlist(instance string) string {
+	return singleLine(`{"enlist":{"who":` + instance + `,"rng_seed":5,"params":` + testSettings + `}}`)
 }
 
 func TestSettingsFromTheWire(t *testing.T) {
-	parsed, err := settings.Parse([]byte(flat(testSettings)))
+	parsed, err := settings.Parse([]byte(singleLine(testSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,11 +61,11 @@
 	if s.Classes[0].ObjectiveStretch != 1.5 || s.Classes[1].ObjectiveStretch != 0.5 ||
 		s.Classes[1].DedupScope != dispatch.ScopeZone || s.Classes[1].Effect != dispatch.Keyed ||
 		s.Classes[0].Kind != -1 {
-		t.Errorf("classes: %+v", s.Classes)
+		t.Errorf("classes differ from testSettings: got %+v", s.Classes)
 	}
 	if s.OverQuotaWeight != 1 || s.OverloadFactor != 1 || !s.PollEndpoints || !s.LoadReports ||
 		s.MaxRetryAfter != 0 {
-		t.Errorf("settings: %+v", s)
+		t.Errorf("settings differ from testSettings or the defaults: got %+v", s)
 	}
 	for bad, field := range map[string]string{
 		`{"grades":[{"semantics":"often"}]}`: "grades[0].semantics",
@@ -71,16 +74,16 @@
 	} {
 		out, err := serve(t, `{"t":1,"inbox":[{"enlist":{"who":4,"rng_seed":1,"params":`+bad+`}}]}`)
 		if err != nil || !strings.Contains(out, `{"exception":{"who":4,`) || !strings.Contains(out, field) {
-			t.Errorf("%s: got %s, %v", bad, out, err)
+			t.Errorf("invalid settings %s: want an exception that names the field, got %s and error %v", bad, out, err)
 		}
 	}
 }
 
-// A job over the wire, with a list number that is reused in the same batch, another instance, unknown
-// keys, events and ids, and a restart.
+// TestEventsAndActions sends jobs of two instances over the wire. The batches use a list number twice, have
+// unknown keys, events and IDs, and restart an instance.
 func TestEventsAndActions(t *testing.T) {
-	list := func(ref, worker string) string {
-		return `{"register":{"ref":` + ref + `,"nodes_list":[{"generation_hw":0,"power_hint":1,"cohort":0,` +
+	list := func(listNumber, worker string) string {
+		return `{"register":{"ref":` + listNumber + `,"nodes_list":[{"generation_hw":0,"power_hint":1,"cohort":0,` +
 			`"hall":0,"status":1,"online_since":null,"worker":` + worker + `,"new_key":[{}]}]}}`
 	}
 	lines := []string{
@@ -107,7 +110,7 @@
 	}
 	replies := strings.Split(strings.TrimSpace(out), "\n")
 	if len(replies) != len(lines) {
-		t.Fatalf("%d replies to %d batches", len(replies), len(lines))
+		t.Fatalf("got %d replies to %d batches, want one for each batch", len(replies), len(lines))
 	}
 	for i, want := range []string{
 		`{"watch":{"who":0,"enable":true}}`,
@@ -115,27 +118,29 @@
 		`"do":[`, `{"watch":{"who":1,"enable":true}}`, `{"do":[]}`,
 	} {
 		if !strings.Contains(replies[i], want) {
-			t.Errorf("reply %d: %s\nlacks %s", i, replies[i], want)
+			t.Errorf("reply %d: got %s\nwant a reply that contains %s", i, replies[i], want)
 		}
 	}
 	if !strings.Contains(replies[1], `{"transmit":{"who":1,"op_id":6,"worker":22,`) {
-		t.Errorf("the second instance did not get the list that replaced the first: %s", replies[1])
+		t.Errorf("second instance: want a job sent to worker 22 of the list that replaced the first list, got %s",
+			replies[1])
 	}
 }
 
-// The actions of an instance depend on its own events alone.
+// TestInstancesAreIndependent checks that the actions of an instance depend only on its own events.
 func TestInstancesAreIndependent(t *testing.T) {
-	knock := func(who string) string {
-		return `{"knock":{"who":` + who + `,"op_id":1` + who + `,"class":0,"patience_left":10000,"needs":1}}`
+	knock := func(instance string) string {
+		return `{"knock":{"who":` + instance + `,"op_id":1` + instance +
+			`,"class":0,"patience_left":10000,"needs":1}}`
 	}
 	both, _ := serve(t, `{"t":1,"inbox":[`+enlist("0")+`,`+enlist("1")+`]}`,
 		`{"t":2,"inbox":[`+knock("0")+`,`+knock("1")+`]}`)
-	for _, who := range []string{"0", "1"} {
-		alone, _ := serve(t, `{"t":1,"inbox":[`+enlist(who)+`]}`, `{"t":2,"inbox":[`+knock(who)+`]}`)
+	for _, instance := range []string{"0", "1"} {
+		alone, _ := serve(t, `{"t":1,"inbox":[`+enlist(instance)+`]}`, `{"t":2,"inbox":[`+knock(instance)+`]}`)
 		for _, line := range strings.Split(strings.TrimSpace(alone), "\n") {
 			want := strings.TrimSuffix(strings.TrimPrefix(line, `{"do":[`), `]}`)
 			if !strings.Contains(both, want) {
-				t.Errorf("alone %s, together %s", want, both)
+				t.Errorf("actions of an instance alone: want %s in the replies to two instances, got %s", want, both)
 			}
 		}
 	}
@@ -152,12 +157,12 @@
 		`{"write_log":{"who":3,"line":"a \"b\""}},`:       {Kind: dispatch.Log, Text: `a "b"`},
 	} {
 		if got := string(appendAction(nil, 3, &a)); got != want {
-			t.Errorf("got %s, want %s", got, want)
+			t.Errorf("encoded action: got %s, want %s", got, want)
 		}
 	}
 }
 
-// The wire's mark of a retry reaches the dispatcher.
+// TestRepeatsAreMarked checks that the event for the dispatcher has the retry mark of the wire.
 func TestRepeatsAreMarked(t *testing.T) {
 	marks := map[string]bool{`"retry":true`: true, `"retry":false`: false, `"retry":null`: false}
 	for mark, want := range marks {
@@ -168,18 +173,18 @@
 		}
 		var e dispatch.Event
 		if !messages[0].event(&e) || e.Retry != want {
-			t.Errorf("%s: got %+v", mark, e)
+			t.Errorf("arrival with %s: got the wrong retry mark or no event: %+v", mark, e)
 		}
 	}
 }
 
-// A panic in a dispatcher is reported for its instance.
+// TestPanicIsReported checks that the host reports a panic of a dispatcher for the dispatcher's instance.
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost()
-	h.dispatchers[2] = &dispatch.Dispatcher{} // not made by New: its maps are missing
+	h.dispatchers[2] = &dispatch.Dispatcher{} // panics on an arrival, because only New makes the maps
 	batch := `{"t":1,"inbox":[{"knock":{"who":2,"op_id":1,"class":0,"patience_left":5}}]}`
 	out, err := h.HandleBatch([]byte(batch))
 	if err != nil || !strings.Contains(string(out), `{"exception":{"who":2,"line":`) {
-		t.Errorf("got %s, %v", out, err)
+		t.Errorf("dispatcher that panics: want an exception for instance 2, got %s and error %v", out, err)
 	}
 }
