--- a/internal/dispatch/estimate_quota.go
+++ b/internal/dispatch/estimate_quota.go
@@ -4,11 +4,12 @@
 // dispatch decisions.
 
 // firstAttemptAt returns the time when the client's first try of a job began, from which the latency
-// objective counts. The function assumes that the client had its class's whole deadline then and has used up
-// what is missing of it on arrival. But the first try of a client with a shorter time-out would then seem to
-// have begun before it arrived, and the job could be late on arrival. So where clients mark their retries, an
-// unmarked job of a large fleet without gossip counts from its arrival. In other fleets a dispatcher sees an
-// overload itself, and a job with a short time-out is then the first that should be refused.
+// objective counts. The function assumes that a client has the whole deadline of the job's class at its first
+// try, so the part of the deadline that is missing at a retry is the time since the first try. A first try
+// with a shorter time-out than the deadline would then seem to have begun before its arrival, and the job
+// could be late on arrival. So where clients mark their retries, an unmarked job counts from its arrival in a
+// large fleet without gossip. In other fleets each dispatcher sees an overload itself, and a job with a short
+// time-out is the first that should be refused under overload.
 func (d *Dispatcher) firstAttemptAt(j *job, retried bool) Micros {
 	if d.settings.RetriesMarked && !retried && d.largeFleetWithoutGossip() {
 		return d.now
@@ -24,13 +25,14 @@
 	return d.settings.Tenants[tenant].Quota / float64(d.settings.Dispatchers)
 }
 
-// quotaBurst returns the largest number of unused jobs of its quota that a tenant may save up here.
+// quotaBurst returns the largest number of jobs of its unused quota that a tenant may save up at this
+// dispatcher.
 func (d *Dispatcher) quotaBurst(tenant int) float64 {
 	return max(minQuotaBurst, d.quotaShare(tenant)*quotaBurstSeconds)
 }
 
-// MaxSlots is the largest number of slots that counts for one job. No machine has nearly that many slots, and
-// sums of such numbers stay exact.
+// MaxSlots is the largest number of slots that counts for one job: far more than any machine has, and small
+// enough for every type that holds a sum of slots.
 const MaxSlots = 1 << 20
 
 // clampSlots returns the number of slots that counts for a job: the stated number, but 1 at least and
--- a/internal/dispatch/estimate_speed.go
+++ b/internal/dispatch/estimate_speed.go
@@ -91,9 +91,9 @@
 	return d.cachedBestSpeed
 }
 
-// anyFastEnough reports whether the predicate enough holds for bestSpeed. The predicate must hold for every
-// speed above one for which it holds. In a large subset the fastest worker of the last search is tried first:
-// if its speed is enough, no new search is needed.
+// anyFastEnough reports whether the predicate enough holds for bestSpeed. If the predicate holds for a speed,
+// it must hold for every higher speed. In a large subset the fastest worker of the last search is tried
+// first: if its speed is enough, no new search is needed.
 func (d *Dispatcher) anyFastEnough(enough func(speed float64) bool) bool {
 	w := d.fastestWorker
 	if w != nil && d.cachedBestSpeed == 0 && d.largeSubset() && d.usable(w) && enough(d.speed(w)) {
@@ -104,7 +104,8 @@
 
 // learnSpeed updates the speed estimates of an attempt's worker, its machine kind and the fleet, by the part
 // of the run that is not yet included. The parameter done is the fraction of the work that is done, 0 to 1.
-// The work of a job without a hint counts as its class's mean work, and only a complete run is used.
+// The work of a job without a hint counts as its class's mean work, and only a complete run of such a job is
+// used. Runs on a worker in slow start are not used.
 func (d *Dispatcher) learnSpeed(a *attempt, done float64) {
 	w, work, span := a.worker, a.job.work*(done-a.progress), float64(d.now-a.accountedUntil)
 	if !a.job.hinted {
--- a/internal/dispatch/estimate_work.go
+++ b/internal/dispatch/estimate_work.go
@@ -17,7 +17,7 @@
 	arrivals                          float64        // decayed number of arrivals, see classMixDecay
 
 	waitTarget     Micros  // longest wait that meets the objective (T_k in the published overload control)
-	guaranteedRate float64 // jobs per microsecond, of all tenants together (d in the same control, see flow)
+	guaranteedRate float64 // jobs per microsecond over all tenants (d in the published overload control)
 }
 
 // addWork adds the work of a job to the decayed sums, in microseconds on a standard core.
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -10,7 +10,7 @@
 	shortlistPerGroup = 8  // number of workers of one group that are examined for a job
 	shortlistTotal    = 32 // number of workers of all groups that are examined for a job, but 2 of each at least
 	reindexedPerJob   = 8  // number of workers whose key is computed again for each job, in rotation
-	keysPerRun        = 16 // number of keys by which two workers differ whose costs are one mean run apart
+	keysPerRun        = 16 // difference between the keys of two workers whose costs differ by one mean run
 
 	unusableWorkerKey = bucketqueue.Buckets - 1 // key of the workers that must not be given work
 	fullWorkerKey     = bucketqueue.Buckets - 2 // key of the usable workers without a free slot
@@ -39,7 +39,8 @@
 // largeSubset reports whether the subset is too large to be scanned for every job.
 func (d *Dispatcher) largeSubset() bool { return len(d.subset) > d.scanLimit }
 
-// invalidateIndex marks as outdated what was computed from the worker list, after a change of the list.
+// invalidateIndex discards the caches that depend on the worker list and marks the index as stale, after a
+// change of the list.
 func (d *Dispatcher) invalidateIndex() {
 	d.fastestWorker, d.dedupGroups = nil, [ScopeCell + 1]map[int][]*worker{}
 	if d.index != nil {
--- a/internal/dispatch/ordering.go
+++ b/internal/dispatch/ordering.go
@@ -61,7 +61,7 @@
 	for _, w := range moved {
 		w.sortKey = sortKeyOf(&w.entry)
 	}
-	slices.SortFunc(moved, compareWorkers) // so that the first list is built by appending, without moves
+	slices.SortFunc(moved, compareWorkers) // sorted insertions append to a first list instead of moving entries
 	for _, w := range moved {
 		if !w.inOrder {
 			d.ordered, w.inOrder = insertSorted(d.ordered, w), true
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -30,7 +30,7 @@
 	overQuota     bool       // the job arrived when its tenant had used up its quota
 	deadline      Micros     // time when the client abandons this try
 	objective     Micros     // time until which an answer earns the full weight
-	latestStart   Micros     // latest start that meets the objective; the queue is sorted by this time
+	latestStart   Micros     // latest start that meets the objective, or lateOffset after the deadline if late
 	seq           uint64     // arrival number of the job in this dispatcher, from 1
 	work          float64    // expected work, in microseconds on a standard core
 	slots         float64    // worker slots that the job takes while in flight
@@ -79,7 +79,7 @@
 	consecutiveFailures int     // number of consecutive failed attempts, see recordOutcome and eject
 	errorRate           float64 // decayed fraction of outcomes that are errors, 0 to 1, at errorRateAt
 	errorRateAt         Micros  // time of the last update of errorRate
-	unreachable         bool    // connects fail; the worker counts as in slow start when it answers again
+	unreachable         bool    // connects failed; the worker counts as just started until an attempt succeeds
 	ejectedUntil        Micros  // time when the ejection ends; 0 if the worker never was ejected
 
 	inferredStart     Micros  // time of the first answer after failed connects; 0 if there was none
@@ -108,7 +108,7 @@
 	updatedAt     Micros // time of the last report
 	increasedAt   Micros // time of the last report with more slots in use than the report before
 	arrivingSlots byte   // number of slots by which the use grew at increasedAt
-	waitingSince  Micros // time since which the reports contain waiting slots; 0 if the last one has none
+	waitingSince  Micros // time since which the reports contain waiting slots; 0 if the last report has none
 }
 
 // peer holds what the dispatcher knows of another dispatcher.
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -16,7 +16,7 @@
 	actions   []Action // actions of the current event, appended to the slice that the caller of Step passed
 	random    random   // source of all random draws
 
-	eventCount uint64 // number of events so far; marks values that are valid during one event only
+	eventCount uint64 // number of events so far; identifies the event for which a cached value was computed
 	timerToken uint64 // token of the latest timer; a timer event with another token is ignored
 	timerDueAt Micros // time when the pending timer fires; 0 if no timer is pending
 	loggedAt   Micros // time of the last log action; 0 if there was none
@@ -32,8 +32,8 @@
 
 // jobState holds the jobs that have no final answer or have attempts in flight.
 type jobState struct {
-	seq         uint64         // number of jobs that arrived so far
-	jobs        map[JobID]*job // all jobs that the dispatcher keeps
+	seq         uint64         // number of jobs that have arrived so far
+	jobs        map[JobID]*job // these jobs by ID
 	queue       []*job         // queued jobs, see compareJobs: on-time jobs first, then late jobs
 	retryBudget float64        // number of further attempts that may be made now, see retryBudgetPerJob
 }
@@ -45,7 +45,7 @@
 	subset          []*worker            // workers that this dispatcher sends to, by sort key, see updateSubset
 	ring            subset.Ring[*worker] // ready workers by position on the ring
 	ownedNotCovered []*worker            // ready workers owned by number but outside the interval, by sort key
-	removed         []removedWorker      // workers that the list has as removed, earliest removal first
+	removed         []removedWorker      // removed workers whose records are still kept, earliest removal first
 	busy            []*worker            // workers with own attempts in flight
 	gossipQueue     []*worker            // workers whose slot use may have to be reported to peers
 
@@ -61,7 +61,7 @@
 	updateCount   uint64    // number of updates of the worker list so far
 	pollAt        Micros    // time of the next poll of the worker list; 0 if the list is not polled
 	pollFailures  int       // number of consecutive failed polls
-	endpointsAsOf Micros    // latest time for which discovery vouched for the known list; 0 if it never did
+	endpointsAsOf Micros    // time as of which discovery last confirmed the known list; 0 if never
 }
 
 // estimateState holds what the dispatcher has learned about the fleet and the jobs.
@@ -102,7 +102,7 @@
 // placementState is the state of selectWorker.
 type placementState struct {
 	scanLimit        int    // largest subset, in workers, that is scanned for each job: maxScannedSubset
-	index            *index // index of a large subset; nil until it is first needed
+	index            *index // index of a large subset; nil until first needed
 	workersExamined  uint64 // number of times that a worker's cost or index key was computed, over all jobs
 	freeCapacitySeen bool   // a worker examined in the current scan has a free slot or may be probed
 	noCapacityEvent  uint64 // eventCount at the last scan in which no worker of the subset had capacity
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -169,8 +169,7 @@
 	table.DropHistory()
 	expect(t, table.Since(1), "full 2: b/ready c/ready")
 	expect(t, table.Since(2), "change 2:")
-	// A new revision without a changed endpoint also makes the revision before it unknown when the history is
-	// dropped.
+	// After a revision without a changed endpoint and a dropped history, the revision before is unknown.
 	expect(t, table.Publish(), "change 3:")
 	table.DropHistory()
 	expect(t, table.Since(2), "full 3: b/ready c/ready")
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -23,7 +23,7 @@
 	class         int                    // number of the job's class
 	tenant        int                    // number of the job's tenant
 	clientTimeout int64                  // time until the client abandons this try
-	retry         bool                   // the client says that it tried before
+	retry         bool                   // the client marked the job as a retry
 	work          int64                  // expected work on a standard core; 0 if not known
 	slots         float64                // slots that the job takes
 	memoryUnits   float64                // memory units that the job takes
