--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -12,8 +12,8 @@
 	"dahliaford/internal/http1"
 )
 
-// A job that is served at once, through the library and by a bare net/http call, against the same scheduler
-// in the same run.
+// BenchmarkServedJob compares the latency of a job that is sent with the client library with the latency of
+// the same request sent with net/http. Both run against the same test server, which answers at once.
 func BenchmarkServedJob(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,8 +28,8 @@
 			}
 			go func() {
 				defer conn.Close()
-				for read := http1.NewReader(conn); ; {
-					if _, err := read.Request(); err != nil {
+				for reader := http1.NewReader(conn); ; {
+					if _, err := reader.Request(); err != nil {
 						return
 					}
 					if _, err := io.WriteString(conn, served); err != nil {
@@ -47,15 +47,15 @@
 		}
 		defer c.Close()
 		b.ReportAllocs()
-		var took []time.Duration
-		defer func() { percentiles(b, took) }()
+		var latencies []time.Duration
+		defer func() { reportPercentiles(b, latencies) }()
 		for b.Loop() {
-			began := time.Now()
+			start := time.Now()
 			if _, err := c.Do(b.Context(), Job{Class: "post-reading", Object: "17",
 				Body: []byte("4211")}); err != nil {
 				b.Fatal(err)
 			}
-			took = append(took, time.Since(began))
+			latencies = append(latencies, time.Since(start))
 		}
 	})
 	b.Run("net-http", func(b *testing.B) {
@@ -63,10 +63,10 @@
 		defer transport.CloseIdleConnections()
 		c := http.Client{Transport: &transport}
 		b.ReportAllocs()
-		var took []time.Duration
-		defer func() { percentiles(b, took) }()
+		var latencies []time.Duration
+		defer func() { reportPercentiles(b, latencies) }()
 		for b.Loop() {
-			began := time.Now()
+			start := time.Now()
 			r, err := http.NewRequestWithContext(b.Context(), "POST", "http://"+l.Addr().String()+"/post-reading/17",
 				strings.NewReader("4211"))
 			if err != nil {
@@ -76,23 +76,25 @@
 			r.Header.Set("X-Lane", "post-reading")
 			r.Header.Set("X-Org", "sahel")
 			r.Header.Set("X-Remaining-Ms", "5000")
-			answer, err := c.Do(r)
+			response, err := c.Do(r)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if _, err := io.ReadAll(answer.Body); err != nil {
+			if _, err := io.ReadAll(response.Body); err != nil {
 				b.Fatal(err)
 			}
-			_ = answer.Body.Close() // it was read to its end
-			took = append(took, time.Since(began))
+			_ = response.Body.Close() // the body was read to its end, so the error of Close does not matter
+			latencies = append(latencies, time.Since(start))
 		}
 	})
 }
 
-func percentiles(b *testing.B, took []time.Duration) {
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2]), "p50-ns")
-	b.ReportMetric(float64(took[len(took)*99/100]), "p99-ns")
+// reportPercentiles reports the 50th and the 99th percentile of the latencies.
+func reportPercentiles(b *testing.B, latencies []time.Duration) {
+	slices.Sort(latencies)
+	b.ReportMetric(float64(latencies[len(latencies)/2]), "p50-ns")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100]), "p99-ns")
 }
 
-const defaultDeadline = 5_000_000_000 // ns
+// defaultDeadline is the deadline of the benchmark's class, in nanoseconds.
+const defaultDeadline = 5_000_000_000
