--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -3,7 +3,8 @@
 // This file finds the workers to which deduplication groups restrict a job. It makes no dispatch decisions.
 
 // bindingAttempt returns the first attempt that may have run, or nil. An attempt that may have run is
-// repeated only as its class allows, so a keyed job may be bound to the deduplication group of this attempt.
+// repeated only as the job's class allows, so a keyed job may be bound to the deduplication group of this
+// attempt.
 func (j *job) bindingAttempt() *attempt {
 	for _, a := range j.attempts {
 		if a.inFlight || a.mayHaveRun {
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -6,9 +6,9 @@
 // placement.go computes the cost of a worker. docs/design-choice.md has the reasons for this design.
 
 const (
-	maxScannedSubset  = 64 // largest subset, in workers, that is scanned: up to here the index costs no less
+	maxScannedSubset  = 64 // largest subset, in workers, that is scanned; below this size an index saves no time
 	shortlistPerGroup = 8  // number of workers of one group that are examined for a job
-	shortlistTotal    = 32 // number of workers of all groups that are examined for a job, but 2 of each at least
+	shortlistTotal    = 32 // number of workers of all groups that are examined for a job; at least 2 of each
 	reindexedPerJob   = 8  // number of workers whose key is computed again for each job, in rotation
 	keysPerRun        = 16 // difference between the keys of two workers whose costs differ by one mean run
 
@@ -134,7 +134,7 @@
 }
 
 // shortlist returns workers that likely cost a job least: the first few in the queue of each group that may
-// run the job. It also updates outdated keys of the workers that it meets.
+// run the job. The function also updates the index keys of these workers.
 func (d *Dispatcher) shortlist(j *job) []*worker {
 	x := d.currentIndex()
 	x.meanWork += (j.work - x.meanWork) / 32
@@ -154,7 +154,7 @@
 		if kind >= 0 && kind != s.key.kind {
 			continue
 		}
-		limit := shortlistPerGroup // the full number for the own zone if other zones cost more
+		limit := shortlistPerGroup // no smaller limit for the own zone if workers of other zones have a price
 		if s.key.zone != d.settings.Zone || d.settings.CrossZonePrice == 0 {
 			limit = max(2, min(shortlistPerGroup, shortlistTotal/len(x.queues)))
 		}
--- a/internal/dispatch/polling.go
+++ b/internal/dispatch/polling.go
@@ -13,8 +13,8 @@
 
 // pollJitter returns a random wait before a poll of the worker list. The wait keeps the dispatchers from
 // polling all at once: a call that waits too long at the discovery service fails, and costs the service as
-// much as a successful call. While the last update is valid, the wait may last until 1 s, the time for the
-// call, before the update becomes stale. When no update is valid, nothing can be sent, so the wait is short.
+// much as a successful call. While the last update is valid, the wait may last until 1 s (the time for the
+// call) before the update becomes stale. When no update is valid, nothing can be sent, so the wait is short.
 func (d *Dispatcher) pollJitter() Micros {
 	if !d.settings.LargeFleet() || d.settings.UnmeteredPolls {
 		return 0
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -33,7 +33,7 @@
 // jobState holds the jobs that have no final answer or have attempts in flight.
 type jobState struct {
 	seq         uint64         // number of jobs that have arrived so far
-	jobs        map[JobID]*job // these jobs by ID
+	jobs        map[JobID]*job // jobs without a final answer or with attempts in flight, by ID
 	queue       []*job         // queued jobs, see compareJobs: on-time jobs first, then late jobs
 	retryBudget float64        // number of further attempts that may be made now, see retryBudgetPerJob
 }
