--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -65,7 +65,8 @@
 	within := strings.Replace(text, `"limits":null,"seed"`, `"limits":{"sockets":null,"x":1},"seed"`, 1)
 	cfg, err := parse([]byte(within))
 	if err != nil || cfg.MaxDescriptors != 0 {
-		t.Errorf("sockets is null: got a limit of %d sockets, error %v, want 0 and no error", cfg.MaxDescriptors, err)
+		t.Errorf("sockets is null: got a limit of %d sockets, error %v, want 0 and no error",
+			cfg.MaxDescriptors, err)
 	}
 }
 
