--- a/cmd/schedbench/mutants.go
+++ b/cmd/schedbench/mutants.go
@@ -170,7 +170,7 @@
 func (b mutantBuild) searchElsewhere(ctx context.Context) (elsewhere, error) {
 	var e elsewhere
 	for _, c := range modelcheck.Worlds() {
-		if c.Rules != (modelcheck.Rules{}) || c.DeleteOvertakesRequest { // the hole is known to break
+		if c.Overrides != (modelcheck.Overrides{}) || c.DeleteOvertakesRequest { // the hole is known to break
 			continue
 		}
 		faults := strconv.Itoa(min(elsewhereFaults, int(c.MaxFaults)))
--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -9,8 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// history reads events, separated by semicolons: milliseconds, kind, worker or client, and what else the
-// kind has. All are of the request t, sent at 0 with a deadline of 2 s.
+// history parses a list of events that are separated by semicolons. An event consists of a time in
+// milliseconds, a kind, a worker or client, and an optional result; an answer has a status in place of the
+// client. All events concern the request t, which is sent at time 0 with a deadline of 2 s.
 func history(t *testing.T, class, text string) []Event {
 	t.Helper()
 	start := time.Unix(1000, 0)
@@ -29,7 +30,7 @@
 		fields := strings.Fields(line)
 		kind, known := kinds[fields[1]]
 		if !known {
-			t.Fatalf("%q is no event", line)
+			t.Fatalf("%q is not an event", line)
 		}
 		e := Event{At: at(fields[0]), Kind: kind, ID: "t", Actor: fields[2], MayHaveRun: fields[1] == "ran"}
 		if len(fields) > 3 {
@@ -47,6 +48,7 @@
 	return events
 }
 
+// TestCheck checks the properties that Check finds violated in short histories.
 func TestCheck(t *testing.T) {
 	rules := Rules{AtMostOnce: map[string]bool{"post": true},
 		RackOf: map[string]string{"a": "1", "b": "1", "c": "2"},
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,29 +1,29 @@
-// Package history checks the history of what clients and workers saw of a real scheduler against the
-// properties that package modelcheck checks in small worlds. It has no I/O and no clock: events come with
-// their times, all read from one clock.
+// Package history checks a recorded history of a real scheduler, as observed by clients, workers and
+// discovery, against the properties that package modelcheck checks in small worlds. The package has no I/O
+// and no clock: each event contains its time, and all times come from one clock.
 package history
 
 import (
 	"time"
 )
 
-// Kind is a kind of event.
+// Kind is a kind of recorded event.
 type Kind uint8
 
 // The kinds of events.
 const (
-	Sent               Kind = iota // a client wrote a request; it gives up at Deadline
-	ClientDisconnected             // the client left
-	Answered                       // the client has its answer: Status, Result
-	Unanswered                     // the client's connection ended, or its time, without an answer
-	Arrived                        // a request's last byte came to a worker
-	Started                        // it runs there
-	Ended                          // the attempt is over there; MayHaveRun: it may have run
-	WorkerDied                     // the worker's process died with it
-	Closed                         // the connection ended before the 202: the attempt is given up there
-	CancelReceived                 // a DELETE came; Status 200: the job was there
-	EndpointChanged                // discovery wrote that a worker (Actor) drains or is gone
-	WorkerReady                    // discovery wrote that a worker (Actor) is ready again
+	Sent               Kind = iota // a client wrote a request; Deadline is the client's deadline
+	ClientDisconnected             // a client disconnected before its answer
+	Answered                       // a client received an answer with Status and Result
+	Unanswered                     // a client's connection ended or its deadline passed without an answer
+	Arrived                        // the last byte of an attempt reached a worker
+	Started                        // a job started to run at a worker
+	Ended                          // an attempt ended at a worker; MayHaveRun is set if the job may have run
+	WorkerDied                     // a worker's process died while it held a job
+	Closed                         // a connection ended before its 202, so the worker dropped the attempt
+	CancelReceived                 // a DELETE reached a worker; Status is 200 if the worker held the job
+	EndpointChanged                // discovery listed the worker Actor as draining or removed
+	WorkerReady                    // discovery listed the worker Actor as ready again
 )
 
 var kindNames = [...]string{
@@ -41,40 +41,41 @@
 	WorkerReady:        "worker ready",
 }
 
-// String returns the kind's name, for test output.
+// String returns the name of the kind for test output.
 func (k Kind) String() string { return kindNames[k] }
 
-// Event is one thing that a client, a worker or discovery saw.
+// Event is one observation of a client, a worker or discovery.
 type Event struct {
 	At         time.Time
 	Kind       Kind
-	ID         string    // of the request
-	Actor      string    // the worker, or client
-	Class      string    // with Sent
-	Deadline   time.Time // with Sent
-	Status     int       // with Answered and CancelReceived
-	Result     string    // with Answered and Ended
-	MayHaveRun bool      // with Ended
+	ID         string    // id of the request
+	Actor      string    // name of the worker or the client
+	Class      string    // class of the request; set for Sent
+	Deadline   time.Time // deadline of the client; set for Sent
+	Status     int       // HTTP status; set for Answered and CancelReceived
+	Result     string    // result of the job; set for Answered and Ended
+	MayHaveRun bool      // whether the job may have run; set for Ended
 }
 
-// Rules are the figures of a deployment. Slack is added to each of its times: a machine that is busy makes
-// events late.
+// Rules holds the parameters of a deployment that the properties depend on. Check adds Slack to each of the
+// durations, because events are late on a busy machine.
 type Rules struct {
-	AtMostOnce  map[string]bool   // classes of which nothing may run twice
-	RackOf      map[string]string // of each worker
-	Window      time.Duration     // in which a repeat is dropped within a rack
-	DrainGrace  time.Duration
-	MaxAttempts int
-	Slack       time.Duration
-	// OrphanLimit is how long a worker may hold a job for nobody. After the history's end nothing is
-	// expected any more.
+	AtMostOnce  map[string]bool   // classes whose jobs must not run twice
+	RackOf      map[string]string // rack of each worker
+	Window      time.Duration     // deduplication window within which workers of a rack drop repetitions
+	DrainGrace  time.Duration     // time after a drain or removal during which attempts may still arrive
+	MaxAttempts int               // largest number of attempts of a request
+	Slack       time.Duration     // tolerance for late events
+	// OrphanLimit is the time for which a worker may hold a job after its request is finished. Check applies it
+	// only to requests that finished longer than OrphanLimit before the last event of the history.
 	OrphanLimit time.Duration
 }
 
-// Finding is a property that was violated, named as in package modelcheck.
+// Finding is a violation of a property. Property is the name of the property in package modelcheck, ID the id
+// of the request, and Text a description.
 type Finding struct {
 	Property, ID, Text string
 }
 
-// String returns the finding as one line.
+// String returns the finding as one line: property, id and description.
 func (f Finding) String() string { return f.Property + ": " + f.ID + ": " + f.Text }
--- a/internal/modelcheck/action.go
+++ b/internal/modelcheck/action.go
@@ -5,58 +5,59 @@
 	"strings"
 )
 
-// ActionKind is a kind of step that the world can take.
+// ActionKind is a kind of action, that is, of transition between states of a world.
 type ActionKind uint8
 
-// The kinds of actions. Trace files have their names, of actionNames.
+// The kinds of actions. Trace files contain their names from actionNames.
 const (
 	Submit               ActionKind = iota // the client sends a request
 	SubmitDuplicate                        // the client sends the same id again
-	RenewRequest                           // a finished request gives place to one with a new id
-	ClientDisconnects                      // a client leaves before its answer
-	RefuseConnection                       // an attempt's connection does not come up
-	WriteRequest                           // an attempt is written to its connection
-	DeliverWritten                         // the event loop receives that it is written
-	ArriveAtWorker                         // the request reaches its worker; the variant says with which result
-	BreakConnection                        // a connection breaks; the variant says when
-	DeliverBroken                          // the event loop receives that a connection ended
-	DeliverAnswer                          // the event loop receives the worker's answer
-	CloseArrives                           // the scheduler's close reaches the worker; the variant says when
+	RenewRequest                           // a request with a new id replaces a finished request
+	ClientDisconnects                      // a client disconnects before its answer
+	RefuseConnection                       // the connection of an attempt cannot be established
+	WriteRequest                           // the node writes an attempt to its connection
+	DeliverWritten                         // the event loop is notified that an attempt has been written
+	ArriveAtWorker                         // a request reaches its worker; the variant is the result
+	BreakConnection                        // a connection breaks; the variant is the time
+	DeliverBroken                          // the event loop is notified that a connection has ended
+	DeliverAnswer                          // the event loop receives a worker's answer
+	CloseArrives                           // the scheduler's close reaches a worker; the variant is the time
 	StartJob                               // a worker starts a job
 	FinishJob                              // a worker finishes a job
 	FailJob                                // a job fails
-	HandBackJob                            // a worker hands a job back unstarted
-	AbortJob                               // a worker loses a job
+	HandBackJob                            // a worker hands a job back without starting it
+	AbortJob                               // a worker aborts a job
 	DeliverCallback                        // a callback reaches the scheduler
-	DuplicateCallback                      // a callback reaches the scheduler and will do so again
-	DropCallback                           // a callback never reaches the scheduler
+	DuplicateCallback                      // a callback reaches the scheduler; a copy of it stays in transit
+	DropCallback                           // a callback is lost
 	CancellationArrives                    // a DELETE reaches its worker
 	CancellationAnswered                   // the scheduler receives the answer to a DELETE
 	CancellationBreaks                     // the connection of a DELETE breaks
-	ProcessCrashes                         // a worker's process dies with all its jobs
-	ProcessRestarts                        // and starts again
-	MachineUnreachable                     // a worker's machine is cut off
-	MachineReachable                       // and is back
-	AnnounceDraining                       // discovery says that a worker drains
-	AnnounceRemoved                        // discovery says that a worker is gone
-	AnnounceReady                          // discovery says that a worker is ready
-	CloseWatch                             // the watch of the worker list ends
-	AnswerWatch                            // discovery answers a watch
-	RestartDiscovery                       // discovery answers with a list whose revisions begin anew
+	ProcessCrashes                         // a worker's process crashes and aborts all its jobs
+	ProcessRestarts                        // a worker's crashed process restarts
+	MachineUnreachable                     // a worker's machine loses its network connection
+	MachineReachable                       // a worker's machine is reachable again
+	AnnounceDraining                       // discovery lists a worker as draining
+	AnnounceRemoved                        // discovery lists a worker as removed
+	AnnounceReady                          // discovery lists a worker as ready
+	CloseWatch                             // the watch of the worker list closes
+	AnswerWatch                            // discovery answers a watch with the complete list
+	RestartDiscovery                       // discovery restarts: it answers a watch with a list of revision 1
 	ReloadConfig                           // a new configuration is loaded
-	Terminate                              // SIGTERM
-	PanicModule                            // the decision module panics at the next event that it gets
+	Terminate                              // the scheduler receives SIGTERM
+	PanicModule                            // the decision module will panic at the next event that it processes
 	AdvanceTime                            // time passes until the next deadline
 	AdvanceJustBefore                      // time passes until just before the next deadline
-	AdvanceJustAfter                       // time passes until just after it, before the timer has fired
-	DeliverNotSent                         // the event loop receives that nothing of an attempt was written
+	AdvanceJustAfter                       // time passes until just after the next deadline; no timer fires
+	DeliverNotSent                         // the event loop is notified that no byte of an attempt was written
 	actionKinds
 )
 
 // String returns the name that trace files use.
 func (k ActionKind) String() string { return actionNames[k] }
 
-// actionNames are part of the format of trace files: they stay when an identifier is renamed.
+// actionNames holds the names of actions in trace files. The names are part of the trace format and do not
+// change when an identifier is renamed.
 var actionNames = [actionKinds]string{
 	Submit:               "submit",
 	SubmitDuplicate:      "submit-again",
@@ -100,45 +101,45 @@
 	DeliverNotSent:       "hear-kept",
 }
 
-// Variant picks among the ways in which an action can happen. Actions with one way have variant 0.
+// Variant selects one of several outcomes of an action. Actions with one outcome have variant 0.
 type Variant uint8
 
 // The variants of ArriveAtWorker.
 const (
-	arriveAccepted    Variant = iota // 202
-	arriveAtCapacity                 // 503: the worker did not begin
-	arriveServerError                // 500: it may have run
-	arriveRejected                   // 400
+	arriveAccepted    Variant = iota // the worker accepts the job and answers 202
+	arriveAtCapacity                 // the worker is at capacity and answers 503 without starting the job
+	arriveServerError                // the worker answers 500; the job may have run
+	arriveRejected                   // the worker answers 400 without starting the job
 )
 
 // The variants of BreakConnection.
 const (
-	breakBeforeArrival Variant = iota // the request never arrives
-	breakWhileRunning                 // it arrives and runs, and ends with its connection
-	breakBeforeAnswer                 // the worker's answer is lost
-	breakAfterAccept                  // the worker had accepted
+	breakBeforeArrival Variant = iota // the request does not reach the worker
+	breakWhileRunning                 // the request arrives and runs; the job ends with the connection
+	breakBeforeAnswer                 // the worker's answer is lost with the connection
+	breakAfterAccept                  // the connection breaks after the event loop has received the 202
 )
 
 // The variants of CloseArrives.
 const (
-	closeBeforeAccept Variant = iota // in time: the worker does not take the job
-	closeAfterAccept                 // it crosses the worker's 202: the worker holds the job
+	closeBeforeAccept Variant = iota // the close reaches the worker before its 202: the worker drops the request
+	closeAfterAccept                 // the close crosses the worker's 202: the worker holds the job
 )
 
-// Action is one step of the world.
+// Action is one transition of a world.
 type Action struct {
 	Kind ActionKind
-	// Target is the index of the request, worker, connection, job, callback or cancellation that the
-	// action is about, by its kind; 0 if it is about none.
+	// Target is the index of the request, worker, connection, job, callback or cancellation that the action
+	// concerns; the kind of the action determines which of these. Target is 0 for all other actions.
 	Target  uint8
 	Variant Variant
 }
 
-// String returns the form that trace files use; parseAction reads it.
+// String returns the textual form in trace files: name, target and variant. parseAction is the inverse.
 func (a Action) String() string { return fmt.Sprintf("%v %d %d", a.Kind, a.Target, a.Variant) }
 
 func parseAction(text string) (Action, error) {
-	invalid := fmt.Errorf("%q is no step", text)
+	invalid := fmt.Errorf("%q is not a step: want the name of an action, a target and a variant", text)
 	fields := strings.Fields(text)
 	if len(fields) != 3 {
 		return Action{}, invalid
--- a/internal/modelcheck/cancellations.go
+++ b/internal/modelcheck/cancellations.go
@@ -5,30 +5,30 @@
 	"dahliaford/internal/scheduler"
 )
 
-// cancellation is a DELETE of an attempt, on its connection.
+// cancellation is a DELETE request for an attempt, and the connection that carries it.
 type cancellation struct {
 	attempt  scheduler.AttemptID
-	id       uint8 // of the request
+	id       uint8 // index of the request
 	worker   uint8
-	answered bool // its answer is on its way
+	answered bool // the answer to the DELETE is in transit to the scheduler
 	deadline Micros
 	conn     connstate.Conn
 }
 
-// sendCancellation sends a DELETE on its way.
+// sendCancellation puts a DELETE request in transit to its worker.
 func (w *World) sendCancellation(e scheduler.CancelAttempt) {
 	c := cancellation{attempt: e.Attempt, id: requestIndex(e.RequestID), worker: workerIndex(e.Addr),
 		deadline: e.Deadline}
 	c.conn.Assign(e.Attempt, true)
 	for _, attempt := range w.unsentAttempts {
 		if attempt == e.Attempt {
-			c.answered = true // nothing of the attempt was written: the node need not ask
+			c.answered = true // no byte of the attempt was written: package node acknowledges without a DELETE
 		}
 	}
 	w.cancellations = append(w.cancellations, c)
 }
 
-// cancellationActions lists what can happen to cancellations on their way.
+// cancellationActions appends the enabled actions of cancellations in transit.
 func (w *World) cancellationActions(out []Action) []Action {
 	for i := range w.cancellations {
 		c := &w.cancellations[i]
@@ -45,8 +45,8 @@
 	return out
 }
 
-// requestInTransit reports whether the request that a cancellation is about is still on its way to the
-// worker.
+// requestInTransit reports whether the attempt that a cancellation concerns is still in transit to the
+// worker, on a connection that the scheduler has closed.
 func (w *World) requestInTransit(of *cancellation) bool {
 	for i := range w.connections {
 		if c := &w.connections[i]; c.attempt == of.attempt && c.phase == closing {
@@ -84,7 +84,7 @@
 	w.endCancellation(a.Target, e)
 }
 
-// endCancellation drops a cancellation and passes on the event that follows from its end.
+// endCancellation removes a cancellation and passes the event of its end to the scheduler.
 func (w *World) endCancellation(i uint8, e scheduler.Event) {
 	w.removeCancellation(int(i))
 	w.step(e)
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -7,38 +7,40 @@
 	"dahliaford/internal/scheduler"
 )
 
-// checkOneAnswer checks OneFinalAnswer when an answer is given.
-func (w *World) checkOneAnswer(q *request) {
+// checkSingleAnswer checks OneFinalAnswer when the scheduler answers a client.
+func (w *World) checkSingleAnswer(q *request) {
 	switch {
 	case q.state == answered:
-		w.violate(OneFinalAnswer, "%s is answered twice", w.requestID(q.id))
+		w.violate(OneFinalAnswer, "%s gets a second final answer", w.requestID(q.id))
 	case q.state == disconnected:
-		w.violate(OneFinalAnswer, "%s is answered though its client left", w.requestID(q.id))
+		w.violate(OneFinalAnswer, "%s is answered after its client disconnected", w.requestID(q.id))
 	case w.now > q.deadline:
-		w.violate(OneFinalAnswer, "%s is answered %v after its client gave up", w.requestID(q.id),
+		w.violate(OneFinalAnswer, "%s is answered %v after its client's deadline", w.requestID(q.id),
 			duration(w.now-q.deadline))
 	}
 }
 
-// checkHonest checks HonestAnswers when an answer is given.
-func (w *World) checkHonest(q *request, a scheduler.Answer) {
+// checkAnswerContent checks HonestAnswers when the scheduler answers a client.
+func (w *World) checkAnswerContent(q *request, a scheduler.Answer) {
 	switch a.Verdict {
 	case scheduler.Served:
-		uid, ok := strings.CutPrefix(string(a.Body), w.requestID(q.id)+resultBy)
+		uid, ok := strings.CutPrefix(string(a.Body), w.requestID(q.id)+resultSeparator)
 		if !ok || !w.requests[q.id].resultsBy.has(workerIndex(uid)) {
-			w.violate(HonestAnswers, "%s is served %q, which no worker made for it", w.requestID(q.id), a.Body)
+			w.violate(HonestAnswers, "%s is served the result %q, which no worker made for it", w.requestID(q.id),
+				a.Body)
 		}
 	case scheduler.Refused:
 		w.checkRefusal(q)
 	case scheduler.Invalid:
 		if w.requests[q.id].mayHaveRun != 0 {
-			w.violate(HonestAnswers, "%s is called invalid, as if it never ran, though it may have run",
+			w.violate(HonestAnswers, "%s is answered as invalid though it may have run",
 				w.requestID(q.id))
 		}
 	}
 }
 
-// checkRefusal checks that a repeat of a refused request is harmless.
+// checkRefusal checks that the client may retry a refused request: the request has not run, no worker holds
+// it, and it is not in transit to a worker.
 func (w *World) checkRefusal(q *request) {
 	id := w.requestID(q.id)
 	if w.requests[q.id].mayHaveRun != 0 {
@@ -56,17 +58,17 @@
 	}
 }
 
-// checkArrival checks OneAttemptOutstanding, AttemptsCapped, RunsAsAllowed and SlowStartRespected when an
-// attempt's last byte reaches a worker.
+// checkArrival checks OneAttemptOutstanding, AttemptsCapped, RunsAsAllowed and SlowStartRespected when the
+// last byte of an attempt reaches a worker.
 func (w *World) checkArrival(c *connection) {
 	q := &w.requests[c.id]
-	if q.attempts++; int(q.attempts) > w.cfg.Rules.maxAttempts() {
-		w.violate(AttemptsCapped, "attempt %d of %s comes to %s", q.attempts, w.requestID(c.id),
-			workerUID(c.worker))
+	if q.attempts++; int(q.attempts) > w.cfg.Overrides.maxAttempts() {
+		w.violate(AttemptsCapped, "attempt %d of %s reaches %s, more attempts than the settings allow", q.attempts,
+			w.requestID(c.id), workerUID(c.worker))
 	}
 	for _, j := range w.jobs {
 		if j.id == c.id {
-			w.violate(OneAttemptOutstanding, "an attempt of %s comes to %s while %s holds one that is not cancelled",
+			w.violate(OneAttemptOutstanding, "an attempt of %s reaches %s while %s holds another attempt of it",
 				w.requestID(c.id), workerUID(c.worker), workerUID(j.worker))
 		}
 	}
@@ -76,23 +78,24 @@
 	w.checkSlowStart(c)
 }
 
-// checkBatchRepeat checks RunsAsAllowed for a batch that may have run and reaches a worker again.
+// checkBatchRepeat checks RunsAsAllowed when a batch that may have run reaches a worker again.
 func (w *World) checkBatchRepeat(c *connection) {
 	q := &w.requests[c.id]
 	id, uid := w.requestID(c.id), workerUID(c.worker)
 	for i := range uint8(len(w.workers)) {
 		if q.mayHaveRun.has(i) && w.cfg.Racks[i] != w.cfg.Racks[c.worker] {
-			w.violate(RunsAsAllowed, "%s may have run at %s and comes to %s, in another rack", id, workerUID(i), uid)
+			w.violate(RunsAsAllowed, "%s may have run at %s and reaches %s in another rack", id, workerUID(i), uid)
 		}
 	}
 	if c.sentAt-q.firstRunSentAt > dedupWindow {
-		w.violate(RunsAsAllowed, "%s may have run and is sent again %v later, past its window", id,
+		w.violate(RunsAsAllowed, "%s may have run and is sent again %v later, after its deduplication window", id,
 			duration(c.sentAt-q.firstRunSentAt))
 	}
 }
 
-// checkSlowStart checks SlowStartRespected. In these worlds the budget of a worker in slow start is under
-// one job, so of the jobs whose sender knew of it one may come within the window.
+// checkSlowStart checks SlowStartRespected. In all worlds the budget of a worker in slow start is less than
+// one job for each overloadWindow. A worker may therefore receive at most one job within overloadWindow from
+// senders that know of its slow start.
 func (w *World) checkSlowStart(c *connection) {
 	if !c.slowStart {
 		return
@@ -100,27 +103,27 @@
 	to := &w.workers[c.worker]
 	for _, at := range to.slowStartSends {
 		if apart := max(c.sentAt-at, at-c.sentAt); apart < overloadWindow {
-			w.violate(SlowStartRespected, "two jobs are sent to %s within %v, in its slow start",
+			w.violate(SlowStartRespected, "two jobs are sent to %s, which is in slow start, within %v",
 				workerUID(c.worker), duration(apart))
 		}
 	}
 	to.slowStartSends = append(to.slowStartSends, c.sentAt)
 }
 
-// checkWrite checks DrainsRespected and NoSendAfterDisconnect when an attempt's first byte is written.
+// checkWrite checks DrainsRespected and NoSendAfterDisconnect when the first byte of an attempt is written.
 func (w *World) checkWrite(c *connection) {
 	to := &w.workers[c.worker]
-	c.slowStart = to.startedAt != 0 && to.knownStart == to.startedAt &&
+	c.slowStart = to.startedAt != 0 && to.knownStartedAt == to.startedAt &&
 		w.now-to.startedAt < slowStartDuration && to.status == dispatch.Ready
 	w.checkClientPresent(c)
 	if since := w.leavingSince(to); since != 0 && w.now-since > drainGrace {
-		w.violate(DrainsRespected, "%s is written to %s %v after the notice that it leaves", w.requestID(c.id),
-			workerUID(c.worker), duration(w.now-since))
+		w.violate(DrainsRespected, "%s is written to %s %v after the notice that the worker drains or is removed",
+			w.requestID(c.id), workerUID(c.worker), duration(w.now-since))
 	}
 }
 
-// checkClientPresent checks NoSendAfterDisconnect: of the clients that submitted this id, one waits or left
-// within disconnectGrace.
+// checkClientPresent checks NoSendAfterDisconnect: at least one client that submitted the id still waits or
+// disconnected no longer than disconnectGrace ago.
 func (w *World) checkClientPresent(c *connection) {
 	since := Micros(-1)
 	for i := range w.requests {
@@ -134,30 +137,31 @@
 		}
 	}
 	if since >= 0 && w.now-since > disconnectGrace {
-		w.violate(NoSendAfterDisconnect, "%s is written to %s %v after its client left", w.requestID(c.id),
+		w.violate(NoSendAfterDisconnect, "%s is written to %s %v after its client disconnected", w.requestID(c.id),
 			workerUID(c.worker), duration(w.now-since))
 	}
 }
 
-// checkCancelAllowed checks CancelsAsAllowed when an attempt is given up. What its worker, its connection or
-// its time has ended is not outstanding any more.
+// checkCancelAllowed checks CancelsAsAllowed when the scheduler abandons an attempt. An attempt that a
+// callback, the end of its connection or its deadline has ended is no longer outstanding and may be
+// abandoned.
 func (w *World) checkCancelAllowed(attempt scheduler.AttemptID) {
-	if !w.cfg.Rules.CancelForbidden {
+	if !w.cfg.Overrides.CancelForbidden {
 		return
 	}
 	for i := range w.requests {
 		q := &w.requests[i]
-		if q.lastAttempt == attempt && q.stage < stageGivenUp && w.now < q.attemptDeadline {
-			w.violate(CancelsAsAllowed, "an attempt of %s at %s is given up %v before its time", w.requestID(q.id),
-				workerUID(q.lastWorker), duration(q.attemptDeadline-w.now))
+		if q.lastAttempt == attempt && q.stage < stageAbandoned && w.now < q.attemptDeadline {
+			w.violate(CancelsAsAllowed, "an attempt of %s at %s is abandoned %v before its deadline",
+				w.requestID(q.id), workerUID(q.lastWorker), duration(q.attemptDeadline-w.now))
 		}
 	}
 }
 
-// recordRun notes that a job may run at a worker, and checks RunsAsAllowed.
+// recordRun records that a job may have run at a worker and checks RunsAsAllowed.
 func (w *World) recordRun(id, worker uint8, sentAt Micros) {
 	q := &w.requests[id]
-	if q.starts++; q.class == Post && q.starts > 1 {
+	if q.runCount++; q.class == Post && q.runCount > 1 {
 		w.violate(RunsAsAllowed, "%s runs for the second time, at %s", w.requestID(id), workerUID(worker))
 	}
 	if q.mayHaveRun == 0 {
@@ -166,11 +170,11 @@
 	q.mayHaveRun.add(worker)
 }
 
-// checkExit checks OneFinalAnswer at the program's end.
+// checkExit checks OneFinalAnswer when the scheduler exits.
 func (w *World) checkExit() {
 	for i := range w.requests {
 		if w.requests[i].state == open {
-			w.violate(OneFinalAnswer, "the program exits and %s has no answer", w.requestID(w.requests[i].id))
+			w.violate(OneFinalAnswer, "the scheduler exits before %s has an answer", w.requestID(w.requests[i].id))
 		}
 	}
 }
@@ -183,10 +187,10 @@
 			continue
 		}
 		if w.now > q.deadline+timerJitter {
-			w.violate(OneFinalAnswer, "%s has no answer %v after its client gave up", w.requestID(q.id),
+			w.violate(OneFinalAnswer, "%s has no answer %v after its client's deadline", w.requestID(q.id),
 				duration(w.now-q.deadline))
 		} else if w.now < q.deadline && (w.timerAt == 0 || w.timerAt > q.deadline) {
-			w.violate(Terminates, "%s is open, and no timer is set before its client gives up", w.requestID(q.id))
+			w.violate(Terminates, "%s is open, and no timer is set before its client's deadline", w.requestID(q.id))
 		}
 	}
 }
--- a/internal/modelcheck/clock.go
+++ b/internal/modelcheck/clock.go
@@ -7,39 +7,41 @@
 	"dahliaford/internal/scheduler"
 )
 
-// timerJitter is how far from a deadline an event comes that is just before or after it.
+// timerJitter is the distance from a deadline of events that occur just before or just after it.
 const timerJitter = 1 * millisecond
 
 func duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
-// nextDeadline is the next time at which something must happen; 0: nothing must.
+// nextDeadline returns the earliest of the scheduler's timer and the write deadlines of attempts, or 0 if
+// there is none.
 func (w *World) nextDeadline() Micros {
 	at := w.timerAt
 	for i := range w.connections {
-		if c := &w.connections[i]; c.phase == connecting && (at == 0 || c.writeBy < at) {
-			at = c.writeBy
+		if c := &w.connections[i]; c.phase == connecting && (at == 0 || c.writeDeadline < at) {
+			at = c.writeDeadline
 		}
 	}
 	return at
 }
 
-// timeMatters reports whether a client waits, or something is still to be done.
-func (w *World) timeMatters() bool {
+// timeRelevant reports whether the passing of time can still have an effect that a property checks: a client
+// waits, a cancellation is open, the scheduler is stopping or an attempt may still be written.
+func (w *World) timeRelevant() bool {
 	if !w.allAnswered() || len(w.cancellations) > 0 || w.stopping {
 		return true
 	}
 	for i := range w.connections {
 		if w.connections[i].phase == connecting {
-			return true // it may be written late, for nobody
+			return true // checks NoSendAfterDisconnect if the client has disconnected
 		}
 	}
 	return false
 }
 
-// timeActions lists how time can pass.
+// timeActions appends the enabled actions that let time pass.
 func (w *World) timeActions(out []Action) []Action {
 	deadline := w.nextDeadline()
-	if deadline == 0 || !w.timeMatters() {
+	if deadline == 0 || !w.timeRelevant() {
 		return out
 	}
 	out = append(out, Action{Kind: AdvanceTime})
@@ -52,11 +54,12 @@
 	return out
 }
 
-// advanceTime moves to the next deadline. One thing happens there: a connect times out, or the timer fires.
+// advanceTime advances the time to the next deadline. One event occurs there: the connection of an attempt
+// times out or the scheduler's timer fires.
 func (w *World) advanceTime(Action) {
 	w.now = max(w.now, w.nextDeadline())
 	for i := range w.connections {
-		if c := &w.connections[i]; c.phase == connecting && c.writeBy <= w.now {
+		if c := &w.connections[i]; c.phase == connecting && c.writeDeadline <= w.now {
 			_, e := c.conn.WriteEnded(connstate.WriteFailed)
 			w.endConnection(uint8(i), e)
 			return
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -8,26 +8,27 @@
 	"dahliaford/internal/settings"
 )
 
-// Class is the class of a request in a world.
+// Class is the class of a simulated request.
 type Class uint8
 
-// The classes: of a post-reading nothing may run twice; a batch may be repeated within its rack and window.
+// The classes differ in the repetition rule: a Post must not run twice; a Batch that may have run may be
+// repeated on workers of the same rack within its deduplication window.
 const (
 	Post Class = iota
 	Batch
 )
 
-// String returns the class's name in the settings.
+// String returns the name of the class in the settings.
 func (c Class) String() string { return [...]string{Post: "post-reading", Batch: "district-batch"}[c] }
 
 func (c Class) deadline() Micros {
 	if c == Post {
-		return deadlineOfPost
+		return postDeadline
 	}
-	return deadlineOfBatch
+	return batchDeadline
 }
 
-// The largest worlds. A request's and a worker's number is a digit in its name.
+// Limits on the size of a world. IDs of requests and UIDs of workers contain their index as one digit.
 const (
 	maxRequests = 8
 	maxWorkers  = 8
@@ -37,39 +38,40 @@
 type Config struct {
 	Name  string
 	About string
-	// Requests are the classes of those that the client sends, in this order.
+	// Requests holds the class of each request. The client sends the requests in this order.
 	Requests []Class
-	// Racks has the rack of each worker.
+	// Racks holds the rack of each worker.
 	Racks []int
-	// Faults is how often each fault may be injected, MaxFaults how many in all.
+	// Faults limits the injections of each kind of fault on a path, MaxFaults those of all kinds together.
 	Faults    Budget
 	MaxFaults uint8
-	// AnswerOvertakesWrite lets a worker's answer reach the event loop before the notice that the request
-	// is written.
+	// AnswerOvertakesWrite allows a worker's answer to reach the event loop before the event that the
+	// request has been written.
 	AnswerOvertakesWrite bool
-	// DeleteOvertakesRequest lets a DELETE overtake the request that it is about. No scheduler can do
-	// anything about that: see docs/design.md.
+	// DeleteOvertakesRequest allows a DELETE to reach a worker before the request that it cancels. No
+	// scheduler can prevent an orphaned job in this case: see docs/design.md.
 	DeleteOvertakesRequest bool
-	// RenewRequests lets a request that is over, and of which nothing is left, begin anew with another id:
-	// a walk has no end then.
+	// RenewRequests allows a new request with a new id to replace a finished request of which no message
+	// and no job is left. Random walks through such a world do not run out of actions.
 	RenewRequests bool
 
-	// Rules are the settings in which the world differs from the others.
-	Rules Rules
+	// Overrides holds the settings in which the world differs from the default settings.
+	Overrides Overrides
 
-	settings settings.Settings // read from Rules by prepare
+	settings settings.Settings // parsed from Overrides by prepare
 }
 
-// Resize returns the world with another number of requests (of alternating classes), of workers (in the
-// first one's rack) and of faults in all; 0, 0 and -1 leave them as they are.
+// Resize returns a copy of the world with other numbers of requests, workers and total faults. Added requests
+// alternate in class; added workers are in the rack of the first worker. 0 requests, 0 workers and -1 faults
+// keep the respective number.
 func (c *Config) Resize(requests, workers, maxFaults int) (*Config, error) {
 	switch {
 	case requests < 0 || requests > maxRequests:
-		return nil, fmt.Errorf("0 to %d requests", maxRequests)
+		return nil, fmt.Errorf("number of requests out of range: want 0 to %d", maxRequests)
 	case workers < 0 || workers > maxWorkers:
-		return nil, fmt.Errorf("0 to %d workers", maxWorkers)
+		return nil, fmt.Errorf("number of workers out of range: want 0 to %d", maxWorkers)
 	case maxFaults < -1 || maxFaults > math.MaxUint8:
-		return nil, fmt.Errorf("0 to %d faults", math.MaxUint8)
+		return nil, fmt.Errorf("number of faults out of range: want 0 to %d, or -1 for the default", math.MaxUint8)
 	}
 	n := *c
 	n.Requests, n.Racks = slices.Clone(c.Requests), slices.Clone(c.Racks)
@@ -98,16 +100,17 @@
 	return Post
 }
 
-// prepare checks the world's size and reads its settings, once.
+// prepare checks the size of the world and parses its settings. Further calls do nothing.
 func (c *Config) prepare() error {
 	if len(c.settings.Classes) > 0 {
 		return nil
 	}
 	if len(c.Requests) == 0 || len(c.Requests) > maxRequests || len(c.Racks) == 0 || len(c.Racks) > maxWorkers {
-		return fmt.Errorf("world %q: 1 to %d requests and 1 to %d workers", c.Name, maxRequests, maxWorkers)
+		return fmt.Errorf("world %q: size out of range: want 1 to %d requests and 1 to %d workers", c.Name,
+			maxRequests, maxWorkers)
 	}
 	var err error
-	if c.settings, err = c.Rules.parse(); err != nil {
+	if c.settings, err = c.Overrides.parse(); err != nil {
 		return fmt.Errorf("world %q: %w", c.Name, err)
 	}
 	return nil
--- a/internal/modelcheck/connections.go
+++ b/internal/modelcheck/connections.go
@@ -6,39 +6,41 @@
 	"dahliaford/internal/scheduler"
 )
 
+// connectionPhase is the progress of an attempt on its connection.
 type connectionPhase uint8
 
 const (
-	connecting   connectionPhase = iota
-	written                      // the request is on its way
-	replied                      // an answer is on its way
-	broken                       // the connection's end is on its way
-	endDelivered                 // the event loop has received the end, and not yet that it was written
-	acceptedOpen                 // the worker has accepted, and its connection is still there
-	closing                      // the scheduler's close follows the request
-	notSent                      // nothing was written, and the event loop is yet to receive that
+	connecting   connectionPhase = iota // no byte of the request is written yet
+	written                             // the request is in transit to the worker
+	replied                             // the worker's answer is in transit to the scheduler
+	broken                              // the connection has broken; the event loop is not notified yet
+	endDelivered                        // the event loop was notified of the end, but not yet of the write
+	acceptedOpen                        // the event loop has received the 202; the connection is still open
+	closing                             // the scheduler's close is in transit to the worker behind the request
+	notSent                             // no byte was written; the event loop is not notified of that yet
 )
 
-// phaseTexts say what is on its way, for people.
-var phaseTexts = [...]string{connecting: "connecting", written: "written", replied: "its answer on its way",
-	broken: "its end on its way", endDelivered: "its end known, its writing not", acceptedOpen: "accepted",
-	closing: "our close on its way", notSent: "not sent"}
+// phaseTexts describes the phases in the output of a replay.
+var phaseTexts = [...]string{connecting: "connecting", written: "written", replied: "answer in transit",
+	broken:       "connection broken, event loop not notified",
+	endDelivered: "event loop notified of the end, not of the write", acceptedOpen: "accepted",
+	closing: "our close in transit", notSent: "not sent"}
 
-// connection is an attempt on its connection.
+// connection is an attempt and the connection that carries it.
 type connection struct {
-	attempt          scheduler.AttemptID
-	id               uint8 // of the request
-	worker           uint8
-	phase            connectionPhase
-	writeUndelivered bool // the event loop has not yet received that it was written
-	slowStart        bool // when it was written, the scheduler knew that the worker was in slow start
-	status           int  // of the worker's answer
-	writeBy          Micros
-	sentAt           Micros
-	conn             connstate.Conn
+	attempt             scheduler.AttemptID
+	id                  uint8 // index of the request
+	worker              uint8
+	phase               connectionPhase
+	writtenEventPending bool // the event loop is not yet notified that the request was written
+	slowStart           bool // at the write, the scheduler knew that the worker was in slow start
+	status              int  // HTTP status of the worker's answer
+	writeDeadline       Micros
+	sentAt              Micros
+	conn                connstate.Conn
 }
 
-// The statuses of a worker's answer.
+// The HTTP statuses of a worker's answers.
 const (
 	statusOK          = 200
 	statusAccepted    = 202
@@ -47,18 +49,18 @@
 	statusAtCapacity  = 503
 )
 
-// connectionActions lists what can happen on all connections.
+// connectionActions appends the enabled actions of all connections.
 func (w *World) connectionActions(out []Action) []Action {
 	for i := range w.connections {
-		out = w.actionsOf(i, out)
+		out = w.actionsOnConnection(i, out)
 	}
 	return out
 }
 
-// actionsOf lists what can happen on one connection.
-func (w *World) actionsOf(i int, out []Action) []Action {
+// actionsOnConnection appends the enabled actions of the connection with index i.
+func (w *World) actionsOnConnection(i int, out []Action) []Action {
 	c := &w.connections[i]
-	if c.writeUndelivered {
+	if c.writtenEventPending {
 		out = append(out, Action{DeliverWritten, uint8(i), 0})
 	}
 	unreachable := w.workers[c.worker].unreachable
@@ -71,7 +73,7 @@
 		if unreachable {
 			break
 		}
-		if !c.writeUndelivered || w.cfg.AnswerOvertakesWrite {
+		if !c.writtenEventPending || w.cfg.AnswerOvertakesWrite {
 			out = append(out, Action{DeliverAnswer, uint8(i), 0})
 		}
 		if w.mayInject(FaultConnectionBroken) {
@@ -82,7 +84,7 @@
 			out = append(out, Action{BreakConnection, uint8(i), breakAfterAccept})
 		}
 	case broken:
-		if !c.writeUndelivered || w.cfg.AnswerOvertakesWrite {
+		if !c.writtenEventPending || w.cfg.AnswerOvertakesWrite {
 			out = append(out, Action{DeliverBroken, uint8(i), 0})
 		}
 	case closing:
@@ -99,7 +101,7 @@
 func (w *World) connectingActions(i int, out []Action) []Action {
 	to := &w.workers[w.connections[i].worker]
 	switch {
-	case to.unreachable: // it never comes up
+	case to.unreachable: // the connection cannot be established
 		return out
 	case to.processDown:
 		return append(out, Action{RefuseConnection, uint8(i), 0})
@@ -149,7 +151,7 @@
 		return
 	}
 	w.checkWrite(c)
-	c.phase, c.writeUndelivered, c.sentAt = written, true, w.now
+	c.phase, c.writtenEventPending, c.sentAt = written, true, w.now
 	if !w.cfg.AnswerOvertakesWrite {
 		w.deliverWritten(a)
 	}
@@ -157,7 +159,7 @@
 
 func (w *World) deliverWritten(a Action) {
 	c := &w.connections[a.Target]
-	c.writeUndelivered = false
+	c.writtenEventPending = false
 	if q := &w.requests[c.id]; q.lastAttempt == c.attempt && q.stage == stageConnecting {
 		q.stage = stageWritten
 	}
@@ -215,7 +217,7 @@
 	c := &w.connections[a.Target]
 	_, e := c.conn.ReadEnded()
 	if e == nil {
-		c.phase = endDelivered // that it was written is still to be delivered
+		c.phase = endDelivered // connstate reports the end only after the notice of the write, which is pending
 		return
 	}
 	w.endConnection(a.Target, e)
@@ -225,7 +227,7 @@
 	c := &w.connections[a.Target]
 	_, e := c.conn.Answered(connstate.Answer{Status: c.status, TurnedAway: c.status == statusAtCapacity})
 	if c.status == statusAccepted && e != nil {
-		c.phase, c.writeUndelivered = acceptedOpen, false
+		c.phase, c.writtenEventPending = acceptedOpen, false
 		w.step(e)
 		return
 	}
@@ -241,7 +243,7 @@
 	w.removeConnection(int(a.Target))
 }
 
-// endConnection drops a connection whose exchange is over and passes on the event that follows from it.
+// endConnection removes a connection and passes the event of its end, if there is one, to the scheduler.
 func (w *World) endConnection(i uint8, e scheduler.Event) {
 	w.removeConnection(int(i))
 	if e != nil {
@@ -249,7 +251,8 @@
 	}
 }
 
-// closeConnection closes the connection of an attempt. What was written may still be on its way.
+// closeConnection closes the connection of an attempt or of its cancellation at the scheduler's request. A
+// request that was written before may still reach the worker.
 func (w *World) closeConnection(attempt scheduler.AttemptID) {
 	for i := range w.cancellations {
 		if w.cancellations[i].attempt == attempt {
@@ -258,7 +261,7 @@
 		}
 	}
 	w.checkCancelAllowed(attempt)
-	w.markGivenUp(attempt)
+	w.markAbandoned(attempt)
 	for i := range w.connections {
 		c := &w.connections[i]
 		if c.attempt != attempt || c.conn.Released {
@@ -271,14 +274,14 @@
 			w.removeConnection(i)
 		case written:
 			c.phase = closing
-		default: // its answer is out, or it broke: nothing more comes of it
+		default: // answered or broken: the connection has no further effect
 			w.removeConnection(i)
 		}
 		return
 	}
 }
 
-// cancelUnsent keeps an attempt of which nothing is written from being sent.
+// cancelUnsent prevents the write of an attempt of which no byte is written.
 func (w *World) cancelUnsent(attempt scheduler.AttemptID) {
 	for i := range w.connections {
 		if c := &w.connections[i]; c.attempt == attempt && c.phase == connecting {
@@ -287,17 +290,18 @@
 	}
 }
 
-// markGivenUp notes that the scheduler has given up an attempt.
-func (w *World) markGivenUp(attempt scheduler.AttemptID) {
+// markAbandoned records that the scheduler has abandoned an attempt.
+func (w *World) markAbandoned(attempt scheduler.AttemptID) {
 	for i := range w.requests {
 		if q := &w.requests[i]; q.lastAttempt == attempt && attempt != 0 {
-			q.stage = stageGivenUp
+			q.stage = stageAbandoned
 		}
 	}
 }
 
-// removeFinishedConnections drops accepted connections whose attempt is over or which cannot break any more:
-// nothing that happens to them counts.
+// removeFinishedConnections removes the connections of accepted attempts that are over, and those that cannot
+// break because the fault budget is exhausted. Such connections have no further effect and would only
+// multiply the states.
 func (w *World) removeFinishedConnections() {
 	for i := len(w.connections) - 1; i >= 0; i-- {
 		c := &w.connections[i]
@@ -305,7 +309,7 @@
 			continue
 		}
 		q := &w.requests[c.id]
-		if q.lastAttempt != c.attempt || q.stage >= stageGivenUp || !w.mayInject(FaultConnectionBroken) {
+		if q.lastAttempt != c.attempt || q.stage >= stageAbandoned || !w.mayInject(FaultConnectionBroken) {
 			w.removeConnection(i)
 		}
 	}
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// stage is how far an attempt is, by the events that the scheduler has received.
+// stage is the progress of an attempt according to the events that the scheduler has received.
 type stage uint8
 
 const (
@@ -13,9 +13,9 @@
 	stageWritten
 	stageAccepted
 	stageStarted
-	stageGivenUp
+	stageAbandoned
 	stageEnded
-	stageEarlier // the event is about an attempt before the last one
+	stageEarlier // the event concerns an attempt before the last one of its request
 	stages
 )
 
@@ -25,12 +25,12 @@
 	stageWritten:    "written",
 	stageAccepted:   "accepted",
 	stageStarted:    "started",
-	stageGivenUp:    "given up",
+	stageAbandoned:  "given up",
 	stageEnded:      "ended",
 	stageEarlier:    "earlier",
 }
 
-// eventKind is a kind of event, for coverage.
+// eventKind is a kind of scheduler event, as coverage counts it.
 type eventKind uint8
 
 const (
@@ -84,7 +84,7 @@
 	evPanic:         "panic",
 }
 
-// Coverage counts, for each kind of event, in which stages of an attempt it was met.
+// Coverage counts how often each kind of event occurred in each stage of an attempt.
 type Coverage [evKinds][stages]uint64
 
 func (c *Coverage) add(o *Coverage) {
@@ -95,26 +95,26 @@
 	}
 }
 
-// The groups of events that impossible distinguishes.
+// The following methods group the kinds of events for impossible.
 
-// onConnection reports whether an event is about an attempt on its connection.
+// onConnection reports whether an event comes from the connection of an attempt.
 func (e eventKind) onConnection() bool { return e >= evAccepted && e <= evRejected }
 
-// isCallback reports whether an event is a callback.
+// isCallback reports whether an event is a callback from a worker.
 func (e eventKind) isCallback() bool { return e >= evStarted && e <= evAborted }
 
 // isCancellation reports whether an event is the result of a cancellation.
 func (e eventKind) isCancellation() bool { return e == evCancelled || e == evNotCancelled }
 
-// impossible says why no world can have a pair of event and stage; "" for those that should be met.
+// impossible returns the reason why an event cannot occur in a stage in any world, or "" if it can.
 func impossible(e eventKind, s stage) string {
 	switch {
 	case s == stageEarlier && (e == evSubmitted || e == evDisconnected || e >= evList):
-		return "is about no attempt"
+		return "the event does not concern an attempt"
 	case s == stageNone && (e.onConnection() || e.isCallback() || e.isCancellation()):
-		return "needs an attempt"
+		return "the event requires an attempt"
 	case e == evNotSent && s != stageConnecting:
-		return "is only said of an attempt of which nothing was written"
+		return "the event requires an attempt of which no byte was written"
 	case e.onConnection():
 		return impossibleOnConnection(e, s)
 	case e.isCallback():
@@ -128,17 +128,17 @@
 func impossibleOnConnection(e eventKind, s stage) string {
 	switch {
 	case e != evConnectFailed && s == stageConnecting:
-		return "needs the last byte"
+		return "the event requires that the last byte was written"
 	case e != evAccepted && (s == stageAccepted || s == stageStarted):
-		return "the connection has had its answer"
+		return "the worker has already answered on this connection"
 	case e == evAccepted && s == stageAccepted:
-		return "one answer on a connection"
-	case s == stageGivenUp:
-		return "its connection is closed"
+		return "a connection carries one answer"
+	case s == stageAbandoned:
+		return "the connection of an abandoned attempt is closed"
 	case e == evConnectFailed && s == stageWritten:
-		return "its last byte is written"
+		return "the connection was established and the last byte written"
 	case e != evAccepted && (s == stageEnded || s == stageEarlier):
-		return "its connection has had its end"
+		return "the connection has already ended"
 	}
 	return ""
 }
@@ -146,9 +146,9 @@
 func impossibleCallback(e eventKind, s stage) string {
 	switch {
 	case s == stageConnecting:
-		return "its last byte is not written"
+		return "the last byte of the request is not written yet"
 	case e == evHandedBack && s == stageStarted:
-		return "what has started is not handed back"
+		return "a worker does not hand back a started job"
 	}
 	return ""
 }
@@ -156,16 +156,16 @@
 func impossibleCancellation(s stage) string {
 	switch {
 	case s >= stageConnecting && s <= stageStarted:
-		return "only what is given up or ended is cancelled"
+		return "only abandoned or ended attempts are cancelled"
 	case s == stageEnded:
-		return "what is cancelled counts as given up"
+		return "a cancelled attempt counts as abandoned"
 	case s == stageEarlier:
-		return "no further attempt is sent before it is acknowledged"
+		return "no further attempt is sent before the cancellation is acknowledged"
 	}
 	return ""
 }
 
-// Uncovered lists the pairs of event and stage that are possible and were not met.
+// Uncovered lists the possible pairs of event and stage that did not occur.
 func (c *Coverage) Uncovered() []string {
 	var uncovered []string
 	for e := range evKinds {
@@ -178,8 +178,8 @@
 	return uncovered
 }
 
-// Table gives the counts, a line for each kind of event, a column for each stage; "-" marks what no world
-// can have.
+// Table returns the counts as a table with one line for each kind of event and one column for each stage. "-"
+// marks pairs that no world can produce.
 func (c *Coverage) Table() [][]string {
 	table := [][]string{append([]string{"event"}, stageNames[:]...)}
 	for e := range evKinds {
--- a/internal/modelcheck/describe.go
+++ b/internal/modelcheck/describe.go
@@ -7,69 +7,69 @@
 	"dahliaford/internal/scheduler"
 )
 
-// describer says in words what an action does, before it is taken.
+// describer returns a description of an action. It is called in the state before the action.
 type describer func(w *World, a Action) string
 
-// describers has the describer of each kind of action.
+// describers holds the describer of each kind of action.
 var describers = [actionKinds]describer{
 	Submit:               describeSubmit,
 	SubmitDuplicate:      describeSubmit,
-	RenewRequest:         ofRequest("%s is over; another request takes its place"),
-	ClientDisconnects:    ofRequest("client of %s leaves"),
-	RefuseConnection:     ofConnection("its connection does not come up"),
-	WriteRequest:         ofConnection("is written"),
-	DeliverWritten:       ofConnection("event loop receives that it is written"),
-	DeliverNotSent:       ofConnection("event loop receives that nothing of it was written"),
-	DeliverBroken:        ofConnection("event loop receives that its connection ended"),
+	RenewRequest:         requestDescriber("%s is over; another request takes its place"),
+	ClientDisconnects:    requestDescriber("client of %s leaves"),
+	RefuseConnection:     connectionDescriber("its connection does not come up"),
+	WriteRequest:         connectionDescriber("is written"),
+	DeliverWritten:       connectionDescriber("event loop is notified that it is written"),
+	DeliverNotSent:       connectionDescriber("event loop is notified that no byte of it was written"),
+	DeliverBroken:        connectionDescriber("event loop is notified that its connection ended"),
 	DeliverAnswer:        describeAnswer,
-	ArriveAtWorker:       ofConnection(arrivalTexts[:]...),
-	BreakConnection:      ofConnection(breakTexts[:]...),
-	CloseArrives:         ofConnection(closeTexts[:]...),
-	StartJob:             ofJob("%[1]s at %[2]s starts to run"),
-	FinishJob:            ofJob("%[1]s at %[2]s is done"),
-	FailJob:              ofJob("%[1]s at %[2]s fails"),
-	HandBackJob:          ofJob("%[2]s hands back %[1]s unstarted"),
-	AbortJob:             ofJob("%[2]s loses %[1]s"),
-	DeliverCallback:      ofCallback(""),
-	DuplicateCallback:    ofCallback(" (and will again)"),
-	DropCallback:         ofCallback(", which never arrives"),
-	CancellationArrives:  ofCancellation("arrives"),
-	CancellationAnswered: ofCancellation("is answered"),
-	CancellationBreaks:   ofCancellation("breaks with its connection"),
-	ProcessCrashes:       ofWorker("its process crashes"),
-	ProcessRestarts:      ofWorker("its process restarts"),
-	MachineUnreachable:   ofWorker("its machine is cut off"),
-	MachineReachable:     ofWorker("its machine is reachable again"),
-	AnnounceDraining:     ofWorker("discovery lists it as draining"),
-	AnnounceRemoved:      ofWorker("discovery lists it as removed"),
-	AnnounceReady:        ofWorker("discovery lists it as ready"),
-	CloseWatch:           plain("the watch of the worker list closes"),
-	AnswerWatch:          plain("discovery answers the watch"),
-	RestartDiscovery:     plain("discovery answers, its revisions begun anew"),
-	ReloadConfig:         plain("a new configuration is loaded"),
-	Terminate:            plain("SIGTERM"),
-	PanicModule:          plain("the module is about to panic"),
+	ArriveAtWorker:       connectionDescriber(arrivalTexts[:]...),
+	BreakConnection:      connectionDescriber(breakTexts[:]...),
+	CloseArrives:         connectionDescriber(closeTexts[:]...),
+	StartJob:             jobDescriber("%[1]s at %[2]s starts to run"),
+	FinishJob:            jobDescriber("%[1]s at %[2]s is done"),
+	FailJob:              jobDescriber("%[1]s at %[2]s fails"),
+	HandBackJob:          jobDescriber("%[2]s hands back %[1]s unstarted"),
+	AbortJob:             jobDescriber("%[2]s loses %[1]s"),
+	DeliverCallback:      callbackDescriber(""),
+	DuplicateCallback:    callbackDescriber(" (and will again)"),
+	DropCallback:         callbackDescriber(" (the callback is lost)"),
+	CancellationArrives:  cancellationDescriber("arrives"),
+	CancellationAnswered: cancellationDescriber("is answered"),
+	CancellationBreaks:   cancellationDescriber("fails because its connection breaks"),
+	ProcessCrashes:       workerDescriber("its process crashes"),
+	ProcessRestarts:      workerDescriber("its process restarts"),
+	MachineUnreachable:   workerDescriber("its machine becomes unreachable"),
+	MachineReachable:     workerDescriber("its machine is reachable again"),
+	AnnounceDraining:     workerDescriber("discovery lists it as draining"),
+	AnnounceRemoved:      workerDescriber("discovery lists it as removed"),
+	AnnounceReady:        workerDescriber("discovery lists it as ready"),
+	CloseWatch:           fixedText("the watch of the worker list closes"),
+	AnswerWatch:          fixedText("discovery answers the watch"),
+	RestartDiscovery:     fixedText("discovery restarts and answers the watch with revision 1"),
+	ReloadConfig:         fixedText("a new configuration is loaded"),
+	Terminate:            fixedText("SIGTERM"),
+	PanicModule:          fixedText("the decision module will panic at its next event"),
 	AdvanceTime:          describeTime,
-	AdvanceJustBefore:    plain("time passes until just before the next deadline"),
-	AdvanceJustAfter:     plain("time passes until just after the next deadline"),
+	AdvanceJustBefore:    fixedText("time passes until just before the next deadline"),
+	AdvanceJustAfter:     fixedText("time passes until just after the next deadline"),
 }
 
 var arrivalTexts = [...]string{
 	arriveAccepted:    "arrives and is accepted (202 on its way)",
-	arriveAtCapacity:  "arrives and is turned away (503 on its way)",
+	arriveAtCapacity:  "arrives while the worker is at capacity (503 on its way)",
 	arriveServerError: "arrives and gets a 500",
 	arriveRejected:    "arrives and gets a 400",
 }
 
 var breakTexts = [...]string{
-	breakBeforeArrival: "connection breaks, nothing arrived",
+	breakBeforeArrival: "connection breaks before the request arrives",
 	breakWhileRunning:  "arrives and runs until its connection breaks",
 	breakBeforeAnswer:  "connection breaks, the worker's answer is lost",
 	breakAfterAccept:   "connection ends after the 202",
 }
 
 var closeTexts = [...]string{
-	closeBeforeAccept: "our close arrives before its 202",
+	closeBeforeAccept: "our close arrives before the worker sends its 202",
 	closeAfterAccept:  "our close crosses its 202: the worker holds it",
 }
 
@@ -81,20 +81,21 @@
 	scheduler.CallbackAborted:    "lost",
 }
 
-// describe says in words what an action does, before it is taken.
+// describe returns a description of an action. It must be called in the state before the action.
 func (w *World) describe(a Action) string { return describers[a.Kind](w, a) }
 
-func plain(text string) describer { return func(*World, Action) string { return text } }
+// fixedText describes an action by a constant text.
+func fixedText(text string) describer { return func(*World, Action) string { return text } }
 
-// ofRequest describes an action about a request. The format gets its id.
-func ofRequest(format string) describer {
+// requestDescriber describes an action on a request. The argument of format is the id of the request.
+func requestDescriber(format string) describer {
 	return func(w *World, a Action) string {
 		return fmt.Sprintf(format, w.requestID(w.requests[a.Target].id))
 	}
 }
 
-// ofConnection describes an action about a connection, with a text for each variant.
-func ofConnection(variants ...string) describer {
+// connectionDescriber describes an action on a connection with the text of the variant of the action.
+func connectionDescriber(variants ...string) describer {
 	return func(w *World, a Action) string { return w.describeAttempt(a.Target, variants[a.Variant]) }
 }
 
@@ -103,15 +104,16 @@
 	return fmt.Sprintf("attempt %d (%s at %s): %s", c.attempt, w.requestID(c.id), workerUID(c.worker), text)
 }
 
-// ofJob describes an action about a job. The format gets the request's id and the worker's UID.
-func ofJob(format string) describer {
+// jobDescriber describes an action on a job. The arguments of format are the id of the request and the UID of
+// the worker.
+func jobDescriber(format string) describer {
 	return func(w *World, a Action) string {
 		j := &w.jobs[a.Target]
 		return fmt.Sprintf(format, w.requestID(j.id), workerUID(j.worker))
 	}
 }
 
-func ofCallback(end string) describer {
+func callbackDescriber(end string) describer {
 	return func(w *World, a Action) string {
 		c := &w.callbacks[a.Target]
 		return fmt.Sprintf("%s calls back: %s %s%s", workerUID(c.worker), w.requestID(c.id),
@@ -119,14 +121,14 @@
 	}
 }
 
-func ofCancellation(text string) describer {
+func cancellationDescriber(text string) describer {
 	return func(w *World, a Action) string {
 		c := &w.cancellations[a.Target]
 		return fmt.Sprintf("DELETE of %s to %s %s", w.requestID(c.id), workerUID(c.worker), text)
 	}
 }
 
-func ofWorker(text string) describer {
+func workerDescriber(text string) describer {
 	return func(_ *World, a Action) string { return workerUID(a.Target) + ": " + text }
 }
 
@@ -145,7 +147,7 @@
 	return fmt.Sprintf("%v pass", duration(max(w.nextDeadline()-w.now, 0)))
 }
 
-// inFlight says what is on its way, or held by a worker.
+// inFlight lists the messages in transit and the jobs that workers hold.
 func (w *World) inFlight() string {
 	var all []string
 	for _, c := range w.connections {
--- a/internal/modelcheck/effects.go
+++ b/internal/modelcheck/effects.go
@@ -4,7 +4,7 @@
 	"dahliaford/internal/scheduler"
 )
 
-// schedulerActions lists what can happen to the scheduler's process.
+// schedulerActions appends the enabled reloads, shutdowns and panics of the scheduler.
 func (w *World) schedulerActions(out []Action) []Action {
 	if w.mayInject(FaultReload) {
 		out = append(out, Action{Kind: ReloadConfig})
@@ -34,17 +34,17 @@
 	w.panicPending = true
 }
 
-// step passes an event to the scheduler as the node does, recovers it from a panic, and performs its
-// effects.
+// step passes an event to the scheduler, recovers the scheduler from a panic, and performs the effects of the
+// event, as package node does.
 func (w *World) step(e scheduler.Event) {
 	w.observe(e)
 	effects, panicked := w.reduce(e)
 	if panicked {
 		w.panicPending = false
-		w.note("the module panicked and was restarted")
+		w.note("the decision module panicked and was restarted")
 		var err error
 		if effects, err = w.sched.Recover(w.now); err != nil {
-			w.violate(OneFinalAnswer, "the module cannot be restarted: %v", err)
+			w.violate(OneFinalAnswer, "the decision module cannot be restarted after a panic: %v", err)
 		}
 	}
 	for _, effect := range effects {
@@ -52,11 +52,13 @@
 	}
 }
 
+// reduce runs the reducer on an event. panicked reports whether the reducer panicked; a panic that was not
+// injected is a violation.
 func (w *World) reduce(e scheduler.Event) (effects []scheduler.Effect, panicked bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			if !w.panicPending {
-				w.violate(OneFinalAnswer, "a panic that was not injected: %v", cause)
+				w.violate(OneFinalAnswer, "the scheduler panicked without an injected panic: %v", cause)
 			}
 			panicked = true
 		}
@@ -65,13 +67,13 @@
 		w.sched.InjectPanic()
 	}
 	effects = w.sched.Step(w.now, e, nil)
-	if w.panicPending { // the event did not reach the module: it panics at the next one
-		w.note("(the event did not reach the module)")
+	if w.panicPending { // the event did not reach the decision module, so the panic stays pending
+		w.note("(the event did not reach the decision module)")
 	}
 	return effects, false
 }
 
-// perform does what the scheduler asks for.
+// perform simulates an effect of the scheduler.
 func (w *World) perform(e scheduler.Effect) {
 	switch e := e.(type) {
 	case scheduler.SendAttempt:
@@ -80,12 +82,12 @@
 		w.note("scheduler closes the connection of its attempt at a worker")
 		w.closeConnection(e.Attempt)
 	case scheduler.CancelUnsent:
-		w.note("scheduler cancels its attempt if nothing of it is written")
+		w.note("scheduler cancels its attempt if no byte of it is written")
 		w.cancelUnsent(e.Attempt)
 	case scheduler.CancelAttempt:
 		w.note("scheduler cancels %s at %s", e.RequestID, e.Addr)
 		w.checkCancelAllowed(e.Attempt)
-		w.markGivenUp(e.Attempt)
+		w.markAbandoned(e.Attempt)
 		w.sendCancellation(e)
 	case scheduler.Answer:
 		w.answer(e)
@@ -102,24 +104,25 @@
 	}
 }
 
-// sendAttempt puts an attempt on a connection of its own.
+// sendAttempt assigns an attempt to a new connection.
 func (w *World) sendAttempt(e scheduler.SendAttempt) {
 	w.note("scheduler sends %s to %s, to be written within %v", e.RequestID, e.WorkerUID,
 		duration(e.WriteDeadline-w.now))
-	// What waited for a cancellation was decided before, and the node's last check blocks it.
+	// An attempt that waited for a cancellation was decided while the list was valid: connectTimeout before
+	// WriteDeadline. The check before the write (see blocksSend) stops it if the list has expired since.
 	if w.listStale() && e.WriteDeadline-connectTimeout > w.watch.validUntil {
-		w.violate(StaleListUnused, "%s is sent to %s by a list that was valid until %v ago", e.RequestID,
+		w.violate(StaleListUnused, "%s is sent to %s by a worker list that expired %v ago", e.RequestID,
 			e.WorkerUID, duration(w.now-w.watch.validUntil))
 	}
 	c := connection{attempt: e.Attempt, id: requestIndex(e.RequestID), worker: workerIndex(e.WorkerUID),
-		writeBy: e.WriteDeadline}
+		writeDeadline: e.WriteDeadline}
 	c.conn.Assign(e.Attempt, false)
 	w.connections = append(w.connections, c)
 	q := &w.requests[c.id]
 	q.lastAttempt, q.attemptDeadline, q.lastWorker, q.stage = e.Attempt, e.Deadline, c.worker, stageConnecting
 }
 
-// answer gives a client its answer.
+// answer delivers an answer to its client.
 func (w *World) answer(a scheduler.Answer) {
 	var q *request
 	for i := range w.requests {
@@ -128,14 +131,15 @@
 		}
 	}
 	if q == nil {
-		w.violate(OneFinalAnswer, "an answer to nobody")
+		w.violate(OneFinalAnswer, "the scheduler answers a caller that did not submit a request")
 		return
 	}
 	w.note("scheduler %s %s %s", verdictTexts[a.Verdict], w.requestID(q.id), a.Body)
-	w.checkOneAnswer(q)
-	w.checkHonest(q, a)
+	w.checkSingleAnswer(q)
+	w.checkAnswerContent(q, a)
 	q.state, q.verdict = answered, a.Verdict
-	if a.Verdict != scheduler.Conflict { // which is about another submission than the one before
+	// A Conflict rejects only this submission. It does not concern the earlier submission of the id.
+	if a.Verdict != scheduler.Conflict {
 		w.requests[q.id].rejected = a.Verdict == scheduler.Invalid
 	}
 }
@@ -143,7 +147,7 @@
 var verdictTexts = [...]string{scheduler.Served: "serves", scheduler.Refused: "refuses",
 	scheduler.Failed: "fails", scheduler.Invalid: "calls invalid", scheduler.Conflict: "calls a conflict"}
 
-// exit ends the program.
+// exit ends the scheduler's process.
 func (w *World) exit() {
 	w.exited = true
 	if w.now >= w.stoppingSince+shutdownLimit {
--- a/internal/modelcheck/endpoints.go
+++ b/internal/modelcheck/endpoints.go
@@ -5,20 +5,20 @@
 	"dahliaford/internal/scheduler"
 )
 
-// watchState is the scheduler's watch of the worker list, and how long the list can be relied on.
+// watchState is the state of the scheduler's watch of the worker list and the validity of that list.
 type watchState struct {
-	open     bool // discovery sends changes at once
-	pending  bool // a watch has been opened, and not been answered yet
+	open     bool // the watch is established: discovery sends each change at once
+	pending  bool // the scheduler has opened a watch that discovery has not answered yet
 	revision int64
 
-	// With Rules.LimitStaleness only:
+	// The following fields are used only with Overrides.LimitStaleness.
 
-	lastContact Micros // the last message of discovery
-	validUntil  Micros // the list may be relied on until then
-	reloadedAt  Micros // a new configuration came then, whose discovery has not answered; 0: it has
+	lastContact Micros // time of the last message from discovery
+	validUntil  Micros // time at which the list expires
+	reloadedAt  Micros // time of a reload after which discovery has not answered yet; 0 if there is none
 }
 
-// watchActions lists what can happen to the watch of the worker list.
+// watchActions appends the enabled actions of the watch of the worker list.
 func (w *World) watchActions(out []Action) []Action {
 	mayClose := w.mayInject(FaultWatchClosed)
 	if w.watch.pending {
@@ -35,7 +35,7 @@
 
 func (w *World) answerWatch(Action) {
 	w.watch.pending, w.watch.open = false, true
-	w.listDelivered()
+	w.recordListDelivery()
 	w.step(scheduler.EndpointsUpdated{List: w.workerList(true)})
 }
 
@@ -45,13 +45,13 @@
 	w.answerWatch(a)
 }
 
-// closeWatch models what the node does when a watch ends (see the freshness guard of package node), which
-// cannot run here because it is on sockets: it says until when the list may be relied on.
+// closeWatch closes the watch and notifies the scheduler of the time at which its list expires. It models the
+// freshness guard of package node, which computes that time but needs sockets and therefore cannot run here.
 func (w *World) closeWatch(Action) {
 	w.spendFault(FaultWatchClosed)
-	if w.watch.open { // else nothing depended on it
-		limit := w.watch.lastContact + w.cfg.Rules.pollInterval()
-		if w.cfg.Rules.EndpointsPushed {
+	if w.watch.open { // without an established watch, the close does not shorten the validity of the list
+		limit := w.watch.lastContact + w.cfg.Overrides.pollInterval()
+		if w.cfg.Overrides.EndpointsPushed {
 			limit = w.now + drainGrace
 		}
 		w.watch.validUntil = min(w.watch.validUntil, limit)
@@ -60,22 +60,23 @@
 	w.step(scheduler.WatchClosed{ValidUntil: w.watch.validUntil})
 }
 
-// openWatch models that the scheduler opens a watch. validUntil is 0 unless a new configuration was loaded.
+// openWatch models the opening of a watch by the scheduler. After a reload, validUntil is the time at which
+// the present list expires; otherwise it is 0.
 func (w *World) openWatch(validUntil Micros) {
 	w.watch.pending, w.watch.open = true, false
-	if validUntil != 0 && w.cfg.Rules.LimitStaleness {
+	if validUntil != 0 && w.cfg.Overrides.LimitStaleness {
 		w.watch.reloadedAt, w.watch.validUntil = w.now, min(w.watch.validUntil, validUntil)
 	}
 }
 
-// listDelivered notes that the scheduler has the present list.
-func (w *World) listDelivered() {
-	if w.cfg.Rules.LimitStaleness {
+// recordListDelivery records that the scheduler has received the present list.
+func (w *World) recordListDelivery() {
+	if w.cfg.Overrides.LimitStaleness {
 		w.watch.lastContact, w.watch.validUntil, w.watch.reloadedAt = w.now, w.now+maxStaleness, 0
 	}
 	for i := range w.workers {
 		r := &w.workers[i]
-		r.knownStart = r.startedAt
+		r.knownStartedAt = r.startedAt
 		switch {
 		case r.status == dispatch.Ready:
 			r.leavingNotifiedAt = 0
@@ -85,7 +86,7 @@
 	}
 }
 
-// publish makes a new revision of the list after a change of a worker, and delivers it if it is watched.
+// publish creates a new revision of the list after a change of a worker, and delivers it if a watch is open.
 func (w *World) publish(worker uint8) {
 	r := &w.workers[worker]
 	switch {
@@ -93,18 +94,18 @@
 		r.leavingChangedAt = 0
 	case r.leavingChangedAt == 0:
 		r.leavingChangedAt = w.now
-		if w.watch.reloadedAt != 0 { // what the discovery of a new configuration says counts only then
+		if w.watch.reloadedAt != 0 { // changes by the discovery of a new configuration count only after the grace
 			r.leavingChangedAt = max(w.now, w.watch.reloadedAt+reloadGrace)
 		}
 	}
 	w.watch.revision++
 	if w.watch.open {
-		w.listDelivered()
+		w.recordListDelivery()
 		w.step(scheduler.EndpointsUpdated{List: w.workerList(false, worker)})
 	}
 }
 
-// workerList is the whole list without removed workers, or the entries of some workers.
+// workerList returns the complete list without removed workers, or the entries of the changed workers only.
 func (w *World) workerList(complete bool, changed ...uint8) scheduler.WorkerList {
 	list := scheduler.WorkerList{Revision: w.watch.revision, Complete: complete}
 	if complete {
@@ -127,28 +128,29 @@
 		Status: r.status, Started: r.startedAt}
 }
 
-// blocksSend models the node's last check before the first byte of an attempt is written (the freshness
-// guard of package node).
+// blocksSend reports whether the freshness guard of package node rejects an attempt immediately before its
+// first byte is written: the list has expired, or discovery lists the worker as draining or removed.
 func (w *World) blocksSend(to *worker) bool {
-	return w.listStale() || w.cfg.Rules.LimitStaleness && to.leavingNotifiedAt != 0
+	return w.listStale() || w.cfg.Overrides.LimitStaleness && to.leavingNotifiedAt != 0
 }
 
-// listStale reports whether the list may no longer be relied on.
-func (w *World) listStale() bool { return w.cfg.Rules.LimitStaleness && w.now > w.watch.validUntil }
+// listStale reports whether the list has expired.
+func (w *World) listStale() bool { return w.cfg.Overrides.LimitStaleness && w.now > w.watch.validUntil }
 
-// leavingSince is the time from which the scheduler counts as notified that a worker drains or is gone; 0:
-// it does not.
+// leavingSince returns the time at which the scheduler counts as notified that a worker drains or is removed,
+// or 0 if it does not count as notified yet. With LimitStaleness, a change counts as notified after a limited
+// time even if its notice is not delivered.
 func (w *World) leavingSince(r *worker) Micros {
 	since := r.leavingNotifiedAt
-	if r.leavingChangedAt == 0 || !w.cfg.Rules.LimitStaleness {
+	if r.leavingChangedAt == 0 || !w.cfg.Overrides.LimitStaleness {
 		return since
 	}
 	counts := r.leavingChangedAt + maxStaleness
 	switch {
-	case w.cfg.Rules.EndpointsPushed: // what the agent has counts at once
+	case w.cfg.Overrides.EndpointsPushed: // with pushed lists a change counts as notified at once
 		counts = r.leavingChangedAt
 	case !w.watch.open:
-		counts = min(counts, r.leavingChangedAt+w.cfg.Rules.pollInterval())
+		counts = min(counts, r.leavingChangedAt+w.cfg.Overrides.pollInterval())
 	}
 	if since == 0 || counts < since {
 		since = counts
--- a/internal/modelcheck/fault.go
+++ b/internal/modelcheck/fault.go
@@ -1,31 +1,31 @@
 package modelcheck
 
-// Fault is a failure that a world may inject, or something that a client, an operator or discovery may do at
-// any time. A world has a budget for each, and one for all.
+// Fault is a failure that the model checker may inject, or an event that a client, an operator or discovery
+// may cause at any time. A world has one budget for each kind of fault and one for all kinds together.
 type Fault uint8
 
-// The faults.
+// The kinds of faults.
 const (
-	FaultConnectionRefused  Fault = iota // a connection does not come up
-	FaultConnectionBroken                // a connection breaks after the last byte
-	FaultAtCapacity                      // a worker turns an attempt away with a 503
+	FaultConnectionRefused  Fault = iota // a connection cannot be established
+	FaultConnectionBroken                // a connection breaks after the last byte of the request was written
+	FaultAtCapacity                      // a ready worker rejects an attempt with 503 as if it were at capacity
 	FaultServerError                     // a worker answers 500
 	FaultRejected                        // a worker answers 400
-	FaultDuplicateCallback               // a callback arrives once more, at any later time
-	FaultDroppedCallback                 // a callback never arrives
+	FaultDuplicateCallback               // a callback arrives again at any later time
+	FaultDroppedCallback                 // a callback is lost
 	FaultJobFailed                       // a job fails
-	FaultJobHandedBack                   // a worker hands a job back unstarted
-	FaultJobAborted                      // a worker loses a job
+	FaultJobHandedBack                   // a worker hands a job back without starting it
+	FaultJobAborted                      // a worker aborts a job
 	FaultProcessCrash                    // a worker's process crashes; it may restart
-	FaultMachineUnreachable              // a worker's machine is cut off; it may come back
+	FaultMachineUnreachable              // a worker's machine loses its network connection for a time
 	FaultEndpointStatus                  // discovery lists a worker as draining, removed, or ready again
-	FaultClientDisconnect                // a client leaves before its answer
-	FaultDuplicateID                     // an id is submitted again
-	FaultWatchClosed                     // the watch of the worker list closes, or its revisions begin anew
+	FaultClientDisconnect                // a client disconnects before its answer
+	FaultDuplicateID                     // the client submits an id again
+	FaultWatchClosed                     // the watch of the worker list closes, or discovery restarts
 	FaultReload                          // a new configuration is loaded
-	FaultShutdown                        // SIGTERM
-	FaultModulePanic                     // the decision module panics at the next event that it gets
-	FaultTimerJitter                     // an event comes just before a deadline, or just after it
+	FaultShutdown                        // the scheduler receives SIGTERM
+	FaultModulePanic                     // the decision module panics at the next event that it processes
+	FaultTimerJitter                     // time passes until just before a deadline or just after it
 	faults
 )
 
@@ -52,13 +52,13 @@
 	FaultTimerJitter:        "jitter",
 }
 
-// String returns the fault's name.
+// String returns the name of the fault.
 func (f Fault) String() string { return faultNames[f] }
 
-// Budget is how often each fault may be injected.
+// Budget is the number of injections that each kind of fault has left.
 type Budget [faults]uint8
 
-// max returns the larger of each fault's budgets.
+// max returns the largest budget of each kind of fault among b and others.
 func (b Budget) max(others ...Budget) Budget {
 	for _, other := range others {
 		for f := range b {
--- a/internal/modelcheck/jobs.go
+++ b/internal/modelcheck/jobs.go
@@ -4,7 +4,7 @@
 	"dahliaford/internal/scheduler"
 )
 
-// job is an attempt that a worker holds.
+// job is an attempt that a worker has accepted and not finished.
 type job struct {
 	id, worker uint8
 	attempt    scheduler.AttemptID
@@ -12,18 +12,18 @@
 	running    bool
 }
 
-// callback is a callback on its way.
+// callback is a callback in transit from a worker to the scheduler.
 type callback struct {
 	id, worker uint8
 	kind       scheduler.CallbackKind
 }
 
-// acceptJob makes a worker hold the attempt that came on a connection.
+// acceptJob makes the worker of a connection accept the attempt on that connection.
 func (w *World) acceptJob(c *connection) {
 	w.jobs = append(w.jobs, job{id: c.id, worker: c.worker, attempt: c.attempt, sentAt: c.sentAt})
 }
 
-// jobActions lists what can happen to the jobs that workers hold.
+// jobActions appends the enabled actions of the jobs that workers hold.
 func (w *World) jobActions(out []Action) []Action {
 	for i := range w.jobs {
 		if !w.jobs[i].running {
@@ -48,44 +48,44 @@
 	j := &w.jobs[a.Target]
 	j.running = true
 	w.recordRun(j.id, j.worker, j.sentAt)
-	w.callBack(j, scheduler.CallbackStarted)
+	w.sendCallback(j, scheduler.CallbackStarted)
 }
 
 func (w *World) finishJob(a Action) {
 	j := w.jobs[a.Target]
 	w.requests[j.id].resultsBy.add(j.worker)
-	w.callBack(&j, scheduler.CallbackDone)
+	w.sendCallback(&j, scheduler.CallbackDone)
 	w.removeJob(int(a.Target))
 }
 
 func (w *World) failJob(a Action) {
 	w.spendFault(FaultJobFailed)
-	w.callBack(&w.jobs[a.Target], scheduler.CallbackFailed)
+	w.sendCallback(&w.jobs[a.Target], scheduler.CallbackFailed)
 	w.removeJob(int(a.Target))
 }
 
 func (w *World) handBackJob(a Action) {
 	w.spendFault(FaultJobHandedBack)
-	w.callBack(&w.jobs[a.Target], scheduler.CallbackHandedBack)
+	w.sendCallback(&w.jobs[a.Target], scheduler.CallbackHandedBack)
 	w.removeJob(int(a.Target))
 }
 
 func (w *World) abortJob(a Action) {
 	w.spendFault(FaultJobAborted)
 	j := &w.jobs[a.Target]
-	if !j.running { // nobody can say that it did not run
+	if !j.running { // an aborted job counts as possibly run
 		w.recordRun(j.id, j.worker, j.sentAt)
 	}
-	w.callBack(j, scheduler.CallbackAborted)
+	w.sendCallback(j, scheduler.CallbackAborted)
 	w.removeJob(int(a.Target))
 }
 
-// callBack sends a callback about a job on its way.
-func (w *World) callBack(j *job, kind scheduler.CallbackKind) {
+// sendCallback puts a callback about a job in transit to the scheduler.
+func (w *World) sendCallback(j *job, kind scheduler.CallbackKind) {
 	w.callbacks = append(w.callbacks, callback{j.id, j.worker, kind})
 }
 
-// findJob is the index of the job that a worker holds of a request; -1: it holds none.
+// findJob returns the index of the job of a request that a worker holds, or -1 if the worker holds none.
 func (w *World) findJob(id, worker uint8) int {
 	for i := range w.jobs {
 		if w.jobs[i].id == id && w.jobs[i].worker == worker {
@@ -97,8 +97,8 @@
 
 func (w *World) removeJob(i int) { w.jobs = append(w.jobs[:i:i], w.jobs[i+1:]...) }
 
-// callbackActions lists what can happen to callbacks on their way. None gets out of a machine that is cut
-// off.
+// callbackActions appends the enabled actions of callbacks in transit. Callbacks from an unreachable machine
+// stay in transit.
 func (w *World) callbackActions(out []Action) []Action {
 	for i := range w.callbacks {
 		if w.workers[w.callbacks[i].worker].unreachable {
@@ -131,17 +131,17 @@
 	w.removeCallback(int(a.Target))
 }
 
-// receiveCallback passes a callback to the scheduler. A result names its request and worker: see
-// checkHonest.
+// receiveCallback passes a callback to the scheduler. A result contains the id of its request and the UID of
+// its worker, which checkAnswerContent compares.
 func (w *World) receiveCallback(c callback) {
 	e := scheduler.Callback{RequestID: w.requestID(c.id), WorkerUID: workerUID(c.worker), Kind: c.kind}
 	if c.kind == scheduler.CallbackDone {
-		e.Result = []byte(w.requestID(c.id) + resultBy + workerUID(c.worker))
+		e.Result = []byte(w.requestID(c.id) + resultSeparator + workerUID(c.worker))
 	}
 	w.step(e)
 }
 
-// resultBy stands between the request's id and the worker's UID in a result.
-const resultBy = " by "
+// resultSeparator separates the id of the request from the UID of the worker in a result.
+const resultSeparator = " by "
 
 func (w *World) removeCallback(i int) { w.callbacks = append(w.callbacks[:i:i], w.callbacks[i+1:]...) }
--- a/internal/modelcheck/model.go
+++ b/internal/modelcheck/model.go
@@ -7,79 +7,79 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Model is a small world of another state machine than the scheduler's, explored in one goroutine: the
-// decisions of a client, for instance. M is the type that has these methods.
+// Model is a small world around a state machine other than the scheduler, for example the retry decisions of
+// a client. Exhaust explores it in one goroutine. M is the type that implements the methods.
 type Model[M any] interface {
-	// Steps are the names of what may happen now, in a fixed order; none: the world is over.
+	// Steps returns the names of the enabled steps in a fixed order. It returns none in a final state.
 	Steps() []string
-	// Step returns the world after the step of that number, and leaves this one as it is.
+	// Step returns the state after the step with index i of Steps. It does not change the receiver.
 	Step(i int) M
-	// AppendState appends a form that is the same for two worlds that act alike.
+	// AppendState appends an encoding of the state to b. Two states with equal behavior have equal encodings.
 	AppendState(b []byte) []byte
-	// Check says which rule is violated; nil: none is.
+	// Check returns an error that names the rule that the state violates, or nil.
 	Check() error
 }
 
-// Exploration is what Exhaust found.
+// Exploration is the result of Exhaust.
 type Exploration struct {
 	States, Transitions int
-	Depth               int      // of the state that is farthest from the root, in steps
-	Exhausted           bool     // all states were seen
-	Violation           error    // the first one
-	Path                []string // the shortest path to it
+	Depth               int      // steps from the root to the state that is farthest from it
+	Exhausted           bool     // whether all reachable states were visited
+	Violation           error    // the first violation found; nil if there is none
+	Path                []string // names of the steps on a shortest path to Violation
 }
 
-// place is a state of a model and how it was reached.
-type place[M any] struct {
+// modelState is a state of a model and the step that reached it.
+type modelState[M any] struct {
 	world  M
-	parent int // index of the place before; -1 for the root
+	parent int // index of the preceding state; -1 for the root
 	step   string
 	depth  int
 }
 
-// Exhaust sees all states of a model, breadth first, up to maxStates of them.
+// Exhaust visits the states of a model breadth first, at most maxStates of them, until one violates a rule.
 func Exhaust[M Model[M]](root M, maxStates int) Exploration {
-	places := []place[M]{{world: root, parent: -1}}
+	states := []modelState[M]{{world: root, parent: -1}}
 	seen := map[xxh3.Uint128]struct{}{xxh3.Hash128(root.AppendState(nil)): {}}
 	var result Exploration
-	var form []byte
-	for at := 0; at < len(places) && len(places) <= maxStates; at++ {
-		here := places[at]
-		result.Depth = max(result.Depth, here.depth)
-		if result.Violation = here.world.Check(); result.Violation != nil {
-			result.Path = pathTo(places, at)
+	var encoded []byte
+	for at := 0; at < len(states) && len(states) <= maxStates; at++ {
+		current := states[at]
+		result.Depth = max(result.Depth, current.depth)
+		if result.Violation = current.world.Check(); result.Violation != nil {
+			result.Path = pathTo(states, at)
 			result.States = at + 1
 			return result
 		}
-		for i, step := range here.world.Steps() {
-			next := here.world.Step(i)
+		for i, step := range current.world.Steps() {
+			next := current.world.Step(i)
 			result.Transitions++
-			form = next.AppendState(form[:0])
-			h := xxh3.Hash128(form)
+			encoded = next.AppendState(encoded[:0])
+			h := xxh3.Hash128(encoded)
 			if _, known := seen[h]; known {
 				continue
 			}
 			seen[h] = struct{}{}
-			places = append(places, place[M]{next, at, step, here.depth + 1})
+			states = append(states, modelState[M]{next, at, step, current.depth + 1})
 		}
-		var none M
-		places[at].world = none // only its step is needed from here on
+		var zero M
+		states[at].world = zero // releases the expanded state; pathTo needs only parent and step
 	}
-	result.States, result.Exhausted = len(places), len(places) <= maxStates
+	result.States, result.Exhausted = len(states), len(states) <= maxStates
 	return result
 }
 
-// pathTo lists the steps from the root to a place.
-func pathTo[M any](places []place[M], at int) []string {
+// pathTo lists the steps from the root to the state with index at.
+func pathTo[M any](states []modelState[M], at int) []string {
 	var path []string
-	for ; places[at].parent >= 0; at = places[at].parent {
-		path = append(path, places[at].step)
+	for ; states[at].parent >= 0; at = states[at].parent {
+		path = append(path, states[at].step)
 	}
 	slices.Reverse(path)
 	return path
 }
 
-// String returns the numbers, for logs of tests.
+// String returns the counts as one line for test logs.
 func (e Exploration) String() string {
 	return fmt.Sprintf("%d states, %d transitions, %d deep, exhausted %v", e.States, e.Transitions, e.Depth,
 		e.Exhausted)
--- a/internal/modelcheck/mutants/connstate_mutants.go
+++ b/internal/modelcheck/mutants/connstate_mutants.go
@@ -4,7 +4,7 @@
 var connstateMutants = []Mutant{
 	{
 		Name: "reset-never-ran", World: "attempt",
-		About: "a connection that breaks after the last byte counts as one that never connected",
+		About: "a connection that breaks after the last byte counts as never established, so its job is repeated",
 		Violates: "runs-as-allowed" +
 			" honest-answers" +
 			" one-attempt-outstanding" +
@@ -20,7 +20,7 @@
 	},
 	{
 		Name: "error-never-ran", World: "attempt",
-		About: "a worker's 500 counts as turned away",
+		About: "a worker's 500 counts as a rejection at capacity, so a job that may have run is repeated",
 		Violates: "runs-as-allowed" +
 			" honest-answers",
 		Patches: []Patch{
@@ -32,7 +32,7 @@
 	},
 	{
 		Name: "broken-delete-heard", World: "attempt",
-		About: "a cancellation whose connection breaks counts as acknowledged",
+		About: "a cancellation whose connection breaks counts as acknowledged; the worker may keep the job",
 		Violates: "called-back" +
 			" one-attempt-outstanding",
 		Patches: []Patch{
--- a/internal/modelcheck/mutants/dispatch_mutants.go
+++ b/internal/modelcheck/mutants/dispatch_mutants.go
@@ -1,6 +1,6 @@
 package mutants
 
-// The files of the decision module that have mutants.
+// The files of the decision module that several patches change.
 const (
 	rulesFile     = "internal/dispatch/rules.go"
 	retryFile     = "internal/dispatch/retry.go"
@@ -11,7 +11,7 @@
 var dispatchMutants = []Mutant{
 	{
 		Name: "post-repeated", World: "attempt",
-		About: "a post-reading that may have run is sent again",
+		About: "a post-reading that may have run is sent again, against the repetition rule",
 		Violates: "runs-as-allowed" +
 			" one-attempt-outstanding",
 		Patches: []Patch{
@@ -23,14 +23,14 @@
 	},
 	{
 		Name: "rack-forgotten", World: "keyed",
-		About:    "a keyed job that may have run goes to another rack",
+		About:    "a district-batch that may have run is repeated in another rack, against the repetition rule",
 		Violates: "runs-as-allowed",
 		Patches: []Patch{
 			{File: rulesFile,
 				Old: " || !sameDedupGroup(c.DedupScope, &a.worker.entry, &w.entry) {",
 				New: " {",
 			},
-			{File: "internal/dispatch/candidates.go", // which restricts the choice to the rack before
+			{File: "internal/dispatch/candidates.go", // restricts the candidates to the rack before rules.go checks it
 				Old: "\tif a == nil || c.DedupScope == ScopeAll {",
 				New: "\tif c.DedupScope == ScopeCell || a == nil || c.DedupScope == ScopeAll {",
 			},
@@ -38,7 +38,7 @@
 	},
 	{
 		Name: "fifth-attempt", World: "turned",
-		About:    "a request gets more attempts than allowed",
+		About:    "a request gets one attempt more than the settings allow",
 		Violates: "attempts-capped",
 		Patches: []Patch{
 			{File: rulesFile,
@@ -55,7 +55,7 @@
 	},
 	{
 		Name: "cold-pushed", World: "cold",
-		About:    "a worker in slow start gets whatever comes",
+		About:    "a worker in slow start is sent more jobs than its budget, against the slow-start rule",
 		Violates: "cold-spared",
 		Patches: []Patch{
 			{File: slowStartFile,
@@ -66,7 +66,7 @@
 	},
 	{
 		Name: "cancels-anyway", World: "forbidden", OnlyInWorld: true,
-		About:    "an attempt is cancelled where that is forbidden",
+		About:    "the dispatcher cancels attempts of answered jobs where the settings forbid it",
 		Violates: "cancels-as-allowed",
 		Patches: []Patch{
 			{File: rulesFile,
@@ -94,7 +94,7 @@
 	},
 	{
 		Name: "dishonest", World: "attempt",
-		About:    "what may have run is refused",
+		About:    "a job that may have run is refused, so the client may retry it",
 		Violates: "honest-answers",
 		Patches: []Patch{
 			{File: rulesFile,
--- a/internal/modelcheck/mutants/mutants.go
+++ b/internal/modelcheck/mutants/mutants.go
@@ -1,6 +1,6 @@
-// Package mutants lists faults that are put into the reducer, the state machine of connections and the
-// decision module, to see whether the model checker finds them. A mutant is a change of source text that a
-// build overlay (go build -overlay) puts in place of a file: the program itself has no hooks.
+// Package mutants lists deliberate faults of the reducer, the connection state machine and the decision
+// module. They test whether the model checker finds such faults. A mutant replaces text in source files by
+// means of a build overlay (go build -overlay), so the production code contains no hooks for mutants.
 package mutants
 
 import (
@@ -12,25 +12,25 @@
 	"strings"
 )
 
-// Mutant is the program with one fault.
+// Mutant is one deliberate fault.
 type Mutant struct {
 	Name    string
-	About   string // what the fault is
+	About   string // what the fault does and what breaks
 	Patches []Patch
-	World   string // the world in which the fault must show
-	Walk    bool   // the world is walked at random: it has no end
-	// Violates names the properties that may break by it, separated by spaces.
+	World   string // name of the world in which the model checker must find the fault
+	Walk    bool   // RandomWalk instead of Search looks for the fault
+	// Violates lists the names of the properties that the fault may violate, separated by spaces.
 	Violates string
-	// OnlyInWorld says that the fault shows under the settings of its world alone: it must not be found in
-	// any world that has the usual settings.
+	// OnlyInWorld means that the fault has an effect only with the settings of World. The model checker must not
+	// find it in any world with the default settings.
 	OnlyInWorld bool
 }
 
-// Patch is one change of a mutant: Old is replaced by New.
+// Patch is one text replacement of a mutant.
 type Patch struct {
-	File string // from the root of the repository
-	Old  string // must stand in the file exactly once, after the patches before this one
-	New  string
+	File string // path relative to the root of the repository
+	Old  string // occurs exactly once in the file after the preceding patches
+	New  string // replaces Old
 }
 
 // The files that most patches change.
@@ -39,12 +39,12 @@
 	connStateFile = "internal/connstate/connstate.go"
 )
 
-// All lists all mutants: of the reducer, of connections, of decisions.
+// All returns the mutants of the reducer, the connection state machine and the decision module.
 func All() []Mutant {
 	return slices.Concat(schedulerMutants, connstateMutants, dispatchMutants)
 }
 
-// Files lists the files that a mutant changes, each once.
+// Files returns the files that a mutant changes, without duplicates.
 func (m Mutant) Files() []string {
 	var files []string
 	for _, p := range m.Patches {
@@ -55,8 +55,9 @@
 	return files
 }
 
-// Overlay writes the files of a mutant and the overlay that `go build -overlay` takes into a folder, and
-// returns the path of the overlay. The error says which old text does not stand where it should.
+// Overlay writes the changed files of a mutant and an overlay file for `go build -overlay` into a folder, and
+// returns the path of the overlay file. If the Old text of a patch does not occur exactly once, the error
+// quotes it.
 func (m Mutant) Overlay(root, folder string) (string, error) {
 	replaced := map[string]string{}
 	for i, file := range m.Files() {
@@ -65,7 +66,7 @@
 		if err != nil {
 			return "", err
 		}
-		// Numbered: files of two packages may have the same name.
+		// The number keeps files of the same name from two packages apart.
 		patched := filepath.Join(folder, fmt.Sprintf("%d-%s", i, filepath.Base(file)))
 		if err := os.WriteFile(patched, []byte(text), 0o666); err != nil {
 			return "", fmt.Errorf("mutant %s: %w", m.Name, err)
@@ -80,7 +81,7 @@
 	return overlay, os.WriteFile(overlay, raw, 0o666)
 }
 
-// apply returns the text of a source file with the patches of the mutant that are about it.
+// apply returns the text of a source file with the patches of the mutant to that file applied.
 func (m Mutant) apply(source, file string) (string, error) {
 	raw, err := os.ReadFile(source)
 	if err != nil {
@@ -92,7 +93,8 @@
 			continue
 		}
 		if n := strings.Count(text, p.Old); n != 1 {
-			return "", fmt.Errorf("mutant %s: its text stands %d times in %s: %q", m.Name, n, file, p.Old)
+			return "", fmt.Errorf("mutant %s: text to replace occurs %d times in %s, want once: %q", m.Name, n, file,
+				p.Old)
 		}
 		text = strings.Replace(text, p.Old, p.New, 1)
 	}
--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -1,6 +1,6 @@
 package mutants
 
-// The files of the reducer but for schedulerFile.
+// The files of the reducer except schedulerFile.
 const (
 	attemptsFile      = "internal/scheduler/attempts.go"
 	callbacksFile     = "internal/scheduler/callbacks.go"
@@ -16,7 +16,7 @@
 var schedulerMutants = []Mutant{
 	{
 		Name: "earlier-callback", World: "keyed",
-		About: "a callback of an earlier attempt is taken for one of the present attempt",
+		About: "a callback from the worker of an earlier attempt is applied to the present attempt",
 		Violates: "honest-answers" +
 			" one-attempt-outstanding" +
 			" runs-as-allowed" +
@@ -30,7 +30,7 @@
 	},
 	{
 		Name: "returned-is-full", World: "attempt",
-		About: "a job handed back may go to the same worker, which may hand it back again",
+		About: "a job handed back may go to the same worker, whose repeated callback ends the new attempt",
 		Violates: "honest-answers" +
 			" one-attempt-outstanding" +
 			" runs-as-allowed" +
@@ -44,7 +44,7 @@
 	},
 	{
 		Name: "no-call-back", World: "attempt",
-		About:    "a cancellation is not sent",
+		About:    "an abandoned attempt is not cancelled, so its worker keeps a job that no client waits for",
 		Violates: "called-back",
 		Patches: []Patch{
 			{File: cancellationsFile,
@@ -58,7 +58,7 @@
 	},
 	{
 		Name: "one-try", World: "attempt",
-		About:    "a cancellation that fails is not retried",
+		About:    "a failed cancellation is not retried, so its worker keeps a job that no client waits for",
 		Violates: "called-back",
 		Patches: []Patch{
 			{File: cancellationsFile,
@@ -69,7 +69,7 @@
 	},
 	{
 		Name: "rejection-frees-id", World: "reused",
-		About: "an id is free again behind a rejection though an earlier attempt may have run",
+		About: "a rejection by a worker makes the id usable again though an earlier attempt may have run",
 		Violates: "runs-as-allowed" +
 			" honest-answers",
 		Patches: []Patch{
@@ -81,7 +81,7 @@
 	},
 	{
 		Name: "id-outlived", World: "large-ids", Walk: true,
-		About: "an id is free again while its deduplication window lasts",
+		About: "an id is accepted again before its deduplication window has ended, so its job may run twice",
 		Violates: "runs-as-allowed" +
 			" honest-answers",
 		Patches: []Patch{
@@ -93,7 +93,7 @@
 	},
 	{
 		Name: "id-forgotten", World: "link",
-		About: "an id is forgotten too early",
+		About: "an id is accepted again as soon as its request is answered, while workers may still hold the job",
 		Violates: "one-attempt-outstanding" +
 			" runs-as-allowed" +
 			" attempts-capped" +
@@ -107,7 +107,7 @@
 	},
 	{
 		Name: "two-answers", World: "attempt",
-		About:    "a served answer is not marked as given",
+		About:    "a served request is not recorded as answered and gets a second answer",
 		Violates: "one-final-answer",
 		Patches: []Patch{
 			{File: callbacksFile,
@@ -120,7 +120,7 @@
 	},
 	{
 		Name: "no-waiting", World: "keyed",
-		About:    "a retry is not deferred until the first attempt is cancelled",
+		About:    "a retry is sent before the cancellation of the earlier attempt is acknowledged",
 		Violates: "one-attempt-outstanding",
 		Patches: []Patch{
 			{File: attemptsFile,
@@ -133,7 +133,7 @@
 	},
 	{
 		Name: "drain-overlooked", World: "drains",
-		About:    "a worker that drains counts as ready",
+		About:    "a draining worker counts as ready and is sent new attempts",
 		Violates: "drains-kept",
 		Patches: []Patch{
 			{File: workersFile,
@@ -144,7 +144,7 @@
 	},
 	{
 		Name: "early-exit", World: "crash",
-		About:    "a stopping scheduler ends while a caller waits",
+		About:    "a stopping scheduler exits while a request has no answer",
 		Violates: "one-final-answer",
 		Patches: []Patch{
 			{File: shutdownFile,
@@ -155,7 +155,7 @@
 	},
 	{
 		Name: "attempt-kept", World: "attempt",
-		About: "an attempt that has ended stays recorded",
+		About: "an ended attempt stays in the index of live attempts, so later events end it again",
 		Violates: "nothing-leaks" +
 			" one-final-answer" +
 			" called-back" +
@@ -169,7 +169,7 @@
 	},
 	{
 		Name: "silent-recovery", World: "crash",
-		About: "a panic leaves callers without an answer",
+		About: "open requests get no answer after a panic of the decision module",
 		Violates: "one-final-answer" +
 			" ends",
 		Patches: []Patch{
@@ -185,7 +185,7 @@
 	},
 	{
 		Name: "recovery-forgets", World: "crash",
-		About:    "a panic leaves jobs at workers that nobody cancels",
+		About:    "live attempts are not cancelled after a panic of the module, so workers keep their jobs",
 		Violates: "called-back",
 		Patches: []Patch{
 			{File: recoveryFile,
@@ -197,7 +197,7 @@
 	},
 	{
 		Name: "ended-after-202", World: "late",
-		About: "an end of a connection after the 202 is taken for a reset",
+		About: "a connection that ends after the 202 counts as a reset, though the worker holds the job",
 		Violates: "honest-answers" +
 			" one-attempt-outstanding" +
 			" one-final-answer" +
@@ -225,7 +225,7 @@
 	},
 	{
 		Name: "time-out-untold", World: "forbidden", OnlyInWorld: true,
-		About:    "an attempt that timed out is not cancelled where cancelling by the dispatcher is forbidden",
+		About:    "where the dispatcher must not cancel, an attempt that timed out stays at its worker",
 		Violates: "called-back",
 		Patches: []Patch{
 			{File: attemptsFile,
@@ -240,7 +240,7 @@
 	},
 	{
 		Name: "sent-for-nobody", World: "leaves", OnlyInWorld: true,
-		About:    "an attempt is sent though its client has disconnected, where cancelling is forbidden",
+		About:    "where cancelling is forbidden, an attempt is written after its client disconnected",
 		Violates: "leavers-spared",
 		Patches: []Patch{
 			{File: requestsFile,
@@ -251,7 +251,7 @@
 	},
 	{
 		Name: "pushed-as-asked", World: "pushed", OnlyInWorld: true,
-		About:    "a pushed list is trusted without a watch for as long as a polled one",
+		About:    "without a watch, a pushed list stays valid for the poll interval, not the drain grace",
 		Violates: "list-trusted",
 		Patches: []Patch{
 			{File: endpointsFile,
@@ -262,7 +262,7 @@
 	},
 	{
 		Name: "asked-as-pushed", World: "asked", OnlyInWorld: true,
-		About:    "a list is trusted for the drain grace after its watch has closed, past a short ask_within",
+		About:    "without a watch, a polled list stays valid for the drain grace beyond a short ask_within",
 		Violates: "list-trusted",
 		Patches: []Patch{
 			{File: endpointsFile,
@@ -273,7 +273,7 @@
 	},
 	{
 		Name: "second-copy", World: "copies", OnlyInWorld: true,
-		About:    "a hedged attempt is sent while the first is live, where the settings allow hedging",
+		About:    "a hedged attempt is sent while the first attempt is live, where the settings allow hedging",
 		Violates: "one-attempt-outstanding",
 		Patches: []Patch{
 			{File: schedulerFile,
--- a/internal/modelcheck/mutants_test.go
+++ b/internal/modelcheck/mutants_test.go
@@ -10,7 +10,8 @@
 	"dahliaford/internal/modelcheck/mutants"
 )
 
-// Each mutant finds the texts that it changes, and names a world and properties that there are.
+// TestMutantTexts checks that the text to replace of each patch occurs once in its file, that names of
+// mutants are unique, and that mutants refer to existing worlds and properties.
 func TestMutantTexts(t *testing.T) {
 	root := repositoryRoot(t)
 	names := map[string]bool{}
@@ -23,20 +24,21 @@
 		}
 		for _, name := range strings.Fields(m.Violates) {
 			if !slices.ContainsFunc(Properties(), func(p Property) bool { return p.String() == name }) {
-				t.Errorf("%s: unknown property %q", m.Name, name)
+				t.Errorf("mutant %s: unknown property %q", m.Name, name)
 			}
 		}
 		if names[m.Name] {
-			t.Errorf("two mutants are named %s", m.Name)
+			t.Errorf("name %s of a mutant is not unique", m.Name)
 		}
 		names[m.Name] = true
 	}
 }
 
-// Each mutant compiles. That it is found is for the drill of mutants, which takes minutes.
+// TestMutantsCompile checks that each mutant compiles. Whether the model checker finds the mutants is the
+// subject of the mutant drill of cmd/schedbench, which takes minutes.
 func TestMutantsCompile(t *testing.T) {
 	if raceEnabled {
-		t.Skip("what the compiler says does not depend on the race detector")
+		t.Skip("compilation does not depend on the race detector")
 	}
 	root := repositoryRoot(t)
 	for _, m := range mutants.All() {
@@ -52,7 +54,7 @@
 			build := exec.CommandContext(t.Context(), "go", args...)
 			build.Dir = root
 			if out, err := build.CombinedOutput(); err != nil {
-				t.Errorf("%v: %s", err, out)
+				t.Errorf("build of the mutant failed: %v: %s", err, out)
 			}
 		})
 	}
--- a/internal/modelcheck/observe.go
+++ b/internal/modelcheck/observe.go
@@ -23,8 +23,8 @@
 
 var cancellationEvents = map[bool]eventKind{true: evCancelled, false: evNotCancelled}
 
-// observe counts an event before it is passed to the scheduler, and notes the stage that an attempt has for
-// the scheduler from then on.
+// observe counts an event for coverage before the scheduler receives it, and updates the stage of the attempt
+// that the event concerns.
 func (w *World) observe(e scheduler.Event) {
 	switch e := e.(type) {
 	case scheduler.Submitted:
@@ -46,23 +46,23 @@
 	case scheduler.Callback:
 		w.observeCallback(e)
 	case scheduler.EndpointsUpdated:
-		w.observeAll(evList)
+		w.observeAllRequests(evList)
 	case scheduler.WatchClosed:
-		w.observeAll(evWatchClosed)
+		w.observeAllRequests(evWatchClosed)
 	case scheduler.Reloaded:
-		w.observeAll(evReloaded)
+		w.observeAllRequests(evReloaded)
 	case scheduler.TimerFired:
-		w.observeAll(evTimer)
+		w.observeAllRequests(evTimer)
 	case scheduler.ShutdownRequested:
-		w.observeAll(evStopping)
+		w.observeAllRequests(evStopping)
 	}
 	if w.panicPending {
-		w.observeAll(evPanic)
+		w.observeAllRequests(evPanic)
 	}
 }
 
-// observeAttempt counts an event about an attempt. Unless to is stageNone, it is the stage of an attempt that
-// was neither given up nor ended.
+// observeAttempt counts an event about an attempt. The attempt enters the stage to, unless to is stageNone or
+// the scheduler has abandoned the attempt or received its end.
 func (w *World) observeAttempt(kind eventKind, attempt scheduler.AttemptID, to stage) {
 	for i := range w.requests {
 		q := &w.requests[i]
@@ -70,7 +70,7 @@
 			continue
 		}
 		w.coverage[kind][q.stage]++
-		if to != stageNone && q.stage != stageGivenUp && q.stage != stageEnded {
+		if to != stageNone && q.stage != stageAbandoned && q.stage != stageEnded {
 			q.stage = to
 		}
 		return
@@ -78,7 +78,8 @@
 	w.coverage[kind][stageEarlier]++
 }
 
-// observeCallback counts a callback. One of another worker than the last attempt's is about an earlier one.
+// observeCallback counts a callback. A callback from a worker other than that of the last attempt concerns an
+// earlier attempt.
 func (w *World) observeCallback(e scheduler.Callback) {
 	kind := callbackEvents[e.Kind]
 	q := &w.requests[requestIndex(e.RequestID)]
@@ -92,8 +93,8 @@
 	}
 }
 
-// observeAll counts an event that is about all requests.
-func (w *World) observeAll(kind eventKind) {
+// observeAllRequests counts an event that concerns all requests, once for each id.
+func (w *World) observeAllRequests(kind eventKind) {
 	for i := range w.requests {
 		if q := &w.requests[i]; int(q.id) == i {
 			w.coverage[kind][q.stage]++
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -4,61 +4,63 @@
 	"fmt"
 )
 
-// Property is a rule that every world must keep.
+// Property is a condition that every state and every path of a world must satisfy.
 type Property uint8
 
-// The properties. Their numbers are those of docs/modelcheck.md.
+// The properties, numbered as in docs/modelcheck.md. OneFinalAnswer, RunsAsAllowed, DrainsRespected and
+// SlowStartRespected check the single-answer rule, the repetition rule, the drain rule and the slow-start
+// rule of package dispatch.
 const (
-	OneFinalAnswer        Property = iota + 1 // one final answer before the client gives up; none after it left
-	OneAttemptOutstanding                     // one attempt outstanding, as the workers see it
-	AttemptsCapped                            // no more attempts than the settings allow
-	RunsAsAllowed                             // nothing runs twice, except a batch in its rack and window
-	DrainsRespected                           // nothing new over 500 ms after a drain or removal was notified
-	HonestAnswers                             // refusals only where harmless; results as a worker made them
-	SlowStartRespected                        // a worker in slow start gets no more than its budget
-	NothingLeaks                              // at rest, nothing is kept beyond its time
-	OrphansCancelled                          // who may hold a given-up attempt gets its cancellation
-	Terminates                                // the passing of time alone ends all requests
-	CancelsAsAllowed                          // where cancelling is forbidden, nothing is cancelled in its time
-	NoSendAfterDisconnect                     // nothing new for a client that left
-	StaleListUnused                           // nothing is sent by a list past the time for which it is valid
+	OneFinalAnswer        Property = iota + 1 // each request gets one final answer before the client's deadline
+	OneAttemptOutstanding                     // workers hold at most one attempt of a request at a time
+	AttemptsCapped                            // a request gets no more attempts than the settings allow
+	RunsAsAllowed                             // no job runs twice, except a batch in its rack and window
+	DrainsRespected                           // no attempt is sent 500 ms after notice of a drain or removal
+	HonestAnswers                             // refusals only if a retry is safe; results as a worker made them
+	SlowStartRespected                        // a worker in slow start gets no more jobs than its budget
+	NothingLeaks                              // the scheduler keeps no state past its retention time
+	OrphansCancelled                          // each worker that may hold an abandoned job gets a cancellation
+	Terminates                                // every request ends by the passing of time alone
+	CancelsAsAllowed                          // where cancelling is forbidden, no attempt is cancelled early
+	NoSendAfterDisconnect                     // no attempt is sent for a disconnected client
+	StaleListUnused                           // no attempt is sent by a worker list past its validity
 )
 
-// propertyInfo has the names, which trace files use, and what the properties ask for.
+// propertyInfo holds the names of the properties in trace files and their descriptions.
 var propertyInfo = [...]struct{ name, about string }{
 	OneFinalAnswer: {"one-final-answer",
-		"one final answer for each item, before the client gives up; none to one that left"},
+		"each request gets one final answer before its deadline; a disconnected client gets none"},
 	OneAttemptOutstanding: {"one-attempt-outstanding",
-		"only one attempt outstanding at a time, as the workers see it"},
+		"workers hold at most one attempt of a request at a time"},
 	AttemptsCapped: {"attempts-capped",
-		"no request gets more attempts than the settings allow: 4 in most worlds"},
+		"no request gets more attempts than the settings allow (4 in most worlds)"},
 	RunsAsAllowed: {"runs-as-allowed",
-		"a post-reading never runs twice; a district-batch that may have run stays in its rack and window"},
+		"a post-reading runs at most once; a district-batch repeats only in its rack and window"},
 	DrainsRespected: {"drains-kept",
-		"nothing new goes to a worker more than 500 ms after its draining or removal was notified"},
+		"no attempt is sent to a worker later than 500 ms after the notice that it drains or is removed"},
 	HonestAnswers: {"honest-answers",
-		"a refusal only where a repeat is harmless; invalid only what never ran; a result that " +
-			"a worker made for it"},
+		"a request is refused only if the client may retry it, is called invalid only if it " +
+			"never ran, and gets only a result that a worker made for it"},
 	SlowStartRespected: {"cold-spared",
-		"a worker in slow start is not sent more than its budget"},
+		"a worker in slow start is not sent more jobs than its budget"},
 	NothingLeaks: {"nothing-leaks",
-		"when all is answered and nothing is on its way, nothing is kept beyond its time"},
+		"with all requests answered and no message in transit, no state is kept past its retention time"},
 	OrphansCancelled: {"called-back",
-		"whoever may hold a given-up attempt gets its cancellation, once it can be reached"},
+		"each worker that may hold an abandoned attempt gets its cancellation once it is reachable"},
 	Terminates: {"ends",
-		"from every state the passing of time alone leads to all requests answered"},
+		"from every state, the passing of time alone leads to an answer for each request"},
 	CancelsAsAllowed: {"cancels-as-allowed",
-		"where cancelling is forbidden, no attempt is given up before it has ended or its time is up"},
+		"where cancelling is forbidden, no attempt is abandoned before its end or its deadline"},
 	NoSendAfterDisconnect: {"leavers-spared",
-		"nothing is sent more than 100 ms after its client left"},
+		"no attempt is sent later than 100 ms after its client disconnected"},
 	StaleListUnused: {"list-trusted",
-		"nothing is sent by a list past the time for which it is valid"},
+		"no attempt is sent by a worker list whose validity has expired"},
 }
 
-// String returns the name that trace files use.
+// String returns the name of the property in trace files.
 func (p Property) String() string { return propertyInfo[p].name }
 
-// About says what a property asks for.
+// About describes the property.
 func (p Property) About() string { return propertyInfo[p].about }
 
 // Properties lists all properties by number.
@@ -70,16 +72,16 @@
 	return all
 }
 
-// Violation says which property was violated, and how.
+// Violation is a property that was violated and a description of how.
 type Violation struct {
 	Property Property
 	Text     string
 }
 
-// Error returns the property's name and how it was violated.
+// Error returns the name of the property and the description of the violation.
 func (v *Violation) Error() string { return v.Property.String() + ": " + v.Text }
 
-// violate notes a violation, unless there was one before.
+// violate records a violation unless an earlier violation is recorded.
 func (w *World) violate(p Property, format string, args ...any) {
 	if w.violation == nil {
 		w.violation = &Violation{p, fmt.Sprintf(format, args...)}
--- a/internal/modelcheck/race_enabled_test.go
+++ b/internal/modelcheck/race_enabled_test.go
@@ -2,4 +2,4 @@
 
 package modelcheck
 
-const raceEnabled = true // states cost ten times as much
+const raceEnabled = true // a state takes about ten times as long with the race detector
--- a/internal/modelcheck/requests.go
+++ b/internal/modelcheck/requests.go
@@ -6,42 +6,44 @@
 	"dahliaford/internal/scheduler"
 )
 
+// requestState is the state of a request from the view of the client.
 type requestState uint8
 
 const (
 	notSubmitted requestState = iota
 	open
 	answered
-	disconnected // its client left
+	disconnected // the client disconnected before the answer
 )
 
-// request is a submission of the client, and what the workers saw of its id.
+// request is a submission by the client, and the record of the attempts of its id at the workers.
 type request struct {
 	class          Class
-	id             uint8  // index of the request that first had this id
-	generation     uint16 // how often this one was renewed
+	id             uint8  // index of the first request that was submitted with this id
+	generation     uint16 // number of times that RenewRequest has replaced this request
 	state          requestState
 	caller         scheduler.CallerID
-	deadline       Micros // its client gives up then
+	deadline       Micros // the client's deadline
 	verdict        scheduler.Verdict
 	disconnectedAt Micros
 
-	// What follows is about the id, and kept with the first request that had it.
+	// The following fields concern the id of the request. For several submissions of one id, they are used
+	// only in the request that was submitted first.
 
-	acceptedAt      Micros    // when the last submission that the scheduler accepted came
-	rejected        bool      // that one was answered as invalid
-	attempts        uint8     // attempts that reached a worker
-	starts          uint8     // attempts that may have run
-	mayHaveRun      workerSet // where an attempt may have run
-	firstRunSentAt  Micros    // when the first attempt that may have run was sent
-	resultsBy       workerSet // which workers made a result
+	acceptedAt      Micros    // time of the last submission that the scheduler accepted
+	rejected        bool      // the last submission that was not a Conflict was answered as Invalid
+	attempts        uint8     // number of attempts that reached a worker
+	runCount        uint8     // number of attempts that may have run
+	mayHaveRun      workerSet // workers where an attempt may have run
+	firstRunSentAt  Micros    // time at which the first attempt that may have run was sent
+	resultsBy       workerSet // workers that made a result
 	lastAttempt     scheduler.AttemptID
-	attemptDeadline Micros // the last attempt is given up then
+	attemptDeadline Micros // deadline of the last attempt
 	lastWorker      uint8  // the worker of the last attempt
-	stage           stage  // of the last attempt, by the events that the scheduler has received
+	stage           stage  // stage of the last attempt
 }
 
-// requestID is the id of a request's present generation on the wire.
+// requestID returns the id on the wire of the present generation of a request.
 func (w *World) requestID(index uint8) string {
 	id := "t" + string(rune('0'+index))
 	if generation := w.requests[index].generation; generation > 0 {
@@ -50,12 +52,12 @@
 	return id
 }
 
-// requestIndex is the inverse of requestID.
+// requestIndex returns the index of the request with an id that requestID returned.
 func requestIndex(id string) uint8 { return id[1] - '0' }
 
-// requestActions lists what the client can do.
+// requestActions appends the enabled submissions and disconnects of the client.
 func (w *World) requestActions(out []Action) []Action {
-	first := true // of those not submitted: the client sends them in order
+	first := true // whether no earlier request is unsubmitted: the client submits requests in order
 	for i := range w.requests {
 		q := &w.requests[i]
 		switch {
@@ -73,7 +75,7 @@
 	return out
 }
 
-// renewActions lists the finished requests that another one can take the place of.
+// renewActions appends the enabled replacements of finished requests.
 func (w *World) renewActions(out []Action) []Action {
 	if !w.cfg.RenewRequests || w.settling {
 		return out
@@ -86,7 +88,8 @@
 	return out
 }
 
-// renewable reports whether a request is over and nothing of its id is left anywhere.
+// renewable reports whether a request is finished and no message, job or further submission of its id is
+// left.
 func (w *World) renewable(id uint8) bool {
 	q := &w.requests[id]
 	if q.id != id || q.state == notSubmitted || q.state == open || q.stage == stageConnecting ||
@@ -101,7 +104,7 @@
 	return !w.inUse(id)
 }
 
-// inUse reports whether anything on its way, or held by a worker, has an id.
+// inUse reports whether a connection, a callback, a cancellation or a job belongs to an id.
 func (w *World) inUse(id uint8) bool {
 	for i := range w.connections {
 		if w.connections[i].id == id {
@@ -135,7 +138,7 @@
 }
 
 func (w *World) submit(q *request) {
-	w.forgetRuns(q.id)
+	w.resetRunHistory(q.id)
 	w.lastCaller++
 	q.state, q.caller, q.deadline = open, w.lastCaller, w.now+q.class.deadline()
 	w.step(scheduler.Submitted{Caller: q.caller, RequestID: w.requestID(q.id), Class: q.class.String(),
@@ -145,10 +148,12 @@
 	}
 }
 
-// forgetRuns lets the next submission of an id count as a job of its own, once nothing is left of the last
-// one and no attempt of that can be within its window any more: each was sent before the deadline of the
-// last one. Behind a rejection it is one at once where nothing may have run, and has its own attempts.
-func (w *World) forgetRuns(id uint8) {
+// resetRunHistory clears the record of an id before a new submission if the submission counts as a new job.
+// This is the case when no message or job of the id is left and no earlier attempt can be within its
+// deduplication window: each attempt was sent before the deadline of the last accepted submission. If the
+// last submission was rejected as invalid and no attempt may have run, the attempts of the new submission are
+// at once counted from zero.
+func (w *World) resetRunHistory(id uint8) {
 	q := &w.requests[id]
 	if q.rejected && q.mayHaveRun == 0 {
 		q.attempts = 0
@@ -156,7 +161,7 @@
 	if q.acceptedAt == 0 || w.now-q.acceptedAt <= q.class.deadline()+dedupWindow || w.inUse(id) {
 		return
 	}
-	q.attempts, q.starts, q.mayHaveRun, q.firstRunSentAt, q.resultsBy = 0, 0, 0, 0, 0
+	q.attempts, q.runCount, q.mayHaveRun, q.firstRunSentAt, q.resultsBy = 0, 0, 0, 0, 0
 }
 
 func (w *World) renewRequest(a Action) {
@@ -171,7 +176,7 @@
 	w.step(scheduler.ClientDisconnected{Caller: q.caller})
 }
 
-// allAnswered reports whether no client waits any more.
+// allAnswered reports whether no submitted request waits for an answer.
 func (w *World) allAnswered() bool {
 	for i := range w.requests {
 		if w.requests[i].state == open {
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -6,43 +6,43 @@
 	"dahliaford/internal/settings"
 )
 
-// Rules are the settings that worlds may vary. The zero Rules are what most worlds have: cancelling allowed,
-// lists polled, four attempts, no hedging.
-type Rules struct {
-	CancelForbidden  bool   // an outstanding attempt may not be cancelled
-	HedgingAllowed   bool   // a second copy of a request is allowed
-	MaxAttempts      int    // 0: four
-	EndpointsPushed  bool   // lists are pushed
-	PollInterval     Micros // without a watch a change counts as notified after that; 0: 10 s
-	ProgressInterval Micros // workers report progress so often; 0: never
-	// LimitStaleness ends how long a list is valid, as on sockets: MaxStaleness is set, and a watch that
-	// closes says until when the list is valid. Without it a list never becomes stale.
+// Overrides holds the settings that may differ between worlds. The zero value gives the default
+// settings of most worlds: cancelling allowed, worker lists polled, at most four attempts, no hedging.
+type Overrides struct {
+	CancelForbidden  bool   // an outstanding attempt must not be cancelled
+	HedgingAllowed   bool   // a second attempt may be sent while the first one is outstanding
+	MaxAttempts      int    // largest number of attempts of a request; 0: four
+	EndpointsPushed  bool   // discovery pushes worker lists
+	PollInterval     Micros // age at which a change counts as notified without a watch; 0: 10 s
+	ProgressInterval Micros // interval of the progress reports of workers; 0 means no reports
+	// LimitStaleness limits the validity of worker lists as package node does: it sets MaxStaleness, and the
+	// event of a closed watch contains the time at which the list expires. Otherwise a list never expires.
 	LimitStaleness bool
 }
 
-func (r *Rules) maxAttempts() int {
+func (r *Overrides) maxAttempts() int {
 	if r.MaxAttempts == 0 {
 		return defaultMaxAttempts
 	}
 	return r.MaxAttempts
 }
 
-func (r *Rules) pollInterval() Micros {
+func (r *Overrides) pollInterval() Micros {
 	if r.PollInterval == 0 {
 		return defaultPollInterval
 	}
 	return r.PollInterval
 }
 
-// parse reads the settings of a world with these rules.
-func (r *Rules) parse() (settings.Settings, error) {
+// parse returns the settings of a world with these overrides.
+func (r *Overrides) parse() (settings.Settings, error) {
 	discovery := "on_request"
 	if r.EndpointsPushed {
 		discovery = "pushed"
 	}
 	set, err := settings.Parse(fmt.Appendf(nil, worldSettings, r.ProgressInterval, discovery, r.maxAttempts(),
 		!r.CancelForbidden, r.HedgingAllowed, r.pollInterval()))
-	// The node does the same: a list that is pushed comes over a watch, too.
+	// Package node sets PollEndpoints as well, because a pushed list also arrives over a watch.
 	set.Dispatch.PollEndpoints = true
 	if r.LimitStaleness {
 		set.Dispatch.MaxStaleness = maxStaleness
@@ -50,8 +50,9 @@
 	return set, err
 }
 
-// worldSettings are the settings of the worlds. Their times are longer against the granularity than those of
-// a real deployment, so that few deadlines lie within a request's life.
+// worldSettings is the format of the settings of all worlds. Its granularity is larger in proportion to the
+// other times than in a real deployment, so that few deadlines lie within the lifetime of a request and the
+// number of states stays small.
 const worldSettings = `{"balancers":1,"me":0,"granularity":50000,"azs":["north"],"kinds":["m1"],
 	"grades":[
 	{"name":"post-reading","semantics":"at_most_once","slo":500000,"deadline":1000000,"worth":2},
@@ -64,11 +65,11 @@
 	"guarantees":{"cold":2000000,"cold_from":0.3,"fall":400000,"overload_factor":1,"ask_within":%d,
 	 "drain_grace":500000}}`
 
-// What worldSettings say, for the checks.
+// Values of worldSettings that the property checks use.
 const (
 	tenant            = "sahel"
-	deadlineOfPost    = 1000 * millisecond
-	deadlineOfBatch   = 1400 * millisecond
+	postDeadline      = 1000 * millisecond
+	batchDeadline     = 1400 * millisecond
 	dedupWindow       = 1500 * millisecond
 	drainGrace        = 500 * millisecond
 	overloadWindow    = 400 * millisecond
@@ -76,12 +77,12 @@
 	connectTimeout    = 150 * millisecond
 )
 
-// What worldSettings get, and what the program has from elsewhere.
+// Defaults of Overrides, and values that are not in worldSettings.
 const (
 	defaultMaxAttempts  = 4
 	defaultPollInterval = 10 * second
-	maxStaleness        = 6 * second        // a change counts as notified then, whether it was or not
-	reloadGrace         = 4 * second        // what the discovery of a new configuration says counts then
-	disconnectGrace     = 100 * millisecond // an attempt may be written so long after its client left
-	startTime           = 1000 * second     // when a world starts
+	maxStaleness        = 6 * second        // a change of the list counts as notified at this age
+	reloadGrace         = 4 * second        // changes by a new discovery count from this time after a reload
+	disconnectGrace     = 100 * millisecond // allowed delay of a write after the disconnect of its client
+	startTime           = 1000 * second     // initial simulated time
 )
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -10,35 +10,38 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Options say how a world is searched.
+// Options configures a search or a random walk.
 type Options struct {
-	Parallel int // goroutines; 0: one for each core
-	// ReplayStates makes each state anew from the root instead of copying it. It is slower, needs no copy
-	// of the scheduler, and must find the same number of states: the yardstick for copies.
+	Parallel int // number of searching goroutines; 0 means GOMAXPROCS
+	// ReplayStates makes the search rebuild each state by a replay from the root instead of a copy. A replay is
+	// slower but does not depend on Scheduler.Clone. Both ways must find the same number of states, which
+	// checks that copies are exact.
 	ReplayStates bool
-	// Progress is called about twice a second with the numbers until then; nil: nobody looks.
+	// Progress, if not nil, receives the number of states and transitions so far: every progressInterval in a
+	// search, after every walk in RandomWalk.
 	Progress func(states, transitions int64)
 }
 
-// Result is what a search found.
+// Result is the result of a search or a random walk.
 type Result struct {
 	World       string
 	States      int64
 	Transitions int64
-	Depth       int        // of the longest path that was taken, in actions
-	Exhausted   bool       // all states within the world's bounds were seen
-	Violation   *Violation // nil: none was found
-	Path        []Action   // to the state with the violation, shortened
+	Depth       int        // length of the longest path, in actions
+	Exhausted   bool       // whether all reachable states of the world were visited
+	Violation   *Violation // nil if no property was violated
+	Path        []Action   // shortened path from the root to the violation
 	Coverage    *Coverage
 }
 
-// node is a state's place in the search: how it was reached.
+// node records the path to a state as a linked list of actions.
 type node struct {
 	parent *node
 	action Action
 	depth  int
 }
 
+// path returns the actions from the root to the node.
 func (n *node) path() []Action {
 	p := make([]Action, n.depth)
 	for ; n.parent != nil; n = n.parent {
@@ -47,16 +50,17 @@
 	return p
 }
 
-// state is a state to be expanded.
+// state is a state whose successors are not visited yet.
 type state struct {
-	world *World // nil when states are replayed
+	world *World // nil if states are rebuilt by a replay
 	node  *node
 }
 
+// visitedShards is the number of separately locked parts of the set of visited states.
 const visitedShards = 256
 
-// visited is the set of the states seen, by 128 bits of hash: at 10^8 states the probability that any two
-// are mixed up is below 10^-22. It is safe for concurrent use.
+// visited is the set of visited states, identified by a 128-bit hash. With 10^8 states, the probability that
+// any two states have equal hashes is below 10^-22. The set is safe for concurrent use.
 type visited [visitedShards]struct {
 	sync.Mutex
 	seen map[xxh3.Uint128]struct{}
@@ -68,7 +72,7 @@
 	}
 }
 
-// add adds a state and reports whether it is new.
+// add adds the hash of a state and reports whether it was absent.
 func (v *visited) add(h xxh3.Uint128) bool {
 	s := &v[h.Lo%visitedShards]
 	s.Lock()
@@ -80,7 +84,8 @@
 	return true
 }
 
-// search is a depth-first search by several workers, which share states when one has none.
+// search is a depth-first search by several goroutines. A goroutine with states left shares them with idle
+// ones.
 type search struct {
 	cfg     *Config
 	opt     Options
@@ -90,17 +95,17 @@
 	actions atomic.Int64
 	depth   atomic.Int64
 
-	mu          sync.Mutex
-	changed     sync.Cond // of what mu guards
-	pool        []state   // what a worker without states may take
-	idleWorkers atomic.Int32
-	busyWorkers int
-	violation   *Violation
-	violationAt *node
-	stopped     atomic.Bool
+	mu             sync.Mutex
+	changed        sync.Cond // signals a change of pool, busyGoroutines or stopped
+	pool           []state   // states that idle goroutines may take
+	idleGoroutines atomic.Int32
+	busyGoroutines int
+	violation      *Violation
+	violationAt    *node
+	stopped        atomic.Bool
 }
 
-// Search explores a world until all states are seen, a property is violated, or the context ends.
+// Search explores a world until it has visited all states, a property is violated, or the context ends.
 func Search(ctx context.Context, cfg *Config, opt Options) (*Result, error) {
 	root, err := newWorld(cfg)
 	if err != nil {
@@ -109,7 +114,7 @@
 	if opt.Parallel <= 0 {
 		opt.Parallel = runtime.GOMAXPROCS(0)
 	}
-	s := &search{cfg: cfg, opt: opt, ctx: ctx, busyWorkers: opt.Parallel}
+	s := &search{cfg: cfg, opt: opt, ctx: ctx, busyGoroutines: opt.Parallel}
 	s.changed.L = &s.mu
 	s.visited.init()
 	s.visited.add(xxh3.Hash128(root.appendState(nil)))
@@ -128,7 +133,7 @@
 	return r, nil
 }
 
-// run runs a worker for each coverage, and returns when all have ended.
+// run starts one searching goroutine for each element of coverages and waits until all have ended.
 func (s *search) run(coverages []Coverage) {
 	var workers, monitor sync.WaitGroup
 	for i := range coverages {
@@ -143,7 +148,7 @@
 
 const progressInterval = 500 * time.Millisecond
 
-// monitor reports progress and stops the search when the context ends.
+// monitor calls Options.Progress regularly, and stops the search when the context ends.
 func (s *search) monitor(done chan struct{}) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
@@ -162,6 +167,7 @@
 	}
 }
 
+// stop makes all goroutines end without expanding further states.
 func (s *search) stop() {
 	s.stopped.Store(true)
 	s.mu.Lock()
@@ -169,28 +175,28 @@
 	s.mu.Unlock()
 }
 
-// sharingThreshold is how many states a worker keeps to itself before it shares.
-const sharingThreshold = 8
+// ownStackStates is the stack size up to which a searching goroutine does not share states with idle ones.
+const ownStackStates = 8
 
-// expander is a worker of a search: its own stack of states, and buffers.
+// expander is one searching goroutine with its own stack of states and reusable buffers.
 type expander struct {
 	*search
 	coverage *Coverage
 	stack    []state
 	enabled  []Action
-	form     []byte
+	encoded  []byte
 }
 
-// work expands states, the latest first, until there are no more anywhere.
+// work expands states, the most recent first, until all goroutines run out of states or the search stops.
 func (s *search) work(coverage *Coverage) {
 	e := &expander{search: s, coverage: coverage}
 	for {
 		if len(e.stack) == 0 {
-			if e.stack = s.take(e.stack); e.stack == nil {
+			if e.stack = s.takeFromPool(e.stack); e.stack == nil {
 				return
 			}
 		}
-		if s.idleWorkers.Load() > 0 && len(e.stack) > sharingThreshold {
+		if s.idleGoroutines.Load() > 0 && len(e.stack) > ownStackStates {
 			half := len(e.stack) / 2
 			s.addToPool(e.stack[:half])
 			e.stack = append(e.stack[:0], e.stack[half:]...)
@@ -199,13 +205,13 @@
 		at := e.stack[last]
 		e.stack[last] = state{}
 		e.stack = e.stack[:last]
-		if !s.stopped.Load() { // else to the end of its stack, and then out
+		if !s.stopped.Load() { // a stopped search only empties the stack and then ends
 			e.expand(at)
 		}
 	}
 }
 
-// expand takes each action that a state allows, and puts the new states on the stack.
+// expand performs each action that is enabled in a state, and pushes the new states on the stack.
 func (e *expander) expand(at state) {
 	w := e.materialize(at)
 	w.coverage = e.coverage
@@ -216,7 +222,7 @@
 		case e.opt.ReplayStates:
 			next = e.materialize(at)
 		case i == len(e.enabled)-1:
-			next = w // nobody needs it any more
+			next = w // the last action needs no copy, because w is not used afterwards
 		default:
 			next = w.clone()
 		}
@@ -229,46 +235,47 @@
 	}
 }
 
-// discover checks a state and puts it on the stack if it is new. It reports whether the search goes on from
-// the state before it.
-func (e *expander) discover(w *World, place *node) bool {
+// discover checks a state and pushes it on the stack if it is new. It returns false if it found a violation,
+// so that the expansion of the preceding state ends.
+func (e *expander) discover(w *World, at *node) bool {
 	if w.violation != nil {
-		e.report(w.violation, place)
+		e.report(w.violation, at)
 		return false
 	}
-	e.form = w.appendState(e.form[:0])
-	if !e.visited.add(xxh3.Hash128(e.form)) {
+	e.encoded = w.appendState(e.encoded[:0])
+	if !e.visited.add(xxh3.Hash128(e.encoded)) {
 		return true
 	}
 	e.states.Add(1)
-	e.raiseDepth(int64(place.depth))
+	e.raiseDepth(int64(at.depth))
 	if w.allAnswered() || w.exited {
 		if violation := w.settle(); violation != nil {
-			e.report(violation, place)
+			e.report(violation, at)
 			return false
 		}
 	}
 	if e.opt.ReplayStates {
 		w = nil
 	}
-	e.stack = append(e.stack, state{w, place})
+	e.stack = append(e.stack, state{w, at})
 	return true
 }
 
+// raiseDepth sets the depth of the search to d unless it is already as large.
 func (s *search) raiseDepth(depth int64) {
 	for d := s.depth.Load(); d < depth && !s.depth.CompareAndSwap(d, depth); {
 		d = s.depth.Load()
 	}
 }
 
-// materialize gives the world of a state to expand: its own, or made anew from the root.
+// materialize returns the world of a state: the stored one, or one rebuilt by a replay from the root.
 func (s *search) materialize(at state) *World {
 	if !s.opt.ReplayStates {
 		return at.world
 	}
 	w, err := newWorld(s.cfg)
 	if err != nil {
-		panic(err) // it worked for the root
+		panic(err) // Search created the root with the same configuration without an error
 	}
 	for _, a := range at.node.path() {
 		w.apply(a)
@@ -276,7 +283,8 @@
 	return w
 }
 
-// report notes a violation, unless one was found on a shorter path, and stops the search.
+// report records a violation unless one with a path of the same or a smaller length is recorded, and stops
+// the search.
 func (s *search) report(violation *Violation, at *node) {
 	s.mu.Lock()
 	if s.violation == nil || at.depth < s.violationAt.depth {
@@ -286,6 +294,7 @@
 	s.stop()
 }
 
+// addToPool offers states to idle goroutines.
 func (s *search) addToPool(states []state) {
 	s.mu.Lock()
 	s.pool = append(s.pool, states...)
@@ -293,21 +302,22 @@
 	s.mu.Unlock()
 }
 
-// take waits for states to expand and puts them into buf; nil means that there are no more.
-func (s *search) take(buf []state) []state {
+// takeFromPool waits for states in the pool and moves a share of them into buf. It returns nil if no
+// goroutine has states left or the search has stopped.
+func (s *search) takeFromPool(buf []state) []state {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.busyWorkers--
-	s.idleWorkers.Add(1)
-	defer s.idleWorkers.Add(-1)
+	s.busyGoroutines--
+	s.idleGoroutines.Add(1)
+	defer s.idleGoroutines.Add(-1)
 	for len(s.pool) == 0 || s.stopped.Load() {
-		if s.busyWorkers == 0 || s.stopped.Load() {
+		if s.busyGoroutines == 0 || s.stopped.Load() {
 			s.changed.Broadcast()
 			return nil
 		}
 		s.changed.Wait()
 	}
-	s.busyWorkers++
+	s.busyGoroutines++
 	n := max(1, len(s.pool)/s.opt.Parallel)
 	buf = append(buf[:0], s.pool[len(s.pool)-n:]...)
 	s.pool = s.pool[:len(s.pool)-n]
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -8,10 +8,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Copied states and states made anew from the root are the same: as many, met as often.
+// TestEnginesAgree checks that a search with copied states and one with states rebuilt by a replay find the
+// same states, transitions and coverage. A difference means that Scheduler.Clone or World.clone is not exact.
 func TestEnginesAgree(t *testing.T) {
 	if raceEnabled {
-		t.Skip("one goroutine against another is what the worlds test")
+		t.Skip("TestWorlds covers concurrent searches under the race detector")
 	}
 	for name, maxFaults := range map[string]uint8{"turned": 1, "leaves": 0, "asked": 0, "copies": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -33,15 +34,17 @@
 	}
 }
 
+// TestSearchStopsWithItsContext checks that a search with a cancelled context ends early without an error.
 func TestSearchStopsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	cfg := bounded(t, "attempt", 3)
 	r, err := Search(ctx, cfg, Options{})
 	if err != nil || r.Exhausted || r.Violation != nil {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("search with a cancelled context: got %+v, error %v; want an incomplete search, no violation", r,
+			err)
 	}
 	if diff := cmp.Diff(true, reflect.DeepEqual(cfg.Faults, bounded(t, "attempt", 3).Faults)); diff != "" {
-		t.Error("a search changed its configuration")
+		t.Error("search changed the fault budget of its configuration")
 	}
 }
--- a/internal/modelcheck/settle.go
+++ b/internal/modelcheck/settle.go
@@ -5,32 +5,34 @@
 )
 
 const (
-	// settleDuration is how long a world settles after the last answer: longer than anything is kept, and
-	// than a worker that may hold a given-up attempt is sent its cancellation.
-	settleDuration = 20 * second
-	// maxSettleActions bounds settling in actions; more is a violation of Terminates.
-	maxSettleActions = 500
+	// settlingDuration is the simulated time that settle adds after the last answer. It exceeds every retention
+	// time of the scheduler and the time for which the scheduler retries the cancellation of an attempt.
+	settlingDuration = 20 * second
+	// maxSettlingActions is the largest number of actions in settle. A world that needs more violates
+	// Terminates.
+	maxSettlingActions = 500
 )
 
-// shutdownLimit is how long after SIGTERM, and no sooner, a program may exit with a cancellation that is
-// not acknowledged: it has to exit before the kill, which comes 0.7 s after the longest deadline at the
-// earliest.
-const shutdownLimit = deadlineOfBatch + 700*millisecond - 300*millisecond
+// shutdownLimit is the time after SIGTERM from which a stopping scheduler may exit with unacknowledged
+// cancellations. It is 300 ms before the earliest time of the kill, which comes 700 ms after the longest
+// deadline of a class.
+const shutdownLimit = batchDeadline + 700*millisecond - 300*millisecond
 
-// settle plays a fair end on a copy: no further fault, all that is on its way arrives, no worker ends a job
-// by itself, and time passes. It checks NothingLeaks, OrphansCancelled and Terminates.
+// settle continues a copy of the world without further faults until no action is left: all messages in
+// transit arrive, unreachable machines become reachable, time passes, and workers neither finish nor start
+// jobs. It checks NothingLeaks, OrphansCancelled and Terminates on the way.
 func (w *World) settle() *Violation {
 	if w.violation != nil {
 		return w.violation
 	}
 	c := w.clone()
-	c.settling, c.coverage, c.settleUntil = true, &Coverage{}, c.now+settleDuration
+	c.settling, c.coverage, c.settleUntil = true, &Coverage{}, c.now+settlingDuration
 	if v := c.playFairEnd(); v != nil {
 		return v
 	}
 	for i := range c.requests {
 		if c.requests[i].state == open {
-			c.violate(Terminates, "%s is open, and nothing more happens", c.requestID(c.requests[i].id))
+			c.violate(Terminates, "%s is open, and no further action can answer it", c.requestID(c.requests[i].id))
 		}
 	}
 	c.checkOrphans()
@@ -38,16 +40,16 @@
 		return c.violation
 	}
 	c.now = max(c.now, c.settleUntil)
-	c.step(scheduler.EndpointsUpdated{}) // a heartbeat, as one comes every 2 s
+	c.step(scheduler.EndpointsUpdated{}) // the update without changes that discovery sends every 2 s
 	if remaining := c.sched.Stats(); remaining != (scheduler.Stats{}) {
 		c.violate(NothingLeaks, "long after the last answer the scheduler keeps %+v", remaining)
 	}
 	return c.violation
 }
 
-// playFairEnd takes fair actions until there are none, and returns the violation that it meets.
+// playFairEnd performs the actions of fairAction until none is left, and returns the first violation.
 func (w *World) playFairEnd() *Violation {
-	for range maxSettleActions + 1 {
+	for range maxSettlingActions + 1 {
 		if w.violation != nil {
 			return w.violation
 		}
@@ -57,23 +59,24 @@
 		}
 		w.apply(a)
 	}
-	w.violate(Terminates, "it does not come to rest")
+	w.violate(Terminates, "actions do not end: the limit of actions without faults is reached")
 	return w.violation
 }
 
-// checkOrphans checks OrphansCancelled at the end of settling. A program that exited is excused for a worker
-// that it could not reach in the time that it has for its end, and where cancelling is forbidden.
+// checkOrphans checks OrphansCancelled at the end of settling. It allows orphaned jobs if the scheduler
+// exited at shutdownLimit, before all cancellations were acknowledged, or exited where cancelling is
+// forbidden.
 func (w *World) checkOrphans() {
-	if w.cancellationsAbandoned || w.exited && w.cfg.Rules.CancelForbidden {
+	if w.cancellationsAbandoned || w.exited && w.cfg.Overrides.CancelForbidden {
 		return
 	}
 	for _, j := range w.jobs {
-		w.violate(OrphansCancelled, "%s holds %s, which nobody waits for, and never gets a cancellation",
+		w.violate(OrphansCancelled, "%s holds %s, for which no client waits, and never gets a cancellation",
 			workerUID(j.worker), w.requestID(j.id))
 	}
 }
 
-// fairAction picks the action that a fair world takes next, without faults; more is false at rest.
+// fairAction returns the next action of a continuation without faults. more is false if none is left.
 func (w *World) fairAction() (a Action, more bool) {
 	for i := range w.workers {
 		if w.workers[i].unreachable {
@@ -84,8 +87,9 @@
 		return Action{Kind: AnswerWatch}, true
 	}
 	for i := range w.connections {
-		for _, a := range w.actionsOf(i, nil) {
-			if a.Kind != CloseArrives || a.Variant == closeAfterAccept { // the worse end of a close
+		for _, a := range w.actionsOnConnection(i, nil) {
+			// Of the two outcomes of a close, closeAfterAccept is chosen, as it leaves a job at the worker.
+			if a.Kind != CloseArrives || a.Variant == closeAfterAccept {
 				return a, true
 			}
 		}
--- a/internal/modelcheck/shorten.go
+++ b/internal/modelcheck/shorten.go
@@ -3,65 +3,67 @@
 import "slices"
 
 const (
-	maxShorteningActions = 2_000_000 // actions that are replayed to shorten a path
-	maxPairDistance      = 40        // how far apart two actions may be that are left out together
+	maxShorteningActions = 2_000_000 // limit on the actions replayed to shorten one path
+	maxPairDistance      = 40        // largest distance, in actions, of two actions that are removed together
 )
 
-// shortener leaves actions out of a path as long as the same property is violated.
+// shortener removes actions from a path as long as the path still violates the same property.
 type shortener struct {
 	cfg       *Config
 	path      []Action
 	violation *Violation
-	budget    int // actions that may still be replayed
+	budget    int // number of actions that may still be replayed
 }
 
-// shorten returns a shorter path to a violation of the same property: it leaves out first long stretches,
-// then shorter ones, and at last pairs.
+// shorten returns a path to a violation of the same property that is at most as long as path. It tries to
+// remove long ranges of actions first, then shorter ranges, and finally single actions and pairs.
 func shorten(cfg *Config, path []Action, violation *Violation) ([]Action, *Violation) {
 	s := &shortener{cfg, path, violation, maxShorteningActions}
-	s.dropStretches()
+	s.dropRanges()
 	for s.dropPair() {
 	}
 	return s.path, s.violation
 }
 
-// accept replays a path and keeps it if it violates the same property.
-func (s *shortener) accept(path []Action) bool {
+// keepIfViolating replays a path, keeps it if it violates the same property, and reports whether it does.
+func (s *shortener) keepIfViolating(path []Action) bool {
 	if s.budget <= 0 {
 		return false
 	}
-	violation, used := replay(s.cfg, path)
-	s.budget -= used
+	violation, taken := replay(s.cfg, path)
+	s.budget -= taken
 	if violation == nil || violation.Property != s.violation.Property {
 		return false
 	}
-	s.path, s.violation = path[:used], violation
+	s.path, s.violation = path[:taken], violation
 	return true
 }
 
-// without is the path with the actions from i to j left out.
+// without returns the path without the actions with indexes i to j-1.
 func (s *shortener) without(i, j int) []Action {
 	return slices.Concat(s.path[:i], s.path[j:])
 }
 
-func (s *shortener) dropStretches() {
+// dropRanges tries to remove ranges of actions, with lengths from half of the path down to 1.
+func (s *shortener) dropRanges() {
 	for n := len(s.path) / 2; n >= 1; n /= 2 {
 		for i := len(s.path) - n; i >= 0; i -= n {
 			if i = min(i, len(s.path)-n); i >= 0 {
-				s.accept(s.without(i, i+n))
+				s.keepIfViolating(s.without(i, i+n))
 			}
 		}
 	}
 }
 
-// dropPair leaves out one action, or two that are not far apart, and reports whether it could.
+// dropPair removes one action, or two at most maxPairDistance apart, and reports whether the path still
+// violates the property.
 func (s *shortener) dropPair() bool {
 	for i := len(s.path) - 1; i >= 0; i-- {
-		if s.accept(s.without(i, i+1)) {
+		if s.keepIfViolating(s.without(i, i+1)) {
 			return true
 		}
 		for j := i - 1; j >= max(0, i-maxPairDistance); j-- {
-			if s.accept(slices.Concat(s.path[:j], s.path[j+1:i], s.path[i+1:])) {
+			if s.keepIfViolating(slices.Concat(s.path[:j], s.path[j+1:i], s.path[i+1:])) {
 				return true
 			}
 		}
@@ -69,8 +71,8 @@
 	return false
 }
 
-// replay takes the actions of a path from the root. It returns the violation, if there is one, and after
-// how many actions; an action that is not enabled ends it.
+// replay performs the actions of a path from the root up to the first violation or the first action that is
+// not enabled. It returns the violation, if there is one, and the number of actions performed.
 func replay(cfg *Config, path []Action) (*Violation, int) {
 	w, err := newWorld(cfg)
 	if err != nil {
--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -4,7 +4,7 @@
 	"dahliaford/internal/fingerprint"
 )
 
-// appendState appends a form of a state that is the same for two that act alike.
+// appendState appends an encoding of a state to b. Two states with equal behavior have equal encodings.
 func (w *World) appendState(b []byte) []byte {
 	f := fingerprint.Buffer(b)
 	f.Ints(int64(w.now), int64(w.timerAt), w.watch.revision, int64(w.totalFaultBudget), int64(w.lastCaller),
@@ -16,7 +16,7 @@
 		w.requests[i].append(&f, w.now)
 	}
 	for i := range w.workers {
-		w.workers[i].append(&f, w.cfg.Rules.LimitStaleness)
+		w.workers[i].append(&f, w.cfg.Overrides.LimitStaleness)
 	}
 	f.Ints(int64(len(w.connections)), int64(len(w.jobs)), int64(len(w.callbacks)), int64(len(w.cancellations)),
 		int64(len(w.unsentAttempts)))
@@ -45,19 +45,19 @@
 }
 
 func (q *request) append(f *fingerprint.Buffer, now Micros) {
-	*f = append(*f, byte(q.class), q.id, byte(q.state), byte(q.verdict), q.attempts, q.starts,
+	*f = append(*f, byte(q.class), q.id, byte(q.state), byte(q.verdict), q.attempts, q.runCount,
 		byte(q.mayHaveRun), byte(q.resultsBy), q.lastWorker, byte(q.stage))
 	f.Ints(int64(q.caller), int64(q.deadline), int64(q.acceptedAt), int64(q.firstRunSentAt),
 		int64(q.lastAttempt), int64(q.generation), int64(q.attemptDeadline))
 	f.Bools(q.rejected)
-	if q.state == disconnected { // once the grace is over, how long ago makes no difference
+	if q.state == disconnected { // times beyond the grace period are equivalent
 		f.Ints(int64(min(now-q.disconnectedAt, disconnectGrace+1)))
 	}
 }
 
 func (r *worker) append(f *fingerprint.Buffer, limitStaleness bool) {
 	f.Bools(r.processDown, r.unreachable)
-	f.Ints(int64(r.status), int64(r.startedAt), int64(r.knownStart), int64(r.leavingNotifiedAt),
+	f.Ints(int64(r.status), int64(r.startedAt), int64(r.knownStartedAt), int64(r.leavingNotifiedAt),
 		int64(len(r.slowStartSends)))
 	if limitStaleness {
 		f.Ints(int64(r.leavingChangedAt))
@@ -69,6 +69,6 @@
 
 func (c *connection) append(f *fingerprint.Buffer) {
 	*f = append(*f, c.id, c.worker, byte(c.phase))
-	f.Bools(c.slowStart, c.writeUndelivered, c.conn.Busy, c.conn.Written, c.conn.Broken, c.conn.Released)
-	f.Ints(int64(c.attempt), int64(c.status), int64(c.writeBy), int64(c.sentAt))
+	f.Bools(c.slowStart, c.writtenEventPending, c.conn.Busy, c.conn.Written, c.conn.Broken, c.conn.Released)
+	f.Ints(int64(c.attempt), int64(c.status), int64(c.writeDeadline), int64(c.sentAt))
 }
--- a/internal/modelcheck/state_test.go
+++ b/internal/modelcheck/state_test.go
@@ -7,11 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// A copy acts as its original, and neither sees what the other does.
+// TestCopiesActAlike checks that a copy of a world behaves like its original and that actions of one do not
+// change the other. A field that clone shares by mistake would corrupt a search.
 func TestCopiesActAlike(t *testing.T) {
 	worlds := []*Config{LargeWorld()}
 	for _, c := range Worlds() {
-		if c.Rules != (Rules{}) {
+		if c.Overrides != (Overrides{}) {
 			worlds = append(worlds, c)
 		}
 	}
@@ -37,17 +38,17 @@
 			c := w.clone()
 			before := w.appendState(nil)
 			if string(before) != string(c.appendState(nil)) {
-				t.Fatal("a copy has another form than its original")
+				t.Fatal("encodings of a copy and its original differ")
 			}
 			notes := take(c, a)
 			if string(before) != string(w.appendState(nil)) {
-				t.Fatalf("an action of the copy (%v) changed the original", a)
+				t.Fatalf("action %v of the copy changed the original", a)
 			}
 			if diff := cmp.Diff(notes, take(w, a)); diff != "" {
-				t.Fatalf("%v: copy and original differ: %s", a, diff)
+				t.Fatalf("action %v: effects of copy and original differ, -copy +original:\n%s", a, diff)
 			}
 			if string(w.appendState(nil)) != string(c.appendState(nil)) {
-				t.Fatalf("%v: copy and original end in other states", a)
+				t.Fatalf("action %v: copy and original end in different states", a)
 			}
 		}
 	})
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -9,29 +9,29 @@
 	"strings"
 )
 
-// traceFormat numbers the form of trace files.
+// traceFormat is the version of the format of trace files.
 const traceFormat = 1
 
-// Trace is a path to a state that violates a property, in a form that can be kept.
+// Trace is a path to a state that violates a property, in the format of trace files.
 type Trace struct {
 	Format    int    `json:"format"`
 	World     string `json:"world"`
-	Requests  int    `json:"requests,omitempty"` // 0: as the world has them
-	Workers   int    `json:"workers,omitempty"`  // 0: as the world has them
-	MaxFaults *int   `json:"faults,omitempty"`   // null: as the world has them
+	Requests  int    `json:"requests,omitempty"` // 0 means the number of the world
+	Workers   int    `json:"workers,omitempty"`  // 0 means the number of the world
+	MaxFaults *int   `json:"faults,omitempty"`   // nil means the number of the world
 	Property  string `json:"property"`
-	Text      string `json:"text"` // how it is violated
+	Text      string `json:"text"` // description of the violation
 	Steps     []Step `json:"steps"`
 }
 
-// Step is one step of a trace. Action is what is replayed; the others are for people.
+// Step is one step of a trace. A replay uses Action only; the other fields are descriptions for readers.
 type Step struct {
 	Action      string   `json:"do"`
 	Description string   `json:"words"`
-	Effects     []string `json:"then,omitempty"` // what the scheduler did
+	Effects     []string `json:"then,omitempty"` // effects of the scheduler that followed
 }
 
-// NewTrace makes a trace of what a search or a walk found.
+// NewTrace returns the trace of a path that a search or a walk found to a violation.
 func NewTrace(cfg *Config, path []Action, violation *Violation) *Trace {
 	maxFaults := int(cfg.MaxFaults)
 	t := &Trace{Format: traceFormat, World: cfg.Name, Requests: len(cfg.Requests), Workers: len(cfg.Racks),
@@ -51,7 +51,7 @@
 	return t
 }
 
-// ReadTrace reads a trace. Errors are one line.
+// ReadTrace parses and checks a trace file. The text of an error is one line.
 func ReadTrace(raw []byte) (*Trace, error) {
 	in := json.NewDecoder(bytes.NewReader(raw))
 	in.DisallowUnknownFields()
@@ -60,10 +60,10 @@
 		return nil, fmt.Errorf("not a trace: %w", err)
 	}
 	if in.More() {
-		return nil, errors.New("not a trace: something follows its object")
+		return nil, errors.New("not a trace: something follows the JSON object")
 	}
 	if t.Format != traceFormat {
-		return nil, fmt.Errorf("a trace of format %d; this program reads format %d", t.Format, traceFormat)
+		return nil, fmt.Errorf("trace has format %d, but this program reads only format %d", t.Format, traceFormat)
 	}
 	if _, err := t.config(); err != nil {
 		return nil, err
@@ -103,11 +103,11 @@
 
 // ReplayResult is the outcome of a replay.
 type ReplayResult struct {
-	Violation  *Violation // nil: there was none
-	DivergedAt int        // the step that can no longer be taken, from 1; 0: all were
+	Violation  *Violation // nil if there was none
+	DivergedAt int        // number from 1 of the first step that is not enabled; 0 if all were taken
 }
 
-// Replay takes the steps of a trace again. printLine is called for each line of the account.
+// Replay performs the steps of a trace again. It calls printLine for each line of a log of steps and effects.
 func (t *Trace) Replay(printLine func(string)) (*ReplayResult, error) {
 	path, err := t.path()
 	if err != nil {
@@ -124,7 +124,7 @@
 	began := w.now
 	for n, a := range path {
 		if !w.allows(a) {
-			printLine(fmt.Sprintf("%3d  cannot be taken any more: %s", n+1, t.Steps[n].Description))
+			printLine(fmt.Sprintf("%3d  step is not enabled in this state: %s", n+1, t.Steps[n].Description))
 			return &ReplayResult{DivergedAt: n + 1}, nil
 		}
 		var notes []string
@@ -151,7 +151,7 @@
 	effectIndent = actionIndent + "-> "
 )
 
-// replaySettling settles a world, and prints how if that violates a property.
+// replaySettling calls settle, and prints the actions and effects if it finds a violation.
 func (w *World) replaySettling(printLine func(string)) *Violation {
 	var notes []string
 	w.notes = &notes
@@ -159,7 +159,7 @@
 	if violation == nil {
 		return nil
 	}
-	printLine("     and if nothing else goes wrong from here on:")
+	printLine("     violation in the continuation without further faults:")
 	for _, note := range notes {
 		if action, ok := strings.CutPrefix(note, actionMark); ok {
 			printLine(actionIndent + action)
--- a/internal/modelcheck/trace_format_test.go
+++ b/internal/modelcheck/trace_format_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// readFormatFile returns a file of testdata/format. These were written before the identifiers of this
-// package were renamed: they hold the textual form of a trace, which must stay readable.
+// readFormatFile returns a file of testdata/format. These files were written by an earlier version of the
+// package, with other Go identifiers. They fix the format of trace files, which must stay readable.
 func readFormatFile(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "format", name))
@@ -22,7 +22,8 @@
 	return raw
 }
 
-// The names of actions, faults, worlds and properties are part of trace files and of the command line.
+// TestTextualNamesUnchanged checks the names of actions, faults, worlds and properties, which are part of
+// trace files or of the command line.
 func TestTextualNamesUnchanged(t *testing.T) {
 	type names struct{ Actions, Faults, Worlds, Properties []string }
 	var want, got names
@@ -46,7 +47,8 @@
 	}
 }
 
-// Traces with every kind of action can be read, replayed to their end and written again with the same keys.
+// TestTraceFormatUnchanged checks that stored traces with every kind of action can be read, replayed
+// completely and written again with the same keys and actions.
 func TestTraceFormatUnchanged(t *testing.T) {
 	met := map[ActionKind]bool{}
 	for _, name := range []string{"walk-large.json", "walk-large-leaves.json", "walk-large-pushed.json"} {
@@ -64,7 +66,7 @@
 		}
 		result, err := trace.Replay(func(string) {})
 		if err != nil || result.DivergedAt != 0 || result.Violation != nil {
-			t.Errorf("%s: replay gives %+v, %v", name, result, err)
+			t.Errorf("%s: replay: got %+v, error %v; want all steps taken without a violation", name, result, err)
 		}
 		cfg, err := trace.config()
 		if err != nil {
@@ -75,17 +77,18 @@
 			t.Fatal(name, err)
 		}
 		if diff := cmp.Diff(traceKeys(t, raw), traceKeys(t, written)); diff != "" {
-			t.Errorf("%s: keys and actions -want +got:\n%s", name, diff)
+			t.Errorf("%s: keys and values, -want +got:\n%s", name, diff)
 		}
 	}
 	for k := range actionKinds {
 		if !met[k] {
-			t.Errorf("no trace has the action %v", k)
+			t.Errorf("no stored trace contains the action %v", k)
 		}
 	}
 }
 
-// traceKeys lists the keys of a trace and what stands under those that are not for people.
+// traceKeys returns the paths of all keys of a trace with their values. It omits the values of the
+// descriptions for readers.
 func traceKeys(t *testing.T, raw []byte) []string {
 	t.Helper()
 	var keys []string
@@ -102,7 +105,7 @@
 			}
 		default:
 			if strings.HasSuffix(at, ".words") || strings.HasSuffix(at, ".then[]") {
-				v = "" // the account may be worded in another way
+				v = "" // the wording of descriptions is not part of the format
 			}
 			line, err := json.Marshal(v)
 			if err != nil {
--- a/internal/modelcheck/trace_test.go
+++ b/internal/modelcheck/trace_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// What was found stays mended: no trace violates its property any more, except that of the hole that no
-// scheduler can close.
+// TestTraces replays traces of violations that were found and fixed, and checks that they no longer violate
+// their property. The exception is the trace of knownViolationWorld, whose violation no scheduler can
+// prevent.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) < 5 {
@@ -29,15 +30,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			known := trace.World == holeWorld.Name
+			known := trace.World == knownViolationWorld.Name
 			if violated := result.Violation != nil; violated != known || lines == 0 {
-				t.Errorf("violation %v after %d lines, diverged at %d", result.Violation, lines, result.DivergedAt)
+				t.Errorf("replay: got violation %v after %d lines, diverged at step %d; want lines, known violation",
+					result.Violation, lines, result.DivergedAt)
 			}
 		})
 	}
 }
 
-// The model checker finds the hole, and its trace can be read, replayed and written again.
+// TestFoundTraceReplays checks that a search finds the violation of knownViolationWorld and that a replay of
+// its trace finds the violation again.
 func TestFoundTraceReplays(t *testing.T) {
 	cfg := bounded(t, "hole", 1)
 	r, err := Search(t.Context(), cfg, Options{})
@@ -51,7 +54,8 @@
 	}
 }
 
-// What is not a trace is refused with one line that says why.
+// TestInvalidTraces checks that an invalid trace is rejected with an error of one line that states the
+// reason.
 func TestInvalidTraces(t *testing.T) {
 	const link = `{"format":1,"world":"link","property":`
 	for text, want := range map[string]string{
@@ -62,18 +66,19 @@
 		`{"formt":1}`:              "unknown field",
 		`{"format":1,"world":"x"}`: `unknown world "x"`,
 		link + `"x"}`:              `unknown property "x"`,
-		link + `"ends","steps":[{"do":"fly 0 0","words":""}]}`:    `step 1: "fly 0 0" is no step`,
-		link + `"ends","steps":[{"do":"tick 0 900","words":""}]}`: "is no step",
-		link + `"ends","steps":[{"do":"tick","words":""}]}`:       "is no step",
+		link + `"ends","steps":[{"do":"fly 0 0","words":""}]}`:    `step 1: "fly 0 0" is not a step`,
+		link + `"ends","steps":[{"do":"tick 0 900","words":""}]}`: "is not a step",
+		link + `"ends","steps":[{"do":"tick","words":""}]}`:       "is not a step",
 	} {
 		_, err := ReadTrace([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want one line with %q", text, err, want)
+			t.Errorf("trace %s: got error %v, want one line that contains %q", text, err, want)
 		}
 	}
 }
 
-// A trace may come from anywhere: none makes the replay fail.
+// FuzzReadTrace checks that the replay of any trace that ReadTrace accepts returns no error and does not
+// panic. Trace files are untrusted input.
 func FuzzReadTrace(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*.json")
 	for _, file := range files {
--- a/internal/modelcheck/transitions.go
+++ b/internal/modelcheck/transitions.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// generators list, in this order, the actions that a world can take. The order decides in which order the
-// search sees states: it must stay for figures to be comparable.
+// generators append the enabled actions of a state. Their order determines the order in which a search visits
+// states, so a change makes the statistics of searches and the paths of seeded walks incomparable with
+// earlier ones.
 var generators = []func(w *World, out []Action) []Action{
 	(*World).requestActions,
 	(*World).renewActions,
@@ -17,7 +18,7 @@
 	(*World).timeActions,
 }
 
-// enabled appends the actions that the world can take now.
+// enabled appends the actions that are enabled in the present state.
 func (w *World) enabled(out []Action) []Action {
 	if w.exited || w.violation != nil {
 		return out
@@ -28,13 +29,13 @@
 	return out
 }
 
-// allows reports whether an action can be taken now.
+// allows reports whether an action is enabled in the present state.
 func (w *World) allows(a Action) bool { return slices.Contains(w.enabled(nil), a) }
 
-// handler takes one action. The action must be enabled.
+// handler performs an action, which must be enabled.
 type handler func(w *World, a Action)
 
-// handlers has the handler of each kind of action.
+// handlers holds the handler of each kind of action.
 var handlers = [actionKinds]handler{
 	Submit:               (*World).submitFirst,
 	SubmitDuplicate:      (*World).submitDuplicate,
@@ -78,7 +79,7 @@
 	DeliverNotSent:       (*World).deliverNotSent,
 }
 
-// apply takes one action. An action that is not enabled must not be passed.
+// apply performs an action, which must be enabled, and checks the properties that depend on deadlines.
 func (w *World) apply(a Action) {
 	if w.notes != nil {
 		w.note(actionMark+"%s", w.describe(a))
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -5,11 +5,11 @@
 	"math/rand/v2"
 )
 
-// maxWalkActions is the longest that one walk goes on.
+// maxWalkActions is the largest number of actions in one walk.
 const maxWalkActions = 4000
 
-// RandomWalk takes random paths through a world, each from the root, until the context ends or a property
-// is violated. The same seed takes the same paths.
+// RandomWalk takes random paths through a world, each from the root, until the context ends or a property is
+// violated. The paths depend only on the seed.
 func RandomWalk(ctx context.Context, cfg *Config, seed uint64, opt Options) (*Result, error) {
 	r := &Result{World: cfg.Name, Coverage: &Coverage{}}
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -34,7 +34,8 @@
 	return r, nil
 }
 
-// rareActions are the actions that would dominate a walk if they were as likely as the others.
+// rareActions are the actions that are drawn with a reduced probability. With the probability of other
+// actions, they would make up most of a walk.
 var rareActions = map[ActionKind]bool{
 	SubmitDuplicate:    true,
 	ClientDisconnects:  true,
@@ -55,13 +56,14 @@
 }
 
 const (
-	maxRedraws    = 3    // a rare action is drawn anew so often
-	rareOdds      = 4    // with 1 in rareOdds it is taken as drawn
-	terminateOdds = 2000 // the same of Terminate, which ends a walk: drawn anew without a limit
+	maxRedraws     = 3    // largest number of redraws of a rare action
+	rareActionOdds = 4    // a drawn rare action is accepted with the probability 1/rareActionOdds
+	terminateOdds  = 2000 // the same for Terminate, which ends a walk and has no limit on redraws
 )
 
-// walk takes actions that pick chooses, up to the world's end, and then settles. pick returns a number from
-// 0 to n-1. The path is returned with a violation and without.
+// walk performs actions that pick chooses until no action is enabled, and then calls settle if all requests
+// are answered or the scheduler has exited. pick returns a number from 0 to n-1. walk returns the path even
+// if it found no violation.
 func walk(w *World, pick func(n int) int) ([]Action, *Violation) {
 	var path, enabled []Action
 	for range maxWalkActions {
@@ -82,9 +84,10 @@
 	return path, nil
 }
 
+// drawAction chooses one of the enabled actions. Rare actions are chosen with a reduced probability.
 func drawAction(enabled []Action, pick func(n int) int) Action {
 	a := enabled[pick(len(enabled))]
-	for redraws := 0; redraws < maxRedraws && rareActions[a.Kind] && pick(rareOdds) > 0 ||
+	for redraws := 0; redraws < maxRedraws && rareActions[a.Kind] && pick(rareActionOdds) > 0 ||
 		a.Kind == Terminate && pick(terminateOdds) > 0; redraws++ {
 		a = enabled[pick(len(enabled))]
 	}
--- a/internal/modelcheck/walk_test.go
+++ b/internal/modelcheck/walk_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// A deep walk through a large world violates no property. What fails shrinks.
+// TestWalk checks that long random walks through the large worlds violate no property.
 func TestWalk(t *testing.T) {
 	for _, cfg := range WalkedWorlds() {
 		t.Run(cfg.Name, func(t *testing.T) { checkWalks(t, cfg) })
@@ -21,7 +21,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// A seed for every few actions: dropping some of the seeds shrinks a walk.
+		// Each seed determines the next 30 draws, so rapid can shrink a walk by dropping seeds.
 		seeds := rapid.SliceOfN(rapid.Uint64(), 1, 60).Draw(t, "seeds")
 		drawn, random := 0, rand.New(rand.NewPCG(seeds[0], 0))
 		path, violation := walk(w, func(n int) int {
@@ -34,8 +34,8 @@
 		deepest = max(deepest, len(path))
 		if violation != nil {
 			path, violation = shorten(cfg, path, violation)
-			t.Fatalf("%v\n%s", violation, account(cfg, &Result{Path: path, Violation: violation}))
+			t.Fatalf("%v\n%s", violation, formatSteps(cfg, &Result{Path: path, Violation: violation}))
 		}
 	})
-	t.Logf("%d actions, at most %d in a walk", actions, deepest)
+	t.Logf("%d actions in all walks, %d in the longest one", actions, deepest)
 }
--- a/internal/modelcheck/workers.go
+++ b/internal/modelcheck/workers.go
@@ -5,16 +5,16 @@
 	"dahliaford/internal/scheduler"
 )
 
-// worker is a worker's process and machine, and what discovery says about it.
+// worker is the state of a simulated worker: its process, its machine and its entry in discovery.
 type worker struct {
-	processDown       bool // its process has crashed
-	unreachable       bool // its machine is cut off
+	processDown       bool // the process of the worker has crashed
+	unreachable       bool // the machine of the worker has no network connection
 	status            dispatch.Status
-	startedAt         Micros   // 0: long ago
-	knownStart        Micros   // startedAt as the scheduler was last notified of it
-	leavingNotifiedAt Micros   // when the scheduler was notified that it drains or is gone; 0: it is ready
-	leavingChangedAt  Micros   // when discovery changed it so; 0: it is ready
-	slowStartSends    []Micros // when what arrived from schedulers that knew of its slow start was sent
+	startedAt         Micros   // time of the last restart; 0 if the worker did not restart in this world
+	knownStartedAt    Micros   // startedAt in the last worker list that the scheduler received
+	leavingNotifiedAt Micros   // time at which the scheduler learned of a drain or removal; 0 if ready
+	leavingChangedAt  Micros   // time at which discovery listed the worker as draining or removed; 0 if ready
+	slowStartSends    []Micros // send times of arrived jobs whose sender knew of the slow start
 }
 
 // workerSet is a set of workers by index.
@@ -23,13 +23,13 @@
 func (s *workerSet) add(worker uint8)     { *s |= 1 << worker }
 func (s workerSet) has(worker uint8) bool { return s&(1<<worker) != 0 }
 
-// workerUID is the UID, and the address, of a worker.
+// workerUID returns the UID of a worker, which is also its address.
 func workerUID(worker uint8) string { return "R" + string(rune('0'+worker)) }
 
-// workerIndex is the inverse of workerUID.
+// workerIndex returns the index of the worker with a UID that workerUID returned.
 func workerIndex(uid string) uint8 { return uid[1] - '0' }
 
-// workerActions lists what can happen to workers, and what discovery can say about them.
+// workerActions appends the enabled crashes, restarts, network failures and status changes of workers.
 func (w *World) workerActions(out []Action) []Action {
 	for i := range w.workers {
 		r := &w.workers[i]
@@ -50,7 +50,7 @@
 	return out
 }
 
-// statusActions lists what discovery can say about one worker.
+// statusActions appends the enabled status changes of the worker with index i in discovery.
 func (w *World) statusActions(i int, out []Action) []Action {
 	if !w.mayInject(FaultEndpointStatus) {
 		return out
@@ -67,13 +67,14 @@
 	return out
 }
 
-// crashProcess ends a worker's process. Its jobs are reported as aborted; requests on their way break.
+// crashProcess crashes the process of a worker. Callbacks report its jobs as aborted, and the connections of
+// requests in transit to the worker break.
 func (w *World) crashProcess(a Action) {
 	w.spendFault(FaultProcessCrash)
 	w.workers[a.Target].processDown = true
 	for i := len(w.jobs) - 1; i >= 0; i-- {
 		if w.jobs[i].worker == a.Target {
-			w.callBack(&w.jobs[i], scheduler.CallbackAborted)
+			w.sendCallback(&w.jobs[i], scheduler.CallbackAborted)
 			w.removeJob(i)
 		}
 	}
@@ -105,7 +106,7 @@
 
 func (w *World) reconnectMachine(a Action) { w.workers[a.Target].unreachable = false }
 
-// announcedStatus has the status that discovery says by each of its actions.
+// announcedStatus holds the status that discovery lists in each of its actions.
 var announcedStatus = map[ActionKind]dispatch.Status{AnnounceDraining: dispatch.Draining,
 	AnnounceRemoved: dispatch.Removed, AnnounceReady: dispatch.Ready}
 
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -7,13 +7,13 @@
 	"dahliaford/internal/scheduler"
 )
 
-// World is one state: the scheduler, and all that surrounds it.
+// World is one state of a world: the scheduler and its simulated environment.
 type World struct {
 	cfg          *Config
 	now          Micros
 	sched        *scheduler.Scheduler
-	timerAt      Micros // when the scheduler's timer fires; 0: not set
-	panicPending bool   // the decision module panics at the next event that it gets
+	timerAt      Micros // time at which the scheduler's timer fires; 0 if it is not set
+	panicPending bool   // the decision module panics at the next event that it processes
 
 	requests       []request
 	workers        []worker
@@ -21,26 +21,26 @@
 	jobs           []job
 	callbacks      []callback
 	cancellations  []cancellation
-	unsentAttempts []scheduler.AttemptID // given up before their first byte was written
+	unsentAttempts []scheduler.AttemptID // attempts whose connection was closed before the first byte
 
 	watch            watchState
 	faultBudget      Budget
 	totalFaultBudget uint8
 
-	stopping               bool // SIGTERM came
+	stopping               bool // SIGTERM was received
 	stoppingSince          Micros
 	exited                 bool
-	cancellationsAbandoned bool   // it exited though not all workers could be reached
-	settling               bool   // no more faults: see settle
-	settleUntil            Micros // when settling ends
+	cancellationsAbandoned bool   // the process exited at its limit, with cancellations possibly unacknowledged
+	settling               bool   // a run of settle: no further faults
+	settleUntil            Micros // end of the period that settle simulates
 
-	violation  *Violation // the first one
+	violation  *Violation // the first violation; nil if there is none
 	coverage   *Coverage
-	notes      *[]string // an account of what happened, for people; nil: nobody reads it
+	notes      *[]string // log of actions and effects for traces; nil disables it
 	lastCaller scheduler.CallerID
 }
 
-// newWorld starts a world: the scheduler has started, knows the list and watches it.
+// newWorld returns the initial state: the scheduler has started, has a complete worker list and watches it.
 func newWorld(cfg *Config) (*World, error) {
 	if err := cfg.prepare(); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	return w, nil
 }
 
-// clone copies a state. Slices are copied; the configuration, and the coverage, are shared.
+// clone returns a copy of a state. The copy shares only the configuration, the coverage and the log of notes.
 func (w *World) clone() *World {
 	c := *w
 	c.sched = w.sched.Clone()
@@ -79,21 +79,23 @@
 	return &c
 }
 
-// mayInject reports whether a fault is left in the budget.
+// mayInject reports whether the budgets allow another fault of kind f and no settling is in progress.
 func (w *World) mayInject(f Fault) bool {
 	return w.faultBudget[f] > 0 && w.totalFaultBudget > 0 && !w.settling
 }
 
-// spendFault takes a fault from the budget. It panics if none is left: such an action is not enabled.
+// spendFault takes one fault of kind f from the budgets. It panics if the budgets are exhausted, because the
+// action that injects the fault is not enabled in that state.
 func (w *World) spendFault(f Fault) {
 	if w.faultBudget[f] == 0 || w.totalFaultBudget == 0 {
-		panic("modelcheck: a fault beyond its budget")
+		panic("modelcheck: fault injected with its budget exhausted")
 	}
 	w.faultBudget[f]--
 	w.totalFaultBudget--
 }
 
-// note adds a line to the account. A line that begins with actionMark says which action is taken.
+// note appends a line to the log of notes, if the log is enabled. A line that begins with actionMark
+// describes an action; the other lines describe the effects of that action.
 func (w *World) note(format string, args ...any) {
 	if w.notes != nil {
 		*w.notes = append(*w.notes, fmt.Sprintf(format, args...))
--- a/internal/modelcheck/worlds.go
+++ b/internal/modelcheck/worlds.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Budgets that several worlds share.
+// Fault budgets that several worlds use.
 var (
 	networkFaults = Budget{
 		FaultConnectionRefused: 2,
@@ -32,7 +32,7 @@
 	}
 )
 
-// everyFault is a budget of one of each.
+// everyFault returns a budget of one fault of each kind.
 func everyFault() Budget {
 	var b Budget
 	for f := range b {
@@ -41,11 +41,11 @@
 	return b
 }
 
-// generalWorlds have the usual settings and many kinds of faults.
+// generalWorlds have the default settings and many kinds of faults.
 var generalWorlds = []*Config{
 	{
 		Name:      "attempt",
-		About:     "one post-reading, two workers, the network and the workers at fault up to 3 times",
+		About:     "one post-reading, two workers, up to 3 faults of the network and the workers",
 		Requests:  []Class{Post},
 		Racks:     []int{0, 0},
 		MaxFaults: 3,
@@ -53,7 +53,7 @@
 	},
 	{
 		Name:      "keyed",
-		About:     "one district-batch, two workers in a rack and one outside, up to 2 faults",
+		About:     "one district-batch, two workers in one rack and one in another, up to 2 faults",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0, 1},
 		MaxFaults: 2,
@@ -61,7 +61,7 @@
 	},
 	{
 		Name:      "link",
-		About:     "one post-reading, one worker, answers overtake the notice that the request is written",
+		About:     "one post-reading, one worker; answers may arrive before the notice of the write",
 		Requests:  []Class{Post},
 		Racks:     []int{0},
 		MaxFaults: 3,
@@ -71,7 +71,7 @@
 	},
 	{
 		Name:      "list",
-		About:     "one request, two workers, the list changes under it, up to 3 times",
+		About:     "one district-batch, two workers, up to 3 faults, mostly changes of the worker list",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0},
 		MaxFaults: 3,
@@ -80,7 +80,7 @@
 	},
 	{
 		Name:      "crash",
-		About:     "one request, processes crash, machines are cut off, the module panics",
+		About:     "one district-batch; process crashes, unreachable machines, panics of the decision module",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0},
 		MaxFaults: 2,
@@ -89,7 +89,7 @@
 	},
 	{
 		Name:      "small",
-		About:     "one post-reading, two workers, any two faults of all kinds",
+		About:     "one post-reading, two workers, any two faults",
 		Requests:  []Class{Post},
 		Racks:     []int{0, 0},
 		MaxFaults: 2,
@@ -97,7 +97,7 @@
 	},
 	{
 		Name:      "pair",
-		About:     "a post-reading and a district-batch, one worker, no fault (--faults 1: any one)",
+		About:     "a post-reading and a district-batch, one worker, no fault (--faults 1: any one fault)",
 		Requests:  []Class{Post, Batch},
 		Racks:     []int{0},
 		MaxFaults: 0,
@@ -105,11 +105,11 @@
 	},
 }
 
-// mutantWorlds have what some mutant needs to show itself, and little else.
+// mutantWorlds are small worlds for mutants that a general world would find late or not at all.
 var mutantWorlds = []*Config{
 	{
 		Name:      "late",
-		About:     "one district-batch, its connection ends at any time",
+		About:     "one district-batch; connections break at any time, also after the 202",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0},
 		MaxFaults: 2,
@@ -117,7 +117,7 @@
 	},
 	{
 		Name:      "reused",
-		About:     "one district-batch, two workers in a rack and one outside, its id is submitted again",
+		About:     "one district-batch, two workers in one rack and one in another; its id is submitted again",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0, 1},
 		MaxFaults: 3,
@@ -126,7 +126,7 @@
 	},
 	{
 		Name:      "drains",
-		About:     "one district-batch, one worker comes and goes",
+		About:     "one district-batch, two workers that drain, are removed and become ready again",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0},
 		MaxFaults: 3,
@@ -134,7 +134,7 @@
 	},
 	{
 		Name:      "turned",
-		About:     "one district-batch, turned away again and again",
+		About:     "one district-batch; its attempts are rejected by workers at capacity up to 5 times",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0},
 		MaxFaults: 5,
@@ -142,7 +142,7 @@
 	},
 	{
 		Name:      "cold",
-		About:     "two requests, a worker restarts",
+		About:     "a post-reading and a district-batch, one worker that may restart and start slowly",
 		Requests:  []Class{Post, Batch},
 		Racks:     []int{0},
 		MaxFaults: 2,
@@ -150,73 +150,74 @@
 	},
 }
 
-// settingsWorlds have other settings than the rest.
+// settingsWorlds override default settings.
 var settingsWorlds = []*Config{
 	{
 		Name:      "forbidden",
-		About:     "one district-batch, cancelling is forbidden",
+		About:     "one district-batch; cancelling is forbidden",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0},
 		MaxFaults: 3,
 		Faults: Budget{FaultClientDisconnect: 1, FaultConnectionBroken: 2, FaultAtCapacity: 1,
 			FaultJobHandedBack: 1, FaultDroppedCallback: 1, FaultProcessCrash: 1, FaultTimerJitter: 1,
 			FaultModulePanic: 1, FaultShutdown: 1},
-		Rules: Rules{CancelForbidden: true},
+		Overrides: Overrides{CancelForbidden: true},
 	},
 	{
 		Name:      "leaves",
-		About:     "one post-reading, its client leaves before it is sent; cancelling is forbidden",
+		About:     "one post-reading; its client disconnects before the send; cancelling is forbidden",
 		Requests:  []Class{Post},
 		Racks:     []int{0},
 		MaxFaults: 4,
 		Faults: Budget{FaultClientDisconnect: 1, FaultTimerJitter: 2, FaultConnectionRefused: 1,
 			FaultAtCapacity: 1, FaultJobHandedBack: 1, FaultWatchClosed: 1, FaultDuplicateID: 1},
-		Rules: Rules{CancelForbidden: true, EndpointsPushed: true, LimitStaleness: true},
+		Overrides: Overrides{CancelForbidden: true, EndpointsPushed: true, LimitStaleness: true},
 	},
 	{
 		Name:      "pushed",
-		About:     "one district-batch, lists are pushed, the watch closes, workers drain",
+		About:     "one district-batch; worker lists are pushed, the watch closes, workers drain",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0},
 		MaxFaults: 3,
 		Faults:    watchFaults,
-		Rules:     Rules{EndpointsPushed: true, LimitStaleness: true},
+		Overrides: Overrides{EndpointsPushed: true, LimitStaleness: true},
 	},
 	{
 		Name:      "asked",
-		About:     "one post-reading, ask_within is 0.4 s, the watch closes, workers drain",
+		About:     "one post-reading; ask_within is 0.4 s, the watch closes, workers drain",
 		Requests:  []Class{Post},
 		Racks:     []int{0, 0},
 		MaxFaults: 3,
 		Faults:    watchFaults,
-		Rules:     Rules{PollInterval: 400 * millisecond, LimitStaleness: true},
+		Overrides: Overrides{PollInterval: 400 * millisecond, LimitStaleness: true},
 	},
 	{
 		Name:      "copies",
-		About:     "one district-batch, hedging is allowed, workers report progress",
+		About:     "one district-batch; hedging is allowed, workers report progress",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0},
 		MaxFaults: 3,
 		Faults: Budget{FaultConnectionBroken: 2, FaultClientDisconnect: 1, FaultMachineUnreachable: 1,
 			FaultJobHandedBack: 1, FaultDuplicateCallback: 1, FaultDroppedCallback: 1},
-		Rules: Rules{HedgingAllowed: true, ProgressInterval: 100 * millisecond},
+		Overrides: Overrides{HedgingAllowed: true, ProgressInterval: 100 * millisecond},
 	},
 	{
 		Name:      "two",
-		About:     "one district-batch, two attempts at most",
+		About:     "one district-batch; at most two attempts",
 		Requests:  []Class{Batch},
 		Racks:     []int{0, 0},
 		MaxFaults: 4,
 		Faults: Budget{FaultAtCapacity: 4, FaultConnectionRefused: 2, FaultJobHandedBack: 2,
 			FaultConnectionBroken: 1, FaultClientDisconnect: 1},
-		Rules: Rules{MaxAttempts: 2},
+		Overrides: Overrides{MaxAttempts: 2},
 	},
 }
 
-// holeWorld is known to violate a property.
-var holeWorld = &Config{
+// knownViolationWorld violates OrphansCancelled: the worker receives the DELETE before the request that the
+// DELETE cancels, and then accepts that request. No scheduler can prevent this order.
+var knownViolationWorld = &Config{
 	Name:                   "hole",
-	About:                  "one post-reading, one worker; a DELETE may overtake its request: known to break",
+	About:                  "one post-reading, one worker; a DELETE may overtake its request, a known violation",
 	Requests:               []Class{Post},
 	Racks:                  []int{0},
 	MaxFaults:              1,
@@ -224,11 +225,11 @@
 	DeleteOvertakesRequest: true,
 }
 
-// LargeWorld returns a world that is too large to be explored to its end: it is walked at random.
+// LargeWorld returns a world with too many states for a complete search. RandomWalk covers parts of it.
 func LargeWorld() *Config {
 	c := &Config{
 		Name:                 "large",
-		About:                "six requests, four workers, all faults many times; walked at random, not to its end",
+		About:                "six requests, four workers, up to 250 faults; for random walks only",
 		Requests:             []Class{Post, Batch, Batch, Post, Batch, Post},
 		Racks:                []int{0, 0, 1, 1},
 		MaxFaults:            250,
@@ -242,12 +243,12 @@
 	return c
 }
 
-// LargeIDsWorld returns a world in which each id is submitted again and again, long after its answer, too.
-// It is walked at random.
+// LargeIDsWorld returns a world for random walks in which the client submits used ids again, also after the
+// deduplication window of the id has ended.
 func LargeIDsWorld() *Config {
 	return &Config{
 		Name:          "large-ids",
-		About:         "three district-batches, their ids submitted again at any time; walked at random",
+		About:         "three district-batches whose ids are submitted again at any time; for random walks only",
 		Requests:      []Class{Batch, Batch, Batch},
 		Racks:         []int{0, 0, 1, 1},
 		MaxFaults:     40,
@@ -258,19 +259,19 @@
 	}
 }
 
-// WalkedWorlds lists the worlds that are walked at random: they have no end.
+// WalkedWorlds returns the worlds that are too large for Search and meant for RandomWalk.
 func WalkedWorlds() []*Config { return []*Config{LargeWorld(), LargeIDsWorld()} }
 
-// Worlds lists the worlds that can be explored to their end.
+// Worlds returns the worlds that Search can explore completely.
 func Worlds() []*Config {
-	return slices.Concat(generalWorlds, mutantWorlds, settingsWorlds, []*Config{holeWorld})
+	return slices.Concat(generalWorlds, mutantWorlds, settingsWorlds, []*Config{knownViolationWorld})
 }
 
-// largePrefix precedes the name of a world whose settings the large one has.
+// largePrefix and the name of a world make up the name of the large world with the settings of that world.
 const largePrefix = "large-"
 
-// WorldByName returns a copy of a world; large-NAME is the large one with the settings of another. The error
-// names those that there are.
+// WorldByName returns a copy of the world with a name. The name large-NAME selects the large world with the
+// settings of the world NAME. The error for an unknown name lists the known names.
 func WorldByName(name string) (*Config, error) {
 	var names []string
 	for _, c := range slices.Concat(Worlds(), WalkedWorlds()) {
@@ -286,7 +287,7 @@
 			return nil, err
 		}
 		large := LargeWorld()
-		large.Name, large.Rules = name, c.Rules
+		large.Name, large.Overrides = name, c.Overrides
 		return large, nil
 	}
 	return nil, fmt.Errorf("unknown world %q: there are %s", name, strings.Join(names, ", "))
--- a/internal/modelcheck/worlds_test.go
+++ b/internal/modelcheck/worlds_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// bounded is a world with fewer faults, so that CI can see it to its end.
+// bounded returns a world with another limit on faults, small enough for a complete search in CI.
 func bounded(t *testing.T, name string, maxFaults uint8) *Config {
 	t.Helper()
 	cfg, err := WorldByName(name)
@@ -16,8 +16,9 @@
 	return cfg
 }
 
-// The part of the worlds that CI explores, to the end: with so many faults at most. Of those of other
-// settings it leaves out what costs most and is seen under the usual ones.
+// TestWorlds explores worlds completely with a limit on faults that CI can afford, and checks that no
+// property is violated. For worlds with overridden settings it leaves out the faults that add the most states
+// and that worlds with the default settings cover.
 func TestWorlds(t *testing.T) {
 	all := &Coverage{}
 	for _, c := range []struct {
@@ -46,22 +47,22 @@
 				t.Fatal(err)
 			}
 			if r.Violation != nil {
-				t.Fatalf("%v\n%s", r.Violation, account(cfg, r))
+				t.Fatalf("%v\n%s", r.Violation, formatSteps(cfg, r))
 			}
 			if !r.Exhausted {
-				t.Errorf("not explored to the end: %+v", r)
+				t.Errorf("search is not exhaustive: %+v", r)
 			}
-			t.Logf("%d states, %d transitions, %d deep", r.States, r.Transitions, r.Depth)
+			t.Logf("%d states, %d transitions, depth %d", r.States, r.Transitions, r.Depth)
 			all.add(r.Coverage)
 		})
 	}
 	if uncovered := all.Uncovered(); !raceEnabled && len(uncovered) > 0 {
-		t.Logf("not met with so few faults: %s", strings.Join(uncovered, "; "))
+		t.Logf("not covered with these limits on faults: %s", strings.Join(uncovered, "; "))
 	}
 }
 
-// account lists the steps of a violation, for the log of a failed test.
-func account(cfg *Config, r *Result) string {
+// formatSteps lists the steps and effects of a violation for the log of a failed test.
+func formatSteps(cfg *Config, r *Result) string {
 	var lines []string
 	for _, s := range NewTrace(cfg, r.Path, r.Violation).Steps {
 		lines = append(lines, s.Action+"\t"+s.Description)
@@ -72,14 +73,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// What a world says of its settings is what the program gets.
+// TestRulesReachTheSettings checks that the overrides of a world are applied to the settings of its
+// scheduler.
 func TestRulesReachTheSettings(t *testing.T) {
-	type got struct {
+	type applied struct {
 		cancelAllowed, hedgingAllowed      bool
 		maxAttempts                        int
 		poll, staleness, progress, connect Micros
 	}
-	for name, want := range map[string]got{
+	for name, want := range map[string]applied{
 		"attempt":   {true, false, 4, defaultPollInterval, 0, 0, connectTimeout},
 		"forbidden": {false, false, 4, defaultPollInterval, 0, 0, connectTimeout},
 		"leaves":    {false, false, 4, defaultPollInterval, maxStaleness, 0, connectTimeout},
@@ -93,10 +95,10 @@
 			t.Fatal(err)
 		}
 		s := &cfg.settings.Dispatch
-		is := got{s.CancelAllowed, s.HedgingAllowed, s.MaxAttempts, s.PollInterval, s.MaxStaleness,
+		got := applied{s.CancelAllowed, s.HedgingAllowed, s.MaxAttempts, s.PollInterval, s.MaxStaleness,
 			s.ProgressInterval, s.ConnectTimeout}
-		if is != want || !s.PollEndpoints {
-			t.Errorf("%s: %+v, want %+v", name, is, want)
+		if got != want || !s.PollEndpoints {
+			t.Errorf("world %s: got settings %+v, want %+v", name, got, want)
 		}
 	}
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,11 +1,12 @@
-// Package scenario runs the scenarios that tests are written in. A line is one of
+// Package scenario runs test scenarios that are written as scripts. A line of a script is one of
 //
-//	ACTOR send TEXT      the actor does or says something
-//	ACTOR expect TEXT    the next thing that reaches the actor is TEXT
-//	ACTOR close TEXT     the actor ends something
+//	ACTOR send TEXT      the actor sends a message or performs an action
+//	ACTOR expect TEXT    the next message that the actor receives is TEXT
+//	ACTOR close TEXT     the actor closes a connection or ends an activity
 //	wait TEXT            time passes
 //
-// The meaning of a text is up to the actor. Blank lines and lines that begin with # are skipped.
+// Each actor defines the meaning of its texts, and the World that of the text of a wait. Blank lines and
+// lines that begin with # are skipped.
 package scenario
 
 import (
@@ -15,21 +16,21 @@
 	"testing"
 )
 
-// Actor takes part in a scenario. Expect returns what reached it, in the form of a text.
+// Actor is a participant in a scenario. Expect returns the text of the next message that the actor received.
 type Actor interface {
 	Send(text string) error
 	Expect(want string) (got string, err error)
 	Close(text string) error
 }
 
-// World has the actors by name, and lets time pass.
+// World provides the actors of a scenario by name and lets time pass.
 type World interface {
 	Actor(name string) Actor
 	Wait(text string) error
 }
 
-// Run plays a scenario and ends the test at the first line that does not hold. diff compares an expected text
-// with the one that came.
+// Run runs a script and fails the test at the first line that returns an error or whose expectation is not
+// met. diff describes the difference between an expected text and the received one.
 func Run(t testing.TB, w World, script string, diff func(want, got string) string) {
 	t.Helper()
 	for i, line := range strings.Split(script, "\n") {
@@ -65,5 +66,5 @@
 		}
 		return nil
 	}
-	return errors.New("no such verb")
+	return errors.New("unknown verb: want send, expect or close")
 }
