--- a/internal/modelcheck/action.go
+++ b/internal/modelcheck/action.go
@@ -123,7 +123,7 @@
 // The variants of CloseArrives.
 const (
 	closeBeforeAccept Variant = iota // the close reaches the worker before its 202: the worker drops the request
-	closeAfterAccept                 // the close crosses the worker's 202: the worker holds the job
+	closeAfterAccept                 // the worker sends its 202 before the close reaches it, and holds the job
 )
 
 // Action is one transition of a world.
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -95,7 +95,7 @@
 
 // checkSlowStart checks SlowStartRespected. In all worlds the budget of a worker in slow start is less than
 // one job for each overloadWindow. A worker may therefore receive at most one job within overloadWindow from
-// senders that know of its slow start.
+// senders that know of its slow start (slow-start rule).
 func (w *World) checkSlowStart(c *connection) {
 	if !c.slowStart {
 		return
@@ -152,8 +152,8 @@
 	for i := range w.requests {
 		q := &w.requests[i]
 		if q.lastAttempt == attempt && q.stage < stageAbandoned && w.now < q.attemptDeadline {
-			w.violate(CancelsAsAllowed, "an attempt of %s at %s is abandoned %v before its deadline",
-				w.requestID(q.id), workerUID(q.lastWorker), duration(q.attemptDeadline-w.now))
+			w.violate(CancelsAsAllowed, "an attempt of %s at %s is given up %v before its time", w.requestID(q.id),
+				workerUID(q.lastWorker), duration(q.attemptDeadline-w.now))
 		}
 	}
 }
--- a/internal/modelcheck/clock.go
+++ b/internal/modelcheck/clock.go
@@ -12,8 +12,8 @@
 
 func duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
-// nextDeadline returns the earliest of the scheduler's timer and the write deadlines of attempts, or 0 if
-// there is none.
+// nextDeadline returns the earliest of the scheduler's timer and the write deadlines of attempts that are
+// still connecting, or 0 if there is none.
 func (w *World) nextDeadline() Micros {
 	at := w.timerAt
 	for i := range w.connections {
@@ -32,7 +32,7 @@
 	}
 	for i := range w.connections {
 		if w.connections[i].phase == connecting {
-			return true // checks NoSendAfterDisconnect if the client has disconnected
+			return true // a late write may violate NoSendAfterDisconnect
 		}
 	}
 	return false
--- a/internal/modelcheck/effects.go
+++ b/internal/modelcheck/effects.go
@@ -108,8 +108,9 @@
 func (w *World) sendAttempt(e scheduler.SendAttempt) {
 	w.note("scheduler sends %s to %s, to be written within %v", e.RequestID, e.WorkerUID,
 		duration(e.WriteDeadline-w.now))
-	// An attempt that waited for a cancellation was decided while the list was valid: connectTimeout before
-	// WriteDeadline. The check before the write (see blocksSend) stops it if the list has expired since.
+	// The decision to send the attempt was made at WriteDeadline - connectTimeout or later. An attempt that is
+	// deferred until a cancellation is acknowledged is sent some time after the decision. If the list expires in
+	// the meantime, blocksSend stops the write, so only the time of the decision is checked here.
 	if w.listStale() && e.WriteDeadline-connectTimeout > w.watch.validUntil {
 		w.violate(StaleListUnused, "%s is sent to %s by a worker list that expired %v ago", e.RequestID,
 			e.WorkerUID, duration(w.now-w.watch.validUntil))
--- a/internal/modelcheck/endpoints.go
+++ b/internal/modelcheck/endpoints.go
@@ -138,8 +138,9 @@
 func (w *World) listStale() bool { return w.cfg.Overrides.LimitStaleness && w.now > w.watch.validUntil }
 
 // leavingSince returns the time at which the scheduler counts as notified that a worker drains or is removed,
-// or 0 if it does not count as notified yet. With LimitStaleness, a change counts as notified after a limited
-// time even if its notice is not delivered.
+// or 0 if the scheduler does not count as notified yet. With LimitStaleness, a change counts as notified even
+// if its notice is not delivered: at once with pushed lists, after the poll interval without a watch, and
+// otherwise after maxStaleness.
 func (w *World) leavingSince(r *worker) Micros {
 	since := r.leavingNotifiedAt
 	if r.leavingChangedAt == 0 || !w.cfg.Overrides.LimitStaleness {
--- a/internal/modelcheck/model.go
+++ b/internal/modelcheck/model.go
@@ -14,7 +14,8 @@
 	Steps() []string
 	// Step returns the state after the step with index i of Steps. It does not change the receiver.
 	Step(i int) M
-	// AppendState appends an encoding of the state to b. Two states with equal behavior have equal encodings.
+	// AppendState appends an encoding of the state to b. States that behave alike have equal encodings, and
+	// all other states have different ones.
 	AppendState(b []byte) []byte
 	// Check returns an error that names the rule that the state violates, or nil.
 	Check() error
@@ -24,7 +25,7 @@
 type Exploration struct {
 	States, Transitions int
 	Depth               int      // steps from the root to the state that is farthest from it
-	Exhausted           bool     // whether all reachable states were visited
+	Exhausted           bool     // whether no state was left out because of maxStates
 	Violation           error    // the first violation found; nil if there is none
 	Path                []string // names of the steps on a shortest path to Violation
 }
@@ -37,7 +38,8 @@
 	depth  int
 }
 
-// Exhaust visits the states of a model breadth first, at most maxStates of them, until one violates a rule.
+// Exhaust visits the states of a model breadth first until it has visited all, one violates a rule, or more
+// than maxStates states have been found.
 func Exhaust[M Model[M]](root M, maxStates int) Exploration {
 	states := []modelState[M]{{world: root, parent: -1}}
 	seen := map[xxh3.Uint128]struct{}{xxh3.Hash128(root.AppendState(nil)): {}}
--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -93,7 +93,7 @@
 	},
 	{
 		Name: "id-forgotten", World: "link",
-		About: "an id is accepted again as soon as its request is answered, while workers may still hold the job",
+		About: "an id is accepted again once its request is over, though an earlier attempt may have run",
 		Violates: "one-attempt-outstanding" +
 			" runs-as-allowed" +
 			" attempts-capped" +
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -14,9 +14,9 @@
 	OneFinalAnswer        Property = iota + 1 // each request gets one final answer before the client's deadline
 	OneAttemptOutstanding                     // workers hold at most one attempt of a request at a time
 	AttemptsCapped                            // a request gets no more attempts than the settings allow
-	RunsAsAllowed                             // no job runs twice, except a batch in its rack and window
-	DrainsRespected                           // no attempt is sent 500 ms after notice of a drain or removal
-	HonestAnswers                             // refusals only if a retry is safe; results as a worker made them
+	RunsAsAllowed                             // a Post runs at most once; a Batch repeats in its rack and window
+	DrainsRespected                           // no attempt is sent over 500 ms after a drain or removal notice
+	HonestAnswers                             // refusals only if a retry is safe; results only from workers
 	SlowStartRespected                        // a worker in slow start gets no more jobs than its budget
 	NothingLeaks                              // the scheduler keeps no state past its retention time
 	OrphansCancelled                          // each worker that may hold an abandoned job gets a cancellation
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -81,8 +81,12 @@
 const (
 	defaultMaxAttempts  = 4
 	defaultPollInterval = 10 * second
-	maxStaleness        = 6 * second        // a change of the list counts as notified at this age
-	reloadGrace         = 4 * second        // changes by a new discovery count from this time after a reload
-	disconnectGrace     = 100 * millisecond // allowed delay of a write after the disconnect of its client
-	startTime           = 1000 * second     // initial simulated time
+	// maxStaleness is the age at which a change of the worker list counts as notified even if it was not
+	// delivered.
+	maxStaleness = 6 * second
+	// reloadGrace is the time after a reload before which changes by the new discovery do not count as notified.
+	reloadGrace = 4 * second
+	// disconnectGrace is the time after the disconnect of a client within which an attempt may still be written.
+	disconnectGrace = 100 * millisecond
+	startTime       = 1000 * second // initial simulated time
 )
--- a/internal/modelcheck/settle.go
+++ b/internal/modelcheck/settle.go
@@ -27,7 +27,7 @@
 	}
 	c := w.clone()
 	c.settling, c.coverage, c.settleUntil = true, &Coverage{}, c.now+settlingDuration
-	if v := c.playFairEnd(); v != nil {
+	if v := c.runWithoutFaults(); v != nil {
 		return v
 	}
 	for i := range c.requests {
@@ -47,13 +47,14 @@
 	return c.violation
 }
 
-// playFairEnd performs the actions of fairAction until none is left, and returns the first violation.
-func (w *World) playFairEnd() *Violation {
+// runWithoutFaults performs the actions of nextFaultFreeAction until none is left. It returns the first
+// violation, or nil.
+func (w *World) runWithoutFaults() *Violation {
 	for range maxSettlingActions + 1 {
 		if w.violation != nil {
 			return w.violation
 		}
-		a, more := w.fairAction()
+		a, more := w.nextFaultFreeAction()
 		if !more {
 			return nil
 		}
@@ -76,8 +77,8 @@
 	}
 }
 
-// fairAction returns the next action of a continuation without faults. more is false if none is left.
-func (w *World) fairAction() (a Action, more bool) {
+// nextFaultFreeAction returns the next action of settle. more is false if no action is left.
+func (w *World) nextFaultFreeAction() (a Action, more bool) {
 	for i := range w.workers {
 		if w.workers[i].unreachable {
 			return Action{MachineReachable, uint8(i), 0}, true
--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -4,7 +4,8 @@
 	"dahliaford/internal/fingerprint"
 )
 
-// appendState appends an encoding of a state to b. Two states with equal behavior have equal encodings.
+// appendState appends an encoding of a state to b. States that behave alike have equal encodings, and all
+// other states have different ones.
 func (w *World) appendState(b []byte) []byte {
 	f := fingerprint.Buffer(b)
 	f.Ints(int64(w.now), int64(w.timerAt), w.watch.revision, int64(w.totalFaultBudget), int64(w.lastCaller),
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -56,9 +56,11 @@
 }
 
 const (
-	maxRedraws     = 3    // largest number of redraws of a rare action
-	rareActionOdds = 4    // a drawn rare action is accepted with the probability 1/rareActionOdds
-	terminateOdds  = 2000 // the same for Terminate, which ends a walk and has no limit on redraws
+	maxRedraws     = 3 // largest number of redraws in place of a rare action
+	rareActionOdds = 4 // a drawn rare action is accepted with the probability 1/rareActionOdds
+	// A drawn Terminate is accepted with the probability 1/terminateOdds, without a limit on redraws, because it
+	// ends the walk.
+	terminateOdds = 2000
 )
 
 // walk performs actions that pick chooses until no action is enabled, and then calls settle if all requests
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -62,7 +62,8 @@
 	return w, nil
 }
 
-// clone returns a copy of a state. The copy shares only the configuration, the coverage and the log of notes.
+// clone returns a copy of a state. The copy shares the configuration, the coverage and the log of notes with
+// the original.
 func (w *World) clone() *World {
 	c := *w
 	c.sched = w.sched.Clone()
--- a/internal/modelcheck/worlds.go
+++ b/internal/modelcheck/worlds.go
@@ -105,7 +105,8 @@
 	},
 }
 
-// mutantWorlds are small worlds for mutants that a general world would find late or not at all.
+// mutantWorlds are small worlds, each with the requests, workers and faults that some mutant needs to have an
+// effect.
 var mutantWorlds = []*Config{
 	{
 		Name:      "late",
