--- a/cmd/schedbench/attempt.go
+++ b/cmd/schedbench/attempt.go
@@ -11,25 +11,26 @@
 	"dahliaford/internal/testcluster"
 )
 
-// schedulerDrill runs a drill against a scheduler's program, with a folder of its own.
+// schedulerDrill runs a drill with a scheduler program. It may write to the given folder and submits jobs for
+// the given duration.
 type schedulerDrill func(program, folder string, duration time.Duration, seed uint64,
-	say progressFunc) (*report, error)
+	progress progressFunc) (*report, error)
 
-// withScheduler is a drill that runs the real program, for as long as the drill may take less spare: what
-// its end takes.
-func withScheduler(spare time.Duration, run schedulerDrill) drillFunc {
-	return func(ctx context.Context, seed uint64, say progressFunc) (*report, error) {
+// withScheduler returns a drillFunc that finds or builds the scheduler program and then runs the drill. The
+// drill submits jobs for the remaining time minus the margin, and for 1 s at least.
+func withScheduler(margin time.Duration, run schedulerDrill) drillFunc {
+	return func(ctx context.Context, seed uint64, progress progressFunc) (*report, error) {
 		folder, err := os.MkdirTemp("", "drill")
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = os.RemoveAll(folder) }() // a leftover in the temporary folder does no harm
+		defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder is harmless
 		program, err := schedulerBinary(ctx, folder)
 		if err != nil {
 			return nil, err
 		}
 		until, _ := ctx.Deadline()
-		return run(program, folder, max(time.Until(until)-spare, time.Second), seed, say)
+		return run(program, folder, max(time.Until(until)-margin, time.Second), seed, progress)
 	}
 }
 
@@ -38,10 +39,11 @@
 	maxReportedFindings = 20
 )
 
-// attemptDrill runs the real program against fakes that inject every fault they may, and checks what all of
-// them saw.
-func attemptDrill(program, _ string, duration time.Duration, seed uint64, say progressFunc) (*report, error) {
-	say("submitting %.0f jobs a second for %v", attemptRate, duration.Round(time.Second))
+// runAttemptDrill runs the real scheduler against fake clients and workers that inject every fault that the
+// protocol permits. It checks the events that the fakes observed.
+func runAttemptDrill(program, _ string, duration time.Duration, seed uint64,
+	progress progressFunc) (*report, error) {
+	progress("submitting %.0f jobs per second for %v", attemptRate, duration.Round(time.Second))
 	o, err := testcluster.RunFaultDrill(context.Background(), testcluster.FaultDrill{Program: program,
 		Duration: duration, Seed: seed, Rate: attemptRate})
 	if err != nil {
@@ -70,25 +72,26 @@
 	}
 	for i, f := range o.Findings {
 		if i == maxReportedFindings {
-			say("... and %d more", len(o.Findings)-i)
+			progress("... and %d more violations", len(o.Findings)-i)
 			break
 		}
-		say("broken: %v", f)
+		progress("broken: %v", f)
 	}
 	return r, nil
 }
 
-// schedulerBinary is the program that is drilled: the one beside this program, or else built into a folder.
+// schedulerBinary returns the path of the scheduler program. It uses the dahliaford binary in the folder of
+// the running executable if there is one. Otherwise it builds the program into the given folder.
 func schedulerBinary(ctx context.Context, folder string) (string, error) {
 	if self, err := os.Executable(); err == nil {
-		beside := filepath.Join(filepath.Dir(self), "dahliaford")
-		if _, err := os.Stat(beside); err == nil {
-			return beside, nil
+		sibling := filepath.Join(filepath.Dir(self), "dahliaford")
+		if _, err := os.Stat(sibling); err == nil {
+			return sibling, nil
 		}
 	}
 	program, err := testcluster.Build(ctx, ".", folder)
 	if err != nil {
-		return "", fmt.Errorf("no scheduler beside schedbench, and none could be built: %w", err)
+		return "", fmt.Errorf("no dahliaford binary beside schedbench, and the build failed: %w", err)
 	}
 	return program, nil
 }
--- a/cmd/schedbench/chart.go
+++ b/cmd/schedbench/chart.go
@@ -12,17 +12,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// chart draws a report into a file.
+// chart draws the charts of a report. The path is that of an SVG file; a report with several charts adds a
+// suffix to the base name of the file for each chart.
 type chart func(path string) error
 
-// line is one line of a chart, by seconds.
-type line struct {
-	name   string
-	points plotter.XYs
+// chartLine is one line of a chart over time.
+type chartLine struct {
+	name   string      // the label in the legend
+	points plotter.XYs // X is in seconds since the start of the run
 }
 
-// draw draws lines over time.
-func draw(path, title, unit string, lines []line) error {
+// drawLines draws a chart of lines over time into a file. The unit is the label of the vertical axis.
+func drawLines(path, title, unit string, lines []chartLine) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
 	p.Legend.Top = true
@@ -37,8 +38,8 @@
 	return p.Save(20*vg.Centimeter, 9*vg.Centimeter, path)
 }
 
-// keep writes a report into a folder: the table with the line of JSON, and the charts.
-func (r *report) keep(folder, name string, lineOfJSON []byte) error {
+// save writes a report to a folder: a text file with the table and the line of JSON, and the charts.
+func (r *report) save(folder, name string, lineOfJSON []byte) error {
 	if err := os.MkdirAll(folder, 0o777); err != nil {
 		return err
 	}
--- a/cmd/schedbench/clientrun.go
+++ b/cmd/schedbench/clientrun.go
@@ -13,42 +13,43 @@
 	"dahliaford/internal/testcluster"
 )
 
-// clientClass is what the drill submits of a class.
+// clientClass is a class of jobs that the desk drill submits.
 type clientClass struct {
 	name                string
-	objective, deadline time.Duration
+	objective, deadline time.Duration // latency objective and deadline, both from the submission
 	effect              client.Effect
 }
 
 var clientClasses = []clientClass{{"post-reading", time.Second, 2 * time.Second, client.Once},
 	{"district-batch", 2 * time.Second, 4 * time.Second, client.Rack}}
 
-// The verdicts that the drill itself distinguishes; see client.Verdict.
+// The verdicts of plain clients. Clients of the library report all verdicts of client.Verdict.
 const (
 	verdictServed = "served"
 	verdictFailed = "failed"
 )
 
-// clientRun is the clients of one kind with their own fleet, and what came of their jobs.
+// clientRun holds the clients of one kind, the fleet that serves only them, and the results of their jobs.
 type clientRun struct {
 	name  string
 	fleet *testcluster.Fleet
-	// submit submits a job with a client, and returns its verdict.
+	// submit submits a job through the client with the given index. It returns the verdict of the job.
 	submit       func(client int, s fakes.Submission) (verdict string)
 	closeClients func()
 
 	attempts atomic.Int64
 	dials    *timeline
-	served   *timeline // before their deadlines
-
-	mu          sync.Mutex
-	jobs        int
-	late        int // served after the latency objective
-	verdicts    map[string]int
-	maxOvertime time.Duration // the longest after its deadline that a job returned; 0: none did
-	returns     int
+	served   *timeline // jobs that were served by their deadlines
+
+	mu                 sync.Mutex     // guards the fields below
+	jobs               int            // jobs submitted
+	servedLate         int            // jobs served after the latency objective
+	verdicts           map[string]int // number of jobs by verdict
+	maxDeadlineOverrun time.Duration  // longest time by which a job returned after its deadline; 0 if none did
+	returned           int            // jobs whose submission returned
 }
 
+// newClientRun returns a run with a fleet and no clients. Its timelines cover the given length of time.
 func newClientRun(name string, fleet *testcluster.Fleet, length time.Duration) *clientRun {
 	return &clientRun{name: name, fleet: fleet, closeClients: func() {}, dials: newTimeline(length),
 		served: newTimeline(length), verdicts: map[string]int{}}
@@ -59,26 +60,26 @@
 	r.fleet.Close()
 }
 
-// A clientRun is the client.Observer of the library's clients.
+// A clientRun is the client.Observer of its clients that use the library.
 var _ client.Observer = (*clientRun)(nil)
 
-// AttemptEnded counts the attempts that were sent: without a connection there was none.
+// AttemptEnded counts the attempts that were sent. An attempt that got no connection was not sent.
 func (r *clientRun) AttemptEnded(_, _, outcome string, _ time.Duration) {
 	if outcome != "no room" && outcome != "unreached" && outcome != "parted" {
 		r.attempts.Add(1)
 	}
 }
 
-// JobEnded does nothing: the submitter counts.
+// JobEnded does nothing. submitOne counts the jobs.
 func (r *clientRun) JobEnded(string, string, int, time.Duration) {}
 
-// Connected counts new connections.
+// Connected counts an attempt to open a connection, successful or not.
 func (r *clientRun) Connected(string, error) { r.dials.add() }
 
-// Throttled does nothing: such jobs show as refused.
+// Throttled does nothing. A job that gets no retry for want of retry budget is counted under its verdict.
 func (r *clientRun) Throttled() {}
 
-// useLibrary lets clients of the library submit the jobs.
+// useLibrary makes the run submit its jobs through clients of the library.
 func (r *clientRun) useLibrary(seed uint64) error {
 	classes := map[string]client.Class{}
 	for _, c := range clientClasses {
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// useRetryingClients lets clients without the library submit the jobs; backoff is before the first retry,
-// 0 for none.
+// useRetryingClients makes the run submit its jobs through plain clients, which retry without the library.
+// backoff is the longest wait before the first retry; with 0 the clients retry at once.
 func (r *clientRun) useRetryingClients(backoff time.Duration) {
 	var clients []*fakes.RetryingClient
 	for range clientCount {
@@ -119,7 +120,7 @@
 		if served {
 			return verdictServed
 		}
-		return verdictFailed // it cannot distinguish more
+		return verdictFailed // a plain client does not report why a job was not served
 	}
 	r.closeClients = func() {
 		for _, c := range clients {
@@ -128,7 +129,7 @@
 	}
 }
 
-// submitJobs lets all clients submit jobs until the context ends, and waits for the jobs to end.
+// submitJobs makes all clients submit jobs until the context ends. It returns when all jobs have returned.
 func (r *clientRun) submitJobs(ctx context.Context, seed uint64) {
 	var all sync.WaitGroup
 	for i := range clientCount {
@@ -137,7 +138,8 @@
 	all.Wait()
 }
 
-// submitJobsOf lets one client submit jobs at random times, on average four a second.
+// submitJobsOf makes the client with index i submit jobs until the context ends. The intervals between jobs
+// are exponentially distributed, with jobsPerClient jobs per second on average.
 func (r *clientRun) submitJobsOf(ctx context.Context, i int, random *rand.Rand) {
 	var open sync.WaitGroup
 	defer open.Wait()
@@ -159,22 +161,22 @@
 	}
 }
 
-// submitOne submits a job and counts what came of it.
+// submitOne submits a job, waits for its verdict and counts the result.
 func (r *clientRun) submitOne(i int, class clientClass, s fakes.Submission) {
 	r.mu.Lock()
 	r.jobs++
 	r.mu.Unlock()
 	verdict := r.submit(i, s)
-	overtime := time.Since(s.Deadline)
-	if verdict == verdictServed && overtime <= 0 {
+	deadlineOverrun := time.Since(s.Deadline)
+	if verdict == verdictServed && deadlineOverrun <= 0 {
 		r.served.add()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.returns++
+	r.returned++
 	r.verdicts[verdict]++
-	r.maxOvertime = max(r.maxOvertime, overtime)
-	if verdict == verdictServed && overtime > class.objective-class.deadline {
-		r.late++
+	r.maxDeadlineOverrun = max(r.maxDeadlineOverrun, deadlineOverrun)
+	if verdict == verdictServed && deadlineOverrun > class.objective-class.deadline {
+		r.servedLate++
 	}
 }
--- a/cmd/schedbench/clients.go
+++ b/cmd/schedbench/clients.go
@@ -12,30 +12,33 @@
 	"dahliaford/internal/testcluster"
 )
 
-// The drill of the client library has 200 clients of each of three kinds, each kind with six schedulers of
-// its own, of which all but two go away and come back while the clients work; and clients of the library once
-// more with a fleet whose workers misbehave in every way that they may.
+// The desk drill runs four groups of 200 clients at the same time: clients of the library, plain clients that
+// retry at once, plain clients that retry with a backoff, and clients of the library whose workers inject
+// faults. Each group has its own fleet of six schedulers, of which four stop and restart during the drill.
 const (
-	clientCount         = 200
-	clientSchedulers    = 6
-	remainingSchedulers = 2
+	clientCount         = 200 // in each group
+	clientSchedulers    = 6   // in the fleet of each group
+	remainingSchedulers = 2   // schedulers of a fleet that run throughout the drill
 	workersPerScheduler = 12
-	jobsPerClient       = 4. // a second
-	returnGrace         = 50 * time.Millisecond
-	stopTimeout         = 10 * time.Second // of a scheduler that shuts down in order
-	// timelineMargin is how much longer than the drill its timelines are, for the jobs that are open at its
-	// end.
+	jobsPerClient       = 4. // submitted per second
+	// returnGrace is how long after its deadline a job may return from the client library.
+	returnGrace = 50 * time.Millisecond
+	stopTimeout = 10 * time.Second // for the orderly shutdown of a scheduler
+	// timelineMargin is the time that timelines cover beyond the end of submissions. It leaves room for the
+	// jobs that are open at that time.
 	timelineMargin = 10 * time.Second
-	firstBackoff   = 50 * time.Millisecond
+	firstBackoff   = 50 * time.Millisecond // longest wait of a plain client before the first retry
 )
 
-// removeAndRestore stops schedulers within a sixth of the span (10 s of a minute), every other one without
-// notice, and starts them again after a while. It does nothing more once the context has ended.
-func removeAndRestore(ctx context.Context, f *testcluster.Fleet, span time.Duration) error {
+// stopAndRestart stops all but remainingSchedulers of a fleet, one after another, and later restarts them. It
+// begins after a quarter of the duration, and spreads the stops over a sixth of the duration (10 s of a
+// minute). It kills every other scheduler and shuts the rest down in order. After another sixth it restarts
+// the schedulers at the same pace. It returns early when the context ends.
+func stopAndRestart(ctx context.Context, f *testcluster.Fleet, duration time.Duration) error {
 	sleep := func(d time.Duration) bool { return testcluster.Sleep(ctx, d) }
 	const removed = clientSchedulers - remainingSchedulers
-	step := span / 6 / removed
-	if !sleep(span / 4) {
+	step := duration / 6 / removed
+	if !sleep(duration / 4) {
 		return nil
 	}
 	for i := range removed {
@@ -48,7 +51,7 @@
 			return nil
 		}
 	}
-	if !sleep(span / 6) {
+	if !sleep(duration / 6) {
 		return nil
 	}
 	for i := range removed {
@@ -62,19 +65,20 @@
 	return nil
 }
 
-// clientRuns are the runs of a drill, all at the same time.
+// clientRuns are the concurrent runs of a desk drill.
 type clientRuns struct {
-	library   *clientRun
-	immediate *clientRun // retries without a wait
-	backoff   *clientRun // retries with a backoff
-	faults    *clientRun // the library, with faulty workers
+	library   *clientRun // clients of the library
+	immediate *clientRun // plain clients that retry without a wait
+	backoff   *clientRun // plain clients that retry with a backoff
+	faults    *clientRun // clients of the library, with workers that inject faults
 }
 
-// all is the runs in the order of the report.
+// all returns the runs in the order of the report.
 func (r *clientRuns) all() []*clientRun {
 	return []*clientRun{r.library, r.immediate, r.backoff, r.faults}
 }
 
+// close closes the clients and the fleets of the runs that were started.
 func (r *clientRuns) close() {
 	for _, run := range r.all() {
 		if run != nil {
@@ -83,8 +87,10 @@
 	}
 }
 
-// startClientRuns starts the fleets and the clients, each fleet with a folder of its own.
-func startClientRuns(bin, folder string, span time.Duration, seed uint64) (runs *clientRuns, err error) {
+// startClientRuns starts the fleets and creates the clients of all runs. Each fleet has its own subfolder of
+// the given folder.
+func startClientRuns(program, folder string, duration time.Duration,
+	seed uint64) (runs *clientRuns, err error) {
 	runs = &clientRuns{}
 	defer func() {
 		if err != nil {
@@ -105,17 +111,17 @@
 		}},
 		{&runs.faults, "library, faults", true, func(r *clientRun) error { return r.useLibrary(seed) }},
 	} {
-		own := filepath.Join(folder, fmt.Sprint(i))
-		if err := os.Mkdir(own, 0o777); err != nil {
+		fleetFolder := filepath.Join(folder, fmt.Sprint(i))
+		if err := os.Mkdir(fleetFolder, 0o777); err != nil {
 			return runs, err
 		}
-		fleet, err := testcluster.StartFleet(testcluster.FleetOptions{Program: bin, Folder: own,
+		fleet, err := testcluster.StartFleet(testcluster.FleetOptions{Program: program, Folder: fleetFolder,
 			Schedulers: clientSchedulers, WorkersPerScheduler: workersPerScheduler, Seed: seed,
 			Faults: kind.faults})
 		if err != nil {
 			return runs, fmt.Errorf("start the fleet of %q: %w", kind.name, err)
 		}
-		*kind.run = newClientRun(kind.name, fleet, span+timelineMargin)
+		*kind.run = newClientRun(kind.name, fleet, duration+timelineMargin)
 		if err := kind.useClients(*kind.run); err != nil {
 			return runs, fmt.Errorf("start the clients of %q: %w", kind.name, err)
 		}
@@ -123,17 +129,18 @@
 	return runs, nil
 }
 
-// clientDrill runs the drill. It ends before its span does: jobs have 4 s to end.
-func clientDrill(bin, folder string, span time.Duration, seed uint64,
+// runClientDrill runs the desk drill. It submits jobs for the given duration and then waits for the open
+// jobs, whose deadlines are at most 4 s away.
+func runClientDrill(program, folder string, duration time.Duration, seed uint64,
 	progress progressFunc) (*report, error) {
-	runs, err := startClientRuns(bin, folder, span, seed)
+	runs, err := startClientRuns(program, folder, duration, seed)
 	if err != nil {
 		return nil, err
 	}
 	defer runs.close()
-	progress("%d clients of each kind submit jobs for %v; %d of %d schedulers go away and come back",
-		clientCount, span.Round(time.Second), clientSchedulers-remainingSchedulers, clientSchedulers)
-	ctx, cancel := context.WithTimeout(context.Background(), span)
+	progress("%d clients of each kind submit jobs for %v; %d of %d schedulers stop and restart",
+		clientCount, duration.Round(time.Second), clientSchedulers-remainingSchedulers, clientSchedulers)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	startedAt := time.Now()
 	var all sync.WaitGroup
@@ -141,7 +148,7 @@
 	for i, r := range runs.all() {
 		r.dials.startedAt, r.served.startedAt = startedAt, startedAt
 		all.Go(func() { r.submitJobs(ctx, seed) })
-		all.Go(func() { errs[i] = removeAndRestore(ctx, r.fleet, span) })
+		all.Go(func() { errs[i] = stopAndRestart(ctx, r.fleet, duration) })
 	}
 	all.Wait()
 	if err := errors.Join(errs...); err != nil {
--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -16,28 +16,33 @@
 )
 
 const (
-	// diskDrillMargin is the time that a round and its check may take.
+	// diskDrillMargin is the time that is reserved for one more round of storing, killing and checking.
 	diskDrillMargin = 5 * time.Second
-	maxItems        = 400_000 // with confirmed steps
-	// skippedNumbers is what the next round leaves out, past what was stored and not confirmed.
-	skippedNumbers = 10 * itemsInFlight
+	// maxConfirmedItems limits the number of items with confirmed steps, and so the time that a check takes.
+	maxConfirmedItems = 400_000
+	// skippedItemNumbers is the gap in item numbers between two rounds. The killed process may have stored
+	// items beyond the last confirmed number; the gap keeps the next round from reusing their numbers.
+	skippedItemNumbers = 10 * itemsInFlight
 )
 
-// diskDrill kills a process that stores items, at random and over and over, and checks after each kill that
-// all that was confirmed is there, and that nothing is broken.
+// diskDrill repeatedly starts a process that stores items and kills it at a random time. After each kill it
+// checks that the store holds every confirmed step and that every stored item is readable.
 type diskDrill struct {
-	program, path string
+	program, path string // of the process that stores items, and of the store's file
 	random        *rand.Rand
 	progress      progressFunc
 
-	confirmed map[int]int // how far each item has come, by number
-	next      int         // the number of the first item of the next round
+	confirmed map[int]int // the last confirmed step of each item, by the item's number
+	nextItem  int         // the number of the first item of the next round
 
-	kills, missing, broken, ahead int
+	// The counts of the report. lost, unreadable and storedUnconfirmed are summed over all checks: the items
+	// whose stored step is behind the confirmed step, the items that cannot be read, and the items whose
+	// stored step is ahead of the confirmed step.
+	kills, lost, unreadable, storedUnconfirmed int
 }
 
-// diskKills runs the drill disk until its context ends.
-func diskKills(ctx context.Context, seed uint64, progress progressFunc) (*report, error) {
+// runDiskDrill runs the disk drill until its context is about to end.
+func runDiskDrill(ctx context.Context, seed uint64, progress progressFunc) (*report, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -46,11 +51,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that stays does no harm
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder is harmless
 	d := &diskDrill{program: self, path: filepath.Join(folder, "jobs"), random: rand.New(rand.NewPCG(seed, 0)),
 		progress: progress, confirmed: map[int]int{}}
 	deadline, _ := ctx.Deadline()
-	for time.Until(deadline) > diskDrillMargin && len(d.confirmed) < maxItems {
+	for time.Until(deadline) > diskDrillMargin && len(d.confirmed) < maxConfirmedItems {
 		if err := d.storeAndKill(ctx); err != nil {
 			return nil, err
 		}
@@ -61,9 +66,9 @@
 	return d.report(), nil
 }
 
-// storeAndKill starts the process and kills it within half a second.
+// storeAndKill starts the process that stores items, and kills it after a random time of 20 to 420 ms.
 func (d *diskDrill) storeAndKill(ctx context.Context) error {
-	process := exec.CommandContext(ctx, d.program, "keep", d.path, fmt.Sprint(d.next))
+	process := exec.CommandContext(ctx, d.program, "keep", d.path, fmt.Sprint(d.nextItem))
 	process.Stderr = os.Stderr
 	out, err := process.StdoutPipe()
 	if err != nil {
@@ -74,29 +79,29 @@
 	}
 	lifetime := time.Duration(20+d.random.IntN(400)) * time.Millisecond
 	kill := time.AfterFunc(lifetime, func() {
-		_ = process.Process.Kill() // it fails if the process has exited, which shows as its output ends
+		_ = process.Process.Kill() // Kill fails if the process has exited; then its output ends as well
 	})
 	d.readConfirmed(out)
 	kill.Stop()
-	_ = process.Wait() // the process was killed: that is its error
+	_ = process.Wait() // the error is expected: the process was killed
 	d.kills++
-	d.next += skippedNumbers
+	d.nextItem += skippedItemNumbers
 	return nil
 }
 
-// readConfirmed takes in what the process says is confirmed, until its end.
+// readConfirmed reads the confirmed steps that the process prints, until the output ends.
 func (d *diskDrill) readConfirmed(out io.Reader) {
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		var n, step int
 		if _, err := fmt.Sscan(lines.Text(), &n, &step); err != nil {
-			continue // the last line may be cut
+			continue // the last line may be truncated by the kill
 		}
 		d.confirmed[n] = max(d.confirmed[n], step)
-		d.next = max(d.next, n+1)
+		d.nextItem = max(d.nextItem, n+1)
 	}
 }
 
-// check reads the store and compares it with what was confirmed.
+// check compares the stored items with the confirmed steps.
 func (d *diskDrill) check() error {
 	stored, err := d.readStore()
 	if err != nil {
@@ -105,17 +110,17 @@
 	for n, step := range d.confirmed {
 		switch {
 		case stored[n] < step:
-			d.missing++
-			d.progress("after kill %d: item %d had come to step %d, and is at %d", d.kills, n, step, stored[n])
+			d.lost++
+			d.progress("after kill %d: item %d: step %d was confirmed, found step %d", d.kills, n, step, stored[n])
 		case stored[n] > step:
-			d.ahead++
-			d.confirmed[n] = stored[n] // it is on disk now, and must stay there
+			d.storedUnconfirmed++
+			d.confirmed[n] = stored[n] // the step is on disk, so later checks must find it
 		}
 	}
 	return nil
 }
 
-// readStore returns how far each item has come, by number.
+// readStore returns the last completed step of each stored item, by the item's number.
 func (d *diskDrill) readStore() (stored map[int]int, err error) {
 	r, err := store.OpenReader(d.path)
 	if err != nil {
@@ -125,11 +130,11 @@
 	err = r.Each(func(id string, it *lifecycle.Item, fault error) error {
 		var n int
 		if _, err := fmt.Sscan(id, &n); fault != nil || err != nil {
-			d.broken++
-			d.progress("after kill %d: item %q: %v", d.kills, id, fault)
+			d.unreadable++
+			d.progress("after kill %d: item %q: invalid ID or unreadable record: %v", d.kills, id, fault)
 			return nil
 		}
-		stored[n] = stepOf(it)
+		stored[n] = reachedStep(it)
 		return nil
 	})
 	if closeErr := r.Close(); closeErr != nil {
@@ -138,15 +143,17 @@
 	return stored, err
 }
 
+// report returns the counts of the drill. The drill fails if a confirmed step was lost, an item could not be
+// read, or no process was killed.
 func (d *diskDrill) report() *report {
 	steps := 0
 	for _, step := range d.confirmed {
 		steps += step
 	}
-	return &report{ok: d.missing == 0 && d.broken == 0 && d.kills > 0,
+	return &report{ok: d.lost == 0 && d.unreadable == 0 && d.kills > 0,
 		figures: map[string]any{"kills": d.kills, "items": len(d.confirmed), "confirmed": steps,
-			"lost": d.missing, "broken": d.broken, "stored_unconfirmed": d.ahead},
+			"lost": d.lost, "broken": d.unreadable, "stored_unconfirmed": d.storedUnconfirmed},
 		table: [][]string{{"kills", "items", "confirmed steps", "lost", "broken", "stored, not confirmed"},
-			{fmt.Sprint(d.kills), fmt.Sprint(len(d.confirmed)), fmt.Sprint(steps), fmt.Sprint(d.missing),
-				fmt.Sprint(d.broken), fmt.Sprint(d.ahead)}}}
+			{fmt.Sprint(d.kills), fmt.Sprint(len(d.confirmed)), fmt.Sprint(steps), fmt.Sprint(d.lost),
+				fmt.Sprint(d.unreadable), fmt.Sprint(d.storedUnconfirmed)}}}
 }
--- a/cmd/schedbench/drill.go
+++ b/cmd/schedbench/drill.go
@@ -13,60 +13,66 @@
 	"time"
 )
 
-// drillCmd runs a drill: bounded in time, the same with the same seed.
+// drillCmd is the command that runs a drill. A drill stops within the duration given by --for, and draws its
+// random numbers from the seed.
 type drillCmd struct {
-	Name string        `arg:"" optional:"" help:"The drill; left out: list them."`
-	For  time.Duration `help:"Longest time to go on." default:"60s"`
-	Seed uint64        `help:"Seed of all that is random." default:"1"`
-	JSON bool          `name:"json" help:"Only the line of JSON."`
-	Keep string        `help:"Folder to keep the table and the charts in." type:"path"`
+	Name string        `arg:"" optional:"" help:"Name of the drill; without a name, the drills are listed."`
+	For  time.Duration `help:"Maximum duration of the drill." default:"60s"`
+	Seed uint64        `help:"Seed of all random draws." default:"1"`
+	JSON bool          `name:"json" help:"Print only the line of JSON."`
+	Keep string        `help:"Folder to write the table and the charts to." type:"path"`
 }
 
-// report is what a drill found. Its table goes to standard output before the line.
+// report is the result of a drill or a scale run. The table is printed to standard output before the line of
+// JSON.
 type report struct {
-	ok      bool
-	figures map[string]any
-	table   [][]string
-	chart   chart // nil: there is none
+	ok      bool           // every check of the run passed
+	figures map[string]any // the results in the line of JSON, by key
+	table   [][]string     // rows of cells
+	chart   chart          // nil if the run has no chart
 }
 
-// drillFunc runs a drill until its context ends. It reports its progress to say.
-type drillFunc func(ctx context.Context, seed uint64, say progressFunc) (*report, error)
+// drillFunc runs a drill until its context ends. It calls progress with lines about its progress.
+type drillFunc func(ctx context.Context, seed uint64, progress progressFunc) (*report, error)
 
-// progressFunc prints a line about the progress of a drill.
+// progressFunc prints a formatted line about the progress of a drill.
 type progressFunc func(format string, args ...any)
 
-// drill is one drill, and what it is about.
+// drill is a drill with the description that the list of drills shows.
 type drill struct {
-	about string
-	run   drillFunc
+	description string
+	run         drillFunc
 }
 
-// spareAttempt and spareClients are what the ends of these drills take of their time.
+// attemptDrillMargin and clientDrillMargin are the parts of a drill's duration that are reserved for
+// finishing open jobs, stopping processes and checking the results.
 const (
-	spareAttempt = 15 * time.Second
-	spareClients = 8 * time.Second
+	attemptDrillMargin = 15 * time.Second
+	clientDrillMargin  = 8 * time.Second
 )
 
+// drills are the drills by name.
 var drills = map[string]drill{
-	"attempt": {"the real program against fakes that inject every fault they may; checks what all of them saw",
-		withScheduler(spareAttempt, attemptDrill)},
-	"desk": {"clients of the library beside plain ones, at real schedulers that stop and restart",
-		withScheduler(spareClients, clientDrill)},
-	"disk": {"a process that stores items is killed at random; all that was confirmed must be there", diskKills},
-	"engines": {"embedded stores under a job store: accepts on disk, opening after a kill, space, memory",
-		engines},
-	"mutants": {"builds the program with one fault at a time, and lets the model checker find it", mutantDrill},
+	"attempt": {"run the real scheduler against fakes that inject all permitted faults; check what they saw",
+		withScheduler(attemptDrillMargin, runAttemptDrill)},
+	"desk": {"compare the client library with plain clients while real schedulers stop and restart",
+		withScheduler(clientDrillMargin, runClientDrill)},
+	"disk": {"kill a process that stores items at random times; check that no confirmed step is lost",
+		runDiskDrill},
+	"engines": {"measure embedded stores: accepts on disk per second, opening after a kill, disk space, memory",
+		runEnginesDrill},
+	"mutants": {"build the program with one seeded fault at a time; check that the model checker finds it",
+		runMutantDrill},
 }
 
 // drillAliases are the former names of drills.
 var drillAliases = map[string]string{"planted": "mutants"}
 
-// Run runs the drill, or lists them.
+// Run runs the named drill, or lists the drills if no name is given.
 func (c *drillCmd) Run() error {
 	if c.Name == "" {
 		for _, name := range slices.Sorted(maps.Keys(drills)) {
-			fmt.Printf("%s\t%s\n", name, drills[name].about)
+			fmt.Printf("%s\t%s\n", name, drills[name].description)
 		}
 		return nil
 	}
@@ -75,7 +81,7 @@
 		return err
 	}
 	if c.For <= 0 {
-		return usageError("--for must be longer than nothing")
+		return usageError("--for must be longer than 0s")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.For)
 	defer cancel()
@@ -88,19 +94,21 @@
 	return c.print(r)
 }
 
+// drillByName returns the drill of a name or of a former name.
 func drillByName(name string) (drill, error) {
 	if canonical, ok := drillAliases[name]; ok {
 		name = canonical
 	}
 	d, known := drills[name]
 	if !known {
-		return drill{}, usageError("unknown drill %q: there are %s", name,
+		return drill{}, usageError("unknown drill %q: want one of %s", name,
 			strings.Join(slices.Sorted(maps.Keys(drills)), ", "))
 	}
 	return d, nil
 }
 
-// print prints a report and keeps it if asked to. It returns an error with exitViolation if the drill failed.
+// print prints a report, and writes it to the folder of --keep if one is given. It returns an error with
+// exitViolation if a check of the drill failed.
 func (c *drillCmd) print(r *report) error {
 	if !c.JSON {
 		printTable(os.Stdout, r.table)
@@ -113,7 +121,7 @@
 	}
 	fmt.Println(string(raw))
 	if c.Keep != "" {
-		if err := r.keep(c.Keep, c.Name, raw); err != nil {
+		if err := r.save(c.Keep, c.Name, raw); err != nil {
 			return err
 		}
 	}
@@ -123,7 +131,7 @@
 	return nil
 }
 
-// printTable prints lines of cells in columns.
+// printTable prints rows of cells in left-aligned columns.
 func printTable(out io.Writer, lines [][]string) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, line := range lines {
@@ -132,7 +140,7 @@
 	flush(table)
 }
 
-// printRightAligned prints lines of cells in columns that are aligned at their right.
+// printRightAligned prints rows of cells in right-aligned columns.
 func printRightAligned(out io.Writer, lines [][]string) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, line := range lines {
@@ -141,5 +149,6 @@
 	flush(table)
 }
 
-// flush ends a table. It goes to a buffer, or to standard output, whose errors nobody could be shown.
+// flush writes out a table. Write errors are ignored: the table goes to a buffer in memory, which does not
+// fail, or to standard output, and a failed standard output leaves nowhere to report the error.
 func flush(table *tabwriter.Writer) { _ = table.Flush() }
--- a/cmd/schedbench/engine.go
+++ b/cmd/schedbench/engine.go
@@ -9,14 +9,17 @@
 	"go.etcd.io/bbolt"
 )
 
-// engine is an embedded store as a job store would use it: batches that are on disk once commit returns. A
-// nil value deletes.
+// engine is an embedded key-value store with the operations that a job store needs.
 type engine interface {
+	// commit stores the values under the keys in one batch. A nil value deletes the key. When commit returns
+	// without an error, the batch is on disk.
 	commit(keys, values [][]byte) error
+	// count returns the number of keys. It reads all of them.
 	count() (int, error)
 	close() error
 }
 
+// openEngine opens or creates a store of the named engine in a folder.
 func openEngine(name, folder string) (engine, error) {
 	switch name {
 	case "bbolt":
@@ -39,20 +42,22 @@
 	return nil, usageError("unknown engine %q", name)
 }
 
-// silentLogger is a pebble.Logger that drops everything but fatal errors.
+// silentLogger is a pebble.Logger that discards all messages but fatal errors.
 type silentLogger struct{}
 
-// Infof drops a message.
+// Infof discards a message.
 func (silentLogger) Infof(string, ...any) {}
 
-// Errorf drops a message: the error is returned, too.
+// Errorf discards a message. Pebble returns the same error to the caller.
 func (silentLogger) Errorf(string, ...any) {}
 
-// Fatalf panics, as it must not return.
+// Fatalf panics, because pebble.Logger requires that Fatalf does not return.
 func (silentLogger) Fatalf(format string, a ...any) { panic(fmt.Sprintf(format, a...)) }
 
+// boltEngine is a bbolt database as an engine.
 type boltEngine struct{ *bbolt.DB }
 
+// items is the name of the bbolt bucket that holds all records.
 var items = []byte("items")
 
 func (b boltEngine) commit(keys, values [][]byte) error {
@@ -85,11 +90,12 @@
 
 func (b boltEngine) close() error { return b.Close() }
 
+// pebbleEngine is a Pebble database as an engine.
 type pebbleEngine struct{ *pebble.DB }
 
 func (p pebbleEngine) commit(keys, values [][]byte) error {
 	batch := p.NewBatch()
-	defer func() { _ = batch.Close() }() // it gives memory back; whether the batch is on disk Commit says
+	defer func() { _ = batch.Close() }() // Close only releases memory; Commit reports write errors
 	var err error
 	for i := range keys {
 		if values[i] == nil {
--- a/cmd/schedbench/engineaccept.go
+++ b/cmd/schedbench/engineaccept.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// maxCommitted is how many items one commit carries at most.
-const maxCommitted = 1024
+// maxCommitItems is the maximum number of items in one commit.
+const maxCommitItems = 1024
 
-// acceptRequest is one item that a caller wants stored.
+// acceptRequest asks a groupCommitter to store one item.
 type acceptRequest struct {
 	key, value []byte
-	done       chan error
+	done       chan error // receives the result of the commit
 }
 
-// groupCommitter stores the items of concurrent callers: each commit carries what has come meanwhile.
+// groupCommitter stores the items of concurrent callers. Each commit contains the items that arrived during
+// the previous commit.
 type groupCommitter struct {
 	engine  engine
 	inbox   chan acceptRequest
-	commits int // valid once run has returned
+	commits int // number of commits; valid once run has returned
 }
 
-// run commits until the inbox is closed.
+// run commits the items from the inbox until the inbox is closed.
 func (g *groupCommitter) run() {
 	for first := range g.inbox {
 		batch := g.fillBatch(first)
@@ -40,10 +41,10 @@
 	}
 }
 
-// fillBatch adds what waits in the inbox, without waiting for more.
+// fillBatch returns the first request and the requests that are already in the inbox, up to maxCommitItems.
 func (g *groupCommitter) fillBatch(first acceptRequest) []acceptRequest {
 	batch := []acceptRequest{first}
-	for len(batch) < maxCommitted {
+	for len(batch) < maxCommitItems {
 		select {
 		case request, open := <-g.inbox:
 			if !open {
@@ -57,14 +58,15 @@
 	return batch
 }
 
-// accept lets so many callers store one item after another, each on disk before the next.
+// accept measures group commit for the duration of c.For. c.Count concurrent callers store items; each caller
+// waits until its item is on disk before it stores the next one.
 func (c *engineCmd) accept(e engine, figures map[string]any) error {
-	committer := &groupCommitter{engine: e, inbox: make(chan acceptRequest, c.Many)}
+	committer := &groupCommitter{engine: e, inbox: make(chan acceptRequest, c.Count)}
 	deadline := time.Now().Add(c.For)
 	var callers, writer sync.WaitGroup
 	writer.Go(committer.run)
-	times, errs := make([][]time.Duration, c.Many), make([]error, c.Many)
-	for i := range c.Many {
+	times, errs := make([][]time.Duration, c.Count), make([]error, c.Count)
+	for i := range c.Count {
 		callers.Go(func() { times[i], errs[i] = c.storeItems(committer, i, deadline) })
 	}
 	callers.Wait()
@@ -81,14 +83,14 @@
 	return nil
 }
 
-// storeItems stores items of one caller until a deadline, and returns how long each took.
+// storeItems stores the items of one caller until a deadline. It returns the time that each item took.
 func (c *engineCmd) storeItems(to *groupCommitter, caller int,
 	deadline time.Time) (times []time.Duration, err error) {
 	random := rand.New(rand.NewPCG(c.Seed, uint64(caller)))
 	done := make(chan error, 1)
 	for n := 0; time.Now().Before(deadline); n++ {
 		startedAt := time.Now()
-		to.inbox <- acceptRequest{keyOf(uint64(n*c.Many + caller)), recordOf(random), done}
+		to.inbox <- acceptRequest{encodeKey(uint64(n*c.Count + caller)), randomRecord(random), done}
 		if err := <-done; err != nil {
 			return nil, err
 		}
--- a/cmd/schedbench/engines.go
+++ b/cmd/schedbench/engines.go
@@ -11,27 +11,29 @@
 	"strings"
 )
 
+// engineNames are the names of the engines that the engines drill measures.
 var engineNames = []string{"bbolt", "pebble"}
 
-// engineDrill measures one engine, one step after another, each in a process of its own.
-type engineDrill struct {
-	program, name string
+// engineMeasurement measures one engine. The steps run one after another, each in its own process.
+type engineMeasurement struct {
+	program, name string // the path of this executable, and the name of the engine
 	seed          uint64
 	progress      progressFunc
 
-	figures map[string]any // of each step
-	rows    [][]string
+	figures map[string]any // the results of each step, by the step's label
+	rows    [][]string     // rows of the drill's table
 }
 
-// engines measures the embedded stores that a job store could be built on.
-func engines(ctx context.Context, seed uint64, progress progressFunc) (*report, error) {
+// runEnginesDrill measures embedded stores as candidates for a job store.
+func runEnginesDrill(ctx context.Context, seed uint64, progress progressFunc) (*report, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
 	rep := &report{ok: true, figures: map[string]any{}, table: [][]string{{"engine", "step", "figures"}}}
 	for _, name := range engineNames {
-		d := &engineDrill{program: self, name: name, seed: seed, progress: progress, figures: map[string]any{}}
+		d := &engineMeasurement{program: self, name: name, seed: seed, progress: progress,
+			figures: map[string]any{}}
 		if err := d.run(ctx); err != nil {
 			return nil, err
 		}
@@ -40,33 +42,34 @@
 	return rep, nil
 }
 
-// run measures all steps of an engine.
-func (d *engineDrill) run(ctx context.Context) error {
+// run runs all steps of the measurement of an engine.
+func (d *engineMeasurement) run(ctx context.Context) error {
 	folder, err := os.MkdirTemp("", "engine")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that stays does no harm
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder is harmless
 	for _, callers := range []string{"1", "16", "256"} {
-		own := filepath.Join(folder, "accept"+callers)
-		if err := os.Mkdir(own, 0o777); err != nil {
+		stepFolder := filepath.Join(folder, "accept"+callers)
+		if err := os.Mkdir(stepFolder, 0o777); err != nil {
 			return err
 		}
-		if err := d.step(ctx, "accept "+callers, engineAccept, own, "--for", "3s", "--many", callers); err != nil {
+		if err := d.step(ctx, "accept "+callers, engineAccept, stepFolder, "--for", "3s", "--many",
+			callers); err != nil {
 			return err
 		}
 	}
-	large, churned := filepath.Join(folder, "large"), filepath.Join(folder, "churn")
-	if err := errors.Join(os.Mkdir(large, 0o777), os.Mkdir(churned, 0o777)); err != nil {
+	fillFolder, churnFolder := filepath.Join(folder, "large"), filepath.Join(folder, "churn")
+	if err := errors.Join(os.Mkdir(fillFolder, 0o777), os.Mkdir(churnFolder, 0o777)); err != nil {
 		return err
 	}
-	return errors.Join(d.step(ctx, engineFill, engineFill, large, "--many", "1000000"),
-		d.step(ctx, engineOpen, engineOpen, large),
-		d.step(ctx, engineChurn, engineChurn, churned, "--many", "2000000"))
+	return errors.Join(d.step(ctx, engineFill, engineFill, fillFolder, "--many", "1000000"),
+		d.step(ctx, engineOpen, engineOpen, fillFolder),
+		d.step(ctx, engineChurn, engineChurn, churnFolder, "--many", "2000000"))
 }
 
-// step runs one step and keeps its figures under a label.
-func (d *engineDrill) step(ctx context.Context, label, step, folder string, args ...string) error {
+// step runs one step in a child process and records its results under a label.
+func (d *engineMeasurement) step(ctx context.Context, label, step, folder string, args ...string) error {
 	d.progress("%s: %s %s", d.name, step, strings.Join(args, " "))
 	args = append([]string{"engine", d.name, folder, step, "--seed", fmt.Sprint(d.seed)}, args...)
 	out, err := exec.CommandContext(ctx, d.program, args...).Output()
--- a/cmd/schedbench/enginestep.go
+++ b/cmd/schedbench/enginestep.go
@@ -13,33 +13,35 @@
 	"dahliaford/internal/testcluster"
 )
 
-// engineCmd measures one engine in a process of its own, so that the memory is the engine's.
+// engineCmd is the command that runs one step of the measurement of an engine. The engines drill runs it in a
+// separate process, so that the process's peak memory is that of the engine alone.
 type engineCmd struct {
 	Name   string        `arg:""`
 	Folder string        `arg:"" type:"path"`
 	Step   string        `arg:"" enum:"accept,fill,open,churn"`
 	For    time.Duration `default:"2s"`
-	Many   int           `default:"1"`
+	Count  int           `name:"many" default:"1"` // callers of the step accept; items of fill and churn
 	Seed   uint64        `default:"1"`
 }
 
-// The steps of an engine.
+// The steps of the measurement of an engine.
 const (
-	engineAccept = "accept"
-	engineFill   = "fill"
-	engineOpen   = "open"
-	engineChurn  = "churn"
+	engineAccept = "accept" // concurrent callers store items, each of which waits for its commit
+	engineFill   = "fill"   // store many items
+	engineOpen   = "open"   // open the store that the fill step has left, and read all records
+	engineChurn  = "churn"  // store many items, and delete the oldest ones at the same rate
 )
 
 const (
-	recordSize   = 300 // bytes of an item's record: a body, names, times
-	keySize      = 8   // bytes
-	batchSize    = 2000
-	churnedItems = 100_000 // that are in the store at any time while items come and go
-	megabyte     = 1 << 20
+	recordSize     = 300     // bytes of the record of one item; it stands for a body, names and times
+	keySize        = 8       // bytes of a key
+	batchItems     = 2000    // items stored by one commit of the steps fill and churn
+	churnLiveItems = 100_000 // items that stay in the store during the step churn
+	megabyte       = 1 << 20 // bytes
 )
 
-func recordOf(random *rand.Rand) []byte {
+// randomRecord returns a record of random bytes, which compression cannot shrink.
+func randomRecord(random *rand.Rand) []byte {
 	b := make([]byte, recordSize)
 	for i := 0; i < len(b); i += 4 {
 		binary.LittleEndian.PutUint32(b[i:], random.Uint32())
@@ -47,11 +49,11 @@
 	return b
 }
 
-func keyOf(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Run takes one step, and prints its figures.
+// Run runs the step and prints its results as a line of JSON.
 func (c *engineCmd) Run() error {
 	startedAt := time.Now()
 	e, err := openEngine(c.Name, c.Folder)
@@ -63,7 +65,7 @@
 	switch c.Step {
 	case engineAccept:
 		err = c.accept(e, figures)
-	case engineFill: // and exits without closing the store, as a process that is killed
+	case engineFill: // the process exits without closing the store, like a killed process
 		err = c.fill(e, random)
 		figures["fill_s"] = time.Since(startedAt).Seconds()
 	case engineOpen:
@@ -94,12 +96,12 @@
 	return err
 }
 
-// fill stores new items only.
+// fill stores c.Count new items in batches.
 func (c *engineCmd) fill(e engine, random *rand.Rand) error {
-	for n := 0; n < c.Many; n += batchSize {
+	for n := 0; n < c.Count; n += batchItems {
 		var keys, values [][]byte
-		for i := range batchSize {
-			keys, values = append(keys, keyOf(uint64(n+i))), append(values, recordOf(random))
+		for i := range batchItems {
+			keys, values = append(keys, encodeKey(uint64(n+i))), append(values, randomRecord(random))
 		}
 		if err := e.commit(keys, values); err != nil {
 			return err
@@ -108,27 +110,29 @@
 	return nil
 }
 
-// churn stores items and deletes old ones, so that a hundred thousand are there at any time.
+// churn stores c.Count new items in batches. Each batch also deletes the oldest items, so that the store
+// holds churnLiveItems items.
 func (c *engineCmd) churn(e engine, random *rand.Rand, figures map[string]any) error {
 	n := 0
-	for ; n < c.Many; n += batchSize {
+	for ; n < c.Count; n += batchItems {
 		var keys, values [][]byte
-		for i := range batchSize {
-			keys, values = append(keys, keyOf(uint64(n+i))), append(values, recordOf(random))
-			if old := n + i - churnedItems; old >= 0 {
-				keys, values = append(keys, keyOf(uint64(old))), append(values, nil)
+		for i := range batchItems {
+			keys, values = append(keys, encodeKey(uint64(n+i))), append(values, randomRecord(random))
+			if old := n + i - churnLiveItems; old >= 0 {
+				keys, values = append(keys, encodeKey(uint64(old))), append(values, nil)
 			}
 		}
 		if err := e.commit(keys, values); err != nil {
 			return err
 		}
 	}
-	live := min(n, churnedItems) * (recordSize + keySize)
+	live := min(n, churnLiveItems) * (recordSize + keySize)
 	figures["items"], figures["live_mb"] = n, float64(live)/megabyte
 	return nil
 }
 
-// folderSize is the size in bytes of all files in a folder. A file that is deleted meanwhile does not count.
+// folderSize returns the total size of the files in a folder in bytes. A file that is deleted during the walk
+// is not counted.
 func folderSize(folder string) (size int64, err error) {
 	err = filepath.WalkDir(folder, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
@@ -142,7 +146,7 @@
 	return size, err
 }
 
-// ownPeakMemoryMB is the peak resident memory of this process; 0 if it cannot be read.
+// ownPeakMemoryMB returns the peak resident memory of this process in megabytes, or 0 if it cannot be read.
 func ownPeakMemoryMB() float64 {
 	raw, err := os.ReadFile("/proc/self/status")
 	if err != nil {
--- a/cmd/schedbench/keep.go
+++ b/cmd/schedbench/keep.go
@@ -9,32 +9,33 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// keepCmd is the process that the drill disk kills: it takes items through their lifecycle, and prints what
-// the store has confirmed, line by line.
-type keepCmd struct {
+// storeItemsCmd is the command that the disk drill runs and kills. It takes items through their lifecycle in
+// a store. When the store confirms a step, the command prints a line with the item's number and the step.
+type storeItemsCmd struct {
 	File string `arg:"" type:"path"`
 	From int    `arg:"" help:"The number of the first item."`
 }
 
+// itemsInFlight is the number of items that are stored concurrently.
 const itemsInFlight = 16
 
-// itemStep is how far an item has come in its lifecycle.
+// itemStep is a step in the lifecycle of an item. The steps are numbered from 1.
 type itemStep int
 
 const (
 	stepAccepted itemStep = iota + 1
 	stepRouted
-	stepEnded
+	stepAttemptEnded
 	stepAnswered
 
 	lastStep = stepAnswered
 )
 
-// unlimited is a time that does not come.
-const unlimited = 1 << 60
+// farFuture is a point in time that no run reaches. It is used for deadlines and for the end of retention.
+const farFuture = 1 << 60
 
-// stepOf is the step that a stored item has reached.
-func stepOf(it *lifecycle.Item) int {
+// reachedStep returns the number of the last lifecycle step that a stored item has completed.
+func reachedStep(it *lifecycle.Item) int {
 	steps := 1 + len(it.Attempts)
 	if len(it.Attempts) > 0 && !it.Outstanding() {
 		steps++
@@ -45,18 +46,18 @@
 	return steps
 }
 
-// Run goes on until it is killed, or exits at the first error of the store.
-func (c *keepCmd) Run() error {
+// Run stores items until the process is killed. At the first error of the store it exits with exitFailed.
+func (c *storeItemsCmd) Run() error {
 	s, err := store.Open(store.Config{Path: c.File})
 	if err != nil {
 		return err
 	}
-	k := keeper{store: s}
+	w := itemWriter{store: s}
 	var all sync.WaitGroup
 	for i := range itemsInFlight {
 		all.Go(func() {
 			for n := c.From + i; ; n += itemsInFlight {
-				if err := k.keepItem(n); err != nil {
+				if err := w.storeItem(n); err != nil {
 					fmt.Fprintln(os.Stderr, err)
 					os.Exit(exitFailed)
 				}
@@ -67,50 +68,50 @@
 	return nil
 }
 
-// keeper stores items.
-type keeper struct {
+// itemWriter stores items and prints each confirmed step.
+type itemWriter struct {
 	store *store.Store
-	out   sync.Mutex
+	out   sync.Mutex // serializes the lines on standard output
 }
 
-// keepItem takes one item through its lifecycle.
-func (k *keeper) keepItem(n int) error {
-	it := &lifecycle.Item{ID: fmt.Sprint(n), Class: "post-reading", Body: make([]byte, 200), Deadline: unlimited}
+// storeItem takes one item through its lifecycle and stores each step.
+func (w *itemWriter) storeItem(n int) error {
+	it := &lifecycle.Item{ID: fmt.Sprint(n), Class: "post-reading", Body: make([]byte, 200), Deadline: farFuture}
 	for step := stepAccepted; step <= lastStep; step++ {
 		if err := applyStep(it, step); err != nil {
 			return err
 		}
-		if err := k.put(it, step); err != nil {
+		if err := w.put(it, step); err != nil {
 			return err
 		}
-		k.out.Lock()
+		w.out.Lock()
 		fmt.Println(n, int(step))
-		k.out.Unlock()
+		w.out.Unlock()
 	}
 	return nil
 }
 
-// applyStep changes the item as a step does.
+// applyStep applies the lifecycle event of a step to an item.
 func applyStep(it *lifecycle.Item, step itemStep) error {
 	switch step {
 	case stepRouted:
 		return it.Apply(lifecycle.Event{Kind: lifecycle.Routed, At: 1, Worker: "s-1"})
-	case stepEnded:
+	case stepAttemptEnded:
 		return it.Apply(lifecycle.Event{Kind: lifecycle.AttemptEnded, At: 2, Outcome: lifecycle.Done,
 			Result: it.Body})
 	case stepAnswered:
 		return it.Apply(lifecycle.Event{Kind: lifecycle.Answered, At: 3, Verdict: lifecycle.Served,
-			KeepUntil: unlimited})
+			KeepUntil: farFuture})
 	default:
-		return nil // an item is accepted as it is made
+		return nil // a new item is already in the accepted state
 	}
 }
 
-// put stores the item and waits until the store has confirmed that.
-func (k *keeper) put(it *lifecycle.Item, step itemStep) error {
-	put := k.store.Update
+// put stores the state of an item and waits until the store confirms the write.
+func (w *itemWriter) put(it *lifecycle.Item, step itemStep) error {
+	put := w.store.Update
 	if step == stepAccepted {
-		put = k.store.Accept
+		put = w.store.Accept
 	}
 	done := make(chan error, 1)
 	if err := put(store.Change{Item: it, Done: func(err error) { done <- err }}); err != nil {
--- a/cmd/schedbench/main.go
+++ b/cmd/schedbench/main.go
@@ -1,5 +1,5 @@
-// Command schedbench checks and measures dahliaford: it explores its states, runs drills against it and
-// measures fleets. It serves nobody.
+// Command schedbench checks and measures the dahliaford scheduler. It runs the model checker on the reducer,
+// runs drills with injected faults, and measures simulated fleets. It does not serve client traffic.
 package main
 
 import (
@@ -10,38 +10,39 @@
 	"github.com/alecthomas/kong"
 )
 
-// The exit statuses.
+// The exit statuses of the program.
 const (
 	exitOK        = 0
-	exitFailed    = 1 // it could not be done
-	exitUsage     = 2
-	exitViolation = 3 // a property was violated
+	exitFailed    = 1 // the command could not be completed
+	exitUsage     = 2 // the command line is invalid
+	exitViolation = 3 // a checked property was violated
 )
 
-// commands is the command line. The hidden commands after Regress are former names, kept as aliases.
+// commands is the command line. Explore and Fit are hidden aliases under the former names of two commands.
+// Keep and Engine are hidden commands that drills run as child processes.
 type commands struct {
 	ModelCheck modelCheckCmd `cmd:"" name:"modelcheck" help:"Explore a small world in every order of events."`
-	Drill      drillCmd      `cmd:"" help:"Run a drill: bounded in time, with figures as its last line."`
-	Scale      scaleCmd      `cmd:"" help:"Run a simulated fleet at size in virtual time."`
-	Regress    regressCmd    `cmd:"" help:"Fit how benchmarks grow with the size in their names."`
+	Drill      drillCmd      `cmd:"" help:"Run a drill; its last line is the results as JSON."`
+	Scale      scaleCmd      `cmd:"" help:"Run a large simulated fleet in virtual time."`
+	Regress    regressCmd    `cmd:"" help:"Fit the growth of benchmark results with the size in names."`
 
 	Explore modelCheckCmd `cmd:"" hidden:"" help:"The former name of modelcheck."`
 	Fit     regressCmd    `cmd:"" hidden:"" help:"The former name of regress."`
 
-	Keep   keepCmd   `cmd:"" hidden:"" help:"The process that the drill disk kills."`
-	Engine engineCmd `cmd:"" hidden:"" help:"One step of the drill engines."`
+	Keep   storeItemsCmd `cmd:"" hidden:"" help:"Store items until killed; the disk drill runs this command."`
+	Engine engineCmd     `cmd:"" hidden:"" help:"Run one step of the engines drill."`
 }
 
-// exitError ends the program with a status of its own.
+// exitError is an error that makes the program exit with the given status.
 type exitError struct {
 	status int
-	text   string // "": nothing is printed
+	text   string // the message for standard error; if it is empty, nothing is printed
 }
 
-// Error returns the text.
+// Error returns the message that is printed to standard error.
 func (e exitError) Error() string { return e.text }
 
-// usageError ends the program with exitUsage and one line.
+// usageError returns an error that makes the program print one line and exit with exitUsage.
 func usageError(format string, args ...any) error {
 	return exitError{exitUsage, fmt.Sprintf(format, args...)}
 }
@@ -51,18 +52,18 @@
 // run runs the command line and returns the exit status.
 func run(args []string) int {
 	var c commands
-	ended := -1
+	helpStatus := -1
 	parser, err := kong.New(&c, kong.Name("schedbench"), kong.UsageOnError(),
 		kong.Description("Checks and measures dahliaford."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
-		kong.Exit(func(code int) { ended = code }))
+		kong.Exit(func(code int) { helpStatus = code }))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "schedbench:", err)
 		return exitFailed
 	}
 	ctx, err := parser.Parse(args)
-	if ended >= 0 {
-		return ended // help was asked for
+	if helpStatus >= 0 {
+		return helpStatus // kong has printed the help text
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "schedbench:", err)
--- a/cmd/schedbench/main_test.go
+++ b/cmd/schedbench/main_test.go
@@ -11,7 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// runCommand runs the command line and returns its status and what it printed.
+// runCommand runs the command line. It returns the exit status and the contents of standard output and
+// standard error.
 func runCommand(t *testing.T, args ...string) (status int, out, errors string) {
 	t.Helper()
 	stdout, stderr := os.Stdout, os.Stderr
@@ -41,7 +42,8 @@
 	return status, o(), e()
 }
 
-// A usage error is one clear line and status 2.
+// TestUsageErrors checks that an invalid command line prints one line that names the error, and exits with
+// status 2.
 func TestUsageErrors(t *testing.T) {
 	foreign := filepath.Join(t.TempDir(), "foreign.json")
 	if err := os.WriteFile(foreign, []byte(`{"a":1}`), 0o666); err != nil {
@@ -49,7 +51,7 @@
 	}
 	for _, c := range []struct{ args, want string }{
 		{"modelcheck --world nowhere", `unknown world "nowhere": there are attempt, keyed`},
-		{"modelcheck --budget 0s", "--budget must be longer than nothing"},
+		{"modelcheck --budget 0s", "--budget must be longer than 0s"},
 		{"modelcheck --budget soon", "--budget"},
 		{"modelcheck --parallel=-1", "--parallel must not be negative"},
 		{"modelcheck --replay " + foreign, "not a trace"},
@@ -57,22 +59,24 @@
 		{"explore --world nowhere", `unknown world "nowhere": there are attempt, keyed`},
 		{"regress", `expected "<files>`},
 		{"fit", `expected "<files>`},
-		{"drill nothing", `unknown drill "nothing": there are attempt`},
-		{"drill mutants --for 0s", "--for must be longer than nothing"},
-		{"drill planted --for 0s", "--for must be longer than nothing"},
+		{"drill nothing", `unknown drill "nothing": want one of attempt`},
+		{"drill mutants --for 0s", "--for must be longer than 0s"},
+		{"drill planted --for 0s", "--for must be longer than 0s"},
 		{"fly", "unexpected argument fly"},
 	} {
 		t.Run(c.args, func(t *testing.T) {
 			status, _, stderr := runCommand(t, strings.Fields(c.args)...)
 			lines := strings.Split(strings.TrimSpace(stderr), "\n")
 			if status != exitUsage || len(lines) != 1 || !strings.Contains(lines[0], c.want) {
-				t.Errorf("status %d, %q; want one line with %q", status, stderr, c.want)
+				t.Errorf("got status %d and standard error %q, want the usage status and one line with %q", status,
+					stderr, c.want)
 			}
 		})
 	}
 }
 
-// The former names of commands do what the present ones do, and are not in the help.
+// TestFormerCommandNames checks that the former names of commands and drills work like the present names, and
+// that the help lists only the present names of commands.
 func TestFormerCommandNames(t *testing.T) {
 	folder := t.TempDir()
 	for former, present := range map[string]string{"explore": "modelcheck"} {
@@ -80,36 +84,36 @@
 		for _, name := range []string{former, present} {
 			status, out, _ := runCommand(t, name, "--world", "turned", "--faults", "1", "--out", folder)
 			if status != exitOK {
-				t.Fatalf("%s: status %d: %s", name, status, out)
+				t.Fatalf("command %s: got status %d with output %s, want success", name, status, out)
 			}
 			s := lastSummary(t, out)
-			s.Seconds, s.PerSecond, s.Depth = 0, 0, 0 // those that parallel searches do not share
+			s.Seconds, s.PerSecond, s.Depth = 0, 0, 0 // these differ between runs of a parallel search
 			summaries = append(summaries, s)
 		}
 		if diff := cmp.Diff(summaries[1], summaries[0]); diff != "" {
-			t.Errorf("%s is not %s: %s", former, present, diff)
+			t.Errorf("summaries of %s and %s differ (-present +former): %s", former, present, diff)
 		}
 	}
-	if d, err := drillByName("planted"); err != nil || d.about != drills["mutants"].about {
-		t.Errorf("drill planted is %q, %v", d.about, err)
+	if d, err := drillByName("planted"); err != nil || d.description != drills["mutants"].description {
+		t.Errorf("drill planted: got drill %q, error %v, want the drill mutants", d.description, err)
 	}
 	status, help, _ := runCommand(t, "--help")
 	if status != exitOK {
-		t.Fatalf("--help: status %d", status)
+		t.Fatalf("--help: got status %d, want success", status)
 	}
 	for _, former := range []string{"explore", "fit"} {
 		if strings.Contains(help, "\n  "+former+" ") {
-			t.Errorf("the help lists %s: %s", former, help)
+			t.Errorf("the help lists the former command name %s: %s", former, help)
 		}
 	}
 	for _, present := range []string{"modelcheck", "regress"} {
 		if !strings.Contains(help, "\n  "+present+" ") {
-			t.Errorf("the help does not list %s: %s", present, help)
+			t.Errorf("the help does not list the command %s: %s", present, help)
 		}
 	}
 }
 
-// lastSummary reads the last line of what a search printed.
+// lastSummary returns the summary in the last line that a search printed.
 func lastSummary(t *testing.T, out string) searchSummary {
 	t.Helper()
 	lines := strings.Split(strings.TrimSpace(out), "\n")
@@ -120,32 +124,37 @@
 	return s
 }
 
-// The last line is the summary, and a counterexample has status 3 and a trace that replays.
+// TestModelCheck checks the output and the exit statuses of modelcheck: the summary in the last line, a
+// violation with a trace that violates the property again when replayed, an exhaustive search without a
+// violation, a random walk, and the list of worlds. It also checks the list of drills.
 func TestModelCheck(t *testing.T) {
 	folder := t.TempDir()
 	status, out, _ := runCommand(t, "modelcheck", "--world", "hole", "--out", folder)
 	s := lastSummary(t, out)
 	if status != exitViolation || s.Violations != 1 || s.Property != "called-back" || s.Exhausted {
-		t.Fatalf("status %d: %s", status, out)
+		t.Fatalf("search of the world hole: got status %d with output %s; want a violation of called-back",
+			status, out)
 	}
 	status, out, _ = runCommand(t, "modelcheck", "--replay", s.Trace)
 	if status != exitViolation || !strings.Contains(out, "broken: called-back") {
-		t.Errorf("status %d: %s", status, out)
+		t.Errorf("replay of the trace: got status %d with output %s; want a replay that violates called-back",
+			status, out)
 	}
 	status, out, _ = runCommand(t, "modelcheck", "--world", "turned", "--coverage", "--out", folder)
 	if s = lastSummary(t, out); status != exitOK || !s.Exhausted || s.States < 1000 || s.Violations != 0 ||
 		len(s.Uncovered) == 0 {
-		t.Errorf("status %d: %s", status, out)
+		t.Errorf("world turned: got status %d with output %s; want exhausted, no violation, some uncovered",
+			status, out)
 	}
 	status, out, _ = runCommand(t, "modelcheck", "--walk", "--budget", "200ms", "--out", folder)
 	if s = lastSummary(t, out); status != exitOK || s.World != "large" || s.States == 0 {
-		t.Errorf("status %d: %s", status, out)
+		t.Errorf("random walk: got status %d with output %s; want a walk through the world large", status, out)
 	}
 	if status, out, _ = runCommand(t, "modelcheck", "--list"); status != exitOK || !strings.Contains(out,
 		"one-final-answer") {
-		t.Errorf("status %d: %s", status, out)
+		t.Errorf("list of worlds: got status %d with output %s; want a list with one-final-answer", status, out)
 	}
 	if status, out, _ = runCommand(t, "drill"); status != exitOK || !strings.Contains(out, "mutants") {
-		t.Errorf("status %d: %s", status, out)
+		t.Errorf("list of drills: got status %d with output %s; want a list with mutants", status, out)
 	}
 }
--- a/cmd/schedbench/modelcheck.go
+++ b/cmd/schedbench/modelcheck.go
@@ -13,33 +13,36 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// modelCheckCmd explores a world of the model checker, walks one, lists them, or replays a trace.
+// modelCheckCmd is the command that runs the model checker. A world is a small configuration of clients,
+// schedulers and workers with a set of possible faults. The command explores all states of a world, takes
+// random walks through a large world, lists the worlds, or replays a trace.
 type modelCheckCmd struct {
 	World    string        `help:"The world to explore (see --list)." default:"attempt"`
-	Budget   time.Duration `help:"Longest time to go on, for example 45s; left out: to the end." default:"-1ns"`
-	Seed     uint64        `help:"Seed of a walk." default:"1"`
+	Budget   time.Duration `help:"Maximum duration of the search, such as 45s; default: none." default:"-1ns"`
+	Seed     uint64        `help:"Seed of the random walk." default:"1"`
 	Out      string        `help:"Folder for the trace of a counterexample." default:"found" type:"path"`
 	List     bool          `help:"List the worlds and the properties."`
-	Replay   string        `help:"Replay a trace, step by step." placeholder:"TRACE" type:"path"`
-	Walk     bool          `help:"Take long random paths through a larger world; --world large-NAME: its rules."`
-	Requests int           `help:"So many requests instead of the world's own." default:"0"`
-	Workers  int           `help:"So many workers instead of the world's own." default:"0"`
-	Faults   int           `help:"So many faults in all instead of the world's own." default:"-1"`
-	Parallel int           `help:"How many goroutines search; 0: one for each core." default:"0"`
-	Engine   string        `help:"The way states are made." enum:"copy,replay" default:"copy"`
-	Coverage bool          `help:"Print the table of events by stages of an attempt."`
+	Replay   string        `help:"Replay a trace step by step." placeholder:"TRACE" type:"path"`
+	Walk     bool          `help:"Walk a large world at random; --world large-NAME selects another one."`
+	Requests int           `help:"Number of requests; 0: the world's own." default:"0"`
+	Workers  int           `help:"Number of workers; 0: the world's own." default:"0"`
+	Faults   int           `help:"Maximum number of faults in all; -1: the world's own." default:"-1"`
+	Parallel int           `help:"Number of goroutines that search; 0: one for each core." default:"0"`
+	Engine   string        `help:"Make states by copying or by replaying." enum:"copy,replay" default:"copy"`
+	Coverage bool          `help:"Print the counts of events by the stage of an attempt."`
 }
 
-// noBudget is the value of --budget when it is left out.
-const noBudget = time.Duration(-1)
+// unlimitedBudget is the default of --budget. The search then has no time limit.
+const unlimitedBudget = time.Duration(-1)
 
-// States are many and short-lived: the collector may let them pile up.
+// Settings of the garbage collector for a search. A search allocates many short-lived states, so rare
+// collections make it faster.
 const (
-	searchGCPercent = 600
-	searchMemory    = 12 << 30 // where the collector begins to work harder, in bytes
+	searchGCPercent   = 600
+	searchMemoryLimit = 12 << 30 // soft limit in bytes, near which the garbage collector runs more often
 )
 
-// Run explores, walks, lists or replays, by the flags.
+// Run explores, walks, lists or replays, as the flags select.
 func (c *modelCheckCmd) Run() error {
 	switch {
 	case c.List:
@@ -47,8 +50,8 @@
 		return nil
 	case c.Replay != "":
 		return replayTrace(c.Replay)
-	case c.Budget == 0 || c.Budget < noBudget:
-		return usageError("--budget must be longer than nothing")
+	case c.Budget == 0 || c.Budget < unlimitedBudget:
+		return usageError("--budget must be longer than 0s")
 	case c.Parallel < 0:
 		return usageError("--parallel must not be negative")
 	}
@@ -57,7 +60,7 @@
 		return usageError("%v", err)
 	}
 	debug.SetGCPercent(searchGCPercent)
-	debug.SetMemoryLimit(searchMemory)
+	debug.SetMemoryLimit(searchMemoryLimit)
 	ctx, cancel := context.WithCancel(context.Background())
 	if c.Budget > 0 {
 		ctx, cancel = context.WithTimeout(ctx, c.Budget)
@@ -71,8 +74,9 @@
 	return c.report(cfg, result, time.Since(began))
 }
 
-// config is the world that is explored. A walk goes through the large one unless --world names another whose
-// name begins like its own: one of WalkedWorlds, or the large one with the rules of another.
+// config returns the world that the command explores. A walk takes the large world unless --world is that
+// world's name followed by a hyphen and a suffix. Such a name selects one of WalkedWorlds, or the large world
+// with the rules of another world.
 func (c *modelCheckCmd) config() (*modelcheck.Config, error) {
 	if c.Walk {
 		large := modelcheck.LargeWorld()
@@ -88,7 +92,7 @@
 	return cfg.Resize(c.Requests, c.Workers, c.Faults)
 }
 
-// search explores or walks a world. It shows its progress on a terminal.
+// search explores or walks a world. It shows its progress if standard error is a terminal.
 func (c *modelCheckCmd) search(ctx context.Context, cfg *modelcheck.Config) (*modelcheck.Result, error) {
 	opt := modelcheck.Options{Parallel: c.Parallel, ReplayStates: c.Engine == "replay"}
 	if isatty.IsTerminal(os.Stderr.Fd()) {
--- a/cmd/schedbench/modelcheck_report.go
+++ b/cmd/schedbench/modelcheck_report.go
@@ -11,7 +11,7 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// searchSummary is the last line on standard output.
+// searchSummary is the result of a search. It is printed as JSON in the last line of standard output.
 type searchSummary struct {
 	World       string   `json:"world"`
 	States      int64    `json:"states"`
@@ -26,8 +26,8 @@
 	Uncovered   []string `json:"missed,omitempty"`
 }
 
-// report prints the outcome: a table, the violation, and then the summary. It returns an error with
-// exitViolation if there is a violation.
+// report prints the result of a search: the coverage table if --coverage is set, the violation if there is
+// one, and then the summary. It returns an error with exitViolation if there is a violation.
 func (c *modelCheckCmd) report(cfg *modelcheck.Config, r *modelcheck.Result, took time.Duration) error {
 	s := searchSummary{World: r.World, States: r.States, Transitions: r.Transitions, Depth: r.Depth,
 		Exhausted: r.Exhausted, Seconds: took.Seconds(), PerSecond: float64(r.States) / took.Seconds()}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// writeTrace writes a trace into the folder of --out and returns its path.
+// writeTrace writes a trace to a file in the folder of --out and returns the path of the file.
 func (c *modelCheckCmd) writeTrace(trace *modelcheck.Trace) (string, error) {
 	raw, err := json.MarshalIndent(trace, "", "  ")
 	if err != nil {
@@ -68,7 +68,7 @@
 	return path, os.WriteFile(path, append(raw, '\n'), 0o666)
 }
 
-// listWorlds prints the worlds and the properties.
+// listWorlds prints the worlds and the checked properties, each with a description.
 func listWorlds() {
 	var table [][]string
 	for _, c := range slices.Concat(modelcheck.Worlds(), modelcheck.WalkedWorlds()) {
@@ -81,7 +81,8 @@
 	printTable(os.Stdout, table)
 }
 
-// replayTrace replays a trace, and prints an account of it.
+// replayTrace replays the trace in a file and prints each step. It returns an error with exitViolation if the
+// replay violates a property.
 func replayTrace(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -91,16 +92,16 @@
 	if err != nil {
 		return usageError("%s: %v", path, err)
 	}
-	fmt.Printf("world %s; the trace says: %s: %s\n", trace.World, trace.Property, trace.Text)
+	fmt.Printf("world %s; recorded violation: %s: %s\n", trace.World, trace.Property, trace.Text)
 	result, err := trace.Replay(func(line string) { fmt.Println(line) })
 	if err != nil {
 		return err
 	}
 	switch {
 	case result.DivergedAt > 0:
-		fmt.Printf("the code no longer does what the trace says: step %d cannot be taken\n", result.DivergedAt)
+		fmt.Printf("the code no longer follows the trace: step %d is not possible\n", result.DivergedAt)
 	case result.Violation == nil:
-		fmt.Println("the code no longer does what the trace says: nothing breaks")
+		fmt.Println("the code no longer shows the recorded violation: the replay violates no property")
 	default:
 		fmt.Printf("broken: %v\n", result.Violation)
 		return exitError{status: exitViolation}
--- a/cmd/schedbench/mutants.go
+++ b/cmd/schedbench/mutants.go
@@ -16,31 +16,32 @@
 	"dahliaford/internal/modelcheck/mutants"
 )
 
-// mutantBudget is how long a mutant is searched for a violation, in its own world.
-const mutantBudget = 60 * time.Second
+// mutantSearchBudget is the maximum duration of the search of a mutant in its own world.
+const mutantSearchBudget = 60 * time.Second
 
-// A mutant that must show in its own world alone is also searched in each world that has the usual settings:
-// for elsewhereBudget, with elsewhereFaults faults at most.
+// A mutant with OnlyInWorld set must be found only in its own world. The drill also searches it in each world
+// with the default rules, to check that no violation is found there.
 const (
-	elsewhereBudget = 2 * time.Second
-	elsewhereFaults = 2
+	otherWorldBudget    = 2 * time.Second // maximum duration of the search in one world
+	otherWorldMaxFaults = 2               // limit on the faults in such a search
 )
 
-// mutantDrill builds this program with each mutant, and lets it search the world in which the fault must
-// show. It runs in the root of the repository and needs Go.
-func mutantDrill(ctx context.Context, _ uint64, say progressFunc) (*report, error) {
+// runMutantDrill builds this program once with each mutant, a seeded fault in the source. Each build searches
+// the world in which the model checker must find the fault. The drill must run in the root of the repository,
+// and needs the go command.
+func runMutantDrill(ctx context.Context, _ uint64, progress progressFunc) (*report, error) {
 	root, err := os.Getwd()
 	if err != nil {
 		return nil, err
 	}
 	if _, err := os.Stat(filepath.Join(root, "go.mod")); err != nil {
-		return nil, errors.New("the drill runs in the root of the repository")
+		return nil, errors.New("no go.mod in the current folder: run the drill in the root of the repository")
 	}
 	r := &report{ok: true, table: [][]string{{"fault", "in", "what", "world", "property", "steps", "states",
 		"seconds", "elsewhere"}}}
 	found, all := 0, mutants.All()
 	for _, m := range all {
-		say("%s ...", m.Name)
+		progress("%s ...", m.Name)
 		outcome, err := checkMutant(ctx, root, m)
 		if err != nil {
 			return nil, fmt.Errorf("mutant %s: %w", m.Name, err)
@@ -50,63 +51,65 @@
 		} else {
 			r.ok = false
 		}
-		r.table = append(r.table, outcome.line())
+		r.table = append(r.table, outcome.row())
 	}
 	r.figures = map[string]any{"planted": len(all), "found": found}
 	return r, nil
 }
 
-// mutantOutcome is what became of a mutant.
+// mutantOutcome is the result of the searches of a mutant.
 type mutantOutcome struct {
-	mutant    mutants.Mutant
-	search    searchSummary
-	steps     int // of the trace
-	elsewhere elsewhere
+	mutant      mutants.Mutant
+	search      searchSummary
+	steps       int // number of steps in the trace of the violation
+	otherWorlds otherWorlds
 }
 
-// asExpected reports whether the mutant was found by a property that it may violate, and not elsewhere if it
-// must show in its own world alone.
+// asExpected reports whether the search found a violation of a property that the mutant is expected to
+// violate, and the searches in other worlds found no violation.
 func (o mutantOutcome) asExpected() bool {
 	return o.search.Violations > 0 && strings.Contains(o.mutant.Violates, o.search.Property) &&
-		len(o.elsewhere.found) == 0
+		len(o.otherWorlds.foundIn) == 0
 }
 
-// line is the outcome's line in the table.
-func (o mutantOutcome) line() []string {
-	property, steps, elsewhere := "not found", "", ""
+// row returns the mutant's row of the drill's table.
+func (o mutantOutcome) row() []string {
+	property, steps, otherWorlds := "not found", "", ""
 	if o.search.Violations > 0 {
 		property, steps = o.search.Property, strconv.Itoa(o.steps)
 	}
 	if o.mutant.OnlyInWorld {
-		elsewhere = o.elsewhere.String()
+		otherWorlds = o.otherWorlds.String()
 	}
 	return []string{o.mutant.Name, strings.Join(o.mutant.Files(), ", "), o.mutant.About, o.mutant.World,
-		property, steps, strconv.FormatInt(o.search.States, 10), fmt.Sprintf("%.2f", o.search.Seconds), elsewhere}
+		property, steps, strconv.FormatInt(o.search.States, 10), fmt.Sprintf("%.2f", o.search.Seconds), otherWorlds}
 }
 
-// elsewhere is what became of a mutant in the worlds with the usual settings.
-type elsewhere struct {
-	worlds int
-	states int64
-	found  []string // the worlds in which it was found all the same
+// otherWorlds is the result of the searches of a mutant in the worlds with the default rules.
+type otherWorlds struct {
+	worlds  int      // number of worlds searched
+	states  int64    // number of states searched in all worlds
+	foundIn []string // the worlds in which a violation was found
 }
 
-// String says where it was found, or in how much it was not.
-func (e elsewhere) String() string {
-	if len(e.found) > 0 {
-		return "found in " + strings.Join(e.found, ", ")
+// String names the worlds in which a violation was found. If there is none, it returns the numbers of worlds
+// and states that were searched.
+func (e otherWorlds) String() string {
+	if len(e.foundIn) > 0 {
+		return "found in " + strings.Join(e.foundIn, ", ")
 	}
 	return fmt.Sprintf("in none of %d worlds, %d states", e.worlds, e.states)
 }
 
-// checkMutant builds a mutant, searches it, and has the trace replayed by the same build.
+// checkMutant builds this program with a mutant and searches for a violation. If it finds one, it replays the
+// trace with the same build.
 func checkMutant(ctx context.Context, root string, m mutants.Mutant) (mutantOutcome, error) {
 	o := mutantOutcome{mutant: m}
 	folder, err := os.MkdirTemp("", "mutant")
 	if err != nil {
 		return o, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a leftover in the temporary folder does no harm
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder is harmless
 	build, err := buildMutant(ctx, root, folder, m)
 	if err != nil {
 		return o, err
@@ -115,11 +118,11 @@
 	if m.Walk {
 		walk = []string{"--walk"}
 	}
-	if o.search, err = build.search(ctx, m.World, mutantBudget, walk...); err != nil {
+	if o.search, err = build.search(ctx, m.World, mutantSearchBudget, walk...); err != nil {
 		return o, err
 	}
 	if m.OnlyInWorld {
-		if o.elsewhere, err = build.searchElsewhere(ctx); err != nil {
+		if o.otherWorlds, err = build.searchOtherWorlds(ctx); err != nil {
 			return o, err
 		}
 	}
@@ -129,12 +132,13 @@
 	return o, err
 }
 
-// mutantBuild is this program, built with a mutant.
+// mutantBuild is a build of this program with a mutant.
 type mutantBuild struct {
-	program string
-	folder  string // for traces
+	program string // path of the executable
+	folder  string // the folder that traces are written to
 }
 
+// buildMutant builds this program with a mutant into a folder.
 func buildMutant(ctx context.Context, root, folder string, m mutants.Mutant) (mutantBuild, error) {
 	b := mutantBuild{program: filepath.Join(folder, "schedbench"), folder: folder}
 	overlay, err := m.Overlay(root, folder)
@@ -149,7 +153,7 @@
 	return b, nil
 }
 
-// search explores one world.
+// search runs the model checker of the build on a world and returns its summary.
 func (b mutantBuild) search(ctx context.Context, world string, budget time.Duration,
 	more ...string) (searchSummary, error) {
 	args := append([]string{"modelcheck", "--world", world, "--out", b.folder, "--budget", budget.String()},
@@ -166,28 +170,30 @@
 	return s, nil
 }
 
-// searchElsewhere explores all worlds that have the usual settings.
-func (b mutantBuild) searchElsewhere(ctx context.Context) (elsewhere, error) {
-	var e elsewhere
+// searchOtherWorlds searches all worlds with the default rules.
+func (b mutantBuild) searchOtherWorlds(ctx context.Context) (otherWorlds, error) {
+	var e otherWorlds
 	for _, c := range modelcheck.Worlds() {
-		if c.Rules != (modelcheck.Rules{}) || c.DeleteOvertakesRequest { // the hole is known to break
+		if c.Rules != (modelcheck.Rules{}) || c.DeleteOvertakesRequest {
+			// Where a DELETE may overtake its request, a violation is found without a mutant, too.
 			continue
 		}
-		faults := strconv.Itoa(min(elsewhereFaults, int(c.MaxFaults)))
-		s, err := b.search(ctx, c.Name, elsewhereBudget, "--faults", faults)
+		faults := strconv.Itoa(min(otherWorldMaxFaults, int(c.MaxFaults)))
+		s, err := b.search(ctx, c.Name, otherWorldBudget, "--faults", faults)
 		if err != nil {
 			return e, err
 		}
 		e.worlds++
 		e.states += s.States
 		if s.Violations > 0 {
-			e.found = append(e.found, c.Name)
+			e.foundIn = append(e.foundIn, c.Name)
 		}
 	}
 	return e, nil
 }
 
-// replay replays a trace, which must violate its property again, and returns the number of its steps.
+// replay replays a trace with the build and returns the number of steps in the trace. It returns an error
+// unless the replay violates a property.
 func (b mutantBuild) replay(ctx context.Context, path string) (steps int, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -199,7 +205,7 @@
 	}
 	err = exec.CommandContext(ctx, b.program, "modelcheck", "--replay", path).Run()
 	if !endedWithViolation(err) {
-		return 0, errors.New("its trace does not violate the property again")
+		return 0, errors.New("the replay of the trace does not violate a property")
 	}
 	return len(trace.Steps), nil
 }
--- a/cmd/schedbench/regress.go
+++ b/cmd/schedbench/regress.go
@@ -16,13 +16,13 @@
 	"dahliaford/internal/regression"
 )
 
-// regressCmd fits how the figures of benchmarks grow with the size in their names.
+// regressCmd is the command that fits growth models to the results of benchmarks whose names contain a size.
 type regressCmd struct {
 	Files []string `arg:"" type:"existingfile" help:"Output of go test -bench, sizes in names: '7200 workers'."`
-	Chart string   `help:"Draw the series whose name holds TEXT into a file: TEXT=FILE.svg."`
+	Chart string   `help:"Draw the series whose names contain TEXT: TEXT=FILE.svg."`
 }
 
-// Run prints a table of the fits, and draws a chart if one is asked for.
+// Run prints a table of the fits, and draws a chart if --chart is set.
 func (c *regressCmd) Run() error {
 	var all seriesList
 	for _, path := range c.Files {
@@ -31,7 +31,7 @@
 		}
 	}
 	if len(all) == 0 {
-		return usageError("no benchmark with a size in its name")
+		return usageError("no benchmark result with a size in its name")
 	}
 	if err := printFits(os.Stdout, all); err != nil {
 		return err
@@ -41,27 +41,29 @@
 	}
 	text, path, ok := strings.Cut(c.Chart, "=")
 	if !ok {
-		return usageError("chart %q is not TEXT=FILE", c.Chart)
+		return usageError("--chart %q must have the form TEXT=FILE", c.Chart)
 	}
 	return drawSeries(path, text, all)
 }
 
+// readFile adds the metrics of the benchmarks in a file.
 func (all *seriesList) readFile(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file is only read, so Close loses no data
 	return all.read(f)
 }
 
-const fitsHead = "| figure | at the sizes | runs, spread | grows as | base + rate x law | " +
+// fitTableHead is the head of the Markdown table of fits.
+const fitTableHead = "| figure | at the sizes | runs, spread | grows as | base + rate x law | " +
 	"worst residual n, n log n, n² |\n| --- | --- | --- | --- | --- | --- |\n"
 
-// printFits writes a table in Markdown, a row a figure.
+// printFits writes a Markdown table with a row for each series.
 func printFits(w io.Writer, all seriesList) error {
 	var table strings.Builder
-	table.WriteString(fitsHead)
+	table.WriteString(fitTableHead)
 	for _, s := range all {
 		writeFit(&table, s)
 	}
@@ -69,7 +71,8 @@
 	return err
 }
 
-// writeFit writes the row of one figure.
+// writeFit writes the row of one series: its mean at each size, the best growth model, and the largest
+// relative residual of each model.
 func writeFit(table *strings.Builder, s *series) {
 	r, err := regression.Fit(s.points)
 	var means []string
@@ -81,7 +84,7 @@
 	fmt.Fprintf(table, "| %s, %s | %s | %d, ±%.0f%% | ", s.title(), s.unit, strings.Join(means, "; "), runs,
 		50*r.Spread)
 	if errors.Is(err, regression.ErrNotEnoughSizes) {
-		fmt.Fprintf(table, "%d sizes, not told | | |\n", len(r.Points))
+		fmt.Fprintf(table, "%d sizes, too few to fit | | |\n", len(r.Points))
 		return
 	}
 	best := r.Curves[r.Best]
@@ -97,11 +100,11 @@
 		strings.Join(residuals, ", "))
 }
 
-// drawSeries draws the series whose names contain a text, each as multiples of its value at the smallest
-// size.
+// drawSeries draws a chart of the series whose names or units contain a text. Both axes are logarithmic. The
+// values of a series are drawn relative to its mean at the smallest size.
 func drawSeries(path, text string, all seriesList) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = text, "size", "times the smallest size's"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = text, "size", "relative to the smallest size"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	p.Legend.Top, p.Legend.Left = true, true
@@ -116,7 +119,7 @@
 		}
 	}
 	if len(args) == 0 {
-		return usageError("no series holds %q", text)
+		return usageError("no series has %q in its name and values at two sizes", text)
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
 		return err
@@ -124,8 +127,8 @@
 	return p.Save(20*vg.Centimeter, 12*vg.Centimeter, filepath.Clean(path))
 }
 
-// relativePoints are the means by size, as multiples of the first that is not 0. Values of 0 and below have
-// no place on a logarithmic scale and are left out.
+// relativePoints returns the mean at each size, divided by the mean at the smallest size where the mean is
+// not 0. It omits means of 0 and below, which a logarithmic axis cannot show.
 func (s *series) relativePoints() (points plotter.XYs) {
 	first := 0.0
 	for _, p := range regression.Sorted(s.points) {
--- a/cmd/schedbench/regress_test.go
+++ b/cmd/schedbench/regress_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The output of benchmarks becomes one row a figure; sizes and repeats are found in their names.
+// TestRegressReadsBenchmarks checks that readers find the size in a benchmark's name, group repeated results
+// by size, skip other lines, and reject a size of 0, and that the table and the chart show the series.
 func TestRegressReadsBenchmarks(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("goos: linux\nBenchmarkOther-4 \t 5\t 3 ns/op\nnot a benchmark at all, 7 workers\n")
@@ -20,16 +21,16 @@
 	}
 	var all seriesList
 	if err := all.read(strings.NewReader(text.String())); err != nil || len(all) != 3 {
-		t.Fatalf("%d series, %v", len(all), err)
+		t.Fatalf("got %d series, error %v, want 3 series", len(all), err)
 	}
 	var out strings.Builder
 	if err := printFits(&out, all); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"Word/300 schedulers, N workers, ns/op", "7200: 7.2e+04",
-		"| 2, ±0% | n |", "| flat (", "1 sizes, not told"} {
+		"| 2, ±0% | n |", "| flat (", "1 sizes, too few to fit"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in\n%s", want, out.String())
+			t.Errorf("the table does not contain %q:\n%s", want, out.String())
 		}
 	}
 	path := filepath.Join(t.TempDir(), "word.svg")
@@ -37,22 +38,24 @@
 		t.Error(err)
 	}
 	if raw, err := os.ReadFile(path); err != nil || !strings.Contains(string(raw), "<svg") {
-		t.Errorf("no chart: %v", err)
+		t.Errorf("got no SVG file, error %v, want a chart", err)
 	}
 	if err := new(seriesList).read(strings.NewReader("BenchmarkX/0_workers 1 5 ns/op")); err == nil {
-		t.Error("a size of nought is taken")
+		t.Error("a benchmark with size 0 is accepted, want an error")
 	}
 }
 
+// TestRegressIsMisused checks that regress exits with a usage error without a file, with a file that has no
+// benchmark results, and with a file that does not exist.
 func TestRegressIsMisused(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none.txt")
 	if err := os.WriteFile(path, []byte("PASS\n"), 0o666); err != nil {
 		t.Fatal(err)
 	}
-	for _, command := range []string{"regress", "fit"} { // and its former name
+	for _, command := range []string{"regress", "fit"} { // fit is the former name of regress
 		for _, args := range [][]string{{command}, {command, path}, {command, path + "x"}} {
 			if status := run(args); status != exitUsage {
-				t.Errorf("%v: status %d", args, status)
+				t.Errorf("arguments %v: got status %d, want a usage error", args, status)
 			}
 		}
 	}
--- a/cmd/schedbench/scale.go
+++ b/cmd/schedbench/scale.go
@@ -16,29 +16,30 @@
 	"dahliaford/internal/simfleet"
 )
 
-// scaleCmd runs a fleet at size: simulated in virtual time, or with real schedulers on loopback.
+// scaleCmd is the command that runs a large fleet. By default it simulates the fleet in virtual time. With
+// --real it runs real scheduler processes on the loopback interface.
 type scaleCmd struct {
-	Workers    int           `help:"Workers of the fleet." default:"200"`
-	Schedulers int           `help:"Schedulers of the fleet." default:"30"`
-	Rate       float64       `help:"Jobs a second of all clients; 0: 0.6 of what workers can carry." default:"0"`
+	Workers    int           `help:"Number of workers." default:"200"`
+	Schedulers int           `help:"Number of schedulers." default:"30"`
+	Rate       float64       `help:"Jobs per second of all clients; 0: 0.6 of workers' capacity." default:"0"`
 	For        time.Duration `help:"Duration of the load, in virtual time." default:"60s"`
 	Seed       uint64        `help:"Seed of all random draws." default:"1"`
 	Day        string        `help:"One of calm, zone, region, roll, discovery and storm." default:"calm"`
 	Task       time.Duration `help:"Mean run time of a job on a standard machine." default:"13s"`
-	Real       int           `help:"So many real schedulers on loopback, instead of simulated ones." default:"0"`
-	JSON       bool          `name:"json" help:"Only the line of JSON."`
-	Keep       string        `help:"Folder to keep the tables and the charts in." type:"path"`
+	Real       int           `help:"Number of real schedulers to run on loopback; 0: simulate." default:"0"`
+	JSON       bool          `name:"json" help:"Print only the line of JSON."`
+	Keep       string        `help:"Folder to write the table and the charts to." type:"path"`
 }
 
 const (
-	scaleMemory       = 6 << 30 // bytes of heap, where the collector begins to work harder
-	scaleTimeout      = time.Hour
+	scaleMemoryLimit  = 6 << 30   // soft limit in bytes, near which the garbage collector runs more often
+	scaleTimeout      = time.Hour // of wall-clock time for a run
 	maxRealSchedulers = 64
-	realZones         = 14 // in the list of real schedulers, two of them a region
+	realZones         = 14 // zones in the worker list of real schedulers; two zones form a region
 )
 
-// Run runs the command. Options that cannot be run are a misuse, violated rules end with the status for
-// them.
+// Run runs the fleet. It returns a usage error for invalid options, and an error with exitViolation if the
+// run violates a checked property.
 func (c *scaleCmd) Run() error {
 	opt, err := c.options()
 	if err != nil {
@@ -51,7 +52,7 @@
 			Workers: c.Workers, Zones: min(c.Workers, realZones), Rate: c.Rate, Duration: c.For, Seed: c.Seed,
 			Day: c.Day})
 	}
-	defer debug.SetMemoryLimit(debug.SetMemoryLimit(scaleMemory))
+	defer debug.SetMemoryLimit(debug.SetMemoryLimit(scaleMemoryLimit))
 	result, err := emulator.Run(ctx, opt)
 	if err != nil {
 		return err
@@ -59,12 +60,12 @@
 	return c.print(result)
 }
 
-// options returns the options of the run, or a usage error.
+// options returns the options of the simulated run, or a usage error if a flag is invalid.
 func (c *scaleCmd) options() (emulator.Options, error) {
 	opt := emulator.Options{Workers: c.Workers, Schedulers: c.Schedulers, Rate: c.Rate, Duration: c.For,
 		Seed: c.Seed, Day: c.Day, Task: c.Task}
 	if c.Day == "" {
-		return opt, usageError("unknown day %q: there are %s", c.Day, strings.Join(emulator.Days(), ", "))
+		return opt, usageError("unknown day %q: want one of %s", c.Day, strings.Join(emulator.Days(), ", "))
 	}
 	if err := opt.Validate(); err != nil {
 		return opt, usageError("%v", err)
@@ -75,7 +76,7 @@
 	return opt, nil
 }
 
-// print prints the report of a run, and keeps it if that is asked for.
+// print prints the report of a run, and writes it to the folder of --keep if one is given.
 func (c *scaleCmd) print(result *emulator.Report) error {
 	r := &report{ok: result.OK(), table: scaleTable(result), chart: scaleChart(result)}
 	raw, err := json.Marshal(struct {
@@ -91,7 +92,7 @@
 	}
 	if c.Keep != "" {
 		name := fmt.Sprintf("scale-%s-%dx%d", c.Day, c.Schedulers, c.Workers)
-		if err := r.keep(c.Keep, name, raw); err != nil {
+		if err := r.save(c.Keep, name, raw); err != nil {
 			return err
 		}
 	}
@@ -102,37 +103,40 @@
 	return nil
 }
 
-// scaleChart draws starts and refusals, and what control takes of a scheduler, by second of the load.
+// scaleChart returns a function that draws two charts over the time of the load. The first shows the starts
+// and refusals per second of the whole fleet. The second shows the control traffic and the processor time of
+// a scheduler per second.
 func scaleChart(r *emulator.Report) chart {
 	return func(path string) error {
 		base := strings.TrimSuffix(path, filepath.Ext(path))
 		title := fmt.Sprintf("%s: %d schedulers, %d workers", r.Model.Day, r.Model.Schedulers, r.Model.Workers)
-		err := draw(base+"-starts.svg", title, "a second", []line{
-			perSecond("starts", r.Series.Starts),
-			perSecond("refusals", r.Series.Refused),
+		err := drawLines(base+"-starts.svg", title, "per second", []chartLine{
+			perSecondLine("starts", r.Series.Starts),
+			perSecondLine("refusals", r.Series.Refused),
 		})
 		if err != nil {
 			return err
 		}
 		perScheduler := 1 / float64(r.Model.Schedulers)
-		return draw(base+"-control.svg", title, "a scheduler and second", []line{
-			scaled("KB of control", r.Series.ControlKB, perScheduler),
-			scaled("ms of processor time", r.Series.CoreSeconds, 1000*perScheduler),
+		return drawLines(base+"-control.svg", title, "per scheduler and second", []chartLine{
+			scaledLine("KB of control", r.Series.ControlKB, perScheduler),
+			scaledLine("ms of processor time", r.Series.CoreSeconds, 1000*perScheduler),
 		})
 	}
 }
 
-func perSecond(name string, counts []int) line {
+// perSecondLine returns a chart line of counts, one count for each second.
+func perSecondLine(name string, counts []int) chartLine {
 	values := make([]float64, len(counts))
 	for i, n := range counts {
 		values[i] = float64(n)
 	}
-	return scaled(name, values, 1)
+	return scaledLine(name, values, 1)
 }
 
-// scaled is a line of values by second, each multiplied by a factor.
-func scaled(name string, values []float64, factor float64) line {
-	l := line{name: name}
+// scaledLine returns a chart line of values, one value for each second, multiplied by a factor.
+func scaledLine(name string, values []float64, factor float64) chartLine {
+	l := chartLine{name: name}
 	for second, value := range values {
 		l.points = append(l.points, plotter.XY{X: float64(second), Y: value * factor})
 	}
--- a/cmd/schedbench/scale_real.go
+++ b/cmd/schedbench/scale_real.go
@@ -12,12 +12,13 @@
 	"dahliaford/internal/simfleet"
 )
 
-// maxViolations is how many violations are printed.
+// maxViolations is the maximum number of violations that are printed.
 const maxViolations = 20
 
-// runReal runs real schedulers against simulated workers and one simulated discovery. Progress and the
-// results go to out, the last line as JSON. Options that cannot be run are a usage error, rules that broke
-// the exit status of a violation. Without a program the one beside this program is run, or else one is built.
+// runReal runs real schedulers against simulated workers and a simulated discovery service. It writes its
+// progress and the results to out; the last line is the report as JSON. It returns a usage error for invalid
+// options, and an error with exitViolation if the run violates a property. If the options name no program,
+// runReal uses the one that schedulerBinary finds or builds.
 func runReal(ctx context.Context, out io.Writer, o simfleet.Options) error {
 	if err := o.Validate(); err != nil {
 		return usageError("%v", err)
@@ -27,13 +28,13 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that stays does no harm
+		defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder is harmless
 		if o.Program, err = schedulerBinary(ctx, folder); err != nil {
 			return err
 		}
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
-	defer stop() // a run that is interrupted stops its schedulers
+	defer stop() // on a signal the context ends, and the run stops its schedulers
 	r, err := simfleet.Run(ctx, o, out)
 	if err != nil {
 		return err
@@ -42,12 +43,12 @@
 		return err
 	}
 	if n := len(r.Violations); n > 0 {
-		return exitError{exitViolation, fmt.Sprintf("%d properties broke", n)}
+		return exitError{exitViolation, fmt.Sprintf("%d property violations", n)}
 	}
 	return nil
 }
 
-// printReal prints the table of events, the first violations and the line of JSON.
+// printReal prints the table of events, the first maxViolations violations, and the report as JSON.
 func printReal(out io.Writer, r *simfleet.Report) error {
 	if err := r.WriteTable(out); err != nil {
 		return err
@@ -55,7 +56,7 @@
 	for i, violation := range r.Violations {
 		text := "broken: " + violation
 		if i == maxViolations {
-			text = fmt.Sprintf("... and %d more", len(r.Violations)-i)
+			text = fmt.Sprintf("... and %d more violations", len(r.Violations)-i)
 		}
 		if _, err := fmt.Fprintln(out, text); err != nil {
 			return err
--- a/cmd/schedbench/scale_real_test.go
+++ b/cmd/schedbench/scale_real_test.go
@@ -13,9 +13,9 @@
 	"dahliaford/internal/simfleet"
 )
 
-// A measurement by hand: go test ./cmd/schedbench -run ScaleByHand -scale.real 1 -v
+// The options of TestScaleByHand. Example: go test ./cmd/schedbench -run ScaleByHand -scale.real 1 -v
 var (
-	realSchedulers = flag.Int("scale.real", 0, "real schedulers; 0: nothing is measured")
+	realSchedulers = flag.Int("scale.real", 0, "number of real schedulers; 0: skip the measurement")
 	fleetSize      = flag.Int("scale.fleet", 0, "")
 	listedWorkers  = flag.Int("scale.workers", 7200, "")
 	zones          = flag.Int("scale.zones", 14, "")
@@ -25,9 +25,11 @@
 	seed           = flag.Uint64("scale.seed", 1, "")
 )
 
+// TestScaleByHand measures real schedulers with the options of the flags. It is skipped unless -scale.real is
+// set.
 func TestScaleByHand(t *testing.T) {
 	if *realSchedulers == 0 {
-		t.Skip("nothing to measure: -scale.real is not given")
+		t.Skip("measurement on request only: -scale.real is not set")
 	}
 	t.Chdir("../..")
 	if err := runReal(t.Context(), os.Stdout, simfleet.Options{Schedulers: *realSchedulers, Fleet: *fleetSize,
@@ -37,7 +39,8 @@
 	}
 }
 
-// The last line is the report, and what cannot be run is distinguished from what failed.
+// TestRunReal checks that a run of a real scheduler prints its report as JSON in the last line, and that
+// invalid options are reported as a usage error rather than a failed run.
 func TestRunReal(t *testing.T) {
 	t.Chdir("../..")
 	var out bytes.Buffer
@@ -49,7 +52,7 @@
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
 	var r simfleet.Report
 	if err := json.Unmarshal(lines[len(lines)-1], &r); err != nil {
-		t.Fatalf("%v: %s", err, lines[len(lines)-1])
+		t.Fatalf("last line is not a report: %v: %s", err, lines[len(lines)-1])
 	}
 	if r.Workers != 40 || r.FindEvent("zone lost, in one line") == nil || r.Served == 0 {
 		t.Errorf("%+v", r)
@@ -57,6 +60,6 @@
 	o.Workers = 0
 	var e exitError
 	if err := runReal(t.Context(), io.Discard, o); !errors.As(err, &e) || e.status != exitUsage {
-		t.Errorf("no workers: %v", err)
+		t.Errorf("options with 0 workers: got error %v, want a usage error", err)
 	}
 }
--- a/cmd/schedbench/scale_test.go
+++ b/cmd/schedbench/scale_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// Bad arguments end with one line and status 2.
+// TestScaleMisused checks that each invalid argument prints one line that names the error, prints nothing to
+// standard output, and exits with status 2.
 func TestScaleMisused(t *testing.T) {
 	for args, want := range map[string]string{
 		"--workers 0":                      "workers must be 1 to",
@@ -20,7 +21,7 @@
 		"--for long":                       "--for",
 		"--task 1us":                       "a task must be",
 		"--day doom":                       `unknown day "doom": there are calm, discovery`,
-		"--day=":                           `unknown day "": there are calm`,
+		"--day=":                           `unknown day "": want one of calm`,
 		"--seed=-1":                        "--seed",
 		"--real=-1":                        "--real must be 0 to",
 		"--real 1000":                      "--real must be 0 to",
@@ -32,13 +33,15 @@
 			status, out, errors := runCommand(t, strings.Fields("scale "+args)...)
 			oneLine := strings.Count(strings.TrimSpace(errors), "\n") == 0
 			if status != exitUsage || !oneLine || !strings.Contains(errors, want) || out != "" {
-				t.Errorf("status %d, %q; want one line with %q", status, errors, want)
+				t.Errorf("got status %d and standard error %q, want the usage status and one line with %q", status,
+					errors, want)
 			}
 		})
 	}
 }
 
-// The last line is the report as JSON; the table and the charts are kept in a folder.
+// TestScale checks that scale prints the report as JSON in the last line, writes the table and the charts to
+// the folder of --keep, and prints only the line of JSON with --json.
 func TestScale(t *testing.T) {
 	folder := t.TempDir()
 	status, out, errors := runCommand(t, "scale", "--workers", "100", "--schedulers", "10", "--rate", "40",
@@ -58,11 +61,11 @@
 	}
 	for _, name := range []string{".txt", "-starts.svg", "-control.svg"} {
 		if info, err := os.Stat(filepath.Join(folder, "scale-calm-10x100"+name)); err != nil || info.Size() == 0 {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("output file with suffix %s is missing or empty: error %v", name, err)
 		}
 	}
 	status, out, _ = runCommand(t, "scale", "--workers", "50", "--schedulers", "2", "--for", "1s", "--json")
 	if status != exitOK || strings.Count(out, "\n") != 1 {
-		t.Errorf("status %d: %s", status, out)
+		t.Errorf("with --json: got status %d and output %s, want success and one line", status, out)
 	}
 }
--- a/cmd/schedbench/series.go
+++ b/cmd/schedbench/series.go
@@ -11,23 +11,24 @@
 	"dahliaford/internal/regression"
 )
 
-// series is one figure of one benchmark, by size.
+// series is one metric of one benchmark, measured at several sizes.
 type series struct {
-	name   string // of the benchmark, with N for the size
-	unit   string
+	name   string // the name of the benchmark, with N in place of the size
+	unit   string // the metric's unit, such as ns/op
 	points []regression.Point
 }
 
-// title is the name as it is shown.
+// title returns the name of the benchmark for display.
 func (s *series) title() string { return strings.ReplaceAll(s.name, "_", " ") }
 
-// seriesList is the series of benchmarks, in the order in which they came.
+// seriesList is a list of series in the order in which their first values were read.
 type seriesList []*series
 
-// sizedName finds the size in a benchmark's name: the last number that a word follows.
-var sizedName = regexp.MustCompile(`^Benchmark(.*?[/_])(\d+)(_[a-z_]+?)(?:-\d+)?$`)
+// sizedBenchmark matches a benchmark's name that contains a size. The size is the last number that is
+// followed by an underscore and a word.
+var sizedBenchmark = regexp.MustCompile(`^Benchmark(.*?[/_])(\d+)(_[a-z_]+?)(?:-\d+)?$`)
 
-// read adds the figures of the benchmarks in the output of go test. Other lines are passed over.
+// read adds the metrics of the benchmarks in the output of go test. Lines of other output are ignored.
 func (all *seriesList) read(from io.Reader) error {
 	lines := bufio.NewScanner(from)
 	for lines.Scan() {
@@ -38,36 +39,37 @@
 	return lines.Err()
 }
 
-// readLine adds the figures of a line that is a benchmark with a size in its name.
+// readLine adds the metrics of one line of output. It ignores a line that is not the result of a benchmark
+// with a size in its name.
 func (all *seriesList) readLine(text string) error {
-	fields := strings.Fields(text) // the name, the number of runs, and pairs of a value and its unit
+	fields := strings.Fields(text) // the name, the number of iterations, and pairs of a value and its unit
 	if len(fields) < 4 {
 		return nil
 	}
-	m := sizedName.FindStringSubmatch(fields[0])
+	m := sizedBenchmark.FindStringSubmatch(fields[0])
 	if m == nil {
 		return nil
 	}
 	size, err := strconv.ParseFloat(m[2], 64)
 	if err != nil || size <= 0 {
-		return fmt.Errorf("%s: no size", fields[0])
+		return fmt.Errorf("%s: size must be above 0", fields[0])
 	}
 	for i := 2; i+1 < len(fields); i += 2 {
 		value, err := strconv.ParseFloat(fields[i], 64)
 		if err != nil {
-			return fmt.Errorf("%s: %s is no figure", fields[0], fields[i])
+			return fmt.Errorf("%s: value %s is not a number", fields[0], fields[i])
 		}
 		unit := fields[i+1]
 		if unit == "ns/op" && value == 0 {
-			continue // a benchmark that has figures of its own sets it to 0
+			continue // a benchmark that reports only custom metrics sets ns/op to 0
 		}
-		all.find(m[1]+"N"+m[3], unit).add(size, value)
+		all.findOrAdd(m[1]+"N"+m[3], unit).add(size, value)
 	}
 	return nil
 }
 
-// find is the series of a figure, which is added if there is none.
-func (all *seriesList) find(name, unit string) *series {
+// findOrAdd returns the series of a metric. If the list has no such series, findOrAdd adds an empty one.
+func (all *seriesList) findOrAdd(name, unit string) *series {
 	for _, s := range *all {
 		if s.name == name && s.unit == unit {
 			return s
@@ -78,7 +80,7 @@
 	return s
 }
 
-// add adds a value at a size.
+// add adds a value that was measured at a size.
 func (s *series) add(size, value float64) {
 	for i := range s.points {
 		if s.points[i].Size == size {
--- a/cmd/schedbench/timeline.go
+++ b/cmd/schedbench/timeline.go
@@ -8,53 +8,59 @@
 )
 
 const (
-	slotLength  = 100 * time.Millisecond // of a timeline
-	connectTime = 3 * time.Second        // until every client has its first connections
+	// binLength is the time that one bin of a timeline covers.
+	binLength = 100 * time.Millisecond
+	// initialConnectTime is the time from the start of a run in which all clients open their first
+	// connections.
+	initialConnectTime = 3 * time.Second
 )
 
-// timeline counts events by slots of a tenth of a second. What comes after the last slot counts there. It is
-// safe for concurrent use once it is started.
+// timeline is a histogram of events over time, in bins of binLength. An event after the end of the last bin
+// counts in the last bin. A timeline is safe for concurrent use once startedAt is set.
 type timeline struct {
 	startedAt time.Time
-	slots     []atomic.Int64
+	bins      []atomic.Int64 // the number of events in each bin
 }
 
+// newTimeline returns an empty timeline that covers the given length of time.
 func newTimeline(length time.Duration) *timeline {
-	return &timeline{slots: make([]atomic.Int64, int(length/slotLength))}
+	return &timeline{bins: make([]atomic.Int64, int(length/binLength))}
 }
 
-// add counts an event now.
+// add counts an event at the current time.
 func (t *timeline) add() {
-	t.slots[min(int(time.Since(t.startedAt)/slotLength), len(t.slots)-1)].Add(1)
+	t.bins[min(int(time.Since(t.startedAt)/binLength), len(t.bins)-1)].Add(1)
 }
 
+// total returns the number of events in all bins.
 func (t *timeline) total() (sum int64) {
-	for i := range t.slots {
-		sum += t.slots[i].Load()
+	for i := range t.bins {
+		sum += t.bins[i].Load()
 	}
 	return sum
 }
 
-// peak is the largest number in any slot once the first connections are there.
+// peak returns the largest number of events in a bin after initialConnectTime.
 func (t *timeline) peak() (largest int64) {
-	for i := int(connectTime / slotLength); i < len(t.slots); i++ {
-		largest = max(largest, t.slots[i].Load())
+	for i := int(initialConnectTime / binLength); i < len(t.bins); i++ {
+		largest = max(largest, t.bins[i].Load())
 	}
 	return largest
 }
 
+// perSecond returns the number of events in each second.
 func (t *timeline) perSecond() []int64 {
-	perSecond := int(time.Second / slotLength)
-	seconds := make([]int64, (len(t.slots)+perSecond-1)/perSecond)
-	for i := range t.slots {
-		seconds[i/perSecond] += t.slots[i].Load()
+	perSecond := int(time.Second / binLength)
+	seconds := make([]int64, (len(t.bins)+perSecond-1)/perSecond)
+	for i := range t.bins {
+		seconds[i/perSecond] += t.bins[i].Load()
 	}
 	return seconds
 }
 
-// line is the timeline as a line of a chart.
-func (t *timeline) line(name string) line {
-	l := line{name: name}
+// chartLine returns the events per second as a line of a chart.
+func (t *timeline) chartLine(name string) chartLine {
+	l := chartLine{name: name}
 	for second, n := range t.perSecond() {
 		l.points = append(l.points, plotter.XY{X: float64(second), Y: float64(n)})
 	}
