--- a/cmd/schedbench/attempt.go
+++ b/cmd/schedbench/attempt.go
@@ -35,8 +35,8 @@
 }
 
 const (
-	attemptRate         = 80.0 // jobs a second
-	maxReportedFindings = 20
+	attemptRate         = 80.0 // jobs submitted per second
+	maxReportedFindings = 20   // violations that are printed
 )
 
 // runAttemptDrill runs the real scheduler against fake clients and workers that inject every fault that the
--- a/cmd/schedbench/clientreport.go
+++ b/cmd/schedbench/clientreport.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// report returns the results of all runs, one row for each. The drill fails if a run with the client library
-// breaks a guarantee of the library.
+// report returns the results of the desk drill, with a table row for each run. The drill fails if a run with
+// the client library breaks a guarantee of the library.
 func (r *clientRuns) report() *report {
 	rep := &report{ok: true, figures: map[string]any{}, chart: r.chart,
 		table: [][]string{{"kind", "jobs", "served", "late", "tries a job", "new connections", "peak in 100 ms",
@@ -18,7 +18,8 @@
 		rep.table = append(rep.table, run.row())
 		rep.figures[run.name] = run.figures()
 		if n := run.fleet.RunCounts().Foreign; n > 0 {
-			// While a scheduler was stopped, a scheduler of another program had opened its port.
+			// The workers ran jobs of clients outside the run. This can happen if a process of another fleet
+			// listens on the port of a stopped scheduler.
 			rep.figures["alien_jobs"] = n
 		}
 	}
--- a/cmd/schedbench/clientrun.go
+++ b/cmd/schedbench/clientrun.go
@@ -76,7 +76,7 @@
 // Connected counts an attempt to open a connection, successful or not.
 func (r *clientRun) Connected(string, error) { r.dials.add() }
 
-// Throttled does nothing. A job that gets no retry for want of retry budget is counted under its verdict.
+// Throttled does nothing. A job that gets no retry because the retry budget is used up shows in the verdicts.
 func (r *clientRun) Throttled() {}
 
 // useLibrary makes the run submit its jobs through clients of the library.
--- a/cmd/schedbench/clients.go
+++ b/cmd/schedbench/clients.go
@@ -16,14 +16,14 @@
 // retry at once, plain clients that retry with a backoff, and clients of the library whose workers inject
 // faults. Each group has its own fleet of six schedulers, of which four stop and restart during the drill.
 const (
-	clientCount         = 200 // in each group
-	clientSchedulers    = 6   // in the fleet of each group
+	clientCount         = 200 // clients in each group
+	clientSchedulers    = 6   // schedulers in the fleet of each group
 	remainingSchedulers = 2   // schedulers of a fleet that run throughout the drill
 	workersPerScheduler = 12
-	jobsPerClient       = 4. // submitted per second
+	jobsPerClient       = 4. // jobs per second that each client submits
 	// returnGrace is how long after its deadline a job may return from the client library.
 	returnGrace = 50 * time.Millisecond
-	stopTimeout = 10 * time.Second // for the orderly shutdown of a scheduler
+	stopTimeout = 10 * time.Second // limit for the orderly shutdown of a scheduler
 	// timelineMargin is the time that timelines cover beyond the end of submissions. It leaves room for the
 	// jobs that are open at that time.
 	timelineMargin = 10 * time.Second
--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -28,16 +28,16 @@
 // diskDrill repeatedly starts a process that stores items and kills it at a random time. After each kill it
 // checks that the store holds every confirmed step and that every stored item is readable.
 type diskDrill struct {
-	program, path string // of the process that stores items, and of the store's file
+	program, path string // the paths of this executable and of the store's file
 	random        *rand.Rand
 	progress      progressFunc
 
 	confirmed map[int]int // the last confirmed step of each item, by the item's number
 	nextItem  int         // the number of the first item of the next round
 
-	// The counts of the report. lost, unreadable and storedUnconfirmed are summed over all checks: the items
-	// whose stored step is behind the confirmed step, the items that cannot be read, and the items whose
-	// stored step is ahead of the confirmed step.
+	// The counts in the report. kills counts the rounds. The other three counts are sums over all checks: lost
+	// counts items whose stored step is behind the confirmed step, unreadable counts stored items that cannot
+	// be read, and storedUnconfirmed counts items whose stored step is ahead of the confirmed step.
 	kills, lost, unreadable, storedUnconfirmed int
 }
 
--- a/cmd/schedbench/drill.go
+++ b/cmd/schedbench/drill.go
@@ -51,7 +51,7 @@
 	clientDrillMargin  = 8 * time.Second
 )
 
-// drills are the drills by name.
+// drills maps the name of each drill to the drill.
 var drills = map[string]drill{
 	"attempt": {"run the real scheduler against fakes that inject all permitted faults; check what they saw",
 		withScheduler(attemptDrillMargin, runAttemptDrill)},
@@ -65,7 +65,7 @@
 		runMutantDrill},
 }
 
-// drillAliases are the former names of drills.
+// drillAliases maps each former name of a drill to its present name.
 var drillAliases = map[string]string{"planted": "mutants"}
 
 // Run runs the named drill, or lists the drills if no name is given.
@@ -94,7 +94,7 @@
 	return c.print(r)
 }
 
-// drillByName returns the drill of a name or of a former name.
+// drillByName returns the drill with a name. It also accepts the former names in drillAliases.
 func drillByName(name string) (drill, error) {
 	if canonical, ok := drillAliases[name]; ok {
 		name = canonical
@@ -135,7 +135,7 @@
 func printTable(out io.Writer, lines [][]string) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, line := range lines {
-		_, _ = fmt.Fprintln(table, strings.Join(line, "\t")) // see flush
+		_, _ = fmt.Fprintln(table, strings.Join(line, "\t")) // flush says why errors are ignored
 	}
 	flush(table)
 }
@@ -144,7 +144,7 @@
 func printRightAligned(out io.Writer, lines [][]string) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, line := range lines {
-		_, _ = fmt.Fprintln(table, strings.Join(line, "\t")+"\t") // see flush
+		_, _ = fmt.Fprintln(table, strings.Join(line, "\t")+"\t") // flush says why errors are ignored
 	}
 	flush(table)
 }
--- a/cmd/schedbench/enginestep.go
+++ b/cmd/schedbench/enginestep.go
@@ -27,9 +27,9 @@
 // The steps of the measurement of an engine.
 const (
 	engineAccept = "accept" // concurrent callers store items, each of which waits for its commit
-	engineFill   = "fill"   // store many items
+	engineFill   = "fill"   // one caller stores many items and exits without closing the store
 	engineOpen   = "open"   // open the store that the fill step has left, and read all records
-	engineChurn  = "churn"  // store many items, and delete the oldest ones at the same rate
+	engineChurn  = "churn"  // one caller stores many items and deletes the oldest items at the same rate
 )
 
 const (
@@ -111,7 +111,7 @@
 }
 
 // churn stores c.Count new items in batches. Each batch also deletes the oldest items, so that the store
-// holds churnLiveItems items.
+// never holds more than churnLiveItems items after a commit.
 func (c *engineCmd) churn(e engine, random *rand.Rand, figures map[string]any) error {
 	n := 0
 	for ; n < c.Count; n += batchItems {
--- a/cmd/schedbench/mutants.go
+++ b/cmd/schedbench/mutants.go
@@ -23,7 +23,7 @@
 // with the default rules, to check that no violation is found there.
 const (
 	otherWorldBudget    = 2 * time.Second // maximum duration of the search in one world
-	otherWorldMaxFaults = 2               // limit on the faults in such a search
+	otherWorldMaxFaults = 2               // maximum number of faults in the search of one world
 )
 
 // runMutantDrill builds this program once with each mutant, a seeded fault in the source. Each build searches
--- a/cmd/schedbench/regress_test.go
+++ b/cmd/schedbench/regress_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestRegressReadsBenchmarks checks that readers find the size in a benchmark's name, group repeated results
-// by size, skip other lines, and reject a size of 0, and that the table and the chart show the series.
+// TestRegressReadsBenchmarks checks that reading the output of benchmarks finds the size in a benchmark's
+// name, groups repeated results by size, skips other lines, and rejects a size of 0. It also checks the rows
+// of the table and that a chart is drawn.
 func TestRegressReadsBenchmarks(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("goos: linux\nBenchmarkOther-4 \t 5\t 3 ns/op\nnot a benchmark at all, 7 workers\n")
--- a/cmd/schedbench/scale.go
+++ b/cmd/schedbench/scale.go
@@ -24,7 +24,7 @@
 	Rate       float64       `help:"Jobs per second of all clients; 0: 0.6 of workers' capacity." default:"0"`
 	For        time.Duration `help:"Duration of the load, in virtual time." default:"60s"`
 	Seed       uint64        `help:"Seed of all random draws." default:"1"`
-	Day        string        `help:"One of calm, zone, region, roll, discovery and storm." default:"calm"`
+	Day        string        `help:"Scenario: calm, zone, region, roll, discovery or storm." default:"calm"`
 	Task       time.Duration `help:"Mean run time of a job on a standard machine." default:"13s"`
 	Real       int           `help:"Number of real schedulers to run on loopback; 0: simulate." default:"0"`
 	JSON       bool          `name:"json" help:"Print only the line of JSON."`
@@ -104,8 +104,8 @@
 }
 
 // scaleChart returns a function that draws two charts over the time of the load. The first shows the starts
-// and refusals per second of the whole fleet. The second shows the control traffic and the processor time of
-// a scheduler per second.
+// and refusals per second of the whole fleet. The second shows, per second and as the mean of all schedulers,
+// the traffic with discovery (control) in KB and the processor time of a scheduler in ms.
 func scaleChart(r *emulator.Report) chart {
 	return func(path string) error {
 		base := strings.TrimSuffix(path, filepath.Ext(path))
--- a/cmd/schedbench/scale_table.go
+++ b/cmd/schedbench/scale_table.go
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%.0f / %.0f / %.0f ms", s.P50, s.P99, s.Max)
 }
 
-// jobRows returns the rows about the run's options, jobs, start times and attempts.
+// jobRows returns the rows about the run's options, the jobs, the times to start and the attempts.
 func jobRows(m *emulator.Model) [][]string {
 	f := fmt.Sprintf
 	rows := [][]string{
@@ -50,7 +50,9 @@
 			m.NotSent, m.KilledAttempts, m.Cancelled)})
 }
 
-// trafficRows returns the rows about messages, discovery and the distribution of worker list changes.
+// trafficRows returns the rows about messages, discovery and the distribution of worker list changes. Control
+// traffic is what a scheduler exchanges with discovery; job traffic is what it exchanges with clients and
+// workers.
 func trafficRows(m *emulator.Model) [][]string {
 	f := fmt.Sprintf
 	control, jobs := &m.ControlTraffic, &m.JobTraffic
@@ -70,7 +72,9 @@
 	}
 }
 
-// measuredRows returns the rows about the processor time, lag and memory of the simulated schedulers.
+// measuredRows returns the rows about the processor time, lag and memory of the simulated schedulers. Lag and
+// delays of changes are shown for a reducer with a whole core, and for one whose handling of the worker list
+// (control) gets only its budget of 2.9% of a core.
 func measuredRows(m *emulator.Measured) [][]string {
 	f := fmt.Sprintf
 	return [][]string{
--- a/cmd/schedbench/timeline.go
+++ b/cmd/schedbench/timeline.go
@@ -10,7 +10,7 @@
 const (
 	// binLength is the time that one bin of a timeline covers.
 	binLength = 100 * time.Millisecond
-	// initialConnectTime is the time from the start of a run in which all clients open their first
+	// initialConnectTime is the time after the start of a run by which all clients have opened their first
 	// connections.
 	initialConnectTime = 3 * time.Second
 )
@@ -40,7 +40,8 @@
 	return sum
 }
 
-// peak returns the largest number of events in a bin after initialConnectTime.
+// peak returns the largest number of events in a bin. It ignores the bins before initialConnectTime, because
+// the clients open their first connections then.
 func (t *timeline) peak() (largest int64) {
 	for i := int(initialConnectTime / binLength); i < len(t.bins); i++ {
 		largest = max(largest, t.bins[i].Load())
