--- a/cmd/schedbench/scale.go
+++ b/cmd/schedbench/scale.go
@@ -62,7 +62,7 @@
 // options returns the options of the run, or a usage error.
 func (c *scaleCmd) options() (emulator.Options, error) {
 	opt := emulator.Options{Workers: c.Workers, Schedulers: c.Schedulers, Rate: c.Rate, Duration: c.For,
-		Seed: c.Seed, Day: c.Day, Task: c.Task}
+		Seed: c.Seed, Day: c.Day, MeanRunTime: c.Task}
 	if c.Day == "" {
 		return opt, usageError("unknown day %q: there are %s", c.Day, strings.Join(emulator.Days(), ", "))
 	}
--- a/cmd/schedbench/scale_table.go
+++ b/cmd/schedbench/scale_table.go
@@ -25,11 +25,11 @@
 		{"day", f("%s: %s", m.Day, emulator.DescribeDay(m.Day))},
 		{"fleet", f("%d workers, %d schedulers, seed %d", m.Workers, m.Schedulers, m.Seed)},
 		{"load", f("%.0f s of virtual time, %.0f jobs a second, %.1f s a task", m.LoadSeconds, m.RatePerSecond,
-			m.TaskSeconds)},
+			m.MeanRunSeconds)},
 		{"jobs", f("%d, of which %d served, %d failed, %d given up after refusals", m.Jobs, m.Served, m.Failed,
 			m.GaveUp)},
 		{"open at the end", f("%d, of which %d not running, %d of these at one scheduler", m.Unanswered,
-			m.NotRunning, m.MaxNotRunningAtOne)},
+			m.NotRunning, m.MaxNotRunningAtOneScheduler)},
 		{"starts a second", f("%.0f, %d in the busiest", m.StartsPerSecond, m.PeakStartsPerSecond)},
 	}
 	for _, class := range emulator.Classes() {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -7,32 +7,34 @@
 	"dahliaford/internal/scheduler"
 )
 
-// How clients react to a refusal.
+// Limits of the retries of a client whose request was refused.
 const (
-	maxSubmissions = 3                 // of one job
-	minRetryDelay  = 100 * millisecond // before a job is submitted again
-	minRetryTime   = second            // a client does not retry with less time left than that
+	maxSubmissions  = 3                 // number of requests that a client sends for one job
+	minRetryDelay   = 100 * millisecond // shortest delay before a refused job is submitted again
+	minTimeForRetry = second            // a client retries only if at least this time remains until its deadline
 )
 
-// clients submit jobs as a Poisson process, spread evenly over all zones.
+// clients simulates all clients of the fleet. Together they submit jobs as a Poisson process; the zones of
+// the jobs are uniformly distributed.
 type clients struct {
 	fleet            *fleet
 	random           *rand.Rand
-	meanInterval     float64 // between two jobs, in microseconds
+	meanInterval     float64 // mean time between two jobs, in microseconds
 	schedulersByZone [Zones][]*node
-	lastRequest      int       // number of the last request
-	cumulativeByTeam []float64 // fractions of all jobs, of each team and all before it
+	lastRequest      int // number of the request created last
+	// cumulativeByTenant[i] is the fraction of all jobs that tenants 0 to i submit together.
+	cumulativeByTenant []float64
 }
 
-// clientJob is what a client wants done, over all its submissions.
+// clientJob is a job of a client. The client may submit the job several times, each time with a new request.
 type clientJob struct {
-	class, team  int
-	slotMixIndex int
-	slots, work  float64 // work in microseconds on a standard machine
-	zone         int
-	submittedAt  Micros // for the first time
-	submissions  int
-	firstStarted *request // the first of its requests that a worker started
+	class, tenant int
+	slotMixIndex  int
+	slots, work   float64  // work is the run time on a machine of speed 1, in microseconds
+	zone          int      // zone of the client
+	submittedAt   Micros   // time of the first submission
+	submissions   int      // number of submissions so far
+	firstStarted  *request // the first request of the job that a worker started, or nil
 }
 
 func newClients(f *fleet) *clients {
@@ -42,14 +44,16 @@
 		meanInterval: float64(second) / jobRate(f.options),
 	}
 	sum := 0.0
-	for i := range teamCount {
-		sum += teamFraction(i)
-		c.cumulativeByTeam = append(c.cumulativeByTeam, sum)
+	for i := range tenantCount {
+		sum += tenantFraction(i)
+		c.cumulativeByTenant = append(c.cumulativeByTenant, sum)
 	}
 	for _, n := range f.nodes {
 		c.schedulersByZone[n.zone] = append(c.schedulersByZone[n.zone], n)
 	}
-	for z := range Zones { // a zone without schedulers uses those of its region, or else all
+	// Clients of a zone without schedulers use the schedulers of its region, or all schedulers if the region has
+	// none.
+	for z := range Zones {
 		if len(c.schedulersByZone[z]) > 0 {
 			continue
 		}
@@ -65,16 +69,17 @@
 	return c
 }
 
-// submitNext submits a job and schedules the next one.
+// submitNext submits a new job and schedules the submission of the next job.
 func (c *clients) submitNext() {
 	f := c.fleet
 	job := c.drawJob()
-	f.tally.jobSubmitted(job)
+	f.tally.countJob(job)
 	c.submit(job, classes[job.class].timeout(f.options))
-	f.after(Micros(c.random.ExpFloat64()*c.meanInterval), c.submitNext)
+	f.scheduleAfter(Micros(c.random.ExpFloat64()*c.meanInterval), c.submitNext)
 }
 
-// drawJob returns a new job. The order of the draws is part of what a seed means.
+// drawJob returns a job with random properties. A changed order of the draws changes the result of every
+// seed.
 func (c *clients) drawJob() *clientJob {
 	job := &clientJob{zone: c.random.IntN(Zones), submittedAt: c.fleet.now}
 	draw := c.random.Float64()
@@ -83,8 +88,8 @@
 		job.class++
 	}
 	draw = c.random.Float64()
-	for job.team < teamCount-1 && draw >= c.cumulativeByTeam[job.team] {
-		job.team++
+	for job.tenant < tenantCount-1 && draw >= c.cumulativeByTenant[job.tenant] {
+		job.tenant++
 	}
 	draw = c.random.Float64()
 	for job.slotMixIndex < len(slotMix)-1 && draw >= slotMix[job.slotMixIndex].fraction {
@@ -92,11 +97,12 @@
 		job.slotMixIndex++
 	}
 	job.slots = slotMix[job.slotMixIndex].slots
-	job.work = float64(c.fleet.task) * (0.25 + 0.75*c.random.ExpFloat64())
+	job.work = float64(c.fleet.meanRunTime) * (0.25 + 0.75*c.random.ExpFloat64())
 	return job
 }
 
-// submit sends a request for a job to a random scheduler of its zone, as a front end does.
+// submit sends a request for a job to a random scheduler of the client's zone, as a load balancer in front of
+// the schedulers does.
 func (c *clients) submit(job *clientJob, timeout Micros) {
 	f := c.fleet
 	c.lastRequest++
@@ -108,7 +114,7 @@
 	f.network.send(job.zone, n.zone, requestBytes, func() { n.submit(req) })
 }
 
-// handleAnswer handles the answer to a request as its client receives it.
+// handleAnswer handles the arrival of an answer at the client.
 func (c *clients) handleAnswer(req *request, a scheduler.Answer) {
 	f := c.fleet
 	switch a.Verdict {
@@ -125,25 +131,27 @@
 	}
 }
 
-// retry submits a refused job again after a delay, unless too little time or no submission remains.
+// retry submits a refused job again after a delay. The client gives the job up if less than minTimeForRetry
+// would remain until the deadline, or if the job has been submitted maxSubmissions times.
 func (c *clients) retry(req *request, delay Micros) {
 	remaining := req.deadline - c.fleet.now - delay
-	if remaining < minRetryTime || req.job.submissions >= maxSubmissions {
+	if remaining < minTimeForRetry || req.job.submissions >= maxSubmissions {
 		c.fleet.tally.model.GaveUp++
 		return
 	}
-	c.fleet.after(delay, func() { c.submit(req.job, remaining) })
+	c.fleet.scheduleAfter(delay, func() { c.submit(req.job, remaining) })
 }
 
-// jobStarted notes that a worker starts the job of a request.
-func (c *clients) jobStarted(req *request) {
+// recordStart records that a worker starts the job of a request. It reports a violation if an earlier request
+// for an at-most-once job has been started before: the scheduler had answered that request with a refusal.
+func (c *clients) recordStart(req *request) {
 	f, job := c.fleet, req.job
 	f.tally.model.Starts++
 	f.meter.countStart(f)
 	switch {
 	case job.firstStarted == nil:
 		job.firstStarted = req
-		f.tally.jobStarted(job, f.now-job.submittedAt)
+		f.tally.recordStart(job, f.now-job.submittedAt)
 	case job.firstStarted != req && classes[job.class].atMostOnce:
 		f.tally.addFinding(history.Finding{Property: "runs-as-allowed", ID: req.id,
 			Text: "its client's earlier request, which was refused, had run"})
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -6,28 +6,29 @@
 	"dahliaford/internal/scheduler"
 )
 
-// receiveWait is how long a machine keeps what was written to one of its connections while nobody takes
-// it: after that the scheduler has closed the connection.
-const receiveWait = 300 * millisecond
+// receiveTimeout is how long data that a scheduler has written can wait at the worker's machine for the
+// process to read it. After this time the scheduler has closed the connection.
+const receiveTimeout = 300 * millisecond
 
-// conn is a connection from a scheduler to a worker, which carries an attempt or a cancellation.
+// conn is a connection from a scheduler to a worker. It carries one exchange at a time, which is an attempt
+// or the cancellation of an attempt.
 type conn struct {
 	connstate.Conn
-	node        *node
-	worker      *worker
-	incarnation int // of the worker's process that accepted it
-	connected   bool
-	writing     bool // something of the present exchange was written
-	writtenAt   Micros
-	idleSince   Micros
-	closed      bool
-	request     *request // of an attempt
-	uid         string   // of the worker that an attempt is for
-	cancelID    string   // of the request that a cancellation is for
-	writeBy     Micros
+	node          *node
+	worker        *worker
+	incarnation   int // incarnation of the worker's process that accepted the connection
+	connected     bool
+	writing       bool // a part of the present exchange's request has been written
+	writtenAt     Micros
+	idleSince     Micros
+	closed        bool
+	request       *request // request of the attempt; unused by a cancellation
+	workerUID     string   // UID of the worker that the attempt is for; unused by a cancellation
+	cancelID      string   // id of the request whose attempt is canceled
+	writeDeadline Micros
 }
 
-// sendAttempt sends a job to a worker.
+// sendAttempt sends an attempt to a worker on an idle or a new connection.
 func (n *node) sendAttempt(r scheduler.SendAttempt) {
 	w, req := n.fleet.byUID[r.WorkerUID], r.Payload.(*request)
 	c := n.acquireConn(w)
@@ -36,16 +37,16 @@
 		return
 	}
 	c.Assign(r.Attempt, false)
-	c.request, c.uid, c.writeBy, c.writing = req, r.WorkerUID, r.WriteDeadline, false
+	c.request, c.workerUID, c.writeDeadline, c.writing = req, r.WorkerUID, r.WriteDeadline, false
 	n.attempts[r.Attempt] = c
 	n.fleet.tally.model.Attempts++
 	c.start()
 }
 
-// cancelAttempt sends the cancellation of an attempt. Nothing has to be sent if nothing of the attempt
-// was.
+// cancelAttempt sends the cancellation of an attempt to the worker. If no byte of the attempt was written, it
+// sends nothing and reports to the reducer that the cancellation is acknowledged.
 func (n *node) cancelAttempt(e scheduler.CancelAttempt) {
-	if n.lastUnsent == e.Attempt {
+	if n.lastUnsentAttempt == e.Attempt {
 		n.stepLater(scheduler.CancellationResult{Attempt: e.Attempt, Acknowledged: true})
 		return
 	}
@@ -55,12 +56,12 @@
 		return
 	}
 	c.Assign(e.Attempt, true)
-	c.cancelID, c.writeBy = e.RequestID, e.Deadline
+	c.cancelID, c.writeDeadline = e.RequestID, e.Deadline
 	n.attempts[e.Attempt] = c
 	c.start()
 }
 
-// abandonAttempt closes the connection that an attempt, or its cancellation, is on.
+// abandonAttempt closes the connection that carries an attempt or the attempt's cancellation.
 func (n *node) abandonAttempt(attempt scheduler.AttemptID) {
 	c := n.attempts[attempt]
 	if c == nil {
@@ -68,26 +69,26 @@
 	}
 	delete(n.attempts, attempt)
 	if !c.Cancel && !c.writing {
-		n.lastUnsent = attempt
+		n.lastUnsentAttempt = attempt
 	}
 	n.closeConn(c)
 }
 
-// carries tells whether the connection still carries an attempt, or its cancellation.
+// carries reports whether the connection is in use for the given attempt or for its cancellation.
 func (c *conn) carries(attempt scheduler.AttemptID) bool {
 	return !c.Released && c.Busy && c.Attempt == attempt
 }
 
-// start establishes the connection, unless it is, and writes the request.
+// start writes the request of the present exchange, after establishing the connection if it is a new one.
 func (c *conn) start() {
 	f, attempt := c.node.fleet, c.Attempt
 	if c.connected {
-		f.after(0, func() { c.write(attempt) })
+		f.scheduleAfter(0, func() { c.write(attempt) })
 		return
 	}
-	f.at(c.writeBy, func() {
+	f.scheduleAt(c.writeDeadline, func() {
 		if c.carries(attempt) && !c.writing {
-			c.writeFailed(tooLate)
+			c.writeFailed(writeDeadlinePassed)
 		}
 	})
 	c.node.countJobMessage(packetBytes)
@@ -96,7 +97,8 @@
 	})
 }
 
-// handshake answers the dial at the worker's machine: with a reset if the process does not run.
+// handshake handles the arrival of a connection request at the worker's machine. The machine accepts the
+// connection if the worker's process runs, and answers with a reset otherwise.
 func (c *conn) handshake(attempt scheduler.AttemptID) {
 	accepted, incarnation := c.worker.running, c.worker.incarnation
 	c.node.fleet.network.send(c.worker.zone, c.node.zone, packetBytes, func() {
@@ -111,7 +113,8 @@
 	})
 }
 
-// write writes the request of the present exchange.
+// write writes the request of the present exchange, unless the connection no longer carries the given
+// attempt.
 func (c *conn) write(attempt scheduler.AttemptID) {
 	switch {
 	case !c.carries(attempt) || c.writing:
@@ -133,12 +136,12 @@
 	c.writtenAt = f.now
 }
 
-// receiveCancellation handles the cancellation at the worker's machine.
+// receiveCancellation handles the arrival of a cancellation at the worker's machine.
 func (c *conn) receiveCancellation(attempt scheduler.AttemptID) {
 	switch {
 	case c.incarnation != c.worker.incarnation:
 		c.sendReset(attempt)
-	case c.receiveTimedOut(): // the connection was closed before
+	case c.receiveTimedOut(): // the scheduler has closed the connection
 	case c.worker.cancel(c.cancelID):
 		c.worker.respond(c, connstate.Answer{Status: 200, Close: true})
 	default:
@@ -146,16 +149,17 @@
 	}
 }
 
-// writeAttempt writes the job, after the last check.
+// writeAttempt writes the attempt, provided that the worker may still be used, the worker list is not stale
+// (see allowSend) and the write deadline has not passed.
 func (c *conn) writeAttempt(attempt scheduler.AttemptID) {
 	n, f := c.node, c.node.fleet
 	switch {
-	case !n.allowSend(c.uid):
+	case !n.allowSend(c.workerUID):
 		f.tally.model.NotSent++
-		c.writeFailed(notAllowed)
+		c.writeFailed(sendNotAllowed)
 		return
-	case f.now > c.writeBy:
-		c.writeFailed(tooLate)
+	case f.now > c.writeDeadline:
+		c.writeFailed(writeDeadlinePassed)
 		return
 	}
 	req := c.request
@@ -175,11 +179,11 @@
 	})
 }
 
-// receiveAttempt handles the job at the worker's machine. The incarnation is that of the process that
-// the connection was to when it was written.
+// receiveAttempt handles the arrival of an attempt at the worker's machine. The incarnation is that of the
+// worker's process to which the connection belonged when the attempt was written.
 func (c *conn) receiveAttempt(attempt scheduler.AttemptID, req *request, incarnation int) {
 	switch {
-	case c.receiveTimedOut() && c.Released: // closed with what had not left the machine
+	case c.receiveTimedOut() && c.Released: // the scheduler closed the connection and discarded the unsent data
 	case incarnation != c.worker.incarnation || !c.worker.running:
 		c.sendReset(attempt)
 	default:
@@ -187,24 +191,24 @@
 	}
 }
 
-// sendReset sends a reset from the worker's machine.
+// sendReset sends a TCP reset from the worker's machine to the scheduler.
 func (c *conn) sendReset(attempt scheduler.AttemptID) {
 	c.node.fleet.network.send(c.worker.zone, c.node.zone, packetBytes, func() { c.handleReset(attempt) })
 }
 
-// receiveTimedOut tells whether what was written has waited at the worker's machine for too long.
-func (c *conn) receiveTimedOut() bool { return c.node.fleet.now-c.writtenAt > receiveWait }
+// receiveTimedOut reports whether the data written last is older than receiveTimeout.
+func (c *conn) receiveTimedOut() bool { return c.node.fleet.now-c.writtenAt > receiveTimeout }
 
-// writeFailure is why a request could not be written.
+// writeFailure is the reason why the request of an exchange was not written.
 type writeFailure uint8
 
 const (
-	notAllowed  writeFailure = iota // by the last check
-	tooLate                         // for its WriteDeadline
-	dialRefused                     // nobody listens
+	sendNotAllowed      writeFailure = iota // allowSend rejected the attempt
+	writeDeadlinePassed                     // the write deadline passed before the first byte was written
+	dialRefused                             // the worker's process does not run
 )
 
-// writeFailed handles that the last byte of a request was not written.
+// writeFailed ends the present exchange, whose request was not written, with the outcome for the reason.
 func (c *conn) writeFailed(reason writeFailure) {
 	result := connstate.WriteFailed
 	if reason == dialRefused {
@@ -213,7 +217,7 @@
 	next, e := c.WriteEnded(result)
 	if end, ok := e.(scheduler.AttemptEnded); ok {
 		switch {
-		case reason == notAllowed:
+		case reason == sendNotAllowed:
 			end.Outcome = dispatch.NotSent
 		case reason == dialRefused && c.node.workerAtCapacity(c):
 			end.Outcome = dispatch.AtCapacity
@@ -225,8 +229,8 @@
 	c.finish(next, e)
 }
 
-// workerAtCapacity tells whether package node takes a refused dial for a worker that is at capacity: it
-// does if other connections to the worker stand.
+// workerAtCapacity reports whether a refused connection means that the worker is at capacity. Package node
+// assumes so if other connections to the worker's process are open.
 func (n *node) workerAtCapacity(c *conn) bool {
 	for _, o := range n.idleConns[c.worker] {
 		if o.incarnation == c.worker.incarnation {
@@ -241,7 +245,7 @@
 	return false
 }
 
-// handleReset handles a reset from the worker's machine.
+// handleReset handles the arrival of a TCP reset from the worker's machine.
 func (c *conn) handleReset(attempt scheduler.AttemptID) {
 	if !c.carries(attempt) {
 		return
@@ -250,7 +254,7 @@
 	c.finish(next, e)
 }
 
-// handleAnswer handles the worker's answer.
+// handleAnswer handles the arrival of the worker's HTTP answer at the scheduler.
 func (c *conn) handleAnswer(a connstate.Answer) {
 	next, e := c.Answered(a)
 	if next == connstate.Idle {
@@ -259,8 +263,8 @@
 	c.finish(next, e)
 }
 
-// finish does with the connection what its state asks for, and passes the event that ends the exchange,
-// if any, to the reducer.
+// finish closes the connection if its state machine demands it. If the exchange has ended, finish passes the
+// event e, which ends it, to the reducer.
 func (c *conn) finish(next connstate.Disposition, e scheduler.Event) {
 	if next == connstate.Drop {
 		c.node.closeConn(c)
--- a/internal/emulator/connection_pool.go
+++ b/internal/emulator/connection_pool.go
@@ -1,21 +1,22 @@
 package emulator
 
-// The connections that a scheduler keeps to workers, as package node has them.
+// Limits of a scheduler's connections to workers. Package node uses the same limits.
 const (
-	idleTimeoutSmallFleet = 50 * millisecond
+	idleTimeoutSmallFleet = 50 * millisecond // time after which an idle connection is closed
 	idleTimeoutLargeFleet = 2000 * millisecond
-	maxConnections        = (1024 - 32) / 4 // a quarter of the descriptors, but for 32
+	maxConnections        = (1024 - 32) / 4 // a quarter of 1,024 file descriptors, of which 32 are reserved
 )
 
-// idleEntry is a connection that became idle at a time. The entry does not count any more if the
-// connection was used since.
+// idleEntry records that a connection became idle at a time. The entry is outdated if the connection has been
+// used after that time.
 type idleEntry struct {
 	conn  *conn
 	since Micros
 }
 
-// acquireIdle returns the connection to a worker that became idle last, or nil. It closes those that
-// the worker's dead process has closed, as the scheduler has seen by now.
+// acquireIdle returns the connection to a worker that became idle last, or nil if there is none. It closes
+// connections to an ended process of the worker, provided that the process's closing of them has had time to
+// reach the scheduler.
 func (n *node) acquireIdle(w *worker) *conn {
 	for idle := n.idleConns[w]; len(idle) > 0; idle = n.idleConns[w] {
 		c := idle[len(idle)-1]
@@ -29,8 +30,8 @@
 	return nil
 }
 
-// acquireConn returns a connection for an attempt: an idle one, or else a new one. It returns nil if
-// there are too many.
+// acquireConn returns a connection for an attempt. It prefers an idle connection to a new one, and returns
+// nil if the limit of connections is reached.
 func (n *node) acquireConn(w *worker) *conn {
 	n.closeExpired()
 	if c := n.acquireIdle(w); c != nil {
@@ -39,14 +40,15 @@
 	return n.newConn(w)
 }
 
-// acquireNewConn returns a connection for a cancellation, which is never sent on a used one. It returns
-// nil if there are too many.
+// acquireNewConn returns a new connection for a cancellation; cancellations never reuse a connection. It
+// returns nil if the limit of connections is reached.
 func (n *node) acquireNewConn(w *worker) *conn {
 	n.closeExpired()
 	return n.newConn(w)
 }
 
-// newConn returns a new connection, or nil. When nearly all are in use the oldest idle one is closed.
+// newConn returns a new connection, or nil if maxConnections are open. From 7/8 of this limit on it first
+// closes the connection that has been idle for longest.
 func (n *node) newConn(w *worker) *conn {
 	if n.openConns >= maxConnections-maxConnections/8 {
 		n.closeOldestIdle()
@@ -59,7 +61,7 @@
 	return &conn{node: n, worker: w}
 }
 
-// addIdle makes a connection available for the next attempt.
+// addIdle makes a connection available for reuse by another attempt.
 func (n *node) addIdle(c *conn) {
 	c.idleSince = n.fleet.now
 	n.idleConns[c.worker] = append(n.idleConns[c.worker], c)
@@ -73,7 +75,7 @@
 	return idleTimeoutSmallFleet
 }
 
-// closeExpired closes the connections that have been idle for the timeout.
+// closeExpired closes all connections that have been idle for the idle timeout.
 func (n *node) closeExpired() {
 	for len(n.idleOrder) > 0 && n.fleet.now-n.idleOrder[0].since >= n.idleTimeout() {
 		n.closeOldestIdle()
@@ -87,7 +89,7 @@
 		n.idleOrder = n.idleOrder[1:]
 		c := oldest.conn
 		if c.Busy || c.Released || c.idleSince != oldest.since {
-			continue // it was used since
+			continue // The entry is outdated: the connection has been used or closed.
 		}
 		n.removeIdle(c)
 		n.closeConn(c)
@@ -108,7 +110,7 @@
 	}
 }
 
-// closeIdleTo closes the idle connections to a worker.
+// closeIdleTo closes all idle connections to a worker.
 func (n *node) closeIdleTo(w *worker) {
 	for _, c := range n.idleConns[w] {
 		n.closeConn(c)
--- a/internal/emulator/cost_meter.go
+++ b/internal/emulator/cost_meter.go
@@ -11,34 +11,38 @@
 	"dahliaford/internal/scheduler"
 )
 
-// controlCoreBudget is the fraction of a core that a scheduler may use for control events.
+// controlCoreBudget is the fraction of a processor core that a scheduler may use for control events, which
+// are the events about the worker list and its watch.
 const controlCoreBudget = 0.029
 
-// costMeter measures what a run costs on the machine.
+// costMeter measures the processor time and the memory that a run takes on the machine.
 type costMeter struct {
-	startedAt        time.Time
-	byKind           map[string]*stepTimes // by kindOfEvent
-	heapPerScheduler float64               // bytes, once all have the list
-	maxHeap          uint64                // bytes in use
+	startedAt        time.Time             // wall time at the start of the run
+	timesByKind      map[string]*stepTimes // by the result of kindOfEvent
+	heapPerScheduler float64               // live heap in bytes, measured when all schedulers have the list
+	maxHeap          uint64                // largest size of all heap objects in bytes
 	series           Series
-	loadStarted      bool
-	observe          func(scheduler.Event) // sees each event, for tests; nil: not set
-
-	// The longest that a reducer is behind, and the longest until a change is applied: with a core for
-	// everything, and with the control budget for control events alone.
+	loadStarted      bool // the warm-up is over
+	// observe is set by tests to see each event that a reducer processes; otherwise it is nil.
+	observe func(scheduler.Event)
+
+	// maxLag is the longest time that a reducer's processing lags behind the arrival of events, and
+	// maxChangeDelay the longest time until a change of the worker list is applied. Both assume a core for
+	// each reducer. The fields with AtBudget are the same times of a reducer that processes only control
+	// events, with the fraction controlCoreBudget of a core.
 	maxLag, maxLagAtBudget                 time.Duration
 	maxChangeDelay, maxChangeDelayAtBudget time.Duration
 }
 
-// stepTimes is the processor time of one kind of event.
+// stepTimes holds the processor times of the reducer steps for one kind of event.
 type stepTimes struct {
-	histogram *hdrhistogram.Histogram // nanoseconds
+	histogram *hdrhistogram.Histogram // in nanoseconds
 	total     time.Duration
 }
 
-func (m *costMeter) start() { m.startedAt, m.byKind = time.Now(), map[string]*stepTimes{} }
+func (m *costMeter) start() { m.startedAt, m.timesByKind = time.Now(), map[string]*stepTimes{} }
 
-// startLoad resets the usage of the schedulers: it counts from the start of the load.
+// startLoad resets the usage counters of all schedulers, which exclude the warm-up.
 func (m *costMeter) startLoad(f *fleet) {
 	m.loadStarted = true
 	for _, n := range f.nodes {
@@ -46,7 +50,7 @@
 	}
 }
 
-// kindOfEvent is the kind of event by which processor time is reported.
+// kindOfEvent returns the kind of an event, by which the report groups processor times.
 func kindOfEvent(e scheduler.Event) string {
 	switch e := e.(type) {
 	case scheduler.Started:
@@ -85,18 +89,19 @@
 	}
 }
 
-// recordStep notes the processor time of one step of a scheduler's reducer.
+// recordStep records the processor time that a scheduler's reducer took to process an event.
 func (m *costMeter) recordStep(n *node, e scheduler.Event, took time.Duration) {
 	if m.observe != nil {
 		m.observe(e)
 	}
 	kind := kindOfEvent(e)
-	times := m.byKind[kind]
+	times := m.timesByKind[kind]
 	if times == nil {
 		times = &stepTimes{histogram: hdrhistogram.New(1, int64(time.Hour), 2)}
-		m.byKind[kind] = times
+		m.timesByKind[kind] = times
 	}
-	_ = times.histogram.RecordValue(max(int64(took), 1)) // fails for more than an hour
+	// RecordValue fails only for a step of more than an hour.
+	_ = times.histogram.RecordValue(max(int64(took), 1))
 	times.total += took
 	if !m.loadStarted {
 		return
@@ -115,14 +120,15 @@
 	*currentSecond(&m.series.CoreSeconds, n.fleet) += took.Seconds()
 }
 
-// recordChange notes when a change, known to discovery since a time, is applied at a scheduler that
-// receives it at once: when its reducer has processed it and everything before.
+// recordChange records the delay from the time at which discovery learned of a change until the reducer of
+// scheduler n has processed the change and all earlier events.
 func (m *costMeter) recordChange(n *node, since Micros) {
 	m.maxChangeDelay = max(m.maxChangeDelay, n.usage.busyUntil-toDuration(since))
 	m.maxChangeDelayAtBudget = max(m.maxChangeDelayAtBudget, n.usage.controlBusyUntil-toDuration(since))
 }
 
-// currentSecond returns the element of a series for the present second of the load.
+// currentSecond returns a pointer to the element of a series for the present second of the load. It extends
+// the series if necessary.
 func currentSecond[T any](series *[]T, f *fleet) *T {
 	i := int((f.now - epoch - warmUp) / second)
 	for len(*series) <= i {
@@ -140,17 +146,17 @@
 	}
 }
 
-// sampleHeap measures the heap once a second of virtual time.
+// sampleHeap updates the largest heap size, and schedules itself again after a second of virtual time.
 func (m *costMeter) sampleHeap(f *fleet) {
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(heap)
 	m.maxHeap = max(m.maxHeap, heap[0].Value.Uint64())
-	f.after(second, func() { m.sampleHeap(f) })
+	f.scheduleAfter(second, func() { m.sampleHeap(f) })
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// results returns what was measured.
+// results returns the measurements in the form of the report.
 func (m *costMeter) results(f *fleet) Measured {
 	measured := Measured{
 		WallSeconds:                time.Since(m.startedAt).Seconds(),
@@ -163,7 +169,7 @@
 		MaxChangeMs:                milliseconds(m.maxChangeDelay),
 		MaxChangeMsAtControlBudget: milliseconds(m.maxChangeDelayAtBudget),
 	}
-	for kind, times := range m.byKind {
+	for kind, times := range m.timesByKind {
 		measured.EventCosts = append(measured.EventCosts, times.cost(kind))
 	}
 	slices.SortFunc(measured.EventCosts, func(a, b EventCost) int {
@@ -179,7 +185,7 @@
 	return measured
 }
 
-// cost returns the times of a kind of event in the form of the report.
+// cost returns the processor times of a kind of event in the form of the report.
 func (t *stepTimes) cost(kind string) EventCost {
 	micros := func(nanoseconds int64) float64 { return float64(nanoseconds) / 1000 }
 	return EventCost{
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -11,59 +11,60 @@
 )
 
 const (
-	// batchInterval is how long discovery gathers changes before it publishes them as one revision.
+	// batchInterval is how long discovery collects changes before it publishes them as one revision.
 	batchInterval     = 250 * millisecond
 	heartbeatInterval = Micros(endpoints.HeartbeatInterval / time.Microsecond)
 
-	// callTime is the processing time of a call, in addition to that of its list; calls are processed one
-	// after the other.
-	callTime      = 5 * millisecond
-	bytesPerMicro = 100.0 // of a list, that discovery can write in a microsecond
-	maxCallWait   = 2 * second
+	// callProcessingTime is how long discovery processes a call that opens a watch, without the time for
+	// writing the list. Discovery processes one call at a time.
+	callProcessingTime = 5 * millisecond
+	listBytesPerMicro  = 100.0      // bytes of a list that discovery writes per microsecond
+	maxCallWait        = 2 * second // longest time that a call waits for its processing
 
-	// livenessTimeout is how long a worker must be silent before discovery removes it, give or take half
-	// a second.
+	// livenessTimeout is how long a worker must be silent before discovery removes it. The actual time
+	// varies randomly by up to half a second in both directions.
 	livenessTimeout   = 3 * second
-	agentReportDelay  = 20 * millisecond  // until a machine's agent has reported that a process died
-	registrationDelay = 200 * millisecond // until a worker that has started is listed
+	agentReportDelay  = 20 * millisecond  // time until a machine's agent reports the end of a process
+	registrationDelay = 200 * millisecond // time from the start of a worker until discovery learns of it
 
-	maxLateness = 2 * second // that a late line is delayed by
-	maxHistory  = 4096       // revisions for which discovery still knows what changed
+	maxLineDelay     = 2 * second // largest additional delay of a late line of a watch
+	maxChangeHistory = 4096       // revisions whose changes discovery remembers
 
-	discoveryZone = 0
+	discoveryZone = 0 // zone in which the discovery service runs
 )
 
-// discovery is the simulated service of the worker list.
+// discovery is the simulated discovery service. It maintains the worker list and writes changes of the list
+// to the watches of the schedulers.
 type discovery struct {
-	fleet         *fleet
-	down          bool
-	table         *endpoints.Table       // a worker's place is its index
-	notReadySince []Micros               // by index; 0: listed as ready
-	pending       map[int]*pendingChange // not published yet, by index
-	watches       []*watch               // ordered by the index of their schedulers
-	queuedCalls   []*watch               // calls that are not answered yet
-	incarnation   int                    // of its process
-	busyUntil     Micros                 // the queued calls are answered by then
-	random        func() float64
-	lateFraction  float64 // of the lines of watches
+	fleet           *fleet
+	down            bool
+	table           *endpoints.Table       // the published list; worker.index is the worker's position
+	notReadySince   []Micros               // by worker.index; 0 means that the worker is listed as ready
+	pending         map[int]*pendingChange // unpublished changes by worker.index
+	watches         []*watch               // open watches, ordered by the index of their schedulers
+	queuedCalls     []*watch               // watches whose opening call is not yet answered
+	incarnation     int                    // number of restarts of the discovery process
+	busyUntil       Micros                 // time at which all queued calls are answered
+	random          func() float64
+	delayedFraction float64 // fraction of the lines of watches that get an additional delay
 }
 
-// pendingChange is the entry of a worker as it is to be published next.
+// pendingChange is a worker's new entry, which the next revision of the list will contain.
 type pendingChange struct {
 	endpoint endpoints.Endpoint
-	since    Micros // discovery has known of the change
+	since    Micros // time at which discovery learned of the change
 }
 
 func newDiscovery(f *fleet) *discovery {
 	return &discovery{
 		fleet:   f,
-		table:   endpoints.NewTable(maxHistory),
+		table:   endpoints.NewTable(maxChangeHistory),
 		pending: map[int]*pendingChange{},
 		random:  f.newRandom(discoveryStream).Float64,
 	}
 }
 
-// workerList is a message in the form that the reducer takes.
+// workerList converts a message of discovery to the type that the reducer accepts.
 func workerList(m endpoints.Message) scheduler.WorkerList {
 	list := scheduler.WorkerList{Revision: m.Revision, Complete: m.Complete}
 	if len(m.Endpoints) > 0 {
@@ -87,7 +88,7 @@
 	}
 }
 
-// add lists a new worker, without a message to the watches.
+// add adds a new worker to the list without publishing a revision.
 func (d *discovery) add(w *worker) {
 	state := endpoints.Ready
 	if !w.running {
@@ -98,7 +99,7 @@
 	d.notReadySince = append(d.notReadySince, 0)
 }
 
-// setState changes the state of a worker's entry with the next message.
+// setState changes the state of a worker's entry in the next revision of the list.
 func (d *discovery) setState(w *worker, state endpoints.State) {
 	change := d.pending[w.index]
 	if change == nil {
@@ -113,12 +114,12 @@
 		return
 	}
 	if len(d.pending) == 0 {
-		d.fleet.after(batchInterval, d.publish)
+		d.fleet.scheduleAfter(batchInterval, d.publish)
 	}
 	d.pending[w.index] = change
 }
 
-// publish puts the pending changes into the list as one revision, and writes it to all watches.
+// publish applies the pending changes to the list as one revision, and writes the revision to all watches.
 func (d *discovery) publish() {
 	if d.down || len(d.pending) == 0 {
 		return
@@ -137,14 +138,14 @@
 	}
 	clear(d.pending)
 	list := workerList(d.table.Publish(published...))
-	d.fleet.tally.published(list.Revision, since, len(published))
+	d.fleet.tally.recordRevision(list.Revision, since, len(published))
 	for _, s := range d.watches {
 		s.write(list)
 	}
 }
 
-// handleCall handles the call that opens a watch from a revision on. It is refused while discovery is
-// down, and fails if it would have to wait for too long.
+// handleCall handles a call that opens a watch for the changes after revision rev. Discovery refuses the call
+// at once while discovery is down, and after maxCallWait if the call would wait longer for its processing.
 func (d *discovery) handleCall(s *watch, rev int64) {
 	f := d.fleet
 	if d.down {
@@ -154,7 +155,9 @@
 	start := max(d.busyUntil, f.now)
 	if start-f.now > maxCallWait {
 		f.tally.discovery.RefusedCalls++
-		f.at(f.now+maxCallWait, func() { f.network.send(discoveryZone, s.node.zone, answerBytes, s.handleClose) })
+		f.scheduleAt(f.now+maxCallWait, func() {
+			f.network.send(discoveryZone, s.node.zone, answerBytes, s.handleClose)
+		})
 		return
 	}
 	answer := d.table.Since(rev)
@@ -163,18 +166,20 @@
 	} else {
 		f.tally.discovery.Deltas++
 	}
-	d.busyUntil = start + callTime + Micros(float64(listBytes(len(answer.Endpoints)))/bytesPerMicro)
+	d.busyUntil = start + callProcessingTime +
+		Micros(float64(listBytes(len(answer.Endpoints)))/listBytesPerMicro)
 	f.tally.discovery.BusySeconds += float64(d.busyUntil-start) / float64(second)
 	incarnation := d.incarnation
 	d.queuedCalls = append(d.queuedCalls, s)
-	f.at(d.busyUntil, func() {
-		if d.incarnation == incarnation { // else the watch was closed by the restart
+	f.scheduleAt(d.busyUntil, func() {
+		if d.incarnation == incarnation { // A restart has closed the watch otherwise.
 			d.open(s, rev)
 		}
 	})
 }
 
-// open answers a queued call: the watch begins with what changed since a revision, as it is now.
+// open answers a queued call. The first line of the watch holds the changes from revision rev to the present
+// list, or the full list if discovery no longer remembers the changes.
 func (d *discovery) open(s *watch, rev int64) {
 	d.queuedCalls = slices.DeleteFunc(d.queuedCalls, func(o *watch) bool { return o == s })
 	s.connected = true
@@ -190,8 +195,8 @@
 	d.watches = slices.DeleteFunc(d.watches, func(o *watch) bool { return o == s })
 }
 
-// restart takes discovery down for a while. Its watches end. It keeps the list, but not the history of
-// changes.
+// restart takes discovery down for the duration of the outage and closes all watches. Discovery keeps the
+// worker list, but loses the history of changes.
 func (d *discovery) restart(outage Micros) {
 	d.down = true
 	d.incarnation++
@@ -200,11 +205,11 @@
 		d.fleet.network.send(discoveryZone, s.node.zone, packetBytes, s.handleClose)
 	}
 	d.watches, d.queuedCalls = nil, nil
-	d.fleet.after(outage, func() {
+	d.fleet.scheduleAfter(outage, func() {
 		d.down, d.busyUntil = false, 0
-		d.table.Publish() // so that no revision from before the restart is the present one
+		d.table.Publish() // An empty revision ensures that every revision from before the restart is outdated.
 		d.table.Forget()
-		d.fleet.tally.published(d.table.Revision(), d.fleet.now, 0)
+		d.fleet.tally.recordRevision(d.table.Revision(), d.fleet.now, 0)
 		d.publish()
 	})
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,8 +1,8 @@
-// Package emulator runs a fleet in virtual time: hundreds of simulated schedulers, each with the real
-// reducer and decision module, among simulated workers, clients, one discovery service and a network,
-// which are written here. There is no socket and no sleep: one queue of events, ordered by time, moves
-// the clock. The same options give the same run, except for what is measured on the machine (see
-// Measured). docs/design-emulator.md says what is left out.
+// Package emulator simulates a fleet in virtual time. Hundreds of schedulers run the real reducer and the
+// real decision module; the workers, the clients, the discovery service and the network are simulated by
+// this package. The simulation uses no sockets and never sleeps: a queue of events, ordered by time,
+// advances the virtual clock. Equal options give equal results, except for the figures in Measured, which
+// depend on the machine. docs/design-emulator.md lists what the simulation omits.
 package emulator
 
 import (
@@ -17,17 +17,19 @@
 	"dahliaford/internal/settings"
 )
 
-// orphanLimit is how long a worker may hold a job that no scheduler waits for.
+// orphanLimit is the longest time that a worker may hold an attempt whose result no scheduler waits for.
 const orphanLimit = 20 * time.Second
 
-// fleet is one run: all simulated actors, the clock and what is counted.
+// fleet holds the state of one run: the simulated components, the virtual clock, the pending events and the
+// statistics.
 type fleet struct {
-	options  Options
-	settings settings.Settings // of all schedulers; their index and zone are set in a copy each
-	task     Micros            // mean run time of a job on a standard machine
-	now      Micros
-	end      Micros
-	events   eventQueue
+	options Options
+	// settings are common to all schedulers. Each scheduler gets a copy with its own index and zone.
+	settings    settings.Settings
+	meanRunTime Micros // mean run time of a job on a machine of speed 1
+	now         Micros
+	end         Micros
+	events      eventQueue
 
 	network      network
 	discovery    *discovery
@@ -36,39 +38,42 @@
 	byUID        map[string]*worker
 	byAddr       map[string]*worker
 	clients      *clients
-	requests     map[string]*request // with something outstanding, by id
+	requests     map[string]*request // by id; only requests that await an answer or the end of an attempt
 	historyRules history.Rules
 	tally        tally
 	meter        costMeter
 }
 
-// at schedules an action for a time, behind all actions that were scheduled before for that time.
-func (f *fleet) at(t Micros, action func()) { f.events.push(max(t, f.now), action) }
+// scheduleAt schedules an action for time t, or for the present if t has passed. Actions for the same time
+// run in the order in which they were scheduled.
+func (f *fleet) scheduleAt(t Micros, action func()) { f.events.push(max(t, f.now), action) }
 
-// after schedules an action for so much later.
-func (f *fleet) after(d Micros, action func()) { f.events.push(f.now+d, action) }
+// scheduleAfter schedules an action to run after a delay of virtual time.
+func (f *fleet) scheduleAfter(d Micros, action func()) { f.events.push(f.now+d, action) }
 
-// The streams of random numbers. Each actor draws from a stream of its own, so that a change in one
-// actor does not change what the others draw. The numbers are part of what a seed means.
+// The identifiers of the streams of random numbers. Each component draws from a stream of its own, so that
+// a change to one component does not change the draws of the others. A changed identifier changes the
+// result of every seed.
 const (
 	networkStream   = 1
 	discoveryStream = 2
 	clientStream    = 3
 	dayStream       = 4
-	workerStreams   = 1000      // plus the worker's index
-	nodeStreams     = 1_000_000 // plus the scheduler's index
+	workerStreams   = 1000      // The worker's index is added.
+	nodeStreams     = 1_000_000 // The scheduler's index is added.
 )
 
-// newRandom returns the random source of a stream.
+// newRandom returns a random source for the given stream, seeded with the seed of the run.
 func (f *fleet) newRandom(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(f.options.Seed, stream))
 }
 
-// wallTime is the present virtual time as a time.Time.
+// wallTime returns the present virtual time as a time.Time.
 func (f *fleet) wallTime() time.Time { return time.UnixMicro(int64(f.now)) }
 
-// Run plays a day and returns its report. It fails with the error of Validate for bad options, and with
-// the context's error, wrapped, if the context ends first.
+// Run simulates the fleet and the day that the options describe, and returns the report. It returns the
+// error of Options.Validate for invalid options, and wraps the context's error if the context ends before
+// the run does.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	if err := opt.Validate(); err != nil {
 		return nil, err
@@ -79,21 +84,22 @@
 		return nil, err
 	}
 	days[opt.Day].schedule(f)
-	if err := f.play(ctx); err != nil {
+	if err := f.runEvents(ctx); err != nil {
 		return nil, err
 	}
 	return f.report(), nil
 }
 
-// eventsPerContextCheck keeps the check of the context out of the profile.
+// eventsPerContextCheck is the number of events between two checks of the context. A check before every
+// event would show up in the processor profile.
 const eventsPerContextCheck = 4096
 
-// play runs all events up to the end of the run.
-func (f *fleet) play(ctx context.Context) error {
+// runEvents executes all events in the order of their times, up to the end of the run.
+func (f *fleet) runEvents(ctx context.Context) error {
 	for n := 0; ; n++ {
 		if n%eventsPerContextCheck == 0 {
 			if err := ctx.Err(); err != nil {
-				return fmt.Errorf("given up at %.1f s of virtual time: %w", seconds(f.now-epoch), err)
+				return fmt.Errorf("run stopped at %.1f s of virtual time: %w", seconds(f.now-epoch), err)
 			}
 		}
 		e, ok := f.events.pop()
@@ -107,22 +113,22 @@
 	return nil
 }
 
-// newFleet returns a fleet whose first events are scheduled: the schedulers start, and the load begins
-// after the warm-up.
+// newFleet returns a fleet with its first events scheduled: the starts of the schedulers, and the begin of
+// the load after the warm-up.
 func newFleet(opt Options) (*fleet, error) {
 	set, err := fleetSettings(opt)
 	if err != nil {
 		return nil, err
 	}
 	f := &fleet{
-		options:  opt,
-		settings: set,
-		task:     Micros(opt.Task.Microseconds()),
-		now:      epoch,
-		end:      epoch + warmUp + Micros(opt.Duration.Microseconds()),
-		byUID:    map[string]*worker{},
-		byAddr:   map[string]*worker{},
-		requests: map[string]*request{},
+		options:     opt,
+		settings:    set,
+		meanRunTime: Micros(opt.MeanRunTime.Microseconds()),
+		now:         epoch,
+		end:         epoch + warmUp + Micros(opt.Duration.Microseconds()),
+		byUID:       map[string]*worker{},
+		byAddr:      map[string]*worker{},
+		requests:    map[string]*request{},
 	}
 	f.network = network{fleet: f, random: f.newRandom(networkStream), cutRegion: noRegion}
 	f.tally = newTally(f)
@@ -136,17 +142,17 @@
 	if err := f.startSchedulers(); err != nil {
 		return nil, err
 	}
-	f.at(epoch+warmUp, func() {
+	f.scheduleAt(epoch+warmUp, func() {
 		f.meter.heapPerScheduler = float64(heapInUse()-heapBefore) / float64(opt.Schedulers)
 		f.meter.startLoad(f)
 	})
 	f.clients = newClients(f)
-	f.at(epoch+warmUp, f.clients.submitNext)
+	f.scheduleAt(epoch+warmUp, f.clients.submitNext)
 	f.meter.sampleHeap(f)
 	return f, nil
 }
 
-// newHistoryRules returns the rules that each request's history is checked by.
+// newHistoryRules returns the rules against which the history of each request is checked.
 func newHistoryRules(set settings.Settings) history.Rules {
 	keyedClass := set.Dispatch.Classes[len(set.Dispatch.Classes)-1]
 	rules := history.Rules{
@@ -164,8 +170,8 @@
 	return rules
 }
 
-// startSchedulers creates the schedulers and starts them within the first half second, each with the
-// worker list as it is now.
+// startSchedulers creates the schedulers and schedules their starts at random times within the first half
+// second of the run. Each scheduler starts with the present worker list as its cached list.
 func (f *fleet) startSchedulers() error {
 	list := workerList(f.discovery.table.Full())
 	for i := range f.options.Schedulers {
@@ -176,14 +182,14 @@
 		f.nodes = append(f.nodes, n)
 	}
 	for _, n := range f.nodes {
-		f.at(epoch+Micros(n.random.Int64N(int64(second/2))), func() {
+		f.scheduleAt(epoch+Micros(n.random.Int64N(int64(second/2))), func() {
 			n.step(scheduler.Started{Discovery: "discovery", CachedList: list})
 		})
 	}
 	return nil
 }
 
-// zoneOfScheduler spreads the schedulers evenly over the zones.
+// zoneOfScheduler returns the zone of scheduler i. The schedulers are spread evenly over the zones.
 func zoneOfScheduler(i, schedulers int) int {
 	if schedulers >= Zones {
 		return i % Zones
@@ -191,7 +197,7 @@
 	return i * Zones / schedulers
 }
 
-// heapInUse is the heap in use after a collection, in bytes.
+// heapInUse runs the garbage collector and returns the size of the live heap in bytes.
 func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -9,32 +9,33 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Each day violates no rule, and is the same again with the same seed.
+// A run of each fault scenario has no violations, and a second run with the same seed gives the same results.
 func TestDays(t *testing.T) {
 	for _, day := range Days() {
 		t.Run(day, func(t *testing.T) {
 			t.Parallel()
-			r := mustRun(t, shortDay(day))
+			r := mustRun(t, shortRun(day))
 			m := r.Model
-			if diff := cmp.Diff(m, mustRun(t, shortDay(day)).Model); diff != "" {
-				t.Errorf("the same seed gives another run: %s", diff)
+			if diff := cmp.Diff(m, mustRun(t, shortRun(day)).Model); diff != "" {
+				t.Errorf("two runs with the same seed differ: %s", diff)
 			}
 			if !r.OK() || m.Invalid > 0 {
-				t.Errorf("violations: %v, %d invalid; %s", m.Violations, m.Invalid, strings.Join(m.Findings, "\n"))
+				t.Errorf("got violations %v and %d invalid answers, want none; findings: %s",
+					m.Violations, m.Invalid, strings.Join(m.Findings, "\n"))
 			}
 			if m.Starts < m.Jobs/2 || m.Served < m.Jobs/4 || m.CheckedRequests < m.Requests-3 {
-				t.Errorf("%d jobs, %d starts, %d served; %d of %d checked", m.Jobs, m.Starts, m.Served,
-					m.CheckedRequests, m.Requests)
+				t.Errorf("%d jobs, %d starts (want 1/2), %d served (want 1/4), %d of %d requests checked (want all but 3)",
+					m.Jobs, m.Starts, m.Served, m.CheckedRequests, m.Requests)
 			}
 			if m.Changes.NotInForce > 0 || m.Changes.InForce.Max > 8000 {
-				t.Errorf("changes not in force in time: %+v", m.Changes)
+				t.Errorf("some changes are not in force at all schedulers within 8 s: %+v", m.Changes)
 			}
 			expectFaults(t, m)
 		})
 	}
 }
 
-// expectFaults checks that the faults of the day have happened.
+// expectFaults checks that the faults of the scenario have happened.
 func expectFaults(t *testing.T, m Model) {
 	t.Helper()
 	workersInZone := (m.Workers + Zones - 1) / Zones
@@ -49,26 +50,26 @@
 		"storm":     m.KilledAttempts > 0 && m.Changes.Entries >= 2*rackSize,
 	}
 	if !happened[m.Day] {
-		t.Errorf("the faults of the day did not happen: %d killed, %+v, %+v", m.KilledAttempts, m.Changes,
-			m.Discovery)
+		t.Errorf("the figures do not show the faults of the scenario: %d killed attempts, %+v, %+v",
+			m.KilledAttempts, m.Changes, m.Discovery)
 	}
 }
 
 func TestSeedsDiffer(t *testing.T) {
-	opt := shortDay("calm")
+	opt := shortRun("calm")
 	opt.Duration = 2 * time.Second
 	first := mustRun(t, opt)
 	opt.Seed = 2
 	if cmp.Equal(first.Model.TimeToStart, mustRun(t, opt).Model.TimeToStart) {
-		t.Error("two seeds give the same run")
+		t.Error("runs with different seeds have the same times to start, want different times")
 	}
 }
 
-// A run whose context ends fails, and says how far it came.
+// A run whose context is canceled returns an error that states the virtual time reached.
 func TestContextEndsRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Run(ctx, shortDay("calm")); err == nil || !strings.Contains(err.Error(), "virtual time") {
+	if _, err := Run(ctx, shortRun("calm")); err == nil || !strings.Contains(err.Error(), "virtual time") {
 		t.Error(err)
 	}
 }
@@ -79,22 +80,22 @@
 		"schedulers": func(o *Options) { o.Schedulers = MaxSchedulers + 1 },
 		"rate":       func(o *Options) { o.Rate = -1 },
 		"time":       func(o *Options) { o.Duration = 0 },
-		"task":       func(o *Options) { o.Task = time.Microsecond },
+		"task":       func(o *Options) { o.MeanRunTime = time.Microsecond },
 		"day":        func(o *Options) { o.Day = "doom" },
 	} {
 		t.Run(want, func(t *testing.T) {
-			opt := shortDay("calm")
+			opt := shortRun("calm")
 			change(&opt)
 			if _, err := Run(context.Background(), opt); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%v, want an error with %q", err, want)
+				t.Errorf("got error %v, want an error that contains %q", err, want)
 			}
 		})
 	}
 }
 
-// The settings that the schedulers get say what the simulated workers and clients do.
+// The settings of the schedulers agree with the behavior of the simulated workers and clients.
 func TestFleetSettings(t *testing.T) {
-	set, err := fleetSettings(shortDay("calm"))
+	set, err := fleetSettings(shortRun("calm"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,8 +103,9 @@
 	for _, tenant := range set.Dispatch.Tenants {
 		quota += tenant.Quota
 	}
-	if len(set.Dispatch.Tenants) != teamCount || quota < 1.29*80 || quota > 1.31*80 {
-		t.Errorf("%d teams with %v jobs a second", len(set.Dispatch.Tenants), quota)
+	if len(set.Dispatch.Tenants) != tenantCount || quota < 1.29*80 || quota > 1.31*80 {
+		t.Errorf("got %d tenants with a total quota of %v jobs per second, want tenantCount and 103.2 to 104.8",
+			len(set.Dispatch.Tenants), quota)
 	}
 	d := set.Dispatch
 	if !d.LoadReports || !d.StartReported || !d.CancelAllowed || !d.RetriesMarked {
@@ -117,6 +119,6 @@
 		sum += m.fraction
 	}
 	if sum < 1.999 || sum > 2.001 || len(set.Zones) != Zones {
-		t.Errorf("the fractions of classes and of slots come to %v together, want 2", sum)
+		t.Errorf("the fractions of classes and of slot counts add up to %v, want 2, or zones are missing", sum)
 	}
 }
--- a/internal/emulator/harness_test.go
+++ b/internal/emulator/harness_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// shortDay is a day with a small fleet and a short load.
-func shortDay(day string) Options {
-	return Options{Workers: 200, Schedulers: 20, Rate: 80, Duration: 12 * time.Second, Task: time.Second,
+// shortRun returns the options of a run of the given day with a small fleet and a load of 12 s.
+func shortRun(day string) Options {
+	return Options{Workers: 200, Schedulers: 20, Rate: 80, Duration: 12 * time.Second, MeanRunTime: time.Second,
 		Day: day, Seed: 1}
 }
 
@@ -21,8 +21,8 @@
 	return r
 }
 
-// newIdleFleet returns a fleet at the start of its load in which nothing is scheduled, so that a test
-// sees only what it starts itself.
+// newIdleFleet returns a fleet at the start of its load with an empty event queue. Only events that the test
+// causes will happen.
 func newIdleFleet(t *testing.T, opt Options) *fleet {
 	t.Helper()
 	f, err := newFleet(opt)
@@ -33,7 +33,7 @@
 	return f
 }
 
-// runUntil runs all events up to a time.
+// runUntil runs all events that are due until the given time, and sets the clock to this time.
 func (f *fleet) runUntil(at Micros) {
 	for len(f.events.heap) > 0 && f.events.heap[0].at <= at {
 		e, _ := f.events.pop()
--- a/internal/emulator/message_sizes.go
+++ b/internal/emulator/message_sizes.go
@@ -2,23 +2,23 @@
 
 import "dahliaford/internal/scheduler"
 
-// Sizes of messages in bytes, as the wire's HTTP and JSON have them with the headers that the program
-// writes, without those of TCP and IP. They are estimates from messages written out once.
+// Sizes of messages in bytes: the HTTP and JSON text with the headers that the scheduler program writes,
+// without TCP and IP headers. The sizes are estimates, derived from one sample of each message.
 const (
-	packetBytes      = 0   // a handshake, a reset: nothing above TCP
-	requestBytes     = 420 // a job with its headers and 200 bytes of body
-	answerBytes      = 90  // a status line with two headers
-	emptyAnswerBytes = 27  // 204
-	callbackBytes    = 210 // POST /callback with its object, without the result
-	reportBytes      = 80  // a load report within a callback
-	cancelBytes      = 75
-	openWatchBytes   = 95  // the call that opens a watch
-	entryBytes       = 139 // of the worker list: 1,000 KB for 7,200
-	listFrameBytes   = 48  // a full list or a change without its entries, and the framing of the chunk
-	heartbeatBytes   = 6   // an empty line
+	packetBytes      = 0   // a TCP handshake or reset, which carries no payload
+	requestBytes     = 420 // a submitted job: headers and a body of 200 bytes
+	answerBytes      = 90  // an answer: the status line and two headers
+	emptyAnswerBytes = 27  // an answer with status 204
+	callbackBytes    = 210 // POST /callback with its JSON object, without the job's result
+	reportBytes      = 80  // the load report within a callback
+	cancelBytes      = 75  // the cancellation of an attempt
+	openWatchBytes   = 95  // the request that opens a watch of the worker list
+	entryBytes       = 139 // an entry of the worker list; a list of 7,200 workers takes 1,000 KB
+	listFrameBytes   = 48  // a line with a full list or a change, without its entries; includes chunk framing
+	heartbeatBytes   = 6   // an empty line, written to a watch as a heartbeat
 )
 
-// messageBytes is the size of a line of a watch.
+// messageBytes returns the size in bytes of a line of a watch. A list with revision 0 is a heartbeat.
 func messageBytes(list scheduler.WorkerList) int {
 	if list.Revision == 0 {
 		return heartbeatBytes
@@ -26,5 +26,5 @@
 	return listBytes(len(list.Workers))
 }
 
-// listBytes is the size of a full list or a change with so many entries.
+// listBytes returns the size in bytes of a full list or a change with the given number of entries.
 func listBytes(entries int) int { return listFrameBytes + entryBytes*entries }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -2,35 +2,36 @@
 
 import "math/rand/v2"
 
-// The places: regions with zones. Zone i lies in region i / ZonesPerRegion.
+// Regions and zones of the fleet. Zone i lies in region i / ZonesPerRegion.
 const (
 	Regions        = 7
 	ZonesPerRegion = 2
 	Zones          = Regions * ZonesPerRegion
 )
 
-const noRegion = -1
+const noRegion = -1 // value of network.cutRegion while all regions are connected
 
-// Delays one way, in microseconds.
+// One-way delays of messages, in microseconds.
 const (
-	zoneDelay        = 250        // within a zone
-	regionDelay      = 900        // between the zones of a region
-	delayPerRegion   = 11_000     // for each region on the way; the regions lie on a ring
-	interRegionDelay = 6_000      // between regions, in addition
-	jitterFraction   = 0.2        // a delay is up to this much longer
-	microsPerByte    = 1.0 / 125. // a link of 1 Gbit/s
+	zoneDelay        = 250        // delay within a zone
+	regionDelay      = 900        // delay between two zones of a region
+	delayPerRegion   = 11_000     // delay for each step between two neighbors on the ring of regions
+	interRegionDelay = 6_000      // delay between different regions, in addition to delayPerRegion
+	jitterFraction   = 0.2        // largest random increase of a delay, as a fraction of it
+	microsPerByte    = 1.0 / 125. // transmission time of a byte on a link of 1 Gbit/s
 )
 
-// network carries messages between zones. Each arrives after its delay. One that meets a cut waits for
-// the end of the cut, as TCP retransmits; by then its sender or receiver may have given up.
+// network carries messages between zones. Each message arrives after a delay. A cut is a network partition
+// that separates one region from all others. A message across the cut is sent when the cut ends, as TCP
+// would retransmit it; its sender or its receiver may have timed out by then.
 type network struct {
 	fleet     *fleet
 	random    *rand.Rand
-	cutRegion int // the region that is cut off from all others, or noRegion
-	blocked   []blockedMessage
+	cutRegion int              // region that is cut off from all others, or noRegion
+	blocked   []blockedMessage // messages across the cut, in the order of sending
 }
 
-// blockedMessage waits for the end of a cut.
+// blockedMessage is a message that is held back until the cut ends.
 type blockedMessage struct {
 	from, to  int // zones
 	bytes     int
@@ -39,7 +40,7 @@
 
 func region(zone int) int { return zone / ZonesPerRegion }
 
-// delay is how long a message takes from zone to zone, without the time for its bytes.
+// delay returns a random delay of a message between two zones, without the transmission time of its bytes.
 func (n *network) delay(from, to int) Micros {
 	d := Micros(zoneDelay)
 	switch a, b := region(from), region(to); {
@@ -53,21 +54,22 @@
 	return d + Micros(n.random.Float64()*jitterFraction*float64(d))
 }
 
-// separated tells whether a cut lies between two zones.
+// separated reports whether the cut separates zones a and b.
 func (n *network) separated(a, b int) bool {
 	return n.cutRegion >= 0 && region(a) != region(b) && (region(a) == n.cutRegion || region(b) == n.cutRegion)
 }
 
-// send calls onArrival once a message of that many bytes has arrived, after the cut if there is one.
+// send calls onArrival when a message of the given size arrives. If the cut separates the two zones, the
+// message is held back until the cut ends.
 func (n *network) send(from, to, bytes int, onArrival func()) {
 	if n.separated(from, to) {
 		n.blocked = append(n.blocked, blockedMessage{from, to, bytes, onArrival})
 		return
 	}
-	n.fleet.after(n.delay(from, to)+Micros(float64(bytes)*microsPerByte), onArrival)
+	n.fleet.scheduleAfter(n.delay(from, to)+Micros(float64(bytes)*microsPerByte), onArrival)
 }
 
-// heal ends the cut. The messages that waited for it are sent.
+// heal ends the cut and sends the messages that it held back.
 func (n *network) heal() {
 	n.cutRegion = noRegion
 	blocked := n.blocked
--- a/internal/emulator/network_test.go
+++ b/internal/emulator/network_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A cut delays what would cross it, and nothing else, until it ends.
+// A cut holds back the messages across it until it ends, and does not delay other messages.
 func TestCutRegion(t *testing.T) {
-	f := newIdleFleet(t, shortDay("calm"))
+	f := newIdleFleet(t, shortRun("calm"))
 	arrivals := map[string]Micros{}
 	f.network.cutRegion = 3
 	for name, zones := range map[string][2]int{
@@ -14,18 +14,19 @@
 	}
 	f.runUntil(f.atFraction(0) + second)
 	if len(arrivals) != 2 || arrivals["within"] == 0 || arrivals["elsewhere"] == 0 {
-		t.Errorf("arrived during the cut: %v", arrivals)
+		t.Errorf("got arrivals %v during the cut, want only those of within and elsewhere", arrivals)
 	}
 	f.network.heal()
 	f.runUntil(f.atFraction(0) + 2*second)
 	if arrivals["out"] < f.atFraction(0)+second || arrivals["in"] < f.atFraction(0)+second {
-		t.Errorf("arrived after the cut: %v", arrivals)
+		t.Errorf("got arrivals %v, want out and in to arrive after the end of the cut", arrivals)
 	}
 }
 
-// Delays grow from within a zone over its region to other regions.
+// The delay of a message is shortest within a zone, longer within a region, and between regions grows with
+// their distance on the ring.
 func TestNetworkDelays(t *testing.T) {
-	f := newIdleFleet(t, shortDay("calm"))
+	f := newIdleFleet(t, shortRun("calm"))
 	for _, c := range []struct {
 		from, to           int
 		minDelay, maxDelay Micros
@@ -38,7 +39,8 @@
 	} {
 		for range 100 {
 			if d := f.network.delay(c.from, c.to); d < c.minDelay || d > c.maxDelay {
-				t.Errorf("from %d to %d: %d, want %d to %d", c.from, c.to, d, c.minDelay, c.maxDelay)
+				t.Errorf("the delay from zone %d to zone %d is %d us, want %d to %d us",
+					c.from, c.to, d, c.minDelay, c.maxDelay)
 			}
 		}
 	}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -9,8 +9,9 @@
 	"dahliaford/internal/scheduler"
 )
 
-// node is a simulated scheduler: the real reducer and decision module, and in place of sockets what
-// package node does on them.
+// node is a simulated scheduler. It runs the real reducer, which contains the real decision module, and
+// executes the reducer's effects on the simulated network in the way in which package node executes them on
+// sockets.
 type node struct {
 	fleet   *fleet
 	index   int
@@ -18,41 +19,44 @@
 	reducer *scheduler.Scheduler
 	random  *rand.Rand
 
-	effects []scheduler.Effect // of one step; the slice is used again
-	wakeAt  Micros             // the reducer's timer; 0: not set
-	timerAt Micros             // of the next event that checks wakeAt; 0: none
+	effects      []scheduler.Effect // effects of the present step; reused to save allocations
+	timerDue     Micros             // time at which the reducer's timer fires; 0 means that it is not set
+	timerCheckAt Micros             // time of the next event that checks timerDue; 0 means no such event
 
-	// The worker list.
+	// State of the worker list.
 	watch           *watch
-	previousWatch   *watch // in use until watch has its first line
-	stoppedWorkers  map[string]bool
-	workerStarts    map[string]Micros // by UID, for workers that discovery listed with a start
-	listAsOf        Micros            // the list is known as of then
-	validUntil      Micros            // the list is stale from then on
-	appliedRevision int64
-
-	// Connections to workers.
-	idleConns  map[*worker][]*conn
-	idleOrder  []idleEntry // of all workers, the longest idle first
-	openConns  int
-	attempts   map[scheduler.AttemptID]*conn
-	lastUnsent scheduler.AttemptID // the last attempt that was closed before anything of it was written
-
-	callers    map[scheduler.CallerID]*request
+	previousWatch   *watch            // in use until the first line arrives on the field watch
+	stoppedWorkers  map[string]bool   // UIDs of the workers to which the reducer forbids new attempts
+	workerStarts    map[string]Micros // start times by UID, of workers that discovery listed with a start time
+	listAsOf        Micros            // time as of which the scheduler knows the worker list
+	validUntil      Micros            // time after which the worker list is stale
+	appliedRevision int64             // latest revision of the worker list that the reducer has processed
+
+	// State of the connections to workers.
+	idleConns map[*worker][]*conn // the connection that became idle last is at the end of its slice
+	idleOrder []idleEntry         // entries of all workers, the longest idle first
+	openConns int
+	attempts  map[scheduler.AttemptID]*conn // connections that carry an attempt or its cancellation
+	// lastUnsentAttempt is the attempt abandoned last of those of which no byte had been written.
+	lastUnsentAttempt scheduler.AttemptID
+
+	callers    map[scheduler.CallerID]*request // requests without an answer
 	lastCaller scheduler.CallerID
 
 	usage nodeUsage
 }
 
-// nodeUsage is what a scheduler has used since the load began.
+// nodeUsage counts the network traffic and the processor time of a scheduler since the load began.
 type nodeUsage struct {
-	controlBytes, jobBytes         int64 // sent and received
+	controlBytes, jobBytes         int64 // bytes sent and received
 	controlMessages, jobMessages   int64
-	currentSecond                  Micros // that bytesInSecond counts
-	bytesInSecond, peakSecondBytes int64  // of control messages
-	reducerTime, controlTime       time.Duration
-	// Until when the reducer is busy: with a core for everything, and with the control budget for
-	// control events alone.
+	currentSecond                  Micros // number of the second of virtual time that bytesInSecond covers
+	bytesInSecond, peakSecondBytes int64  // bytes of control messages
+	// reducerTime is the processor time of all events, controlTime that of the control events.
+	reducerTime, controlTime time.Duration
+	// busyUntil is the virtual time at which a reducer with a core of its own has processed all events so
+	// far. controlBusyUntil is the time at which a reducer with the fraction controlCoreBudget of a core has
+	// processed all control events so far.
 	busyUntil, controlBusyUntil time.Duration
 }
 
@@ -78,7 +82,7 @@
 	}, nil
 }
 
-// countControlMessage counts a message to or from discovery.
+// countControlMessage counts a message to or from the discovery service.
 func (n *node) countControlMessage(bytes int) {
 	u := &n.usage
 	u.controlBytes += int64(bytes)
@@ -97,17 +101,17 @@
 	n.usage.jobMessages++
 }
 
-// submit handles a client's request.
+// submit handles the arrival of a client's request.
 func (n *node) submit(req *request) {
 	n.lastCaller++
 	n.callers[n.lastCaller] = req
-	req.received()
+	req.recordReceipt()
 	n.countJobMessage(requestBytes)
 	n.step(scheduler.Submitted{
 		Caller:    n.lastCaller,
 		RequestID: req.id,
 		Class:     classes[req.job.class].name,
-		Tenant:    teamName(req.job.team),
+		Tenant:    tenantName(req.job.tenant),
 		Deadline:  n.fleet.now + req.timeout/millisecond*millisecond,
 		Slots:     req.job.slots,
 		Retry:     req.job.submissions > 1,
@@ -115,7 +119,7 @@
 	})
 }
 
-// step passes one event to the reducer and executes its effects.
+// step passes one event to the reducer and executes the effects that the reducer returns.
 func (n *node) step(e scheduler.Event) {
 	began := time.Now()
 	n.effects = n.reducer.Step(n.fleet.now, e, n.effects[:0])
@@ -125,9 +129,9 @@
 	}
 }
 
-// stepLater passes an event to the reducer behind all that is scheduled for now: an effect must not
-// start a step within a step.
-func (n *node) stepLater(e scheduler.Event) { n.fleet.after(0, func() { n.step(e) }) }
+// stepLater schedules a step for the present time, after all actions already scheduled for it. Effects use
+// stepLater because they are executed within a step, and steps must not be nested.
+func (n *node) stepLater(e scheduler.Event) { n.fleet.scheduleAfter(0, func() { n.step(e) }) }
 
 func (n *node) execute(e scheduler.Effect) {
 	switch e := e.(type) {
@@ -142,7 +146,7 @@
 	case scheduler.Answer:
 		n.answer(e)
 	case scheduler.SetTimer:
-		n.wakeAt = e.At
+		n.timerDue = e.At
 		n.armTimer()
 	case scheduler.OpenWatch:
 		n.openWatch(e)
@@ -168,7 +172,7 @@
 	n.fleet.network.send(n.zone, req.zone, answerBytes, func() { n.fleet.clients.handleAnswer(req, a) })
 }
 
-// cancelUnsent keeps an attempt back if nothing of it was written yet.
+// cancelUnsent ends an attempt as not sent, unless a part of it has been written.
 func (n *node) cancelUnsent(attempt scheduler.AttemptID) {
 	c := n.attempts[attempt]
 	if c == nil || c.writing {
@@ -179,7 +183,8 @@
 	n.stepLater(scheduler.AttemptEnded{Attempt: attempt, Outcome: dispatch.NotSent})
 }
 
-// logTemplate is a line of the log without its numbers.
+// logTemplate returns a log line with each number replaced by N, so that lines that differ only in numbers
+// are counted together.
 func logTemplate(text string) string {
 	fields := strings.Fields(text)
 	for i, field := range fields {
@@ -190,22 +195,23 @@
 	return strings.Join(fields, " ")
 }
 
-// armTimer schedules a check of the reducer's timer, unless one that is early enough is scheduled.
+// armTimer schedules an event that checks the reducer's timer, unless such an event is already scheduled for
+// no later than the timer.
 func (n *node) armTimer() {
-	at := max(n.wakeAt, n.fleet.now)
-	if n.timerAt != 0 && n.timerAt <= at {
+	at := max(n.timerDue, n.fleet.now)
+	if n.timerCheckAt != 0 && n.timerCheckAt <= at {
 		return
 	}
-	n.timerAt = at
-	n.fleet.at(at, func() {
-		if n.timerAt != at {
-			return // an earlier check was scheduled since
+	n.timerCheckAt = at
+	n.fleet.scheduleAt(at, func() {
+		if n.timerCheckAt != at {
+			return // An event for an earlier time has replaced this one.
 		}
-		n.timerAt = 0
+		n.timerCheckAt = 0
 		switch {
-		case n.wakeAt == 0:
-		case n.wakeAt <= n.fleet.now:
-			n.wakeAt = 0
+		case n.timerDue == 0:
+		case n.timerDue <= n.fleet.now:
+			n.timerDue = 0
 			n.step(scheduler.TimerFired{})
 		default:
 			n.armTimer()
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -13,12 +13,12 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The reducer gets the same events for a job, and for what goes wrong with it, as on sockets.
+// The reducer receives the same events as on sockets, for a job that succeeds and for each kind of fault.
 func TestEventsOfAJob(t *testing.T) {
 	const success = "Submitted AttemptAccepted Callback/started Callback/done"
 	for name, c := range map[string]struct {
 		want   string
-		answer string // status of the answer; "": none by the end
+		answer string // status of the answer; not checked if empty
 		fault  func(f *fleet, w *worker)
 	}{
 		"no fault": {want: success, answer: "200"},
@@ -29,7 +29,7 @@
 		"the process dies with the job": {
 			want:   "Submitted AttemptAccepted Callback/started Callback/aborted",
 			answer: "500",
-			fault:  func(f *fleet, w *worker) { f.after(2*second, w.crash) },
+			fault:  func(f *fleet, w *worker) { f.scheduleAfter(2*second, w.crash) },
 		},
 		"the machine vanished before": {want: "Submitted Ended/connect-failed", fault: func(_ *fleet, w *worker) {
 			w.stop(unreported)
@@ -37,31 +37,33 @@
 		}},
 		"the worker is at capacity": {want: "Submitted Ended/at-capacity", fault: fillQueue},
 		"the worker is stopped while the connection is established": {
-			want:  "Submitted Ended/not-sent",
-			fault: func(f *fleet, w *worker) { f.after(300, func() { f.nodes[0].stoppedWorkers[w.uid] = true }) },
+			want: "Submitted Ended/not-sent",
+			fault: func(f *fleet, w *worker) {
+				f.scheduleAfter(300, func() { f.nodes[0].stoppedWorkers[w.uid] = true })
+			},
 		},
 		"the worker list is stale": {
 			want:  "Submitted Ended/not-sent",
-			fault: func(f *fleet, _ *worker) { f.after(300, func() { f.nodes[0].validUntil = f.now - 1 }) },
+			fault: func(f *fleet, _ *worker) { f.scheduleAfter(300, func() { f.nodes[0].validUntil = f.now - 1 }) },
 		},
 		"the callback is late after a cut": {want: success, answer: "200", fault: func(f *fleet, w *worker) {
 			w.zone = 7
-			f.after(2*second, func() { f.network.cutRegion = 3 })
-			f.after(4*second, f.network.heal)
+			f.scheduleAfter(2*second, func() { f.network.cutRegion = 3 })
+			f.scheduleAfter(4*second, f.network.heal)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newIdleFleet(t, Options{Workers: 1, Schedulers: 1, Rate: 1, Duration: time.Minute,
-				Task: 3 * time.Second, Day: "calm"})
+				MeanRunTime: 3 * time.Second, Day: "calm"})
 			req, events := runOneJob(f, c.fault)
 			got := strings.Join(events, " ")
-			// The worker sends both at the same time, and either may arrive first.
+			// The worker sends the acceptance and the callback at the same time, and either may arrive first.
 			got = strings.Replace(got, "Callback/started AttemptAccepted", "AttemptAccepted Callback/started", 1)
 			if !strings.HasPrefix(got+" ", c.want+" ") {
-				t.Errorf("%s; want %s", got, c.want)
+				t.Errorf("got events %s; want the prefix %s", got, c.want)
 			}
 			if answer := statusesOf(req); c.answer != "" && answer != c.answer {
-				t.Errorf("answered %q, want %s", answer, c.answer)
+				t.Errorf("got answers with status %q, want %s", answer, c.answer)
 			}
 			if len(f.tally.model.Violations) > 0 {
 				t.Error(f.tally.model.Findings)
@@ -70,7 +72,7 @@
 	}
 }
 
-// fillQueue fills the queue of a worker, and some more.
+// fillQueue puts more attempts into a worker's queue than fit.
 func fillQueue(f *fleet, w *worker) {
 	for i := range 42 {
 		req := &request{fleet: f, node: f.nodes[0], id: fmt.Sprint("other", i), number: i, outstanding: 1,
@@ -79,8 +81,8 @@
 	}
 }
 
-// runOneJob starts the only scheduler of a fleet, then a fault, if any, then a job, and returns the job's
-// request and the events about it.
+// runOneJob starts the only scheduler of a fleet, causes the fault unless it is nil, and submits a job. It
+// returns the job's request and the names of the events about the job.
 func runOneJob(f *fleet, fault func(f *fleet, w *worker)) (*request, []string) {
 	n := f.nodes[0]
 	var events []string
@@ -98,7 +100,7 @@
 	return req, slices.DeleteFunc(events, func(name string) bool { return name == "" })
 }
 
-// statusesOf returns the statuses of all answers to a request.
+// statusesOf returns the concatenated HTTP statuses of all answers to a request.
 func statusesOf(req *request) string {
 	answer := ""
 	for _, e := range req.history {
@@ -109,7 +111,7 @@
 	return answer
 }
 
-// nameOfEvent names an event about a job; "" for other events.
+// nameOfEvent returns a name for an event about a job, or "" for other events.
 func nameOfEvent(e scheduler.Event) string {
 	switch e := e.(type) {
 	case scheduler.Submitted, scheduler.AttemptAccepted, scheduler.CancellationResult:
@@ -132,9 +134,10 @@
 	return ""
 }
 
-// An idle connection is used again, for as long as the program keeps it.
+// A scheduler reuses an idle connection until its idle timeout, unless the worker's process has ended.
+// Cancellations never reuse a connection. The number of open connections is limited.
 func TestIdleConnectionsAreReused(t *testing.T) {
-	f := newIdleFleet(t, shortDay("calm"))
+	f := newIdleFleet(t, shortRun("calm"))
 	n, w := f.nodes[0], f.workers[0]
 	addIdle := func() *conn {
 		c := &conn{node: n, worker: w, connected: true}
@@ -148,27 +151,27 @@
 	c := addIdle()
 	f.now += idleTimeoutLargeFleet - 1
 	if n.acquireNewConn(w) == c {
-		t.Error("a cancellation is sent on an idle connection")
+		t.Error("a cancellation gets an idle connection, want a new connection")
 	}
 	if n.acquireConn(w) != c {
-		t.Error("an idle connection is not used again")
+		t.Error("an attempt does not get the idle connection before the idle timeout, want it to be reused")
 	}
 	c = addIdle()
 	f.now += idleTimeoutLargeFleet
 	if n.acquireConn(w) == c || !c.Released {
-		t.Error("a connection is used again after the idle timeout")
+		t.Error("a connection is reused or still open after the idle timeout, want it to be closed")
 	}
 	c = addIdle()
 	w.crash()
 	f.now += second
 	if n.acquireConn(w) == c {
-		t.Error("a connection to a dead process is used again")
+		t.Error("a connection to a process that has ended is reused, want another connection")
 	}
 	for range 2 * maxConnections {
 		n.acquireConn(w)
 	}
 	if n.openConns != maxConnections || f.tally.model.NoConnection == 0 {
-		t.Errorf("%d connections, want %d, and %d attempts without one", n.openConns, maxConnections,
-			f.tally.model.NoConnection)
+		t.Errorf("got %d open connections, want %d; got %d attempts without a connection, want some",
+			n.openConns, maxConnections, f.tally.model.NoConnection)
 	}
 }
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -6,52 +6,61 @@
 	"time"
 )
 
-// The bounds of a run.
+// Upper bounds of the options of a run.
 const (
-	MaxWorkers     = 20_000
-	MaxSchedulers  = 2_000
-	MaxRate        = 10_000    // jobs a second
-	MaxPairs       = 6_000_000 // schedulers times workers: each pair takes about a kilobyte
-	MaxRunningJobs = 200_000   // jobs a second times the seconds that a job takes
+	MaxWorkers    = 20_000
+	MaxSchedulers = 2_000
+	MaxRate       = 10_000 // jobs per second
+	// MaxPairs bounds the number of schedulers times the number of workers. Each pair takes about a kilobyte
+	// of memory.
+	MaxPairs = 6_000_000
+	// MaxRunningJobs bounds the mean number of jobs that run at the same time: the job rate times the mean
+	// run time of a job.
+	MaxRunningJobs = 200_000
 	MaxDuration    = time.Hour
-	MaxTask        = 10 * time.Minute
+	MaxMeanRunTime = 10 * time.Minute
 )
 
-// The defaults of Options.
+// Defaults of the options.
 const (
-	DefaultTask = 13 * time.Second
-	DefaultLoad = 0.6 // of the rate that the workers can carry
+	DefaultMeanRunTime  = 13 * time.Second
+	DefaultLoadFraction = 0.6 // fraction of the highest job rate that the workers can sustain
 )
 
-const minTask = 10 * time.Millisecond
+const minMeanRunTime = 10 * time.Millisecond
 
-// Options say what is run. A zero value stands for the default where one is given.
+// Options describe a run. Rate, Day and MeanRunTime take their default if they are zero.
 type Options struct {
-	Workers    int           // 1 to MaxWorkers
-	Schedulers int           // 1 to MaxSchedulers; times Workers at most MaxPairs
-	Rate       float64       // jobs a second that clients submit; 0: DefaultLoad of what the workers can carry
-	Duration   time.Duration // of the load, in virtual time
-	Seed       uint64        // of all random draws
-	Day        string        // one of Days; "": calm
-	Task       time.Duration // mean run time of a job on a standard machine; 0: DefaultTask
+	Workers    int // number of workers, 1 to MaxWorkers
+	Schedulers int // number of schedulers, 1 to MaxSchedulers; Schedulers * Workers is at most MaxPairs
+	// Rate is the number of jobs that all clients together submit per second. Its default is
+	// DefaultLoadFraction of the highest rate that the workers can sustain.
+	Rate     float64
+	Duration time.Duration // duration of the load in virtual time
+	Seed     uint64        // seed of all random draws
+	// Day is the name of the fault scenario, one of Days. Its default is "calm", which has no faults.
+	Day string
+	// MeanRunTime is the mean run time of a job on a machine of speed 1. Its default is DefaultMeanRunTime.
+	MeanRunTime time.Duration
 }
 
-// Validate returns an error of one line if the options make no sense or exceed a bound.
+// Validate returns an error of one line if an option is invalid or exceeds its bound.
 func (o Options) Validate() error {
 	switch {
 	case o.Workers < 1 || o.Workers > MaxWorkers:
 		return fmt.Errorf("workers must be 1 to %d", MaxWorkers)
 	case o.Schedulers < 1 || o.Schedulers > MaxSchedulers:
 		return fmt.Errorf("schedulers must be 1 to %d", MaxSchedulers)
-	case !(o.Rate >= 0 && o.Rate <= MaxRate): // written so that NaN is an error, too
+	case !(o.Rate >= 0 && o.Rate <= MaxRate): // This form of the condition also rejects NaN.
 		return fmt.Errorf("rate must be 0 to %d", MaxRate)
 	case o.Duration < time.Second || o.Duration > MaxDuration:
 		return fmt.Errorf("the time must be 1s to %v", MaxDuration)
-	case o.Task < 0 || o.Task > MaxTask || o.Task > 0 && o.Task < minTask:
-		return fmt.Errorf("a task must be %v to %v", minTask, MaxTask)
+	case o.MeanRunTime < 0 || o.MeanRunTime > MaxMeanRunTime ||
+		o.MeanRunTime > 0 && o.MeanRunTime < minMeanRunTime:
+		return fmt.Errorf("a task must be %v to %v", minMeanRunTime, MaxMeanRunTime)
 	case o.Workers*o.Schedulers > MaxPairs:
 		return fmt.Errorf("schedulers times workers must be %d at the most", MaxPairs)
-	case jobRate(o.withDefaults())*o.withDefaults().Task.Seconds() > MaxRunningJobs:
+	case jobRate(o.withDefaults())*o.withDefaults().MeanRunTime.Seconds() > MaxRunningJobs:
 		return fmt.Errorf("the rate times the seconds of a task must be %d at the most", MaxRunningJobs)
 	case o.Day != "" && days[o.Day].schedule == nil:
 		return fmt.Errorf("unknown day %q: there are %s", o.Day, strings.Join(Days(), ", "))
@@ -59,13 +68,13 @@
 	return nil
 }
 
-// withDefaults returns the options with the defaults of day and task filled in.
+// withDefaults returns the options with the defaults of Day and MeanRunTime filled in.
 func (o Options) withDefaults() Options {
 	if o.Day == "" {
 		o.Day = "calm"
 	}
-	if o.Task == 0 {
-		o.Task = DefaultTask
+	if o.MeanRunTime == 0 {
+		o.MeanRunTime = DefaultMeanRunTime
 	}
 	return o
 }
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -1,18 +1,18 @@
 package emulator
 
-// event is an action at a time.
+// event is an action that is due at a time.
 type event struct {
 	at     Micros
-	seq    uint64 // number of the event in the order of scheduling: it breaks ties
+	seq    uint64 // position in the order of scheduling, which decides between events for the same time
 	action func()
 }
 
 func (e *event) precedes(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// eventQueue is a binary heap of events, the earliest first.
+// eventQueue is a binary heap of events with the earliest event at its root.
 type eventQueue struct {
 	heap []event
-	seq  uint64 // of the event scheduled last
+	seq  uint64 // seq of the event scheduled last; the number of events scheduled so far
 }
 
 func (q *eventQueue) push(at Micros, action func()) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// pop removes the earliest event; ok is false if there is none.
+// pop removes and returns the earliest event. It returns false if the queue is empty.
 func (q *eventQueue) pop() (first event, ok bool) {
 	if len(q.heap) == 0 {
 		return event{}, false
@@ -38,7 +38,7 @@
 	first = h[0]
 	last := len(h) - 1
 	h[0] = h[last]
-	h[last] = event{} // so that the action can be collected
+	h[last] = event{} // Clearing the element lets the garbage collector free the action.
 	h = h[:last]
 	q.heap = h
 	for i := 0; ; {
--- a/internal/emulator/queue_test.go
+++ b/internal/emulator/queue_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Events come in the order of their times, and those for the same time in the order of scheduling.
+// The queue returns events in the order of their times, and events for the same time in the order in which
+// they were scheduled.
 func TestEventQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type scheduled struct {
@@ -27,7 +28,7 @@
 			e.action()
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("got %v, want %v", got, want)
+			t.Fatalf("events returned in order %v, want %v", got, want)
 		}
 	})
 }
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -1,142 +1,157 @@
 package emulator
 
-// Report is what a run found. Model is the same for the same options; Measured is not.
+// Report is the result of a run. Equal options give an equal Model; Measured depends on the machine.
 type Report struct {
 	Model    Model    `json:"model"`
 	Measured Measured `json:"measured"`
-	Series   Series   `json:"-"`
+	Series   Series   `json:"-"` // data for charts
 }
 
-// OK tells whether no rule was violated.
+// OK reports whether the run had no violations.
 func (r *Report) OK() bool { return len(r.Model.Violations) == 0 }
 
-// Model is what happened in virtual time, from the first job to the end.
+// Model holds the figures in virtual time, from the submission of the first job to the end of the run.
 type Model struct {
-	Day           string  `json:"day"`
-	Workers       int     `json:"workers"`
-	Schedulers    int     `json:"schedulers"`
-	Seed          uint64  `json:"seed"`
-	RatePerSecond float64 `json:"rate_per_s"` // of jobs, as configured
-	TaskSeconds   float64 `json:"task_s"`     // mean run time of a job on a standard machine
-	LoadSeconds   float64 `json:"seconds"`    // duration of the load
-
-	Jobs     int `json:"jobs"`     // that clients submitted
-	Requests int `json:"requests"` // submissions of them, retries included
-	Starts   int `json:"starts"`   // attempts that began to run
-	Served   int `json:"served"`
-	Refused  int `json:"refused"` // requests that were refused
-	GaveUp   int `json:"gave_up"` // jobs whose last request was refused
-	Failed   int `json:"failed"`
-	Invalid  int `json:"invalid"` // answers that no client should get: the model itself would be wrong
-
-	Unanswered         int `json:"open"`           // requests, at the end
-	NotRunning         int `json:"waiting"`        // of these, requests that do not run
-	MaxNotRunningAtOne int `json:"waiting_at_one"` // of these, the most at one scheduler
-	CheckedRequests    int `json:"checked"`        // requests whose history was checked
-
-	StartsPerSecond     float64           `json:"starts_per_s"`
-	PeakStartsPerSecond int               `json:"peak_starts_per_s"` // in the busiest second
-	TimeToStart         map[string]Spread `json:"time_to_start"`     // by class, from the first submission
-	TimeToStartBySlots  map[string]Spread `json:"by_slots"`          // by the slots that a job takes
-	Attempts            int               `json:"attempts"`
-	RejectedAtCapacity  int               `json:"turned_away"` // by a worker at capacity
-	NotSent             int               `json:"turned_back"` // kept back by the last check before the write
-	KilledAttempts      int               `json:"killed"`      // with their worker
-	Cancelled           int               `json:"withdrawn"`
-	OverloadCrashes     int               `json:"pushed_over"` // of workers in slow start
-
-	CallbacksUndelivered int            `json:"callbacks_lost"`
-	NoConnection         int            `json:"no_connection"` // attempts and cancellations beyond the limit
-	LogLines             map[string]int `json:"log"`           // of the reducer, without their numbers
-
-	ControlTraffic Traffic   `json:"control"` // between a scheduler and discovery
-	JobTraffic     Traffic   `json:"work"`    // between a scheduler, clients and workers
+	Day            string  `json:"day"`
+	Workers        int     `json:"workers"`
+	Schedulers     int     `json:"schedulers"`
+	Seed           uint64  `json:"seed"`
+	RatePerSecond  float64 `json:"rate_per_s"` // jobs that clients submit per second, as configured
+	MeanRunSeconds float64 `json:"task_s"`     // mean run time of a job on a machine of speed 1, in seconds
+	LoadSeconds    float64 `json:"seconds"`    // duration of the load in seconds
+
+	Jobs     int `json:"jobs"`     // jobs that clients submitted
+	Requests int `json:"requests"` // requests that clients sent for the jobs, including retries
+	Starts   int `json:"starts"`   // attempts that workers started
+	Served   int `json:"served"`   // requests answered with the result of the job
+	Refused  int `json:"refused"`  // requests answered with a refusal
+	GaveUp   int `json:"gave_up"`  // jobs that clients stopped retrying after a refusal
+	Failed   int `json:"failed"`   // requests answered with a failure
+	// Invalid counts answers of any other kind. No client should get one; such an answer means a fault of
+	// the emulator.
+	Invalid int `json:"invalid"`
+
+	Unanswered int `json:"open"`    // requests without an answer at the end of the run
+	NotRunning int `json:"waiting"` // unanswered requests of which no attempt has started
+	// MaxNotRunningAtOneScheduler is the largest number of requests at one scheduler that are part of
+	// NotRunning.
+	MaxNotRunningAtOneScheduler int `json:"waiting_at_one"`
+	CheckedRequests             int `json:"checked"` // requests whose history has been checked
+
+	StartsPerSecond     float64 `json:"starts_per_s"`
+	PeakStartsPerSecond int     `json:"peak_starts_per_s"` // attempts started in the busiest second
+	// TimeToStart is the time from the first submission of a job to its first start, by job class.
+	TimeToStart        map[string]Spread `json:"time_to_start"`
+	TimeToStartBySlots map[string]Spread `json:"by_slots"` // TimeToStart by the number of slots of the job
+	Attempts           int               `json:"attempts"`
+	RejectedAtCapacity int               `json:"turned_away"` // attempts rejected by a worker at capacity
+	// NotSent counts attempts that were not written because the worker was no longer in use or the worker
+	// list was stale.
+	NotSent         int `json:"turned_back"`
+	KilledAttempts  int `json:"killed"`      // attempts that ended with the worker's process
+	Cancelled       int `json:"withdrawn"`   // attempts that workers canceled on request
+	OverloadCrashes int `json:"pushed_over"` // crashes of workers that were overloaded in slow start
+
+	CallbacksUndelivered int `json:"callbacks_lost"` // callbacks that workers stopped retrying
+	// NoConnection counts attempts and cancellations that were not sent because the scheduler had reached its
+	// limit of connections.
+	NoConnection int            `json:"no_connection"`
+	LogLines     map[string]int `json:"log"` // log lines of the reducers, with N for each number
+
+	ControlTraffic Traffic   `json:"control"` // traffic between a scheduler and discovery
+	JobTraffic     Traffic   `json:"work"`    // traffic between a scheduler and clients and workers
 	Discovery      Discovery `json:"discovery"`
 	Changes        Changes   `json:"changes"`
 
-	Violations map[string]int `json:"broken"`             // by rule
-	Findings   []string       `json:"findings,omitempty"` // the first violations
+	Violations map[string]int `json:"broken"`             // number of violations of each property
+	Findings   []string       `json:"findings,omitempty"` // descriptions of the first violations
 }
 
-// Spread is a distribution of times in milliseconds.
+// Spread describes a distribution of times in milliseconds.
 type Spread struct {
-	Total int     `json:"of,omitempty"` // jobs, of which Count have a time
-	Count int64   `json:"n"`
-	P50   float64 `json:"p50_ms"`
-	P99   float64 `json:"p99_ms"`
+	Total int     `json:"of,omitempty"` // number of jobs, including jobs that have not started
+	Count int64   `json:"n"`            // number of times in the distribution
+	P50   float64 `json:"p50_ms"`       // median
+	P99   float64 `json:"p99_ms"`       // 99th percentile
 	Max   float64 `json:"max_ms"`
-	// WithinObjective is the fraction that began within the class's objective, without its stretch.
+	// WithinObjective is the fraction of the started jobs that started within StartObjective.
 	WithinObjective float64 `json:"in_aim,omitempty"`
 }
 
-// Traffic is what a scheduler receives and sends, with estimates for the bytes on the wire.
+// Traffic describes the messages that a scheduler receives and sends. The sizes of messages are estimates.
 type Traffic struct {
 	BytesPerSecond    float64 `json:"bytes_per_s"`                  // mean of all schedulers
-	MaxBytesPerSecond float64 `json:"most_bytes_per_s"`             // of the scheduler with the most
-	PeakSecondBytes   int64   `json:"worst_second_bytes,omitempty"` // of any scheduler
+	MaxBytesPerSecond float64 `json:"most_bytes_per_s"`             // highest rate of any scheduler
+	PeakSecondBytes   int64   `json:"worst_second_bytes,omitempty"` // most bytes of any scheduler in any second
 	MessagesPerSecond float64 `json:"messages_per_s"`               // mean of all schedulers
 }
 
-// Discovery is what discovery did.
+// Discovery holds the figures of the discovery service.
 type Discovery struct {
 	FullLists     int     `json:"whole_lists"`   // calls answered with the full list
 	Deltas        int     `json:"deltas"`        // calls answered with the changes since a revision
-	RefusedCalls  int     `json:"refused_calls"` // that would have waited too long
-	WatchesClosed int     `json:"lost_watches"`  // that the scheduler had not closed
-	BusySeconds   float64 `json:"busy_s"`
+	RefusedCalls  int     `json:"refused_calls"` // calls whose wait would exceed maxCallWait
+	WatchesClosed int     `json:"lost_watches"`  // watches that ended or timed out without a scheduler's release
+	BusySeconds   float64 `json:"busy_s"`        // time spent on calls that open a watch
 }
 
-// Changes is how long changes of the worker list took, from when discovery knew the first entry of one
-// until it was in force everywhere. A change is in force at a scheduler once the scheduler has applied
-// it, or sends nothing because its list is stale.
+// Changes describes how long changes of the worker list took to reach the schedulers, from the time at which
+// discovery learned of the first entry of a change. A change is one revision of the list. It is in force at a
+// scheduler once the scheduler has applied the change, or sends no attempts because its list is stale.
 type Changes struct {
-	Updates    int    `json:"words"`    // revisions published
-	Entries    int    `json:"entries"`  // in them
-	InForce    Spread `json:"in_force"` // at all schedulers
-	Applied    Spread `json:"applied"`  // by all schedulers
-	NotInForce int    `json:"open"`     // not in force everywhere at the end
-	Unapplied  int    `json:"unread"`   // not applied everywhere at the end
+	Updates    int    `json:"words"`    // number of published revisions
+	Entries    int    `json:"entries"`  // number of entries in all published revisions
+	InForce    Spread `json:"in_force"` // time until a change was in force at all schedulers
+	Applied    Spread `json:"applied"`  // time until all schedulers had applied a change
+	NotInForce int    `json:"open"`     // changes not in force at all schedulers at the end of the run
+	Unapplied  int    `json:"unread"`   // changes that not all schedulers had applied at the end of the run
 }
 
-// Measured is what was measured on the machine. The processor times are those of the reducers. Control
-// is what handles the worker list, and the control budget is 2.9% of a core for it.
+// Measured holds the figures that depend on the machine. Processor times are those of the reducers. Control
+// events are the events about the worker list and its watch; the control budget for them is 2.9% of a
+// processor core.
 type Measured struct {
-	WallSeconds float64     `json:"seconds"` // duration of the run
-	Events      uint64      `json:"events"`  // of the model
-	EventCosts  []EventCost `json:"kinds"`   // by kind of event, the most expensive first
+	WallSeconds float64     `json:"seconds"` // wall time of the run in seconds
+	Events      uint64      `json:"events"`  // number of events of the simulation
+	EventCosts  []EventCost `json:"kinds"`   // kinds of reducer events, by descending total processor time
 
-	CorePercent        float64 `json:"core_percent"`         // of a core, mean of all schedulers
-	MaxCorePercent     float64 `json:"core_percent_most"`    // of the scheduler with the most
-	ControlCorePercent float64 `json:"core_percent_control"` // for control, mean of all schedulers
+	CorePercent        float64 `json:"core_percent"`         // use of a core in percent, mean of all schedulers
+	MaxCorePercent     float64 `json:"core_percent_most"`    // highest use of a core by any scheduler
+	ControlCorePercent float64 `json:"core_percent_control"` // CorePercent of the control events alone
 
-	// How far a reducer is behind at most: with a core of its own, and in control with the budget alone.
+	// MaxLagMs is the longest time by which a reducer with a core of its own lags behind the arrival of events.
+	// MaxLagMsAtControlBudget is the longest lag of a reducer that processes control events only, within the
+	// control budget.
 	MaxLagMs                float64 `json:"lag_ms"`
 	MaxLagMsAtControlBudget float64 `json:"lag_at_2.9_percent_ms"`
 
-	// How long a change took at most until the last scheduler that receives it at once had applied it, with
-	// the processor time of the reducers: with a core each, and in control with the budget alone.
+	// MaxChangeMs is the longest time from when discovery learns of a change until a scheduler whose list is
+	// not stale has applied the change, including the lag of a reducer with a core of its own.
+	// MaxChangeMsAtControlBudget is the same time with the lag of a reducer that processes control events only,
+	// within the control budget.
 	MaxChangeMs                float64 `json:"change_ms"`
 	MaxChangeMsAtControlBudget float64 `json:"change_at_2.9_percent_ms"`
 
-	HeapKBPerScheduler float64 `json:"heap_kb_a_scheduler"` // live, once the schedulers have the list
-	MaxHeapMB          float64 `json:"heap_mb"`             // of the whole run
-	AvailableCores     int     `json:"cores"`               // that the run could use
+	// HeapKBPerScheduler is the live heap of a scheduler, measured when all schedulers have the worker list.
+	HeapKBPerScheduler float64 `json:"heap_kb_a_scheduler"`
+	MaxHeapMB          float64 `json:"heap_mb"` // largest heap of the process during the run
+	AvailableCores     int     `json:"cores"`   // processor cores available to the run
 }
 
-// EventCost is the processor time of one kind of event.
+// EventCost describes the processor time that the reducers took for one kind of event.
 type EventCost struct {
 	Kind         string  `json:"kind"`
 	Count        int64   `json:"n"`
-	MeanUs       float64 `json:"mean_us"` // microseconds, like the next three
+	MeanUs       float64 `json:"mean_us"` // MeanUs, P50Us, P99Us and MaxUs are in microseconds.
 	P50Us        float64 `json:"p50_us"`
 	P99Us        float64 `json:"p99_us"`
 	MaxUs        float64 `json:"max_us"`
 	TotalSeconds float64 `json:"total_s"`
 }
 
-// Series are figures of all schedulers together, by second of the load.
+// Series holds figures of all schedulers together for each second of the load.
 type Series struct {
-	Starts, Refused []int
-	ControlKB       []float64 // of control messages
-	CoreSeconds     []float64 // processor time of the reducers
+	Starts, Refused []int     // started attempts and refused requests
+	ControlKB       []float64 // kilobytes of control messages
+	CoreSeconds     []float64 // processor time of the reducers in seconds
 }
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -8,25 +8,29 @@
 	"dahliaford/internal/scheduler"
 )
 
-// request is one submission of a job to a scheduler, with what clients and workers saw of it.
+// request is one submission of a job to a scheduler, with the history of the events that the client and the
+// workers have seen of the request.
 type request struct {
-	fleet       *fleet
-	node        *node
-	id          string
-	number      int
-	job         *clientJob
-	zone        int // of the client
-	timeout     Micros
-	deadline    Micros
-	answered    bool
-	outstanding int // what is still to come: the answer, attempts being sent, attempts at workers
+	fleet    *fleet
+	node     *node
+	id       string
+	number   int
+	job      *clientJob
+	zone     int // zone of the client
+	timeout  Micros
+	deadline Micros
+	answered bool
+	// outstanding counts the answer, unless it has been written, the attempts that are on their way to a
+	// worker, and the attempts that a worker has accepted and not ended.
+	outstanding int
 	history     []history.Event
 }
 
-// idFactor spreads the numbers of requests over all ids: it is 2^64 over the golden ratio.
+// idFactor is 2^64 divided by the golden ratio. Multiplication by it (Fibonacci hashing) distributes the
+// consecutive numbers of requests evenly over all ids.
 const idFactor = 0x9e3779b97f4a7c15
 
-// newRequest returns a request whose answer is outstanding.
+// newRequest returns an unanswered request for a job, to be sent to scheduler n.
 func newRequest(n *node, number int, job *clientJob, timeout Micros) *request {
 	return &request{
 		fleet:       n.fleet,
@@ -44,15 +48,16 @@
 var statusOfVerdict = [...]int{scheduler.Served: 200, scheduler.Refused: 503, scheduler.Failed: 500,
 	scheduler.Invalid: 400, scheduler.Conflict: 409}
 
-// received notes that a scheduler has the last byte of the request: its timeout counts from then.
-func (r *request) received() {
+// recordReceipt records that the scheduler has received the last byte of the request. The timeout of the
+// request starts at this time.
+func (r *request) recordReceipt() {
 	r.deadline = r.fleet.now + r.timeout
 	r.fleet.requests[r.id] = r
 	r.record(history.Event{Kind: history.Sent, ID: r.id, Actor: "client", Class: classes[r.job.class].name,
 		Deadline: time.UnixMicro(int64(r.deadline))})
 }
 
-// recordAnswer notes an answer as its scheduler writes it.
+// recordAnswer records that the scheduler writes an answer to the client.
 func (r *request) recordAnswer(a scheduler.Answer) {
 	r.record(history.Event{Kind: history.Answered, ID: r.id, Actor: "client", Status: statusOfVerdict[a.Verdict],
 		Result: string(a.Body)})
@@ -62,14 +67,14 @@
 	}
 }
 
-// record adds an event to the history, with the present time.
+// record appends an event to the history and sets its time to the present time.
 func (r *request) record(e history.Event) {
 	e.At = r.fleet.wallTime()
 	r.history = append(r.history, e)
 }
 
-// release is called when one thing less is outstanding. After the last one the history is checked and
-// the request dropped.
+// release decrements the outstanding count. When the count reaches zero, release checks the history and
+// removes the request from the fleet.
 func (r *request) release() {
 	if r.outstanding--; r.outstanding == 0 {
 		r.checkHistory()
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -6,25 +6,31 @@
 	"dahliaford/internal/settings"
 )
 
-// What the settings say of workers, and what the simulated workers do.
+// Properties of the workers that the settings state to the schedulers and that the simulated workers have.
 const (
-	rackSize    = 16
-	quotaFactor = 1.3 // the quotas of all teams together, relative to the job rate
+	rackSize = 16 // workers in a rack
+	// quotaPerJobRate is the sum of the quotas of all tenants divided by the rate at which clients submit
+	// jobs.
+	quotaPerJobRate = 1.3
 
-	slowStartTime     = 8300 * millisecond
-	slowStartInitial  = 0.3 // of its speed, that a worker begins with
+	slowStartTime    = 8300 * millisecond // duration of slow start after the start of a worker
+	slowStartInitial = 0.3                // fraction of its full speed with which a worker starts
+	// A worker in slow start crashes of overload if the work that arrives within overloadWindow exceeds
+	// overloadFactor times the work that the worker can do in that time at its present speed.
 	overloadWindow    = 2 * second
 	overloadFactor    = 4.0
-	workerIdleTimeout = 60 * second // a worker's machine closes an idle connection after this
+	workerIdleTimeout = 60 * second // time after which a worker closes an idle connection
 
-	// staleAfter is how long a list is valid after discovery's last contact, as in package node.
-	staleAfter = 6 * second
+	// listValidity is how long a scheduler may use its worker list after the last message from discovery. A
+	// list without a message for longer is stale. Package node uses the same value.
+	listValidity = 6 * second
 )
 
-// jsonObject is an object of the settings file.
+// jsonObject is a JSON object of the settings file.
 type jsonObject = map[string]any
 
-// fleetSettings returns the settings of the fleet, parsed from a settings file as the program parses it.
+// fleetSettings returns the settings of the schedulers. It builds a settings file and parses that file with
+// the same code as the scheduler program.
 func fleetSettings(opt Options) (settings.Settings, error) {
 	raw, err := json.Marshal(settingsFile(opt))
 	if err != nil {
@@ -34,13 +40,13 @@
 	if err != nil {
 		return settings.Settings{}, err
 	}
-	// As in package node: the program opens the watch, and once discovery has been silent for too long a
-	// change counts as known.
-	set.Dispatch.PollEndpoints, set.Dispatch.MaxStaleness = true, staleAfter
+	// Package node sets these two options in the scheduler program. With PollEndpoints the scheduler opens the
+	// watch of the worker list itself. MaxStaleness is the age from which the scheduler no longer uses the list.
+	set.Dispatch.PollEndpoints, set.Dispatch.MaxStaleness = true, listValidity
 	return set, nil
 }
 
-// settingsFile is the content of the settings file of the scheduler with index 0.
+// settingsFile returns the content of the settings file of the scheduler with index 0.
 func settingsFile(opt Options) jsonObject {
 	var zones, kindNames []string
 	for z := range Zones {
@@ -49,21 +55,21 @@
 	for _, k := range kinds {
 		kindNames = append(kindNames, k.name)
 	}
-	var grades, customers []jsonObject
+	var classObjects, tenantObjects []jsonObject
 	var classKind, classStretch []float64
 	for _, c := range classes {
-		grades = append(grades, jsonObject{"name": c.name, "slo": c.objective, "worth": c.weight, "late_worth": 0,
-			"deadline": c.timeout(opt), "semantics": c.semantics, "dedup_scope": "cell",
+		classObjects = append(classObjects, jsonObject{"name": c.name, "slo": c.objective, "worth": c.weight,
+			"late_worth": 0, "deadline": c.timeout(opt), "semantics": c.semantics, "dedup_scope": "cell",
 			"memory_span": 2 * c.timeout(opt)})
 		classKind, classStretch = append(classKind, -1), append(classStretch, c.stretch)
 	}
-	for i := range teamCount {
-		customers = append(customers, jsonObject{"name": teamName(i),
-			"quota_per_s": quotaFactor * jobRate(opt) * teamFraction(i)})
+	for i := range tenantCount {
+		tenantObjects = append(tenantObjects, jsonObject{"name": tenantName(i),
+			"quota_per_s": quotaPerJobRate * jobRate(opt) * tenantFraction(i)})
 	}
 	return jsonObject{"azs": zones, "kinds": kindNames, "balancers": opt.Schedulers, "me": 0,
 		"locality": 0, "granularity": 2000, "discovery": "on_request", "worth_by": "request",
-		"over_share_worth": 0.2, "grades": grades, "customers": customers,
+		"over_share_worth": 0.2, "grades": classObjects, "customers": tenantObjects,
 		"clients": jsonObject{"marks_retry": true},
 		"family_info": jsonObject{"class_kind": classKind, "class_stretch": classStretch, "tells_start": true,
 			"report_x0": "free slots"},
--- a/internal/emulator/slow_start.go
+++ b/internal/emulator/slow_start.go
@@ -7,17 +7,18 @@
 	"dahliaford/internal/history"
 )
 
-// overloadDowntime is how long a worker is down that crashed of overload.
+// overloadDowntime is the time between a worker's crash of overload and its restart.
 const overloadDowntime = 5 * second
 
-// arrival is an attempt that a worker got during slow start.
+// arrival records an attempt that a worker received during slow start.
 type arrival struct {
-	at       Micros
-	work     float64 // microseconds on a standard machine, times slots
-	informed bool    // its scheduler knew of the worker's start
+	at         Micros
+	work       float64 // run time on a machine of speed 1, in microseconds, multiplied by the slots of the job
+	startKnown bool    // the scheduler that sent the attempt knew of the worker's start, or had to know of it
 }
 
-// speedFraction is the fraction of its speed that a worker has: less than 1 during slow start.
+// speedFraction returns the worker's present speed as a fraction of its full speed. During slow start the
+// fraction grows linearly from slowStartInitial to 1.
 func (w *worker) speedFraction() float64 {
 	if w.startedAt == 0 || w.fleet.now-w.startedAt >= slowStartTime {
 		return 1
@@ -25,8 +26,9 @@
 	return slowStartInitial + (1-slowStartInitial)*float64(w.fleet.now-w.startedAt)/float64(slowStartTime)
 }
 
-// checkOverload crashes a worker in slow start that got more work within the overload window than it
-// can take. It is a finding if most of that came from schedulers that knew of its start.
+// checkOverload crashes a worker in slow start if the work that the worker received within overloadWindow
+// exceeds its limit. The crash counts as a violation if at least two thirds of the work came from schedulers
+// that knew of the worker's start.
 func (w *worker) checkOverload(c *conn, req *request) {
 	f := w.fleet
 	speed := w.speedFraction()
@@ -34,28 +36,29 @@
 		w.recentArrivals = nil
 		return
 	}
-	// After a while a start counts as known, whether or not the scheduler has received it.
-	informed := c.node.workerStarts[w.uid] == w.startedAt ||
-		f.now-w.startedAt > registrationDelay+batchInterval+staleAfter
-	w.recentArrivals = append(w.recentArrivals, arrival{f.now, req.job.work * req.job.slots, informed})
+	// A scheduler that has not received the start of the worker must treat it as known after this time, because
+	// a worker list from before the start is stale by then.
+	startKnown := c.node.workerStarts[w.uid] == w.startedAt ||
+		f.now-w.startedAt > registrationDelay+batchInterval+listValidity
+	w.recentArrivals = append(w.recentArrivals, arrival{f.now, req.job.work * req.job.slots, startKnown})
 	w.recentArrivals = slices.DeleteFunc(w.recentArrivals,
 		func(a arrival) bool { return f.now-a.at > overloadWindow })
-	work, informedWork := 0.0, 0.0
+	work, startKnownWork := 0.0, 0.0
 	for _, a := range w.recentArrivals {
 		work += a.work
-		if a.informed {
-			informedWork += a.work
+		if a.startKnown {
+			startKnownWork += a.work
 		}
 	}
-	allowance := 2 * float64(f.task)
+	allowance := 2 * float64(f.meanRunTime)
 	if work <= allowance+overloadFactor*speed*w.kind.slots*w.kind.speed*float64(overloadWindow) {
 		return
 	}
 	f.tally.model.OverloadCrashes++
-	if informedWork >= work*2/3 {
+	if startKnownWork >= work*2/3 {
 		f.tally.addFinding(history.Finding{Property: "cold-spared", ID: req.id,
 			Text: fmt.Sprintf("%s crashes of overload, with %.0f s of work within its window", w.uid, work/1e6)})
 	}
 	w.crash()
-	f.after(overloadDowntime, w.boot)
+	f.scheduleAfter(overloadDowntime, w.boot)
 }
--- a/internal/emulator/summary.go
+++ b/internal/emulator/summary.go
@@ -7,7 +7,7 @@
 	"dahliaford/internal/history"
 )
 
-// report sums up the run.
+// report returns the report of the run, after checking the requests that are still open.
 func (f *fleet) report() *Report {
 	f.summarizeTimeToStart()
 	f.tally.model.Discovery = f.tally.discovery
@@ -38,7 +38,8 @@
 	}
 }
 
-// checkOpenRequests checks the requests with something outstanding at the end.
+// checkOpenRequests counts the requests that are unanswered at the end of the run, and checks the histories
+// of all requests that await an answer or the end of an attempt.
 func (f *fleet) checkOpenRequests() {
 	var open []*request
 	for _, r := range f.requests {
@@ -53,21 +54,21 @@
 			if r.job.firstStarted != r {
 				m.NotRunning++
 				notRunning[r.node]++
-				m.MaxNotRunningAtOne = max(m.MaxNotRunningAtOne, notRunning[r.node])
+				m.MaxNotRunningAtOneScheduler = max(m.MaxNotRunningAtOneScheduler, notRunning[r.node])
 			}
 			if f.now > r.deadline+timingSlack {
 				r.record(history.Event{Kind: history.Unanswered, ID: r.id})
 			}
 		}
-		// An event without meaning ends the history now: attempts that nobody waits for are overdue
-		// relative to its last event.
+		// The history needs a last event at the present time, because the check for overdue attempts is
+		// relative to the last event. The kind WorkerReady has no other effect on the check.
 		r.record(history.Event{Kind: history.WorkerReady})
 		r.checkHistory()
 	}
 }
 
-// summarizeChanges sums up how long changes took until all schedulers had applied them, and until they
-// were in force everywhere: applied, or the scheduler's list was stale so that it sent nothing.
+// summarizeChanges computes how long changes of the worker list took until all schedulers had applied them,
+// and until they were in force at all schedulers (see Changes).
 func (f *fleet) summarizeChanges() {
 	m := &f.tally.model
 	inForce, applied := newTimeHistogram(), newTimeHistogram()
@@ -86,8 +87,9 @@
 	m.Changes.InForce, m.Changes.Applied = summarize(inForce), summarize(applied)
 }
 
-// checkInForce tells whether a change is in force at all schedulers at the end, and counts those whose
-// list became stale before they applied it.
+// checkInForce reports whether a change is in force at all schedulers at the end of the run. For each
+// scheduler that has not applied the change and whose list is stale, it updates inForceAt to the time at
+// which the list became stale.
 func (f *fleet) checkInForce(c *changeProgress, rev int64) bool {
 	if c.pendingSchedulers == 0 {
 		return true
@@ -115,7 +117,7 @@
 	}
 }
 
-// add adds one of the schedulers, with its bytes and messages over a time in seconds.
+// add adds the traffic of one scheduler to the figures for all schedulers. The duration is in seconds.
 func (t *Traffic) add(bytes, messages int64, schedulers int, duration float64) {
 	schedulerSeconds := float64(schedulers) * duration
 	t.BytesPerSecond += float64(bytes) / schedulerSeconds
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -8,9 +8,9 @@
 	"dahliaford/internal/history"
 )
 
-const maxFindings = 20 // that a report names
+const maxFindings = 20 // largest number of violations that a report describes
 
-// tally counts what happens in virtual time.
+// tally collects the figures of the report that depend on virtual time only.
 type tally struct {
 	fleet              *fleet
 	model              Model
@@ -18,19 +18,24 @@
 	timeToStart        []*hdrhistogram.Histogram // by class
 	withinObjective    []int64                   // by class
 	jobsByClass        []int
-	timeToStartBySlots []*hdrhistogram.Histogram // as slotMix
-	jobsBySlots        []int                     // as slotMix
-	changes            []*changeProgress         // by revision, from firstChange on
+	timeToStartBySlots []*hdrhistogram.Histogram // by index of slotMix
+	jobsBySlots        []int                     // by index of slotMix
+	changes            []*changeProgress         // by revision, beginning with firstChange
 }
 
-// firstChange is the first revision that is a change: the list begins with the one before.
+// firstChange is the number of the first revision that discovery publishes during a run. The schedulers start
+// with the revision before it.
 const firstChange = 2
 
-// changeProgress is how far the schedulers have applied a revision of the list.
+// changeProgress describes how far a revision of the worker list has reached the schedulers.
 type changeProgress struct {
-	knownSince, publishedAt Micros // at discovery
-	pendingSchedulers       int    // schedulers that have not applied it
-	inForceAt, appliedAt    Micros // latest of the schedulers that it is in force at, that have applied it
+	// knownSince is the time at which discovery learned of the first change in the revision, publishedAt the
+	// time at which discovery published the revision.
+	knownSince, publishedAt Micros
+	pendingSchedulers       int // number of schedulers that have not applied the revision
+	// inForceAt is the latest time at which the revision came into force at one of the schedulers so far, and
+	// appliedAt the latest time at which one of the schedulers applied the revision (see Changes).
+	inForceAt, appliedAt Micros
 }
 
 func newTally(f *fleet) tally {
@@ -42,7 +47,7 @@
 			Schedulers:         f.options.Schedulers,
 			Seed:               f.options.Seed,
 			RatePerSecond:      jobRate(f.options),
-			TaskSeconds:        f.options.Task.Seconds(),
+			MeanRunSeconds:     f.options.MeanRunTime.Seconds(),
 			LoadSeconds:        f.options.Duration.Seconds(),
 			TimeToStart:        map[string]Spread{},
 			TimeToStartBySlots: map[string]Spread{},
@@ -62,27 +67,27 @@
 	return t
 }
 
-// newTimeHistogram returns a histogram for times from a microsecond to the longest run, with three
+// newTimeHistogram returns a histogram for times in microseconds, from 1 to MaxDuration, with three
 // significant digits.
 func newTimeHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, MaxDuration.Microseconds(), 3)
 }
 
-// recordTime adds a time to a histogram of newTimeHistogram.
+// recordTime adds a time to a histogram that newTimeHistogram has created.
 func recordTime(h *hdrhistogram.Histogram, t Micros) {
-	// It fails only for a time beyond MaxDuration. Only one that began in the warm-up can be that long; it
+	// RecordValue fails only for a time longer than MaxDuration. Such a time must have begun in the warm-up, and
 	// is not counted.
 	_ = h.RecordValue(max(int64(t), 1))
 }
 
-// summarize returns the spread of times in milliseconds.
+// summarize returns the distribution of the times in a histogram of microseconds, converted to milliseconds.
 func summarize(h *hdrhistogram.Histogram) Spread {
 	toMilliseconds := func(v int64) float64 { return float64(v) / 1000 }
 	return Spread{Count: h.TotalCount(), P50: toMilliseconds(h.ValueAtQuantile(50)),
 		P99: toMilliseconds(h.ValueAtQuantile(99)), Max: toMilliseconds(h.Max())}
 }
 
-// addFinding counts a violated rule. The first findings are named in the report.
+// addFinding counts a violation. The report describes the first maxFindings violations.
 func (t *tally) addFinding(f history.Finding) {
 	t.model.Violations[f.Property]++
 	if len(t.model.Findings) < maxFindings {
@@ -91,15 +96,15 @@
 	}
 }
 
-// jobSubmitted counts a job.
-func (t *tally) jobSubmitted(job *clientJob) {
+// countJob counts a submitted job, in total, by class and by slots. Retries of the job are not counted.
+func (t *tally) countJob(job *clientJob) {
 	t.model.Jobs++
 	t.jobsByClass[job.class]++
 	t.jobsBySlots[job.slotMixIndex]++
 }
 
-// jobStarted counts the first start of a job, so long after its submission.
-func (t *tally) jobStarted(job *clientJob, after Micros) {
+// recordStart records the time from the first submission of a job to its first start.
+func (t *tally) recordStart(job *clientJob, after Micros) {
 	recordTime(t.timeToStart[job.class], after)
 	recordTime(t.timeToStartBySlots[job.slotMixIndex], after)
 	if after <= classes[job.class].objective {
@@ -107,15 +112,16 @@
 	}
 }
 
-// checkSend checks, when the first byte of an attempt is written, that the worker is not draining or
-// removed. A change that a scheduler has applied stops its attempts (see allowSend); one that it has not
-// received counts as known after staleAfter.
+// checkSend checks, when the first byte of an attempt is written, that the worker is not draining or removed.
+// It reports a violation if the worker's entry has not been ready for longer than listValidity and the drain
+// grace together: within this time each scheduler must stop sending even if it has not received the change. A
+// scheduler that has applied the change is stopped earlier, by allowSend.
 func (t *tally) checkSend(n *node, w *worker, req *request) {
 	notReadySince := t.fleet.discovery.notReadySince[w.index]
 	if notReadySince == 0 {
 		return
 	}
-	late := t.fleet.now - notReadySince - staleAfter - t.fleet.settings.DrainGrace
+	late := t.fleet.now - notReadySince - listValidity - t.fleet.settings.DrainGrace
 	if late > timingSlack {
 		t.addFinding(history.Finding{Property: "drains-kept", ID: req.id,
 			Text: fmt.Sprintf("scheduler %d writes to %s, which counts as known not to be ready since %v before",
@@ -123,9 +129,9 @@
 	}
 }
 
-// published notes a revision that discovery publishes, with the time since when it knew of its first
-// change.
-func (t *tally) published(rev int64, since Micros, entries int) {
+// recordRevision records that discovery publishes a revision with the given number of entries. since is the
+// time at which discovery learned of the first change in the revision.
+func (t *tally) recordRevision(rev int64, since Micros, entries int) {
 	for int64(len(t.changes)) <= rev-firstChange {
 		t.changes = append(t.changes, &changeProgress{
 			knownSince:        since,
@@ -137,9 +143,10 @@
 	t.model.Changes.Entries += entries
 }
 
-// changeApplied notes that a scheduler has applied all changes up to a revision. validBefore is until
-// when it relied on the list that it had before: a change is in force already once that list is stale.
-func (t *tally) changeApplied(n *node, rev int64, validBefore Micros) {
+// recordChangeApplied records that scheduler n has applied all changes up to revision rev. validBefore is the
+// time at which the scheduler's previous list became or would have become stale. If the previous list was
+// stale before, the changes have been in force since then, because the scheduler sent no attempts.
+func (t *tally) recordChangeApplied(n *node, rev int64, validBefore Micros) {
 	now := t.fleet.now
 	for r := n.appliedRevision + 1; r <= rev; r++ {
 		c := t.changes[r-firstChange]
--- a/internal/emulator/time.go
+++ b/internal/emulator/time.go
@@ -13,9 +13,11 @@
 	millisecond Micros = 1000
 	second             = 1000 * millisecond
 
-	epoch       = 1_000_000 * second // the virtual time at which a run starts
-	warmUp      = 3 * second         // from the start of the schedulers to the first job
-	timingSlack = 50 * millisecond   // by which the checks extend each time limit, as on sockets
+	epoch  = 1_000_000 * second // virtual time at which a run starts
+	warmUp = 3 * second         // time between the start of a run and the first job
+
+	// timingSlack is the tolerance that the checks add to each time limit. Runs on sockets use the same value.
+	timingSlack = 50 * millisecond
 )
 
 func toDuration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/emulator/violations_test.go
+++ b/internal/emulator/violations_test.go
@@ -10,25 +10,26 @@
 	"dahliaford/internal/scheduler"
 )
 
-// violationsOf plays something with one request in an idle fleet and returns the rules that it violates.
+// violationsOf calls play with an idle fleet and a request, and returns the names of the violated properties,
+// sorted and separated by spaces.
 func violationsOf(t *testing.T, play func(f *fleet, req *request)) string {
 	t.Helper()
-	f := newIdleFleet(t, shortDay("calm"))
-	req := &request{fleet: f, id: "a", job: &clientJob{slots: 1, work: float64(f.task)}, outstanding: 1,
+	f := newIdleFleet(t, shortRun("calm"))
+	req := &request{fleet: f, id: "a", job: &clientJob{slots: 1, work: float64(f.meanRunTime)}, outstanding: 1,
 		timeout: 5 * second}
-	req.received()
+	req.recordReceipt()
 	play(f, req)
 	return strings.Join(slices.Sorted(maps.Keys(f.tally.model.Violations)), " ")
 }
 
-// recordRun records that a worker ran the request.
+// recordRun records the events of a successful run of the request by a worker.
 func recordRun(req *request, worker string) {
 	req.record(history.Event{Kind: history.Arrived, ID: "a", Actor: worker})
 	req.record(history.Event{Kind: history.Started, ID: "a", Actor: worker})
 	req.record(history.Event{Kind: history.Ended, ID: "a", Actor: worker, MayHaveRun: true, Result: "a"})
 }
 
-// The checks find what they are there for.
+// Each check reports its violation, and reports nothing in the permitted cases next to it.
 func TestViolationsAreFound(t *testing.T) {
 	served := scheduler.Answer{Verdict: scheduler.Served, Body: []byte("a")}
 	failed := scheduler.Answer{Verdict: scheduler.Failed}
@@ -62,8 +63,8 @@
 			req.recordAnswer(failed)
 		}},
 		"two requests of a job run": {"runs-as-allowed", func(f *fleet, req *request) {
-			f.clients.jobStarted(req)
-			f.clients.jobStarted(&request{fleet: f, id: "b", job: req.job})
+			f.clients.recordStart(req)
+			f.clients.recordStart(&request{fleet: f, id: "b", job: req.job})
 		}},
 		"orphaned attempt": {"called-back", func(f *fleet, req *request) {
 			req.record(history.Event{Kind: history.Arrived, ID: "a", Actor: "s1"})
@@ -74,12 +75,12 @@
 		}},
 		"sent to a worker known to drain": {"drains-kept", func(f *fleet, req *request) {
 			f.discovery.notReadySince[3] = f.now
-			f.now += staleAfter + f.settings.DrainGrace + timingSlack + 1
+			f.now += listValidity + f.settings.DrainGrace + timingSlack + 1
 			f.tally.checkSend(f.nodes[0], f.workers[3], req)
 		}},
 		"sent to a draining worker before the list is stale": {"", func(f *fleet, req *request) {
 			f.discovery.notReadySince[3] = f.now
-			f.now += staleAfter
+			f.now += listValidity
 			f.tally.checkSend(f.nodes[0], f.workers[3], req)
 		}},
 		"overload by a scheduler that knew of the start": {"cold-spared", func(f *fleet, _ *request) {
@@ -91,40 +92,43 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := violationsOf(t, c.play); got != c.want {
-				t.Errorf("violations %q, want %q", got, c.want)
+				t.Errorf("got violations of %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// overload has a scheduler send a worker in slow start more than it can take.
-func overload(f *fleet, informed bool) {
+// overload has a scheduler send a worker in slow start so much work that the worker crashes. startKnown says
+// whether the scheduler has received the worker's start time.
+func overload(f *fleet, startKnown bool) {
 	w := f.workers[0]
 	w.startedAt = f.now
 	n := f.nodes[0]
-	if informed {
+	if startKnown {
 		n.workerStarts[w.uid] = w.startedAt
 	}
 	c := &conn{node: n, worker: w}
 	for range 100 {
-		w.checkOverload(c, &request{fleet: f, id: "x", job: &clientJob{slots: 4, work: float64(f.task)}})
+		w.checkOverload(c, &request{fleet: f, id: "x", job: &clientJob{slots: 4, work: float64(f.meanRunTime)}})
 	}
 	if f.tally.model.OverloadCrashes == 0 {
 		f.tally.model.Violations["no overload crash"]++
 	}
 }
 
-// A change is in force where it is applied, or where nothing is sent because the list is stale.
+// A change of the worker list is in force at a scheduler that has applied it, and at a scheduler that sends
+// no attempts because its list is stale.
 func TestChangesInForce(t *testing.T) {
-	f := newIdleFleet(t, shortDay("calm"))
+	f := newIdleFleet(t, shortRun("calm"))
 	f.nodes = f.nodes[:3]
 	f.now += second
-	f.tally.published(2, f.now-second/4, 1)
+	f.tally.recordRevision(2, f.now-second/4, 1)
 	f.now += second
-	f.tally.changeApplied(f.nodes[0], 2, f.now+second)
+	f.tally.recordChangeApplied(f.nodes[0], 2, f.now+second)
 	f.now += 4 * second
-	f.tally.changeApplied(f.nodes[1], 2, f.now-2*second) // its list was stale for two seconds
-	f.nodes[2].validUntil = f.now - second               // its list is stale, and it never gets the change
+	f.tally.recordChangeApplied(f.nodes[1], 2, f.now-2*second) // the scheduler's list has been stale for 2 s
+	// The list of the third scheduler is stale, and the change does not arrive there.
+	f.nodes[2].validUntil = f.now - second
 	m := f.report().Model.Changes
 	if m.NotInForce != 0 || m.Unapplied != 1 || m.InForce.Max < 4240 || m.InForce.Max > 4260 {
 		t.Errorf("%+v", m)
--- a/internal/emulator/watch.go
+++ b/internal/emulator/watch.go
@@ -2,31 +2,31 @@
 
 import "dahliaford/internal/scheduler"
 
-// Timeouts of a watch at a scheduler, as package node has them.
+// Timeouts after which a scheduler closes a watch. Package node uses the same values.
 const (
-	watchOpenTimeout    = 4 * second // until discovery has written the first line
-	watchSilenceTimeout = 3 * second // between two lines
+	watchOpenTimeout    = 4 * second // time until the first line arrives
+	watchSilenceTimeout = 3 * second // time between two lines
 )
 
-// watch is a watch of the worker list, with the state of both ends.
+// watch is a scheduler's watch of the worker list, with the state of both ends of its connection.
 type watch struct {
 	node *node
 
-	// At discovery.
-	connected   bool                   // discovery writes to it
-	lastWrite   Micros                 // of the last line
-	lastArrival Micros                 // of the last line: lines keep their order
-	buffered    []scheduler.WorkerList // written during a cut
+	// State at discovery.
+	connected   bool                   // discovery writes lines to the watch
+	lastWrite   Micros                 // time at which the last line was written
+	lastArrival Micros                 // arrival of the last line; no later line may arrive before it
+	buffered    []scheduler.WorkerList // lines that a network cut holds back
 
-	// At the scheduler.
-	closed    bool   // its end has been handled, or it was released
-	released  bool   // the scheduler does not use it any more
-	received  bool   // a line
-	emptyAt   Micros // nothing lay in the socket then
-	timeoutAt Micros // it counts as dead then, unless a line comes before
+	// State at the scheduler.
+	closed        bool   // the end of the watch has been handled, or the watch has been released
+	released      bool   // the scheduler has closed the watch
+	receivedLine  bool   // at least one line has arrived
+	socketEmptyAt Micros // last time at which the scheduler found no unread data in the socket
+	timeoutAt     Micros // time at which the scheduler closes the watch unless a line arrives before
 }
 
-// write sends a line to the scheduler. Lines keep their order on the way.
+// write sends a line to the scheduler. Lines arrive in the order in which they are written.
 func (s *watch) write(list scheduler.WorkerList) {
 	if !s.connected {
 		return
@@ -40,13 +40,13 @@
 	bytes := messageBytes(list)
 	arrival := f.now + f.network.delay(discoveryZone, s.node.zone) + Micros(float64(bytes)*microsPerByte)
 	s.lastArrival = max(s.lastArrival, arrival)
-	if d := f.discovery; d.lateFraction > 0 && d.random() < d.lateFraction {
-		s.lastArrival += Micros(d.random() * float64(maxLateness))
+	if d := f.discovery; d.delayedFraction > 0 && d.random() < d.delayedFraction {
+		s.lastArrival += Micros(d.random() * float64(maxLineDelay))
 	}
-	f.at(s.lastArrival, func() { s.receive(list, bytes) })
+	f.scheduleAt(s.lastArrival, func() { s.receive(list, bytes) })
 }
 
-// flush sends what was written during a cut.
+// flush sends the lines that were buffered during a network cut.
 func (s *watch) flush() {
 	buffered := s.buffered
 	s.buffered = nil
@@ -55,7 +55,7 @@
 	}
 }
 
-// heartbeat writes an empty line whenever nothing else was written for the interval.
+// heartbeat writes an empty line whenever no line has been written for heartbeatInterval.
 func (s *watch) heartbeat() {
 	if !s.connected {
 		return
@@ -64,11 +64,10 @@
 	if f.now-s.lastWrite >= heartbeatInterval {
 		s.write(scheduler.WorkerList{})
 	}
-	f.at(s.lastWrite+heartbeatInterval, s.heartbeat)
+	f.scheduleAt(s.lastWrite+heartbeatInterval, s.heartbeat)
 }
 
-// openWatch opens a watch for the reducer. The one before stays in use until the new one has its first
-// line.
+// openWatch opens a new watch. The previous watch stays in use until the first line arrives on the new one.
 func (n *node) openWatch(w scheduler.OpenWatch) {
 	if w.ValidUntil != 0 {
 		n.validUntil = min(n.validUntil, w.ValidUntil)
@@ -80,7 +79,7 @@
 		n.previousWatch = n.watch
 	}
 	f := n.fleet
-	s := &watch{node: n, emptyAt: f.now, timeoutAt: f.now + watchOpenTimeout}
+	s := &watch{node: n, socketEmptyAt: f.now, timeoutAt: f.now + watchOpenTimeout}
 	n.watch = s
 	n.countControlMessage(openWatchBytes)
 	call := func() {
@@ -88,30 +87,30 @@
 			f.discovery.handleCall(s, w.Revision)
 		}
 	}
-	// The connection is established first: a packet there and one back.
+	// The TCP handshake takes one round trip before the call can be sent.
 	f.network.send(n.zone, discoveryZone, packetBytes, func() {
 		f.network.send(discoveryZone, n.zone, packetBytes, func() {
 			f.network.send(n.zone, discoveryZone, openWatchBytes, call)
 		})
 	})
-	s.awaitTimeout()
+	s.scheduleTimeout()
 }
 
-// awaitTimeout closes the watch once no line has come for too long.
-func (s *watch) awaitTimeout() {
+// scheduleTimeout schedules the closing of the watch for timeoutAt. Each line that arrives defers timeoutAt.
+func (s *watch) scheduleTimeout() {
 	f := s.node.fleet
-	f.at(s.timeoutAt, func() {
+	f.scheduleAt(s.timeoutAt, func() {
 		switch {
 		case s.closed || s.released:
 		case f.now >= s.timeoutAt:
 			s.handleClose()
 		default:
-			s.awaitTimeout()
+			s.scheduleTimeout()
 		}
 	})
 }
 
-// releaseWatch closes a watch at the scheduler's side.
+// releaseWatch closes a watch that the scheduler no longer uses.
 func (n *node) releaseWatch(s *watch) {
 	s.released, s.closed = true, true
 	if s.connected {
@@ -119,9 +118,9 @@
 	}
 }
 
-// receive passes a line to the reducer, with the time as of which the list is known: not before the
-// socket was last seen empty, at most half the drain grace after that, and not after now. From then on
-// the list is valid for staleAfter.
+// receive passes a line to the reducer, together with the time as of which the scheduler knows the list. This
+// time is half the drain grace after the scheduler last found the socket empty, but not later than the
+// present. The list is valid for listValidity from this time on.
 func (s *watch) receive(list scheduler.WorkerList, bytes int) {
 	if s.closed || s.released {
 		return
@@ -129,8 +128,8 @@
 	n := s.node
 	now := n.fleet.now
 	n.countControlMessage(bytes)
-	e := scheduler.EndpointsUpdated{List: list, AsOf: min(now, s.emptyAt+n.fleet.settings.DrainGrace/2)}
-	s.received, s.emptyAt, s.timeoutAt = true, now, now+watchSilenceTimeout
+	e := scheduler.EndpointsUpdated{List: list, AsOf: min(now, s.socketEmptyAt+n.fleet.settings.DrainGrace/2)}
+	s.receivedLine, s.socketEmptyAt, s.timeoutAt = true, now, now+watchSilenceTimeout
 	asOf := e.AsOf
 	if s != n.watch {
 		e.FromPreviousWatch, asOf = true, 0
@@ -146,14 +145,15 @@
 	}
 	n.step(e)
 	if asOf != 0 {
-		n.listAsOf, n.validUntil = asOf, asOf+staleAfter
+		n.listAsOf, n.validUntil = asOf, asOf+listValidity
 	}
 	if list.Revision != 0 && !e.FromPreviousWatch {
-		n.fleet.tally.changeApplied(n, list.Revision, validBefore)
+		n.fleet.tally.recordChangeApplied(n, list.Revision, validBefore)
 	}
 }
 
-// handleClose handles the end of a watch that the scheduler did not ask for.
+// handleClose handles the end of a watch that the scheduler has not released: discovery closed or refused the
+// watch, or the watch timed out.
 func (s *watch) handleClose() {
 	if s.closed || s.released {
 		return
@@ -171,21 +171,22 @@
 	if s != n.watch {
 		return
 	}
-	if s.received { // without a watch the list is valid for one poll interval, as in package node
+	if s.receivedLine { // Without a watch the list is valid for one poll interval only, as in package node.
 		n.validUntil = min(n.validUntil, n.listAsOf+n.fleet.settings.Dispatch.PollInterval)
 	}
 	n.step(scheduler.WatchClosed{ValidUntil: n.validUntil})
 }
 
-// allowSend is the last check before an attempt is written: the worker is in use, and the worker list
-// is not stale. It also notes that the sockets of the watches were empty now.
+// allowSend reports whether an attempt may be written to a worker: the reducer has not stopped the use of the
+// worker, and the worker list is not stale. A positive result implies that the sockets of the watches were
+// checked for unread lines, so allowSend records that they are empty.
 func (n *node) allowSend(uid string) bool {
 	if n.stoppedWorkers[uid] || n.fleet.now > n.validUntil {
 		return false
 	}
 	for _, s := range []*watch{n.watch, n.previousWatch} {
 		if s != nil && !s.closed {
-			s.emptyAt = n.fleet.now
+			s.socketEmptyAt = n.fleet.now
 		}
 	}
 	return true
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -13,15 +13,17 @@
 )
 
 const (
-	queueFactor = 2.0    // the queue of a worker holds so many times its slots
-	failureRate = 0.0005 // fraction of runs that fail by themselves
-	// callbackTimeout is how long a worker retries a callback: ten times, a second apart.
+	queueFactor     = 2.0    // capacity of a worker's queue, in slots of jobs, divided by the worker's slots
+	failureFraction = 0.0005 // fraction of the runs that end with an error of the job
+	// callbackTimeout is how long a worker retries a callback that does not reach its scheduler. It
+	// corresponds to ten retries at intervals of a second.
 	callbackTimeout = 10 * second
-	// errorWindow is how long an error counts in the load report, less and less.
+	// errorWindow is the time within which the contribution of an error to the error rate in the load
+	// report decreases linearly to zero.
 	errorWindow = 10 * second
 )
 
-// worker is a simulated worker: a machine with one process on it.
+// worker is a simulated worker: a machine that runs one worker process.
 type worker struct {
 	fleet  *fleet
 	index  int
@@ -32,37 +34,36 @@
 	kind   *machineKind
 	random *rand.Rand
 
-	running     bool // its process
-	unreachable bool // the machine has vanished and answers nothing
-	retired     bool // it does not come back
-	incarnation int  // of the process: a connection is to one
-	diedAt      Micros
-	startedAt   Micros   // 0: long ago
-	deferred    []func() // deliveries to an unreachable machine
+	running            bool     // the process runs
+	unreachable        bool     // the machine has failed and answers nothing
+	retired            bool     // the worker never starts again
+	incarnation        int      // number of ended processes; a connection belongs to one incarnation
+	diedAt             Micros   // time at which the last process ended
+	startedAt          Micros   // start of the process; 0 means before the run, without slow start
+	deferredDeliveries []func() // messages that arrived while the machine was unreachable
 
-	attempts       map[string]*attempt // by id of the request
+	attempts       map[string]*attempt // queued and running attempts by id of the request
 	queue          []*attempt
 	usedSlots      float64
-	recentArrivals []arrival // during slow start
-	errorRate      float64   // errors a second, at errorRateAt
+	recentArrivals []arrival // attempts received within the overload window, recorded during slow start
+	errorRate      float64   // errors per second, as of errorRateAt
 	errorRateAt    Micros
 }
 
-// attempt is a job that a worker has accepted.
+// attempt is an attempt that a worker has accepted.
 type attempt struct {
 	request *request
 	worker  *worker
 	node    *node
-	running bool // it has slots; else it is queued
+	running bool // whether the attempt occupies slots; otherwise it is queued, unless it has ended
 	ended   bool
 }
 
-// newWorker returns one more worker, in a zone. It runs, but is not part of the fleet before it is
-// registered.
+// newWorker returns a new running worker in a zone. The caller adds the worker to the fleet with register.
 func (f *fleet) newWorker(zone int) *worker {
 	index := len(f.workers)
 	hash := fnv.New32a()
-	_, _ = fmt.Fprintf(hash, "worker %d", index) // writing to a hash cannot fail
+	_, _ = fmt.Fprintf(hash, "worker %d", index) // Writing to a hash never fails.
 	place := index / Zones
 	w := &worker{
 		fleet:    f,
@@ -82,7 +83,8 @@
 	return w
 }
 
-// register makes a new worker part of the fleet. Discovery lists it as ready if it runs.
+// register adds a new worker to the fleet and to the worker list. Discovery lists the worker as ready if its
+// process runs, and as removed otherwise.
 func (f *fleet) register(w *worker) {
 	f.workers = append(f.workers, w)
 	f.byUID[w.uid], f.byAddr[w.addr] = w, w
@@ -90,16 +92,18 @@
 	f.discovery.add(w)
 }
 
-// deliver runs an action at the worker's machine: now, or once the machine is reachable again.
+// deliver runs the action for a message that arrives at the worker's machine. While the machine is
+// unreachable it defers the action until the machine starts again.
 func (w *worker) deliver(action func()) {
 	if w.unreachable {
-		w.deferred = append(w.deferred, action)
+		w.deferredDeliveries = append(w.deferredDeliveries, action)
 		return
 	}
 	action()
 }
 
-// receive handles a request whose last byte has arrived, and answers it.
+// receive handles an attempt whose last byte has arrived: it queues the attempt and answers with status 202,
+// or rejects the attempt with status 503 if the worker is at capacity.
 func (w *worker) receive(c *conn, req *request) {
 	req.record(history.Event{Kind: history.Arrived, ID: req.id, Actor: w.uid})
 	if !w.hasCapacity(req.job.slots) {
@@ -119,7 +123,8 @@
 	}
 }
 
-// hasCapacity tells whether a job of so many slots fits into the queue, and can run here at all.
+// hasCapacity reports whether a job that takes the given number of slots fits into the queue. A job that
+// takes more slots than the worker has never fits.
 func (w *worker) hasCapacity(slots float64) bool {
 	queued := 0.0
 	for _, a := range w.queue {
@@ -128,7 +133,7 @@
 	return queued+slots <= queueFactor*w.kind.slots && slots <= w.kind.slots
 }
 
-// respond sends an answer on a connection.
+// respond sends an answer to the scheduler on the connection of the present exchange.
 func (w *worker) respond(c *conn, a connstate.Answer) {
 	attempt := c.Attempt
 	w.fleet.network.send(w.zone, c.node.zone, answerBytes, func() {
@@ -139,7 +144,8 @@
 	})
 }
 
-// startQueued starts the queued attempts that there are slots for, in order.
+// startQueued starts queued attempts in the order of their arrival until the next one does not fit into the
+// free slots.
 func (w *worker) startQueued() {
 	f := w.fleet
 	for len(w.queue) > 0 && w.usedSlots+w.queue[0].request.job.slots <= w.kind.slots {
@@ -148,14 +154,14 @@
 		a.running = true
 		w.usedSlots += a.request.job.slots
 		a.request.record(history.Event{Kind: history.Started, ID: a.request.id, Actor: w.uid})
-		f.clients.jobStarted(a.request)
+		f.clients.recordStart(a.request)
 		w.sendCallback(a, scheduler.Callback{Kind: scheduler.CallbackStarted})
 		runTime := Micros(a.request.job.work / w.kind.speed / w.speedFraction())
-		f.after(runTime, func() { w.finish(a) })
+		f.scheduleAfter(runTime, func() { w.finish(a) })
 	}
 }
 
-// finish ends the run of an attempt, successfully or with an error.
+// finish ends the run of an attempt. A random fraction of the runs, failureFraction, ends with an error.
 func (w *worker) finish(a *attempt) {
 	if a.ended {
 		return
@@ -163,9 +169,9 @@
 	callback := scheduler.Callback{Kind: scheduler.CallbackDone, Result: []byte(a.request.id)}
 	ended := history.Event{Kind: history.Ended, ID: a.request.id, Actor: w.uid, MayHaveRun: true,
 		Result: a.request.id}
-	if w.random.Float64() < failureRate {
+	if w.random.Float64() < failureFraction {
 		callback.Kind, callback.Result, ended.Result = scheduler.CallbackFailed, nil, ""
-		w.errorRate, w.errorRateAt = w.recentErrors()+0.1, w.fleet.now
+		w.errorRate, w.errorRateAt = w.currentErrorRate()+0.1, w.fleet.now
 	}
 	a.request.record(ended)
 	w.remove(a)
@@ -175,7 +181,7 @@
 	w.startQueued()
 }
 
-// remove ends an attempt and frees its slots or its place in the queue.
+// remove marks an attempt as ended and frees its slots or its place in the queue.
 func (w *worker) remove(a *attempt) {
 	a.ended = true
 	delete(w.attempts, a.request.id)
@@ -186,18 +192,19 @@
 	}
 }
 
-// recentErrors is the rate of errors, per second. It falls to zero within the error window.
-func (w *worker) recentErrors() float64 {
+// currentErrorRate returns the errors per second for the load report. The rate decreases linearly to zero
+// within errorWindow after the last error.
+func (w *worker) currentErrorRate() float64 {
 	return w.errorRate * max(0, 1-float64(w.fleet.now-w.errorRateAt)/float64(errorWindow))
 }
 
 func (w *worker) loadReport() dispatch.Report {
 	return dispatch.Report{FreeKnown: true, Free: w.kind.slots - w.usedSlots,
-		Outstanding: float64(len(w.attempts)), Errors: w.recentErrors()}
+		Outstanding: float64(len(w.attempts)), Errors: w.currentErrorRate()}
 }
 
-// sendCallback sends a callback to the attempt's scheduler. One that a cut holds up for longer than the
-// timeout is undelivered: the worker has stopped retrying.
+// sendCallback sends a callback to the attempt's scheduler. A callback that a network cut delays by more than
+// callbackTimeout is not delivered, because the worker has stopped retrying by then.
 func (w *worker) sendCallback(a *attempt, callback scheduler.Callback) {
 	f, sentAt := w.fleet, w.fleet.now
 	callback.RequestID, callback.WorkerUID = a.request.id, w.uid
@@ -216,7 +223,7 @@
 	})
 }
 
-// cancel ends the attempt of a request, and tells whether there was one.
+// cancel ends the queued or running attempt of a request. It reports whether the worker had such an attempt.
 func (w *worker) cancel(requestID string) bool {
 	a := w.attempts[requestID]
 	if a == nil {
@@ -230,5 +237,5 @@
 	return true
 }
 
-// idle tells whether the worker has no attempt.
+// idle reports whether the worker has neither queued nor running attempts.
 func (w *worker) idle() bool { return len(w.attempts) == 0 }
--- a/internal/emulator/worker_lifecycle.go
+++ b/internal/emulator/worker_lifecycle.go
@@ -8,7 +8,7 @@
 	"dahliaford/internal/scheduler"
 )
 
-// exitReport says whether anybody reports to the schedulers that a process has ended.
+// exitReport says whether the agent of the machine reports the end of a worker's process to the schedulers.
 type exitReport uint8
 
 const (
@@ -16,7 +16,7 @@
 	reportedByAgent
 )
 
-// stop ends the process with all of its attempts.
+// stop ends the worker's process and with it all of its attempts.
 func (w *worker) stop(report exitReport) {
 	var all []*attempt
 	for _, a := range w.attempts {
@@ -37,21 +37,23 @@
 	w.incarnation++
 }
 
-// crash ends the process. The agent of its machine reports it to the schedulers and to discovery.
+// crash ends the worker's process. The agent of the machine reports the end to the schedulers that wait for
+// an attempt, and to discovery.
 func (w *worker) crash() {
 	if !w.running {
 		return
 	}
 	w.stop(reportedByAgent)
 	incarnation := w.incarnation
-	w.fleet.after(agentReportDelay, func() {
+	w.fleet.scheduleAfter(agentReportDelay, func() {
 		if w.incarnation == incarnation {
 			w.fleet.discovery.setState(w, endpoints.Removed)
 		}
 	})
 }
 
-// vanish makes the machine unreachable. Nobody reports it.
+// vanish makes the machine unreachable, as a power failure does. No agent reports the end of the process;
+// discovery removes the worker after livenessTimeout.
 func (w *worker) vanish() {
 	if w.unreachable {
 		return
@@ -61,17 +63,19 @@
 	w.missHeartbeats()
 }
 
-// missHeartbeats has discovery remove the worker once it has been silent for the liveness timeout.
+// missHeartbeats schedules the removal of the worker from the list after livenessTimeout, provided that the
+// worker is still unreachable or cut off from discovery at that time.
 func (w *worker) missHeartbeats() {
 	d := w.fleet.discovery
-	w.fleet.after(livenessTimeout+Micros((d.random()-0.5)*float64(second)), func() {
+	w.fleet.scheduleAfter(livenessTimeout+Micros((d.random()-0.5)*float64(second)), func() {
 		if w.unreachable || w.fleet.network.separated(w.zone, discoveryZone) {
 			d.setState(w, endpoints.Removed)
 		}
 	})
 }
 
-// boot starts the process, and the machine if it is unreachable.
+// boot starts the worker's process, after its machine if that is unreachable. The messages that arrived while
+// the machine was unreachable are delivered.
 func (w *worker) boot() {
 	if w.running || w.retired {
 		return
@@ -80,19 +84,19 @@
 	w.running, w.unreachable = true, false
 	w.startedAt = f.now / millisecond * millisecond
 	incarnation := w.incarnation
-	deferred := w.deferred
-	w.deferred = nil
-	for _, action := range deferred {
+	deferredDeliveries := w.deferredDeliveries
+	w.deferredDeliveries = nil
+	for _, action := range deferredDeliveries {
 		action()
 	}
-	f.after(registrationDelay, func() {
+	f.scheduleAfter(registrationDelay, func() {
 		if w.incarnation == incarnation && !f.network.separated(w.zone, discoveryZone) {
 			f.discovery.setState(w, endpoints.Ready)
 		}
 	})
 }
 
-// replace retires the worker and starts a new one in its rack.
+// replace retires the worker and starts a new worker in the same rack.
 func (w *worker) replace() {
 	w.retired = true
 	w.fleet.discovery.setState(w, endpoints.Removed)
@@ -102,7 +106,7 @@
 	replacement.boot()
 }
 
-// setStateIfRunning changes the worker's entry in the list, unless its process has ended.
+// setStateIfRunning changes the state of the worker's entry in the list if the worker's process runs.
 func (w *worker) setStateIfRunning(state endpoints.State) {
 	if w.running {
 		w.fleet.discovery.setState(w, state)
