--- a/internal/emulator/connection_pool.go
+++ b/internal/emulator/connection_pool.go
@@ -2,7 +2,9 @@
 
 // Limits of a scheduler's connections to workers. Package node uses the same limits.
 const (
-	idleTimeoutSmallFleet = 50 * millisecond // time after which an idle connection is closed
+	// A scheduler closes a connection that has been idle for the timeout. The timeout depends on the size of
+	// the fleet (see dispatch.Settings.LargeFleet).
+	idleTimeoutSmallFleet = 50 * millisecond
 	idleTimeoutLargeFleet = 2000 * millisecond
 	maxConnections        = (1024 - 32) / 4 // a quarter of 1,024 file descriptors, of which 32 are reserved
 )
@@ -15,8 +17,8 @@
 }
 
 // acquireIdle returns the connection to a worker that became idle last, or nil if there is none. It closes
-// connections to an ended process of the worker, provided that the process's closing of them has had time to
-// reach the scheduler.
+// connections to a process that has ended, if the packet that closes them has had time to reach the
+// scheduler.
 func (n *node) acquireIdle(w *worker) *conn {
 	for idle := n.idleConns[w]; len(idle) > 0; idle = n.idleConns[w] {
 		c := idle[len(idle)-1]
--- a/internal/emulator/cost_meter.go
+++ b/internal/emulator/cost_meter.go
@@ -90,7 +90,7 @@
 }
 
 // recordStep records the processor time that a scheduler's reducer took to process an event.
-func (m *costMeter) recordStep(n *node, e scheduler.Event, took time.Duration) {
+func (m *costMeter) recordStep(n *node, e scheduler.Event, elapsed time.Duration) {
 	if m.observe != nil {
 		m.observe(e)
 	}
@@ -101,23 +101,23 @@
 		m.timesByKind[kind] = times
 	}
 	// RecordValue fails only for a step of more than an hour.
-	_ = times.histogram.RecordValue(max(int64(took), 1))
-	times.total += took
+	_ = times.histogram.RecordValue(max(int64(elapsed), 1))
+	times.total += elapsed
 	if !m.loadStarted {
 		return
 	}
 	u := &n.usage
-	u.reducerTime += took
+	u.reducerTime += elapsed
 	now := toDuration(n.fleet.now)
 	switch e.(type) {
 	case scheduler.EndpointsUpdated, scheduler.WatchClosed:
-		u.controlTime += took
-		u.controlBusyUntil = max(u.controlBusyUntil, now) + time.Duration(float64(took)/controlCoreBudget)
+		u.controlTime += elapsed
+		u.controlBusyUntil = max(u.controlBusyUntil, now) + time.Duration(float64(elapsed)/controlCoreBudget)
 	}
-	u.busyUntil = max(u.busyUntil, now) + took
+	u.busyUntil = max(u.busyUntil, now) + elapsed
 	m.maxLag = max(m.maxLag, u.busyUntil-now)
 	m.maxLagAtBudget = max(m.maxLagAtBudget, u.controlBusyUntil-now)
-	*currentSecond(&m.series.CoreSeconds, n.fleet) += took.Seconds()
+	*currentSecond(&m.series.CoreSeconds, n.fleet) += elapsed.Seconds()
 }
 
 // recordChange records the delay from the time at which discovery learned of a change until the reducer of
--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -13,7 +13,7 @@
 const (
 	referenceWorkers     = 7200
 	restartsPerDay       = 410  // workers that are restarted or replaced within 24 hours
-	failuresPerDay       = 130  // machines that fail within 24 hours
+	failuresPerDay       = 130  // worker processes and machines that fail within 24 hours
 	configChangesPerHour = 296  // configuration changes per hour; 7,100 in 24 hours
 	delayedLineFraction  = 0.01 // fraction of the lines of a watch that arrive late in scenario "storm"
 )
@@ -47,7 +47,8 @@
 			(*fleet).scheduleRollingRestart},
 		"discovery": {"discovery restarts at 1/3 of the time: all watches are closed and opened again",
 			(*fleet).scheduleDiscoveryRestart},
-		"storm": {"24 hours' failures (130 of 7,200), a rack failure, an hour's configuration changes, late lines",
+		"storm": {
+			"failures of 24 hours (130 of 7,200 workers), of a rack, an hour's configuration changes, late lines",
 			(*fleet).scheduleFailureStorm},
 	}
 }
@@ -76,7 +77,7 @@
 	random := f.newRandom(dayStream)
 	for _, w := range f.workers {
 		if w.zone == failedZone {
-			f.scheduleAt(f.atFraction(0.25)+Micros(random.Int64N(int64(powerOffSpread))), w.vanish)
+			f.scheduleAt(f.atFraction(0.25)+Micros(random.Int64N(int64(powerOffSpread))), w.failMachine)
 			f.scheduleAt(f.atFraction(0.5)+Micros(random.Int64N(int64(powerOnSpread))), w.boot)
 		}
 	}
@@ -156,15 +157,15 @@
 		case 0, 1:
 			f.scheduleAt(burst(), func() { w.crash(); f.scheduleAfter(restartDelay, w.boot) })
 		case 2:
-			f.scheduleAt(burst(), func() { w.vanish(); f.scheduleAfter(rebootDelay, w.boot) })
+			f.scheduleAt(burst(), func() { w.failMachine(); f.scheduleAfter(rebootDelay, w.boot) })
 		default:
-			f.scheduleAt(burst(), func() { w.vanish(); w.retired = true })
+			f.scheduleAt(burst(), func() { w.failMachine(); w.retired = true })
 		}
 	}
 	failedRack := f.workers[order[0]].rack
 	for _, w := range f.workers {
 		if w.rack == failedRack {
-			f.scheduleAt(f.atFraction(0.4), w.vanish)
+			f.scheduleAt(f.atFraction(0.4), w.failMachine)
 			f.scheduleAt(f.atFraction(0.7)+Micros(random.Int64N(int64(powerOnSpread))), w.boot)
 		}
 	}
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -183,9 +183,9 @@
 func (d *discovery) open(s *watch, rev int64) {
 	d.queuedCalls = slices.DeleteFunc(d.queuedCalls, func(o *watch) bool { return o == s })
 	s.connected = true
-	place, _ := slices.BinarySearchFunc(d.watches, s.node.index,
+	position, _ := slices.BinarySearchFunc(d.watches, s.node.index,
 		func(o *watch, index int) int { return o.node.index - index })
-	d.watches = slices.Insert(d.watches, place, s)
+	d.watches = slices.Insert(d.watches, position, s)
 	s.write(workerList(d.table.Since(rev)))
 	s.heartbeat()
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -59,8 +59,8 @@
 	discoveryStream = 2
 	clientStream    = 3
 	dayStream       = 4
-	workerStreams   = 1000      // The worker's index is added.
-	nodeStreams     = 1_000_000 // The scheduler's index is added.
+	workerStreams   = 1000      // stream of worker 0; worker i uses workerStreams + i
+	nodeStreams     = 1_000_000 // stream of scheduler 0; scheduler i uses nodeStreams + i
 )
 
 // newRandom returns a random source for the given stream, seeded with the seed of the run.
@@ -71,9 +71,9 @@
 // wallTime returns the present virtual time as a time.Time.
 func (f *fleet) wallTime() time.Time { return time.UnixMicro(int64(f.now)) }
 
-// Run simulates the fleet and the day that the options describe, and returns the report. It returns the
-// error of Options.Validate for invalid options, and wraps the context's error if the context ends before
-// the run does.
+// Run simulates the fleet and the fault scenario that the options describe, and returns the report. It
+// returns the error of Options.Validate for invalid options, and wraps the context's error if the context
+// ends before the run does.
 func Run(ctx context.Context, opt Options) (*Report, error) {
 	if err := opt.Validate(); err != nil {
 		return nil, err
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -24,7 +24,7 @@
 					m.Violations, m.Invalid, strings.Join(m.Findings, "\n"))
 			}
 			if m.Starts < m.Jobs/2 || m.Served < m.Jobs/4 || m.CheckedRequests < m.Requests-3 {
-				t.Errorf("%d jobs, %d starts (want 1/2), %d served (want 1/4), %d of %d requests checked (want all but 3)",
+				t.Errorf("%d jobs, %d starts (want half), %d served (want a quarter), %d of %d checked (want all but 3)",
 					m.Jobs, m.Starts, m.Served, m.CheckedRequests, m.Requests)
 			}
 			if m.Changes.NotInForce > 0 || m.Changes.InForce.Max > 8000 {
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -16,13 +16,14 @@
 	slowStartTime    = 8300 * millisecond // duration of slow start after the start of a worker
 	slowStartInitial = 0.3                // fraction of its full speed with which a worker starts
 	// A worker in slow start crashes of overload if the work that arrives within overloadWindow exceeds
-	// overloadFactor times the work that the worker can do in that time at its present speed.
+	// overloadFactor times the work that the worker can do in that time at its present speed, plus two mean
+	// run times of a job.
 	overloadWindow    = 2 * second
 	overloadFactor    = 4.0
 	workerIdleTimeout = 60 * second // time after which a worker closes an idle connection
 
-	// listValidity is how long a scheduler may use its worker list after the last message from discovery. A
-	// list without a message for longer is stale. Package node uses the same value.
+	// listValidity is how long a scheduler may use its worker list after the last message from discovery.
+	// After that time the list is stale. Package node uses the same value.
 	listValidity = 6 * second
 )
 
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -103,7 +103,7 @@
 	t.jobsBySlots[job.slotMixIndex]++
 }
 
-// recordStart records the time from the first submission of a job to its first start.
+// recordStart records the first start of a job. after is the time since the first submission of the job.
 func (t *tally) recordStart(job *clientJob, after Micros) {
 	recordTime(t.timeToStart[job.class], after)
 	recordTime(t.timeToStartBySlots[job.slotMixIndex], after)
--- a/internal/emulator/violations_test.go
+++ b/internal/emulator/violations_test.go
@@ -10,15 +10,15 @@
 	"dahliaford/internal/scheduler"
 )
 
-// violationsOf calls play with an idle fleet and a request, and returns the names of the violated properties,
-// sorted and separated by spaces.
-func violationsOf(t *testing.T, play func(f *fleet, req *request)) string {
+// violationsOf calls scenario with an idle fleet and a request, and returns the names of the violated
+// properties, sorted and separated by spaces.
+func violationsOf(t *testing.T, scenario func(f *fleet, req *request)) string {
 	t.Helper()
 	f := newIdleFleet(t, shortRun("calm"))
 	req := &request{fleet: f, id: "a", job: &clientJob{slots: 1, work: float64(f.meanRunTime)}, outstanding: 1,
 		timeout: 5 * second}
 	req.recordReceipt()
-	play(f, req)
+	scenario(f, req)
 	return strings.Join(slices.Sorted(maps.Keys(f.tally.model.Violations)), " ")
 }
 
@@ -34,8 +34,8 @@
 	served := scheduler.Answer{Verdict: scheduler.Served, Body: []byte("a")}
 	failed := scheduler.Answer{Verdict: scheduler.Failed}
 	for name, c := range map[string]struct {
-		want string
-		play func(f *fleet, req *request)
+		want     string
+		scenario func(f *fleet, req *request)
 	}{
 		"no violation": {"", func(_ *fleet, req *request) { recordRun(req, "s1"); req.recordAnswer(served) }},
 		"late answer": {"one-final-answer", func(f *fleet, req *request) {
@@ -91,7 +91,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := violationsOf(t, c.play); got != c.want {
+			if got := violationsOf(t, c.scenario); got != c.want {
 				t.Errorf("got violations of %q, want %q", got, c.want)
 			}
 		})
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -64,15 +64,15 @@
 	index := len(f.workers)
 	hash := fnv.New32a()
 	_, _ = fmt.Fprintf(hash, "worker %d", index) // Writing to a hash never fails.
-	place := index / Zones
+	indexInZone := index / Zones
 	w := &worker{
 		fleet:    f,
 		index:    index,
 		uid:      fmt.Sprintf("s-%08x", hash.Sum32()),
 		zone:     zone,
-		rack:     zone*1000 + place/rackSize,
-		addr:     fmt.Sprintf("10.%d.%d.%d:8443", zone, place/250, place%250),
-		kind:     &kinds[place%len(kinds)],
+		rack:     zone*1000 + indexInZone/rackSize,
+		addr:     fmt.Sprintf("10.%d.%d.%d:8443", zone, indexInZone/250, indexInZone%250),
+		kind:     &kinds[indexInZone%len(kinds)],
 		running:  true,
 		attempts: map[string]*attempt{},
 		random:   f.newRandom(workerStreams + uint64(index)),
--- a/internal/emulator/worker_lifecycle.go
+++ b/internal/emulator/worker_lifecycle.go
@@ -52,9 +52,9 @@
 	})
 }
 
-// vanish makes the machine unreachable, as a power failure does. No agent reports the end of the process;
-// discovery removes the worker after livenessTimeout.
-func (w *worker) vanish() {
+// failMachine makes the machine unreachable, as a power failure does. No agent reports the end of the
+// process; discovery removes the worker after livenessTimeout.
+func (w *worker) failMachine() {
 	if w.unreachable {
 		return
 	}
