--- a/internal/emulator/cost_meter.go
+++ b/internal/emulator/cost_meter.go
@@ -18,11 +18,11 @@
 // costMeter measures the processor time and the memory that a run takes on the machine.
 type costMeter struct {
 	startedAt        time.Time             // wall time at the start of the run
-	timesByKind      map[string]*stepTimes // by the result of kindOfEvent
+	timesByKind      map[string]*stepTimes // processor times by the result of kindOfEvent
 	heapPerScheduler float64               // live heap in bytes, measured when all schedulers have the list
-	maxHeap          uint64                // largest size of all heap objects in bytes
+	maxHeap          uint64                // largest total size of the heap objects, in bytes
 	series           Series
-	loadStarted      bool // the warm-up is over
+	loadStarted      bool // whether the warm-up is over
 	// observe is set by tests to see each event that a reducer processes; otherwise it is nil.
 	observe func(scheduler.Event)
 
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -207,7 +207,9 @@
 	d.watches, d.queuedCalls = nil, nil
 	d.fleet.scheduleAfter(outage, func() {
 		d.down, d.busyUntil = false, 0
-		d.table.Publish() // An empty revision ensures that every revision from before the restart is outdated.
+		// An empty revision makes all earlier revisions outdated. After Forget, a call that names one of them is
+		// answered with the full list.
+		d.table.Publish()
 		d.table.Forget()
 		d.fleet.tally.recordRevision(d.table.Revision(), d.fleet.now, 0)
 		d.publish()
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -25,7 +25,7 @@
 
 	// State of the worker list.
 	watch           *watch
-	previousWatch   *watch            // in use until the first line arrives on the field watch
+	previousWatch   *watch            // the earlier watch, in use until watch receives its first line
 	stoppedWorkers  map[string]bool   // UIDs of the workers to which the reducer forbids new attempts
 	workerStarts    map[string]Micros // start times by UID, of workers that discovery listed with a start time
 	listAsOf        Micros            // time as of which the scheduler knows the worker list
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -59,9 +59,9 @@
 		o.MeanRunTime > 0 && o.MeanRunTime < minMeanRunTime:
 		return fmt.Errorf("a task must be %v to %v", minMeanRunTime, MaxMeanRunTime)
 	case o.Workers*o.Schedulers > MaxPairs:
-		return fmt.Errorf("schedulers times workers must be %d at the most", MaxPairs)
+		return fmt.Errorf("schedulers times workers must be at most %d", MaxPairs)
 	case jobRate(o.withDefaults())*o.withDefaults().MeanRunTime.Seconds() > MaxRunningJobs:
-		return fmt.Errorf("the rate times the seconds of a task must be %d at the most", MaxRunningJobs)
+		return fmt.Errorf("the rate times the seconds of a task must be at most %d", MaxRunningJobs)
 	case o.Day != "" && days[o.Day].schedule == nil:
 		return fmt.Errorf("unknown day %q: there are %s", o.Day, strings.Join(Days(), ", "))
 	}
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -15,12 +15,12 @@
 	fleet              *fleet
 	model              Model
 	discovery          Discovery
-	timeToStart        []*hdrhistogram.Histogram // by class
-	withinObjective    []int64                   // by class
-	jobsByClass        []int
-	timeToStartBySlots []*hdrhistogram.Histogram // by index of slotMix
+	timeToStart        []*hdrhistogram.Histogram // times in microseconds, by index of classes
+	withinObjective    []int64                   // jobs that started within StartObjective, by index of classes
+	jobsByClass        []int                     // by index of classes
+	timeToStartBySlots []*hdrhistogram.Histogram // times in microseconds, by index of slotMix
 	jobsBySlots        []int                     // by index of slotMix
-	changes            []*changeProgress         // by revision, beginning with firstChange
+	changes            []*changeProgress         // progress of each revision, beginning with firstChange
 }
 
 // firstChange is the number of the first revision that discovery publishes during a run. The schedulers start
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -50,7 +50,7 @@
 	errorRateAt    Micros
 }
 
-// attempt is an attempt that a worker has accepted.
+// attempt is the state of an attempt at the worker that has accepted it.
 type attempt struct {
 	request *request
 	worker  *worker
