--- a/internal/fakes/callback.go
+++ b/internal/fakes/callback.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxCallbackAttempts = 10 // with the repeated ones
+	maxCallbackAttempts = 10 // for each callback, repetitions of an accepted callback included
 	callbackTimeout     = 2 * time.Second
 	callbackInterval    = 20 * time.Millisecond
 )
 
-// callback reports a job's state to the scheduler until that has accepted it, ten times at most, and then
-// as many times more as the script says.
+// callback sends a callback with a job's state to the scheduler until the scheduler has accepted it, and then
+// repeats the callback the given number of times. It makes at most maxCallbackAttempts attempts in all.
 func (w *Worker) callback(id string, state JobState, result string, repeat int) {
 	fields := map[string]string{"id": id, "from": w.UID, "state": string(state)}
 	if state == Done {
@@ -24,7 +24,7 @@
 	}
 	body, err := json.Marshal(fields)
 	if err != nil {
-		panic(err) // strings can always be marshalled
+		panic(err) // marshalling a map of strings cannot fail
 	}
 	for range maxCallbackAttempts {
 		if postCallback(w.scheduler(), body) {
@@ -36,8 +36,7 @@
 	}
 }
 
-// postCallback makes one attempt at a callback on a connection of its own, and reports whether it was
-// accepted.
+// postCallback sends a callback once, on a new connection, and reports whether the scheduler accepted it.
 func postCallback(addr string, body []byte) bool {
 	deadline := time.Now().Add(callbackTimeout)
 	dialer := net.Dialer{Deadline: deadline}
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -9,18 +9,19 @@
 	"dahliaford/internal/http1"
 )
 
-// lateAnswerWait is how much longer than its deadline a client reads, to see a late answer as such.
+// lateAnswerWait is the time for which a client reads on after the deadline of its job, so that the recorded
+// history contains answers that arrive late.
 const lateAnswerWait = 2 * time.Second
 
-// Submission is one job that a client submits.
+// Submission is a job that a client submits. Key is the idempotency key.
 type Submission struct {
 	ID, Class, Tenant, Key string
 	Body                   []byte
-	Deadline               time.Time // the client gives up then
-	DisconnectAt           time.Time // the client disconnects before its deadline; zero: it waits
+	Deadline               time.Time // deadline for the answer
+	DisconnectAt           time.Time // time at which the client disconnects; zero: it waits for the answer
 }
 
-// Submit submits a job on a connection of its own and waits for the answer.
+// Submit submits a job on a new connection and waits for the answer.
 func Submit(addr string, s Submission, recorder Recorder) (*http1.Response, error) {
 	dialer := net.Dialer{Deadline: s.Deadline}
 	conn, err := dialer.Dial("tcp", addr)
@@ -31,8 +32,8 @@
 	return SubmitOn(conn, http1.NewReader(conn), s, recorder)
 }
 
-// SubmitOn submits a job on an idle connection and waits for the answer. After an error the connection is
-// of no use.
+// SubmitOn submits a job on an idle connection and waits for the answer. After an error the caller must not
+// use the connection for further jobs.
 func SubmitOn(conn net.Conn, reader *http1.Reader, s Submission, recorder Recorder) (*http1.Response, error) {
 	event := history.Event{ID: s.ID, Actor: "client", Class: s.Class}
 	remaining := strconv.FormatInt(max(time.Until(s.Deadline).Milliseconds(), 0), 10)
@@ -64,7 +65,7 @@
 	return answer, err
 }
 
-// readDeadline is until when the client reads.
+// readDeadline returns the time until which the client waits for an answer.
 func (s *Submission) readDeadline() time.Time {
 	switch {
 	case s.DisconnectAt.IsZero():
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -11,20 +11,21 @@
 	"dahliaford/internal/http1"
 )
 
-// maxPendingChanges is how many changes may wait for a watch that does not read, before the watch ends.
+// maxPendingChanges is the number of changes that are buffered for a watch whose client does not read. The
+// watch ends when the buffer is full.
 const maxPendingChanges = 64
 
-// Discovery serves the list of workers. Changes go out to open watches at once. Whoever opens a watch gets
-// the full list first, from whatever revision.
+// Discovery is a discovery service. It sends each change of the list of workers to all open watches at once.
+// A new watch receives the full list first, whichever revision its client asks for.
 type Discovery struct {
 	server
 	mu      sync.Mutex
 	table   *endpoints.Table
 	watches map[chan endpoints.Message]bool
-	done    chan struct{} // closed when it stops
+	done    chan struct{} // closed by Close
 }
 
-// NewDiscovery opens a discovery at an address that lists some workers.
+// NewDiscovery starts a discovery service at an address, with the given entries of workers as its list.
 func NewDiscovery(addr string, entries ...endpoints.Endpoint) (*Discovery, error) {
 	d := &Discovery{table: endpoints.NewTable(0, entries...), watches: map[chan endpoints.Message]bool{},
 		done: make(chan struct{})}
@@ -34,19 +35,20 @@
 	return d, nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the service listens on.
 func (d *Discovery) Addr() string { return d.addr() }
 
-// Close stops it, and ends its watches.
+// Close stops the service and ends its watches.
 func (d *Discovery) Close() {
 	close(d.done)
 	d.close()
 }
 
-// ResetWatches resets all watches; they can be opened again at once.
+// ResetWatches resets the connections of all watches. Clients can open new watches at once.
 func (d *Discovery) ResetWatches() { d.resetAll() }
 
-// Update changes an entry, or adds it, and lists it last. With the state Removed it is taken off the list.
+// Update adds or replaces the entry of a worker at the end of the list, or, for the state Removed, takes the
+// worker off the list. It sends the change to all watches.
 func (d *Discovery) Update(e endpoints.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,14 +57,14 @@
 	for watch := range d.watches {
 		select {
 		case watch <- change:
-		default: // it does not read: this watch ends, and the next one has the full list
+		default: // the buffer of the watch is full, so the watch ends; the next watch begins with the full list
 			delete(d.watches, watch)
 			close(watch)
 		}
 	}
 }
 
-// serve answers the one request of a connection.
+// serve answers a single request on a connection: for the list, or for a watch.
 func (d *Discovery) serve(conn net.Conn) {
 	m, err := http1.NewReader(conn).Request()
 	if err != nil {
@@ -75,12 +77,12 @@
 	d.mu.Lock()
 	body := d.table.Full().JSON()
 	d.mu.Unlock()
-	// The connection ends either way.
+	// The connection is closed after this answer, whether or not the write succeeds.
 	_, _ = conn.Write(http1.AppendResponse(nil, http.StatusOK, nil, body))
 }
 
-// watch sends the full list and then each change, until discovery is closed, the connection fails or the
-// other side has not read for too long.
+// watch sends the full list and then each change, until the service is closed, the connection fails, or the
+// buffer of the watch is full because its client does not read.
 func (d *Discovery) watch(conn net.Conn) {
 	changes := make(chan endpoints.Message, maxPendingChanges)
 	d.mu.Lock()
@@ -99,7 +101,7 @@
 	heartbeat := time.NewTicker(endpoints.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
-		var m endpoints.Message // a heartbeat
+		var m endpoints.Message // the zero Message is a heartbeat
 		select {
 		case <-d.done:
 			return
--- a/internal/fakes/recorder.go
+++ b/internal/fakes/recorder.go
@@ -6,10 +6,11 @@
 	"dahliaford/internal/history"
 )
 
-// Recorder takes the events that a fake saw. It must be safe for concurrent use. A nil Recorder drops them.
+// Recorder receives the events that fake workers and clients observe. A Recorder must be safe for concurrent
+// use. A nil Recorder discards events.
 type Recorder func(history.Event)
 
-// record records an event at the present time.
+// record passes an event to the recorder with the present time as its time.
 func (r Recorder) record(e history.Event) {
 	if r != nil {
 		e.At = time.Now()
--- a/internal/fakes/retrying_client.go
+++ b/internal/fakes/retrying_client.go
@@ -15,18 +15,22 @@
 const (
 	maxAttempts  = 10
 	maxBackoff   = time.Second
-	maxIdleConns = 64 // to each scheduler
+	maxIdleConns = 64 // idle connections that are kept to each scheduler
 )
 
-// RetryingClient is a client without the client library, as all were before it: it retries after whatever
-// came back, of its own accord, at any scheduler, up to a number of attempts and its deadline.
+// RetryingClient is a client that does not use the client library. It retries a job after any failed attempt,
+// whether or not the job may have run, at a scheduler chosen at random, until maxAttempts attempts or the
+// job's deadline. Clients behaved like this before the client library existed.
 type RetryingClient struct {
 	schedulers []string
-	backoff    time.Duration // the longest wait before the first retry, doubling with each; 0: none
-	http       http.Client
+	// backoff is the upper bound of the wait before the first retry; the bound doubles with each retry, up to
+	// maxBackoff. 0 stands for no waits.
+	backoff time.Duration
+	http    http.Client
 }
 
-// NewRetryingClient returns a client of schedulers; dialled is called at each new connection.
+// NewRetryingClient returns a client of the schedulers at the given addresses. The client calls dialled
+// before it opens a connection.
 func NewRetryingClient(schedulers []string, backoff time.Duration, dialled func()) *RetryingClient {
 	var dialer net.Dialer
 	transport := &http.Transport{
@@ -39,11 +43,11 @@
 	return &RetryingClient{schedulers: schedulers, backoff: backoff, http: http.Client{Transport: transport}}
 }
 
-// Close closes its idle connections.
+// Close closes the idle connections of the client.
 func (c *RetryingClient) Close() { c.http.CloseIdleConnections() }
 
-// Submit submits a job until it is served. It returns the number of attempts that were sent: those that
-// found nobody listening do not count.
+// Submit submits a job, with retries, until it is served. It returns the number of attempts that were sent;
+// an attempt whose connection could not be opened does not count.
 func (c *RetryingClient) Submit(s Submission) (served bool, attempts int) {
 	ctx, cancel := context.WithDeadline(context.Background(), s.Deadline)
 	defer cancel()
@@ -67,7 +71,7 @@
 	return false, attempts
 }
 
-// attempt makes the n-th attempt, with an id of its own.
+// attempt makes the n-th attempt at a job. The attempt's id is the job's id with the suffix "-n".
 func (c *RetryingClient) attempt(ctx context.Context, s Submission, n int) (sent, served bool) {
 	addr := c.schedulers[rand.IntN(len(c.schedulers))]
 	target := "http://" + addr + "/" + s.Class + "/" + s.ID
@@ -88,7 +92,7 @@
 		var op *net.OpError
 		return !errors.As(err, &op) || op.Op != "dial", false
 	}
-	defer func() { _ = answer.Body.Close() }() // an error of the body shows as it is read
+	defer func() { _ = answer.Body.Close() }() // the read below returns any error of the body
 	_, err = io.Copy(io.Discard, answer.Body)
 	return true, err == nil && answer.StatusCode == http.StatusOK
 }
--- a/internal/fakes/script.go
+++ b/internal/fakes/script.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// JobState is the state of a job in a callback.
+// JobState is the state of a job that a callback reports.
 type JobState string
 
-// The states of callbacks, and NeverEnds for a job that runs on without an end.
+// The states that a callback can report, and NeverEnds, which is no state of a callback: it marks a job in a
+// Script that runs until it is cancelled.
 const (
 	Started   JobState = "started"
 	Done      JobState = "done"
 	Failed    JobState = "failed"
-	Returned  JobState = "returned" // it goes back without having started
-	Lost      JobState = "lost"     // reported by the machine's agent when its worker died
+	Returned  JobState = "returned" // the worker gives the job back without having started it
+	Lost      JobState = "lost"     // reported by the machine's agent after the worker process has died
 	NeverEnds JobState = "never"
 )
 
-// Script is what a worker does with one job. The zero Script accepts it, runs it at once and is done.
+// Script says how a worker handles one job. With the zero Script the worker accepts the job, runs it in no
+// time and reports it as done.
 type Script struct {
-	Status            int           // of the answer; 0: 202
-	TurnedAway        bool          // with a status of 503 or 504: the job has not begun
-	ResetConn         bool          // a reset of the connection instead of an answer
-	Unresponsive      bool          // neither an answer nor anything else
-	AnswerDelay       time.Duration // before the answer
-	QueueTime         time.Duration // from the acceptance to the start
-	RunTime           time.Duration // from the start to the end
-	FinalState        JobState      // of the callback at its end; "": Done; NeverEnds: there is none
-	EarlyCallbacks    bool          // callbacks may come before the 202
-	RepeatedCallbacks int           // how often each callback is repeated after it was accepted
-	Result            string        // with Done; "": the body in capitals
+	Status            int           // HTTP status of the answer; 0 stands for 202
+	TurnedAway        bool          // answer, with status 503 or 504, says that the job was not begun
+	ResetConn         bool          // worker resets the connection instead of answering
+	Unresponsive      bool          // worker sends neither an answer nor callbacks
+	AnswerDelay       time.Duration // time from the request to its answer
+	QueueTime         time.Duration // time from the acceptance of the job to its start
+	RunTime           time.Duration // time from the start of the job to its end
+	FinalState        JobState      // state in the last callback; "" stands for Done; NeverEnds: none is sent
+	EarlyCallbacks    bool          // worker may send callbacks before its 202
+	RepeatedCallbacks int           // number of repetitions of each callback after the scheduler has accepted it
+	Result            string        // result in a callback with Done; "" stands for the job's body in capitals
 }
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -1,6 +1,6 @@
-// Package fakes has what a scheduler needs around it, for tests, drills and trying by hand: scripted workers,
-// discovery, and clients. They speak the protocol as real ones do, misbehave as their script says, and
-// record what they saw. They listen on loopback only.
+// Package fakes has fake workers, a fake discovery service and fake clients for running a scheduler in tests,
+// in fault drills and by hand. They speak the real protocol, inject the faults that their scripts ask for,
+// and record the events that they observe.
 package fakes
 
 import (
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// server is a listener with its connections, all of which close gives back.
+// server is a listener with its accepted connections. close closes the listener and all connections.
 type server struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -17,7 +17,7 @@
 	running  sync.WaitGroup
 }
 
-// listen opens a listener at an address and serves its connections.
+// listen opens a listener at an address and calls serve for each of its connections.
 func (s *server) listen(addr string, serve func(net.Conn)) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// serveOn calls serve for each connection of a listener, and closes the connection when it returns.
+// serveOn calls serve for each connection of a listener, and closes the connection when serve returns.
 func (s *server) serveOn(l net.Listener, serve func(net.Conn)) {
 	s.listener, s.conns = l, map[net.Conn]bool{}
 	s.running.Go(func() {
@@ -48,7 +48,8 @@
 	})
 }
 
-// track adds a connection to those that close resets. It reports false once the server is closed.
+// track adds a connection to those that resetAll and close reset. It adds nothing and reports false if the
+// server is closed.
 func (s *server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +66,7 @@
 	s.mu.Unlock()
 }
 
-// resetAll resets all connections. New ones are still accepted.
+// resetAll resets all open connections. The server still accepts new connections.
 func (s *server) resetAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +75,7 @@
 	}
 }
 
-// close stops listening, resets all connections and waits until each serve has returned.
+// close closes the listener, resets all connections and waits until every call of serve has returned.
 func (s *server) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -86,27 +87,28 @@
 
 func (s *server) addr() string { return s.listener.Addr().String() }
 
-// Server serves the connections of a listener, for fakes of other packages.
+// Server serves the connections of a listener. Other packages build their own fakes with it.
 type Server struct{ server }
 
-// Serve calls serve for each connection of a listener, which the server then owns. A connection is closed
-// when serve returns.
+// Serve returns a Server that calls serve for each connection of a listener and closes the connection when
+// serve returns. The Server takes over the listener.
 func Serve(l net.Listener, serve func(net.Conn)) *Server {
 	s := &Server{}
 	s.serveOn(l, serve)
 	return s
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.addr() }
 
-// Close stops listening, resets all connections and waits until each serve has returned.
+// Close closes the listener, resets all connections and waits until every call of serve has returned.
 func (s *Server) Close() { s.close() }
 
-// ResetConn closes a connection with a reset, as the death of its process does.
+// ResetConn closes a connection with a TCP reset, as the system does for the connections of a process that
+// dies.
 func ResetConn(conn net.Conn) {
 	if c, ok := conn.(*net.TCPConn); ok {
-		_ = c.SetLinger(0) // it fails on a closed connection alone
+		_ = c.SetLinger(0) // fails only if the connection is already closed
 	}
 	conn.Close()
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -11,14 +11,14 @@
 	"dahliaford/internal/http1"
 )
 
-// Job is a request that came to a worker.
+// Job is an attempt that a worker has received. Key is the idempotency key.
 type Job struct {
 	ID, Method, Target, Key string
 	Body                    []byte
-	RemainingMs             string // X-Remaining-Ms, as it came
+	RemainingMs             string // value of the header X-Remaining-Ms, unparsed
 }
 
-// Worker is a scripted worker.
+// Worker is a fake worker that handles each job as a Script says.
 type Worker struct {
 	UID       string
 	scheduler func() string
@@ -26,12 +26,12 @@
 	recorder  Recorder
 	server
 	jobsMu    sync.Mutex
-	jobs      map[string]chan struct{} // by id; closed when the job is cancelled or lost
+	jobs      map[string]chan struct{} // by job id; closed when the job is cancelled or lost
 	callbacks sync.WaitGroup
 }
 
-// NewWorker opens a worker at an address. scheduler is the address that its callbacks go to at the time of
-// each; script says what it does with each job. Both must be safe for concurrent use.
+// NewWorker starts a worker at an address. The worker calls scheduler for the address to send a callback to,
+// and script for each job that it receives. Both functions must be safe for concurrent use.
 func NewWorker(uid, addr string, scheduler func() string, script func(Job) Script,
 	recorder Recorder) (*Worker, error) {
 	w := &Worker{UID: uid, scheduler: scheduler, script: script, recorder: recorder,
@@ -42,18 +42,18 @@
 	return w, nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the worker listens on.
 func (w *Worker) Addr() string { return w.addr() }
 
-// Close stops the worker: its jobs are lost, its connections reset.
+// Close stops the worker. Its jobs are lost, with callbacks that say so, and its connections are reset.
 func (w *Worker) Close() {
 	w.Crash()
 	w.close()
 	w.callbacks.Wait()
 }
 
-// Crash behaves as a process that dies and is there again at once: its connections are reset, its jobs are
-// lost, and the machine's agent reports that.
+// Crash simulates a worker process that dies and restarts at once: its connections are reset, its jobs are
+// lost, and the agent of its machine reports each lost job by a callback.
 func (w *Worker) Crash() {
 	w.resetAll()
 	w.jobsMu.Lock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// serve takes the requests of one connection.
+// serve handles the requests on a connection: jobs and cancellations.
 func (w *Worker) serve(conn net.Conn) {
 	reader := http1.NewReader(conn)
 	for {
@@ -87,7 +87,7 @@
 	}
 }
 
-// answerCancel cancels a job. It reports whether the connection stays open.
+// answerCancel cancels a job and answers the request for that. It reports whether the connection stays open.
 func (w *Worker) answerCancel(conn net.Conn, id string) (keepOpen bool) {
 	status := http.StatusNotFound
 	if w.cancel(id) {
@@ -98,12 +98,12 @@
 	return err == nil
 }
 
-// answerJob does with a job what the script says. It reports whether the connection stays open.
+// answerJob handles a job as its script says. It reports whether the connection stays open.
 func (w *Worker) answerJob(conn net.Conn, m *http1.Request) (keepOpen bool) {
 	j := Job{ID: m.Header.Get("X-Txn"), Method: m.Method, Target: m.Target, Key: m.Header.Get("Idempotency-Key"),
 		Body: m.Body, RemainingMs: m.Header.Get("X-Remaining-Ms")}
 	if j.ID == "" {
-		// The connection ends either way.
+		// The connection is closed after this answer, whether or not the write succeeds.
 		_, _ = conn.Write(http1.AppendResponse(nil, http.StatusNotFound, nil, nil))
 		return false
 	}
@@ -112,7 +112,7 @@
 		script.Status = http.StatusAccepted
 	}
 	accepts := script.Status == http.StatusAccepted && !script.ResetConn
-	// It holds the job from now on, whatever comes of its answer.
+	// The worker has received the job and may run it, even if the scheduler does not receive the answer.
 	w.recorder.record(history.Event{Kind: history.Arrived, ID: j.ID, Actor: w.UID})
 	cancelled := make(chan struct{})
 	if accepts {
@@ -121,7 +121,7 @@
 		w.jobsMu.Unlock()
 	}
 	if script.Unresponsive {
-		_, _ = conn.Read(make([]byte, 1)) // until the other side closes
+		_, _ = conn.Read(make([]byte, 1)) // blocks until the scheduler closes the connection
 		w.abandon(j.ID, cancelled)
 		return false
 	}
@@ -136,7 +136,7 @@
 	if script.EarlyCallbacks {
 		return err == nil
 	}
-	if err != nil { // closed before its 202: given up
+	if err != nil { // the scheduler has closed the connection before the 202, so it has given up the attempt
 		w.abandon(j.ID, cancelled)
 		return false
 	}
@@ -144,7 +144,8 @@
 	return true
 }
 
-// reject answers a job that is not accepted. It reports whether the connection stays open.
+// reject answers a job that the script does not accept, or resets the connection. It reports whether the
+// connection stays open.
 func (w *Worker) reject(conn net.Conn, id string, script Script) (keepOpen bool) {
 	event := history.Event{Kind: history.Ended, ID: id, Actor: w.UID}
 	if script.ResetConn {
@@ -163,7 +164,7 @@
 	return err == nil
 }
 
-// abandon drops a job whose connection ended before its 202.
+// abandon drops a job whose connection was closed before the worker had sent its 202.
 func (w *Worker) abandon(id string, cancelled chan struct{}) {
 	w.jobsMu.Lock()
 	current := w.jobs[id] == cancelled
@@ -177,7 +178,7 @@
 	}
 }
 
-// cancel cancels a job, and reports whether there was one.
+// cancel cancels a job, and reports whether the worker held a job with this id.
 func (w *Worker) cancel(id string) bool {
 	w.jobsMu.Lock()
 	defer w.jobsMu.Unlock()
@@ -189,8 +190,9 @@
 	return known
 }
 
-// finish takes a job off the worker and records why. It reports false if the job was cancelled or lost
-// before. The event is recorded before the callback, as others may act on that at once.
+// finish removes a job from the worker's jobs and records the given event. It reports false and records
+// nothing if the job has been cancelled or lost. Callers send the job's last callback only after finish, as
+// the scheduler may act on a callback before an event that is recorded later.
 func (w *Worker) finish(id string, cancelled chan struct{}, e history.Event) bool {
 	w.jobsMu.Lock()
 	defer w.jobsMu.Unlock()
@@ -202,7 +204,7 @@
 	return true
 }
 
-// runJob runs an accepted job as the script says, with its callbacks.
+// runJob runs an accepted job as its script says and sends the job's callbacks.
 func (w *Worker) runJob(j Job, script Script, cancelled chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
@@ -237,7 +239,7 @@
 	}
 }
 
-// outcome is the final state of a job that has run, with its result if it is done.
+// outcome returns the state in the last callback of a job that has run, and the job's result if that is Done.
 func (s *Script) outcome(j Job) (state JobState, result string) {
 	switch {
 	case s.FinalState != "" && s.FinalState != Done:
