--- a/internal/simfleet/callback.go
+++ b/internal/simfleet/callback.go
@@ -12,10 +12,10 @@
 	maxCallbackAttempts  = 10
 	callbackRetryDelay   = 20 * time.Millisecond
 	callbackTimeout      = 2 * time.Second
-	maxIdleCallbackConns = 64 // connections to a scheduler that are kept for the next callback
+	maxIdleCallbackConns = 64 // idle connections to each scheduler that are kept for later callbacks
 )
 
-// callbackState is the state of a job in a callback.
+// callbackState is the state of a job that a callback reports.
 type callbackState string
 
 const (
@@ -23,7 +23,8 @@
 	callbackDone    callbackState = "done"
 )
 
-// callback reports a job's state to its scheduler until that has accepted it, ten times at most.
+// callback sends a callback with a job's state to the job's scheduler, up to maxCallbackAttempts times until
+// the scheduler accepts it.
 func (w *workers) callback(j *job, state callbackState, result string) {
 	fields := map[string]string{"id": j.id, "from": w.uids[j.worker], "state": string(state)}
 	if result != "" {
@@ -31,7 +32,7 @@
 	}
 	body, err := json.Marshal(fields)
 	if err != nil {
-		panic(err) // strings can always be marshalled
+		panic(err) // marshalling a map of strings cannot fail
 	}
 	w.mu.Lock()
 	pool := w.callbacks[j.scheduler]
@@ -48,7 +49,7 @@
 	}
 }
 
-// postCallback makes one attempt at a callback, and reports whether it was accepted.
+// postCallback sends a callback once, and reports whether the scheduler accepted it.
 func postCallback(pool *connPool, body []byte) bool {
 	c, err := pool.get()
 	if err != nil {
--- a/internal/simfleet/clients.go
+++ b/internal/simfleet/clients.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	// The class and the tenant stand in the settings that package testcluster writes.
+	// Class and tenant of all jobs; package testcluster writes both into the schedulers' settings.
 	batchClass    = "district-batch"
 	batchDeadline = 4 * time.Second
 	tenant        = "sahel"
 
-	maxOpen      = 128 // jobs at the rate that a scheduler may have open
-	paceInterval = 5 * time.Millisecond
-	shortRun     = 40 * time.Millisecond // jobs at the rate run once to four times as long
-	maxErrors    = 20                    // errors that are kept for the report
-	retryDelay   = 10 * time.Millisecond // of a saturating client whose job was not served
+	maxOpenJobs       = 128                   // limit of outstanding jobs at the rate, for each scheduler
+	paceInterval      = 5 * time.Millisecond  // interval at which submitAtRate submits the jobs that are due
+	shortestRunTime   = 40 * time.Millisecond // jobs at the rate run for 1 to 4 times this time
+	maxReportedErrors = 20                    // limit of errors that are kept for the report
+	retryDelay        = 10 * time.Millisecond // pause of a client of saturate after a job that was not served
 
-	healthTimeout = time.Second
+	healthTimeout = time.Second // for a health check, the connection included
 )
 
-// clients submit jobs to the schedulers, on connections that they keep.
+// clients simulates the clients of all schedulers. Their connections are pooled and reused.
 type clients struct {
-	pools  []*connPool // by scheduler
-	open   []atomic.Int64
-	record fakes.Recorder
-	lastID atomic.Int64
+	pools    []*connPool    // pool of connections to each scheduler
+	openJobs []atomic.Int64 // outstanding jobs at the rate, by scheduler
+	record   fakes.Recorder
+	lastID   atomic.Int64
 
 	jobs, served, refused, failed, skipped atomic.Int64
 
 	mu     sync.Mutex
-	errors []string // the first that ended a job without an answer
+	errors []string // the first maxReportedErrors errors of jobs that got no answer
 }
 
 func newClients(addrs []string, record fakes.Recorder, t *traffic) *clients {
-	c := &clients{open: make([]atomic.Int64, len(addrs)), record: record}
+	c := &clients{openJobs: make([]atomic.Int64, len(addrs)), record: record}
 	for _, addr := range addrs {
-		c.pools = append(c.pools, newConnPool(addr, maxOpen, t))
+		c.pools = append(c.pools, newConnPool(addr, maxOpenJobs, t))
 	}
 	return c
 }
@@ -54,19 +54,19 @@
 	}
 }
 
-// addError counts a job that ended without an answer.
+// addError counts a job that got no answer, and keeps its error for the report.
 func (c *clients) addError(id string, err error) {
 	c.failed.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.errors) < maxErrors {
+	if len(c.errors) < maxReportedErrors {
 		c.errors = append(c.errors, id+": "+err.Error())
 	}
 }
 
-// submit submits one job to a scheduler and reports whether it was served.
-func (c *clients) submit(scheduler int, why purpose, runTime time.Duration) bool {
-	s := fakes.Submission{ID: jobID(scheduler, why, c.lastID.Add(1)), Class: batchClass, Tenant: tenant,
+// submit submits a job to a scheduler and reports whether the job was served.
+func (c *clients) submit(scheduler int, purpose jobPurpose, runTime time.Duration) bool {
+	s := fakes.Submission{ID: jobID(scheduler, purpose, c.lastID.Add(1)), Class: batchClass, Tenant: tenant,
 		Body: []byte(runTime.String()), Deadline: time.Now().Add(batchDeadline)}
 	s.Key = "k-" + s.ID
 	record := c.record
@@ -89,6 +89,7 @@
 	return false
 }
 
+// exchange submits a job on a pooled connection and returns the answer.
 func (c *clients) exchange(scheduler int, s fakes.Submission,
 	record fakes.Recorder) (*http1.Response, error) {
 	pool := c.pools[scheduler]
@@ -105,14 +106,14 @@
 	return answer, err
 }
 
-// submitAtRate submits jobs at a rate to all schedulers in turn until the context ends, and waits for the
-// jobs to end.
+// submitAtRate submits jobs at a rate, in jobs per second, to all schedulers in turn until the context ends,
+// and then waits for the outstanding jobs. It skips a job whose scheduler has maxOpenJobs outstanding jobs.
 func (c *clients) submitAtRate(ctx context.Context, rate float64, seed uint64) {
 	if rate <= 0 {
 		return
 	}
-	var open sync.WaitGroup
-	defer open.Wait()
+	var openJobs sync.WaitGroup
+	defer openJobs.Wait()
 	tick := time.NewTicker(paceInterval)
 	defer tick.Stop()
 	startedAt, submitted := time.Now(), 0
@@ -124,22 +125,23 @@
 		}
 		for target := int(time.Since(startedAt).Seconds() * rate); submitted < target; submitted++ {
 			scheduler := submitted % len(c.pools)
-			if c.open[scheduler].Add(1) > maxOpen {
-				c.open[scheduler].Add(-1)
+			if c.openJobs[scheduler].Add(1) > maxOpenJobs {
+				c.openJobs[scheduler].Add(-1)
 				c.skipped.Add(1)
 				continue
 			}
-			// Multiplicative hashing spreads the four run times over consecutive jobs.
+			// Multiplicative hashing distributes the four run times over consecutive jobs.
 			factor := 1 + (uint64(submitted)*2654435761+seed)%4
-			open.Go(func() {
-				defer c.open[scheduler].Add(-1)
-				c.submit(scheduler, purposeLoad, shortRun*time.Duration(factor))
+			openJobs.Go(func() {
+				defer c.openJobs[scheduler].Add(-1)
+				c.submit(scheduler, purposeLoad, shortestRunTime*time.Duration(factor))
 			})
 		}
 	}
 }
 
-// saturate keeps n clients busy with jobs of no run time at one scheduler until the context ends.
+// saturate runs n concurrent clients against one scheduler until the context ends. Each client submits one
+// job after another; the jobs take no run time.
 func (c *clients) saturate(ctx context.Context, scheduler, n int) {
 	var all sync.WaitGroup
 	for range n {
@@ -154,7 +156,7 @@
 	all.Wait()
 }
 
-// isReady reports whether a scheduler's health endpoint says that it is ready.
+// isReady reports whether a scheduler's health endpoint answers with status 200.
 func isReady(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, healthTimeout)
 	if err != nil {
--- a/internal/simfleet/connpool.go
+++ b/internal/simfleet/connpool.go
@@ -9,13 +9,13 @@
 
 const dialTimeout = 2 * time.Second
 
-// pooledConn is a connection to a scheduler that is used for one request after another.
+// pooledConn is a connection to a scheduler that carries one request after another.
 type pooledConn struct {
 	conn   net.Conn
 	reader *http1.Reader
 }
 
-// connPool has the idle connections to one scheduler.
+// connPool is a pool of idle connections to one scheduler.
 type connPool struct {
 	addr    string
 	idle    chan *pooledConn
@@ -26,7 +26,7 @@
 	return &connPool{addr: addr, idle: make(chan *pooledConn, maxIdle), traffic: t}
 }
 
-// get takes an idle connection, or opens one.
+// get takes an idle connection from the pool, or opens a new one if the pool is empty.
 func (p *connPool) get() (*pooledConn, error) {
 	select {
 	case c := <-p.idle:
@@ -41,7 +41,7 @@
 	return &pooledConn{counted, http1.NewReader(counted)}, nil
 }
 
-// put keeps a connection for the next request, or closes it if enough are idle.
+// put returns a connection to the pool for later requests, or closes the connection if the pool is full.
 func (p *connPool) put(c *pooledConn) {
 	select {
 	case p.idle <- c:
@@ -50,7 +50,7 @@
 	}
 }
 
-// close closes the idle connections. No other call may be under way.
+// close closes the idle connections. It must not run concurrently with other methods of the pool.
 func (p *connPool) close() {
 	for len(p.idle) > 0 {
 		(<-p.idle).conn.Close()
--- a/internal/simfleet/day.go
+++ b/internal/simfleet/day.go
@@ -9,38 +9,40 @@
 	"dahliaford/internal/history"
 )
 
-// zonesPerRegion zones in a row are a region.
+// zonesPerRegion is the number of consecutive zones that form a region.
 const zonesPerRegion = 2
 
-// step is one event of a day or several. A timed one takes the span; the others end by themselves.
+// step runs one or more events of a day. A timed step lasts for the span; any other step ignores the span and
+// ends when its work is done.
 type step func(ctx context.Context, span time.Duration) error
 
-// schedule is what happens on a day.
+// schedule is the sequence of steps of a day.
 type schedule struct {
-	steps   []step
-	jobPath bool // at the end the job path is timed, which is a timed step, too
-	timed   int  // number of timed steps
+	steps          []step
+	measureJobPath bool // whether the day ends with the measurement of the job path, a further timed step
+	timedSteps     int  // number of timed steps, the measurement of the job path included
 }
 
 func (r *run) schedule() schedule {
 	switch r.Day {
 	case dayZone:
-		return schedule{steps: []step{r.measureBaseline, r.zoneOutage}, timed: 1}
+		return schedule{steps: []step{r.measureBaseline, r.zoneOutage}, timedSteps: 1}
 	case dayRegion:
-		return schedule{steps: []step{r.measureBaseline, r.regionOutage}, timed: 1}
+		return schedule{steps: []step{r.measureBaseline, r.regionOutage}, timedSteps: 1}
 	case dayRoll:
-		return schedule{steps: []step{r.measureBaseline, r.rollingRestart}, timed: 2}
+		return schedule{steps: []step{r.measureBaseline, r.rollingRestart}, timedSteps: 2}
 	case dayDiscovery:
-		return schedule{steps: []step{r.measureBaseline, r.discoveryRestart}, timed: 1}
+		return schedule{steps: []step{r.measureBaseline, r.discoveryRestart}, timedSteps: 1}
 	case dayStorm:
 		return schedule{steps: []step{r.measureBaseline, r.singleChanges, r.zoneOutage, r.regionOutage,
-			r.discoveryRestart, r.rollingRestart}, jobPath: true, timed: 4}
-	default: // dayCalm
-		return schedule{steps: []step{r.measureBaseline, r.singleChanges}, jobPath: true, timed: 3}
+			r.discoveryRestart, r.rollingRestart}, measureJobPath: true, timedSteps: 4}
+	default: // the day is dayCalm, as Validate rejects other names
+		return schedule{steps: []step{r.measureBaseline, r.singleChanges}, measureJobPath: true, timedSteps: 3}
 	}
 }
 
-// runDay runs the events of the day, one after another, with jobs at the rate beside them.
+// runDay runs the steps of the day one after another, while clients submit jobs at the run's rate. It stops
+// these clients before it measures the job path.
 func (r *run) runDay(ctx context.Context) error {
 	load, stopLoad := context.WithCancel(ctx)
 	var loading sync.WaitGroup
@@ -48,22 +50,22 @@
 	defer loading.Wait()
 	defer stopLoad()
 	day := r.schedule()
-	span := r.Duration / time.Duration(day.timed)
+	span := r.Duration / time.Duration(day.timedSteps)
 	for _, run := range day.steps {
 		if err := run(ctx, span); err != nil {
 			return err
 		}
 	}
-	if !day.jobPath {
+	if !day.measureJobPath {
 		return nil
 	}
 	stopLoad()
 	loading.Wait()
-	r.maxBaseLoad, r.meanBaseLoad = 0, 0 // there are no jobs at the rate any more
-	return r.jobPath(ctx, span)
+	r.maxBaseLoad, r.meanBaseLoad = 0, 0 // clients no longer submit jobs at the rate
+	return r.measureJobPath(ctx, span)
 }
 
-// measureBaseline measures what the jobs at the rate take alone.
+// measureBaseline measures the CPU use of the schedulers while they only serve the jobs at the run's rate.
 func (r *run) measureBaseline(ctx context.Context, span time.Duration) error {
 	err := r.measureWork(ctx, Event{Name: "jobs at the rate alone"}, func(*Event) { sleep(ctx, span) })
 	if err != nil {
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// workersInZones are the workers of the zones from one to before another.
+// workersInZones returns the workers of the zones with the indexes from to to-1.
 func (r *run) workersInZones(from, to int) (workers []int) {
 	for i := range r.Workers {
 		if zone := i * r.Zones / r.Workers; zone >= from && zone < to {
@@ -84,35 +86,40 @@
 	return workers
 }
 
-// removeWorkers turns workers off and takes them off the list. It returns the number of lines sent.
-func (r *run) removeWorkers(workers []int, how grouping) int {
+// removeWorkers powers off the machines of workers and publishes the workers as removed. It returns the
+// number of lines that discovery sends on each watch.
+func (r *run) removeWorkers(workers []int, grouping lineGrouping) int {
 	r.workers.powerOff(workers)
-	return r.publish(workers, history.EndpointChanged, how, func(e *endpoints.Endpoint) {
+	return r.publish(workers, history.EndpointChanged, grouping, func(e *endpoints.Endpoint) {
 		e.State = endpoints.Removed
 	})
 }
 
-// restoreWorkers lists workers as ready and just started, so that they are in slow start. It returns the
-// number of lines sent.
-func (r *run) restoreWorkers(workers []int, how grouping) int {
+// restoreWorkers powers on the machines of workers and publishes the workers as ready and just started, so
+// that schedulers put them in slow start. It returns the number of lines that discovery sends on each watch.
+func (r *run) restoreWorkers(workers []int, grouping lineGrouping) int {
 	r.workers.powerOn(workers)
 	now := time.Now().UnixMilli()
-	return r.publish(workers, history.WorkerReady, how, func(e *endpoints.Endpoint) {
+	return r.publish(workers, history.WorkerReady, grouping, func(e *endpoints.Endpoint) {
 		e.State, e.BootMs = endpoints.Ready, now
 	})
 }
 
-// drainWorker lists a worker as draining. It returns the number of lines sent.
+// drainWorker publishes a worker as draining. It returns the number of lines that discovery sends on each
+// watch.
 func (r *run) drainWorker(worker int) int {
 	return r.publish([]int{worker}, history.EndpointChanged, singleLine, func(e *endpoints.Endpoint) {
 		e.State = endpoints.Draining
 	})
 }
 
-// publish records a change for the check of the rules before discovery sends it.
-func (r *run) publish(workers []int, kind history.Kind, how grouping, change func(*endpoints.Endpoint)) int {
+// publish changes the entries of workers and returns the number of lines that discovery sends on each watch.
+// It records an event of the given kind for each worker before discovery sends the change, so that in the
+// checked history no scheduler reacts to a change before it is recorded.
+func (r *run) publish(workers []int, kind history.Kind, grouping lineGrouping,
+	change func(*endpoints.Endpoint)) int {
 	for _, worker := range workers {
 		r.recordEvent(history.Event{At: time.Now(), Kind: kind, Actor: r.workers.uids[worker]})
 	}
-	return r.discovery.publish(workers, change, how)
+	return r.discovery.publish(workers, change, grouping)
 }
--- a/internal/simfleet/discovery.go
+++ b/internal/simfleet/discovery.go
@@ -14,36 +14,37 @@
 	"dahliaford/internal/http1"
 )
 
-// maxChanges is how many changes are kept for watches that start at an earlier revision, and how many may
-// wait for a watch that does not read.
+// maxChanges is the number of latest changes that discovery keeps. A watch that starts at an older revision
+// gets the full list; a watch whose client has fallen behind by more changes is closed.
 const maxChanges = 8192
 
-// grouping is how discovery sends several changed entries.
-type grouping string
+// lineGrouping is the way in which discovery distributes several changed entries over lines of a watch.
+type lineGrouping string
 
 const (
-	linePerEntry grouping = "a line each"
-	singleLine   grouping = "in one line"
+	linePerEntry lineGrouping = "a line each"
+	singleLine   lineGrouping = "in one line"
 )
 
-// discovery shows all entries to all schedulers. Each scheduler has an address of its own for it, which
-// are all this one. It writes each change as a line, as soon as the watch takes it.
+// discovery is a simulated discovery service. It lists all workers to all schedulers. Each scheduler connects
+// to it at a different loopback address, which identifies the scheduler; a single listener accepts all of
+// them. Discovery writes each change as a line to every watch as soon as the watch's client reads.
 type discovery struct {
 	mu      sync.Mutex
 	port    int
-	server  *fakes.Server // nil while it is down
+	server  *fakes.Server // nil while discovery is down
 	table   *endpoints.Table
 	watches map[*watcher]bool
-	closed  chan struct{} // closed when it goes down
+	closed  chan struct{} // closed when discovery goes down; replaced when it comes up
 
-	traffic                  []traffic // by scheduler
+	traffic                  []traffic // bytes on the connections of each scheduler
 	fullLists, watchesOpened atomic.Int64
 }
 
-// watcher is one open watch.
+// watcher is the state of an open watch.
 type watcher struct {
-	sent  int64         // the revision up to which it has been sent the changes
-	ready chan struct{} // holds one when there is more to send
+	sentRevision int64         // revision up to which changes have been sent on the watch
+	ready        chan struct{} // has capacity 1; holds a signal while there are changes to send
 }
 
 func newDiscovery(schedulers int, entries []endpoints.Endpoint) (*discovery, error) {
@@ -51,7 +52,7 @@
 	return d, d.open()
 }
 
-// open begins to listen: on the port that it had, if it had one.
+// open opens the listener: on any free port at first, and on the previous port after close.
 func (d *discovery) open() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// close goes down: connections are reset, and new ones refused.
+// close takes discovery down: it resets all connections, and the system refuses new ones until open.
 func (d *discovery) close() {
 	d.mu.Lock()
 	server := d.server
@@ -79,18 +80,20 @@
 	}
 }
 
-// dropHistory forgets which entries have changed, so that whoever is behind needs the full list.
+// dropHistory discards the kept changes, so that a watch from an older revision needs the full list.
 func (d *discovery) dropHistory() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table.Forget()
 }
 
-// addr is where a scheduler finds discovery.
+// addr returns the address at which a scheduler connects to discovery.
 func (d *discovery) addr(scheduler int) string { return loopbackAddress(scheduler, d.port) }
 
-// publish changes the entries of workers and sends them to all watches. It returns the number of lines.
-func (d *discovery) publish(workers []int, change func(*endpoints.Endpoint), how grouping) (lines int) {
+// publish changes the entries of workers and makes all watches send the changed entries, grouped into lines
+// as given. It returns the number of lines.
+func (d *discovery) publish(workers []int, change func(*endpoints.Endpoint),
+	grouping lineGrouping) (lines int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	changed := make([]endpoints.Endpoint, 0, len(workers))
@@ -101,7 +104,7 @@
 	}
 	switch {
 	case len(changed) == 0:
-	case how == singleLine:
+	case grouping == singleLine:
 		d.table.Publish(changed...)
 		lines = 1
 	default:
@@ -113,22 +116,23 @@
 	for watch := range d.watches {
 		select {
 		case watch.ready <- struct{}{}:
-		default: // it has not taken the last signal yet
+		default: // the previous signal is still pending and covers this change
 		}
 	}
 	return lines
 }
 
-// pending returns the changes that a watch has not been sent yet; ok is false if it is too far behind.
-func (d *discovery) pending(w *watcher) (chunks [][]byte, ok bool) {
+// pendingChunks returns the encoded changes that have not been sent on a watch yet. ok is false if discovery
+// no longer has all of them.
+func (d *discovery) pendingChunks(w *watcher) (chunks [][]byte, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	chunks, ok = d.table.ChunksSince(w.sent)
-	w.sent = d.table.Revision()
+	chunks, ok = d.table.ChunksSince(w.sentRevision)
+	w.sentRevision = d.table.Revision()
 	return chunks, ok
 }
 
-// serve answers the one request of a connection.
+// serve answers a single request on a connection: for the full list, or for a watch.
 func (d *discovery) serve(plain net.Conn) {
 	scheduler := addressIndex(plain)
 	if scheduler < 0 || scheduler >= len(d.traffic) {
@@ -141,7 +145,7 @@
 	}
 	target, err := url.Parse(m.Target)
 	if err != nil || target.Path != "/catalog/members" {
-		// The connection ends either way.
+		// The connection is closed after this answer, whether or not the write succeeds.
 		_, _ = conn.Write(http1.AppendResponse(nil, http.StatusNotFound, nil, nil))
 		return
 	}
@@ -151,7 +155,7 @@
 	}
 	from, err := strconv.ParseInt(target.Query().Get("from"), 10, 64)
 	if err != nil {
-		from = 0 // a revision that is never known
+		from = 0 // revisions start at 1, so revision 0 selects the full list
 	}
 	d.watch(conn, from)
 }
@@ -161,12 +165,12 @@
 	body := d.table.Full().JSON()
 	d.mu.Unlock()
 	d.fullLists.Add(1)
-	// The connection ends either way.
+	// The connection is closed after this answer, whether or not the write succeeds.
 	_, _ = conn.Write(http1.AppendResponse(nil, http.StatusOK, nil, body))
 }
 
-// watch serves a watch from a revision on, until discovery goes down, the connection fails or the watch
-// has not read for too long.
+// watch sends the changes after a revision on a connection, until discovery goes down, the connection fails,
+// or the client has fallen behind by more changes than discovery keeps.
 func (d *discovery) watch(conn net.Conn, from int64) {
 	d.watchesOpened.Add(1)
 	w, first, closed := d.addWatch(from)
@@ -178,9 +182,9 @@
 	heartbeat := time.NewTicker(endpoints.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
-		chunks, ok := d.pending(w)
+		chunks, ok := d.pendingChunks(w)
 		if !ok {
-			return // it has not read for too long
+			return // the client has fallen behind by more changes than discovery keeps
 		}
 		for _, chunk := range chunks {
 			if _, err := conn.Write(chunk); err != nil {
@@ -202,21 +206,22 @@
 	}
 }
 
-// addWatch registers a watch. first is what it is sent before any change: the full list, unless the
-// revision is known; closed is closed when discovery goes down.
+// addWatch registers a watch from a revision on. first is the message to send before any change: the full
+// list if the changes since the revision are not kept, a message without entries if the revision is the
+// present one, and otherwise nothing. closed is closed when discovery goes down.
 func (d *discovery) addWatch(from int64) (w *watcher, first []byte, closed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	w = &watcher{sent: d.table.Revision(), ready: make(chan struct{}, 1)}
+	w = &watcher{sentRevision: d.table.Revision(), ready: make(chan struct{}, 1)}
 	switch {
 	case !d.table.Knows(from):
 		first = d.table.Full().Chunk()
 		d.fullLists.Add(1)
 	case from == d.table.Revision():
-		// The first message says what there is, even if that is nothing new.
+		// The first message tells the client at once that its revision is the present one.
 		first = endpoints.Message{Revision: from}.Chunk()
 	default:
-		w.sent = from
+		w.sentRevision = from
 	}
 	d.watches[w] = true
 	return w, first, d.closed
--- a/internal/simfleet/discovery_test.go
+++ b/internal/simfleet/discovery_test.go
@@ -13,8 +13,8 @@
 	"dahliaford/internal/http1"
 )
 
-// readWatch opens a watch from a revision and reads so many lines that are no heartbeats: the revision of
-// each, its number of entries, and whether any of them is a full list.
+// readWatch opens a watch from a revision and reads the given number of lines, heartbeats not counted. It
+// returns the revision and the number of entries of each line, and whether any line is a full list.
 func readWatch(t *testing.T, addr string, from, lines int) (revisions, entries []int, full bool) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -45,8 +45,8 @@
 	return revisions, entries, full
 }
 
-// A watch from a revision gets what has changed since; one from before a restart, or from a revision that
-// never was, the full list; and a line for each change.
+// A watch from a revision gets a line for each change since that revision. A watch from a revision that never
+// existed, or from an older revision after a restart of discovery, gets the full list.
 func TestDiscoverySendsChangesSinceARevision(t *testing.T) {
 	workers := make([]endpoints.Endpoint, 10)
 	for i := range workers {
@@ -69,10 +69,10 @@
 	check(0, []int{1}, []int{10}, true)
 	check(1, []int{1}, []int{0}, false)
 	if n := d.publish([]int{3, 4, 5}, remove, linePerEntry); n != 3 {
-		t.Errorf("%d lines of 3", n)
+		t.Errorf("3 entries with a line each: got %d lines, want 3", n)
 	}
 	if n := d.publish([]int{6, 7}, remove, singleLine); n != 1 {
-		t.Errorf("%d lines of 1", n)
+		t.Errorf("2 entries in a single line: got %d lines, want 1", n)
 	}
 	check(1, []int{2, 3, 4, 5}, []int{1, 1, 1, 2}, false)
 	check(4, []int{5}, []int{2}, false)
@@ -80,7 +80,7 @@
 	d.close()
 	if conn, err := net.Dial("tcp", d.addr(1)); err == nil {
 		conn.Close()
-		t.Error("it accepts connections while it is down")
+		t.Error("discovery accepted a connection while it was down; want the connection refused")
 	}
 	d.dropHistory()
 	if err := d.open(); err != nil {
@@ -89,6 +89,7 @@
 	check(4, []int{5}, []int{5}, true)
 	check(5, []int{5}, []int{0}, false)
 	if in := d.traffic[1].in.Load(); in < 1000 || d.traffic[0].in.Load() != 0 || d.traffic[1].out.Load() < 100 {
-		t.Errorf("%d bytes are counted for one, %d for the other", in, d.traffic[0].in.Load())
+		t.Errorf("%d bytes sent to scheduler 1, want at least 1000, and 100 received; %d to scheduler 0, want 0",
+			in, d.traffic[0].in.Load())
 	}
 }
--- a/internal/simfleet/events.go
+++ b/internal/simfleet/events.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	outageDuration = 3 * time.Second // of discovery, and of a region
-	// rolledWorkers workers of rolledFleet are restarted by a rolling restart, and as many in proportion
-	// of another fleet.
-	rolledWorkers = 410
-	rolledFleet   = 7200
-	drainDuration = 600 * time.Millisecond // of each worker in a rolling restart
+	outageDuration = 3 * time.Second // duration of an outage of discovery or of a region
+	// A rolling restart restarts rollingRestartWorkers of each rollingRestartFleet workers.
+	rollingRestartWorkers = 410
+	rollingRestartFleet   = 7200
+	drainDuration         = 600 * time.Millisecond // time for which a worker drains in a rolling restart
 )
 
-// concurrentClients are the numbers of clients for which the job path is timed.
+// concurrentClients are the numbers of concurrent clients for which the job path is measured.
 var concurrentClients = []int{1, 8, 32, 128}
 
-// singleChanges changes one entry a second: a worker drains, and the next time it is back, just started.
+// singleChanges publishes one changed entry each second: alternately a random worker that drains, and the
+// same worker as ready and just started.
 func (r *run) singleChanges(ctx context.Context, span time.Duration) error {
 	return r.measureWork(ctx, Event{Name: "one changed entry a second"}, func(e *Event) {
 		worker, draining := 0, false
@@ -45,20 +45,21 @@
 	})
 }
 
-// zoneOutage loses a zone and has it back just started, in each grouping, and then with both at once.
+// zoneOutage removes all workers of a random zone and restores them as just started: once in each grouping of
+// lines, and then a third time with updates in both groupings in quick succession.
 func (r *run) zoneOutage(ctx context.Context, _ time.Duration) error {
 	first := r.random.IntN(r.Zones)
 	zone := r.workersInZones(first, first+1)
 	n := len(zone)
-	for _, how := range []grouping{linePerEntry, singleLine} {
-		err := r.measureChange(ctx, "zone lost, "+string(how), func() (lines, entries int) {
-			return r.removeWorkers(zone, how), n
+	for _, grouping := range []lineGrouping{linePerEntry, singleLine} {
+		err := r.measureChange(ctx, "zone lost, "+string(grouping), func() (lines, entries int) {
+			return r.removeWorkers(zone, grouping), n
 		})
 		if err != nil {
 			return err
 		}
-		err = r.measureChange(ctx, "zone back cold, "+string(how), func() (lines, entries int) {
-			return r.restoreWorkers(zone, how), n
+		err = r.measureChange(ctx, "zone back cold, "+string(grouping), func() (lines, entries int) {
+			return r.restoreWorkers(zone, grouping), n
 		})
 		if err != nil {
 			return err
@@ -72,7 +73,8 @@
 	})
 }
 
-// regionOutage loses a region for a while. Without another region there is nothing left to measure.
+// regionOutage removes all workers of a random region for outageDuration and then restores them. It does
+// nothing if the fleet has a single region, as no worker would remain.
 func (r *run) regionOutage(ctx context.Context, _ time.Duration) error {
 	first := zonesPerRegion * r.random.IntN((r.Zones+zonesPerRegion-1)/zonesPerRegion)
 	region := r.workersInZones(first, min(first+zonesPerRegion, r.Zones))
@@ -94,8 +96,8 @@
 	})
 }
 
-// discoveryRestart takes discovery down for a while. One entry changes meanwhile, and the history of changes
-// is lost, so that all schedulers request the full list.
+// discoveryRestart takes discovery down for outageDuration. Meanwhile one entry changes and the kept changes
+// are discarded, so that all schedulers request the full list when discovery is up again.
 func (r *run) discoveryRestart(ctx context.Context, _ time.Duration) error {
 	before, err := r.snapshot()
 	if err != nil {
@@ -117,7 +119,8 @@
 			return r.waitUntilIdle(ctx, e, before)
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d schedulers watch again", watching, r.Schedulers)
+			return fmt.Errorf("after the restart of discovery only %d of %d schedulers opened a watch", watching,
+				r.Schedulers)
 		}
 		if !sleep(ctx, pollInterval) {
 			return ctx.Err()
@@ -125,9 +128,11 @@
 	}
 }
 
-// rollingRestart restarts 410 workers of 7,200, evenly over the span: each drains, and is back just started.
+// rollingRestart restarts a fraction of the workers (rollingRestartWorkers of rollingRestartFleet; at least
+// one, at most half), at equal intervals over the span. Each worker drains for drainDuration and is then
+// published as ready and just started.
 func (r *run) rollingRestart(ctx context.Context, span time.Duration) error {
-	n := max(min(r.Workers*rolledWorkers/rolledFleet, r.Workers/2), 1)
+	n := max(min(r.Workers*rollingRestartWorkers/rollingRestartFleet, r.Workers/2), 1)
 	before, err := r.snapshot()
 	if err != nil {
 		return err
@@ -153,18 +158,19 @@
 	return r.waitUntilIdle(ctx, e, before)
 }
 
-// jobPath times jobs of no run time with two callbacks each, at one scheduler while the others are idle.
-func (r *run) jobPath(ctx context.Context, span time.Duration) error {
+// measureJobPath measures the job path at one scheduler, while the others are idle, for each number of
+// concurrent clients. The jobs take no run time and have two callbacks.
+func (r *run) measureJobPath(ctx context.Context, span time.Duration) error {
 	for _, n := range concurrentClients {
-		if err := r.jobPathOf(ctx, n, span/time.Duration(len(concurrentClients))); err != nil {
+		if err := r.measureJobPathWith(ctx, n, span/time.Duration(len(concurrentClients))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// jobPathOf times the job path for a number of concurrent clients.
-func (r *run) jobPathOf(ctx context.Context, n int, span time.Duration) error {
+// measureJobPathWith measures the CPU time for each job at one scheduler with n concurrent clients.
+func (r *run) measureJobPathWith(ctx context.Context, n int, span time.Duration) error {
 	before, err := r.processes[0].CPUTime()
 	if err != nil {
 		return err
@@ -184,7 +190,7 @@
 	}
 	if added := r.lastEvent(); added.Served > 0 {
 		added.CPUPerJob = Microseconds(float64((after - before).Microseconds()) / float64(added.Jobs))
-		r.logf("%26s %.0f us of processor a job, %d jobs", "", float64(added.CPUPerJob), added.Jobs)
+		r.logf("%26s %.0f us of CPU time per job, %d jobs", "", float64(added.CPUPerJob), added.Jobs)
 	}
 	return nil
 }
--- a/internal/simfleet/finish.go
+++ b/internal/simfleet/finish.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// cancellationGrace is for the cancellations that are under way when all clients have their answers.
+	// cancellationGrace is the wait, after all clients have their answers, for cancellation requests that are
+	// still on their way to workers.
 	cancellationGrace = time.Second
 	stopTimeout       = 10 * time.Second
 
-	// The rules that the schedulers' settings promise, as package testcluster writes them.
+	// Limits for the check of the history. They follow from the settings that package testcluster writes.
 	dedupWindow = 10 * time.Second
-	drainGrace  = 550 * time.Millisecond // 500 ms, and what a machine needs to act on them
+	drainGrace  = 550 * time.Millisecond // drain_grace of 500 ms, and 50 ms for the scheduler's reaction
 	maxAttempts = 4
-	orphanLimit = 3 * time.Second // how long a job may run on that its scheduler has given up
-	// slack is what a busy machine may add to the times of the rules.
-	slack = 1500 * time.Millisecond
+	orphanLimit = 3 * time.Second // longest time that a worker may hold a job that its scheduler has given up
+	// timingSlack is the tolerance that the check adds to its time limits, for delays on a busy machine.
+	timingSlack = 1500 * time.Millisecond
 )
 
-// finish waits for what is still under way, reads the counters a last time, stops the schedulers and checks
-// the rules.
+// finish waits for outstanding cancellations, fills in the totals of the report, stops the schedulers and
+// checks the recorded history. After a violation or an error it writes the schedulers' logs to the log of the
+// run.
 func (r *run) finish(ctx context.Context) error {
 	if !sleep(ctx, cancellationGrace) {
 		return ctx.Err()
@@ -46,7 +48,7 @@
 	return err
 }
 
-// reportTotals fills in the figures of the whole run.
+// reportTotals fills in the totals of the run in the report.
 func (r *run) reportTotals() error {
 	var cpu, ticks, memory []float64
 	for _, p := range r.processes {
@@ -89,12 +91,12 @@
 	return errors.Join(errs...)
 }
 
-// checkRules checks what clients and workers saw.
+// checkRules checks the events that clients and workers have recorded, and adds the violations to the report.
 func (r *run) checkRules() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rules := history.Rules{RackOf: map[string]string{}, Window: dedupWindow, DrainGrace: drainGrace,
-		MaxAttempts: maxAttempts, Slack: slack, OrphanLimit: orphanLimit}
+		MaxAttempts: maxAttempts, Slack: timingSlack, OrphanLimit: orphanLimit}
 	for i, uid := range r.workers.uids {
 		rules.RackOf[uid] = strconv.Itoa(i / workersPerCell)
 	}
@@ -103,7 +105,7 @@
 		r.report.Violations = append(r.report.Violations, f.String())
 	}
 	if len(r.history) == maxHistory {
-		return fmt.Errorf("over %d events: the rest was not checked", maxHistory)
+		return fmt.Errorf("history reached its limit of %d events; later events were not checked", maxHistory)
 	}
 	return nil
 }
--- a/internal/simfleet/jobid.go
+++ b/internal/simfleet/jobid.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// purpose is what a job is submitted for.
-type purpose string
+// jobPurpose is the reason for which a job is submitted. It is part of the job's id.
+type jobPurpose string
 
 const (
-	purposeLoad    purpose = "rate"  // part of the load at a rate
-	purposeProbe   purpose = "probe" // to find out whether a scheduler serves jobs again
-	purposeJobPath purpose = "path"  // to time the job path; not part of the checked history
+	purposeLoad    jobPurpose = "rate"  // job of the load at the run's rate
+	purposeProbe   jobPurpose = "probe" // job that probes whether a scheduler serves jobs again
+	purposeJobPath jobPurpose = "path"  // job that measures the job path; its events are not recorded
 )
 
-// maxRunTime bounds the run time that a job's body may ask for.
+// maxRunTime is the longest run time that a job's body may ask for.
 const maxRunTime = time.Minute
 
-// jobID is the index of the job's scheduler, its purpose, and a number of its own.
-func jobID(scheduler int, why purpose, n int64) string {
-	return fmt.Sprintf("%d-%s-%x", scheduler, why, n)
+// jobID returns a job's id: the index of its scheduler, its purpose and the serial number n.
+func jobID(scheduler int, purpose jobPurpose, n int64) string {
+	return fmt.Sprintf("%d-%s-%x", scheduler, purpose, n)
 }
 
-// isRecorded reports whether a job's history is recorded.
+// isRecorded reports whether the events of a job are recorded for the check of the history.
 func isRecorded(id string) bool { return !strings.Contains(id, "-"+string(purposeJobPath)+"-") }
 
-// parseJob reads the index of the scheduler, below schedulers, from a job's id and the run time from its
-// body.
+// parseJob reads the index of the scheduler from a job's id and the run time from its body. ok is false if
+// the index is not below schedulers, or the run time is invalid or over maxRunTime.
 func parseJob(id string, body []byte, schedulers int) (scheduler int, runTime time.Duration, ok bool) {
 	first, _, found := strings.Cut(id, "-")
 	scheduler, err := strconv.Atoi(first)
--- a/internal/simfleet/loopback.go
+++ b/internal/simfleet/loopback.go
@@ -10,19 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// All workers share one listener, and so do all addresses of discovery: the listener takes whatever
-// comes to its port over the loopback device, and the address that was dialled says which worker was
-// meant. So thousands of workers have addresses of their own and cost one descriptor, and nothing can
-// connect from outside of the machine.
+// All workers share one listener, and all addresses of discovery share another. Such a listener is bound to
+// the loopback device and accepts connections to its port at any address of 127.0.0.0/8; the address that a
+// client dialled identifies the worker or scheduler. So each of thousands of workers has its own address
+// without a descriptor of its own, and no client outside of the machine can connect.
 
-// firstSubnet and lastSubnet bound the second byte of the addresses, 127.64.0.0 to 127.127.255.255,
-// which are 2^22.
+// firstSubnet and lastSubnet are the least and greatest second byte of the addresses, which are the 2^22 ones
+// from 127.64.0.0 to 127.127.255.255.
 const (
 	firstSubnet = 64
 	lastSubnet  = 127
 )
 
-// listenLoopback opens such a listener; port 0 is any that is free.
+// listenLoopback opens a listener on a port at all addresses of the loopback device. Port 0 selects a free
+// port.
 func listenLoopback(port int) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var bindErr error
@@ -34,20 +35,20 @@
 	}}
 	l, err := config.Listen(context.Background(), "tcp4", ":"+strconv.Itoa(port))
 	if err != nil {
-		return nil, fmt.Errorf("no listener on the loopback device: %w", err)
+		return nil, fmt.Errorf("listen on the loopback device: %w", err)
 	}
 	return l, nil
 }
 
 func portOf(addr net.Addr) int { return addr.(*net.TCPAddr).Port }
 
-// loopbackAddress is the address with an index, from 0 to 2^22-1, on a port.
+// loopbackAddress returns the loopback address for an index from 0 to 2^22-1, with a port.
 func loopbackAddress(index, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", firstSubnet+index>>16, index>>8&255, index&255, port)
 }
 
-// addressIndex is the inverse of loopbackAddress, for the address that a connection was accepted on. It
-// is -1 for any other address.
+// addressIndex returns the index, as given to loopbackAddress, of the local address of an accepted
+// connection. It returns -1 for an address that loopbackAddress does not generate.
 func addressIndex(conn net.Conn) int {
 	addr, ok := conn.LocalAddr().(*net.TCPAddr)
 	if !ok {
--- a/internal/simfleet/measure.go
+++ b/internal/simfleet/measure.go
@@ -9,37 +9,38 @@
 
 const (
 	pollInterval = 50 * time.Millisecond
-	idlePolls    = 6 // polls in a row in which all schedulers were idle end an event's window
-	// idleCPU is the processor time within a poll up to which a scheduler counts as idle; loadMargin is
-	// by how much it may exceed what the jobs at the rate take, as their arrivals vary.
-	idleCPU    = 2 * time.Millisecond
-	loadMargin = 1.5
-	// settleTimeout is the longest that schedulers are waited for, to be idle or to serve a job.
+	idlePolls    = 6 // consecutive polls with all schedulers idle after which an event's window ends
+	// A scheduler counts as idle in a poll interval if it takes at most maxIdleCPU of CPU time, plus
+	// baseLoadMargin times the CPU time that the jobs at the run's rate take; the factor allows for the
+	// variation of their arrivals.
+	maxIdleCPU     = 2 * time.Millisecond
+	baseLoadMargin = 1.5
+	// settleTimeout is the longest wait for the schedulers to be idle, or to serve a probe.
 	settleTimeout = 30 * time.Second
-	probeDelay    = 20 * time.Millisecond // until the next probe of a scheduler that does not serve
+	probeDelay    = 20 * time.Millisecond // pause of a scheduler's probes after a probe that it did not serve
 )
 
-// snapshot has the counters at one time.
+// snapshot holds the values of all counters at one time.
 type snapshot struct {
-	at                    time.Time
-	cpu                   []time.Duration // by scheduler
-	listIn, listOut       []int64         // bytes of discovery's connections, by scheduler
-	jobIn, jobOut         int64
-	fullLists, watches    int64
-	jobsEnded, jobsServed int64
+	at                        time.Time
+	cpu                       []time.Duration // CPU time of each scheduler
+	listBytesIn, listBytesOut []int64         // bytes that each scheduler received from and sent to discovery
+	jobBytesIn, jobBytesOut   int64           // bytes from and to clients and workers, of all schedulers
+	fullLists, watches        int64
+	jobsEnded, jobsServed     int64
 }
 
-// snapshot reads the counters. It fails if a scheduler has exited.
+// snapshot reads all counters. It returns an error if a scheduler process has exited.
 func (r *run) snapshot() (s snapshot, err error) {
 	s.at = time.Now()
 	if s.cpu, err = r.cpuTimes(); err != nil {
 		return s, err
 	}
-	s.listIn, s.listOut = make([]int64, r.Schedulers), make([]int64, r.Schedulers)
-	for i := range s.listIn {
-		s.listIn[i], s.listOut[i] = r.discovery.traffic[i].in.Load(), r.discovery.traffic[i].out.Load()
+	s.listBytesIn, s.listBytesOut = make([]int64, r.Schedulers), make([]int64, r.Schedulers)
+	for i := range s.listBytesIn {
+		s.listBytesIn[i], s.listBytesOut[i] = r.discovery.traffic[i].in.Load(), r.discovery.traffic[i].out.Load()
 	}
-	s.jobIn, s.jobOut = r.jobTraffic.in.Load(), r.jobTraffic.out.Load()
+	s.jobBytesIn, s.jobBytesOut = r.jobTraffic.in.Load(), r.jobTraffic.out.Load()
 	s.fullLists, s.watches = r.discovery.fullLists.Load(), r.discovery.watchesOpened.Load()
 	if c := r.clients; c != nil {
 		s.jobsServed = c.served.Load()
@@ -48,7 +49,7 @@
 	return s, nil
 }
 
-// cpuTimes is the processor time of each scheduler, 0 of one that has not started.
+// cpuTimes returns the CPU time of each scheduler; 0 for a scheduler that has not started.
 func (r *run) cpuTimes() (times []time.Duration, err error) {
 	times = make([]time.Duration, r.Schedulers)
 	for i, p := range r.processes {
@@ -56,16 +57,16 @@
 			continue
 		}
 		if times[i], err = p.CPUTime(); err != nil {
-			return times, fmt.Errorf("scheduler %d has ended: %w", i, err)
+			return times, fmt.Errorf("read the CPU time of scheduler %d, which may have exited: %w", i, err)
 		}
 	}
 	return times, nil
 }
 
-// waitUntilIdle waits until all schedulers are idle again, but for the jobs at the rate, and adds the event
-// to the report.
+// waitUntilIdle waits until all schedulers are idle except for the jobs at the run's rate, or until
+// settleTimeout, and then adds the event to the report.
 func (r *run) waitUntilIdle(ctx context.Context, e Event, since snapshot) error {
-	allowed := idleCPU + time.Duration(loadMargin*r.maxBaseLoad*float64(pollInterval))
+	allowed := maxIdleCPU + time.Duration(baseLoadMargin*r.maxBaseLoad*float64(pollInterval))
 	deadline := time.Now().Add(settleTimeout)
 	before, err := r.cpuTimes()
 	if err != nil {
@@ -92,7 +93,7 @@
 	return r.addEvent(e, since)
 }
 
-// addEvent adds an event to the report, with what it cost since a snapshot.
+// addEvent adds an event to the report, with the difference between the present counters and a snapshot.
 func (r *run) addEvent(e Event, since snapshot) error {
 	now, err := r.snapshot()
 	if err != nil {
@@ -102,15 +103,15 @@
 	cpu, in, out := make([]float64, r.Schedulers), make([]float64, r.Schedulers), make([]float64, r.Schedulers)
 	for i := range cpu {
 		cpu[i] = (now.cpu[i] - since.cpu[i]).Seconds()
-		in[i] = float64(now.listIn[i] - since.listIn[i])
-		out[i] = float64(now.listOut[i] - since.listOut[i])
+		in[i] = float64(now.listBytesIn[i] - since.listBytesIn[i])
+		out[i] = float64(now.listBytesOut[i] - since.listBytesOut[i])
 	}
 	e.CPUSeconds, e.ListBytes, e.RequestBytes = spread(cpu), spread(in), spread(out)
 	e.CoreFraction = e.CPUSeconds.Mean / e.Window
 	e.NetCPUSeconds = e.CPUSeconds.Mean - r.meanBaseLoad*e.Window
 	e.FullLists, e.Watches = int(now.fullLists-since.fullLists), int(now.watches-since.watches)
 	e.Jobs, e.Served = int(now.jobsEnded-since.jobsEnded), int(now.jobsServed-since.jobsServed)
-	e.JobBytesIn, e.JobBytesOut = now.jobIn-since.jobIn, now.jobOut-since.jobOut
+	e.JobBytesIn, e.JobBytesOut = now.jobBytesIn-since.jobBytesIn, now.jobBytesOut-since.jobBytesOut
 	for _, p := range r.processes {
 		use, err := p.Usage()
 		if err != nil {
@@ -121,15 +122,16 @@
 		r.report.MaxThreads = max(r.report.MaxThreads, use.Threads)
 	}
 	r.report.Events = append(r.report.Events, e)
-	r.logf("%-26s %6.3f s of processor each (%.3f to %.3f) in %.1f s, %.1f MB at most, %.0f bytes of list each",
+	r.logf("%-26s CPU time per scheduler %6.3f s (%.3f to %.3f) in %.1f s, peak of %.1f MB, %.0f bytes of list",
 		e.Name, e.CPUSeconds.Mean, e.CPUSeconds.Min, e.CPUSeconds.Max, e.Window, e.PeakMemoryMB, e.ListBytes.Mean)
 	return nil
 }
 
-// lastEvent is the event that was added last.
+// lastEvent returns the event that was added to the report last.
 func (r *run) lastEvent() *Event { return &r.report.Events[len(r.report.Events)-1] }
 
-// awaitRecovery submits jobs to each scheduler until it serves one, and returns the seconds that took.
+// awaitRecovery submits probe jobs to each scheduler until the scheduler has served a probe, and returns the
+// times that this took, in seconds.
 func (r *run) awaitRecovery(ctx context.Context) Spread {
 	took := make([]float64, r.Schedulers)
 	startedAt := time.Now()
@@ -147,8 +149,9 @@
 	return spread(took)
 }
 
-// measureChange measures a change of the list. The event ends when the schedulers are idle again. change
-// returns the number of lines that discovery sent, with how many entries.
+// measureChange measures an event that changes the list of workers. The event ends when the schedulers are
+// idle again. change makes the change and returns the number of lines that discovery sends on each watch, and
+// the number of entries in all these lines.
 func (r *run) measureChange(ctx context.Context, name string, change func() (lines, entries int)) error {
 	before, err := r.snapshot()
 	if err != nil {
@@ -160,7 +163,7 @@
 	return r.waitUntilIdle(ctx, e, before)
 }
 
-// measureWork measures an event that lasts as long as its work.
+// measureWork measures an event that lasts until work returns.
 func (r *run) measureWork(ctx context.Context, e Event, work func(*Event)) error {
 	before, err := r.snapshot()
 	if err != nil {
--- a/internal/simfleet/options.go
+++ b/internal/simfleet/options.go
@@ -1,7 +1,8 @@
-// Package simfleet measures real scheduler processes at the size of a whole fleet. Discovery and all
-// workers are simulated: they share this process, speak the protocol on loopback, and do no work. What
-// the schedulers cost is read from the system's accounting; what they are sent and what they request is
-// counted on this side. The package decides nothing itself.
+// Package simfleet measures the resource usage of real scheduler processes with as many workers as a whole
+// fleet has. Discovery, workers and clients are simulated in the calling process: they speak the real
+// protocol on loopback, and workers only wait for the run time of a job. The CPU time and memory of the
+// schedulers are read from /proc; the bytes that schedulers receive and send are counted at the simulated
+// ends of their connections.
 package simfleet
 
 import (
@@ -13,7 +14,7 @@
 	"time"
 )
 
-// Days are the scenarios that Options.Day accepts.
+// Days are the names of the scenarios that Options.Day accepts. A scenario is called a day.
 var Days = []string{dayCalm, dayZone, dayRegion, dayRoll, dayDiscovery, dayStorm}
 
 const (
@@ -22,88 +23,91 @@
 	dayRegion    = "region"
 	dayRoll      = "roll"
 	dayDiscovery = "discovery"
-	dayStorm     = "storm" // the events of all other days
+	dayStorm     = "storm" // has the events of all other days
 )
 
-// The bounds of a run.
+// The limits of Options.
 const (
 	maxSchedulers = 64
 	maxWorkers    = 20000
 	maxZones      = 64
-	maxRate       = 2000. // jobs a second over all schedulers: this process submits them, too
+	maxRate       = 2000. // jobs per second at all schedulers, limited as the calling process submits all jobs
 	minDuration   = 3 * time.Second
 	maxDuration   = 10 * time.Minute
 
-	schedulerMemoryMB = 64  // in each scheduler's settings
-	schedulerSockets  = 512 // in each scheduler's settings
-	// ownDescriptors is what this process opens besides connections.
+	schedulerMemoryMB = 64  // memory limit in each scheduler's settings
+	schedulerSockets  = 512 // limit of sockets in each scheduler's settings
+	// ownDescriptors is the number of file descriptors that the calling process may need besides connections.
 	ownDescriptors = 256
-	// workersPerMB is how many simulated workers fit into a megabyte of this process.
+	// workersPerMB is the number of simulated workers for which the calling process needs a megabyte of memory.
 	workersPerMB = 20
 )
 
-// Options says what is run.
+// Options are the parameters of Run.
 type Options struct {
-	Program    string // path of a built scheduler
-	Schedulers int    // real processes, 1 to 64
-	// Fleet is the number of schedulers in their settings, which determines the size of each one's
-	// subset of the workers; 0: as many as are real.
+	Program    string // path of the scheduler's executable
+	Schedulers int    // number of scheduler processes, 1 to 64
+	// Fleet is the number of schedulers that the settings of each process state. It determines the size of a
+	// scheduler's subset of the workers. 0 stands for Schedulers.
 	Fleet   int
-	Workers int     // listed by discovery, 1 to 20,000
-	Zones   int     // 1 to 64, at most Workers; two zones are a region
-	Rate    float64 // jobs a second over all schedulers, 0 to 2,000
-	// Duration, 3 s to 10 min, is divided among the day's timed events. The other events end when the
-	// schedulers are idle again.
+	Workers int     // number of workers that discovery lists, 1 to 20,000
+	Zones   int     // number of zones, 1 to 64 and at most Workers; each pair of zones forms a region
+	Rate    float64 // jobs per second at all schedulers together, 0 to 2,000
+	// Duration, 3 s to 10 min, is divided equally among the day's timed steps. The other steps last until the
+	// schedulers are idle again and add to the duration of the run.
 	Duration time.Duration
 	Seed     uint64
-	Day      string // one of Days
+	Day      string // a name in Days
 }
 
 func (o *Options) fleetSize() int { return max(o.Fleet, o.Schedulers) }
 
-// Validate reports in one line what cannot be run on this machine. Run checks that the program exists.
+// Validate returns an error, whose text is a single line, if an option is out of range or the limits of this
+// machine do not allow the run. It does not check the program; Run does.
 func (o *Options) Validate() error {
 	switch {
 	case o.Schedulers < 1 || o.Schedulers > maxSchedulers:
-		return fmt.Errorf("%d real schedulers: 1 to %d can be run", o.Schedulers, maxSchedulers)
+		return fmt.Errorf("%d real schedulers: want 1 to %d", o.Schedulers, maxSchedulers)
 	case o.Fleet < 0 || o.Fleet != 0 && o.Fleet < o.Schedulers:
-		return fmt.Errorf("a fleet of %d schedulers, %d of them real", o.Fleet, o.Schedulers)
+		return fmt.Errorf("a fleet of %d schedulers: want 0 or at least the number of real schedulers, %d", o.Fleet,
+			o.Schedulers)
 	case o.Workers < 1 || o.Workers > maxWorkers:
-		return fmt.Errorf("%d workers: 1 to %d can be listed", o.Workers, maxWorkers)
+		return fmt.Errorf("%d workers: want 1 to %d", o.Workers, maxWorkers)
 	case o.Zones < 1 || o.Zones > maxZones || o.Zones > o.Workers:
-		return fmt.Errorf("%d zones: 1 to %d, and no more than workers", o.Zones, maxZones)
-	case !(o.Rate >= 0 && o.Rate <= maxRate): // so written, it rejects NaN
-		return fmt.Errorf("%g jobs a second: 0 to %g can be handed in", o.Rate, maxRate)
+		return fmt.Errorf("%d zones: want 1 to %d, and no more zones than workers", o.Zones, maxZones)
+	case !(o.Rate >= 0 && o.Rate <= maxRate): // this form of the condition rejects NaN, too
+		return fmt.Errorf("%g jobs per second: want 0 to %g", o.Rate, maxRate)
 	case o.Duration < minDuration || o.Duration > maxDuration:
-		return fmt.Errorf("a run of %v: %v to %v can be asked for", o.Duration, minDuration, maxDuration)
+		return fmt.Errorf("duration of %v: want %v to %v", o.Duration, minDuration, maxDuration)
 	case !slices.Contains(Days, o.Day):
-		return fmt.Errorf("no day %q: there are %s", o.Day, strings.Join(Days, ", "))
+		return fmt.Errorf("unknown day %q: want one of %s", o.Day, strings.Join(Days, ", "))
 	}
 	return o.checkMachine()
 }
 
-// checkProgram reports whether the program can be there to run.
+// checkProgram returns an error if the scheduler's executable does not exist or is a folder.
 func (o *Options) checkProgram() error {
 	info, err := os.Stat(o.Program)
 	if err != nil {
-		return fmt.Errorf("no program to run: %w", err)
+		return fmt.Errorf("scheduler program not found: %w", err)
 	}
 	if info.IsDir() {
-		return fmt.Errorf("no program to run: %s is a folder", o.Program)
+		return fmt.Errorf("scheduler program not found: %s is a folder", o.Program)
 	}
 	return nil
 }
 
-// checkMachine reports whether the limits of this machine allow the run.
+// checkMachine returns an error if the limit of file descriptors or the memory of this machine is too small
+// for the run.
 func (o *Options) checkMachine() error {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
-		return fmt.Errorf("read the limit of descriptors: %w", err)
+		return fmt.Errorf("read the limit of file descriptors: %w", err)
 	}
-	// Each scheduler holds at most its sockets, nearly all of them to this process; and each callback
-	// from here takes one more.
+	// This process holds the other end of nearly all sockets of each scheduler. The factor 3/2 leaves room for
+	// the connections of callbacks.
 	if need := uint64(o.Schedulers*schedulerSockets*3/2 + ownDescriptors); need > files.Cur {
-		return fmt.Errorf("%d real schedulers: %d descriptors may be needed, %d are allowed",
+		return fmt.Errorf("%d real schedulers: up to %d file descriptors needed, limit is %d",
 			o.Schedulers, need, files.Cur)
 	}
 	var system syscall.Sysinfo_t
@@ -112,7 +116,7 @@
 	}
 	all := system.Totalram * uint64(system.Unit) >> 20
 	if need := uint64(o.Schedulers*schedulerMemoryMB + o.Workers/workersPerMB); need > all/2 {
-		return fmt.Errorf("%d real schedulers: %d MB may be needed, half of the machine's memory is %d",
+		return fmt.Errorf("%d real schedulers: up to %d MB of memory needed, limit is half of the machine's: %d MB",
 			o.Schedulers, need, all/2)
 	}
 	return nil
--- a/internal/simfleet/report.go
+++ b/internal/simfleet/report.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Spread summarizes one figure over all schedulers.
+// Spread holds the mean, minimum and maximum of a value over all schedulers.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	Min  float64 `json:"least"`
 	Max  float64 `json:"most"`
 }
 
-func spread(of []float64) (s Spread) {
-	for _, v := range of {
-		s.Mean += v / float64(len(of))
+func spread(values []float64) (s Spread) {
+	for _, v := range values {
+		s.Mean += v / float64(len(values))
 	}
-	if len(of) > 0 {
-		s.Min, s.Max = slices.Min(of), slices.Max(of)
+	if len(values) > 0 {
+		s.Min, s.Max = slices.Min(values), slices.Max(values)
 	}
 	return s
 }
@@ -22,42 +22,49 @@
 // Microseconds is a duration in microseconds.
 type Microseconds float64
 
-// Event is what one event of a day cost the schedulers, within the event's window.
+// Event is the measurement of an event of a day. Its window begins with the event and ends when the
+// schedulers are idle again, or, for an event that lasts for a set time, with the event.
 type Event struct {
 	Name string `json:"name"`
-	// Updates is how many changes discovery sent to each scheduler, a line each; Entries is how many
-	// entries these had together.
+	// Updates is the number of lines with changes that discovery sent to each scheduler; Entries is the number
+	// of changed entries in all these lines.
 	Updates int `json:"words"`
 	Entries int `json:"entries"`
-	// Window is the time in seconds until the schedulers were idle again, or the event's own duration.
+	// Window is the length of the window in seconds.
 	Window  float64 `json:"window_s"`
-	Settled bool    `json:"settled"` // false: the window ended before the schedulers were idle
-	// CPUSeconds is the processor time of a scheduler within the window; CoreFraction is its mean as a share
-	// of one core.
+	Settled bool    `json:"settled"` // false if waiting for idle schedulers timed out
+	// CPUSeconds is the CPU time of a scheduler within the window, in seconds; CoreFraction is its mean divided
+	// by the window, as a fraction of one core.
 	CPUSeconds   Spread  `json:"processor_s"`
 	CoreFraction float64 `json:"core_share"`
-	// NetCPUSeconds is the mean without what the jobs at the rate alone, or idling, take in that time.
+	// NetCPUSeconds is the mean of CPUSeconds less the CPU time that a scheduler takes in a window of this
+	// length for the jobs at the run's rate alone, as measured at the beginning of the day.
 	NetCPUSeconds float64 `json:"processor_net_s"`
-	// RecoverySeconds is the time from the last update until a job was served by a scheduler again.
+	// RecoverySeconds is the time in seconds from the last update until a scheduler has served a probe job. For
+	// the event "start" it is the time until a scheduler was ready.
 	RecoverySeconds Spread  `json:"resume_s"`
-	PeakMemoryMB    float64 `json:"memory_most_mb"` // VmHWM of the largest scheduler up to now
-	// ListBytes are the bytes of the list sent to a scheduler, RequestBytes those of its requests for it.
+	PeakMemoryMB    float64 `json:"memory_most_mb"` // greatest VmHWM of a scheduler at the end of the window
+	// ListBytes is the number of bytes that discovery sent to a scheduler; RequestBytes is the number of bytes
+	// that a scheduler sent to discovery.
 	ListBytes    Spread `json:"list_bytes"`
 	RequestBytes Spread `json:"ask_bytes"`
-	FullLists    int    `json:"whole_lists"` // sent by discovery, to all schedulers
-	Watches      int    `json:"watches"`     // opened by all schedulers
-	// Clients is the number of concurrent clients of an event that times the job path.
+	FullLists    int    `json:"whole_lists"` // full lists that discovery sent to all schedulers together
+	Watches      int    `json:"watches"`     // watches that all schedulers together opened
+	// Clients is the number of concurrent clients of an event that measures the job path.
 	Clients int `json:"clients,omitempty"`
-	// Jobs that ended within the window, at all schedulers, and how many of them were served.
-	Jobs      int          `json:"jobs"`
-	Served    int          `json:"served"`
+	// Jobs is the number of jobs that ended within the window at all schedulers; Served is the number of jobs
+	// among them that were served.
+	Jobs   int `json:"jobs"`
+	Served int `json:"served"`
+	// CPUPerJob is the CPU time of the measured scheduler for each job, for an event that measures the job path.
 	CPUPerJob Microseconds `json:"processor_a_job_us,omitempty"`
-	// Bytes on the connections of clients and workers, into and out of all schedulers.
+	// JobBytesIn and JobBytesOut are the numbers of bytes that all schedulers received from and sent to clients
+	// and workers.
 	JobBytesIn  int64 `json:"job_bytes_in"`
 	JobBytesOut int64 `json:"job_bytes_out"`
 }
 
-// Report is the result of a run.
+// Report is the result of Run.
 type Report struct {
 	Schedulers      int     `json:"schedulers"`
 	Fleet           int     `json:"fleet"`
@@ -68,33 +75,37 @@
 	Seed            uint64  `json:"seed"`
 	Day             string  `json:"day"`
 	Cores           int     `json:"cores"`
-	// Load is the machine's load average over one minute at the start: above 1 the machine is shared.
-	Load   float64 `json:"load_at_start"`
-	Events []Event `json:"events"`
-	// PeakMemoryMB is the peak resident memory of a scheduler.
+	// LoadAtStart is the machine's load average over one minute at the start of the run. A value above 1 means
+	// that other programs were using the machine.
+	LoadAtStart float64 `json:"load_at_start"`
+	Events      []Event `json:"events"`
+	// PeakMemoryMB is the peak resident memory of a scheduler over the whole run.
 	PeakMemoryMB Spread `json:"memory_mb"`
-	// HarnessMB is the peak resident memory of this process.
+	// HarnessMB is the peak resident memory of the process that simulates workers, discovery and clients.
 	HarnessMB      float64 `json:"hollow_memory_mb"`
-	MaxThreads     int     `json:"threads_most"`     // of a scheduler, at the end of an event
-	MaxDescriptors int     `json:"descriptors_most"` // of a scheduler, at the end of an event
-	// CPUSeconds is the processor time of the whole run; CPUTickSeconds is the same from /proc/PID/stat, in
-	// steps of 10 ms.
+	MaxThreads     int     `json:"threads_most"`     // most threads of a scheduler at the end of any event
+	MaxDescriptors int     `json:"descriptors_most"` // most descriptors of a scheduler at the end of any event
+	// CPUSeconds is the CPU time of a scheduler over the whole run, summed over its threads, in seconds;
+	// CPUTickSeconds is this CPU time as read from /proc/PID/stat, in steps of 10 ms.
 	CPUSeconds     Spread `json:"processor_s"`
 	CPUTickSeconds Spread `json:"processor_stat_s"`
 	Jobs           int    `json:"jobs"`
 	Served         int    `json:"served"`
 	Refused        int    `json:"refused"`
 	Failed         int    `json:"failed"`
-	Skipped        int    `json:"skipped"` // not submitted, as too many were open
-	// Errors are the first that ended a client's connection instead of an answer.
+	// Skipped is the number of jobs at the rate that were not submitted, as their scheduler had maxOpenJobs
+	// outstanding jobs.
+	Skipped int `json:"skipped"`
+	// Errors are the first errors by which a client's connection ended instead of with an answer.
 	Errors         []string `json:"errors"`
 	ElapsedSeconds float64  `json:"took_s"`
-	// Violations are the properties that broke, by package history, which checked CheckedEvents events.
+	// Violations are the violated properties that package history found; CheckedEvents is the number of events
+	// that it checked.
 	Violations    []string `json:"broken"`
 	CheckedEvents int      `json:"checked_events"`
 }
 
-// FindEvent returns the event with a name, or nil.
+// FindEvent returns the first event with a name, or nil if there is none.
 func (r *Report) FindEvent(name string) *Event {
 	for i := range r.Events {
 		if r.Events[i].Name == name {
--- a/internal/simfleet/run.go
+++ b/internal/simfleet/run.go
@@ -14,13 +14,14 @@
 	"dahliaford/internal/testcluster"
 )
 
-// maxHistory bounds the events that are recorded for the check of the rules.
+// maxHistory is the greatest number of events that are recorded for the check of the history.
 const maxHistory = 2_000_000
 
-// randomStream separates the random numbers of a run from those of other packages with the same seed.
+// randomStream is the random number stream of a run. It keeps the random numbers independent of the
+// generators of other packages with the same seed.
 const randomStream = 28
 
-// run is one run.
+// run is the state of a call of Run.
 type run struct {
 	Options
 	log        io.Writer
@@ -29,19 +30,20 @@
 	discovery  *discovery
 	workers    *workers
 	clients    *clients
-	processes  []*testcluster.Process // by scheduler; nil until it has started
-	jobTraffic traffic                // of clients and workers
+	processes  []*testcluster.Process // process of each scheduler; nil until the process has started
+	jobTraffic traffic                // bytes on the connections of clients and workers
 	random     *rand.Rand
-	// maxBaseLoad and meanBaseLoad are the shares of a core that schedulers take for the jobs at the
-	// rate alone: of the busiest one, and on average.
+	// maxBaseLoad and meanBaseLoad are the maximum and the mean over the schedulers of the fraction of a core
+	// that a scheduler takes for the jobs at the run's rate alone.
 	maxBaseLoad, meanBaseLoad float64
 
 	mu      sync.Mutex
 	history []history.Event
 }
 
-// Run runs a day. It ends by itself, and stops the processes that it started, also when the context ends it
-// early: then with an error. Progress goes to log.
+// Run starts the schedulers, runs a day and returns the report. It writes its progress to log. Before it
+// returns it stops all processes that it has started. If the context ends before the day is over, Run returns
+// an error.
 func Run(ctx context.Context, o Options, log io.Writer) (Report, error) {
 	if err := o.Validate(); err != nil {
 		return Report{}, err
@@ -52,18 +54,18 @@
 	r := &run{Options: o, log: log, startedAt: time.Now(), random: rand.New(rand.NewPCG(o.Seed, randomStream))}
 	r.report = Report{Schedulers: o.Schedulers, Fleet: o.fleetSize(), Workers: o.Workers, Zones: o.Zones,
 		Rate: o.Rate, DurationSeconds: o.Duration.Seconds(), Seed: o.Seed, Day: o.Day,
-		Cores: runtime.NumCPU(), Load: machineLoad()}
+		Cores: runtime.NumCPU(), LoadAtStart: machineLoad()}
 	err := r.execute(ctx)
 	r.report.ElapsedSeconds = time.Since(r.startedAt).Seconds()
 	return r.report, err
 }
 
 func (r *run) logf(format string, args ...any) {
-	// A run is not given up because its progress cannot be written.
+	// A failed write of progress does not end the run.
 	_, _ = fmt.Fprintf(r.log, "%6.1f s  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// recordEvent takes what clients and workers saw, for the check of the rules.
+// recordEvent records an event that a client or worker has observed, for the check of the history.
 func (r *run) recordEvent(e history.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,13 +74,14 @@
 	}
 }
 
-// execute starts everything, runs the day and stops everything.
+// execute starts workers, discovery and schedulers, runs the day, checks the history, and stops everything
+// that it has started.
 func (r *run) execute(ctx context.Context) (err error) {
 	folder, err := os.MkdirTemp("", "simfleet")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that stays does no harm
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder does no harm
 	if r.workers, err = newWorkers(r.Workers, r.Schedulers, r.recordEvent, &r.jobTraffic); err != nil {
 		return err
 	}
@@ -106,7 +109,7 @@
 	return r.finish(ctx)
 }
 
-// zoneNames are region1a, region1b, region2a and so on.
+// zoneNames returns the names of the zones: region1a, region1b, region2a and so on.
 func (r *run) zoneNames() []string {
 	zones := make([]string, r.Zones)
 	for i := range zones {
@@ -117,7 +120,8 @@
 
 func sleep(ctx context.Context, d time.Duration) bool { return testcluster.Sleep(ctx, d) }
 
-// machineLoad is the load average over one minute; 0 if it cannot be read, which only the report shows.
+// machineLoad returns the machine's load average over one minute. It returns 0 on an error, as the value is
+// only shown in the report.
 func machineLoad() (load float64) {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -129,8 +133,8 @@
 	return load
 }
 
-// ownPeakMemoryMB is the peak resident memory of this process; 0 if it cannot be read, which only the
-// report shows.
+// ownPeakMemoryMB returns the peak resident memory of this process. It returns 0 on an error, as the value is
+// only shown in the report.
 func ownPeakMemoryMB() float64 {
 	raw, err := os.ReadFile("/proc/self/status")
 	if err != nil {
--- a/internal/simfleet/start.go
+++ b/internal/simfleet/start.go
@@ -17,7 +17,7 @@
 	readyPollInterval = 5 * time.Millisecond
 )
 
-// startSchedulers starts all schedulers at once, and the clients once all are ready.
+// startSchedulers starts all schedulers concurrently, waits until all are ready, and creates the clients.
 func (r *run) startSchedulers(ctx context.Context, folder string, zones []string) error {
 	r.processes = make([]*testcluster.Process, r.Schedulers)
 	ready := make([]float64, r.Schedulers)
@@ -47,8 +47,8 @@
 	return r.waitUntilIdle(ctx, Event{Name: "start", Entries: r.Workers, RecoverySeconds: spread(ready)}, before)
 }
 
-// startScheduler starts one scheduler and waits until it is ready. The real ones are spread evenly over the
-// numbers of the fleet, and over the zones.
+// startScheduler starts the i-th scheduler and waits until it is ready. The indexes of the scheduler
+// processes are spread evenly over the indexes of the fleet, and the processes over the zones.
 func (r *run) startScheduler(ctx context.Context, i int, folder string, zones []string) error {
 	startedAt := time.Now()
 	p, err := testcluster.StartConfig(r.Program, folder, testcluster.Config{Name: "n" + strconv.Itoa(i),
@@ -61,7 +61,7 @@
 	r.processes[i] = p
 	for !isReady(p.Addr) {
 		if ctx.Err() != nil || time.Since(startedAt) > readyTimeout {
-			return fmt.Errorf("scheduler %d is not ready", i)
+			return fmt.Errorf("scheduler %d is not ready: timed out or cancelled", i)
 		}
 		sleep(ctx, readyPollInterval)
 	}
--- a/internal/simfleet/table.go
+++ b/internal/simfleet/table.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-var tableHead = []string{"event", "words, entries", "processor, s", "without the base, s", "window, s",
-	"of a core", "again serving, s", "most MB", "list, KB", "jobs", "us a job"}
+var tableHeader = []string{"event", "updates, entries", "CPU time, s", "CPU time above base load, s",
+	"window, s", "CPU use of a core", "recovery, s", "peak MB", "list, KB", "jobs", "CPU us per job"}
 
-// WriteTable writes the events of a run as a table in Markdown. The figures are of one scheduler: the mean,
-// and the range where schedulers differ.
+// WriteTable writes the events of a run as a table in Markdown. A cell shows the mean over the schedulers,
+// with minimum and maximum in parentheses where schedulers differ.
 func (r *Report) WriteTable(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "| %s |\n|%s\n", strings.Join(tableHead, " | "), strings.Repeat(" --- |", len(tableHead)))
+	fmt.Fprintf(&b, "| %s |\n|%s\n", strings.Join(tableHeader, " | "),
+		strings.Repeat(" --- |", len(tableHeader)))
 	for _, e := range r.Events {
 		updates, perJob, recovery := "", "", ""
 		if e.Updates+e.Entries > 0 {
@@ -37,7 +38,7 @@
 	return err
 }
 
-// text is the mean in a unit, and the range if it shows in the format.
+// text formats the mean times unit, followed by minimum and maximum if they differ when formatted.
 func (s Spread) text(format string, unit float64) string {
 	low, mean, high := fmt.Sprintf(format, s.Min*unit), fmt.Sprintf(format, s.Mean*unit),
 		fmt.Sprintf(format, s.Max*unit)
--- a/internal/simfleet/traffic.go
+++ b/internal/simfleet/traffic.go
@@ -5,23 +5,23 @@
 	"sync/atomic"
 )
 
-// traffic counts bytes: into the schedulers, and out of them.
+// traffic counts the bytes that schedulers receive (in) and send (out).
 type traffic struct{ in, out atomic.Int64 }
 
-// countedConn counts the bytes of a connection to a scheduler, at its other end.
+// countedConn is the simulated end of a connection to a scheduler, and counts the bytes of the connection.
 type countedConn struct {
 	net.Conn
 	*traffic
 }
 
-// Read counts what came out of the scheduler.
+// Read reads from the connection and counts the bytes as sent by the scheduler.
 func (c countedConn) Read(b []byte) (n int, err error) {
 	n, err = c.Conn.Read(b)
 	c.out.Add(int64(n))
 	return n, err
 }
 
-// Write counts what went into the scheduler.
+// Write writes to the connection and counts the bytes as received by the scheduler.
 func (c countedConn) Write(b []byte) (n int, err error) {
 	n, err = c.Conn.Write(b)
 	c.in.Add(int64(n))
--- a/internal/simfleet/workers.go
+++ b/internal/simfleet/workers.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	workerKind     = "m1" // the one kind in the settings that package testcluster writes
+	workerKind     = "m1" // the only hardware kind in the settings that package testcluster writes
 	workersPerCell = 8
 )
 
-// workers are all simulated workers, known by their index. A job's body says how long it runs, and its id
-// which scheduler sent it.
+// workers simulates all workers, which are identified by their index. The body of a job gives its run time,
+// and the id of the job gives the scheduler that sent it.
 type workers struct {
-	server  *fakes.Server
-	port    int // of all addresses
-	uids    []string
-	down    []atomic.Bool // by worker: its machine is off
-	record  fakes.Recorder
-	traffic *traffic
+	server     *fakes.Server
+	port       int // port of the addresses of all workers
+	uids       []string
+	poweredOff []atomic.Bool // whether the machine of each worker is powered off
+	record     fakes.Recorder
+	traffic    *traffic
 
 	mu        sync.Mutex
-	jobs      map[string]*job // running, by id
-	callbacks []*connPool     // by scheduler; nil until it has started
+	jobs      map[string]*job // accepted and unfinished jobs by id
+	callbacks []*connPool     // connections for callbacks to each scheduler; nil until the scheduler has started
 	running   sync.WaitGroup
 	closed    chan struct{}
 }
 
-// job is a job that a worker runs.
+// job is a job that a worker has accepted.
 type job struct {
 	id        string
 	worker    int
 	scheduler int
 	runTime   time.Duration
-	cancelled chan struct{} // closed when it is cancelled or its worker's machine goes off
+	cancelled chan struct{} // closed when the job is cancelled or its worker's machine is powered off
 }
 
 func newWorkers(n, schedulers int, record fakes.Recorder, t *traffic) (*workers, error) {
-	w := &workers{uids: make([]string, n), down: make([]atomic.Bool, n), record: record, traffic: t,
+	w := &workers{uids: make([]string, n), poweredOff: make([]atomic.Bool, n), record: record, traffic: t,
 		jobs: map[string]*job{}, callbacks: make([]*connPool, schedulers), closed: make(chan struct{})}
 	for i := range w.uids {
 		w.uids[i] = fmt.Sprintf("s-%08x", i+1)
@@ -61,7 +61,8 @@
 	return w, nil
 }
 
-// endpoints are the workers as discovery lists them: ready, in equal parts of the zones, eight to a cell.
+// endpoints returns the entries of the workers for discovery: all are ready, spread evenly over the zones,
+// with workersPerCell of them in each cell.
 func (w *workers) endpoints(zones []string) []endpoints.Endpoint {
 	entries := make([]endpoints.Endpoint, len(w.uids))
 	for i := range entries {
@@ -72,7 +73,7 @@
 	return entries
 }
 
-// setScheduler says where the callbacks of a scheduler's jobs go.
+// setScheduler sets the address that the callbacks for a scheduler's jobs are sent to.
 func (w *workers) setScheduler(scheduler int, addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -90,11 +91,11 @@
 	}
 }
 
-// powerOff turns the machines of workers off: their jobs are lost, and no callback says so.
+// powerOff powers off the machines of workers. Their jobs are lost without a callback.
 func (w *workers) powerOff(which []int) {
 	off := map[int]bool{}
 	for _, worker := range which {
-		w.down[worker].Store(true)
+		w.poweredOff[worker].Store(true)
 		off[worker] = true
 	}
 	w.mu.Lock()
@@ -110,7 +111,7 @@
 
 func (w *workers) powerOn(which []int) {
 	for _, worker := range which {
-		w.down[worker].Store(false)
+		w.poweredOff[worker].Store(false)
 	}
 }
 
@@ -121,10 +122,11 @@
 	}
 }
 
-// serve takes the requests of one connection, until it ends or the worker's machine is off.
+// serve handles the requests on a connection, until the connection ends or the worker's machine is powered
+// off.
 func (w *workers) serve(plain net.Conn) {
 	worker := addressIndex(plain)
-	if worker < 0 || worker >= len(w.uids) || w.down[worker].Load() {
+	if worker < 0 || worker >= len(w.uids) || w.poweredOff[worker].Load() {
 		fakes.ResetConn(plain)
 		return
 	}
@@ -135,7 +137,7 @@
 		if err != nil {
 			return
 		}
-		if w.down[worker].Load() {
+		if w.poweredOff[worker].Load() {
 			fakes.ResetConn(plain)
 			return
 		}
@@ -150,14 +152,15 @@
 	}
 }
 
-// accept answers a job and runs it. After an error the connection is of no use.
+// accept accepts a job, answers it with 202 and starts it. After an error the caller must close the
+// connection.
 func (w *workers) accept(conn net.Conn, worker int, m *http1.Request) error {
 	id := m.Header.Get("X-Txn")
 	scheduler, runTime, ok := parseJob(id, m.Body, len(w.callbacks))
 	if !ok {
-		// The connection ends either way.
+		// The connection is closed after this answer, whether or not the write succeeds.
 		_, _ = conn.Write(http1.AppendResponse(nil, http.StatusBadRequest, nil, nil))
-		return fmt.Errorf("job %q is not one of this run", id)
+		return fmt.Errorf("job %q has an id or body that this run does not use", id)
 	}
 	j := &job{id: id, worker: worker, scheduler: scheduler, runTime: runTime, cancelled: make(chan struct{})}
 	w.recordEvent(history.Event{Kind: history.Arrived, ID: id, Actor: w.uids[worker]})
@@ -174,7 +177,8 @@
 	return nil
 }
 
-// cancel cancels a job of a worker and returns the status of the answer.
+// cancel cancels a job of a worker and returns the HTTP status of the answer: 200, or 404 if the worker does
+// not hold the job.
 func (w *workers) cancel(id string, worker int) (status int) {
 	status = http.StatusNotFound
 	w.mu.Lock()
@@ -188,8 +192,8 @@
 	return status
 }
 
-// finish takes a job off its worker and records why. It reports false if the job was cancelled or lost
-// before.
+// finish removes a job from its worker and records the given event. It reports false and records nothing if
+// the job has been cancelled or lost.
 func (w *workers) finish(j *job, e history.Event) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -201,7 +205,8 @@
 	return true
 }
 
-// runJob runs a job for its run time, with a callback before and one after.
+// runJob simulates a job: it sends the callback "started", waits for the run time, and sends the callback
+// "done".
 func (w *workers) runJob(j *job) {
 	uid := w.uids[j.worker]
 	w.recordEvent(history.Event{Kind: history.Started, ID: j.id, Actor: uid})
