--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -17,7 +17,7 @@
 type Submission struct {
 	ID, Class, Tenant, Key string
 	Body                   []byte
-	Deadline               time.Time // deadline for the answer
+	Deadline               time.Time // deadline for the answer, sent to the scheduler as the remaining time
 	DisconnectAt           time.Time // time at which the client disconnects; zero: it waits for the answer
 }
 
--- a/internal/fakes/script.go
+++ b/internal/fakes/script.go
@@ -5,8 +5,8 @@
 // JobState is the state of a job that a callback reports.
 type JobState string
 
-// The states that a callback can report, and NeverEnds, which is no state of a callback: it marks a job in a
-// Script that runs until it is cancelled.
+// The states that a callback can report, and NeverEnds. A callback never reports NeverEnds: as the FinalState
+// of a Script it makes the job run until the job is cancelled.
 const (
 	Started   JobState = "started"
 	Done      JobState = "done"
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -1,6 +1,6 @@
 // Package fakes has fake workers, a fake discovery service and fake clients for running a scheduler in tests,
 // in fault drills and by hand. They speak the real protocol, inject the faults that their scripts ask for,
-// and record the events that they observe.
+// and record the events that they observe. They listen on loopback addresses only.
 package fakes
 
 import (
@@ -8,7 +8,8 @@
 	"sync"
 )
 
-// server is a listener with its accepted connections. close closes the listener and all connections.
+// server is a listener with its accepted connections. Its method close closes the listener and all
+// connections.
 type server struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -48,8 +49,8 @@
 	})
 }
 
-// track adds a connection to those that resetAll and close reset. It adds nothing and reports false if the
-// server is closed.
+// track registers a connection, so that resetAll and close reset the connection. If the server is closed,
+// track registers nothing and reports false.
 func (s *server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// answerCancel cancels a job and answers the request for that. It reports whether the connection stays open.
+// answerCancel cancels a job and answers the cancellation request. It reports whether the connection stays
+// open.
 func (w *Worker) answerCancel(conn net.Conn, id string) (keepOpen bool) {
 	status := http.StatusNotFound
 	if w.cancel(id) {
@@ -239,7 +240,8 @@
 	}
 }
 
-// outcome returns the state in the last callback of a job that has run, and the job's result if that is Done.
+// outcome returns the state in the last callback of a job that has run, and for the state Done the job's
+// result.
 func (s *Script) outcome(j Job) (state JobState, result string) {
 	switch {
 	case s.FinalState != "" && s.FinalState != Done:
--- a/internal/simfleet/clients.go
+++ b/internal/simfleet/clients.go
@@ -18,9 +18,9 @@
 	batchDeadline = 4 * time.Second
 	tenant        = "sahel"
 
-	maxOpenJobs       = 128                   // limit of outstanding jobs at the rate, for each scheduler
+	maxOpenJobs       = 128                   // limit of outstanding jobs of submitAtRate, for each scheduler
 	paceInterval      = 5 * time.Millisecond  // interval at which submitAtRate submits the jobs that are due
-	shortestRunTime   = 40 * time.Millisecond // jobs at the rate run for 1 to 4 times this time
+	shortestRunTime   = 40 * time.Millisecond // jobs of submitAtRate run for 1 to 4 times this time
 	maxReportedErrors = 20                    // limit of errors that are kept for the report
 	retryDelay        = 10 * time.Millisecond // pause of a client of saturate after a job that was not served
 
@@ -30,7 +30,7 @@
 // clients simulates the clients of all schedulers. Their connections are pooled and reused.
 type clients struct {
 	pools    []*connPool    // pool of connections to each scheduler
-	openJobs []atomic.Int64 // outstanding jobs at the rate, by scheduler
+	openJobs []atomic.Int64 // outstanding jobs of submitAtRate, by scheduler
 	record   fakes.Recorder
 	lastID   atomic.Int64
 
--- a/internal/simfleet/day.go
+++ b/internal/simfleet/day.go
@@ -61,7 +61,7 @@
 	}
 	stopLoad()
 	loading.Wait()
-	r.maxBaseLoad, r.meanBaseLoad = 0, 0 // clients no longer submit jobs at the rate
+	r.maxBaseLoad, r.meanBaseLoad = 0, 0 // clients no longer submit jobs at the run's rate
 	return r.measureJobPath(ctx, span)
 }
 
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// workersInZones returns the workers of the zones with the indexes from to to-1.
+// workersInZones returns the workers of the zones whose index is at least from and below to.
 func (r *run) workersInZones(from, to int) (workers []int) {
 	for i := range r.Workers {
 		if zone := i * r.Zones / r.Workers; zone >= from && zone < to {
--- a/internal/simfleet/discovery.go
+++ b/internal/simfleet/discovery.go
@@ -35,7 +35,7 @@
 	server  *fakes.Server // nil while discovery is down
 	table   *endpoints.Table
 	watches map[*watcher]bool
-	closed  chan struct{} // closed when discovery goes down; replaced when it comes up
+	closed  chan struct{} // closed when discovery goes down; open creates a new channel
 
 	traffic                  []traffic // bytes on the connections of each scheduler
 	fullLists, watchesOpened atomic.Int64
--- a/internal/simfleet/events.go
+++ b/internal/simfleet/events.go
@@ -158,8 +158,9 @@
 	return r.waitUntilIdle(ctx, e, before)
 }
 
-// measureJobPath measures the job path at one scheduler, while the others are idle, for each number of
-// concurrent clients. The jobs take no run time and have two callbacks.
+// measureJobPath measures the job path, which is the handling of a job from the client's request to its
+// answer, at one scheduler while the others are idle, for each number in concurrentClients. The jobs take no
+// run time and have two callbacks.
 func (r *run) measureJobPath(ctx context.Context, span time.Duration) error {
 	for _, n := range concurrentClients {
 		if err := r.measureJobPathWith(ctx, n, span/time.Duration(len(concurrentClients))); err != nil {
--- a/internal/simfleet/report.go
+++ b/internal/simfleet/report.go
@@ -93,8 +93,8 @@
 	Served         int    `json:"served"`
 	Refused        int    `json:"refused"`
 	Failed         int    `json:"failed"`
-	// Skipped is the number of jobs at the rate that were not submitted, as their scheduler had maxOpenJobs
-	// outstanding jobs.
+	// Skipped is the number of jobs at the run's rate that were not submitted, as their scheduler had
+	// maxOpenJobs outstanding jobs.
 	Skipped int `json:"skipped"`
 	// Errors are the first errors by which a client's connection ended instead of with an answer.
 	Errors         []string `json:"errors"`
--- a/internal/testcluster/sleep.go
+++ b/internal/testcluster/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for a duration. It reports false if the context ended before.
+// Sleep waits for a duration or until the context ends. It reports false if the context ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
