--- a/internal/simfleet/options_test.go
+++ b/internal/simfleet/options_test.go
@@ -16,20 +16,20 @@
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(*Options){
-		"program not found":   func(o *Options) { o.Program = "nowhere/dahliaford" },
-		"is a folder":         func(o *Options) { o.Program = "." },
-		"0 real schedulers":   func(o *Options) { o.Schedulers = 0 },
-		"65 real schedulers":  func(o *Options) { o.Schedulers = 65 },
-		"a fleet of 1":        func(o *Options) { o.Fleet = 1 },
-		"0 workers":           func(o *Options) { o.Workers = 0 },
-		"20001 workers":       func(o *Options) { o.Workers = 20001 },
-		"201 zones":           func(o *Options) { o.Zones = 201 },
-		"0 zones":             func(o *Options) { o.Zones = 0 },
-		"-1 jobs per second":  func(o *Options) { o.Rate = -1 },
-		"NaN jobs per second": func(o *Options) { o.Rate = math.NaN() },
-		"duration of 1s":      func(o *Options) { o.Duration = time.Second },
-		"duration of 11m0s":   func(o *Options) { o.Duration = 11 * time.Minute },
-		`unknown day "sunny"`: func(o *Options) { o.Day = "sunny" },
+		"scheduler program not found": func(o *Options) { o.Program = "nowhere/dahliaford" },
+		"is a folder":                 func(o *Options) { o.Program = "." },
+		"0 real schedulers":           func(o *Options) { o.Schedulers = 0 },
+		"65 real schedulers":          func(o *Options) { o.Schedulers = 65 },
+		"a fleet of 1":                func(o *Options) { o.Fleet = 1 },
+		"0 workers":                   func(o *Options) { o.Workers = 0 },
+		"20001 workers":               func(o *Options) { o.Workers = 20001 },
+		"201 zones":                   func(o *Options) { o.Zones = 201 },
+		"0 zones":                     func(o *Options) { o.Zones = 0 },
+		"-1 jobs per second":          func(o *Options) { o.Rate = -1 },
+		"NaN jobs per second":         func(o *Options) { o.Rate = math.NaN() },
+		"duration of 1s":              func(o *Options) { o.Duration = time.Second },
+		"duration of 11m0s":           func(o *Options) { o.Duration = 11 * time.Minute },
+		`unknown day "sunny"`:         func(o *Options) { o.Day = "sunny" },
 	} {
 		o := valid
 		change(&o)
