--- a/client/attempt.go
+++ b/client/attempt.go
@@ -149,7 +149,7 @@
 		case !hasLength(response):
 			return failedAttempt(plan.Malformed, errMissingLength)
 		}
-		if err := c.reader.Rest(response); err != nil {
+		if err := c.reader.ResponseBody(response); err != nil {
 			return classifyReadError(err)
 		}
 		c.closeAfterResponse = response.Close
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,13 +14,13 @@
 
 func crlf(s string) string { return strings.ReplaceAll(s, "\n", "\r\n") }
 
-// Each request is read byte by byte, so that reads may end at every position.
+// The Reader gets each request byte by byte, so that a read ends at every position of the request.
 func TestRequests(t *testing.T) {
 	head := func(h map[string][]string) textproto.MIMEHeader { return h }
 	for name, c := range map[string]struct {
 		text   string
 		want   *Request
-		status int // of the error
+		status int // status is the expected status of the error; -1 means io.ErrUnexpectedEOF and 0 no error.
 	}{
 		"plain": {text: "GET /a?b=c HTTP/1.1\nhost: x\n\n",
 			want: &Request{Method: "GET", Target: "/a?b=c", Header: head(map[string][]string{"Host": {"x"}})}},
@@ -53,8 +53,8 @@
 		"long chunks": {text: "POST / HTTP/1.1\nTransfer-Encoding: chunked\n\n10001\n" +
 			strings.Repeat("a", 65537) + "\n0\n\n", status: 413},
 		"odd chunk":        {text: "POST / HTTP/1.1\nTransfer-Encoding: chunked\n\nzz\n", status: 400},
-		"long head":        {text: "GET / HTTP/1.1\nA: " + strings.Repeat("a", MaxHead) + "\n\n", status: 431},
-		"endless line":     {text: "GET /" + strings.Repeat("a", MaxHead), status: 431},
+		"long head":        {text: "GET / HTTP/1.1\nA: " + strings.Repeat("a", MaxHeadBytes) + "\n\n", status: 431},
+		"endless line":     {text: "GET /" + strings.Repeat("a", MaxHeadBytes), status: 431},
 		"broken off":       {text: "POST / HTTP/1.1\nContent-Length: 3\n\nab", status: -1},
 		"head broken off":  {text: "POST / HTTP/1.1\nHost:", status: -1},
 		"chunk broken off": {text: "POST / HTTP/1.1\nTransfer-Encoding: chunked\n\n5\nab", status: -1},
@@ -84,7 +84,7 @@
 	}
 }
 
-// Messages follow each other on a connection, whatever their framing.
+// Responses with different framing are read one after the other from the same stream.
 func TestResponsesInARow(t *testing.T) {
 	stream := crlf("HTTP/1.1 100 Continue\n\nHTTP/1.1 202 Accepted\nContent-Length: 0\n\n" +
 		"HTTP/1.1 503 No\nTransfer-Encoding: chunked\n\n1\na\n0\n\nHTTP/1.1 204 No Content\n\n" +
@@ -109,12 +109,12 @@
 	}
 }
 
-// A stream of chunks may exceed every limit of a single message.
+// A chunked body that is read with ChunkedBody may exceed the limits of a single message.
 func TestEndlessChunks(t *testing.T) {
 	const n = 40
 	chunk := crlf("1000\n" + strings.Repeat("a", 0x1000) + "\n")
 	read := NewReader(strings.NewReader(strings.Repeat(chunk, n) + crlf("0\n\n")))
-	body, err := io.ReadAll(read.Chunks())
+	body, err := io.ReadAll(read.ChunkedBody())
 	if diff := cmp.Diff(n*0x1000, len(body)); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
@@ -139,34 +139,35 @@
 	f.Add([]byte(crlf("POST / HTTP/1.1\nTransfer-Encoding: chunked\n\n1\na\n0\n\n")))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r, err := NewReader(bytes.NewReader(data)).Request()
-		if err == nil && (len(r.Body) > MaxBody || r.Target[0] != '/') {
-			t.Errorf("accepted: %+v", r)
+		if err == nil && (len(r.Body) > MaxBodyBytes || r.Target[0] != '/') {
+			t.Errorf("Request accepted %+v, want a short body and a target that begins with /", r)
 		}
 	})
 }
 
-// A length that is only announced must not allocate memory: hundreds of requests may announce one.
+// A request that announces a large body without sending it must not allocate memory for that body, because
+// hundreds of clients may send such requests.
 func TestAnnouncedLengthCostsNothing(t *testing.T) {
 	text := crlf("POST / HTTP/1.1\nContent-Length: 65536\n\nab")
 	got := testing.Benchmark(func(b *testing.B) {
 		for range b.N {
 			if _, err := NewReader(strings.NewReader(text)).Request(); err == nil {
-				t.Error("a request without its body is read")
+				t.Error("Request returned no error for a request whose body is incomplete")
 			}
 		}
 	}).AllocedBytesPerOp()
-	if got > MaxBody/4 {
-		t.Errorf("%d bytes allocated for a request that never arrived", got)
+	if got > MaxBodyBytes/4 {
+		t.Errorf("%d bytes allocated for an incomplete request, want at most MaxBodyBytes/4", got)
 	}
 }
 
-// Interim responses are skipped, but only a limited number of them.
+// Response skips up to maxInterimResponses interim responses and fails if there are more.
 func TestInterimResponsesEnd(t *testing.T) {
 	const interim, final = "HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n"
 	for n, ok := range map[int]bool{0: true, maxInterimResponses: true, maxInterimResponses + 1: false} {
 		r, err := NewReader(strings.NewReader(strings.Repeat(interim, n) + final)).Response()
 		if (err == nil) != ok || ok && r.Status != 202 {
-			t.Errorf("%d interim responses: %v, %v", n, r, err)
+			t.Errorf("%d interim responses: got %v and error %v, want an error only above the limit", n, r, err)
 		}
 	}
 }
