--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -4,30 +4,31 @@
 // The package uses no clock, no network and no goroutines. The caller feeds a Dispatcher one Event at a time
 // and carries out the actions that Step appends.
 //
-// A Dispatcher queues jobs by latest start and sends them to workers with free slots. A published overload
-// control decides about admission: when the queued jobs would not all start in time (see
-// admission.go), call gapping rejects a part of the new jobs, lowest rank first. docs/design.md says
-// where and why the package departs from the publication.
+// A Dispatcher queues jobs by latest start, which is the latest time at which a job can start and still meet
+// its latency objective, and sends them to workers with free slots. A published overload control decides
+// about admission: when the queued jobs would not all start in time (see admission.go), call gapping rejects
+// a part of the new jobs, lowest rank first. docs/design.md says where and why the package departs from the
+// publication.
 //
 // The files that hold decisions are listed under policy in deploy/balancer.toml. state.go and records.go
-// define the state, and the estimate files compute the estimates on which decisions rest.
+// define the state, and the files named estimate_*.go compute the estimates on which decisions rest.
 package dispatch
 
-// Micros is a point in time or a duration, in microseconds. Points in time count from an arbitrary start and
-// never decrease.
+// Micros is a point in time or a duration, in microseconds. Points in time count from an arbitrary origin,
+// and the times that a caller passes to Dispatcher.Step never decrease.
 type Micros int64
 
-// JobID identifies a job. Its value has no meaning.
+// JobID identifies a job. Decisions do not depend on the value of a JobID.
 type JobID uint64
 
 // WorkerID identifies a worker. From its value each dispatcher computes which dispatcher may send to the
-// worker while it is in slow start.
+// worker while the worker is in slow start.
 type WorkerID uint32
 
-// Effect says whether a job may be attempted again once an attempt may have run.
+// Effect says whether a job may be attempted again after an earlier attempt that may have run.
 type Effect uint8
 
-// The values of Effect.
+// The values of Effect say how often a job may run.
 const (
 	Safe   Effect = iota // the job may run any number of times
 	Keyed                // the job has an idempotency key: workers of one deduplication group drop repeats
@@ -38,7 +39,7 @@
 // another worker of the group has received within the deduplication window.
 type DedupScope uint8
 
-// The values of DedupScope.
+// The values of DedupScope say how the fleet is divided into deduplication groups.
 const (
 	ScopeAll  DedupScope = iota // all workers form one group
 	ScopeZone                   // the workers of each zone form a group
@@ -47,16 +48,19 @@
 
 // Class describes one class of jobs.
 type Class struct {
-	LatencyObjective Micros  // an answer within this time earns the full weight; 0: the deadline
+	LatencyObjective Micros  // an answer within this time earns the full PriorityWeight; 0: equal to Deadline
 	ObjectiveStretch float64 // multiple of the job's own work that is added to the latency objective
 	Deadline         Micros  // the longest time that the client waits, over all its tries
-	PriorityWeight   float64 // weight of each job, or of each unit of work if Settings.WeightByWork is set
-	LateWeight       float64 // fraction of the weight that an answer after the objective earns
-	Effect           Effect
-	DedupScope       DedupScope // deduplication groups of the workers; used only if Effect is Keyed
-	DedupWindow      Micros     // time for which a group drops repeats of a job; used only if Effect is Keyed
-	Stream           bool       // the worker streams the answer
-	Kind             int        // the machine kind that a job needs; -1: any kind
+	// PriorityWeight is the value of an answer within the latency objective: for each job or, if
+	// Settings.WeightByWork is set, for each unit of the job's work. Under overload the dispatcher first rejects
+	// jobs with the least value for each unit of work.
+	PriorityWeight float64
+	LateWeight     float64 // fraction of PriorityWeight that an answer after the latency objective earns
+	Effect         Effect
+	DedupScope     DedupScope // deduplication groups of the workers; used only if Effect is Keyed
+	DedupWindow    Micros     // time for which a group drops repeats of a job; used only if Effect is Keyed
+	Stream         bool       // the worker streams the answer to the client
+	Kind           int        // the machine kind that a job needs; -1: any kind
 }
 
 // Tenant describes one of the tenants that share the fleet.
@@ -77,18 +81,23 @@
 
 	// PollEndpoints is set if the dispatcher has to poll the worker list or renew a subscription to it.
 	PollEndpoints bool
-	PollInterval  Micros // longest time between two polls if PollEndpoints is set; 0: 10 s
+	// PollInterval scales the times between polls if PollEndpoints is set: a poll without an answer is repeated
+	// after about half of this interval, and a subscription is renewed after watchRenewalIntervals intervals
+	// without an update. 0: 10 s.
+	PollInterval Micros
 	// MaxStaleness is the time after a change of the worker list from which the dispatcher must obey the change
-	// even if it has not received it: an older list is not used. 0: only received changes bind it.
+	// even without having received it, so the dispatcher does not send by a list that is older than this time.
+	// 0: the dispatcher must obey only the changes that it has received.
 	MaxStaleness   Micros
 	UnmeteredPolls bool // polls put no load on discovery, so they need not be spread over time or delayed
 
-	Granularity Micros // shortest time between two batches of events; raised to 1 ms if below that
+	Granularity Micros // shortest time between two batches of events; values below 1 ms are raised to 1 ms
 
 	SlowStart        Micros  // time after its start during which a worker is in slow start
 	SlowStartInitial float64 // fraction of its full capacity that a worker has when it starts
-	// OverloadFactor and OverloadWindow limit what a worker in slow start is sent: within any OverloadWindow,
-	// more work than OverloadFactor times what its present capacity can do in that time overloads the worker.
+	// OverloadFactor and OverloadWindow limit what a worker in slow start is sent. A worker is overloaded if it
+	// is sent, within any OverloadWindow, more work than OverloadFactor times the work that its present capacity
+	// can do in an OverloadWindow.
 	OverloadFactor float64
 	OverloadWindow Micros
 
@@ -104,13 +113,13 @@
 	ProgressInterval Micros // time between two progress reports of a running job; 0: workers report none
 	LoadReports      bool   // answers of workers carry load reports
 
-	CrossZonePrice float64 // cost of an attempt at a worker of another zone, in mean values of a job
+	CrossZonePrice float64 // price of an attempt at a worker of another zone, in multiples of a mean job's value
 }
 
 // Status is the state of a worker in the worker list.
 type Status uint8
 
-// The values of Status.
+// The values of Status say whether a worker accepts new jobs.
 const (
 	Removed  Status = iota // the worker has been removed from the list
 	Ready                  // the worker accepts jobs
@@ -124,29 +133,30 @@
 	Cell    int
 	Kind    int // machine kind
 	Status  Status
-	Started Micros // time of the worker's latest start; 0: too long ago to matter for slow start
+	Started Micros // time of the worker's latest start; 0: the start is too long ago to matter for slow start
 }
 
 // EventKind is the kind of an event.
 type EventKind uint8
 
-// The kinds of events. A comment lists the fields of Event that the kind uses.
+// The kinds of events. The comment of each kind lists the fields of Event that the kind uses.
 const (
-	JobArrived         EventKind = iota // Job, Class, Tenant, ClientTimeout, Retry, Work, Slots
-	AttemptEnded                        // Job, Attempt, Worker, Outcome, Final, Report
-	AttemptReported                     // Job, Attempt, Worker, Note, Value
-	StreamStarted                       // Job, Attempt, Worker
-	ClientDisconnected                  // Job
-	EndpointsUpdated                    // Scope, Workers, Age
-	GossipReceived                      // Peer, Message
-	TimerFired                          // Token
-	Started                             // no fields; sent once, before all other events
+	JobArrived         EventKind = iota // Event fields: Job, Class, Tenant, ClientTimeout, Retry, Work, Slots
+	AttemptEnded                        // Event fields: Job, Attempt, Worker, Outcome, Final, Report
+	AttemptReported                     // Event fields: Job, Attempt, Worker, Note, Value
+	StreamStarted                       // Event fields: Job, Attempt, Worker
+	ClientDisconnected                  // Event field: Job
+	EndpointsUpdated                    // Event fields: Scope, Workers, Age
+	GossipReceived                      // Event fields: Peer, Message
+	TimerFired                          // Event field: Token
+	Started                             // sent once, before all other events; no Event fields
 )
 
 // Outcome says how an attempt ended.
 type Outcome uint8
 
-// The values of Outcome. AtCapacity, ConnectFailed, NotSent and HandedBack prove that the job did not run.
+// The values of Outcome. After AtCapacity, ConnectFailed, NotSent and HandedBack it is certain that the job
+// did not run in the attempt.
 const (
 	OK            Outcome = iota // the worker finished the job
 	Failed                       // the worker reported an error
@@ -157,17 +167,18 @@
 	Cancelled                    // the attempt was cancelled
 	NotSent                      // the attempt never left the scheduler
 
-	// HandedBack means that the worker accepted the job and later returned it without starting it. The worker
-	// may report this more than once; eligible says what follows from that.
+	// HandedBack means that the worker accepted the job and later returned the job without starting it. The
+	// worker may report the return more than once, so eligible excludes this worker from later attempts of the
+	// job.
 	HandedBack
 )
 
 // Note is the kind of a report about a running attempt.
 type Note uint8
 
-// The values of Note.
+// The values of Note say what a worker reports about an attempt that has not ended.
 const (
-	NoteOther    Note = iota // a sign of life and nothing else
+	NoteOther    Note = iota // the report is only a sign of life of the worker
 	NoteStarted              // the job has started to run
 	NoteProgress             // Event.Value is the fraction of the work that is done
 )
@@ -175,17 +186,18 @@
 // UpdateScope says which part of the worker list an EndpointsUpdated event carries.
 type UpdateScope uint8
 
-// The values of UpdateScope.
+// The values of UpdateScope say which entries an update carries and how far it can be relied on.
 const (
 	UpdateDelta  UpdateScope = iota // the changed entries only
 	UpdateFull                      // the complete list
 	UpdateCached                    // the complete list as stored before a restart; it may be stale
 
-	// UpdateFailed means that a call to discovery failed or the subscription ended. It carries no entries. The
-	// list that the dispatcher has may be older than assumed: Event.Age says how old at least.
+	// UpdateFailed means that a call to discovery failed or the subscription ended. The event carries no
+	// entries. The dispatcher's present worker list may be older than assumed: Event.Age is its least age.
 	UpdateFailed
-	// UpdateDrains carries only entries of workers that drain or are removed, from another source than the
-	// present worker list; it may carry none. Event.Age has the meaning that it has for UpdateFailed.
+	// UpdateDrains carries only entries of workers that drain or are removed, or no entries. The entries come
+	// from another source than the dispatcher's present worker list; Event.Age is the least age of the present
+	// list.
 	UpdateDrains
 )
 
@@ -210,13 +222,13 @@
 	ClientTimeout Micros  // time until the client abandons this try
 	Retry         bool    // the client marked this try as a retry
 	Work          Micros  // the client's cost hint: expected run time on a standard core; 0: unknown
-	Slots         float64 // slots that the job takes, or its units of memory if that number is larger
+	Slots         float64 // number of worker slots that the job takes, or of memory units if that is larger
 	Worker        WorkerID
 	Attempt       int     // number of the attempt within its job, from 0
 	Value         float64 // fraction of the work that is done, if Note is NoteProgress
 	Report        Report
 	Workers       []WorkerEntry
-	Age           Micros // time since the worker list was last known to be current
+	Age           Micros // time since discovery last confirmed the worker list; see also UpdateFailed
 	Peer          int    // number of the dispatcher that sent the message
 	Message       []byte
 	Token         uint64 // token of the SetTimer action whose timer fired
@@ -225,16 +237,16 @@
 // ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The kinds of actions. A comment lists the fields of Action that the kind uses.
+// The kinds of actions. The comment of each kind lists the fields of Action that the kind uses.
 const (
-	Send           ActionKind = iota // Job, Attempt, Worker, Deadline, SendBy
-	Refuse                           // Job, Delay (Retry-After for the client)
-	Fail                             // Job
-	Cancel                           // Job, Attempt
-	SetTimer                         // Delay, Token
-	WatchEndpoints                   // subscribe to the worker list
-	SendGossip                       // Peer, Message
-	Log                              // Text
+	Send           ActionKind = iota // Action fields: Job, Attempt, Worker, Deadline, SendBy
+	Refuse                           // Action fields: Job, Delay (Retry-After for the client)
+	Fail                             // Action field: Job
+	Cancel                           // Action fields: Job, Attempt
+	SetTimer                         // Action fields: Delay, Token
+	WatchEndpoints                   // subscribe to the worker list; no Action fields
+	SendGossip                       // Action fields: Peer, Message
+	Log                              // Action field: Text
 )
 
 // Action is an output of Dispatcher.Step that the caller carries out. Kind says which fields are used.
@@ -243,9 +255,9 @@
 	Job      JobID
 	Worker   WorkerID
 	Attempt  int    // number of the attempt within its job, from 0
-	Deadline Micros // time at which the attempt of a Send has to be abandoned
-	// SendBy is the time from which a Send must not leave any more. After it, a repeat of a keyed job could
-	// reach a worker outside the deduplication window.
+	Deadline Micros // time at which the caller has to abandon the attempt of a Send
+	// SendBy is the time from which the caller must no longer send the attempt of a Send. A repeat of a keyed
+	// job that is sent later could reach a worker after the end of the deduplication window.
 	SendBy  Micros
 	Delay   Micros // Retry-After that a Refuse carries, or time until the timer of a SetTimer fires
 	Token   uint64 // token that the TimerFired event of a SetTimer has to carry
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Step handles one event at time now and appends the resulting actions to out. Times must not decrease from
-// call to call.
+// Step handles one event at time now, appends the resulting actions to out, and returns the extended slice.
+// The time now must not decrease from call to call.
 func (d *Dispatcher) Step(now Micros, e *Event, out []Action) []Action {
 	d.now, d.actions, d.cachedBestSpeed = now, out, 0
 	d.eventCount++
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -14,12 +14,12 @@
 	number         int     // number of the attempt within its job, from 0
 	sentAt         Micros  // time of the Send action
 	startedAt      Micros  // time of the reported or inferred start; 0 if no start is known
-	accountedUntil Micros  // end of the part of the run that the speed estimates already include
+	accountedUntil Micros  // time up to which the speed estimates already include the run of the attempt
 	progress       float64 // fraction of the job's work, 0 to 1, that the speed estimates already include
 	inFlight       bool    // the attempt was sent and its end is not known
 	mayHaveRun     bool    // the attempt ended with an outcome after which the job may have run
 	handedBack     bool    // the worker handed the job back and may repeat this report for a later attempt
-	slotsAtSend    float64 // known slots in use at the worker just after the send, this attempt's included
+	slotsAtSend    float64 // known slots in use at the worker just after the send, with this attempt's slots
 	startOverdue   bool    // no start was reported within startReportTimeout
 }
 
@@ -30,7 +30,7 @@
 	overQuota     bool       // the job arrived when its tenant had used up its quota
 	deadline      Micros     // time when the client abandons this try
 	objective     Micros     // time until which an answer earns the full weight
-	latestStart   Micros     // latest start that meets the objective, or lateOffset after the deadline if late
+	latestStart   Micros     // latest start that meets the objective; for a late job, deadline plus lateOffset
 	seq           uint64     // arrival number of the job in this dispatcher, from 1
 	work          float64    // expected work, in microseconds on a standard core
 	slots         float64    // worker slots that the job takes while in flight
@@ -38,39 +38,41 @@
 	inFlight      int        // number of attempts in flight
 	queued        bool       // the job is in the queue
 	late          bool       // the job cannot meet its objective and is queued behind all jobs that can
-	hinted        bool       // the client stated the work
+	hinted        bool       // the client stated the expected work of the job
 	streaming     bool       // the answer has begun to stream to the client
 	finished      bool       // the job has its final answer, or its client has disconnected
 }
 
 // worker holds what the dispatcher knows of a worker of the list.
 type worker struct {
-	// The fields that each update of the worker list touches come first, to share a few cache lines.
+	// The fields that each update of the worker list touches come first, so that they share a few cache lines.
 	entry      WorkerEntry // latest entry of the worker list
 	kind       *kind       // estimates for the worker's machine kind; nil if not looked up yet
-	group      *group      // wait estimates for the worker's zone and kind; nil if not looked up yet
+	group      *group      // estimated waits at the workers of the zone and kind; nil if not looked up yet
 	sortKey    sortKey     // sort key as of the last updateSubset
 	inOrder    bool        // the worker is in the list workerState.ordered
 	covered    bool        // this dispatcher's interval of the ring covers the worker
 	inSubset   bool        // the worker is in this dispatcher's subset
 	lastUpdate uint64      // number of the last list update that named the worker
-	removedAt  Micros      // time when the list first had the worker as removed; 0 if the list has not
+	removedAt  Micros      // time when the list first showed the worker as removed; 0 while it is not removed
 
 	ringPosition float64                // position on the ring, see workerRingPosition
-	ringVersion  uint64                 // generation of ringGroup for which ringPosition was computed; 0 if none
+	ringVersion  uint64                 // generation of ringGroup for which ringPosition is valid; 0 for none
 	ringGroup    *subset.Group[*worker] // ready workers of the same zone and kind; nil while not ready
 
 	attempts          []*attempt // own attempts in flight at the worker
-	ownSlots          float64    // slots that these attempts take
-	unstartedAttempts int        // number of these attempts without a known start
-
-	slotLimit          float64                           // slots that may be filled if no starts are reported
-	slotLimitAt        Micros                            // time of the last evidence for slotLimit, see mayProbe
-	reportedSlots      float64                           // mean of reported free and outstanding; 0 if unknown
-	blockedUntil       Micros                            // time until which nothing is sent, set by AtCapacity
-	startCountsBySlots *[maxTrackedSlots + 1]startCounts // by slots in use; nil while no own job showed any
-	speed              speedEstimate                     // speed in this dispatcher's own runs
-	startWait          waitEstimate                      // waits of own jobs before their start
+	ownSlots          float64    // slots of the worker that the own attempts in flight take
+	unstartedAttempts int        // number of own attempts in flight without a known start
+
+	slotLimit     float64 // number of slots that may be filled; used if workers report no starts
+	slotLimitAt   Micros  // time of the last evidence for slotLimit, see mayProbe
+	reportedSlots float64 // running mean of free slots plus jobs in flight in load reports; 0 if unknown
+	blockedUntil  Micros  // time until which no job is sent after the outcome AtCapacity or HandedBack
+	// startCountsBySlots counts how own jobs started, by the number of slots in use when a job was sent. It is
+	// nil until the first own job is counted.
+	startCountsBySlots *[maxTrackedSlots + 1]startCounts
+	speed              speedEstimate // speed of the worker in this dispatcher's own runs
+	startWait          waitEstimate  // waits of this dispatcher's jobs at the worker before their start
 
 	lastSeen            Micros  // time of the last sign of life, see markAlive
 	suspect             bool    // the worker has work and was silent for longer than silenceTimeout
@@ -90,7 +92,9 @@
 	lastGossiped slotUse   // slot use that was last sent to the peers
 	gossipQueued bool      // the worker is in gossipQueue: lastGossiped may be out of date
 
-	placementBias float64 // random addition to the cost, in runs, by which dispatchers prefer different workers
+	// placementBias is a random addition to the placement cost, in expected run times of the job, by which
+	// dispatchers prefer different workers.
+	placementBias float64
 	indexNode     bucketqueue.Node[*worker]
 	indexVersion  uint64 // last version of the index that contained the worker
 	dirty         bool   // the worker's index key has to be computed again
@@ -107,21 +111,22 @@
 	peer          int    // number of the peer
 	updatedAt     Micros // time of the last report
 	increasedAt   Micros // time of the last report with more slots in use than the report before
-	arrivingSlots byte   // number of slots by which the use grew at increasedAt
-	waitingSince  Micros // time since which the reports contain waiting slots; 0 if the last report has none
+	arrivingSlots byte   // number of slots by which the peer's use grew at increasedAt
+	waitingSince  Micros // time since which all reports have had waiting slots; 0 if the last has none
 }
 
 // peer holds what the dispatcher knows of another dispatcher.
 type peer struct {
 	position      float64 // position on the ring, see dispatcherRingPosition
 	zone          int     // zone of the peer; unknownZone until the peer's first gossip message
-	crossedZoneAt Micros  // time of the peer's last report of a worker in another zone than its own
+	crossedZoneAt Micros  // time of the peer's last report about a worker in another zone than the peer's
 }
 
 const unknownZone = -1
 
-// flow is the jobs of one tenant and one class that are within the tenant's quota, or those over the quota.
+// flow describes the jobs of one tenant and one class that are within the tenant's quota, or the jobs over the
+// quota.
 type flow struct {
 	rate                float64 // guaranteed rate in jobs per second (d in the published overload control)
-	lastGappingInterval int64   // number of the last gapping interval in which a job passed; -1 if none
+	lastGappingInterval int64   // number of the last interval of call gapping that admitted a job; -1 if none
 }
--- a/internal/dispatch/rules.go
+++ b/internal/dispatch/rules.go
@@ -51,8 +51,9 @@
 	return true
 }
 
-// latestSend returns the time before which the repetition rule allows an attempt of a job to be sent to a
-// worker. 0 means that the rule forbids the attempt.
+// latestSend returns the time before which the repetition rule (an attempt that may have run is repeated only
+// as the job's class allows) permits an attempt of a job to be sent to a worker. The result is 0 if the rule
+// forbids the attempt.
 func (d *Dispatcher) latestSend(j *job, w *worker) Micros {
 	if j.inFlight > 0 && !d.settings.HedgingAllowed {
 		return 0
@@ -70,12 +71,13 @@
 	return sendBy
 }
 
-// attemptAllowed reports whether the repetition rule allows an attempt of a job at a worker now.
+// attemptAllowed reports whether latestSend, and so the repetition rule, allows an attempt of a job at a
+// worker now.
 func (d *Dispatcher) attemptAllowed(j *job, w *worker) bool { return d.now < d.latestSend(j, w) }
 
 // finish is the only function that gives a job a final answer that no worker reported. It gives one answer
 // for each job (single-answer rule). It refuses a job, which invites the client to retry, only if a retry by
-// the client obeys the repetition rule; otherwise it fails the job.
+// the client would not break the repetition rule, see refusalAllowed; otherwise it fails the job.
 func (d *Dispatcher) finish(j *job) {
 	if j.finished {
 		return
@@ -83,7 +85,8 @@
 	if d.refusalAllowed(j) {
 		wait, earnsNothing := Micros(0), d.now >= j.objective && d.settings.Classes[j.class].LateWeight == 0
 		if earnsNothing || d.level > levelNormal && (j.overQuota || !d.feasible(j, 1)) {
-			// A prompt retry would most likely be too late as well and would take capacity from other jobs.
+			// A prompt retry by the client would most likely be too late as well and would take capacity from
+			// other jobs.
 			wait = d.settings.MaxRetryAfter
 		}
 		d.emit(Action{Kind: Refuse, Job: j.id, Delay: wait})
@@ -93,8 +96,9 @@
 	d.closeJob(j)
 }
 
-// refusalAllowed reports whether the repetition rule is kept if the client retries a job after a refusal. The
-// retry may reach any worker, so an attempt that may have run must be repeatable at every worker.
+// refusalAllowed reports whether the repetition rule (an attempt that may have run is repeated only as the
+// job's class allows) still holds if the client retries a job after a refusal. The retry may reach any
+// worker, so an attempt that may have run must be repeatable at every worker.
 func (d *Dispatcher) refusalAllowed(j *job) bool {
 	c := &d.settings.Classes[j.class]
 	if c.Effect == Safe || c.Effect == Keyed && c.DedupScope == ScopeAll {
@@ -108,8 +112,8 @@
 	return true
 }
 
-// closeJob marks a job as answered and forgets it once no attempt is in flight. It cancels attempts in flight
-// where the settings allow that and the answer does not stream.
+// closeJob marks a job as finished and deletes its record if no attempt is in flight. It cancels the attempts
+// in flight if the settings allow cancellation and the answer does not stream.
 func (d *Dispatcher) closeJob(j *job) {
 	j.finished = true
 	d.dequeue(j)
@@ -126,8 +130,8 @@
 	}
 }
 
-// sameDedupGroup reports whether two workers are in one deduplication group of a scope, that is, whether each
-// drops a job that the other has already received.
+// sameDedupGroup reports whether two workers are in one deduplication group under the given scope, that is,
+// whether each of them drops a keyed job that the other has already received.
 func sameDedupGroup(g DedupScope, a, b *WorkerEntry) bool {
 	switch g {
 	case ScopeAll:
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -17,7 +17,7 @@
 	case s.SlowStartInitial < 0 || s.SlowStartInitial > 1:
 		return fmt.Errorf("dispatch: SlowStartInitial is not in the range 0 to 1: %v", s.SlowStartInitial)
 	case s.OverloadFactor < 0 || s.SlowStart < 0 || s.OverloadWindow < 0:
-		return fmt.Errorf("dispatch: SlowStart, OverloadWindow or OverloadFactor is negative")
+		return fmt.Errorf("dispatch: SlowStart, OverloadWindow and OverloadFactor must not be negative")
 	case s.MaxAttempts < 0:
 		return fmt.Errorf("dispatch: MaxAttempts is negative: %d", s.MaxAttempts)
 	}
@@ -51,22 +51,22 @@
 		return fmt.Errorf("dispatch: Classes[%d].Deadline is not positive: %d", i, c.Deadline)
 	case c.LatencyObjective < 0 || c.ObjectiveStretch < 0 || c.PriorityWeight < 0 || c.LateWeight < 0 ||
 		c.DedupWindow < 0:
-		return fmt.Errorf("dispatch: Classes[%d] has a negative LatencyObjective, ObjectiveStretch, "+
-			"PriorityWeight, LateWeight or DedupWindow", i)
+		return fmt.Errorf("dispatch: Classes[%d] has a negative setting: "+
+			"LatencyObjective, ObjectiveStretch, PriorityWeight, LateWeight and DedupWindow must not be negative", i)
 	case c.Effect > Unsafe || c.DedupScope > ScopeCell:
 		return fmt.Errorf("dispatch: Classes[%d] has an unknown Effect or DedupScope", i)
 	}
 	return nil
 }
 
-// LargeFleet reports whether there are so many dispatchers that each of them sends to a given worker only
-// seldom and therefore learns little about it from its own jobs.
+// LargeFleet reports whether there are so many dispatchers (more than maxSmallFleetDispatchers) that each of
+// them sends to a given worker only seldom and therefore learns little about the worker from its own jobs.
 func (s *Settings) LargeFleet() bool { return s.Dispatchers > maxSmallFleetDispatchers }
 
 // RemovedRetention returns how long the record of a removed worker is kept. If the worker is listed again
 // within that time, its estimates still apply. The time is longer than any deadline, so that no open job has
-// an attempt at the worker when its record is dropped. The bound keeps memory use constant in a fleet whose
-// workers are replaced again and again.
+// an attempt at the worker when its record is dropped. Dropping the records after that time bounds the memory
+// use in a fleet whose workers are replaced again and again.
 func (s *Settings) RemovedRetention() Micros {
 	longest := Micros(600 * second)
 	for i := range s.Classes {
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -40,19 +40,21 @@
 
 // workerState holds the known workers and the ordered lists and subsets of these workers.
 type workerState struct {
-	workers         map[WorkerID]*worker
-	ordered         []*worker            // all known workers by sort key, removed workers included
-	subset          []*worker            // workers that this dispatcher sends to, by sort key, see updateSubset
-	ring            subset.Ring[*worker] // ready workers by position on the ring
-	ownedNotCovered []*worker            // ready workers owned by number but outside the interval, by sort key
-	removed         []removedWorker      // removed workers whose records are still kept, earliest removal first
-	busy            []*worker            // workers with own attempts in flight
-	gossipQueue     []*worker            // workers whose slot use may have to be reported to peers
+	workers map[WorkerID]*worker
+	ordered []*worker            // all known workers, in the order of compareWorkers, removed workers included
+	subset  []*worker            // workers that this dispatcher sends to, in the order of compareWorkers
+	ring    subset.Ring[*worker] // ready workers by position on the ring, see updateSubset
+	// ownedNotCovered has the ready workers that this dispatcher owns by number during their slow start (see
+	// isOwnerByNumber) but that its interval of the ring does not cover, in the order of compareWorkers.
+	ownedNotCovered []*worker
+	removed         []removedWorker // removed workers whose records are still kept, earliest removal first
+	busy            []*worker       // workers with own attempts in flight
+	gossipQueue     []*worker       // workers whose slot use may have to be reported to peers
 
 	position     float64 // this dispatcher's position on the ring, from 0 to 1
 	ringCoverage float64 // fraction of the ring that each dispatcher's interval covers
 	neighbours   []int   // numbers of the dispatchers whose intervals overlap this dispatcher's interval
-	peers        []peer  // all dispatchers, by number
+	peers        []peer  // records of all dispatchers, this one included, by dispatcher number
 }
 
 // endpointState describes the worker list itself: its updates and its age.
@@ -68,12 +70,12 @@
 type estimateState struct {
 	classes         []classState        // estimates for each class, by class number
 	kinds           map[int]*kind       // estimates for each machine kind, by kind number
-	groups          map[groupKey]*group // wait estimates for each pair of zone and kind
-	slotTimes       quantileWindow      // run time in microseconds times slots, over the jobs of all classes
+	groups          map[groupKey]*group // estimated waits of jobs at workers, for each pair of zone and kind
+	slotTimes       quantileWindow      // run times in microseconds times slots, over the jobs of all classes
 	fleetEstimate   speedEstimate       // speed of all workers together
 	cachedBestSpeed float64             // result of bestSpeed in the current event; 0 if not computed yet
 	fastestWorker   *worker             // worker with the best speed in the last search; nil if not known
-	meanJobValue    float64             // running mean of the value of a job, see value
+	meanJobValue    float64             // running mean of the value of arriving jobs, see Dispatcher.value
 	hintsSeen       bool                // at least one job arrived with a hint of its work
 }
 
@@ -83,16 +85,16 @@
 	quotaRefilledAt []Micros  // for each tenant: time of the last refill of its quotaTokens
 
 	level       overloadLevel
-	gappedRanks int // number of ranks that are gapped now: all ranks below this number
+	gappedRanks int // number of ranks to which call gapping applies now: all ranks below this number
 
-	// Numbers of consecutive overload assessments: with result levelSevere, with result levelOverload or
-	// levelSevere, and with result levelNormal.
+	// Numbers of the latest consecutive results of overloadAssessment: of levelSevere, of levelOverload or
+	// levelSevere, and of levelNormal.
 	consecutiveSevere, consecutiveOverload, consecutiveNormal int
 
 	gappingSteppedAt      Micros // time of the last change of gappedRanks or of the overload level
-	gappingStepInterval   Micros // time between two steps of gappedRanks (X in the published overload control)
-	flows                 []flow // by (tenant, class, within or over quota), in the order admits computes
-	ranks                 []int  // rank for each (class, within or over quota); rank 0 is gapped first
+	gappingStepInterval   Micros // time between two changes of gappedRanks by 1 (X in the published control)
+	flows                 []flow // by tenant, class, and within or over quota; admits computes the index
+	ranks                 []int  // rank for each class, within and over quota; call gapping begins with rank 0
 	rankCount             int    // number of distinct ranks
 	parametersRefreshedAt Micros // time of the last call of refreshAdmissionParameters
 	parameterRefreshes    int    // number of calls of refreshAdmissionParameters so far
@@ -104,11 +106,12 @@
 	scanLimit        int    // largest subset, in workers, that is scanned for each job: maxScannedSubset
 	index            *index // index of a large subset; nil until first needed
 	workersExamined  uint64 // number of times that a worker's cost or index key was computed, over all jobs
-	freeCapacitySeen bool   // a worker examined in the current scan has a free slot or may be probed
+	freeCapacitySeen bool   // a worker examined in the current scan has a free slot, or mayProbe holds for it
 	noCapacityEvent  uint64 // eventCount at the last scan in which no worker of the subset had capacity
 
-	// Workers in list order by scope and by the number of the zone or cell. The map of a scope is nil until
-	// a job needs the map.
+	// dedupGroups holds the workers of each deduplication group, in the order of workerState.ordered. The index
+	// is the deduplication scope, and the key of a map is the number of the zone or cell. The map of a scope is
+	// nil until a job needs the map.
 	dedupGroups [ScopeCell + 1]map[int][]*worker
 }
 
@@ -118,10 +121,10 @@
 	suspects      []*worker  // workers that may be suspect or ejected, see countOutliers
 	overdueStarts []*attempt // attempts in flight whose report of the start is overdue
 
-	sortedOverdueStarts      []*attempt // overdueStarts in the order of the busy workers
+	sortedOverdueStarts      []*attempt // overdueStarts in the order of their workers in workerState.busy
 	sortedOverdueStartsEvent uint64     // eventCount when sortedOverdueStarts was built
 
-	failingWorkers struct { // count of the subset's workers for which failsJobs holds
+	failingWorkers struct { // cached count of the subset's workers for which failsJobs holds
 		event uint64  // eventCount when the workers were counted
 		count float64 // number of workers
 	}
@@ -172,9 +175,9 @@
 	}
 }
 
-// armTimer sets the timer for the next poll, inspection or gossip message, whichever is due first. The
-// inspection comes after inspectionInterval while jobs are queued, and after at least an eighth of a second
-// while jobs only run.
+// armTimer sets the timer for the next poll of the worker list, call of inspect or gossip message, whichever
+// is due first. A call of inspect is due after inspectionInterval while jobs are queued, and after at least
+// an eighth of a second while no job is queued but attempts are in flight.
 func (d *Dispatcher) armTimer() {
 	next := Micros(math.MaxInt64)
 	if d.pollAt != 0 {
