--- a/internal/bucketqueue/queue.go
+++ b/internal/bucketqueue/queue.go
@@ -1,5 +1,5 @@
 // Package bucketqueue implements a priority queue for small integer keys: a bucket queue (Dial, 1969). The
-// caller derives each node's key from the node's cost. Adding, moving and removing a node take constant time,
+// caller derives the key of each node from a cost. Adding, moving and removing a node take constant time,
 // whatever the number of nodes. A bit set of one machine word shows which buckets have nodes, so that the
 // nodes with the smallest keys are found without a scan. The package makes no scheduling decisions.
 package bucketqueue
@@ -14,7 +14,7 @@
 	Value T
 	queue *Queue[T]
 	key   uint8
-	index int32 // position of the node in its bucket
+	index int32 // index of the node in the bucket of its key
 }
 
 // Queue holds nodes in buckets, one bucket for each key. The zero Queue is empty.
@@ -65,10 +65,10 @@
 	n.queue = nil
 }
 
-// Smallest appends up to limit nodes to list, those with the smallest keys first, and returns the extended
-// list. Nodes with keys above maxKey are left out. Within a bucket, the first node is chosen by rotation
-// modulo the size of the bucket: with a different rotation in each call, nodes with equal keys are returned
-// in turn. The list remains valid when the queue changes.
+// Smallest appends up to limit nodes to list in ascending order of their keys, and returns the extended list.
+// Nodes with keys above maxKey are left out. Within a bucket, the first node is chosen by rotation modulo the
+// size of the bucket: with a different rotation in each call, nodes with equal keys are returned in turn. The
+// returned list remains valid when the queue changes.
 func (q *Queue[T]) Smallest(list []*Node[T], limit, maxKey int, rotation uint) []*Node[T] {
 	for remaining := q.nonEmpty; remaining != 0 && limit > 0; remaining &= remaining - 1 {
 		k := bits.TrailingZeros64(remaining)
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -23,21 +23,24 @@
 // (classState.waitTarget), N(t) (queuedWithin) and X (gappingStepInterval).
 
 const (
-	// conditionMargin is the fraction of the right side of both conditions, deadline feasibility of a class and
-	// of a pair of classes, that the left side may reach in normal load.
+	// conditionMargin is the margin f of the published overload control. In normal load, the time that the jobs
+	// of a feasibility condition (of a class or of a pair of classes) need may reach at most this fraction of
+	// the time that is available for them.
 	conditionMargin = 0.9
 
-	// levelChangeAssessments is the number of consecutive overload assessments with the same result after which
-	// the overload level changes. The value is that of the publication.
+	// levelChangeAssessments is the number of consecutive calls of overloadAssessment with the same result after
+	// which the overload level changes. The published overload control uses the same number.
 	levelChangeAssessments = 5
 
-	quotaBurstSeconds = 2.0 // seconds of its quota that a tenant may save up
+	quotaBurstSeconds = 2.0 // unused quota that a tenant may save up, in seconds at the rate of the quota
 
-	// minQuotaBurst is the least number of jobs that a tenant may save up. Each dispatcher has only its part of
-	// the quota, and quotaBurstSeconds of a small part could be less than a whole job.
+	// minQuotaBurst is the lower bound of the number of jobs that a tenant may save up as unused quota. Each
+	// dispatcher has only its part of the quota, and quotaBurstSeconds of a small part could be less than a
+	// whole job.
 	minQuotaBurst = 2.0
 
-	// classMixDecay is the factor by which each second multiplies the counts of arrivals by class.
+	// classMixDecay is the factor by which the decayed number of arrivals of each class is multiplied once a
+	// second.
 	classMixDecay = 0.96
 )
 
@@ -45,12 +48,16 @@
 type overloadLevel int
 
 const (
-	levelNormal   overloadLevel = iota // both conditions hold with the margin: gapping is lifted rank by rank
-	levelOverload                      // both conditions hold, but not with the margin: rank by rank is gapped
-	levelSevere                        // at least one condition fails: all ranks are gapped
+	// levelNormal means that both feasibility conditions hold with conditionMargin. Call gapping is lifted rank
+	// by rank.
+	levelNormal overloadLevel = iota
+	// levelOverload means that both feasibility conditions hold, but not with conditionMargin. Call gapping is
+	// extended rank by rank.
+	levelOverload
+	levelSevere // at least one feasibility condition fails: call gapping applies to all ranks
 )
 
-// onJobArrived queues an arriving job and gives it its final answer at once if admits rejects it.
+// onJobArrived queues an arriving job, or gives the job its final answer at once if admits rejects the job.
 func (d *Dispatcher) onJobArrived(e *Event) {
 	if _, known := d.jobs[e.Job]; known {
 		return
@@ -90,7 +97,7 @@
 }
 
 // exceedsQuota reports whether an arriving job is beyond its tenant's quota. A job within the quota takes one
-// token from it, unless the job is a retry by the client.
+// token from the tenant's quotaTokens, unless the job is a retry by the client.
 func (d *Dispatcher) exceedsQuota(tenant int, retried bool) bool {
 	q := d.quotaShare(tenant)
 	if q == 0 {
@@ -108,7 +115,7 @@
 	return false
 }
 
-// value returns the weight that an answer within the objective earns.
+// value returns the value of a job: the weight that an answer within the latency objective earns.
 func (d *Dispatcher) value(j *job) float64 {
 	v := d.settings.Classes[j.class].PriorityWeight
 	if d.settings.WeightByWork {
@@ -120,9 +127,9 @@
 	return v
 }
 
-// admits reports whether an arriving job is admitted. Ranks that advanceGapping has not reached are admitted
-// without limit. In a gapped rank call gapping applies: time is divided into gapping intervals whose length
-// is the inverse of the flow's guaranteed rate, and the first job of the flow in each interval is admitted.
+// admits reports whether an arriving job is admitted. Jobs of ranks to which call gapping does not apply now
+// are admitted without limit. In the other ranks, time is divided into intervals whose length is the inverse
+// of the guaranteed rate of the job's flow, and only the first job of the flow in each interval is admitted.
 func (d *Dispatcher) admits(j *job) bool {
 	d.advanceGapping()
 	over := 0
@@ -143,9 +150,10 @@
 	return false
 }
 
-// advanceGapping changes the number of gapped ranks by one for each gappingStepInterval that has passed:
-// under overload the next higher rank is gapped as well, in normal load the highest gapped rank is released.
-// setOverloadLevel gaps all ranks at once under severe overload.
+// advanceGapping changes the number of ranks under call gapping by one for each gappingStepInterval that has
+// passed: under overload call gapping is extended to the next higher rank, in normal load it is lifted from
+// the highest rank to which it applies. Under severe overload setOverloadLevel extends call gapping to all
+// ranks at once.
 func (d *Dispatcher) advanceGapping() {
 	for step := d.gappingStepInterval; d.now >= d.gappingSteppedAt+step; {
 		switch {
@@ -186,8 +194,8 @@
 	}
 }
 
-// setOverloadLevel changes the overload level. Overload gaps at least the lowest rank from now on, severe
-// overload all ranks.
+// setOverloadLevel changes the overload level. Under overload call gapping then applies to the lowest rank at
+// least, under severe overload to all ranks.
 func (d *Dispatcher) setOverloadLevel(level overloadLevel) {
 	switch level {
 	case levelOverload:
@@ -248,8 +256,8 @@
 }
 
 // tighterClassArrivals returns a term of both feasibility conditions: the number of guaranteed jobs that have
-// yet to arrive and must start within the wait target tk of a class. It counts the classes with shorter wait
-// targets; position is that of the class in classesByWaitTarget.
+// yet to arrive and must start within the wait target tk of a class. The number covers the classes with
+// shorter wait targets; position is the index in classesByWaitTarget of the class whose wait target is tk.
 func (d *Dispatcher) tighterClassArrivals(position int, tk Micros) float64 {
 	n := 0.0
 	for _, k := range d.classesByWaitTarget[:position] {
@@ -259,9 +267,9 @@
 }
 
 // serviceTimePerJob returns the mean time between two jobs that this dispatcher's slots finish, in
-// microseconds (x of the publication). It falls with the number of slots. Counting of slots ends once those
-// counted suffice for all feasibility conditions with the margin, as more slots would not change the
-// assessment.
+// microseconds (x of the published overload control). The more slots there are, the shorter this time is. The
+// counting of slots ends once the counted slots satisfy all feasibility conditions with conditionMargin,
+// because more slots would not change the result of overloadAssessment.
 func (d *Dispatcher) serviceTimePerJob() float64 {
 	serviceTime := func(slots float64) float64 { return d.slotTimes.value / max(1, slots) }
 	enough := func(slots float64) bool { return d.worstConditionRatio(serviceTime(slots)) < conditionMargin }
@@ -300,7 +308,8 @@
 }
 
 // rankClasses gives each class, within and beyond the quota, a rank by its utility: the value for each unit
-// of work, (2) of the publication. Rank 0 has the least utility and is gapped first.
+// of work, which is equation (2) of the published overload control. Rank 0 has the least utility, and call
+// gapping applies to rank 0 first.
 func (d *Dispatcher) rankClasses() {
 	utility := make([]float64, len(d.ranks))
 	for k := range d.classes {
@@ -321,9 +330,10 @@
 }
 
 // setGuaranteedRates sets the guaranteed rate of each flow within its tenant's quota; flows beyond the quota
-// have none. A flow's full rate is the share of the quota that the class has in the arrivals. Ranks are
-// served in descending order until the capacity of the fleet is spent, so that the sum of guaranteed rates
-// does not exceed it, (1) of the publication, and lower ranks get less or nothing.
+// have no guaranteed rate. The full rate of a flow is the quota times the class's fraction of all arrivals.
+// The ranks get their full rates in descending order until this dispatcher's part of the fleet's capacity is
+// spent, and lower ranks get less or nothing. So the sum of the guaranteed rates does not exceed the
+// capacity, which is condition (1) of the published overload control.
 func (d *Dispatcher) setGuaranteedRates(arrivals float64) {
 	capacity := 0.0 // slot-seconds per second that this dispatcher's share of the fleet provides
 	for _, w := range d.subset {
@@ -360,8 +370,8 @@
 			}
 		}
 	}
-	// The feasibility conditions count at most the measured arrival rate of each class: guaranteed jobs that
-	// nobody sends take no capacity.
+	// The feasibility conditions count at most the measured arrival rate of each class, because guaranteed jobs
+	// that do not arrive take no capacity.
 	seconds := (1 - math.Pow(classMixDecay, float64(d.parameterRefreshes))) / (1 - classMixDecay)
 	for k := range d.classes {
 		st := &d.classes[k]
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -50,8 +50,8 @@
 	j, w := a.job, a.worker
 	turnedAway := e.Outcome == AtCapacity || e.Outcome == HandedBack
 	if a.startOverdue && a.startedAt == 0 && !turnedAway {
-		// The job would have waited longer than until now. On average an attempt is abandoned after half of
-		// the wait, so twice the time so far is recorded.
+		// The attempt ended before the job started, so the full wait for the start is unknown. On average an
+		// attempt ends after half of this wait, so twice the time since the send is recorded as the wait.
 		d.recordWait(w, 2*float64(d.now-a.sentAt))
 	}
 	d.detach(a)
@@ -74,7 +74,8 @@
 
 // learnLoadReport updates the slot limit of a worker from a load report that ended an attempt; leaving is the
 // number of slots of that attempt, which the report still counts as in use. The report may be up to a quarter
-// of a second old, so attempts sent since then are taken to be missing from it.
+// of a second old, so attempts that were sent within the last quarter of a second are assumed to be missing
+// from the report.
 func (d *Dispatcher) learnLoadReport(w *worker, r Report, leaving float64) {
 	if !r.FreeKnown || d.settings.StartReported {
 		return
@@ -85,9 +86,10 @@
 			seen += a.job.slots
 		}
 	}
-	// While no job waits at the worker, its free slots and the jobs in flight there add up to its slots. With no
-	// free slot, jobs in flight beyond that number are waiting and are subtracted from the limit. Otherwise
-	// jobs of this dispatcher that wait there would count as slots, and the limit would never fall.
+	// While no job waits at the worker, the worker's free slots and the jobs in flight add up to its number of
+	// slots, of which reportedSlots is the running mean. Without a free slot, jobs in flight beyond that number
+	// wait at the worker and are subtracted from slotLimit. Otherwise waiting jobs of this dispatcher would
+	// count as slots, and slotLimit would never fall.
 	free, blend := math.Round(max(r.Free, 0)), 1-workerSampleDecay
 	if w.reportedSlots == 0 {
 		blend = 1
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -2,9 +2,9 @@
 
 // This file finds the workers to which deduplication groups restrict a job. It makes no dispatch decisions.
 
-// bindingAttempt returns the first attempt that may have run, or nil. An attempt that may have run is
-// repeated only as the job's class allows, so a keyed job may be bound to the deduplication group of this
-// attempt.
+// bindingAttempt returns the job's first attempt that is in flight or may have run, or nil. An attempt that
+// may have run is repeated only as the job's class allows, so a keyed job may be bound to the deduplication
+// group of the returned attempt.
 func (j *job) bindingAttempt() *attempt {
 	for _, a := range j.attempts {
 		if a.inFlight || a.mayHaveRun {
@@ -15,8 +15,8 @@
 }
 
 // candidates returns the workers among which a job's worker is chosen: the subset, or for the retry of a
-// keyed job all workers of its deduplication group, because the subset may have no worker of that group.
-// free reports that no single group binds the job.
+// keyed job all workers of its deduplication group, because the subset may have no worker of that group. The
+// result free reports that the job is not bound to one deduplication group of several.
 func (d *Dispatcher) candidates(j *job) (from []*worker, free bool) {
 	c := &d.settings.Classes[j.class]
 	if c.Effect != Keyed || len(j.attempts) == 0 {
@@ -32,7 +32,8 @@
 		}
 		return e.Cell
 	}
-	if d.dedupGroups[c.DedupScope] == nil { // built in list order, which decides between workers of equal cost
+	if d.dedupGroups[c.DedupScope] == nil {
+		// The groups keep the order of d.ordered, which decides between workers of equal placement cost.
 		groups := map[int][]*worker{}
 		for _, w := range d.ordered {
 			groups[groupOf(&w.entry)] = append(groups[groupOf(&w.entry)], w)
@@ -53,7 +54,7 @@
 	for _, w := range from {
 		if w.entry.Status == Ready {
 			if allowed := d.attemptAllowed(j, w); allowed || !keyed {
-				return allowed // without a deduplication group the result is the same for every worker
+				return allowed // unless the job is keyed, attemptAllowed has the same result for every worker
 			}
 		}
 	}
--- a/internal/dispatch/clone.go
+++ b/internal/dispatch/clone.go
@@ -7,8 +7,8 @@
 	"dahliaford/internal/subset"
 )
 
-// A model checker copies a dispatcher's state with this file and compares two states with state_form.go. This
-// file makes no dispatch decisions, and the scheduler itself does not use it.
+// This file copies a dispatcher's state for a model checker, which compares two states by the encoding in
+// state_form.go. This file makes no dispatch decisions, and the scheduler itself does not use this file.
 
 // OpenJobs returns the number of jobs that have no final answer or have attempts in flight.
 func (d *Dispatcher) OpenJobs() int { return len(d.jobs) }
@@ -83,7 +83,7 @@
 	}
 	d.ring = from.ring.Clone(func(w *worker) *worker { return d.workers[w.entry.Worker] },
 		func(w *worker, group *subset.Group[*worker]) { w.ringGroup = group })
-	d.index, d.fastestWorker, d.sortedOverdueStarts = nil, nil, nil // rebuilt when next needed
+	d.index, d.fastestWorker, d.sortedOverdueStarts = nil, nil, nil // these caches are rebuilt when next needed
 	d.dedupGroups = [ScopeCell + 1]map[int][]*worker{}
 }
 
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Endpoints: updates of the worker list, and requests for it.
+// Endpoints: updates of the worker list, and requests for the list.
 
 // watchRenewalIntervals is the time, in poll intervals, after which a subscription to the worker list that
 // has delivered nothing is renewed.
@@ -8,8 +8,8 @@
 
 // onEndpointsUpdated applies an update of the worker list, or records that a request for the list failed.
 func (d *Dispatcher) onEndpointsUpdated(e *Event) {
-	// A failure or an update from another source does not make the list more current, and may show that it is
-	// older than assumed.
+	// A failed call or an update from another source does not make the present worker list more current, and may
+	// show that the list is older than assumed.
 	if e.Scope >= UpdateFailed {
 		d.endpointsAsOf = min(d.endpointsAsOf, d.now-e.Age)
 	}
@@ -21,7 +21,7 @@
 		}
 		return
 	}
-	// A cached list does not count as current: its age is unknown.
+	// A worker list that was stored before a restart does not count as current, because its age is unknown.
 	if e.Scope < UpdateCached && d.settings.PollEndpoints {
 		d.pollFailures, d.endpointsAsOf = 0, d.now-e.Age
 		d.pollAt = d.now + Micros(watchRenewalIntervals*float64(d.settings.PollInterval))
--- a/internal/dispatch/estimate_errors.go
+++ b/internal/dispatch/estimate_errors.go
@@ -6,13 +6,16 @@
 // This file makes no dispatch decisions.
 
 const (
-	errorDecay             = 0.6  // weight that a new outcome leaves of a worker's earlier outcomes
-	reportedErrorRateLimit = 0.3  // errors per second; an outcome with a higher reported rate is an error
-	reportedErrorDecay     = 0.2  // replaces errorDecay for an outcome with such a report
+	errorDecay = 0.6 // factor by which a new outcome multiplies the weight of a worker's earlier outcomes
+	// reportedErrorRateLimit is an error rate in a worker's load report, in errors per second. An outcome whose
+	// report has a higher rate counts as an error in a large fleet without gossip.
+	reportedErrorRateLimit = 0.3
+	reportedErrorDecay     = 0.2  // replaces errorDecay for a report with a rate above reportedErrorRateLimit
 	errorRateLimit         = 0.25 // decayed fraction of errors above which a worker counts as failing jobs
 
-	// Time in which the error rate of a worker falls to 1/e while the dispatcher sees no outcome there. The
-	// time is longer in a large fleet without gossip, where a dispatcher seldom sends to the same worker.
+	// Time in microseconds in which the error rate of a worker falls to 1/e while the dispatcher sees no outcome
+	// of attempts at the worker. The time is longer in a large fleet without gossip, where a dispatcher seldom
+	// sends to the same worker.
 	errorDecayTime         = 3 * second
 	errorDecayTimeNoGossip = 9 * second
 )
@@ -42,16 +45,17 @@
 	return errorDecayTime
 }
 
-// failsJobs reports whether a worker counts as failing jobs.
+// failsJobs reports whether a worker counts as failing jobs: its recent error rate exceeds errorRateLimit.
 func (d *Dispatcher) failsJobs(w *worker) bool {
 	return w.errorRate > 0 && d.recentErrorRate(w) > errorRateLimit
 }
 
 // shouldAvoidFailing reports whether a job should avoid a worker that counts as failing jobs. A job whose
 // class allows no second attempt after an error avoids such a worker. A job that may be repeated is still
-// sent: the job uses the slots and shows whether the errors last. In a large fleet without gossip every job
-// avoids such a worker, because each dispatcher would have to see the errors itself. When most workers fail
-// jobs, no job avoids them, because waiting would not lead to a better worker.
+// sent there: the job uses the worker's slots and shows whether the errors last. In a large fleet without
+// gossip every job avoids such a worker, because otherwise each of the many dispatchers would have to see
+// errors of its own jobs there. When most workers of the subset fail jobs, no job avoids them, because
+// waiting would not lead to a better worker.
 func (d *Dispatcher) shouldAvoidFailing(j *job, w *worker) bool {
 	if d.settings.Classes[j.class].Effect != Unsafe && !d.largeFleetWithoutGossip() || !d.failsJobs(w) {
 		return false
--- a/internal/dispatch/estimate_peers.go
+++ b/internal/dispatch/estimate_peers.go
@@ -22,7 +22,7 @@
 
 // peerJobWaits reports whether a peer's job waits at a worker for its start. Such a worker has no free slot,
 // even if the known capacity is larger than the use. Without this check every dispatcher that shares the
-// worker would send a job there to find out.
+// worker would send a job there to find out whether a slot is free.
 func (d *Dispatcher) peerJobWaits(w *worker) bool {
 	for i := range w.peerUses {
 		if p := &w.peerUses[i]; p.waitingSince != 0 && d.peerUseFresh(p) {
@@ -43,8 +43,8 @@
 	return false
 }
 
-// peerArrivingSlots returns the number of slots by which a peer's use grew so recently that the jobs may not
-// have started.
+// peerArrivingSlots returns the number of slots by which a peer's use of a worker grew so recently that the
+// jobs in these slots may not have started.
 func (d *Dispatcher) peerArrivingSlots(p *peerUse) byte {
 	if d.now-p.increasedAt < waitReportBatches*d.settings.Granularity {
 		return p.arrivingSlots
--- a/internal/dispatch/estimate_quota.go
+++ b/internal/dispatch/estimate_quota.go
@@ -8,8 +8,10 @@
 // try, so the part of the deadline that is missing at a retry is the time since the first try. A first try
 // with a shorter time-out than the deadline would then seem to have begun before its arrival, and the job
 // could be late on arrival. So where clients mark their retries, an unmarked job counts from its arrival in a
-// large fleet without gossip. In other fleets each dispatcher sees an overload itself, and a job with a short
-// time-out is the first that should be refused under overload.
+// large fleet without gossip. In other fleets an unmarked job with a short time-out keeps the earlier
+// objective that follows from the assumption. Each dispatcher of such a fleet sees an overload itself, and
+// under overload it refuses first the jobs that can no longer meet their objective. A job with a short
+// time-out is then rightly among the first.
 func (d *Dispatcher) firstAttemptAt(j *job, retried bool) Micros {
 	if d.settings.RetriesMarked && !retried && d.largeFleetWithoutGossip() {
 		return d.now
--- a/internal/dispatch/estimate_sharing.go
+++ b/internal/dispatch/estimate_sharing.go
@@ -35,8 +35,8 @@
 }
 
 // largeFleetWithoutGossip reports whether the fleet has more than maxSmallFleetDispatchers dispatchers and
-// these may not gossip. A dispatcher of such a fleet can infer the load by the others only from the time
-// that its jobs wait for their start.
+// these may not gossip. A dispatcher of such a fleet can infer the load by the other dispatchers only from
+// the time that its own jobs wait for their start.
 func (d *Dispatcher) largeFleetWithoutGossip() bool {
 	return !d.settings.GossipAllowed && d.settings.LargeFleet()
 }
@@ -46,7 +46,8 @@
 	return d.ringCoverage * float64(d.settings.Dispatchers)
 }
 
-// covers reports whether the interval of the dispatcher at a ring position covers a worker.
+// covers reports whether a worker lies in the interval of the ring that belongs to the dispatcher at a
+// position, that is, whether that dispatcher has the worker in its subset.
 func (d *Dispatcher) covers(position float64, w *worker) bool {
 	return d.ringDistance(position, w) < d.ringCoverage
 }
--- a/internal/dispatch/estimate_slots.go
+++ b/internal/dispatch/estimate_slots.go
@@ -7,23 +7,27 @@
 // numbers are counted as this number.
 const maxTrackedSlots = 32
 
-// startCounts counts the jobs that started promptly with a given number of slots in use, their own included,
-// and the jobs whose start was delayed. Both counts decay with each new job.
+// startCounts counts the jobs that a worker started promptly, which means within startReportTimeout, and the
+// jobs whose start was delayed. Both counts are for one number of slots in use, which includes the slots of
+// the counted job, and decay with each new job.
 type startCounts struct{ prompt, delayed float64 }
 
 // kind holds the estimates for a machine kind.
 type kind struct {
 	speedEstimate
-	// Most slots seen in use together on one worker. Where starts are reported, the field has the capacity
-	// computed after the last prompt start instead.
+	// maxBusySlots is the largest number of slots seen in use at the same time on one worker of the kind. Where
+	// workers report starts (Settings.StartReported), it is instead the capacity of the worker that last
+	// reported a start within startReportTimeout, computed at that report.
 	maxBusySlots float64
 
-	startCountsBySlots [maxTrackedSlots + 1]startCounts // by slots in use when a job was sent
-	maxSlotsTried      int                              // most slots in use with which a job started or waited
-	capacityProbedAt   Micros                           // time when more slots than the capacity were last tried
+	startCountsBySlots [maxTrackedSlots + 1]startCounts // start counts by slots in use when a job was sent
+	maxSlotsTried      int                              // largest index in startCountsBySlots with a counted job
+	// capacityProbedAt is the time when a job was last sent beyond a worker's capacity or last had a delayed
+	// start.
+	capacityProbedAt Micros
 }
 
-// add counts a job after it multiplies the earlier counts by keep.
+// add multiplies the earlier counts by keep and then counts a job as started promptly or as delayed.
 func (c *startCounts) add(prompt bool, keep float64) {
 	c.prompt *= keep
 	c.delayed *= keep
@@ -34,10 +38,10 @@
 	}
 }
 
-// startCountsAt returns the start counts for n slots of a worker in use: the worker's own counts plus those
-// of its machine kind, which are scaled down to at most maxKindStartCount jobs. In a large fleet a dispatcher
-// sends to each worker too seldom to rely on the worker's own counts alone. The counts of a single job may
-// also be wrong, because the peers' use of the worker is known late.
+// startCountsAt returns the start counts for n slots of a worker in use: the counts of the worker plus the
+// counts of its machine kind, which are scaled down to at most maxKindStartCount jobs. In a large fleet a
+// dispatcher sends to each worker too seldom to rely on the worker's counts alone. A single job may also be
+// counted under the wrong number of slots, because the peers' use of the worker is known late.
 func (d *Dispatcher) startCountsAt(w *worker, n int) startCounts {
 	counts := d.kindOf(w).startCountsBySlots[n]
 	if seen := counts.prompt + counts.delayed; seen > maxKindStartCount {
@@ -86,8 +90,9 @@
 	return w.kind
 }
 
-// capacity returns the number of slots of a worker that may be used. Where starts are reported, the capacity
-// is the largest number of slots in use at which at least as many jobs start promptly as are delayed.
+// capacity returns the number of slots of a worker that may be used. Where workers report starts, the
+// capacity is the largest number of slots in use at which at least as many jobs start promptly (within
+// startReportTimeout) as are delayed.
 func (d *Dispatcher) capacity(w *worker) float64 {
 	if !d.settings.StartReported {
 		return w.slotLimit
@@ -106,9 +111,9 @@
 
 const anyZone = -2 // stands for all zones; no zone has this number
 
-// usableSlots counts the slots that this dispatcher may fill on the usable workers of a zone of its subset.
-// After 16, 32, 64 and so on workers the function calls enough with the number of slots so far, and returns
-// that number if enough reports that a larger number would change nothing for the caller.
+// usableSlots counts the slots that this dispatcher may fill on the usable workers of its subset that are in
+// a given zone. After 16, 32, 64 and so on workers the function calls enough with the number of slots so far,
+// and returns that number if enough reports that a larger number would change nothing for the caller.
 func (d *Dispatcher) usableSlots(zone int, enough func(slots float64) bool) float64 {
 	slots, nextCheck := 0.0, 16
 	for i, w := range d.subset {
@@ -138,8 +143,8 @@
 	return w.ownSlots + others
 }
 
-// knownRunningSlots returns the number of slots of a worker whose jobs are known to run: own jobs, and the
-// jobs that peers report.
+// knownRunningSlots returns the number of slots of a worker that are known to run a job, either an own job or
+// a job that a peer reports.
 func (d *Dispatcher) knownRunningSlots(w *worker) float64 {
 	_, others := d.peerSlots(w)
 	return d.ownRunningSlots(w) + others
--- a/internal/dispatch/estimate_speed.go
+++ b/internal/dispatch/estimate_speed.go
@@ -1,19 +1,19 @@
 package dispatch
 
-// This file estimates speeds from runs. A speed is work on a standard core per unit of time on one slot. No
-// scale is known without hints of the jobs' work, and the mean speed of the fleet then counts as 1. This file
-// makes no dispatch decisions.
+// This file estimates the speeds of workers from the runs of jobs. A speed is work on a standard core per
+// unit of time on one slot. Without hints of the jobs' work the scale of speeds is unknown, so the mean speed
+// of the fleet counts as 1. This file makes no dispatch decisions.
 
 // speedEstimate has the decayed sums of the work done in recent runs and of the time that these runs took,
 // both in microseconds.
 type speedEstimate struct{ work, time float64 }
 
-// add adds a run after it multiplies the earlier sums by keep.
+// add multiplies the earlier sums by keep and then adds the work and the time of a run.
 func (s *speedEstimate) add(work, time, keep float64) {
 	s.work, s.time = s.work*keep+work, s.time*keep+time
 }
 
-// speed returns work divided by time, or 1 while there is no run.
+// speed returns the estimated speed, work divided by time, or 1 before the first run.
 func (s *speedEstimate) speed() float64 {
 	if s.time == 0 {
 		return 1
@@ -39,7 +39,8 @@
 }
 
 // warmSpeed returns the speed that a worker has outside slow start. The estimate combines the worker's own
-// recent runs with priorSpeed, which has the weight of speedPriorRunsHinted or speedPriorRunsUnhinted runs.
+// recent runs with priorSpeed, which has the weight of speedPriorRunsHinted or speedPriorRunsUnhinted upper
+// quartiles of run times.
 func (d *Dispatcher) warmSpeed(w *worker) float64 {
 	prior, unit := d.priorSpeed(w), max(d.slotTimes.value, 1)
 	if d.hintsSeen {
@@ -49,7 +50,8 @@
 	}
 	v := (w.speed.work + prior*unit) / (w.speed.time + unit)
 	if !d.hintsSeen && d.fleetEstimate.work > 0 {
-		// Dividing by the fleet's mean speed keeps that mean at 1; without hints the scale would drift.
+		// Dividing by the fleet's mean speed keeps the mean at 1. Otherwise the scale of speeds would drift, as
+		// jobs have no hints of their work.
 		v *= d.fleetEstimate.time / d.fleetEstimate.work
 	}
 	return v
@@ -114,7 +116,8 @@
 		}
 		st := &d.classes[a.job.class]
 		work = st.meanWork(float64(d.settings.Classes[a.job.class].LatencyObjective))
-		// The limit keeps a job with much work from making its worker seem slow.
+		// The limit of four expected run times keeps a job with more work than its class's mean from making its
+		// worker seem slow.
 		span = min(float64(d.now-a.startedAt), 4*work/d.speed(w))
 	}
 	a.progress, a.accountedUntil = max(done, a.progress), d.now
--- a/internal/dispatch/estimate_waits.go
+++ b/internal/dispatch/estimate_waits.go
@@ -7,12 +7,13 @@
 // decisions.
 
 const (
-	groupWaitDecayRuns  = 12.0 // decay time to 1/e of the waits of a group, in upper run times
-	groupWaitWeight     = 0.5  // weight of a group's expected wait, in waits of the worker itself
-	workerWaitDecayRuns = 6.0  // decay time to 1/e of the waits of a single worker, in upper run times
+	groupWaitDecayRuns  = 12.0 // multiples of upperRunTime in which the waits of a group decay to 1/e
+	groupWaitWeight     = 0.5  // weight of a group's expected wait relative to one wait at the worker itself
+	workerWaitDecayRuns = 6.0  // multiples of upperRunTime in which the waits at a single worker decay to 1/e
 )
 
-// Additions to the cost of a worker, in upper run times, that make dispatchers choose different workers.
+// Additions to the placement cost of a worker, in multiples of upperRunTime, that make dispatchers choose
+// different workers.
 const (
 	choiceJitterRuns   = 0.25 // largest random addition
 	choiceDistanceRuns = 0.5  // addition at the far end of the dispatcher's interval of the ring
@@ -29,21 +30,21 @@
 // the workers of a group alike, so they load these workers together.
 type group struct {
 	waitEstimate
-	expectedWait    float64 // mean wait in microseconds, which includes the jobs that wait now
+	expectedWait    float64 // mean wait in microseconds, which includes jobs whose start is overdue now
 	computedInEvent uint64  // eventCount when expectedWait was computed
 }
 
 // groupKey identifies a group: the workers of one machine kind in one zone.
 type groupKey struct{ zone, kind int }
 
-// decay multiplies the weight of the earlier waits by 1/e for each span since the last decay. The span is in
-// microseconds.
+// decay multiplies the weight of the earlier waits by 1/e for each span of time that has passed since the
+// last call. The span is in microseconds.
 func (s *waitEstimate) decay(now Micros, span float64) {
 	keep := math.Exp(-float64(now-s.decayedAt) / span)
 	s.sum, s.count, s.decayedAt = s.sum*keep, s.count*keep, now
 }
 
-// add adds a wait in microseconds after it decays the earlier waits.
+// add decays the earlier waits and then adds a wait in microseconds.
 func (s *waitEstimate) add(now Micros, span, wait float64) {
 	s.decay(now, span)
 	s.sum, s.count = s.sum+wait, s.count+1
@@ -73,8 +74,8 @@
 
 // expectedWait returns the expected time in microseconds that a job would wait at a worker before its start:
 // the mean of this dispatcher's own recent waits there and of the group's expected wait, which has the weight
-// groupWaitWeight. A job that still waits counts with twice its wait so far, because it has on average half
-// of its wait behind it.
+// groupWaitWeight. A job that still waits counts in the group's expected wait with twice its wait so far,
+// because on average half of the job's wait has passed.
 func (d *Dispatcher) expectedWait(w *worker) float64 {
 	if !d.settings.StartReported || !d.largeFleetWithoutGossip() {
 		return 0
@@ -97,9 +98,9 @@
 	return (w.startWait.sum + g.expectedWait*groupWaitWeight) / (w.startWait.count + groupWaitWeight)
 }
 
-// choiceJitter returns an addition, in microseconds, to the cost of a worker: a random part and a part that
-// grows with the worker's distance on the ring. Without this addition all dispatchers, which have similar
-// estimates, would send to the same workers at the same time.
+// choiceJitter returns an addition, in microseconds, to the placement cost of a worker: a random part and a
+// part that grows with the distance on the ring from this dispatcher to the worker. Without this addition all
+// dispatchers, which have similar estimates, would send to the same workers at the same time.
 func (d *Dispatcher) choiceJitter(w *worker) float64 {
 	if !d.largeFleetWithoutGossip() {
 		return 0
@@ -108,10 +109,11 @@
 		d.ringDistance(d.position, w)/d.ringCoverage*choiceDistanceRuns) * d.upperRunTime()
 }
 
-// crossZoneCost returns the cost at which a worker of another zone is compared with one of the own zone, in
-// microseconds. A large fleet without gossip adds a price in proportion to the time that remains until the
-// objective. In other fleets the result is at least that remaining time, so that a dispatcher stays in its
-// zone while a worker there is in time: the dispatchers of different zones then collide less.
+// crossZoneCost returns the cost, in microseconds, at which a worker of another zone is compared with a
+// worker of the own zone. In a large fleet without gossip it is the placement cost plus a price in proportion
+// to the time that remains until the job's objective. In other fleets it is at least the remaining time, so
+// that a dispatcher sends to its own zone while a worker there can meet the objective: dispatchers of
+// different zones then send to the same worker at the same time less often.
 func (d *Dispatcher) crossZoneCost(cost, remaining float64) float64 {
 	if !d.largeFleetWithoutGossip() {
 		return max(remaining, cost)
--- a/internal/dispatch/estimate_work.go
+++ b/internal/dispatch/estimate_work.go
@@ -4,9 +4,10 @@
 
 // This file estimates the work and the run times of jobs by class. It makes no dispatch decisions.
 
-// priorWorkObjectives is the mean work assumed of a class, in multiples of its latency objective, until runs
-// show the work. The assumption is high because runs on workers in slow start do not count, and because all
-// dispatchers make the same assumption and would overload such workers together.
+// priorWorkObjectives is the mean work assumed of a class, in multiples of the class's latency objective,
+// until runs show the work. The assumption is high because runs on workers in slow start do not count, and
+// because with too low an assumption, which all dispatchers share, they would together overload workers in
+// slow start.
 const priorWorkObjectives = 2.0
 
 // classState holds the estimates for a class. Work is in microseconds on a standard core.
@@ -16,8 +17,10 @@
 	runTimes                          quantileWindow // latest run times in microseconds
 	arrivals                          float64        // decayed number of arrivals, see classMixDecay
 
-	waitTarget     Micros  // longest wait that meets the objective (T_k in the published overload control)
-	guaranteedRate float64 // jobs per microsecond over all tenants (d in the published overload control)
+	waitTarget Micros // longest wait that meets the latency objective (T_k in the published overload control)
+	// guaranteedRate is the guaranteed rate of the class's jobs of all tenants together, in jobs per microsecond
+	// (d in the published overload control).
+	guaranteedRate float64
 }
 
 // addWork adds the work of a job to the decayed sums, in microseconds on a standard core.
@@ -26,14 +29,15 @@
 	s.workCount = s.workCount*classWorkDecay + 1
 }
 
-// meanWork returns the mean work of the class's jobs. The prior mean counts as much as two jobs.
+// meanWork returns the mean work of the class's jobs. The parameter prior is the mean work that is assumed
+// before any job is known, and has the weight of two jobs.
 func (s *classState) meanWork(prior float64) float64 {
 	return (s.workSum + 2*prior) / (s.workCount + 2)
 }
 
 // sizeBiasedWork returns the mean work of the class's jobs, weighted by their work, but at most three times
-// meanWork. The weighting is for the objective of a job without a hint: the value of a job grows with its
-// work, so the objective should suit the long jobs.
+// meanWork. The result is used for the latency objective of a job without a hint: the value of a job grows
+// with its work, so the objective should suit the long jobs.
 func (s *classState) sizeBiasedWork(prior float64) float64 {
 	mean := s.meanWork(prior)
 	if s.workSum == 0 {
@@ -43,8 +47,7 @@
 }
 
 // unhintedWork returns the work that is assumed for a job without a hint. In a large fleet without gossip the
-// assumption is less than the mean work, because most jobs are shorter than the mean and miss their objective
-// sooner.
+// assumption is less than the mean work, see unhintedWorkFraction.
 func (d *Dispatcher) unhintedWork(s *classState, prior float64) float64 {
 	if d.largeFleetWithoutGossip() {
 		return unhintedWorkFraction * s.meanWork(prior)
@@ -52,7 +55,8 @@
 	return s.sizeBiasedWork(prior)
 }
 
-// slowStartCost returns the work that a job takes from the budget of a worker in slow start.
+// slowStartCost returns the work, in microseconds on a standard core, that a job takes from the budget of a
+// worker in slow start.
 func (d *Dispatcher) slowStartCost(j *job) float64 {
 	work := j.work
 	if !j.hinted {
@@ -75,8 +79,8 @@
 	return squares / max(1, sum)
 }
 
-// workInTransit returns the slow-start cost of the jobs that were sent to a worker and are not known to have
-// started. If the worker has just restarted, these jobs reach it in slow start.
+// workInTransit returns the sum of slowStartCost over the own jobs that are in flight at a worker and not
+// known to have started. If the worker has just restarted, these jobs reach the worker in slow start.
 func (d *Dispatcher) workInTransit(w *worker) float64 {
 	work := 0.0
 	for _, a := range w.attempts {
@@ -87,15 +91,15 @@
 	return work
 }
 
-// quantileWindow keeps the latest run times and their quantile runTimeQuantile.
+// quantileWindow keeps the latest maxRunSamples run times and their quantile runTimeQuantile.
 type quantileWindow struct {
-	samples [maxRunSamples]float64 // ring buffer of the latest samples
-	count   int                    // number of samples so far, including overwritten ones
-	value   float64                // quantile of the samples when last computed; 0 before the first sample
+	samples [maxRunSamples]float64 // ring buffer of the latest run times
+	count   int                    // number of run times so far, including those overwritten in samples
+	value   float64                // quantile runTimeQuantile as last computed; 0 before the first run time
 }
 
-// add adds a run time. The quantile is computed for each of the first quantileInterval run times, and then
-// for every quantileInterval-th one.
+// add adds a run time. The quantile is computed anew with each of the first quantileInterval run times, and
+// later with every quantileInterval-th run time.
 func (q *quantileWindow) add(v float64) {
 	q.samples[q.count%maxRunSamples] = v
 	q.count++
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -12,15 +12,16 @@
 	// (1) and slots of jobs that wait at the worker (1).
 	gossipMessageSize = 7
 
-	// waitReportBatches is the time, in batches of events (Settings.Granularity), after which a job that has not
-	// begun is reported to peers as waiting.
+	// waitReportBatches is the time, in multiples of Settings.Granularity, after which a job that was sent and
+	// whose start is not known is reported to peers as waiting.
 	waitReportBatches = 4
 
-	// maxGossipPeers is the largest number of dispatchers to which one change is reported, 1.5 times
-	// targetDispatchersPerWorker.
+	// maxGossipPeers is the largest number of dispatchers to which a change in the use of a worker is reported,
+	// 1.5 times targetDispatchersPerWorker.
 	maxGossipPeers = 12.0
 
-	// peerUseLifetimeRuns is the time for which a peer's report counts, in upper quartiles of run times.
+	// peerUseLifetimeRuns is the time, in upper quartiles of run times, that is added to 1 s to give the time
+	// for which a peer's report of its use of a worker counts.
 	peerUseLifetimeRuns = 4.0
 )
 
@@ -49,8 +50,8 @@
 // share a worker, or if the worker is in another zone than this dispatcher, all these peers get the message:
 // other dispatchers of this dispatcher's zone likely send to that zone as well. Otherwise the message goes to
 // peers of the worker's zone, to peers whose zone is unknown, and to peers that have recently sent jobs to
-// another zone than their own. A peer from another zone that received no gossip would take every worker here
-// for free and fill it.
+// another zone than their own. A peer of another zone that received no gossip would assume that all workers
+// of this dispatcher's zone are free, and fill them.
 func (d *Dispatcher) multicast(w *worker, message []byte) {
 	sent, small := 0.0, d.dispatchersPerWorker() <= targetDispatchersPerWorker
 	for i := range d.neighbours {
@@ -60,7 +61,8 @@
 		crosses := peer.crossedZoneAt != 0 && d.now-peer.crossedZoneAt < crossZoneGossipSeconds*second
 		if p != d.settings.Index && (small || near || crosses) && d.covers(peer.position, w) {
 			d.emit(Action{Kind: SendGossip, Peer: p, Message: message})
-			// In a fleet whose number of workers has fallen, many dispatchers share a worker.
+			// The limit matters in a fleet whose number of workers has fallen, where many dispatchers share a
+			// worker.
 			if sent++; sent >= maxGossipPeers {
 				return
 			}
@@ -86,8 +88,9 @@
 	d.recordPeerUse(w, e.Peer, slotUse{m[5], m[6]})
 }
 
-// recordPeerUse records how many slots of a worker a peer uses, and how many of them its waiting jobs need.
-// It drops the record of a peer that uses none, and outdated records when a peer is added.
+// recordPeerUse records how many slots of a worker a peer uses, and how many of these slots belong to jobs
+// that wait for their start. It drops the record of a peer that uses no slot and, when a record for a new
+// peer is added, the records that peerUseFresh does not accept any more.
 func (d *Dispatcher) recordPeerUse(w *worker, peer int, u slotUse) {
 	i := slices.IndexFunc(w.peerUses, func(p peerUse) bool { return p.peer == peer })
 	if i < 0 {
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -7,16 +7,19 @@
 
 const (
 	maxScannedSubset  = 64 // largest subset, in workers, that is scanned; below this size an index saves no time
-	shortlistPerGroup = 8  // number of workers of one group that are examined for a job
-	shortlistTotal    = 32 // number of workers of all groups that are examined for a job; at least 2 of each
-	reindexedPerJob   = 8  // number of workers whose key is computed again for each job, in rotation
-	keysPerRun        = 16 // difference between the keys of two workers whose costs differ by one mean run
+	shortlistPerGroup = 8  // largest number of workers of one group (zone and kind) that are examined for a job
+	// shortlistTotal is the number of workers of all groups together that are examined for a job. The groups get
+	// equal parts of this number, but at least 2 and at most shortlistPerGroup workers each.
+	shortlistTotal  = 32
+	reindexedPerJob = 8  // number of workers, in rotation, whose index key is computed again for each job
+	keysPerRun      = 16 // difference of the index keys of workers whose costs differ by one mean run time
 
 	unusableWorkerKey = bucketqueue.Buckets - 1 // key of the workers that must not be given work
 	fullWorkerKey     = bucketqueue.Buckets - 2 // key of the usable workers without a free slot
 )
 
-// index holds the workers of the subset by group, sorted by the cost of a mean job when last computed.
+// index holds the workers of the subset by group (workers of one zone and kind). The workers of a group are
+// sorted by the cost that a job of mean work had at each worker when indexKey was last computed.
 type index struct {
 	queues       []*groupQueue
 	byGroup      map[groupKey]*groupQueue
@@ -25,12 +28,12 @@
 	stale        bool                         // the subset may have changed since the index was built
 	version      uint64                       // number of times that the index was built
 	nextMember   int                          // index in members of the last worker reindexed in rotation
-	dirty        []*worker                    // workers that changed since their key was computed
+	dirty        []*worker                    // workers that changed since their index key was computed
 	nodeBuffer   []*bucketqueue.Node[*worker] // buffer of appendSmallest, reused to save allocations
 	workerBuffer []*worker                    // latest shortlist; its memory is reused
 }
 
-// groupQueue holds the workers of one group by index key.
+// groupQueue holds the workers of one group (one zone and kind) by index key.
 type groupQueue struct {
 	bucketqueue.Queue[*worker]
 	key groupKey
@@ -106,8 +109,9 @@
 	x.queues = remaining
 }
 
-// indexKey computes the key of a worker: the cost of a mean job there, without the part of the cost that all
-// workers of the group share. The key only determines which workers selectWorker examines first.
+// indexKey computes the index key of a worker: the cost of a job of mean work there, without the part of the
+// cost that all workers of the group share. The key only determines which workers selectWorker examines
+// first.
 func (d *Dispatcher) indexKey(w *worker) int {
 	if !d.usable(w) || d.slowStartSince(w) != 0 && !w.unreachable && !d.isSlowStartOwner(w) {
 		return unusableWorkerKey
@@ -118,14 +122,14 @@
 	}
 	load := 1 + fullLoadCostRuns*inUse/max(1, limit) + w.placementBias
 	runs := d.typicalSpeed(w) / d.speed(w) * load
-	if d.largeFleetWithoutGossip() { // the length of a run counts, as waits and distance add to the cost
+	if d.largeFleetWithoutGossip() { // run time in microseconds counts, as waits and distance are added
 		own := d.index.meanWork/d.speed(w)*load + d.expectedWait(w) - d.groupOf(w).expectedWait
 		runs = own/d.upperRunTime() + d.ringDistance(d.position, w)/d.ringCoverage*choiceDistanceRuns
 	}
 	return int(min(max(runs*keysPerRun, 0), fullWorkerKey-1))
 }
 
-// reindex computes the key of an indexed worker again and moves the worker to that key.
+// reindex computes the key of an indexed worker again and moves the worker to the bucket of the new key.
 func (x *index) reindex(d *Dispatcher, w *worker) {
 	if s := w.indexNode.Queue(); s != nil {
 		d.workersExamined++
@@ -133,8 +137,8 @@
 	}
 }
 
-// shortlist returns workers that likely cost a job least: the first few in the queue of each group that may
-// run the job. The function also updates the index keys of these workers.
+// shortlist returns the workers at which a job likely has the lowest placement cost: the first few workers in
+// the queue of each group that may run the job. The function also updates the index keys of these workers.
 func (d *Dispatcher) shortlist(j *job) []*worker {
 	x := d.currentIndex()
 	x.meanWork += (j.work - x.meanWork) / 32
@@ -154,7 +158,7 @@
 		if kind >= 0 && kind != s.key.kind {
 			continue
 		}
-		limit := shortlistPerGroup // no smaller limit for the own zone if workers of other zones have a price
+		limit := shortlistPerGroup // groups of the own zone keep this limit if workers of other zones have a price
 		if s.key.zone != d.settings.Zone || d.settings.CrossZonePrice == 0 {
 			limit = max(2, min(shortlistPerGroup, shortlistTotal/len(x.queues)))
 		}
@@ -163,10 +167,10 @@
 	return x.workerBuffer
 }
 
-// appendSmallest appends the first workers of a queue, up to a limit, to the shortlist and computes their
-// keys again.
+// appendSmallest computes the keys of the workers with the smallest keys in a queue again, and appends these
+// workers, up to a limit, to the shortlist.
 func (x *index) appendSmallest(d *Dispatcher, s *groupQueue, limit int) {
-	for range 3 { // a worker whose key grew may make room for a better worker
+	for range 3 { // after the key of a worker grew, another worker may be among those with the smallest keys
 		moved := false
 		x.nodeBuffer = s.Smallest(x.nodeBuffer[:0], limit, fullWorkerKey-1, uint(d.eventCount))
 		for _, n := range x.nodeBuffer {
--- a/internal/dispatch/ordering.go
+++ b/internal/dispatch/ordering.go
@@ -43,7 +43,7 @@
 	moved := updated[:0]
 	for _, w := range updated {
 		if (!w.inOrder || w.sortKey != sortKeyOf(&w.entry)) && d.workers[w.entry.Worker] == w {
-			d.workerRingPosition(w) // computes the position that a worker keeps when it is no longer ready
+			d.workerRingPosition(w) // stores the ring position, which a worker keeps when it is no longer ready
 			moved = append(moved, w)
 		}
 	}
@@ -61,7 +61,9 @@
 	for _, w := range moved {
 		w.sortKey = sortKeyOf(&w.entry)
 	}
-	slices.SortFunc(moved, compareWorkers) // sorted insertions append to a first list instead of moving entries
+	// In sorted order, the insertions of the first worker list append to d.ordered instead of moving its
+	// entries.
+	slices.SortFunc(moved, compareWorkers)
 	for _, w := range moved {
 		if !w.inOrder {
 			d.ordered, w.inOrder = insertSorted(d.ordered, w), true
@@ -81,8 +83,8 @@
 }
 
 // setCovered records whether this dispatcher's interval of the ring covers a worker, and updates the subset.
-// A worker outside the interval that this dispatcher owns by number goes to ownedNotCovered instead:
-// updateSubset keeps such a worker in the subset while the worker is in slow start.
+// A worker outside the interval that this dispatcher owns by number (see isOwnerByNumber) goes to
+// ownedNotCovered instead: updateSubset keeps such a worker in the subset while the worker is in slow start.
 func (d *Dispatcher) setCovered(w *worker, in bool) {
 	w.covered = in
 	switch {
@@ -117,8 +119,8 @@
 	return w.ringPosition
 }
 
-// removedWorker records when the list first had a worker as removed. The record is void if the worker was
-// listed again since then.
+// removedWorker records when the worker list first showed a worker as removed. The record is void if the
+// worker was listed again since then.
 type removedWorker struct {
 	worker *worker
 	since  Micros // time of the removal
@@ -147,7 +149,8 @@
 			break
 		}
 		switch {
-		case w.removedAt != g.since || d.workers[w.entry.Worker] != w: // the worker was listed again, or deleted
+		case w.removedAt != g.since || d.workers[w.entry.Worker] != w:
+			// The worker was listed again or its record is deleted, so this entry of d.removed is dropped.
 		case len(w.attempts) > 0 || w.gossipQueued:
 			remaining = append(remaining, g)
 		default:
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -2,30 +2,32 @@
 
 import "strconv"
 
-// Outlier detection: a worker that fails jobs is ejected for a time, and a silent worker is suspect and gets
-// no new jobs until it gives a sign of life or is tried again.
+// Outlier detection: a worker that fails jobs is ejected, which means that it gets no jobs for a time. A
+// worker that has jobs and gives no sign of life is suspect and gets no new jobs until it gives a sign of
+// life or is tried again with a single job.
 
 const (
-	maxConsecutiveFailures = 3 // failed or reset attempts in a row at a worker that eject it
-	maxBackoffDoublings    = 5 // most doublings of the ejection time
+	maxConsecutiveFailures = 3 // number of consecutive failed or reset attempts after which a worker is ejected
+	maxBackoffDoublings    = 5 // largest number of doublings of the time for which a worker is ejected
 
-	// panicThreshold is the largest fraction of the subset that may be outliers. If more are, the evidence is
-	// taken to be wrong (a fault of the network or of the reports), not the workers, and all workers are used.
+	// panicThreshold is the largest fraction of the subset's workers that may be outliers (suspect or ejected).
+	// If more workers are outliers, the cause is assumed to be a fault of the network or of the reports and not
+	// of the workers, and all workers are used.
 	panicThreshold = 0.5
 
-	// startReportTimeoutBatches is the time, in batches of events (Settings.Granularity), after which the start
-	// report of an attempt is overdue. Sending the job, a handshake and the report back fit into it.
+	// startReportTimeoutBatches is the time, in multiples of Settings.Granularity, after which the start report
+	// of an attempt is overdue. Sending the job, a connection handshake and the report back fit into this time.
 	startReportTimeoutBatches = 8
-	// startReportTimeoutBatchesNoGossip replaces startReportTimeoutBatches in a large fleet without gossip,
-	// where overdue starts are evidence of waiting jobs: a path to another zone with a handshake must not look
-	// like a wait.
+	// startReportTimeoutBatchesNoGossip replaces startReportTimeoutBatches in a large fleet without gossip.
+	// There an overdue start counts as evidence that the job waits at the worker, so the time of a connection
+	// handshake with a worker of another zone must not look like a wait.
 	startReportTimeoutBatchesNoGossip = 32
 
 	// silenceTimeoutProgressIntervals is the time without a sign of life, in progress intervals, after which a
 	// worker with attempts in flight is suspect.
 	silenceTimeoutProgressIntervals = 1.5
-	// silenceTimeoutRuns replaces silenceTimeoutProgressIntervals where workers report no progress; its unit is
-	// the upper quartile of run times.
+	// silenceTimeoutRuns replaces silenceTimeoutProgressIntervals where workers report no progress. The unit of
+	// silenceTimeoutRuns is the upper quartile of run times.
 	silenceTimeoutRuns = 4.0
 )
 
@@ -53,7 +55,8 @@
 		w.unreachable = w.unreachable || w.consecutiveFailures > 0
 		d.eject(w)
 	case Failed, Reset:
-		// A worker that fails jobs quickly always has free slots. Without this record it would attract more jobs.
+		// A worker that fails jobs quickly always has free slots. If the error were not recorded, the worker would
+		// attract more jobs.
 		d.recordError(w, 1, e.Report)
 		if w.consecutiveFailures++; w.consecutiveFailures >= maxConsecutiveFailures {
 			w.consecutiveFailures--
@@ -66,7 +69,7 @@
 // maxBackoffDoublings times, and varies at random by a quarter.
 func (d *Dispatcher) eject(w *worker) {
 	if d.now < w.ejectedUntil {
-		return // another attempt met the failure for which the worker is ejected already
+		return // the worker is ejected already, because another attempt failed earlier
 	}
 	w.consecutiveFailures++
 	wait := max(d.settings.ConnectTimeout, second/4) << min(w.consecutiveFailures, maxBackoffDoublings)
@@ -110,8 +113,8 @@
 }
 
 // abandonLateStarts answers jobs that still wait at a worker when they can no longer meet their objective, if
-// a late answer earns nothing and their attempts may be cancelled. Left in the worker's queue, they would
-// delay the jobs behind them.
+// a late answer earns nothing and their attempts may be cancelled. Left in the worker's queue, these jobs
+// would delay the jobs behind them.
 func (d *Dispatcher) abandonLateStarts(w *worker) {
 	for _, a := range w.attempts {
 		j := a.job
@@ -137,8 +140,8 @@
 	}
 	silence := d.now - max(w.lastSeen, oldest)
 	if running == 0 {
-		// No job of this dispatcher is known to run there. Its jobs may wait behind jobs of other dispatchers, so
-		// the worker is given twice the time.
+		// No job of this dispatcher is known to run at the worker. The jobs may wait there behind jobs of other
+		// dispatchers, so the worker becomes suspect only after twice maxSilence.
 		silence /= 2
 	}
 	if silence > maxSilence && !w.suspect {
@@ -150,7 +153,7 @@
 	}
 }
 
-// markAlive records a sign of life of the worker, which is not suspect from then on.
+// markAlive records a sign of life of the worker, after which the worker is not suspect.
 func (w *worker) markAlive(now Micros) {
 	w.lastSeen, w.suspect = now, false
 }
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -5,12 +5,13 @@
 // Placement: which worker a job goes to.
 
 const (
-	// fullLoadCostRuns is the cost that full load adds to a worker, in expected run times of the job; part load
-	// adds a proportional part. Other dispatchers may fill a busy worker before the job arrives there.
+	// fullLoadCostRuns is the placement cost, in expected run times of the job, that a worker with all slots in
+	// use has in addition; a worker with a part of its slots in use has a proportional part of this addition.
+	// The reason is that other dispatchers may fill a busy worker before the job arrives there.
 	fullLoadCostRuns = 0.8
 
-	// concurrentProbes is the number of dispatchers that may probe one worker with a job beyond its capacity
-	// within one run time.
+	// concurrentProbes is the approximate number of dispatchers that may send one worker a job beyond its known
+	// capacity within one run time, see mayProbe.
 	concurrentProbes = 2
 )
 
@@ -22,7 +23,7 @@
 	wholeSubset := unbound && len(from) == len(d.subset)
 	if unbound && d.largeSubset() {
 		if wholeSubset && d.noCapacityEvent == d.eventCount {
-			return nil // in this event a scan for another job found no free slot in the whole subset
+			return nil // a scan for another job in the same event found no free slot in the whole subset
 		}
 		if w := d.cheapest(j, d.shortlist(j)); w != nil {
 			return w
@@ -65,8 +66,8 @@
 }
 
 // placementCost returns the cost of placing a job at a worker: the expected wait and run time there, in
-// microseconds, with additions for load, failures and random spread. remaining is the time until the job's
-// objective. The second result is false if the worker is not suitable for the job.
+// microseconds, with additions for load, failures and random spread. The parameter remaining is the time
+// until the job's latency objective. The second result is false if the worker is not suitable for the job.
 func (d *Dispatcher) placementCost(j *job, w *worker, remaining float64) (float64, bool) {
 	d.workersExamined++
 	if !d.usable(w) {
@@ -85,9 +86,10 @@
 		return 0, false
 	}
 	run, queueing := j.work/d.speed(w), d.expectedWait(w)
-	// expire has found that some worker can meet the objective, so the job waits for a worker like that rather
-	// than go to this one if this one would be late. A worker in slow start is an exception if late answers earn
-	// weight. Otherwise a new fleet, in which all workers are in slow start, would stay idle.
+	// A job that is not late can still meet its objective at some worker, as expire has found. So the job is not
+	// sent to a worker where it would miss the objective, and waits instead. A worker in slow start is an
+	// exception if late answers earn weight. Otherwise a new fleet, in which all workers are in slow start,
+	// would stay idle.
 	earns := d.slowStartSince(w) != 0 && d.settings.Classes[j.class].LateWeight > 0
 	if !j.late && !earns && queueing+d.requiredRunFraction(j)*run > remaining {
 		return 0, false
@@ -100,8 +102,8 @@
 }
 
 // crossZoneJustified reports whether the value that a job risks by waiting for a worker of this dispatcher's
-// zone exceeds the price of an attempt in another zone. The risk is estimated from the time until one of the
-// local slots becomes free, compared with the time until the job's latest start.
+// zone exceeds the price of an attempt in another zone. The risk is estimated from the expected time until a
+// slot in this dispatcher's zone becomes free, compared with the time until the job's latest start.
 func (d *Dispatcher) crossZoneJustified(j *job) bool {
 	justified := func(local float64) bool {
 		risk := 1.0
@@ -114,16 +116,16 @@
 	return justified(d.usableSlots(d.settings.Zone, func(local float64) bool { return !justified(local) }))
 }
 
-// eligible reports whether a worker may run a job according to the job's class, its earlier attempts, the
-// error rate of the worker, the repetition rule and the slow-start rule.
+// eligible reports whether a worker may run a job according to the job's class, the job's earlier attempts,
+// the error rate of the worker, and the safety rules about repetition and slow start (see rules.go).
 func (d *Dispatcher) eligible(j *job, w *worker) bool {
 	if k := d.settings.Classes[j.class].Kind; k >= 0 && k != w.entry.Kind || d.shouldAvoidFailing(j, w) {
 		return false
 	}
 	for _, a := range j.attempts {
 		if a.worker == w && (a.inFlight || a.mayHaveRun || a.handedBack) {
-			// The worker still has the job, may have run it, or returned it. After a return the worker may
-			// report the return again, which would look like the end of a new attempt there.
+			// The worker still has the job, may have run the job, or returned the job. After a return the worker
+			// may report the return again, which would look like the end of a new attempt at the worker.
 			return false
 		}
 	}
@@ -138,7 +140,7 @@
 		return false
 	}
 	if d.settings.StartReported && w.unstartedAttempts > 0 || d.peerJobWaits(w) {
-		return false // a job sent there has not begun, so the worker has no free slot or is down
+		return false // a job that was sent to the worker has not started, so no slot is free or the worker is down
 	}
 	if d.now < w.ejectedUntil || w.consecutiveFailures > 0 && len(w.attempts) > 0 {
 		return d.panicMode
@@ -148,7 +150,7 @@
 
 // mayProbe reports whether one job beyond a worker's known capacity may be sent there, to find out whether
 // the capacity is larger. All dispatchers that share the worker probe in this way, so the pause between the
-// probes of one dispatcher grows with their number.
+// probes of one dispatcher grows with the number of dispatchers that share the worker.
 func (d *Dispatcher) mayProbe(w *worker) bool {
 	if d.peerJobWaits(w) || d.peerJobArriving(w) {
 		return false
--- a/internal/dispatch/polling.go
+++ b/internal/dispatch/polling.go
@@ -6,15 +6,17 @@
 // no dispatch decisions.
 
 const (
-	pollServiceTime   = 50 * second / 1000 // approximate time that the discovery service spends on one poll
-	fastPollRetries   = 3                  // number of consecutive failed polls after which the backoff grows
-	pollBackoffGrowth = 1.5                // factor of the growth per failed poll, up to twice the backoff
+	// pollServiceTime is the approximate time, in microseconds, that the discovery service spends on one poll.
+	pollServiceTime   = 50 * second / 1000
+	fastPollRetries   = 3   // number of consecutive failed polls after which the backoff grows
+	pollBackoffGrowth = 1.5 // growth factor of the backoff for each further failed poll, up to a factor of 2
 )
 
 // pollJitter returns a random wait before a poll of the worker list. The wait keeps the dispatchers from
 // polling all at once: a call that waits too long at the discovery service fails, and costs the service as
-// much as a successful call. While the last update is valid, the wait may last until 1 s (the time for the
-// call) before the update becomes stale. When no update is valid, nothing can be sent, so the wait is short.
+// much as a successful call. While the last update of the list is valid, the wait may last until 1 s (the
+// time allowed for the call) before the update becomes stale. When no update is valid, the dispatcher can
+// send no job, so the wait is short.
 func (d *Dispatcher) pollJitter() Micros {
 	if !d.settings.LargeFleet() || d.settings.UnmeteredPolls {
 		return 0
@@ -51,10 +53,11 @@
 	return Micros(min(base, longest) * min(growth, 2))
 }
 
-// endpointsStale reports whether the known worker list is too old to send by. Nothing new may go to a worker
-// that drains or is removed, and a change counts as known MaxStaleness after it happened, received or not. So
-// an update is valid for MaxStaleness, and the list that was cached before a start is not valid at all. An
-// accepted job does not show that a worker is still ready, because a draining worker may accept jobs.
+// endpointsStale reports whether the known worker list is too old for sending jobs. No new job may go to a
+// worker that drains or is removed, and a change of the list binds the dispatcher MaxStaleness after the
+// change even if the dispatcher has not received the change. So an update is valid for MaxStaleness, and the
+// list that was stored before a restart is not valid at all. An accepted job does not show that a worker is
+// still ready, because a draining worker may accept jobs.
 func (d *Dispatcher) endpointsStale() bool {
 	return d.settings.PollEndpoints && d.settings.MaxStaleness > 0 &&
 		(d.endpointsAsOf == 0 || d.now-d.endpointsAsOf > d.settings.MaxStaleness)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -12,7 +12,8 @@
 	return cmp.Or(cmp.Compare(a.latestStart, b.latestStart), cmp.Compare(a.seq, b.seq))
 }
 
-// enqueue inserts a job into the queue: jobs on time by latest start, and late jobs by deadline behind them.
+// enqueue inserts a job into the queue. Jobs that can meet their objective are ordered by latest start, and
+// behind these jobs the late jobs are ordered by deadline.
 func (d *Dispatcher) enqueue(j *job) {
 	j.latestStart = j.objective - Micros(j.work/d.fleetSpeed())
 	if j.late {
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -124,8 +124,8 @@
 
 const unknownZone = -1
 
-// flow describes the jobs of one tenant and one class that are within the tenant's quota, or the jobs over the
-// quota.
+// flow describes the jobs of one tenant and one class that are within the tenant's quota, or the jobs over
+// the quota.
 type flow struct {
 	rate                float64 // guaranteed rate in jobs per second (d in the published overload control)
 	lastGappingInterval int64   // number of the last interval of call gapping that admitted a job; -1 if none
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -4,8 +4,8 @@
 // longer meet its objective or its deadline.
 
 const (
-	// maxPlacementMisses is the number of queued jobs for which release may find no worker, beyond the first
-	// one, before it stops. It bounds the processor time of one call.
+	// maxPlacementMisses is the largest number of queued jobs without a suitable worker that release skips in
+	// one call; release stops after one more such job. The limit bounds the processor time of the call.
 	maxPlacementMisses = 8
 
 	// feasibleRunFraction is the fraction of a queued job's expected run time that must still fit before its
@@ -24,7 +24,7 @@
 	for i := 0; i < len(d.queue) && misses <= maxPlacementMisses; {
 		j := d.queue[i]
 		if d.expire(j) {
-			continue // the job left the queue or moved behind the jobs on time; i names the next job now
+			continue // the job left the queue or moved behind the jobs on time, so queue[i] is the next job now
 		}
 		w := d.selectWorker(j)
 		if w == nil || !d.send(j, w) {
@@ -42,8 +42,8 @@
 // inspectionInterval returns the time between two inspections while jobs are queued, in microseconds.
 func (d *Dispatcher) inspectionInterval() Micros { return 4 * d.settings.Granularity }
 
-// expire handles a queued job that is about to reach its deadline or can no longer meet its objective. It
-// reports whether the job left the queue or moved behind the jobs that can meet theirs.
+// expire handles a queued job that is about to reach its deadline or can no longer meet its objective. The
+// result reports whether the job left the queue or moved behind the jobs that can meet their objective.
 func (d *Dispatcher) expire(j *job) bool {
 	if d.now >= j.deadline-d.deadlineMargin() {
 		d.dequeue(j)
@@ -61,9 +61,10 @@
 	if j.inFlight > 0 {
 		return true // the job's attempt in flight continues; a second attempt would start too late
 	}
-	// A late answer may still earn weight, and the job may even be in time after all, since estimates are
-	// rough. So the job waits behind the jobs on time, unless the fleet is overloaded. If a late answer earns
-	// nothing or the fleet is overloaded, the client is better served by an early answer than a late failure.
+	// A late answer may still earn weight, and since estimates are rough, the job may even meet its objective
+	// after all. So the job waits behind the jobs on time, unless the fleet is overloaded. If a late answer
+	// earns nothing or the fleet is overloaded, an early refusal or failure serves the client better than a late
+	// one.
 	if earns && d.level == levelNormal {
 		j.late = true
 		d.enqueue(j)
@@ -73,17 +74,18 @@
 	return true
 }
 
-// feasible reports whether the given fraction of a job's expected run time, on the fastest usable worker from
-// now on, ends before the job's objective.
+// feasible reports whether the given fraction of a job's expected run time still fits before the job's
+// latency objective, if the job starts now on the fastest usable worker.
 func (d *Dispatcher) feasible(j *job, fraction float64) bool {
 	return d.anyFastEnough(func(speed float64) bool {
 		return float64(d.now)+fraction*j.work/speed <= float64(j.objective)
 	})
 }
 
-// requiredRunFraction returns the fraction of a queued job's expected run time that must still fit before
-// its objective. Under overload it is the whole run, so that no scarce slot goes to a job that will likely be
-// late. This stricter test needs a cost hint: without one the expected run time is too uncertain.
+// requiredRunFraction returns the fraction of a queued job's expected run time that must still fit before the
+// job's latency objective. Under overload the result for a job with a cost hint is the whole run, so that no
+// scarce slot goes to a job that will likely be late. Without a cost hint the expected run time is too
+// uncertain for this stricter test.
 func (d *Dispatcher) requiredRunFraction(j *job) float64 {
 	if d.level > levelNormal && j.hinted {
 		return 1
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -8,9 +8,9 @@
 )
 
 // retry queues a job without attempts in flight for another attempt if its class, its deadline and the retry
-// budget allow that; otherwise it gives the job its final answer. An attempt whose connect failed does not
-// count against the budget. The ejection of its worker bounds the number of such attempts already, and if
-// half of a fleet became unreachable at once, they would exhaust the budget.
+// budget allow that; otherwise it gives the job its final answer. A retry after an attempt whose connect
+// failed does not count against the retry budget. The ejection of unreachable workers bounds the number of
+// such retries already, and if half of a fleet became unreachable at once, they would exhaust the budget.
 func (d *Dispatcher) retry(j *job, outcome Outcome) {
 	if j.queued {
 		return
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -4,14 +4,17 @@
 // allows.
 
 const (
-	// slowStartBudgetFraction is the fraction of the work that the settings allow per overload window that a
-	// single owner may send, as refill and saved budget together. It is below 1 because the worker's capacity
-	// and the work of jobs are estimates.
+	// slowStartBudgetFraction applies where a worker in slow start has a single owner (the only dispatcher that
+	// may send to the worker). Within an overload window the owner may send this fraction of the work that the
+	// settings allow, as refill of its budget and saved budget together. The fraction is below 1 because the
+	// worker's capacity and the work of jobs are estimates.
 	slowStartBudgetFraction = 0.65
 
-	// slowStartBudgetFractionShared is the fraction of the work that the settings allow per overload window by
-	// which the budgets of all owners together are refilled in a large fleet without gossip. Half as much may be
-	// saved in addition. The sum is larger than for a single owner because the parts of some owners stay unused.
+	// slowStartBudgetFractionShared applies in a large fleet without gossip, where a worker in slow start has
+	// several owners (dispatchers that may send to the worker). Within an overload window the budgets of all
+	// owners together are refilled by this fraction of the work that the settings allow, and half as much may be
+	// saved in addition. The sum of refill and saved budget is larger than for a single owner because the parts
+	// of some owners stay unused.
 	slowStartBudgetFractionShared = 0.6
 )
 
@@ -28,12 +31,13 @@
 	return at
 }
 
-// slowStartAllows reports whether the slow-start rule allows a job at a worker. The budget of a worker in
-// slow start is small compared with the work of a job, so an equal part for each dispatcher would never
-// suffice for a job. Therefore all dispatchers compute one owner from the worker's number; the owner may use
-// the whole budget, and no other dispatcher sends to the worker during its slow start. In a large fleet
-// without gossip a single owner per worker would leave a restarted fleet idle. There, a worker has as many
-// owners, among the dispatchers that cover it on the ring, as can each have budget for one job.
+// slowStartAllows reports whether the slow-start rule (all dispatchers together do not send a worker in slow
+// start more than its limit) allows a job to be sent to a worker. The budget of a worker in slow start is
+// small compared with the work of a job, so an equal part for each dispatcher would never suffice for a job.
+// Therefore all dispatchers compute one owner from the worker's number; the owner may use the whole budget,
+// and no other dispatcher sends to the worker during its slow start. In a large fleet without gossip a single
+// owner per worker would leave a restarted fleet idle. In such a fleet a worker has as many owners, among the
+// dispatchers whose interval of the ring covers the worker, as can each have budget for one job.
 func (d *Dispatcher) slowStartAllows(j *job, w *worker) bool {
 	if d.slowStartSince(w) == 0 {
 		return true
@@ -46,8 +50,8 @@
 }
 
 // isSlowStartOwner reports whether this dispatcher owns a worker in slow start and may send to it. A
-// dispatcher whose Index is not below Dispatchers owns no worker, as it would be an owner that the others do
-// not count.
+// dispatcher whose Index is not below Dispatchers owns no worker, because the other dispatchers do not count
+// such a dispatcher when they divide the budget among the owners.
 func (d *Dispatcher) isSlowStartOwner(w *worker) bool {
 	if d.largeFleetWithoutGossip() && d.settings.Index < d.settings.Dispatchers {
 		return d.ringDistance(d.position, w) < d.ringCoverage*d.slowStartOwnerCount(w)/d.dispatchersPerWorker()
@@ -55,9 +59,10 @@
 	return d.isOwnerByNumber(w)
 }
 
-// isOwnerByNumber reports whether this dispatcher owns a worker by the worker's number, whatever its position
-// on the ring. It is false in a large fleet without gossip, where ownership depends on the ring position and
-// an owner always covers the worker.
+// isOwnerByNumber reports whether this dispatcher owns a worker by the worker's number, whatever the worker's
+// position on the ring. The owner may send to the worker while the worker is in slow start. The result is
+// false in a large fleet without gossip, where ownership depends on the ring position and the interval of an
+// owner always covers the worker.
 func (d *Dispatcher) isOwnerByNumber(w *worker) bool {
 	source := random(w.entry.Worker)
 	return !d.largeFleetWithoutGossip() &&
@@ -74,7 +79,7 @@
 	windowBegan := d.slowStartFraction(d.slowStartSince(w) + d.settings.OverloadWindow)
 	rate := d.slowStartRate(w) * windowBegan
 	if w.unreachable {
-		// Every dispatcher may try whether the worker is reachable again, so each has a part of the rate.
+		// Every dispatcher may try whether the worker is reachable again, so the rate is divided among all of them.
 		rate /= 2 * float64(d.settings.Dispatchers)
 	} else {
 		rate /= d.slowStartOwnerCount(w)
@@ -94,9 +99,10 @@
 	return limit
 }
 
-// slowStartRate returns the work that a worker of full capacity may be sent per unit of time under the limits
-// of slow start; refillSlowStartBudget multiplies it by the fraction of its capacity that the worker has. The
-// rate of a single owner is halved, because saved budget of a whole window may come on top of the refill.
+// slowStartRate returns the work per unit of time that a worker of full capacity may be sent under the limits
+// of slow start; refillSlowStartBudget multiplies the rate by the fraction of its full capacity that the
+// worker has now. The rate of a single owner is halved, because the saved budget of a whole overload window
+// may come on top of the refill.
 func (d *Dispatcher) slowStartRate(w *worker) float64 {
 	budgetFraction := slowStartBudgetFraction / 2
 	if d.largeFleetWithoutGossip() {
@@ -107,7 +113,8 @@
 
 // slowStartOwnerCount returns how many dispatchers own a worker in slow start. Each owner has an equal part
 // of the budget. In a large fleet without gossip there are as many owners as can each send one job of typical
-// work within an overload window; the refill and the saved budget of a window are 1.5 times slowStartRate.
+// work within an overload window, in which the refill and the saved budget together are 1.5 times
+// slowStartRate.
 func (d *Dispatcher) slowStartOwnerCount(w *worker) float64 {
 	if !d.largeFleetWithoutGossip() {
 		return 1
--- a/internal/dispatch/state_form.go
+++ b/internal/dispatch/state_form.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// appendStartCounts appends the counts that are not zero, each after its number of slots, and -1 at the end.
+// appendStartCounts appends the start counts that are not zero, each after the number of slots in use to
+// which the counts belong, and -1 at the end.
 func appendStartCounts(f *fingerprint.Buffer, startCountsBySlots *[maxTrackedSlots + 1]startCounts) {
 	for i := range startCountsBySlots {
 		if startCountsBySlots[i] != (startCounts{}) {
@@ -137,7 +138,7 @@
 	f.Ints(-1)
 }
 
-// appendQuantileWindow appends the number of samples so far, the quantile and the samples that are kept.
+// appendQuantileWindow appends the number of run times so far, their quantile and the latest run times.
 func appendQuantileWindow(f *fingerprint.Buffer, q *quantileWindow) {
 	f.Ints(int64(q.count))
 	f.Floats(q.value)
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -4,7 +4,7 @@
 
 // This file keeps the records of outlier detection. It makes no dispatch decisions.
 
-// markSuspect adds a worker to the list of workers that may be outliers.
+// markSuspect adds a worker to the list of workers that may be outliers (suspect or ejected).
 func (d *Dispatcher) markSuspect(w *worker) {
 	if !w.inSuspects {
 		w.inSuspects = true
@@ -25,8 +25,8 @@
 	return n
 }
 
-// overdueAttempts returns the attempts whose start report is overdue. In a subset that is not large they are
-// in the order of the busy workers.
+// overdueAttempts returns the attempts whose start report is overdue. Unless the subset is large, the
+// attempts are in the order of their workers in workerState.busy.
 func (d *Dispatcher) overdueAttempts() []*attempt {
 	if d.largeSubset() || len(d.overdueStarts) < 2 {
 		return d.overdueStarts
--- a/internal/fingerprint/buffer.go
+++ b/internal/fingerprint/buffer.go
@@ -7,7 +7,7 @@
 	"math"
 )
 
-// Buffer is an encoded state, to which each method appends.
+// Buffer holds the encoding of a state. Each method appends values to the encoding.
 type Buffer []byte
 
 // Ints appends integers as varints.
@@ -17,7 +17,8 @@
 	}
 }
 
-// Floats appends the bits of floating-point numbers, so that numbers with different bits remain different.
+// Floats appends each floating-point number as its 64 bits, so that the encodings of two numbers are equal
+// only if all bits of the numbers are equal.
 func (b *Buffer) Floats(vs ...float64) {
 	for _, v := range vs {
 		*b = binary.LittleEndian.AppendUint64(*b, math.Float64bits(v))
@@ -35,7 +36,7 @@
 	}
 }
 
-// Text appends the length of a string and then the string.
+// Text appends the length of a string in bytes and then the string.
 func (b *Buffer) Text(v string) {
 	b.Ints(int64(len(v)))
 	*b = append(*b, v...)
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -1,13 +1,15 @@
-// Package subset implements the ring by which a dispatcher determines its subset of the workers: the members
-// whose positions on the ring lie in the dispatcher's interval. The package makes no scheduling decisions.
+// Package subset implements the ring by which a dispatcher determines its subset of the workers. The workers
+// are members of the ring, and the subset has the members whose positions on the ring lie in the dispatcher's
+// interval. The package makes no scheduling decisions.
 //
 // Members are kept in groups. All members of a group have the same zone and kind and are sorted by their
 // numbers; a member's index in this order is its rank. In a group of n members, the member of rank i, from 0
 // to n-1, has the position (i+0.5)/n on a ring of circumference 1.
 //
 // Adding or removing a member costs a binary search and a move of memory within one group. Setting the
-// interval again does not visit all covered members: only the members that enter or leave the interval are
-// reported. The removal of one member moves at most one other member across each end of the interval.
+// interval again does not visit all members in the interval: Cover reports only the members that enter or
+// leave the interval. The removal of one member moves at most one other member across each end of the
+// interval.
 package subset
 
 import (
@@ -25,16 +27,16 @@
 // Group holds the members of one zone and kind, sorted by number.
 type Group[M any] struct {
 	zone, kind int
-	// generation counts the additions and removals of members. Ranks stay the same as long as the generation
-	// does.
+	// generation counts the additions and removals of members. The ranks of the members do not change while the
+	// generation does not change.
 	generation uint64
 	numbers    []uint32 // sorted numbers of the members, indexed by rank
 	members    []M      // members, indexed by rank
 	// covered holds the ranks of the members in the interval. The second range begins at the interval's start.
 	// The first range begins at rank 0 and is empty unless the interval wraps around the end of the ring.
 	covered [2]rankRange
-	// start and length describe the interval for which covered was computed. The length is -1 when members were
-	// added or removed since then.
+	// start and length describe the interval for which the field covered was computed. The length is -1 if
+	// members were added or removed after that computation.
 	start, length float64
 }
 
@@ -66,9 +68,9 @@
 }
 
 // Add adds a member. No member of the same zone and kind may have the same number. Add returns the group of
-// the new member, and whether the member is covered: a member whose rank lies between the ranks of two
-// covered members is covered from the start. All other changes of the coverage follow at the next call of
-// Cover.
+// the new member, and whether the member counts as covered, that is, as lying in the interval that Cover has
+// set. Only a new member whose rank lies between the ranks of two covered members is covered at once. All
+// other changes in which members are covered follow at the next call of Cover.
 func (r *Ring[M]) Add(zone, kind int, number uint32, member M) (group *Group[M], covered bool) {
 	at, found := r.findGroup(zone, kind)
 	if !found {
@@ -96,7 +98,7 @@
 
 // Remove removes the member with the given number from the group. A number that the group does not contain
 // has no effect. Cover does not report the removed member as having left the interval, since the caller
-// already knows whether the member was covered.
+// already knows whether the member was in the interval.
 func (r *Ring[M]) Remove(group *Group[M], number uint32) {
 	rank, found := slices.BinarySearch(group.numbers, number)
 	if !found {
@@ -122,14 +124,14 @@
 	}
 }
 
-// markChanged counts a change of the members, and marks the covered ranks as outdated.
+// markChanged counts an addition or removal of a member, and marks the field covered as outdated.
 func (g *Group[M]) markChanged() {
 	g.generation++
 	g.length = -1
 }
 
 // Generation returns the number of additions and removals of members so far. The positions of the group's
-// members stay the same as long as the generation does.
+// members do not change while the generation does not change.
 func (g *Group[M]) Generation() uint64 { return g.generation }
 
 // Position returns the position on the ring, from 0 to 1, of the member with the given number.
@@ -163,7 +165,8 @@
 	}
 }
 
-// cover recomputes the covered ranks of one group, and reports the members that enter or leave the interval.
+// cover computes which ranks of a group lie in the interval with the given start and length, and calls
+// changed for the members that enter or leave the interval.
 func (g *Group[M]) cover(start, length float64, changed func(member M, in bool)) {
 	outside := func(rank int) bool { return Distance(start, g.position(rank)) >= length }
 	n := len(g.numbers)
@@ -175,8 +178,8 @@
 	forEachRankOnlyIn(now, before, func(rank int) { changed(g.members[rank], true) })
 }
 
-// forEachRankOnlyIn calls do for each rank that one of ranges contains and that neither of others contains.
-// Stretches of ranks that others contain are skipped in one step.
+// forEachRankOnlyIn calls do for each rank that a range in ranges contains and that no range in others
+// contains. Consecutive ranks that a range in others contains are skipped in one step.
 func forEachRankOnlyIn(ranges, others [2]rankRange, do func(rank int)) {
 	for _, r := range ranges {
 		for rank := r.lo; rank < r.hi; {
@@ -193,8 +196,8 @@
 	}
 }
 
-// Clone returns a deep copy of the ring. Clone calls copyOf for the copy of each member, and then calls link
-// with that copy and the group of the cloned ring that contains the copy.
+// Clone returns a deep copy of the ring. Clone calls copyOf to get the copy of each member, and then calls
+// link with the copied member and the group of the cloned ring that contains the copied member.
 func (r *Ring[M]) Clone(copyOf func(M) M, link func(M, *Group[M])) Ring[M] {
 	copied := Ring[M]{size: r.size, groups: make([]*Group[M], len(r.groups))}
 	for i, group := range r.groups {
