--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -93,7 +93,7 @@
 
 	Granularity Micros // shortest time between two batches of events; values below 1 ms are raised to 1 ms
 
-	SlowStart        Micros  // time after its start during which a worker is in slow start
+	SlowStart        Micros  // time after the start of a worker during which the worker is in slow start
 	SlowStartInitial float64 // fraction of its full capacity that a worker has when it starts
 	// OverloadFactor and OverloadWindow limit what a worker in slow start is sent. A worker is overloaded if it
 	// is sent, within any OverloadWindow, more work than OverloadFactor times the work that its present capacity
@@ -204,7 +204,7 @@
 // Report is the part of a worker's load report that decisions use.
 type Report struct {
 	FreeKnown   bool    // the report contains a count of free slots
-	Free        float64 // free slots
+	Free        float64 // number of free slots at the worker; used if FreeKnown is set
 	Outstanding float64 // jobs in flight at the worker, including waiting jobs; negative: unknown
 	Errors      float64 // errors per second, over the jobs of all dispatchers
 }
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -72,10 +72,10 @@
 	d.updateOverloadLevel()
 }
 
-// learnLoadReport updates the slot limit of a worker from a load report that ended an attempt; leaving is the
-// number of slots of that attempt, which the report still counts as in use. The report may be up to a quarter
-// of a second old, so attempts that were sent within the last quarter of a second are assumed to be missing
-// from the report.
+// learnLoadReport updates the slot limit of a worker from a load report at the end of an attempt; leaving is
+// the number of slots of that attempt, which the report still counts as in use. The report may be up to a
+// quarter of a second old, so attempts that were sent within the last quarter of a second are assumed to be
+// missing from the report.
 func (d *Dispatcher) learnLoadReport(w *worker, r Report, leaving float64) {
 	if !r.FreeKnown || d.settings.StartReported {
 		return
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -16,7 +16,8 @@
 
 // candidates returns the workers among which a job's worker is chosen: the subset, or for the retry of a
 // keyed job all workers of its deduplication group, because the subset may have no worker of that group. The
-// result free reports that the job is not bound to one deduplication group of several.
+// result free is false only if an earlier attempt binds the job to the deduplication group of one zone or
+// cell.
 func (d *Dispatcher) candidates(j *job) (from []*worker, free bool) {
 	c := &d.settings.Classes[j.class]
 	if c.Effect != Keyed || len(j.attempts) == 0 {
--- a/internal/dispatch/clone.go
+++ b/internal/dispatch/clone.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// cloneWorkers copies the workers, without their attempts and their ring groups.
+// cloneWorkers copies the workers without their attempts, which cloneJobs sets, and without their ring
+// groups, which cloneWorkerLists sets.
 func (d *Dispatcher) cloneWorkers(from *Dispatcher) {
 	d.workers = make(map[WorkerID]*worker, len(from.workers))
 	for id, w := range from.workers {
--- a/internal/dispatch/estimate_sharing.go
+++ b/internal/dispatch/estimate_sharing.go
@@ -46,8 +46,8 @@
 	return d.ringCoverage * float64(d.settings.Dispatchers)
 }
 
-// covers reports whether a worker lies in the interval of the ring that belongs to the dispatcher at a
-// position, that is, whether that dispatcher has the worker in its subset.
+// covers reports whether a worker lies in the ring interval of the dispatcher whose position on the ring is
+// given.
 func (d *Dispatcher) covers(position float64, w *worker) bool {
 	return d.ringDistance(position, w) < d.ringCoverage
 }
@@ -58,7 +58,8 @@
 }
 
 // dispatcherRingPosition returns the position of a dispatcher on the ring, from 0 to 1. Steps of the golden
-// ratio spread any run of consecutive numbers evenly, and also a run of every second number.
+// ratio spread any run of consecutive dispatcher numbers evenly over the ring, and also a run of every second
+// number.
 func dispatcherRingPosition(dispatcher int) float64 {
 	_, position := math.Modf(math.Abs(float64(dispatcher)) * math.Phi)
 	return position
--- a/internal/dispatch/estimate_speed.go
+++ b/internal/dispatch/estimate_speed.go
@@ -66,7 +66,7 @@
 	return d.fleetEstimate.speed()
 }
 
-// typicalSpeed returns the speed of a mean worker of the same machine kind outside slow start.
+// typicalSpeed returns the speed of an average worker of the same machine kind outside slow start.
 func (d *Dispatcher) typicalSpeed(w *worker) float64 {
 	if !d.hintsSeen && d.fleetEstimate.work > 0 {
 		return d.priorSpeed(w) * d.fleetEstimate.time / d.fleetEstimate.work
@@ -105,9 +105,9 @@
 }
 
 // learnSpeed updates the speed estimates of an attempt's worker, its machine kind and the fleet, by the part
-// of the run that is not yet included. The parameter done is the fraction of the work that is done, 0 to 1.
-// The work of a job without a hint counts as its class's mean work, and only a complete run of such a job is
-// used. Runs on a worker in slow start are not used.
+// of the run that these estimates do not include yet. The parameter done is the fraction of the work that is
+// done, 0 to 1. The work of a job without a hint counts as its class's mean work, and only a complete run of
+// such a job is used. Runs on a worker in slow start are not used.
 func (d *Dispatcher) learnSpeed(a *attempt, done float64) {
 	w, work, span := a.worker, a.job.work*(done-a.progress), float64(d.now-a.accountedUntil)
 	if !a.job.hinted {
--- a/internal/dispatch/estimate_waits.go
+++ b/internal/dispatch/estimate_waits.go
@@ -15,8 +15,8 @@
 // Additions to the placement cost of a worker, in multiples of upperRunTime, that make dispatchers choose
 // different workers.
 const (
-	choiceJitterRuns   = 0.25 // largest random addition
-	choiceDistanceRuns = 0.5  // addition at the far end of the dispatcher's interval of the ring
+	choiceJitterRuns   = 0.25 // largest random addition to the cost, in multiples of upperRunTime
+	choiceDistanceRuns = 0.5  // addition at the far end of the ring interval, in multiples of upperRunTime
 )
 
 // waitEstimate is the mean time that jobs waited at workers before they started. Earlier waits lose weight
@@ -31,7 +31,7 @@
 type group struct {
 	waitEstimate
 	expectedWait    float64 // mean wait in microseconds, which includes jobs whose start is overdue now
-	computedInEvent uint64  // eventCount when expectedWait was computed
+	computedInEvent uint64  // value of Dispatcher.eventCount when expectedWait was computed
 }
 
 // groupKey identifies a group: the workers of one machine kind in one zone.
--- a/internal/dispatch/estimate_work.go
+++ b/internal/dispatch/estimate_work.go
@@ -12,7 +12,8 @@
 
 // classState holds the estimates for a class. Work is in microseconds on a standard core.
 type classState struct {
-	// Decayed sums over the jobs whose work is known: of the work, of its square, and of 1 for each job.
+	// Decayed sums over the jobs whose work is known: the sum of the work, the sum of the squares of the work,
+	// and the number of the jobs.
 	workSum, workSquareSum, workCount float64
 	runTimes                          quantileWindow // latest run times in microseconds
 	arrivals                          float64        // decayed number of arrivals, see classMixDecay
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -46,7 +46,7 @@
 	d.gossipQueue = later
 }
 
-// multicast sends a message about a worker to peers that cover the worker on the ring. If few dispatchers
+// multicast sends a message about a worker to peers whose ring intervals cover the worker. If few dispatchers
 // share a worker, or if the worker is in another zone than this dispatcher, all these peers get the message:
 // other dispatchers of this dispatcher's zone likely send to that zone as well. Otherwise the message goes to
 // peers of the worker's zone, to peers whose zone is unknown, and to peers that have recently sent jobs to
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -122,7 +122,9 @@
 	}
 	load := 1 + fullLoadCostRuns*inUse/max(1, limit) + w.placementBias
 	runs := d.typicalSpeed(w) / d.speed(w) * load
-	if d.largeFleetWithoutGossip() { // run time in microseconds counts, as waits and distance are added
+	if d.largeFleetWithoutGossip() {
+		// The cost includes an expected wait in microseconds here, so the run time is computed in microseconds,
+		// too, and the sum is converted to multiples of upperRunTime.
 		own := d.index.meanWork/d.speed(w)*load + d.expectedWait(w) - d.groupOf(w).expectedWait
 		runs = own/d.upperRunTime() + d.ringDistance(d.position, w)/d.ringCoverage*choiceDistanceRuns
 	}
@@ -158,7 +160,7 @@
 		if kind >= 0 && kind != s.key.kind {
 			continue
 		}
-		limit := shortlistPerGroup // groups of the own zone keep this limit if workers of other zones have a price
+		limit := shortlistPerGroup // groups of the own zone keep this limit if CrossZonePrice is set
 		if s.key.zone != d.settings.Zone || d.settings.CrossZonePrice == 0 {
 			limit = max(2, min(shortlistPerGroup, shortlistTotal/len(x.queues)))
 		}
--- a/internal/dispatch/ordering.go
+++ b/internal/dispatch/ordering.go
@@ -123,7 +123,7 @@
 // worker was listed again since then.
 type removedWorker struct {
 	worker *worker
-	since  Micros // time of the removal
+	since  Micros // time when the worker list first showed the worker as removed
 }
 
 // forgetRemoved records which workers of an update are removed, and deletes the workers that have been
@@ -148,9 +148,10 @@
 			remaining = append(remaining, d.removed[i:]...)
 			break
 		}
+		// An entry whose worker was listed again or deleted is dropped. A worker with attempts in flight or with
+		// gossip to send keeps its entry and its record.
 		switch {
 		case w.removedAt != g.since || d.workers[w.entry.Worker] != w:
-			// The worker was listed again or its record is deleted, so this entry of d.removed is dropped.
 		case len(w.attempts) > 0 || w.gossipQueued:
 			remaining = append(remaining, g)
 		default:
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -89,7 +89,7 @@
 	slowStartBudgetAt Micros  // time of the last refill of slowStartBudget; 0 if never computed
 
 	peerUses     []peerUse // slot use at the worker by each other dispatcher, from gossip
-	lastGossiped slotUse   // slot use that was last sent to the peers
+	lastGossiped slotUse   // slot use at the worker that this dispatcher last reported to the peers
 	gossipQueued bool      // the worker is in gossipQueue: lastGossiped may be out of date
 
 	// placementBias is a random addition to the placement cost, in expected run times of the job, by which
@@ -109,10 +109,12 @@
 type peerUse struct {
 	slotUse
 	peer          int    // number of the peer
-	updatedAt     Micros // time of the last report
+	updatedAt     Micros // time of the peer's last report
 	increasedAt   Micros // time of the last report with more slots in use than the report before
 	arrivingSlots byte   // number of slots by which the peer's use grew at increasedAt
-	waitingSince  Micros // time since which all reports have had waiting slots; 0 if the last has none
+	// waitingSince is the time since which each report of the peer has counted slots of jobs that wait for their
+	// start. It is 0 if the last report counted no such slot.
+	waitingSince Micros
 }
 
 // peer holds what the dispatcher knows of another dispatcher.
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -39,7 +39,7 @@
 	return 2*d.settings.Granularity + d.inspectionInterval()
 }
 
-// inspectionInterval returns the time between two inspections while jobs are queued, in microseconds.
+// inspectionInterval returns the time between two calls of inspect while jobs are queued, in microseconds.
 func (d *Dispatcher) inspectionInterval() Micros { return 4 * d.settings.Granularity }
 
 // expire handles a queued job that is about to reach its deadline or can no longer meet its objective. The
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -86,11 +86,11 @@
 	}
 	limit := rate * float64(d.settings.OverloadWindow)
 	if d.largeFleetWithoutGossip() {
-		limit /= 2 // the other half is a reserve, because several owners may each send one job too many
+		limit /= 2 // half of the limit is a reserve, because several owners may each exceed their budget by one job
 	}
 	if w.slowStartBudgetAt == 0 && d.now-d.startedAt >= d.settings.OverloadWindow {
-		// Before its first refill the budget is minus the work that was in transit when the worker's start was
-		// listed, or 0.
+		// Before the first refill, slowStartBudget is 0, or minus the work of the jobs that were on their way to
+		// the worker when the worker list showed the worker's restart (workInTransit).
 		w.slowStartBudget += limit
 	} else {
 		w.slowStartBudget = min(limit, w.slowStartBudget+rate*float64(d.now-max(w.slowStartBudgetAt, d.startedAt)))
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -87,13 +87,13 @@
 	level       overloadLevel
 	gappedRanks int // number of ranks to which call gapping applies now: all ranks below this number
 
-	// Numbers of the latest consecutive results of overloadAssessment: of levelSevere, of levelOverload or
-	// levelSevere, and of levelNormal.
+	// The number of latest calls of overloadAssessment in a row that returned levelSevere, the number of those
+	// that returned levelOverload or levelSevere, and the number of those that returned levelNormal.
 	consecutiveSevere, consecutiveOverload, consecutiveNormal int
 
 	gappingSteppedAt      Micros // time of the last change of gappedRanks or of the overload level
 	gappingStepInterval   Micros // time between two changes of gappedRanks by 1 (X in the published control)
-	flows                 []flow // by tenant, class, and within or over quota; admits computes the index
+	flows                 []flow // flows by tenant, class and within or over quota; admits computes the index
 	ranks                 []int  // rank for each class, within and over quota; call gapping begins with rank 0
 	rankCount             int    // number of distinct ranks
 	parametersRefreshedAt Micros // time of the last call of refreshAdmissionParameters
@@ -106,7 +106,7 @@
 	scanLimit        int    // largest subset, in workers, that is scanned for each job: maxScannedSubset
 	index            *index // index of a large subset; nil until first needed
 	workersExamined  uint64 // number of times that a worker's cost or index key was computed, over all jobs
-	freeCapacitySeen bool   // a worker examined in the current scan has a free slot, or mayProbe holds for it
+	freeCapacitySeen bool   // a worker examined in the current scan has a free slot or satisfies mayProbe
 	noCapacityEvent  uint64 // eventCount at the last scan in which no worker of the subset had capacity
 
 	// dedupGroups holds the workers of each deduplication group, in the order of workerState.ordered. The index
@@ -126,7 +126,7 @@
 
 	failingWorkers struct { // cached count of the subset's workers for which failsJobs holds
 		event uint64  // eventCount when the workers were counted
-		count float64 // number of workers
+		count float64 // number of the subset's workers for which failsJobs holds
 	}
 }
 
