--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -34,9 +34,9 @@
 
 	quotaBurstSeconds = 2.0 // unused quota that a tenant may save up, in seconds at the rate of the quota
 
-	// minQuotaBurst is the lower bound of the number of jobs that a tenant may save up as unused quota. Each
-	// dispatcher has only its part of the quota, and quotaBurstSeconds of a small part could be less than a
-	// whole job.
+	// minQuotaBurst is the lower bound of quotaBurst, the largest number of jobs that a tenant may save up as
+	// unused quota. Each dispatcher has only its part of the quota, and quotaBurstSeconds of a small part could
+	// be less than a whole job.
 	minQuotaBurst = 2.0
 
 	// classMixDecay is the factor by which the decayed number of arrivals of each class is multiplied once a
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -79,7 +79,7 @@
 	OverQuotaWeight float64 // fraction of its weight that a job beyond its tenant's quota keeps
 	WeightByWork    bool    // the weight of a job is PriorityWeight times its work
 
-	// PollEndpoints is set if the dispatcher has to poll the worker list or renew a subscription to it.
+	// PollEndpoints is set if the dispatcher has to poll the worker list or renew a subscription to the list.
 	PollEndpoints bool
 	// PollInterval scales the times between polls if PollEndpoints is set: a poll without an answer is repeated
 	// after about half of this interval, and a subscription is renewed after watchRenewalIntervals intervals
@@ -160,7 +160,7 @@
 const (
 	OK            Outcome = iota // the worker finished the job
 	Failed                       // the worker reported an error
-	AtCapacity                   // the worker rejected the job because it has no room
+	AtCapacity                   // the worker rejected the job because the worker has no room for it
 	TimedOut                     // no result came before the attempt's deadline
 	ConnectFailed                // no connection to the worker could be made
 	Reset                        // the connection broke or the worker aborted the job
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -49,7 +49,7 @@
 	entry      WorkerEntry // latest entry of the worker list
 	kind       *kind       // estimates for the worker's machine kind; nil if not looked up yet
 	group      *group      // estimated waits at the workers of the zone and kind; nil if not looked up yet
-	sortKey    sortKey     // sort key as of the last updateSubset
+	sortKey    sortKey     // zone, kind and readiness as of the last updateSubset
 	inOrder    bool        // the worker is in the list workerState.ordered
 	covered    bool        // this dispatcher's interval of the ring covers the worker
 	inSubset   bool        // the worker is in this dispatcher's subset
@@ -65,7 +65,7 @@
 	unstartedAttempts int        // number of own attempts in flight without a known start
 
 	slotLimit     float64 // number of slots that may be filled; used if workers report no starts
-	slotLimitAt   Micros  // time of the last evidence for slotLimit, see mayProbe
+	slotLimitAt   Micros  // time when a send, an outcome or a load report last set slotLimit
 	reportedSlots float64 // running mean of free slots plus jobs in flight in load reports; 0 if unknown
 	blockedUntil  Micros  // time until which no job is sent after the outcome AtCapacity or HandedBack
 	// startCountsBySlots counts how own jobs started, by the number of slots in use when a job was sent. It is
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -20,7 +20,7 @@
 
 // Ring holds all members, grouped by zone and kind. The zero Ring is empty.
 type Ring[M any] struct {
-	groups []*Group[M] // sorted by zone, then by kind; empty groups are removed
+	groups []*Group[M] // groups that have members, sorted by zone, then by kind
 	size   int         // number of members in all groups
 }
 
