--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -24,7 +24,7 @@
 	queues       []*groupQueue
 	byGroup      map[groupKey]*groupQueue
 	members      []*worker                    // subset for which the index was built
-	meanWork     float64                      // moving mean of the work of recent jobs, in microseconds on a standard core
+	meanWork     float64                      // moving mean of recent jobs' work, in standard-core microseconds
 	stale        bool                         // the subset may have changed since the index was built
 	version      uint64                       // number of times that the index was built
 	nextMember   int                          // index in members of the last worker reindexed in rotation
