--- a/internal/dispatch/clone.go
+++ b/internal/dispatch/clone.go
@@ -7,8 +7,8 @@
 	"dahliaford/internal/subset"
 )
 
-// A model checker copies a dispatcher's state with this file and compares two states with state_form.go. This
-// file makes no dispatch decisions, and the scheduler itself does not use it.
+// This file copies a dispatcher's state for a model checker, which compares two states by the encoding in
+// state_form.go. This file makes no dispatch decisions, and the scheduler itself does not use this file.
 
 // OpenJobs returns the number of jobs that have no final answer or have attempts in flight.
 func (d *Dispatcher) OpenJobs() int { return len(d.jobs) }
@@ -43,7 +43,8 @@
 	}
 }
 
-// cloneWorkers copies the workers, without their attempts and their ring groups.
+// cloneWorkers copies the workers without their attempts, which cloneJobs sets, and without their ring
+// groups, which cloneWorkerLists sets.
 func (d *Dispatcher) cloneWorkers(from *Dispatcher) {
 	d.workers = make(map[WorkerID]*worker, len(from.workers))
 	for id, w := range from.workers {
@@ -83,7 +84,7 @@
 	}
 	d.ring = from.ring.Clone(func(w *worker) *worker { return d.workers[w.entry.Worker] },
 		func(w *worker, group *subset.Group[*worker]) { w.ringGroup = group })
-	d.index, d.fastestWorker, d.sortedOverdueStarts = nil, nil, nil // rebuilt when next needed
+	d.index, d.fastestWorker, d.sortedOverdueStarts = nil, nil, nil // these caches are rebuilt when next needed
 	d.dedupGroups = [ScopeCell + 1]map[int][]*worker{}
 }
 
