--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -89,8 +89,8 @@
 		return
 	}
 	if e.Outcome == dispatch.Reset {
-		// The worker may have accepted the attempt and its 202 response may have been lost with the
-		// connection.
+		// The worker may have accepted the attempt although its 202 response was lost with the connection. The
+		// worker is therefore told to drop the job.
 		s.startCancellation(a)
 	}
 	s.endAttempt(a, e.Outcome, e.Report)
@@ -141,7 +141,8 @@
 	}
 }
 
-// expireDeferral ends an attempt that is still deferred at the latest time at which it may be sent.
+// expireDeferral ends an attempt that still waits for the acknowledgement of an earlier attempt's
+// cancellation at the latest time at which the waiting attempt may be sent.
 func (s *Scheduler) expireDeferral(t timer) {
 	if a := s.byAttempt[AttemptID(t.id)]; a != nil && a.deferredUntil == t.at {
 		s.endAttempt(a, dispatch.NotSent, dispatch.Report{})
--- a/internal/scheduler/callbacks.go
+++ b/internal/scheduler/callbacks.go
@@ -3,8 +3,9 @@
 import "dahliaford/internal/dispatch"
 
 // handleCallback handles a callback from a worker. A callback has an effect if its worker holds the live
-// attempt of the request, or an earlier attempt whose cancellation is open while the live attempt is
-// deferred. All other callbacks, such as late or repeated ones, are ignored.
+// attempt of the request, or if the live attempt is deferred until workers acknowledge cancellations and the
+// callback's worker may hold one of the earlier attempts being cancelled. All other callbacks, such as late
+// or repeated ones, are ignored.
 func (s *Scheduler) handleCallback(e *Callback) {
 	r := s.byID[e.RequestID]
 	if r == nil || len(r.attempts) == 0 {
@@ -39,8 +40,9 @@
 }
 
 // endByCallback ends an attempt whose worker has reported the end of the job. If the worker has not accepted
-// the attempt, the connection of the attempt still waits for the response. It is closed here, because the
-// response may never come or never end, and the timer that would close it later ends with the attempt.
+// the attempt, the connection on which the attempt was sent still waits for the worker's response.
+// endByCallback closes that connection, because the response may never come or never end, and the timer that
+// would close the connection later ends with the attempt.
 func (s *Scheduler) endByCallback(a *attempt, outcome dispatch.Outcome, report dispatch.Report) {
 	if !a.accepted {
 		s.emit(CloseConnection{Attempt: a.id})
@@ -61,8 +63,8 @@
 			s.answer(r, Answer{Verdict: Served, Body: e.Result})
 		}
 		if c.inFlight {
-			// The connection of the cancellation still waits for a response. It is closed here, because the
-			// timer that would close it later ends with the cancellation.
+			// The connection of the cancellation still waits for a response. The connection is closed here, because
+			// the timer that would close it later ends with the cancellation.
 			s.emit(CloseConnection{Attempt: a.id})
 		}
 		s.handleAcknowledgement(c)
--- a/internal/scheduler/cancellation_test.go
+++ b/internal/scheduler/cancellation_test.go
@@ -8,8 +8,8 @@
 )
 
 // newHarnessWithCancellation returns a harness with a batch request whose first attempt is being cancelled
-// and may be held by worker r1. The latency objective of the class is long enough for the request to wait
-// for the acknowledgement.
+// and may be held by worker r1. The latency objective of the class is long enough for the request to wait for
+// the acknowledgement of the cancellation.
 func newHarnessWithCancellation(t *testing.T) *harness {
 	t.Helper()
 	const longObjective = `"slo":19500000`
@@ -47,8 +47,8 @@
 	}
 }
 
-// The retry is sent as soon as the worker acknowledges the cancellation, even if that takes longer than
-// cancellationLifetime.
+// A deferred retry of a request is sent as soon as the worker acknowledges the cancellation of the first
+// attempt, even if the acknowledgement takes longer than cancellationLifetime.
 func TestRetryGoesOnOnceTheCancellationIsAcknowledged(t *testing.T) {
 	w := newHarnessWithCancellation(t)
 	w.runScript(t, `
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -17,15 +17,15 @@
 	cancellationLifetime Micros = 15 * second
 )
 
-// cancellation is the cancellation of an attempt that a worker may hold. The cancellation is retried until
-// the worker acknowledges it, for two reasons: a job whose caller no longer waits occupies a slot, and a job
-// that is retried must not run at two workers at once.
+// cancellation is the cancellation of an attempt that a worker may hold. The cancellation is sent again until
+// the worker acknowledges it, for two reasons: a job whose caller no longer waits occupies a slot of the
+// worker, and a job that is retried must not run at two workers at once.
 type cancellation struct {
 	attempt  *attempt
 	inFlight bool   // the cancellation has been sent and its result has not arrived
-	timerAt  Micros // the time-out if the cancellation is in flight, otherwise the time of the next send
+	timerAt  Micros // the time of the time-out if inFlight is set, otherwise the time of the next send
 	sends    int    // how often the cancellation has been sent
-	giveUpAt Micros // the time after which the cancellation is not retried if its request is answered
+	giveUpAt Micros // the time after which the cancellation is not sent again if its request is answered
 }
 
 // cancelAttempt cancels an attempt that has been sent. It closes the connection if the worker has not
@@ -114,9 +114,10 @@
 	s.setCancellationTimer(c, s.now+wait)
 }
 
-// handleAcknowledgement ends a cancellation that the worker has acknowledged. If that was the last open
-// cancellation of the request, its deferred attempt is sent, or ended if it is too late to send it, the
-// request has been answered, or the worker is no longer ready.
+// handleAcknowledgement ends a cancellation that the worker has acknowledged. If no other cancellation of the
+// request is open, the attempt of the request that was deferred until then is sent. The deferred attempt is
+// instead ended without being sent if its latest send time has passed, the request has been answered, or the
+// attempt's worker is no longer ready.
 func (s *Scheduler) handleAcknowledgement(c *cancellation) {
 	s.removeCancellation(c)
 	r := c.attempt.request
@@ -133,8 +134,8 @@
 	s.send(a, writeDeadline)
 }
 
-// hasOpenCancellation reports whether the cancellation of an attempt of the request is open, so that a
-// worker may still hold that attempt.
+// hasOpenCancellation reports whether a cancellation of any attempt of the request is neither acknowledged
+// nor given up, so that a worker may still hold the attempt.
 func (s *Scheduler) hasOpenCancellation(r *request) bool {
 	for _, a := range r.attempts {
 		if s.cancellations[a.id] != nil {
--- a/internal/scheduler/clone.go
+++ b/internal/scheduler/clone.go
@@ -34,7 +34,7 @@
 // each other as the originals do.
 type cloner struct {
 	from, to *Scheduler
-	requests []requestCopy // a slice, because with few requests a linear search is faster than a map
+	requests []requestCopy // requests is a slice because a linear search in few requests is faster than a map
 }
 
 type requestCopy struct{ original, copied *request }
@@ -114,10 +114,10 @@
 
 // Stats holds the numbers of records that a scheduler keeps for open and answered requests.
 type Stats struct {
-	Callers, IDs, Jobs, Attempts int // entries in the indexes of open requests and live attempts
+	Callers, IDs, Jobs, Attempts int // sizes of the indexes of requests and of live attempts
 	Cancellations                int // cancellations that are neither acknowledged nor given up
-	ReservedIDs                  int // request ids that a new request may not use
-	Timers                       int // timers, without those of the dispatcher
+	ReservedIDs                  int // request ids that are reserved because they were used recently
+	Timers                       int // timers in the heap, without those that the dispatcher has set
 	DispatcherJobs               int // jobs that the dispatcher keeps
 }
 
--- a/internal/scheduler/dispatcher.go
+++ b/internal/scheduler/dispatcher.go
@@ -54,7 +54,8 @@
 }
 
 // cancelForDispatcher cancels the attempt that a Cancel action names. It looks the attempt up by the number
-// that the dispatcher gave it within its job, because suppressed attempts have no record in the reducer.
+// that the dispatcher gave the attempt within its job. This number is no index into the attempts of the
+// request, because the reducer has no record of a Send action that it suppressed.
 func (s *Scheduler) cancelForDispatcher(action *dispatch.Action) {
 	r := s.byJob[action.Job]
 	if r == nil {
@@ -69,9 +70,9 @@
 	s.endAttempt(a, dispatch.Cancelled, dispatch.Report{})
 }
 
-// watchForDispatcher carries out the dispatcher's request for a watch of the worker list. If a watch is
-// open, its heartbeats show that it works, and opening a second watch would only add load to discovery: the
-// dispatcher then gets an empty update with the present age of the list instead.
+// watchForDispatcher carries out the dispatcher's request for a watch of the worker list. If a watch is open,
+// its heartbeats show that it works, and opening a second watch would only add load to discovery. Instead of
+// a second watch, the dispatcher then gets an empty update with the present age of the list.
 func (s *Scheduler) watchForDispatcher() {
 	if !s.watchOpen {
 		s.emit(OpenWatch{Addr: s.discoveryAddr, Revision: s.revision})
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -6,8 +6,8 @@
 	"dahliaford/internal/dispatch"
 )
 
-// reloadTimeout is how long the known worker list stays valid after a reload if the newly configured
-// discovery service does not answer.
+// reloadTimeout is how long the known worker list stays valid after a reload of the configuration if the
+// newly configured discovery service does not answer.
 const reloadTimeout Micros = 4 * second
 
 // handleEndpoints applies an update of the worker list.
@@ -37,10 +37,10 @@
 	s.stepDispatcher(failed)
 }
 
-// reload switches to the discovery service that a new configuration names. It opens the new watch at once,
-// without waiting for the dispatcher to request one, because the old watch ends. The known worker list stays
-// in use until the new service answers, for reloadTimeout at most. The known revision is dropped, as the
-// new service may number its revisions differently.
+// reload switches to the discovery service that a new configuration names. It opens a watch of the new
+// service at once, without waiting for the dispatcher to request one, because the watch of the old service
+// ends. The known worker list stays in use until the new service answers, for reloadTimeout at most. The
+// known revision is dropped, as the new service may number its revisions differently.
 func (s *Scheduler) reload(discovery string) {
 	s.discoveryAddr, s.revision, s.watchOpen = discovery, 0, false
 	s.epoch++
@@ -68,7 +68,8 @@
 		}
 		w.pendingUpdate = nil
 		if w.drainingSince == 0 {
-			w.Status, w.version = listed.Status, version{epoch: -1} // not comparable with another version
+			// No other version is newer than a version of epoch -1.
+			w.Status, w.version = listed.Status, version{epoch: -1}
 			entries = append(entries, s.workerEntry(w))
 			changed = append(changed, w)
 		}
@@ -86,7 +87,7 @@
 	updateVersion := s.nextVersion(list)
 	s.updateCount++
 	entries := make([]dispatch.WorkerEntry, 0, len(list.Workers))
-	changed := make([]*worker, 0, len(list.Workers)) // stays on the stack if the update is small
+	changed := make([]*worker, 0, len(list.Workers)) // the array stays on the stack if the update is short
 	for _, listed := range list.Workers {
 		w := s.workers[listed.UID]
 		if w == nil {
@@ -96,7 +97,8 @@
 			s.mergeWorker(w, listed, updateVersion)
 		}
 		w.lastUpdate = s.updateCount
-		entries = append(entries, s.workerEntry(w)) // the merged state, which may differ from the update
+		// The entry for the dispatcher has the state after the merge, which may differ from the listed entry.
+		entries = append(entries, s.workerEntry(w))
 		changed = append(changed, w)
 	}
 	for _, w := range s.implicitChanges(list.Complete, updateVersion) {
@@ -108,7 +110,8 @@
 		Workers: entries})
 }
 
-// nextVersion records the revision of an update and returns the update's version.
+// nextVersion records the revision of an update and returns the update's version, which is the revision with
+// its epoch.
 func (s *Scheduler) nextVersion(list WorkerList) version {
 	if list.Complete && list.Revision < s.revision {
 		// The discovery service has restarted or been replaced, and counts its revisions from the beginning.
@@ -121,10 +124,10 @@
 	return version{s.epoch, list.Revision}
 }
 
-// implicitChanges updates the workers whose state changes without being named in an update, and returns
-// them ordered by UID. They are the workers that are missing from a complete list, which are removed, and
-// the workers that have been draining or removed for MaxStaleness and have a pending update, which is
-// applied.
+// implicitChanges updates the workers whose state changes without being named in an update, and returns them
+// ordered by UID. They are the workers that are missing from a complete list, which are removed, and the
+// workers that have been draining or removed for MaxStaleness and have a pendingUpdate, which makes them
+// ready again and is now applied.
 func (s *Scheduler) implicitChanges(complete bool, updateVersion version) (changed []*worker) {
 	if complete {
 		for _, w := range s.workers {
--- a/internal/scheduler/endpoints_test.go
+++ b/internal/scheduler/endpoints_test.go
@@ -7,8 +7,8 @@
 	"dahliaford/internal/dispatch"
 )
 
-// A draining or removed worker must not become ready through an update that may be older than the one that
-// drained or removed it, until MaxStaleness has passed.
+// A draining or removed worker must not become ready through an update that may be older than the update that
+// drained or removed the worker, until MaxStaleness has passed.
 func TestStaleUpdateDoesNotRestoreDrainingWorker(t *testing.T) {
 	ready, draining := testWorker("r1", dispatch.Ready), testWorker("r1", dispatch.Draining)
 	removed := testWorker("r1", dispatch.Removed)
@@ -21,8 +21,8 @@
 	previous := EndpointsUpdated{List: WorkerList{9, false, []Worker{draining}}, FromPreviousWatch: true}
 	for name, c := range map[string]struct {
 		events []Event
-		ready  bool // whether the worker is ready right after the events
-		later  bool // whether the worker is ready once MaxStaleness has passed
+		ready  bool // whether worker r1 is ready right after the events
+		later  bool // whether worker r1 is ready once MaxStaleness has passed
 	}{
 		"a newer change":        {[]Event{drained, update(10, false, ready)}, true, true},
 		"a newer complete list": {[]Event{drained, update(10, true, ready)}, true, true},
@@ -67,18 +67,20 @@
 	}
 }
 
-// The worker list is only as recent as the AsOf time of its last update, even if the update reaches the
-// reducer later because of sockets and queues. The dispatcher decides from this time whether to poll.
+// The worker list is only as recent as the AsOf time of its last update, even if sockets and queues delay the
+// update on its way to the reducer. The dispatcher decides by the age of the list whether to poll discovery.
 func TestDelayedUpdateKeepsItsAge(t *testing.T) {
 	w := newHarness(t)
 	w.step(EndpointsUpdated{AsOf: w.now - second})
 	if w.scheduler.listAsOf != w.now-second {
-		t.Errorf("after an update delayed by 1 s: listAsOf is %d, want %d", w.scheduler.listAsOf, w.now-second)
+		t.Errorf("after an update delayed by 1 s: worker list is complete up to time %d us, want %d us",
+			w.scheduler.listAsOf, w.now-second)
 	}
 	w.now += second
 	w.step(EndpointsUpdated{})
 	if w.scheduler.listAsOf != w.now {
-		t.Errorf("after an update without AsOf: listAsOf is %d, want %d", w.scheduler.listAsOf, w.now)
+		t.Errorf("after an update without AsOf: worker list is complete up to time %d us, want the clock, %d us",
+			w.scheduler.listAsOf, w.now)
 	}
 }
 
@@ -101,11 +103,11 @@
 			Deadline: w.now + 5*second}, nil)
 		i := slices.IndexFunc(got, func(e Effect) bool { _, is := e.(SendAttempt); return is })
 		if i < 0 || got[i].(SendAttempt).WorkerUID != "r2" || got[i].(SendAttempt).Addr != r2.Addr {
-			t.Errorf("r1 removed by a complete list: %v; got effects %+v, want a9 sent to r2", complete, got)
+			t.Errorf("r1 removed by a complete list: %v; got effects %+v, want request a9 sent to r2", complete, got)
 		}
 		status1, status2 := w.scheduler.workers["r1"].Status, w.scheduler.workers["r2"].Status
 		if status1 != dispatch.Removed || status2 != dispatch.Ready {
-			t.Errorf("r1 removed by a complete list: %v; got status %d of r1 and %d of r2, want removed and ready",
+			t.Errorf("r1 removed by a complete list: %v; got status %d of r1, %d of r2, want removed and ready",
 				complete, status1, status2)
 		}
 	}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -6,8 +6,8 @@
 
 import "dahliaford/internal/dispatch"
 
-// Micros is a time on the dispatcher's clock, in microseconds. The reducer counts it from the Unix epoch,
-// so a worker's start time as reported by discovery only needs its unit converted.
+// Micros is a time on the dispatcher's clock, in microseconds. The reducer counts the time from the Unix
+// epoch, so that the start time of a worker as reported by discovery only needs a conversion of its unit.
 type Micros = dispatch.Micros
 
 // CallerID identifies the caller that waits for the answer to one submitted request. The sender of the
@@ -57,8 +57,8 @@
 	Callback struct {
 		RequestID, WorkerUID string
 		Kind                 CallbackKind
-		Progress             float64 // set if Kind is CallbackRunning
-		Result               []byte  // set if Kind is CallbackDone
+		Progress             float64 // fraction of the job's work that is done; set if Kind is CallbackRunning
+		Result               []byte  // result of the job; set if Kind is CallbackDone
 		Report               dispatch.Report
 	}
 	// CancellationResult reports the result of a CancelAttempt effect.
@@ -133,7 +133,7 @@
 	UID, Addr, Zone, Kind string
 	Cell                  int
 	Status                dispatch.Status
-	Started               Micros // start time of the process; 0: too long ago for slow start
+	Started               Micros // start time of the worker's process; 0 if too long ago for slow start
 }
 
 // Effect is an output of Scheduler.Step: something that the caller of Step has to carry out.
@@ -154,13 +154,13 @@
 	// CloseConnection closes the connection on which an attempt, or the cancellation of that attempt, was
 	// sent.
 	CloseConnection struct{ Attempt AttemptID }
-	// CancelUnsent drops an attempt whose caller no longer waits, if no byte of the attempt has been
-	// written yet; AttemptEnded then reports that. An attempt that has been written continues, as
+	// CancelUnsent drops an attempt whose caller no longer waits, if no byte of the attempt has been written
+	// yet. If the attempt is dropped, AttemptEnded reports this. An attempt that has been written continues, as
 	// CancelUnsent does not cancel anything at the worker.
 	CancelUnsent struct{ Attempt AttemptID }
-	// CancelAttempt tells a worker to drop an attempt that it may hold. CancellationResult must
-	// follow. The worker need not be notified if CloseConnection comes for the same attempt and no byte of
-	// the attempt was ever written.
+	// CancelAttempt tells a worker to drop an attempt that the worker may hold. The caller of Step must report
+	// the result by a CancellationResult event. The worker need not be told if a CloseConnection effect comes
+	// for the same attempt and no byte of the attempt was ever written.
 	CancelAttempt struct {
 		Attempt   AttemptID
 		RequestID string
@@ -192,14 +192,14 @@
 	ResumeWorker struct{ UID string }
 	// CloseIdleClients closes the connections of clients that have no open request.
 	CloseIdleClients struct{}
-	// Shutdown ends the program, as all requests have been answered. Client connections may stay open to
-	// transmit their last answers until Deadline.
+	// Shutdown ends the program, as all requests have been answered. Connections to clients may stay open until
+	// Deadline to transmit the last answers.
 	Shutdown struct{ Deadline Micros }
 	// Log writes a line to the log.
 	Log struct {
-		Warn bool // the line has the level of a warning
+		Warn bool // the line is logged as a warning
 		Text string
-		Args []any // keys and values in turn
+		Args []any // attributes of the line: keys and values in turn
 	}
 )
 
@@ -219,7 +219,7 @@
 // Verdict tells a caller what became of its request.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts: what became of a request.
 const (
 	Served   Verdict = iota // the job has run; Body is its result
 	Refused                 // the job has not run: a retry cannot make it run twice
--- a/internal/scheduler/fingerprint.go
+++ b/internal/scheduler/fingerprint.go
@@ -91,8 +91,8 @@
 }
 
 // compareTimers orders timers by time, kind and id. It treats the deadline of an attempt and the end of the
-// attempt's deferral as one kind: if both are due at the same time, their order in the heap has to be kept,
-// because the first of the two determines the outcome of the attempt.
+// attempt's deferral (its wait for a cancellation) as one kind: if both are due at the same time, their order
+// in the heap has to be kept, because the first of the two determines the outcome of the attempt.
 func compareTimers(a, b timer) int {
 	kind := func(t timer) timerKind {
 		if t.kind == deferralEnd {
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -47,7 +47,7 @@
 	clear(s.byID)
 	clear(s.byJob)
 	for _, a := range s.byAttempt {
-		s.byID[a.request.id] = a.request // lets callbacks of the worker find the request
+		s.byID[a.request.id] = a.request // a callback of the worker finds its request in byID
 	}
 }
 
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -8,7 +8,7 @@
 )
 
 // request is the record of a submitted request. It is kept until the request has been answered and has no
-// live attempt.
+// live attempt, that is, no attempt that has not ended.
 type request struct {
 	caller   CallerID
 	id       string
@@ -55,8 +55,9 @@
 	}
 	s.lastJob++
 	s.usedIDs.add(e.RequestID)
-	// The deadline of the class limits the deadline that the client requests: the dispatcher abandons the
-	// job at the deadline of the class, and no record of a request may be kept indefinitely.
+	// The deadline that the client requests is limited by the deadline of the job's class, for two reasons: the
+	// dispatcher abandons the job at the deadline of the class, and no record of a request may be kept
+	// indefinitely.
 	r := &request{
 		caller:   e.Caller,
 		id:       e.RequestID,
@@ -165,8 +166,9 @@
 
 func (r *recentIDs) has(id string) bool { return r.current[id] || r.previous[id] }
 
-// rotate starts a new generation if the current one is older than the retention time, and drops the ids of
-// the generation before it. It drops both if the current one is older than twice the retention time.
+// rotate starts a new generation of ids if the current generation is older than the retention time, and drops
+// the ids of the generation before the current one. It drops both generations if the current one is older
+// than twice the retention time.
 func (r *recentIDs) rotate(now, retention Micros) {
 	age := now - r.rotatedAt
 	if age <= retention {
--- a/internal/scheduler/scaling_test.go
+++ b/internal/scheduler/scaling_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// The time that a job takes must not grow with the number of workers in the fleet, because a scheduler of a
-// large fleet only uses a subset of the workers.
+// The processing of a job by the scheduler must not take longer in a fleet with more workers, because a
+// scheduler of a large fleet only uses a subset of the workers.
 func TestJobCostIndependentOfFleetSize(t *testing.T) {
 	elapsed := func(schedulers, workers int) time.Duration {
 		fastest := time.Hour
@@ -51,7 +51,8 @@
 	small := elapsed(3, 10)
 	for _, size := range [][2]int{{80, 60}, {300, 200}} {
 		if large := elapsed(size[0], size[1]); large > 4*small {
-			t.Errorf("400 jobs: got %v (3 schedulers, 10 workers), %v (%d schedulers, %d workers), want <= 4 x",
+			t.Errorf(
+				"time of 400 jobs: got %v (3 schedulers, 10 workers) and %v (%d schedulers, %d workers), want at most x4",
 				small, large, size[0], size[1])
 		}
 	}
@@ -68,14 +69,14 @@
 		s.Step(s.now+60*second, EndpointsUpdated{List: change}, nil)
 	}
 	if n := len(s.workers); n > 25 || n < 10 || len(s.byNumber) != n {
-		t.Errorf("got %d worker records and %d worker numbers, want the same count of both, from 10 to 25", n,
-			len(s.byNumber))
+		t.Errorf("fleet of 10, one replaced per minute: got %d worker records and %d numbers, want equal, 10 to 25",
+			n, len(s.byNumber))
 	}
 	before := len(s.workers)
 	returned := WorkerList{Revision: 999, Workers: []Worker{testWorker("r0", dispatch.Ready)}}
 	s.Step(s.now+second, EndpointsUpdated{List: returned}, nil)
 	if r := s.workers["r0"]; r == nil || r.Status != dispatch.Ready || len(s.workers) != before+1 {
-		t.Errorf("the record of a worker that is listed again is %+v, want a new, ready one", r)
+		t.Errorf("worker r0 listed again: got record %+v, want a new record with status ready", r)
 	}
 	runJobs(t, s, 10)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -24,7 +24,7 @@
 
 	byCaller    map[CallerID]*request       // requests without an answer
 	byID        map[string]*request         // requests without an answer or with a live attempt, by request id
-	byJob       map[dispatch.JobID]*request // requests without an answer or with a live attempt
+	byJob       map[dispatch.JobID]*request // requests without an answer or with a live attempt, by job id
 	usedIDs     recentIDs
 	maxDeadline Micros // the longest deadline of any class
 	idRetention Micros // the minimum time for which usedIDs keeps a request id
@@ -41,17 +41,17 @@
 	kinds          nameIndex
 	discoveryAddr  string
 	revision       int64
-	epoch          int             // the epoch of the current revision, see version
+	epoch          int             // the epoch of revision; only revisions of one epoch are comparable
 	updateCount    uint64          // the number of updates applied
-	pendingWorkers []*worker       // all workers with a pending update, and possibly some without one
-	removedWorkers []removedWorker // ordered by the time of the removal
+	pendingWorkers []*worker       // all workers whose pendingUpdate is set, and possibly others
+	removedWorkers []removedWorker // removals in the order of their times
 	listAsOf       Micros          // the time up to which the worker list is complete
 	watchOpen      bool            // discovery has answered the watch request and has not closed the watch
 
 	timers     timerHeap
 	timerAt    Micros // the time of the last SetTimer; 0: no timer is set
 	refuseFrom Micros // the time at which new requests begin to be refused; 0: no shutdown has been requested
-	answerBy   Micros // during a shutdown: the time at which requests that are still open are answered
+	answerBy   Micros // during a shutdown: the time at which all requests still open are answered
 	refusing   bool   // refuseFrom has passed and CloseIdleClients has been emitted
 
 	dispatcherEvents []dispatch.Event // events that wait for the dispatcher to finish its current event
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -32,7 +32,7 @@
 	now             Micros
 	timerAt         Micros               // the time that the last SetTimer effect requested; 0: no timer is set
 	exitDeadline    Micros               // the deadline of the Shutdown effect; 0: there has been no such effect
-	output          map[string][]string  // lines that the script has not yet expected, by actor
+	output          map[string][]string  // recorded lines that the script has not matched yet, by actor
 	latestAttempt   map[string]AttemptID // the latest attempt of each request, by request id
 	workerOfAttempt map[AttemptID]string // the UID of the worker to which an attempt was sent
 	callerNames     map[CallerID]string  // the actor that submitted a request
@@ -155,7 +155,7 @@
 	switch {
 	case a.name == "discovery":
 		a.step(WatchClosed{})
-	case a.name[0] == 'r': // a worker: its connection breaks after the attempt was sent
+	case a.name[0] == 'r': // an actor named r... is a worker: its connection breaks after the attempt was sent
 		a.step(AttemptEnded{Attempt: a.latestAttempt[text], Outcome: dispatch.Reset})
 	default:
 		for caller, name := range a.callerNames {
@@ -492,8 +492,9 @@
 		r1 expect cancel a1`, func(want, got string) string { return cmp.Diff(want, got) })
 }
 
-// A stopping scheduler must exit before it is killed, for any class deadline and even if a worker does not
-// acknowledge a cancellation. Clients send requests until it exits, and a kill would leave them unanswered.
+// A stopping scheduler must exit before the time at which its process may be killed, for any class deadline
+// and even if a worker does not acknowledge a cancellation. Clients send requests to the scheduler until it
+// exits, and a kill would leave the requests unanswered.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	for _, longest := range []time.Duration{200 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second,
 		20 * time.Second} {
@@ -516,7 +517,7 @@
 				}
 			}
 			if w.exitDeadline == 0 || w.now >= kill || w.exitDeadline >= kill {
-				t.Errorf("exit deadline %v (0: no exit requested), clock %v; want both before the kill at %v",
+				t.Errorf("got exit deadline %v us (0: none) at time %v us, want both before the kill at %v us",
 					w.exitDeadline, w.now, kill)
 			}
 		})
@@ -536,7 +537,8 @@
 }
 
 // Schedulers share no state, but all must give a worker the same number, in whatever order discovery lists
-// the workers to them: the dispatcher computes the owner of a worker in slow start from the number.
+// the workers to them: from the number, each dispatcher computes which dispatchers may send to a worker in
+// slow start.
 func TestWorkerNumberDependsOnUIDOnly(t *testing.T) {
 	a, b := newHarness(t).scheduler, newHarness(t).scheduler
 	a.applyUpdate(WorkerList{Workers: []Worker{testWorker("s-1", 1), testWorker("s-2", 1)}},
@@ -545,7 +547,8 @@
 		dispatch.UpdateDelta, 1)
 	for _, uid := range []string{"s-1", "s-2"} {
 		if diff := cmp.Diff(a.workers[uid].number, b.workers[uid].number); diff != "" {
-			t.Errorf("the number of worker %s depends on the order of the list: %s", uid, diff)
+			t.Errorf("worker %s: want the same number for both orders of the worker list, got the difference %s",
+				uid, diff)
 		}
 	}
 }
--- a/internal/scheduler/shutdown.go
+++ b/internal/scheduler/shutdown.go
@@ -6,22 +6,24 @@
 //
 //	acceptAfterShutdown                     new requests are refused, idle client connections are closed
 //	deadline + killGrace - answerMargin     requests that are still open are answered
-//	lingerTimeout after that                all client connections are closed
+//	lingerTimeout after those answers       all client connections are closed
 //	deadline + killGrace                    the process may be killed from here on
 //
 // The deadline is the longest deadline of any class, limited to maxShutdownDeadline.
 const (
-	// acceptAfterShutdown is how long a stopping scheduler accepts new requests. The front end that
-	// distributes client connections keeps sending it new ones for part of that time.
+	// acceptAfterShutdown is how long a stopping scheduler accepts new requests. The front end that distributes
+	// client connections to schedulers keeps sending new connections to a stopping scheduler for part of that
+	// time.
 	acceptAfterShutdown Micros = 600 * millisecond
-	// killGrace is how long after the end of the longest deadline, counted from the shutdown request, the
-	// process is killed at the earliest.
+	// killGrace is the time between the longest deadline of any class, counted from the shutdown request and
+	// limited to maxShutdownDeadline, and the earliest time at which the process is killed.
 	killGrace Micros = 700 * millisecond
-	// maxShutdownDeadline limits the deadline that delays the kill: a longer deadline counts as this long.
+	// maxShutdownDeadline limits the class deadline by which the kill after a shutdown request is delayed: a
+	// longer deadline delays the kill by maxShutdownDeadline only.
 	maxShutdownDeadline Micros = 3 * second
-	// answerMargin is how long before the kill the open requests are answered, as the kill would leave them
-	// without an answer. The part beyond lingerTimeout allows for delays when the program gets no processor
-	// time.
+	// answerMargin is the time before the kill at which the requests that are still open are answered, as the
+	// kill would leave them without an answer. The part of answerMargin beyond lingerTimeout allows for delays
+	// when the program gets no processor time.
 	answerMargin Micros = 300 * millisecond
 	// lingerTimeout is how long client connections may stay open after the open requests were answered.
 	lingerTimeout Micros = 200 * millisecond
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -14,7 +14,7 @@
 	cancellationTimer                  // times out or resends the cancellation of an attempt; id: AttemptID
 	requestDeadline                    // ends the wait of a caller; id: CallerID
 	attemptDeadline                    // ends an attempt; id: AttemptID
-	deferralEnd                        // ends an attempt that is still deferred; id: AttemptID
+	deferralEnd                        // ends an attempt that waits for a cancellation; id: AttemptID
 	dispatcherTimer                    // fires a timer that the dispatcher has set; id: the dispatcher's token
 )
 
@@ -28,19 +28,19 @@
 // timerHeap is a heap of timers with the earliest one first.
 type timerHeap []timer
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (h timerHeap) Len() int { return len(h) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface. The timer that is due earlier comes first.
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
@@ -50,7 +50,7 @@
 
 func (s *Scheduler) addTimer(t timer) { heap.Push(&s.timers, t) }
 
-// fireTimers fires all timers that are due.
+// fireTimers fires all timers whose time has come.
 func (s *Scheduler) fireTimers() {
 	for len(s.timers) > 0 && s.timers[0].at <= s.now {
 		s.fire(heap.Pop(&s.timers).(timer))
--- a/internal/scheduler/update_reference_test.go
+++ b/internal/scheduler/update_reference_test.go
@@ -163,7 +163,8 @@
 			trace = append(trace, fmt.Sprintf("%d %T%+v", now, e, e))
 			got, want := s.Step(now, e, nil), reference.stepReference(now, e)
 			if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
-				t.Fatalf("after the events %v\ngot effects %+v\nwant those of the reference %+v", trace, got, want)
+				t.Fatalf("after the events %v\ngot effects %+v\nwant the effects of the reference implementation, %+v",
+					trace, got, want)
 			}
 			requireSameState(t, s, reference, trace)
 			requireSameState(t, s.Clone(), reference, trace)
@@ -177,7 +178,7 @@
 func requireSameState(t *rapid.T, a, b *Scheduler, trace []string) {
 	t.Helper()
 	if !bytes.Equal(a.AppendState(nil), b.AppendState(nil)) {
-		t.Fatalf("after the events %v\nthe state differs from that of the reference", trace)
+		t.Fatalf("after the events %v\ngot another state than the reference implementation, want the same", trace)
 	}
 }
 
@@ -251,10 +252,10 @@
 				e := EndpointsUpdated{List: list}
 				got, want := s.Step(now, e, nil), reference.stepReference(now, e)
 				if !slices.EqualFunc(got, want, func(a, b Effect) bool { return reflect.DeepEqual(a, b) }) {
-					t.Fatalf("got effects %+v\nwant those of the reference %+v", got, want)
+					t.Fatalf("got effects %+v\nwant the effects of the reference implementation, %+v", got, want)
 				}
 				if !bytes.Equal(s.AppendState(nil), reference.AppendState(nil)) {
-					t.Fatal("the state differs from that of the reference")
+					t.Fatal("got another scheduler state than the reference implementation, want the same")
 				}
 			}
 			apply(WorkerList{Complete: true, Workers: workers})
@@ -273,7 +274,7 @@
 func TestUpdateAllocationIndependentOfFleetSize(t *testing.T) {
 	bytesPerUpdate := func(schedulers, workers int) (bytes uint64) {
 		s, updates := newFleet(t, schedulers, workers), newUpdateFeed(workers)
-		for range 200 { // grows the buffers that later updates reuse
+		for range 200 { // the first updates grow buffers that later updates reuse
 			updates.step(s)
 		}
 		const n = 400
@@ -288,7 +289,8 @@
 	small := bytesPerUpdate(300, 200)
 	for _, size := range [][2]int{{300, 800}, {300, 2400}, {300, 7200}, {30, 7200}, {17, 7200}, {7200, 7200}} {
 		if large := bytesPerUpdate(size[0], size[1]); large > 2*small {
-			t.Errorf("bytes per update: %d (300 schedulers, 200 workers), %d (%d schedulers, %d workers), want <= 2 x",
+			t.Errorf(
+				"bytes per update: got %d (300 schedulers, 200 workers), %d (%d schedulers, %d workers), want at most x2",
 				small, large, size[0], size[1])
 		}
 	}
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// expiredWorkers removes the entries whose retention time is over from removedWorkers, and returns their
-// workers. A returned worker may have been added again since, which recordRemoval checks.
+// expiredWorkers removes the entries from removedWorkers whose retention time after the removal is over, and
+// returns their workers. A returned worker may have been added again since, which recordRemoval checks.
 func (s *Scheduler) expiredWorkers() (expired []*worker) {
 	retention := s.settings.Dispatch.RemovedRetention()
 	n := 0
@@ -133,8 +133,9 @@
 	}
 }
 
-// assignNumber derives the number of a worker from its UID. All schedulers must compute the same owner of a
-// worker in slow start although they share no state, and the dispatcher computes the owner from the number.
+// assignNumber derives the number of a worker from its UID. From the number, the dispatcher computes which
+// dispatchers may send to a worker in slow start. All dispatchers must reach the same result although their
+// schedulers share no state.
 func (s *Scheduler) assignNumber(uid string) dispatch.WorkerID {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(uid)) // Write of a hash never returns an error.
