--- a/cmd/dahliaford/check.go
+++ b/cmd/dahliaford/check.go
@@ -10,8 +10,9 @@
 	File string `arg:"" type:"path" help:"The configuration file, such as deploy/appliance.json."`
 }
 
-// Run prints one line that says that the file is valid and whether it configures a job store. The error of an
-// invalid file is one line with the path of the invalid field.
+// Run checks an appliance's configuration file. It prints one line that says that the file is valid and
+// whether the file configures a job store. The error of an invalid file is one line with the path of the
+// invalid field.
 func (c *checkFileCmd) Run(s *streams) error {
 	raw, err := readFile(c.File, maxFileBytes)
 	if err != nil {
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -24,7 +24,8 @@
 	return readConfigurationOn(t, text, env, atStart)
 }
 
-// readConfigurationOn does the work of readConfiguration for a given occasion.
+// readConfigurationOn reads a configuration as readConfiguration does, at the start of the process or on a
+// reload.
 func readConfigurationOn(t *testing.T, text string, env map[string]string, occasion readOccasion) (
 	string, error) {
 	t.Helper()
@@ -60,12 +61,13 @@
 		"grades":[{"deadline":5,"dedup_scope":null,"semantics":"idempotent","name":"a"}]},"limits":null,"seed":null,
 		"known":null,"later":{"x":[null]},"discovery":"127.0.0.1:1","listen":"127.0.0.1:0","name":null}`
 	if got, err := readConfiguration(t, text, nil); err != nil || got != " 127.0.0.1:0 127.0.0.1:1 a" {
-		t.Errorf("configuration with null fields: got %q, error %v", got, err)
+		t.Errorf("configuration with null fields: got name, addresses and classes %q, error %v; want those given",
+			got, err)
 	}
 	within := strings.Replace(text, `"limits":null,"seed"`, `"limits":{"sockets":null,"x":1},"seed"`, 1)
 	cfg, err := parse([]byte(within))
 	if err != nil || cfg.MaxDescriptors != 0 {
-		t.Errorf("sockets is null: got a limit of %d sockets, error %v, want 0 and no error",
+		t.Errorf("field sockets is null: got a limit of %d sockets and error %v, want 0 and no error",
 			cfg.MaxDescriptors, err)
 	}
 }
@@ -101,8 +103,8 @@
 		cfg, err := parse([]byte(strings.Replace(validConfig, `"targets":[]`, `"targets":`+targets, 1)))
 		if invalid := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
 			(cfg.InitialListError != nil) != invalid || len(cfg.InitialList.Workers) != want {
-			t.Errorf("known list %s: got error %v, InitialListError %v, %d workers", targets, err,
-				cfg.InitialListError, len(cfg.InitialList.Workers))
+			t.Errorf("known list %s: got error %v, list error %v, %d workers; want a list error only if invalid",
+				targets, err, cfg.InitialListError, len(cfg.InitialList.Workers))
 		}
 	}
 }
--- a/cmd/dahliaford/log.go
+++ b/cmd/dahliaford/log.go
@@ -25,8 +25,8 @@
 	return rateLimitedHandler{h, &messageCounts{byMessage: map[string]*messageWindow{}}}
 }
 
-// Handle writes the record as a line, or drops it when the limit of its message is reached. The first line
-// of the message that is written afterwards has the number of dropped lines in the attribute left_out.
+// Handle writes the record as a line, or drops the record if the limit of lines with its message is reached.
+// The next line with this message that is written has the number of dropped lines in the attribute left_out.
 func (h rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	dropped, allowed := h.counts.add(r.Message, r.Time)
 	if !allowed {
--- a/cmd/dahliaford/main.go
+++ b/cmd/dahliaford/main.go
@@ -71,7 +71,7 @@
 		return serveCmd{}.Run()
 	}
 	var c commands
-	helpStatus := -1 // the exit status that kong requests after it has printed a help text; -1 before
+	helpStatus := -1 // the exit status that kong requests after a help text; -1 if kong has printed none
 	parser, err := kong.New(&c, kong.Name("dahliaford"), kong.Writers(out, errs),
 		kong.Description("The job scheduler of Compteurs Réunis du Sahel."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
@@ -95,11 +95,12 @@
 	out, errs io.Writer
 }
 
-// printf writes to standard output. A write error is ignored: it means that nobody reads the output, and the
-// exit status reports how the command ended.
+// printf writes to standard output. A write error is ignored: the error means that nobody reads the output,
+// and the exit status reports how the command ended.
 func (s *streams) printf(format string, args ...any) { _, _ = fmt.Fprintf(s.out, format, args...) }
 
-// reportf writes to standard error. A write error is ignored for the reason given at printf.
+// reportf writes to standard error. A write error is ignored: the error means that nobody reads the messages,
+// and the exit status reports how the command ended.
 func (s *streams) reportf(format string, args ...any) { _, _ = fmt.Fprintf(s.errs, format, args...) }
 
 type versionCmd struct{}
--- a/cmd/dahliaford/send_test.go
+++ b/cmd/dahliaford/send_test.go
@@ -34,7 +34,7 @@
 			w.WriteHeader(500)
 		case "odd":
 			w.WriteHeader(400)
-			_, _ = io.WriteString(w, "no such thing") // a write error means a lost answer, which fails the test
+			_, _ = io.WriteString(w, "no such thing") // a write error means a lost answer, by which the test fails
 		default:
 			_, _ = io.WriteString(w, strings.ToUpper(string(body)))
 		}
@@ -147,7 +147,7 @@
 	var out, errs bytes.Buffer
 	got := run([]string{"send", "--scheduler", addr, "--jobs", jobs, "--at-once", "1"}, nil, &out, &errs)
 	if got != exitFailed {
-		t.Errorf("got exit status %d, want that of a failed job", got)
+		t.Errorf("send with a file of which one job fails: got exit status %d, want exitFailed", got)
 	}
 	var ends []jobOutcome
 	for d := json.NewDecoder(&out); d.More(); {
@@ -167,7 +167,7 @@
 	}
 	for _, line := range []string{"a      refused  1", "b      served   1"} {
 		if !strings.Contains(errs.String(), line) {
-			t.Errorf("the summary has no line %q:\n%s", line, errs.String())
+			t.Errorf("summary of the jobs: want the line %q, got\n%s", line, errs.String())
 		}
 	}
 	sent := len(seen)
@@ -188,7 +188,7 @@
 		}
 	}
 	if len(seen) != sent {
-		t.Error("jobs of an invalid file were submitted")
+		t.Error("invalid file of jobs: got submitted jobs, want none")
 	}
 }
 
@@ -196,7 +196,7 @@
 func TestHelpHidesTheFormerFlag(t *testing.T) {
 	var out bytes.Buffer
 	if got := run([]string{"help", "send"}, nil, &out, io.Discard); got != exitOK {
-		t.Fatalf("got exit status %d, want 0", got)
+		t.Fatalf("help send: got exit status %d, want 0", got)
 	}
 	if text := out.String(); !strings.Contains(text, "--config=FILE") || strings.Contains(text, "desk") {
 		t.Error(text)
@@ -224,8 +224,8 @@
 		var out, errs bytes.Buffer
 		if got := run(c.args, nil, &out, &errs); got != c.status || !strings.Contains(out.String(), c.out) ||
 			!strings.Contains(errs.String(), c.errs) {
-			t.Errorf("arguments %v: got exit status %d, output %q, errors %q", c.args, got, out.String(),
-				errs.String())
+			t.Errorf("arguments %v: got exit status %d, output %q, errors %q, want those of the case",
+				c.args, got, out.String(), errs.String())
 		}
 	}
 }
--- a/cmd/dahliaford/serve.go
+++ b/cmd/dahliaford/serve.go
@@ -18,9 +18,9 @@
 	// Go runtime. Near this limit the garbage collector runs more often.
 	memoryLimitFraction = 0.7
 
-	// SIGHUP is sent once and may arrive while the file is half written. A failed reload is retried at most
-	// maxReloadRetries times. The first delay is reloadBackoff, and each further delay is twice the previous
-	// delay.
+	// SIGHUP is sent once and may arrive while the configuration file is half written. Therefore a failed reload
+	// is retried at most maxReloadRetries times. The first delay is reloadBackoff, and each further delay is
+	// twice the previous delay.
 	reloadBackoff    = 100 * time.Millisecond
 	maxReloadRetries = 8
 )
--- a/cmd/dahliaford/signal_test.go
+++ b/cmd/dahliaford/signal_test.go
@@ -36,7 +36,7 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = child.Process.Kill() }() // the child has exited already, unless the test fails
+	defer func() { _ = child.Process.Kill() }() // if the test fails, the child may still run
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		if strings.Contains(lines.Text(), "msg=serving") {
 			if err := child.Process.Signal(syscall.SIGTERM); err != nil {
--- a/cmd/dahliaford/store_test.go
+++ b/cmd/dahliaford/store_test.go
@@ -54,7 +54,8 @@
 	}
 	if status, _, errs := call("check", path); status != exitFailed ||
 		!strings.Contains(errs, "another process") {
-		t.Errorf("check of a store in use: got exit status %d, errors %q", status, errs)
+		t.Errorf("check of a store in use: got exit status %d, errors %q, want exitFailed and 'another process'",
+			status, errs)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -62,19 +63,21 @@
 	status, out, _ := call("check", path)
 	if status != exitFailed || !strings.Contains(out, `item "b2": attempt 2: an attempt may have run`) ||
 		!strings.Contains(out, "1 valid items, 1 faults") {
-		t.Errorf("check of a store with an invalid item: got exit status %d, output %q", status, out)
+		t.Errorf("check with an invalid item: got exit status %d, output %q, want exitFailed and one fault",
+			status, out)
 	}
 	status, out, _ = call("show", path, "a1")
 	for _, want := range []string{"00:00:01.000000  accepted: class post-reading",
 		"00:00:02.000000  attempt 1: routed to s-1, rack north/0", "00:00:03.000000  attempt 1: it may have run",
 		"00:00:04.000000  answered: failed"} {
 		if !strings.Contains(out, want) || status != exitOK {
-			t.Errorf("show: got exit status %d, and no line %q in the output\n%s", status, want, out)
+			t.Errorf("show of a job: got exit status %d, want 0 and the line %q in the output\n%s", status, want, out)
 		}
 	}
 	if status, _, errs := call("show", path, "zz"); status != exitFailed ||
 		!strings.Contains(errs, "no such item") {
-		t.Errorf("show of an unknown item: got exit status %d, errors %q", status, errs)
+		t.Errorf("show of an unknown item: got exit status %d, errors %q, want exitFailed and 'no such item'",
+			status, errs)
 	}
 	backup, other := filepath.Join(folder, "backup"), filepath.Join(folder, "other")
 	if status, _, errs := call("backup", path, backup); status != exitOK {
@@ -82,11 +85,13 @@
 	}
 	if status, _, errs := call("backup", path, backup); status != exitFailed ||
 		!strings.Contains(errs, "exists") {
-		t.Errorf("backup to an existing file: got exit status %d, errors %q", status, errs)
+		t.Errorf("backup to an existing file: got exit status %d, errors %q, want exitFailed and 'exists'",
+			status, errs)
 	}
 	if status, _, errs := call("restore", backup, other); status != exitFailed ||
 		!strings.Contains(errs, "not in order") {
-		t.Errorf("restore of a backup with an invalid item: got exit status %d, errors %q", status, errs)
+		t.Errorf("restore with an invalid item: got exit status %d, errors %q, want exitFailed and 'not in order'",
+			status, errs)
 	}
 	// After the invalid item is deleted all commands succeed, and the restored store has the valid item.
 	if s, err = store.Open(store.Config{Path: path}); err != nil {
@@ -107,10 +112,12 @@
 	}
 	if status, out, _ := call("show", other, "a1"); status != exitOK ||
 		!strings.Contains(out, "answered: failed") {
-		t.Errorf("show after restore and compact: got exit status %d, output %q", status, out)
+		t.Errorf("show after restore and compact: got exit status %d, output %q, want 0 and 'answered: failed'",
+			status, out)
 	}
 	if status, _, errs := call("check", filepath.Join(folder, "none")); status != exitFailed ||
 		!strings.Contains(errs, "no such file") {
-		t.Errorf("check of a missing file: got exit status %d, errors %q", status, errs)
+		t.Errorf("check of a missing file: got exit status %d, errors %q, want exitFailed and 'no such file'",
+			status, errs)
 	}
 }
--- a/cmd/dahliaford/tally.go
+++ b/cmd/dahliaford/tally.go
@@ -61,21 +61,21 @@
 	}
 }
 
-// close prints the table of outcomes. It returns the first error of writing a line, or an error with the exit
-// status of the worst outcome.
+// close prints the table of outcomes. It returns the first error of writing the line of a job, or an error
+// with the exit status of the worst outcome of a job.
 func (t *tally) close() error {
 	t.progress.Stop()
 	byClass := func(a, b tallyKey) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.outcome, b.outcome))
 	}
 	table := tabwriter.NewWriter(t.errs, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "class\toutcome\tjobs") // buffered in memory: only Flush writes
+	_, _ = fmt.Fprintln(table, "class\toutcome\tjobs") // the table is buffered in memory; only Flush writes it
 	worst := exitOK
 	for _, key := range slices.SortedFunc(maps.Keys(t.counts), byClass) {
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\n", key.class, key.outcome, t.counts[key])
 		worst = worse(worst, exitStatus(key.outcome))
 	}
-	_ = table.Flush() // a write error is ignored, as in reportf
+	_ = table.Flush() // the exit status reports the outcomes even if this write fails
 	if t.writeErr != nil {
 		return t.writeErr
 	}
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -30,7 +30,7 @@
 	store.Config
 	AnswerRetention time.Duration // how long the answer of a job can be read after it was given
 	CallbackWait    time.Duration // how long the scheduler waits after a start for workers to call back
-	ExitOnDiskError bool          // whether the scheduler exits when the disk fails, instead of serving on
+	ExitOnDiskError bool          // whether the scheduler exits when the disk fails, or else serves on
 }
 
 const (
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -27,7 +27,7 @@
 	} {
 		got, err := Parse([]byte(raw))
 		if diff := cmp.Diff(want, got); err != nil || diff != "" {
-			t.Errorf("file %s: error %v, difference (-want +got) %s", raw, err, diff)
+			t.Errorf("file %s: got error %v and difference (-want +got) %s, want neither", raw, err, diff)
 		}
 	}
 }
--- a/internal/endpoints/endpoint.go
+++ b/internal/endpoints/endpoint.go
@@ -1,8 +1,8 @@
 // Package endpoints is a versioned table of workers as a discovery service keeps it, with the messages of a
-// watch on the table and their encoding on the wire. Tests and tools use the package to take the place of the
-// discovery service: the scripted one, the one that serves a simulated fleet on sockets, and the one in
-// virtual time have this common core. The scheduler does not use the package but has its own decoder, so that
-// an error in the encoding here cannot hide the same error in the scheduler.
+// watch on the table and their encoding on the wire. Tests and tools use the package in their replacements of
+// the discovery service: a scripted service, a service on sockets for a simulated fleet, and a service in
+// virtual time. The scheduler does not use the package but has its own decoder, so that an error in the
+// encoding here cannot hide the same error in the scheduler.
 package endpoints
 
 // State says whether a worker may be sent jobs.
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -27,7 +27,7 @@
 func expect(t *testing.T, m Message, want string) {
 	t.Helper()
 	if got := summary(m); got != want {
-		t.Errorf("summary of the message: got %q, want %q", got, want)
+		t.Errorf("message: got the summary %q, want %q", got, want)
 	}
 }
 
@@ -68,7 +68,7 @@
 				t.Error("chunk:", diff)
 			}
 			if got := c.message.IsHeartbeat(); got != (name == "heartbeat") {
-				t.Errorf("IsHeartbeat returned %v, want the opposite", got)
+				t.Errorf("IsHeartbeat: got %v, want the opposite; only the zero message is a heartbeat", got)
 			}
 		})
 	}
@@ -85,7 +85,7 @@
 	expect(t, table.Publish(endpoint("b", Draining), endpoint("d", Ready)), "change 3: b/draining d/ready")
 	expect(t, table.Full(), "full 3: a/ready b/draining c/ready d/ready")
 	if table.Len() != 4 || table.Revision() != 3 || table.At(1) != endpoint("b", Draining) {
-		t.Errorf("got %d entries at revision %d, and %+v at index 1; want 4 entries at 3, and b draining",
+		t.Errorf("table: got %d entries, revision %d and %+v at index 1; want 4, 3 and endpoint b draining",
 			table.Len(), table.Revision(), table.At(1))
 	}
 }
@@ -102,7 +102,7 @@
 		2:  "change 4: b/gone c/ready",
 		3:  "change 4: c/ready",
 		4:  "change 4:",
-		5:  "full 4: a/ready c/ready", // a revision of another table, or of the time before a restart
+		5:  "full 4: a/ready c/ready", // revision 5 is of another table or of the time before a restart
 	} {
 		expect(t, table.Since(rev), want)
 	}
@@ -114,8 +114,8 @@
 	for rev, want := range map[int64][]Message{1: {drains, removed}, 2: {removed}, 3: {}} {
 		chunks, ok := table.ChunksSince(rev)
 		if !ok || len(chunks) != len(want) {
-			t.Fatalf("changes since revision %d: got %d chunks and ok %v, want %d chunks and true", rev, len(chunks),
-				ok, len(want))
+			t.Fatalf("changes since revision %d: got %d chunks and ok %v, want %d chunks and ok true",
+				rev, len(chunks), ok, len(want))
 		}
 		for i := range want {
 			if !slices.Equal(chunks[i], want[i].Chunk()) {
@@ -125,7 +125,7 @@
 	}
 	for _, rev := range []int64{0, 4} {
 		if chunks, ok := table.ChunksSince(rev); ok || chunks != nil {
-			t.Errorf("changes since unknown revision %d: got %d chunks or ok, want no chunks and not ok", rev,
+			t.Errorf("changes since unknown revision %d: got %d chunks or ok true, want no chunks and ok false", rev,
 				len(chunks))
 		}
 	}
@@ -155,7 +155,7 @@
 			for rev := int64(1); rev <= 6; rev++ {
 				want := rev >= int64(6-c.known)
 				if table.HistoryCovers(rev) != want || table.Since(rev).Complete == want {
-					t.Errorf("history covers revision %d of %d: got %v, want %v, and a full list only if not covered",
+					t.Errorf("revision %d of %d is in the history: got %v, want %v, and a full list from Since if not",
 						rev, table.Revision(), table.HistoryCovers(rev), want)
 				}
 			}
@@ -169,7 +169,8 @@
 	table.DropHistory()
 	expect(t, table.Since(1), "full 2: b/ready c/ready")
 	expect(t, table.Since(2), "change 2:")
-	// After a revision without a changed endpoint and a dropped history, the revision before is unknown.
+	// Revision 3 changes no endpoint, and the history with its change is then dropped. A reader at revision 2
+	// must get the full list.
 	expect(t, table.Publish(), "change 3:")
 	table.DropHistory()
 	expect(t, table.Since(2), "full 3: b/ready c/ready")
@@ -233,8 +234,8 @@
 				want[e.UID] = e
 			}
 			if diff := cmp.Diff(want, reader); diff != "" || rev != table.Revision() {
-				t.Fatalf("reader at revision %d, table at revision %d: entries differ (-want +got): %s", rev,
-					table.Revision(), diff)
+				t.Fatalf("reader at revision %d, table at revision %d: entries have the difference (-want +got) %s",
+					rev, table.Revision(), diff)
 			}
 		}
 	})
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -8,13 +8,13 @@
 type Table struct {
 	revision   int64
 	entries    []Endpoint
-	indexes    map[string]int // index in entries by UID
-	history    []revision     // changes of each revision after oldest, in order
+	indexes    map[string]int // index of each endpoint in entries, by UID
+	history    []revision     // published changes with the revisions after oldest, in order
 	oldest     int64          // oldest revision since which all changes are in the history
 	maxHistory int            // largest number of revisions in the history
 }
 
-// revision is the change with one revision of a table.
+// revision is the change that was published with one revision number of a table.
 type revision struct {
 	change Message
 	chunk  []byte // encoded change; nil if not encoded yet
@@ -50,9 +50,9 @@
 // At returns the entry at an index from 0 to Len()-1.
 func (t *Table) At(index int) Endpoint { return t.entries[index] }
 
-// Publish changes endpoints with one new revision: each replaces the entry with the same UID, or is appended
-// if there is none. Publish returns the change, with the endpoints in the given order. Without endpoints,
-// only the revision is incremented.
+// Publish changes endpoints with one new revision: each given endpoint replaces the entry with the same UID,
+// or is appended if there is no such entry. Publish returns the change, with the endpoints in the given
+// order. Without endpoints, only the revision is incremented.
 func (t *Table) Publish(changed ...Endpoint) Message {
 	for _, e := range changed {
 		if index, known := t.indexes[e.UID]; known {
--- a/internal/regression/fit.go
+++ b/internal/regression/fit.go
@@ -30,8 +30,9 @@
 	return 0
 }
 
-// weight returns the weight of the squared residual at the point in the least-squares fit. It makes residuals
-// relative to the mean of the point, so that points of small sizes count as much as points of large sizes.
+// weight returns the weight of the squared residual at the point in the least-squares fit. The weight makes
+// residuals relative to the mean of the point, so that points of small sizes count as much as points of large
+// sizes.
 func (p Point) weight() float64 {
 	if mean := p.Mean(); mean != 0 {
 		return 1 / (mean * mean)
--- a/internal/regression/fit_test.go
+++ b/internal/regression/fit_test.go
@@ -23,7 +23,8 @@
 	return points
 }
 
-// Fit finds the model and the slope by which values were generated that scatter by up to 5% around the curve.
+// Fit must find the model and the slope from which values were generated, although the values scatter by up
+// to 5% around the curve.
 func TestModelsAreDistinguished(t *testing.T) {
 	for i, model := range Models {
 		curve := func(n float64) float64 { return 30 + 0.25*model.apply(n) }
@@ -33,7 +34,7 @@
 		}
 		c := r.Curves[r.Best]
 		if r.Best != i || r.Flat || math.Abs(c.Slope-0.25) > 0.02 || c.MaxResidual > 0.1 {
-			t.Errorf("values of model %s with slope 0.25: got the fit %+v", model.Name, r)
+			t.Errorf("values of model %s with slope 0.25: got the fit %+v, want this model and slope", model.Name, r)
 		}
 		if off := c.At(7200)/curve(7200) - 1; math.Abs(off) > 0.05 {
 			t.Errorf("model %s at size 7200: the fit is off by the fraction %v, want at most 0.05", model.Name, off)
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -13,10 +13,10 @@
 	"github.com/xeipuuv/gojsonschema"
 )
 
-// Checker returns a compiled JSON Schema, which it compiles at the first call. The library gojsonschema is
-// used because a program that only links the library does not pay for it at start: schedulers are started
-// often, many at the same time, and a library that compiles schemas of its own at program start made the
-// start take 5 ms longer.
+// Checker returns a compiled JSON Schema, which it compiles at the first call. This package uses the library
+// gojsonschema because a program that only links this library spends no time on it at its start: schedulers
+// are started often, many at the same time, and a library that compiles schemas of its own at program start
+// made the start take 5 ms longer.
 type Checker func() (*gojsonschema.Schema, error)
 
 // New returns a checker for the schema whose JSON text is raw.
@@ -27,7 +27,7 @@
 }
 
 // Check checks the JSON text of a file against the schema. The error is one line that names one fault and the
-// path of its field: of several faults the one of the most deeply nested field.
+// path of its field. If there are several faults, the error names the fault of the most deeply nested field.
 func (c Checker) Check(raw []byte) error {
 	compiled, err := c()
 	if err != nil {
@@ -60,7 +60,7 @@
 // depth returns the nesting depth of the field that a fault is about.
 func depth(fault gojsonschema.ResultError) int {
 	if strings.HasPrefix(fault.Type(), "condition_") {
-		return -1 // says only that a "then" or "else" failed; another fault gives the reason
+		return -1 // says only that a "then" or "else" of the schema failed; another fault says why
 	}
 	return strings.Count(fault.Context().String(), ".")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings parses the settings object that every instance starts with, for the simulator's host
-// (package wire) and for the scheduler on sockets alike.
+// Package settings parses the settings object that every scheduler instance gets at its start, both in the
+// simulator's host (package wire) and in the scheduler that serves on sockets.
 package settings
 
 import (
@@ -46,7 +46,7 @@
 	Clients struct {
 		MarksRetry bool `json:"marks_retry"`
 	} `json:"clients"`
-	FleetInfo struct { // properties of the workers; lists are by class number
+	FleetInfo struct { // properties of the workers; each list has one element per class number
 		ClassKind       []int     `json:"class_kind"`
 		ClassStretch    []float64 `json:"class_stretch"`
 		ProgressPeriod  int64     `json:"progress"`
@@ -94,19 +94,21 @@
 	Stream            bool     `json:"stream"`
 }
 
-// effectsByName has the effect of a class for each value of the field semantics.
+// effectsByName has, for each value of the field semantics, the Effect of a class: whether a job of the class
+// may be attempted again once an attempt may have run.
 var effectsByName = map[string]dispatch.Effect{
 	"idempotent": dispatch.Safe, "deduplicated": dispatch.Keyed, "at_most_once": dispatch.Unsafe,
 }
 
-// dedupScopes has the scope for each value of the field dedup_scope. The narrowest scope is the default.
+// dedupScopes has, for each value of the field dedup_scope, which workers deduplicate jobs together. The
+// default is the narrowest scope, a cell.
 var dedupScopes = map[string]dispatch.DedupScope{
 	"all": dispatch.ScopeAll, "zone": dispatch.ScopeZone,
 	"cell": dispatch.ScopeCell, "": dispatch.ScopeCell,
 }
 
-// Parse parses the settings object. An absent field gets the value that guarantees least. The error names the
-// invalid field.
+// Parse parses the settings object. An absent field gets the default that permits and guarantees least: for
+// example, no cancellation, and deduplication within a cell only. The error names the invalid field.
 func Parse(raw []byte) (Settings, error) {
 	var p parameters
 	if err := json.Unmarshal(raw, &p); err != nil {
@@ -167,7 +169,8 @@
 	return s
 }
 
-// class returns the class with the given number. An error names the field with an unknown value.
+// class returns the settings of the class with the given number. If a field has an unknown value, the error
+// names the field.
 func (p *parameters) class(number int, g *classParameters) (dispatch.Class, error) {
 	effect, known := effectsByName[g.EffectName]
 	if !known {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,6 +1,6 @@
 // Package wire connects dispatchers to the simulator's wire format. The package decodes batches of events,
-// hosts one dispatcher for each instance and encodes the dispatchers' actions. The package makes no dispatch
-// decisions.
+// hosts one dispatcher for each scheduler instance and encodes the dispatchers' actions. The package makes no
+// dispatch decisions.
 package wire
 
 import (
@@ -14,17 +14,17 @@
 
 var errNoClock = errors.New("batch has no field t with the time")
 
-// message is one event of a batch as on the wire. The event's name determines which fields count. Fields that
-// are absent on the wire are zero. Times are in microseconds.
+// message is one event of a batch as on the wire. The event's name determines which fields of the message are
+// used. Fields that are absent on the wire are zero. Times are in microseconds.
 type message struct {
 	name          string                 // name of the event
 	instance      int                    // number of the instance that the event is for
 	job           uint64                 // ID of the job
 	class         int                    // number of the job's class
 	tenant        int                    // number of the job's tenant
-	clientTimeout int64                  // time until the client abandons this try
+	clientTimeout int64                  // time until the client abandons this submission of the job
 	retry         bool                   // the client marked the job as a retry
-	work          int64                  // expected work on a standard core; 0 if not known
+	work          int64                  // expected run time of the job on a standard core; 0 if not known
 	slots         float64                // slots that the job takes
 	memoryUnits   float64                // memory units that the job takes
 	worker        uint32                 // number of the worker
@@ -32,8 +32,8 @@
 	status        int                    // status code of the attempt's end, see outcomes
 	final         bool                   // the job is finished
 	note          int                    // kind of a report about a running attempt: 1 started, 2 progress
-	value         float64                // value of this report: for progress the fraction of work done
-	scope         int                    // how an update of the worker list applies, see scopes
+	value         float64                // value of an attempt report: for progress the fraction of work done
+	scope         int                    // which part of the worker list an update replaces, see scopes
 	listNumber    int                    // number under which the process keeps a worker list
 	timerToken    uint64                 // token of the timer that fired
 	sender        int                    // number of the dispatcher that sent the gossip message
@@ -205,7 +205,7 @@
 
 // decodeReport decodes a worker's load report.
 func decodeReport(in *jlexer.Lexer, m *message) {
-	m.report.Outstanding = -1 // a negative number means that the report has no such field
+	m.report.Outstanding = -1 // a negative Outstanding means that the load report lacks the field
 	decodeObject(in, func(key string) bool {
 		switch key {
 		case "x0":
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -40,7 +40,8 @@
 	return append(b, '}', '}', ',')
 }
 
-// appendFault appends the message that the dispatcher of an instance panicked or could not be started.
+// appendFault appends an exception message, which says that the dispatcher of an instance panicked or could
+// not be started.
 func appendFault(b []byte, instance int, text string) []byte {
 	return append(appendText(openObject(b, "exception", instance), text), '}', '}', ',')
 }
@@ -61,7 +62,7 @@
 	return strconv.AppendInt(append(b, key...), v, 10)
 }
 
-// appendText appends the field line with a JSON string.
+// appendText appends the field named "line" with a text as a JSON string.
 func appendText(b []byte, text string) []byte {
 	quoted, _ := json.Marshal(text) // marshalling a string never fails
 	return append(append(b, `,"line":`...), quoted...)
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxLists      = 16      // number of worker lists that the process keeps, numbered from 0
+	maxLists      = 16      // number of worker lists that the process keeps; the lists are numbered from 0
 	readBuffer    = 1 << 20 // initial size of the line buffer in bytes; most batches fit
 	maxLineLength = 1 << 30 // largest length of a line in bytes
 )
 
-// Host runs the dispatchers of many instances. The instances share only the worker lists, because the wire
-// format numbers these for the whole process. A Host is not safe for concurrent use.
+// Host runs the dispatchers of many scheduler instances. The instances share only the worker lists, because
+// the wire format numbers the lists for the whole process. A Host is not safe for concurrent use.
 type Host struct {
 	dispatchers map[int]*dispatch.Dispatcher     // dispatchers by number of the instance
 	lists       [maxLists][]dispatch.WorkerEntry // worker lists by number, as last registered
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// HandleBatch answers one batch. The reply is valid until the next call.
+// HandleBatch answers one batch of events with the resulting actions. The reply is valid until the next call.
 func (h *Host) HandleBatch(line []byte) ([]byte, error) {
 	now, messages, err := decodeBatch(line, h.messages)
 	h.messages = messages
@@ -98,7 +98,8 @@
 	}
 }
 
-// startInstance starts the dispatcher of an instance, or reports why the settings are invalid.
+// startInstance starts the dispatcher of a scheduler instance. If the settings of the instance are invalid,
+// no dispatcher is started, and the reply gets an exception message with the error.
 func (h *Host) startInstance(now dispatch.Micros, m *message) {
 	parsed, err := settings.Parse(m.params)
 	var d *dispatch.Dispatcher
@@ -114,7 +115,8 @@
 	h.step(now, m.instance)
 }
 
-// scopes has the scope of an update of the worker list for each number on the wire.
+// scopes has, for each number on the wire, the scope of a worker list update: some entries, the cached list,
+// a failed update without a list, or the complete list.
 var scopes = map[int]dispatch.UpdateScope{
 	0: dispatch.UpdateDelta, 1: dispatch.UpdateCached, 2: dispatch.UpdateFailed, 3: dispatch.UpdateFull,
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -61,11 +61,11 @@
 	if s.Classes[0].ObjectiveStretch != 1.5 || s.Classes[1].ObjectiveStretch != 0.5 ||
 		s.Classes[1].DedupScope != dispatch.ScopeZone || s.Classes[1].Effect != dispatch.Keyed ||
 		s.Classes[0].Kind != -1 {
-		t.Errorf("classes differ from testSettings: got %+v", s.Classes)
+		t.Errorf("got classes %+v, want those of testSettings", s.Classes)
 	}
 	if s.OverQuotaWeight != 1 || s.OverloadFactor != 1 || !s.PollEndpoints || !s.LoadReports ||
 		s.MaxRetryAfter != 0 {
-		t.Errorf("settings differ from testSettings or the defaults: got %+v", s)
+		t.Errorf("got settings %+v, want those of testSettings and the defaults of absent fields", s)
 	}
 	for bad, field := range map[string]string{
 		`{"grades":[{"semantics":"often"}]}`: "grades[0].semantics",
@@ -74,13 +74,14 @@
 	} {
 		out, err := serve(t, `{"t":1,"inbox":[{"enlist":{"who":4,"rng_seed":1,"params":`+bad+`}}]}`)
 		if err != nil || !strings.Contains(out, `{"exception":{"who":4,`) || !strings.Contains(out, field) {
-			t.Errorf("invalid settings %s: want an exception that names the field, got %s and error %v", bad, out, err)
+			t.Errorf("invalid settings %s: want an exception that names the field, got reply %s and error %v",
+				bad, out, err)
 		}
 	}
 }
 
-// TestEventsAndActions sends jobs of two instances over the wire. The batches use a list number twice, have
-// unknown keys, events and IDs, and restart an instance.
+// TestEventsAndActions sends events about the jobs of two instances over the wire. The batches register two
+// worker lists under the same number, have unknown keys, events and IDs, and restart an instance.
 func TestEventsAndActions(t *testing.T) {
 	list := func(listNumber, worker string) string {
 		return `{"register":{"ref":` + listNumber + `,"nodes_list":[{"generation_hw":0,"power_hint":1,"cohort":0,` +
@@ -162,7 +163,8 @@
 	}
 }
 
-// TestRepeatsAreMarked checks that the event for the dispatcher has the retry mark of the wire.
+// TestRepeatsAreMarked checks that the event for the dispatcher says that the client marked the job as a
+// retry if and only if the event on the wire does.
 func TestRepeatsAreMarked(t *testing.T) {
 	marks := map[string]bool{`"retry":true`: true, `"retry":false`: false, `"retry":null`: false}
 	for mark, want := range marks {
@@ -173,7 +175,7 @@
 		}
 		var e dispatch.Event
 		if !messages[0].event(&e) || e.Retry != want {
-			t.Errorf("arrival with %s: got the wrong retry mark or no event: %+v", mark, e)
+			t.Errorf("arrival with %s: got event %+v, want an event with this retry mark", mark, e)
 		}
 	}
 }
@@ -181,10 +183,11 @@
 // TestPanicIsReported checks that the host reports a panic of a dispatcher for the dispatcher's instance.
 func TestPanicIsReported(t *testing.T) {
 	h := NewHost()
-	h.dispatchers[2] = &dispatch.Dispatcher{} // panics on an arrival, because only New makes the maps
+	// A zero Dispatcher panics on an arrival, as only New makes its maps.
+	h.dispatchers[2] = &dispatch.Dispatcher{}
 	batch := `{"t":1,"inbox":[{"knock":{"who":2,"op_id":1,"class":0,"patience_left":5}}]}`
 	out, err := h.HandleBatch([]byte(batch))
 	if err != nil || !strings.Contains(string(out), `{"exception":{"who":2,"line":`) {
-		t.Errorf("dispatcher that panics: want an exception for instance 2, got %s and error %v", out, err)
+		t.Errorf("dispatcher that panics: want an exception for instance 2, got reply %s and error %v", out, err)
 	}
 }
