--- a/cmd/dahliaford/config.go
+++ b/cmd/dahliaford/config.go
@@ -102,7 +102,7 @@
 		}
 	}
 	if len(settingsObject) == 0 {
-		return cfg, errors.New("no settings")
+		return cfg, errors.New("no settings object")
 	}
 	cfg.Settings, err = settings.Parse(settingsObject)
 	return cfg, err
--- a/cmd/dahliaford/sendfile.go
+++ b/cmd/dahliaford/sendfile.go
@@ -51,7 +51,7 @@
 		}
 	}
 	if job.Class == "" {
-		return job, errors.New("no class")
+		return job, errors.New("no class given for the job")
 	}
 	return job, nil
 }
--- a/cmd/dahliaford/store.go
+++ b/cmd/dahliaford/store.go
@@ -23,7 +23,8 @@
 	File string `arg:"" type:"path" help:"The store."`
 }
 
-// Run prints a line for each fault of the store, and a summary. The exit status is 1 if there is a fault.
+// Run checks a job store. It prints a line for each fault of the store, and a summary. The exit status is 1
+// if there is a fault.
 func (c *checkCmd) Run(s *streams) error {
 	items, faults, err := store.Check(c.File)
 	if err != nil {
@@ -102,7 +103,7 @@
 	Backup string `arg:"" type:"path" help:"The new file."`
 }
 
-// Run copies the store to the backup file.
+// Run copies the job store to the backup file.
 func (c *backupCmd) Run() error { return store.BackupTo(c.File, c.Backup) }
 
 type restoreCmd struct {
@@ -110,7 +111,7 @@
 	File   string `arg:"" type:"path" help:"The new store."`
 }
 
-// Run creates the store from the backup and prints the number of restored items.
+// Run creates a job store from the backup file and prints the number of restored items.
 func (c *restoreCmd) Run(s *streams) error {
 	n, err := store.Restore(c.Backup, c.File)
 	if err != nil {
--- a/internal/regression/fit_test.go
+++ b/internal/regression/fit_test.go
@@ -9,8 +9,8 @@
 
 var sizes = []float64{200, 450, 800, 2400, 4800, 7200}
 
-// pointsOf returns a point with five values for each of sizes. The values scatter uniformly around the value
-// of the curve, to both sides by up to the fraction noise of the curve's value.
+// pointsOf returns a point with five values for each element of sizes. The values scatter uniformly around
+// the value of the curve, to both sides by up to the fraction noise of the curve's value.
 func pointsOf(noise float64, curve func(n float64) float64) (points []Point) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, n := range sizes {
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -46,9 +46,9 @@
 	s.send(a, writeDeadline)
 }
 
-// suppressAttempt reports to the dispatcher that a Send action was not carried out. A Send is suppressed
-// if its request is answered or has a live attempt, or if its request or worker is unknown: a second live
-// attempt could run the job twice. A correct dispatcher never requests such a Send.
+// suppressAttempt reports to the dispatcher that a Send action was not carried out. A Send is suppressed if
+// its request is answered or has an attempt that has not ended, or if its request or worker is unknown: a
+// second attempt at the same time could run the job twice. A correct dispatcher never requests such a Send.
 func (s *Scheduler) suppressAttempt(action *dispatch.Action, answered bool) {
 	s.queueDispatcherEvent(dispatch.Event{Kind: dispatch.AttemptEnded, Job: action.Job, Attempt: action.Attempt,
 		Worker: action.Worker, Outcome: dispatch.NotSent, Final: answered})
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -7,8 +7,8 @@
 	"dahliaford/internal/dispatch"
 )
 
-// request is the record of a submitted request. It is kept until the request has been answered and has no
-// live attempt, that is, no attempt that has not ended.
+// request is the record of a submitted request. It is kept until the request has been answered and all its
+// attempts have ended.
 type request struct {
 	caller   CallerID
 	id       string
