--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -102,7 +102,7 @@
 		2:  "change 4: b/gone c/ready",
 		3:  "change 4: c/ready",
 		4:  "change 4:",
-		5:  "full 4: a/ready c/ready", // revision 5 is of another table or of the time before a restart
+		5:  "full 4: a/ready c/ready", // above the current revision: of another table or before a restart
 	} {
 		expect(t, table.Since(rev), want)
 	}
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -68,7 +68,8 @@
 		}
 		w.pendingUpdate = nil
 		if w.drainingSince == 0 {
-			// No other version is newer than a version of epoch -1.
+			// The revision of this update is not comparable with revisions of the new discovery service. No other
+			// version has the epoch -1, so none counts as newer.
 			w.Status, w.version = listed.Status, version{epoch: -1}
 			entries = append(entries, s.workerEntry(w))
 			changed = append(changed, w)
--- a/internal/scheduler/timers.go
+++ b/internal/scheduler/timers.go
@@ -70,7 +70,7 @@
 	case requestDeadline:
 		s.expireRequest(CallerID(t.id))
 	case shutdownTimer:
-		// Step calls advanceShutdown after each event, so the timer only has to make Step run.
+		// A shutdown timer only has to make Step run, as Step calls advanceShutdown after each event.
 	}
 }
 
