--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -46,9 +46,9 @@
 	s.send(a, writeDeadline)
 }
 
-// suppressAttempt reports to the dispatcher that a Send action was not carried out. A Send is suppressed
-// if its request is answered or has a live attempt, or if its request or worker is unknown: a second live
-// attempt could run the job twice. A correct dispatcher never requests such a Send.
+// suppressAttempt reports to the dispatcher that a Send action was not carried out. A Send is suppressed if
+// its request is answered or has an attempt that has not ended, or if its request or worker is unknown: a
+// second attempt at the same time could run the job twice. A correct dispatcher never requests such a Send.
 func (s *Scheduler) suppressAttempt(action *dispatch.Action, answered bool) {
 	s.queueDispatcherEvent(dispatch.Event{Kind: dispatch.AttemptEnded, Job: action.Job, Attempt: action.Attempt,
 		Worker: action.Worker, Outcome: dispatch.NotSent, Final: answered})
@@ -89,8 +89,8 @@
 		return
 	}
 	if e.Outcome == dispatch.Reset {
-		// The worker may have accepted the attempt and its 202 response may have been lost with the
-		// connection.
+		// The worker may have accepted the attempt although its 202 response was lost with the connection. The
+		// worker is therefore told to drop the job.
 		s.startCancellation(a)
 	}
 	s.endAttempt(a, e.Outcome, e.Report)
@@ -141,7 +141,8 @@
 	}
 }
 
-// expireDeferral ends an attempt that is still deferred at the latest time at which it may be sent.
+// expireDeferral ends an attempt that still waits for the acknowledgement of an earlier attempt's
+// cancellation at the latest time at which the waiting attempt may be sent.
 func (s *Scheduler) expireDeferral(t timer) {
 	if a := s.byAttempt[AttemptID(t.id)]; a != nil && a.deferredUntil == t.at {
 		s.endAttempt(a, dispatch.NotSent, dispatch.Report{})
