--- a/internal/connstate/connstate.go
+++ b/internal/connstate/connstate.go
@@ -1,8 +1,8 @@
 // Package connstate is the state machine of one connection to a worker. Its inputs are what happens on the
-// connection: a write ends, a response arrives, the input ends. For each input it returns the event that the
-// scheduler's reducer gets for the attempt on the connection, and whether to keep, reuse or close the
-// connection. The package performs no I/O and has no clock. Package node uses it on sockets, and packages
-// modelcheck and emulator use it on simulated connections.
+// connection: a write ends, a response arrives, the connection's input ends. For each of these inputs the
+// state machine returns the event that the scheduler's reducer gets for the attempt on the connection, and
+// whether to keep, reuse or close the connection. The package performs no I/O and has no clock. Package node
+// uses it on sockets, and packages modelcheck and emulator use it on simulated connections.
 package connstate
 
 import (
@@ -78,7 +78,7 @@
 	return KeepOpen, nil
 }
 
-// ReadEnded handles the end of reading: the peer closed or reset the connection.
+// ReadEnded handles the end of the connection's input: the peer closed or reset the connection.
 func (c *Conn) ReadEnded() (Disposition, scheduler.Event) {
 	if c.Released {
 		return KeepOpen, nil
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -26,13 +26,13 @@
 	}{
 		{"attempt unwritten", Drop, ended(dispatch.ConnectFailed)},
 		{"attempt refused", Drop, ended(dispatch.ConnectFailed)},
-		{"attempt broke", KeepOpen, nil}, // WriteEnded comes later and decides the outcome.
+		{"attempt broke", KeepOpen, nil}, // The later WriteEnded decides the outcome of the attempt.
 		{"attempt broke unwritten", Drop, ended(dispatch.ConnectFailed)},
 		{"attempt broke written", Drop, ended(dispatch.Reset)},
 		{"attempt written broke", Drop, ended(dispatch.Reset)},
 		{"attempt written 202", Idle, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt written 202close", Drop, scheduler.AttemptAccepted{Attempt: 7}},
-		// The response arrives before the result of writing, or before the last byte is sent.
+		// The response arrives before WriteEnded reports the result of writing, or before the last byte is sent.
 		{"attempt 202", Drop, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt 503away", Drop, ended(dispatch.AtCapacity)},
 		{"attempt written 202 broke", Drop, nil},
@@ -57,7 +57,7 @@
 		{"cancellation written broke", Drop, cancelled(false)},
 		{"attempt written 202 attempt written 202", Idle, scheduler.AttemptAccepted{Attempt: 7}},
 		{"attempt written 202 attempt written 202 202", Drop, nil},
-		// The 503 may belong to the first attempt.
+		// The 503 response may be a repeated response to the first attempt.
 		{"attempt written 202 attempt written 503away", Drop, ended(dispatch.Reset)},
 		{"attempt written 202 attempt written 500", Drop, ended(dispatch.Reset)},
 		{"attempt written 202 attempt written 404", Drop, ended(dispatch.Reset)},
@@ -87,11 +87,12 @@
 			}
 		}
 		if diff := cmp.Diff([]any{c.next, c.want}, []any{next, got}); diff != "" {
-			t.Errorf("%s: disposition and event (-want +got): %s", c.steps, diff)
+			t.Errorf("after the steps %s: disposition and event (-want +got): %s", c.steps, diff)
 		}
 		if dropped := next == Drop; conn.Released != (dropped || strings.Contains(c.steps, "release") ||
 			c.steps == "attempt written broke 202") {
-			t.Errorf("%s: Released has the wrong value %v", c.steps, conn.Released)
+			t.Errorf("after the steps %s: Released is %v, want true only after Drop or Release",
+				c.steps, conn.Released)
 		}
 	}
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -184,8 +184,9 @@
 	return "", nil, err
 }
 
-// body reads a body that the headers frame by Content-Length or Transfer-Encoding. Without such a header it
-// reads until the stream ends, at most maxUntilEOF bytes; with maxUntilEOF 0 the message has no body.
+// body reads a body whose length the headers state by Content-Length or Transfer-Encoding. Without such a
+// header it reads until the stream ends, at most maxUntilEOF bytes; with maxUntilEOF 0 the message has no
+// body.
 func (r *Reader) body(header textproto.MIMEHeader, maxUntilEOF int64) ([]byte, error) {
 	lengths, coding := header["Content-Length"], header["Transfer-Encoding"]
 	if len(coding) > 0 {
@@ -193,7 +194,8 @@
 		if len(lengths) > 0 || len(coding) > 1 || !strings.EqualFold(coding[0], "chunked") {
 			return nil, protocolError(400, "unsupported framing")
 		}
-		r.limited.N = 4 * MaxBodyBytes // The limit covers the data and the chunk headers together.
+		// The limit of 4*MaxBodyBytes covers the data and the chunk headers together.
+		r.limited.N = 4 * MaxBodyBytes
 		return readLimited(&chunkReader{reader: r}, r)
 	}
 	if len(lengths) == 0 {
@@ -245,7 +247,8 @@
 	remaining uint64 // remaining counts the unread bytes of the current chunk.
 	chunkSeen bool   // chunkSeen says that the header of a chunk has been read.
 	ended     bool   // ended says that the last chunk and the trailer have been read.
-	unbounded bool   // unbounded says that only single reads and chunk headers are limited, not the whole body.
+	// unbounded says that only single reads and chunk headers are limited in size, not the whole body.
+	unbounded bool
 }
 
 // Read reads data of the body. It returns io.ErrUnexpectedEOF if the stream ends before the last chunk.
@@ -255,8 +258,7 @@
 			return 0, io.EOF
 		}
 		if err := c.next(); err != nil {
-			// an EOF that next joined with a protocol error must stay a protocol error
-			if err == io.EOF { //nolint:errorlint
+			if err == io.EOF { //nolint:errorlint // a protocol error that is joined with EOF must stay one
 				err = io.ErrUnexpectedEOF
 			}
 			return 0, err
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -140,7 +140,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r, err := NewReader(bytes.NewReader(data)).Request()
 		if err == nil && (len(r.Body) > MaxBodyBytes || r.Target[0] != '/') {
-			t.Errorf("Request accepted %+v, want a short body and a target that begins with /", r)
+			t.Errorf("Request accepted %+v, want a body of at most MaxBodyBytes and a target that begins with /", r)
 		}
 	})
 }
@@ -157,7 +157,7 @@
 		}
 	}).AllocedBytesPerOp()
 	if got > MaxBodyBytes/4 {
-		t.Errorf("%d bytes allocated for an incomplete request, want at most MaxBodyBytes/4", got)
+		t.Errorf("reading an incomplete request allocated %d bytes, want at most MaxBodyBytes/4", got)
 	}
 }
 
@@ -167,7 +167,8 @@
 	for n, ok := range map[int]bool{0: true, maxInterimResponses: true, maxInterimResponses + 1: false} {
 		r, err := NewReader(strings.NewReader(strings.Repeat(interim, n) + final)).Response()
 		if (err == nil) != ok || ok && r.Status != 202 {
-			t.Errorf("%d interim responses: got %v and error %v, want an error only above the limit", n, r, err)
+			t.Errorf("%d interim responses: got %v and error %v, want an error only above maxInterimResponses",
+				n, r, err)
 		}
 	}
 }
--- a/internal/node/acceptor.go
+++ b/internal/node/acceptor.go
@@ -11,14 +11,17 @@
 	"dahliaford/internal/scheduler"
 )
 
-// acceptPause is the time between two accepts that fail, and between two requests for eviction.
+// acceptPause is how long the acceptor waits after a failed Accept, and between two requests to evict client
+// connections while no client slot is free.
 const acceptPause = 20 * time.Millisecond
 
-// accept is the acceptor's goroutine. It acquires a client slot before it accepts a connection, so that
-// connections beyond the number of slots wait in the listener's queue.
+// accept is the acceptor's goroutine. Each open client connection holds one client slot. accept acquires a
+// slot before it accepts a connection, so connections beyond the number of slots wait in the listener's
+// queue.
 func (n *Node) accept() {
 	defer n.serving.Done()
-	// queuedSince is the time since which all slots have been taken without interruption; 0 if a slot is free.
+	// queuedSince is the time since which all client slots have been taken without interruption; 0 if a slot is
+	// free.
 	queuedSince := scheduler.Micros(0)
 	for {
 		since, ok := n.acquireSlot()
@@ -56,7 +59,7 @@
 	switch {
 	case n.ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 		return false
-	// beginDrain set this deadline to wake accept.
+	// beginDrain set this deadline of the listener to wake accept.
 	case n.closingListener.Load() && errors.Is(err, os.ErrDeadlineExceeded):
 		_ = n.listener.SetDeadline(time.Time{}) // If SetDeadline fails, the next Accept fails as well.
 		return true
@@ -67,11 +70,12 @@
 	return true
 }
 
-// acquireSlot acquires a slot for the next client connection. It requests evictions before all slots are
-// taken, because closing connections takes time and a callback or an established client may be next in the
-// listener's queue. If all slots are taken, since is the time at which acquireSlot found that; the connection
-// that is accepted next may have been in the queue since then. Otherwise since is 0. ok is false once the
-// event loop has ended.
+// acquireSlot acquires a client slot for the next client connection. It requests the eviction of client
+// connections before all slots are taken, because closing connections takes time, and a callback or an
+// established client (one that has sent an accepted job or a callback) may be next in the listener's queue.
+// If all slots are taken, since is the time at which acquireSlot found no free slot; the connection that is
+// accepted next may have been in the queue since then. Otherwise since is 0. ok is false once the event loop
+// has ended.
 func (n *Node) acquireSlot() (since scheduler.Micros, ok bool) {
 	scarce := cap(n.clientSlots)-len(n.clientSlots) < max(n.callbackSlots/2, 1)
 	if scarce && n.evictionRequested.CompareAndSwap(false, true) {
@@ -90,7 +94,9 @@
 		case <-n.ctx.Done():
 			return 0, false
 		case <-time.After(acceptPause):
-			n.post(evictionRequest{}) // By now newConnGrace may have passed for new clients, or a client may be idle.
+			// Further connections may have become evictable by now: newConnGrace may have passed, or a client may be
+			// idle.
+			n.post(evictionRequest{})
 		}
 	}
 }
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -14,21 +14,24 @@
 )
 
 const (
-	// firstRequestTimeout is the longest time from the accept to the end of the first request. A client that
-	// sends nothing, or an incomplete request, must get an error or a close within 3 s.
+	// firstRequestTimeout is the longest time from the accept of a connection to the end of the first request on
+	// that connection. A client that sends nothing, or an incomplete request, must get an error response or a
+	// close within 3 s.
 	firstRequestTimeout = 2 * time.Second
 	// requestTimeout is the longest time from the first byte to the last byte of a later request.
 	requestTimeout = 5 * time.Second
-	// lingerTime is how long the node still reads a connection after its last response.
+	// lingerTime is how long the node still reads a client connection after its last response, so that the close
+	// does not reset the connection before the client has read that response.
 	lingerTime = 500 * time.Millisecond
-	// closeGrace is how long the node waits for a further request before it closes an idle connection.
+	// closeGrace is how long the node still waits for a further request when it closes an idle client
+	// connection.
 	closeGrace = 100 * time.Millisecond
-	// requesterCloseGrace replaces closeGrace for clients that never sent an accepted job, so that closing the
-	// connection cannot lose one.
+	// requesterCloseGrace replaces closeGrace for clients that never sent an accepted job or a callback
+	// (rankRequester). Closing the connection of such a client cannot lose an accepted job.
 	requesterCloseGrace = closeGrace / 10
 )
 
-// The messages of client connections to the event loop.
+// The messages that the acceptor and the goroutines of client connections send to the event loop.
 type (
 	clientOpened struct{ client *client }
 	clientClosed struct{ client *client }
@@ -37,7 +40,8 @@
 		receivedAt scheduler.Micros // receivedAt is the time at which the request was read completely.
 		scheduler.Submitted
 	}
-	evictionRequest struct{} // evictionRequest asks the loop to evict clients, because client slots are scarce.
+	// evictionRequest asks the event loop to close client connections, because few or no client slots are free.
+	evictionRequest struct{}
 )
 
 // client is one accepted connection. The goroutine serve owns the connection and closes it; the event loop
@@ -48,7 +52,7 @@
 	conn    net.Conn
 	inbound *inbound
 	reader  *http1.Reader
-	// answers receives the scheduler's answer to the job in progress; it has capacity for one.
+	// answers receives the scheduler's answer to the job in progress. The channel has capacity for one answer.
 	answers chan scheduler.Answer
 	// ctx is cancelled when the connection should be closed as soon as it is idle.
 	ctx           context.Context
@@ -114,11 +118,12 @@
 	return next
 }
 
-// waitIdle waits until the next request begins. It returns an error if the connection ends or should be
-// closed before that.
+// waitIdle waits until the next request begins. It returns an error if the connection ends, or should be
+// closed, before a request begins.
 //
-// A request may arrive while the node closes the connection. Bytes that arrive before the close are still
-// served, because the client would take a close after its request for a lost job.
+// A request may arrive while the node closes the connection. If the request's first byte arrives before the
+// read deadline that waitIdle then sets, the node still serves the request: a client whose connection is
+// closed after it has sent a request takes its job for lost.
 func (c *client) waitIdle(next <-chan error) error {
 	select {
 	case err := <-next:
@@ -152,19 +157,20 @@
 	return b
 }
 
-// closeIdle ends an idle connection; why is the error that ended reading. After the node's own read deadline
-// a request may arrive between the last read and the close, and the close would lose that request without an
-// answer. So closeIdle sends a 503 response before the close. The response is correct for a request that
-// arrives late, because the node never submits it. A client that has sent nothing takes an unsolicited
-// response for the end of the connection.
+// closeIdle ends an idle connection; why is the error that ended reading. If the node's own read deadline
+// ended reading, a request may arrive between the last read and the close, and the close would lose that
+// request without an answer. So closeIdle sends a 503 response before the close. The response is correct for
+// a request that arrives late, because the node never submits the job of that request. A client that has sent
+// no request takes the unsolicited response for the end of the connection.
 func (c *client) closeIdle(why error) {
 	if !errors.Is(why, os.ErrDeadlineExceeded) {
 		return // Reading ended because the client has disconnected.
 	}
 	c.respond(c.node.now(), response{status: 503, closeConn: true, retryAfter: "0"})
-	// Without lingering, a reset could destroy the response before the client reads it. A client that never
-	// sent a complete request is not given that time, because other clients wait for its slot. A shutdown is
-	// the exception: the client's front end may have chosen this node just before.
+	// Without linger, a reset of the connection could destroy the response before the client reads it. For a
+	// client that never sent a complete request the node does not linger, because other clients wait for the
+	// slot of that client. During a shutdown the node lingers for such a client, too: the client's front end may
+	// have chosen this node just before.
 	if c.rank.load() > rankNew || c.node.draining.Load() {
 		c.linger()
 	}
@@ -176,13 +182,14 @@
 func (c *client) linger() {
 	if half, ok := c.conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		c.conn.SetReadDeadline(time.Now().Add(lingerTime))
-		// The connection is closed next, whether the client, the deadline or the limit ends this copy.
+		// The error is ignored because the connection is closed next, whether the client, the deadline or the limit
+		// ended the copy.
 		_, _ = io.Copy(io.Discard, io.LimitReader(c.conn, 4*http1.MaxBodyBytes))
 	}
 }
 
-// closeDisconnected ends a connection whose client has disconnected or has exceeded the read-ahead limit. In
-// the second case it sends a 400 response.
+// closeDisconnected ends a connection whose client has disconnected, or has sent more than maxReadAhead bytes
+// before the response to its present request. In the second case it sends a 400 response.
 func (c *client) closeDisconnected(receivedAt scheduler.Micros, why error) {
 	if errors.Is(why, errReadAheadLimit) {
 		c.node.log.Warn("bad request", "from", c.conn.RemoteAddr().String(), "why", errReadAheadLimit.Error())
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -47,7 +47,8 @@
 	write(t, theirs, "GET /_health HTTP/1.1\r\n\r\n")
 	r, err := http1.NewReader(theirs).Response()
 	if err != nil || r.Status != 200 {
-		t.Errorf("got response %v and error %v, want status 200", r, err)
+		t.Errorf("a health check that was sent during the close got response %v and error %v, want status 200",
+			r, err)
 	}
 }
 
@@ -60,15 +61,16 @@
 		text := "POST /post/7 HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: post\r\nX-Remaining-Ms: 900\r\n" + mark + "\r\n"
 		write(t, theirs, text)
 		if m, matched := (<-n.inbox).(submission); !matched || m.Retry != want {
-			t.Errorf("header %q: got %+v, want a submission with Retry true only after X-Resent: 1", mark, m)
+			t.Errorf("header %q: the inbox got %+v, want a submission with Retry true only after X-Resent: 1", mark, m)
 		}
 		theirs.Close()
 		n.close()
 	}
 }
 
-// A job's remaining time counts from the arrival of its last byte. So the time that the request may have
-// spent unread, in the listener's queue or because the process was late, is subtracted from the deadline.
+// The remaining time that a job's request states counts from the arrival of the request's last byte. So the
+// time for which the request may have been unread, in the listener's queue or because the process was late,
+// is subtracted from the job's deadline.
 func TestTimeBeforeReadingCounts(t *testing.T) {
 	for name, c := range map[string]struct{ queued, lag, less time.Duration }{
 		"read on arrival":            {},
@@ -91,7 +93,8 @@
 			took := n.now() - began
 			want := began + 900*millisecond - scheduler.Micros(c.less.Microseconds())
 			if !is || m.Deadline < want || m.Deadline > want+took+scheduler.Micros(c.lag.Microseconds()) {
-				t.Errorf("the deadline is %d us later than expected, want 0 to %d us", m.Deadline-want, took)
+				t.Errorf("job deadline %d us after arrival + remaining time - unread time, want 0 to %d us",
+					m.Deadline-want, took)
 			}
 		})
 	}
@@ -127,10 +130,11 @@
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
 	b := make([]byte, 100)
 	if n, err := read.Read(b); err != nil || string(b[:n]) != "request" {
-		t.Errorf("first read returned %q and error %v, want the request and nil", b[:n], err)
+		t.Errorf("first read after the read deadline returned %q and error %v, want the text request and no error",
+			b[:n], err)
 	}
 	if _, err := read.Read(b); !os.IsTimeout(err) {
-		t.Errorf("second read returned error %v, want a timeout", err)
+		t.Errorf("read of the empty socket after the read deadline returned error %v, want a timeout", err)
 	}
 }
 
@@ -168,9 +172,10 @@
 	theirs.SetReadDeadline(time.Now().Add(testTimeout))
 	read := http1.NewReader(theirs)
 	if r, err := read.Response(); err != nil || r.Status != 503 || !r.Close {
-		t.Errorf("got response %v and error %v, want status 503 and a close", r, err)
+		t.Errorf("a request just before the close got response %v and error %v, want status 503 and a close",
+			r, err)
 	}
 	if _, err := read.Response(); err == nil {
-		t.Error("got a second response, want the connection to be closed")
+		t.Error("the client got a second response after the 503, want the connection to be closed")
 	}
 }
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -124,7 +124,8 @@
 	return callback, in.Error()
 }
 
-// decodeReport decodes a worker's load report. Errors are left in the lexer.
+// decodeReport decodes a worker's load report. The lexer keeps an error of the decoding for the caller to
+// check.
 func decodeReport(in *jlexer.Lexer) dispatch.Report {
 	r := dispatch.Report{Outstanding: -1}
 	DecodeObject(in, func(key string) {
@@ -143,7 +144,7 @@
 }
 
 // DecodeObject reads a JSON object. It calls value for each key whose value is not null; value must read the
-// key's value from the lexer. Errors are left in the lexer.
+// key's value from the lexer. The lexer keeps an error of the decoding for the caller to check.
 func DecodeObject(in *jlexer.Lexer, value func(key string)) {
 	in.Delim('{')
 	for !in.IsDelim('}') && in.Error() == nil {
--- a/internal/node/decode_test.go
+++ b/internal/node/decode_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, bad := range []string{`{"rev":"x"}`, `{"targets":3}`, `{`, `[]`} {
 		if _, _, err := DecodeList([]byte(bad)); err == nil {
-			t.Errorf("%s: DecodeList returned no error", bad)
+			t.Errorf("%s: DecodeList returned no error, want one because the text is no valid worker list", bad)
 		}
 	}
 }
@@ -54,7 +54,8 @@
 			lines = append(lines, fmt.Sprintf("%s=%d", r.UID, r.Status))
 		}
 		if diff := cmp.Diff(want, strings.Join(lines, " ")); diff != "" || why == nil || err != nil {
-			t.Errorf("%s: entry error %v, list error %v, workers (-want +got): %s", invalid, why, err, diff)
+			t.Errorf("%s: error of the first invalid entry %v, error of the list %v, workers (-want +got): %s",
+				invalid, why, err, diff)
 		}
 	}
 }
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -28,7 +28,7 @@
 	}
 	w.node.onLoop(func() {
 		if n := len(w.node.callers); n != 0 {
-			t.Errorf("%d callers left after all clients disconnected, want 0", n)
+			t.Errorf("the node still has %d callers that wait for answers after all clients disconnected, want 0", n)
 		}
 	})
 }
@@ -53,12 +53,13 @@
 		r1 expect POST /batch/7?a=b txn=b1 key=k body=next
 	`)
 	if n := len(w.peers["r1"].received); n != 0 {
-		t.Errorf("%d further messages reached the worker, want none: their client had disconnected", n)
+		t.Errorf("worker got %d messages after the job b1, want 0: the client of the other jobs had disconnected",
+			n)
 	}
 }
 
-// A client that sends more than maxReadAhead bytes before its answer gets an error and a close, and its job
-// is cancelled.
+// A client that sends more than maxReadAhead bytes before the answer to its job gets an error and a close,
+// and the job is cancelled.
 func TestReadAheadIsBounded(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	w.node.onLoop(func() { w.node.invalidateList(t) })
@@ -80,7 +81,8 @@
 		"X-Remaining-Ms: 30000\r\nContent-Length: 0\r\n\r\n"
 	write(t, theirs, job+job)
 	theirs.Close()
-	for seen := false; !seen; { // Both the requests and the end of the connection have to arrive.
+	// The loop waits until the requests and the end of the connection have arrived at the node's socket.
+	for seen := false; !seen; {
 		if err := c.inbound.rawConn.Control(func(fd uintptr) {
 			state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 			if _, err := unix.Poll(state, 100); err != nil && !errors.Is(err, unix.EINTR) {
@@ -96,7 +98,7 @@
 	c.serve()
 	w.node.onLoop(func() {
 		if n := w.node.sched.Stats().ReservedIDs; n != 0 {
-			t.Errorf("%d jobs were submitted, want 0", n)
+			t.Errorf("%d jobs of a disconnected client were submitted, want 0", n)
 		}
 	})
 }
@@ -117,7 +119,8 @@
 		n.onLoop(func() {
 			n.freshness.countApplied(n.now())
 			if k := n.sched.Stats(); k.Attempts != 0 && len(n.attempts) != 0 {
-				t.Errorf("cancelling allowed is %v: scheduler state %+v, want no attempt", allowed, k)
+				t.Errorf("CancelAllowed %v: after the client disconnected the scheduler state is %+v, want no attempt",
+					allowed, k)
 			}
 		})
 		runScenario(t, w, `
@@ -127,8 +130,8 @@
 	}
 }
 
-// guardCheckWaiter returns a function that waits until a writer has asked the freshness guard after the call
-// of guardCheckWaiter.
+// guardCheckWaiter returns a function that waits until the writer of an attempt has asked the freshness guard
+// after the call of guardCheckWaiter.
 func (n *Node) guardCheckWaiter(t *testing.T) func() {
 	t.Helper()
 	ours, _ := loopbackPair(t)
@@ -159,8 +162,9 @@
 	}
 }
 
-// A disconnect takes effect when the node reads it from the socket, even if the event loop handles it much
-// later. A writer that is allowed to send only after that must not send the attempt.
+// A disconnect takes effect when the node reads it from the socket, even if the event loop handles the
+// disconnect much later. If the freshness guard allows a writer to send only after the disconnect was read,
+// the writer must not send the attempt.
 func TestDisconnectCountsBeforeTheLoopSeesIt(t *testing.T) {
 	withAndWithoutCancel(t, func(t *testing.T, w *harness) {
 		n := w.node
@@ -170,7 +174,7 @@
 			resume := n.pauseLoop()
 			w.peers[fmt.Sprint("c", i)].disconnect(t, way)
 			if !eventually(func() bool { return len(n.inbox) > 0 }) { // A ClientDisconnected event is in the inbox.
-				t.Fatal("no message about the disconnect reached the inbox within testTimeout")
+				t.Fatal("no message about the client's disconnect reached the event loop's inbox within testTimeout")
 			}
 			checked := n.guardCheckWaiter(t)
 			n.freshness.countApplied(n.now()) // From here on the freshness guard allows the writer to send.
@@ -193,8 +197,8 @@
 	back%[1]d expect 204
 	d%[1]d expect 200`
 
-// waitSendBufferFull waits until the send buffer of a connection whose peer does not read is full: the number
-// of bytes in the buffer has stopped growing.
+// waitSendBufferFull waits until the send buffer of a connection whose peer does not read is full, which it
+// infers from a number of buffered bytes that has stopped growing.
 func waitSendBufferFull(t *testing.T, conn net.Conn) {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -211,7 +215,7 @@
 		last = queued
 		return same >= 50
 	}) {
-		t.Fatalf("the send buffer still grows after testTimeout: %d bytes, error %v", last, err)
+		t.Fatalf("the send buffer is not full and stable after testTimeout: it holds %d bytes, error %v", last, err)
 	}
 }
 
@@ -240,19 +244,20 @@
 			if _, err := io.ReadFull(theirs, make([]byte, 100)); err != nil {
 				t.Fatal(err)
 			}
-			waitSendBufferFull(t, ours) // Otherwise a single system call may continue for as long as the peer reads.
+			// Until the send buffer is full, a single system call may go on writing for as long as the peer reads.
+			waitSendBufferFull(t, ours)
 			end(c, p)
 			all, _ := io.Copy(io.Discard, theirs) // The connection may end by a reset, so the error is ignored.
 			if err := <-done; !errors.Is(err, errDisconnected) || all >= int64(len(p.body)) {
-				t.Errorf("write returned %v, want errDisconnected; %d more bytes arrived, want fewer than %d",
+				t.Errorf("write returned %v, want errDisconnected; worker got %d more bytes, want less than %d",
 					err, all, len(p.body))
 			}
 		})
 	}
 }
 
-// If a client disconnects while its connection waits in the listener's queue for a client slot, its request
-// is not submitted.
+// If a client disconnects while its connection waits in the listener's queue for a client slot, the job that
+// the client has sent is not submitted.
 func TestDisconnectInTheAcceptQueueIsSeenFirst(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	n := w.node
@@ -277,7 +282,7 @@
 	`)
 	n.onLoop(func() {
 		if k := n.sched.Stats(); k.ReservedIDs != 1 {
-			t.Errorf("%d jobs were submitted, want 1", k.ReservedIDs)
+			t.Errorf("%d jobs were submitted, want only the 1 job of the client that stayed connected", k.ReservedIDs)
 		}
 	})
 }
@@ -310,13 +315,15 @@
 	for _, disconnectFirst := range []bool{true, false} {
 		withAndWithoutCancel(t, func(t *testing.T, w *harness) {
 			n := w.node
-			n.onLoop(func() { n.idleTimeout = 0 }) // A refusal is believed only on a connection that was not reused.
+			// The node believes a worker's refusal only on a connection that carried no earlier exchange.
+			n.onLoop(func() { n.idleTimeout = 0 })
 			for i, way := range disconnectWays {
 				runScenario(t, w, fmt.Sprintf(`
 					c%[1]d send job batch a%[1]d || work
 					r1 expect POST /batch/7?a=b txn=a%[1]d key=k body=work
 				`, i))
-				written := func() (reached bool) { // The event loop must have handled the writeEnded message.
+				// written reports whether the event loop has handled the writeEnded message of the attempt.
+				written := func() (reached bool) {
 					n.onLoop(func() {
 						for _, c := range n.attempts {
 							reached = reached || c.Written
@@ -325,7 +332,7 @@
 					return reached
 				}
 				if !eventually(written) {
-					t.Fatal("the attempt was not written within testTimeout")
+					t.Fatal("the event loop did not record the attempt as completely written within testTimeout")
 				}
 				resume := n.pauseLoop()
 				posted := len(n.inbox)
@@ -333,7 +340,7 @@
 					step()
 					posted++
 					if !eventually(func() bool { return len(n.inbox) >= posted }) {
-						t.Fatal("the event did not reach the inbox within testTimeout")
+						t.Fatal("the client's disconnect or the worker's refusal did not reach the inbox within testTimeout")
 					}
 				}
 				disconnect := func() { w.peers[fmt.Sprint("c", i)].disconnect(t, way) }
@@ -380,8 +387,8 @@
 	return n, err
 }
 
-// A client sends the first byte of a further request before its answer, and disconnects before the node has
-// begun to read ahead. The node must still detect the disconnect.
+// A client sends the first byte of a further request before the answer to its job, and disconnects before the
+// node has begun to read ahead. The node must still detect the disconnect.
 func TestDisconnectBetweenReadAheadBytes(t *testing.T) {
 	for _, way := range []string{"in order", "reset"} {
 		w := newHarness(t, 0, "r1")
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// newConnGrace is the minimum time that a new connection has for its first request before it can be
-	// evicted. It applies even when no client slot is free.
+	// newConnGrace is the minimum time that a new connection has for its first request before the connection can
+	// be evicted, even when no client slot is free.
 	newConnGrace       = 100 * time.Millisecond
 	newConnGraceMicros = scheduler.Micros(newConnGrace / time.Microsecond)
 )
@@ -41,11 +41,12 @@
 	return r.value.CompareAndSwap(int32(old), int32(updated))
 }
 
-// evictClients closes client connections until callbackSlots slots are free. It first closes all connections
-// that are older than newConnGrace and never sent a complete request, and all that have been idle for longer
-// than newConnGrace and sent neither an accepted job nor a callback. It closes all of them at once, because a
-// thousand more such connections may be in the listener's queue ahead of established clients. If that does
-// not free enough slots, it closes further idle connections, lowest rank and longest idle first.
+// evictClients closes client connections so that at least callbackSlots client slots become free. It always
+// closes all connections that are older than newConnGrace and never sent a complete request, and all that
+// have been idle for longer than newConnGrace and sent neither an accepted job nor a callback. It closes all
+// of these connections at once, because a thousand more of the kind may be in the listener's queue ahead of
+// established clients. If that does not free enough slots, it closes further idle connections, lowest rank
+// and longest idle first.
 func (n *Node) evictClients() {
 	n.evictionRequested.Store(false)
 	free := cap(n.clientSlots) - len(n.clientSlots)
@@ -74,14 +75,16 @@
 	})
 	for _, c := range candidates[:min(len(candidates), n.callbackSlots-free)] {
 		if c.rank.load() == rankEstablished && newConns > 0 {
-			return // New connections that send nothing can be evicted soon, which spares established clients.
+			// The new connections can be evicted once newConnGrace has passed, which spares established clients.
+			return
 		}
 		c.evict()
 	}
 }
 
-// evict closes a client connection to free its slot. If the client has never sent a complete request, reading
-// stops at once, even within a request. Otherwise a request that arrives during the close is still answered.
+// evict closes a client connection to free the connection's client slot. If the client has never sent a
+// complete request, reading stops at once, even within a request. Otherwise a request that arrives during the
+// close is still answered.
 func (c *client) evict() {
 	if c.rank.compareAndSwap(rankNew, rankEvicted) {
 		c.conn.SetReadDeadline(time.Now())
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -13,8 +13,9 @@
 	"dahliaford/internal/scheduler"
 )
 
-// At the limit of client connections, idle connections are evicted for new ones. While all slots outside the
-// reserve for callbacks have pending jobs, further jobs are refused and callbacks are still accepted.
+// At the limit of client connections, idle connections are evicted for new connections. While clients with
+// pending jobs hold all client slots except those reserved for callbacks, further jobs are refused and
+// callbacks are still accepted.
 func TestSocketBudget(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	script := ""
@@ -28,7 +29,7 @@
 		script += fmt.Sprintf("c%d send job post a%d || x\n", i, i)
 		script += fmt.Sprintf("last%d send GET /_health\nlast%d expect 200\n", i, i)
 	}
-	// Without this wait the last of these jobs may arrive after the job b.
+	// Without this wait for open jobs, the job b below may arrive before the last of them and would be accepted.
 	script += fmt.Sprintf("wait open %d", limit)
 	runScenario(t, w, script+`
 		more send job post b || x
@@ -64,13 +65,13 @@
 		c1 send GET /_health
 		c1 expect 200`)
 	if took := time.Since(began); took > testTimeout/2 {
-		t.Errorf("the scenario took %v, want at most half of testTimeout", took)
+		t.Errorf("serving two jobs among many idle clients took %v, want at most half of testTimeout", took)
 	}
 }
 
 // Clients that sent no accepted job and stay connected are evicted all at once. If only a few were evicted at
-// a time, a thousand of them would delay clients in the listener's queue for seconds. Established clients and
-// connections within their grace period are not evicted.
+// a time, a thousand of them would delay clients in the listener's queue for seconds. Established clients,
+// and connections that are new or idle for less than newConnGrace, are not evicted.
 func TestEvictionFreesAllSlotsAtOnce(t *testing.T) {
 	n := &Node{start: time.Now().Add(-time.Minute), ctx: t.Context(), clients: map[*client]bool{},
 		clientSlots: make(chan struct{}, 100), callbackSlots: 4}
@@ -88,7 +89,8 @@
 		}
 	}
 	add(rankRequester, time.Second, 40)
-	add(rankRequester, -time.Hour, 10) // These clients are within their grace period.
+	// These clients are not evicted, because they are idle for less than newConnGrace.
+	add(rankRequester, -time.Hour, 10)
 	add(rankNew, time.Second, 20)
 	add(rankNew, -time.Hour, 10)
 	add(rankEstablished, time.Second, 20)
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -24,7 +24,8 @@
 	maxStaleness scheduler.Micros
 	// listPushed says that an agent pushes worker lists, so a change takes effect at once even without a watch.
 	listPushed bool
-	// pollInterval is the time after which a change takes effect while no watch is open; 0 if not stated.
+	// pollInterval is the time after which a change of the worker list takes effect while no watch is open; 0 if
+	// the settings state no such time.
 	pollInterval scheduler.Micros
 
 	mu       sync.Mutex
@@ -37,7 +38,8 @@
 	asOf scheduler.Micros
 	// validUntil is the time until which attempts may be sent by the present worker list.
 	validUntil scheduler.Micros
-	// changed is closed, and replaced by a new channel, when waiting writers should ask the guard again.
+	// changed is closed, and replaced by a new channel, when writers that wait to send attempts should ask the
+	// guard again.
 	changed chan struct{}
 }
 
@@ -46,8 +48,8 @@
 		draining: map[string]bool{}, changed: make(chan struct{})}
 }
 
-// The reasons why the guard rejects an attempt. errUpdatePending is temporary; the writer waits and asks
-// again.
+// The reasons why the guard rejects an attempt. errUpdatePending is temporary: the attempt's writer waits and
+// asks the guard again.
 var (
 	errUpdatePending  = errors.New("a received update of the worker list is not applied yet")
 	errWorkerDraining = errors.New("the worker is draining")
@@ -76,10 +78,10 @@
 	return nil
 }
 
-// checkReaders records for each watch reader whether the reader's socket is empty, as allowSend does for
-// each attempt. The age of the next update counts from the last time at which the socket was empty. Without
-// checkReaders a scheduler that sends few attempts would overestimate that age and take its worker list for
-// stale too early.
+// checkReaders records for each watch reader whether the reader's socket is empty, as allowSend does for each
+// attempt. The guard counts the age of the next update from the last time at which the socket was empty.
+// Without checkReaders a scheduler that sends few attempts would overestimate that age and would treat its
+// worker list as stale too early.
 func (g *freshnessGuard) checkReaders(now scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -88,14 +90,15 @@
 	}
 }
 
-// nextChange returns a channel that is closed when writers that wait should call allowSend again.
+// nextChange returns a channel that is closed when writers that wait to send attempts should call allowSend
+// again.
 func (g *freshnessGuard) nextChange() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.changed
 }
 
-// notifyChange wakes the writers that wait for nextChange. The caller holds mu.
+// notifyChange wakes the writers of attempts that wait on the channel of nextChange. The caller holds mu.
 func (g *freshnessGuard) notifyChange() {
 	close(g.changed)
 	g.changed = make(chan struct{})
@@ -143,15 +146,15 @@
 }
 
 // limitValidity ends the validity of the worker list at a given time, unless the validity ends earlier. The
-// loop calls it when another discovery service replaces the present one: changes at the new service take
-// effect at that time, whether or not the new service has responded.
+// loop calls limitValidity when another discovery service replaces the present one: changes at the new
+// service take effect at the given time, whether or not the new service has responded.
 func (g *freshnessGuard) limitValidity(until scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.validUntil = min(g.validUntil, until)
 }
 
-// setDraining sets whether a worker drains, so that it gets no new attempts.
+// setDraining sets whether a worker drains; a worker that drains gets no new attempts.
 func (g *freshnessGuard) setDraining(uid string, draining bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -31,7 +31,8 @@
 	deliver := func(text string) {
 		t.Helper()
 		write(t, theirs, text)
-		for guard.allowSend("r1", clock) == nil { // The loop waits until the text has arrived over loopback.
+		// The loop waits until the text has arrived over loopback, which makes allowSend return an error.
+		for guard.allowSend("r1", clock) == nil {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -43,13 +44,14 @@
 	deliver("leaves r1\n")
 	want("update in the socket", "r1", errUpdatePending)
 	if n, err := reader.Read(buffer); err != nil || string(buffer[:n]) != "leaves r1\n" {
-		t.Fatalf("first read returned %q and error %v, want the written line and nil", buffer[:n], err)
+		t.Fatalf("the watch reader's first read returned %q and error %v, want the written line and no error",
+			buffer[:n], err)
 	}
 	want("update with the reader", "r1", errUpdatePending)
 	guard.countPosted(reader, clock)
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := reader.Read(buffer); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("second read after the deadline: error %v, want a deadline error", err)
+		t.Fatalf("Read of an empty socket after its deadline returned error %v, want a deadline error", err)
 	}
 	want("update in the inbox", "r1", errUpdatePending)
 	next := guard.nextChange()
@@ -61,7 +63,7 @@
 	guard.setDraining("r1", false)
 	want("back", "r1", nil)
 	if clock += 6*second + 1; !errors.Is(guard.allowSend("r1", clock), errListStale) {
-		t.Error("the worker list is still valid more than maxStaleness after its last update")
+		t.Error("maxStaleness after the last update of the worker list allowSend did not return errListStale")
 	}
 	guard.countPosted(reader, clock)
 	guard.countApplied(clock)
@@ -79,14 +81,15 @@
 		"capped by drain grace": {100 * second, 102 * second, 100*second + 250*millisecond},
 	} {
 		if got := guard.countPosted(&watchReader{lastEmptyAt: c.empty}, c.read); got != c.want {
-			t.Errorf("%s: the update covers changes up to %d us, want %d us", name, got, c.want)
+			t.Errorf("%s: countPosted says that the update covers changes up to the time %d us, want %d us",
+				name, got, c.want)
 		}
 	}
 }
 
 // A scheduler that sends no attempts still checks periodically whether its watch's socket is empty. Otherwise
-// the next update would be taken for as old as the last attempt. The check must not record an empty socket
-// while an update is unread.
+// the guard would have to assume that discovery wrote the next update right after the last attempt. The check
+// must not record an empty socket while an update is unread.
 func TestIdleSchedulerObservesItsWatch(t *testing.T) {
 	w := newWatchHarness(t, false, 10*second)
 	n, reader := w.node, (*watchReader)(nil)
@@ -97,7 +100,7 @@
 	began := reader.lastEmptyAt
 	n.freshness.mu.Unlock()
 	if !eventually(func() bool { return reader.lastEmpty() >= began+2*second }) {
-		t.Error("lastEmpty did not advance by 2 s within testTimeout, so the watch's socket is not checked")
+		t.Error("the idle node did not check its watch's empty socket again 2 s later within testTimeout")
 	}
 	guard := newFreshnessGuard(testGrace, 6*second)
 	ours, theirs := loopbackPair(t)
@@ -107,19 +110,20 @@
 	}
 	guard.checkReaders(101 * second)
 	if got := guard.countPosted(reader, 102*second); got != 101*second+testGrace/2 {
-		t.Errorf("the update covers changes up to %d us, want 101 s and half of the drain grace", got)
+		t.Errorf("the update covers changes up to the time %d us, want 101 s plus half of the drain grace", got)
 	}
 	write(t, theirs, "leaves r1\n")
 	if !eventually(func() bool { return !reader.empty() }) {
 		t.Fatal("the written line did not arrive at the watch's socket")
 	}
 	if guard.checkReaders(103 * second); reader.lastEmpty() != 101*second {
-		t.Error("lastEmpty advanced although an update was unread")
+		t.Error("checkReaders recorded an empty socket at 103 s while an update was unread, want it not recorded")
 	}
 }
 
-// While an attempt waits on its open connection, an update arrives that its worker drains. The attempt must
-// be sent to the other worker, and the draining worker must not be ejected as if it had failed.
+// While an attempt waits on its open connection, an update arrives which says that the attempt's worker
+// drains. The attempt must be sent to the other worker, and the draining worker must not be ejected as if it
+// had failed.
 func TestAttemptInFlightAvoidsADrainingWorker(t *testing.T) {
 	w := newHarness(t, 0, "r1", "r2")
 	n := w.node
@@ -152,8 +156,8 @@
 }
 
 // The event loop may apply an update before the watch's reader has called Read again. A writer that asks the
-// guard between the two has to wait. The guard must wake the writer when the reader finds the socket empty,
-// and not only at the next update, which may arrive after the writer's time limit.
+// guard between the two events has to wait. The guard must wake the writer when the reader finds the socket
+// empty, and not only at the next update, which may arrive after the writer's time limit.
 func TestWriterWakesOnceTheWatchIsDrained(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	clock := 100 * second
@@ -170,19 +174,19 @@
 	guard.countApplied(clock)
 	next := guard.nextChange()
 	if got := guard.allowSend("r1", clock); !errors.Is(got, errUpdatePending) {
-		t.Errorf("before the reader reads again: allowSend returned %v, want errUpdatePending", got)
+		t.Errorf("before the watch's reader reads again: allowSend returned %v, want errUpdatePending", got)
 	}
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := reader.Read(make([]byte, 100)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("second read after the deadline: error %v, want a deadline error", err)
+		t.Fatalf("Read of an empty socket after its deadline returned error %v, want a deadline error", err)
 	}
 	if got := guard.allowSend("r1", clock); got != nil {
-		t.Errorf("after the reader found the socket empty: allowSend returned %v, want nil", got)
+		t.Errorf("after the watch's reader found the socket empty: allowSend returned %v, want nil", got)
 	}
 	select {
 	case <-next:
 	default:
-		t.Error("the channel of nextChange is not closed, so the waiting writer is not woken")
+		t.Error("the channel of nextChange is open though the watch's socket is empty, want waiting writers woken")
 	}
 }
 
@@ -213,7 +217,7 @@
 			return
 		}
 		if err := n.freshness.allowSend("z0", n.now()); err != nil {
-			t.Errorf("after the complete list: allowSend returned %v, want nil", err)
+			t.Errorf("after the complete worker list was applied: allowSend returned %v, want nil", err)
 		}
 		updates := make([]watchUpdate, zone)
 		for i := range updates {
@@ -224,7 +228,7 @@
 		for i, m := range updates {
 			for _, uid := range []string{all[i].UID, all[zone].UID} {
 				if err := n.freshness.allowSend(uid, n.now()); !errors.Is(err, errUpdatePending) {
-					t.Errorf("after %d of %d updates: allowSend for %s returned %v, want errUpdatePending",
+					t.Errorf("after %d of %d applied updates: allowSend for worker %s returned %v, want errUpdatePending",
 						i, zone, uid, err)
 					return
 				}
@@ -234,12 +238,13 @@
 				return
 			}
 			if err := n.freshness.allowSend(all[i].UID, n.now()); !errors.Is(err, errWorkerDraining) {
-				t.Errorf("after the removal of %s: allowSend returned %v, want errWorkerDraining", all[i].UID, err)
+				t.Errorf("after the removal of the worker %s: allowSend returned %v, want errWorkerDraining",
+					all[i].UID, err)
 				return
 			}
 		}
 		if err := n.freshness.allowSend(all[zone].UID, n.now()); err != nil {
-			t.Errorf("after all updates: allowSend for a remaining worker returned %v, want nil", err)
+			t.Errorf("after all updates were applied: allowSend for a remaining worker returned %v, want nil", err)
 		}
 	})
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -81,7 +81,7 @@
 		w.node.Stop()
 		for _, p := range w.peers {
 			if p.conn != nil {
-				p.conn.Close() // Clients that still wait have to disconnect before the node can end.
+				p.conn.Close() // Clients that still wait for an answer have to disconnect before the node can end.
 			}
 		}
 		if w.Wait("end") != nil {
@@ -169,7 +169,7 @@
 		n.onLoop(func() { got = n.idleCount() })
 		return got == want
 	}) {
-		t.Fatalf("%d idle connections, want %d", got, want)
+		t.Fatalf("after testTimeout the node has %d idle connections to workers, want %d", got, want)
 	}
 }
 
@@ -198,7 +198,7 @@
 }
 
 // receiveList makes the node's worker list valid until MaxStaleness after the end of span, as if discovery
-// had confirmed the list at the end of span.
+// had confirmed the list at the end of span. span begins now.
 func (n *Node) receiveList(t testing.TB, span time.Duration) {
 	t.Helper()
 	n.postPendingUpdate()
@@ -242,8 +242,8 @@
 	return p
 }
 
-// Wait waits for the end of the node ("end"), for a number of open jobs ("open N"), or for a number of
-// connections that are idle after an accepted attempt ("accepted N").
+// Wait waits for the condition that text names: the end of the node ("end"), a number of open jobs ("open
+// N"), or a number of connections that are idle after an accepted attempt ("accepted N").
 func (w *harness) Wait(text string) error {
 	if text, matched := strings.CutPrefix(text, "open "); matched {
 		return w.waitOpen(text)
@@ -274,9 +274,9 @@
 	return fmt.Errorf("the node did not have %s open jobs within testTimeout", want)
 }
 
-// waitAccepted waits until the given number of connections is idle, which they are after a 202. Scenarios use
-// it before a callback, because a callback that is handled before the 202 of its attempt closes the
-// connection.
+// waitAccepted waits until the given number of connections to workers is idle. A connection becomes idle
+// after the response 202 to its attempt. Scenarios use waitAccepted before a callback, because a callback
+// that is handled before the 202 of its attempt closes the connection.
 func (w *harness) waitAccepted(want string) error {
 	if eventually(func() (reached bool) {
 		w.node.onLoop(func() { reached = fmt.Sprint(w.node.idleCount()) == want })
@@ -284,7 +284,7 @@
 	}) {
 		return nil
 	}
-	return fmt.Errorf("the node did not have %s idle connections within testTimeout", want)
+	return fmt.Errorf("the node did not have %s idle connections to workers within testTimeout", want)
 }
 
 // runScenario runs a scenario script on a harness.
@@ -366,7 +366,7 @@
 func checkEnd(t testing.TB, done <-chan error) {
 	t.Helper()
 	if err := <-done; err != nil {
-		t.Errorf("Run returned %v, want nil", err)
+		t.Errorf("the node's Run returned %v, want nil", err)
 	}
 }
 
@@ -378,7 +378,7 @@
 	}
 	conn, err := l.Accept()
 	if err != nil {
-		t.Fatalf("no connection arrived in time: %v", err)
+		t.Fatalf("no connection arrived at the listener within the given time: %v", err)
 	}
 	return conn
 }
--- a/internal/node/inbound.go
+++ b/internal/node/inbound.go
@@ -10,9 +10,9 @@
 	"dahliaford/internal/http1"
 )
 
-// maxReadAhead limits the bytes that a client may send before it has the response to its present request;
-// the last read may exceed the limit. Clients should send one request at a time. The node buffers early bytes
-// in order to detect a disconnect behind them.
+// maxReadAhead limits the bytes that a client may send before it has the response to its present request; the
+// last read may exceed the limit. Clients should send one request at a time. The node buffers bytes that
+// arrive early in order to detect a disconnect behind them.
 const maxReadAhead = http1.MaxHeadBytes
 
 // errReadAheadLimit reports that a client exceeded maxReadAhead. Its text is the body of the response.
@@ -30,7 +30,9 @@
 func newInbound(conn net.Conn) *inbound {
 	in := &inbound{conn: conn}
 	if s, ok := conn.(syscall.Conn); ok {
-		in.rawConn, _ = s.SyscallConn() // After an error rawConn is nil, and an expired deadline ends the read.
+		// If SyscallConn fails, rawConn stays nil, and an expired read deadline ends readConn even if bytes have
+		// arrived.
+		in.rawConn, _ = s.SyscallConn()
 	}
 	return in
 }
@@ -58,8 +60,8 @@
 	return 0, err
 }
 
-// readAhead reads the connection into the buffer until the connection ends, the read deadline passes, or the
-// limit is reached. It returns the error that ended it.
+// readAhead reads the connection into the buffer until the connection ends, the read deadline passes, or
+// maxReadAhead is reached. It returns the error that ended the reading.
 func (in *inbound) readAhead() error {
 	for {
 		if err := in.buffer(in.readConn); err != nil {
@@ -69,7 +71,7 @@
 }
 
 // checkDisconnected buffers the bytes that have arrived, without waiting for more. It returns an error if the
-// client has disconnected or has exceeded the limit.
+// client has disconnected or has exceeded maxReadAhead.
 func (in *inbound) checkDisconnected() (err error) {
 	if in.rawConn == nil {
 		return nil
@@ -81,7 +83,7 @@
 		return n, err
 	}
 	var peeked [1]byte
-	// Bytes here are rare, because clients usually wait for the response before they send again.
+	// A byte is rarely found, because clients usually wait for the response before they send again.
 	if _, err = readNow(peeked[:], syscall.MSG_PEEK); err == nil {
 		for err == nil {
 			err = in.buffer(func(b []byte) (int, error) { return readNow(b, 0) })
@@ -93,7 +95,8 @@
 	return err
 }
 
-// buffer appends the bytes of one read to the buffer.
+// buffer appends the bytes of one read to the buffer. It returns errReadAheadLimit, without reading, if the
+// buffer already holds maxReadAhead bytes.
 func (in *inbound) buffer(read func([]byte) (int, error)) error {
 	if len(in.buffered) >= maxReadAhead {
 		return errReadAheadLimit
--- a/internal/node/lag.go
+++ b/internal/node/lag.go
@@ -12,7 +12,8 @@
 // read the estimate.
 type lag struct{ maxDelay, recordedAt atomic.Int64 }
 
-// lagDecay is the time in which the estimate halves if no delay of that length recurs.
+// lagDecay is the time in which the estimate of the lag halves if no delay as long as the estimate is
+// recorded.
 const lagDecay = 1000 * millisecond
 
 // record records the delay of an event that was due at the time scheduled and is handled now. With scheduled
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -37,10 +37,11 @@
 	if n.cfg.InitialListError != nil {
 		n.log.Warn("initial worker list has an invalid entry", "why", n.cfg.InitialListError)
 	}
-	n.serving.Add(1) // The acceptor counts as well, so that the count cannot reach 0 before the last accept.
+	// serving counts the acceptor as well, so that the count cannot reach 0 before the last accept.
+	n.serving.Add(1)
 	n.spawn(n.accept)
 	// During a drain the loop runs until all clients have disconnected: a request can arrive while the node
-	// closes its connection, that request still needs an answer, and only this loop reads the inbox.
+	// closes the request's connection, and still needs an answer, for which this loop has to read the inbox.
 	for err == nil && (n.drainDeadline == nil || n.clientsDrained != nil || n.cancellations > 0) {
 		select {
 		case <-n.drainDeadline:
@@ -84,7 +85,8 @@
 	case watchUpdate:
 		return n.onWatchUpdate(m)
 	case scheduler.ClientDisconnected:
-		delete(n.callers, m.Caller) // The scheduler sends no answer for this caller that would remove the entry.
+		// The scheduler sends no answer to a disconnected client, so execute would never remove the client's entry.
+		delete(n.callers, m.Caller)
 		return n.step(m)
 	case scheduler.Event:
 		return n.step(m)
@@ -124,7 +126,8 @@
 			err = errTooManyPanics
 		}
 	}
-	for _, effect := range n.effects { // Recover's effects contain the answers to all open requests.
+	// The effects that Recover returns contain the answers to all open requests.
+	for _, effect := range n.effects {
 		n.execute(effect)
 	}
 	return err
@@ -157,7 +160,8 @@
 	case scheduler.Answer:
 		if c := n.callers[e.Caller]; c != nil {
 			delete(n.callers, e.Caller)
-			c.answers <- e // The channel has capacity for the single answer that a caller gets.
+			// This send does not block: the channel has capacity for the single answer that a caller gets.
+			c.answers <- e
 		}
 	case scheduler.SetTimer:
 		n.wakeAt = e.At
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,7 +42,8 @@
 
 // The division of the process's file descriptors between clients, workers and everything else.
 const (
-	// reservedDescriptors are kept for standard streams, poller, listener, discovery, log and hedged dials.
+	// reservedDescriptors is the number of file descriptors that are kept for the standard streams, the poller,
+	// the listener, discovery, the log and hedged dials.
 	reservedDescriptors = 32
 	// Connections to workers get 1/workerConnDivisor of the descriptors that are not reserved.
 	workerConnDivisor = 4
@@ -105,21 +106,22 @@
 	clientSlots chan struct{}
 	freshness   *freshnessGuard
 	hedgedDials atomic.Int32 // hedgedDials counts the hedged (second, parallel) dials in progress.
-	// evictionRequested is true from acquireSlot's request for an eviction until the loop has handled the
-	// request.
+	// evictionRequested is true from the time at which acquireSlot asks the event loop to evict client
+	// connections until the loop handles that request.
 	evictionRequested atomic.Bool
-	// closingListener tells the acceptor to close the listener once no accepted connection is queued there.
+	// closingListener tells the acceptor to close the listener once no connection waits in the listener's queue.
 	closingListener atomic.Bool
 	// draining is true when the node refuses new jobs; its health check then fails.
 	draining     atomic.Bool
 	listReceived atomic.Bool // listReceived is true once discovery has sent a worker list.
-	lag          lag         // lag estimates how late the event loop runs; only the loop records delays.
+	// lag estimates how late the event loop runs; only the event loop records delays in lag.
+	lag lag
 
 	// The event loop drives the scheduler with these fields.
 	sched   *scheduler.Scheduler
 	effects []scheduler.Effect
 	timer   *time.Timer
-	wakeAt  scheduler.Micros // wakeAt is the time at which timer fires.
+	wakeAt  scheduler.Micros // wakeAt is the time at which the field timer fires.
 	panics  int
 
 	// These fields are the watches of the worker list.
@@ -137,14 +139,16 @@
 	idleConns map[string][]*workerConn
 	// attempts maps an attempt to the connection that carries the attempt or its cancellation.
 	attempts map[scheduler.AttemptID]*workerConn
-	// lastCancelledUnsent is the last attempt whose connection was closed before any byte of it was sent.
+	// lastCancelledUnsent is the last attempt whose connection was closed before any byte of the attempt was
+	// sent.
 	lastCancelledUnsent scheduler.AttemptID
 	openWorkerConns     int
 	cancellations       int // cancellations counts the cancellations in progress.
 
 	// The following fields are the state of a shutdown.
 
-	// drainDeadline is nil until beginDrain sets it; it is closed at the time limit of the drain.
+	// drainDeadline is nil until beginDrain sets the channel; the channel is closed at the time limit of the
+	// drain.
 	drainDeadline <-chan struct{}
 	// clientsDrained is set by beginDrain and closed when no client is connected; the loop then resets it to
 	// nil.
@@ -154,8 +158,9 @@
 // Listen opens the client address and creates the scheduler. No connection is accepted before Run. Listen
 // fails if the scheduler rejects the settings, or if the address cannot be opened.
 func Listen(cfg Config, log *slog.Logger) (*Node, error) {
-	// A node gets pushed worker lists over a watch as well, and has to open that watch itself. So the scheduler
-	// is told to poll, with UnmeteredPolls: it neither spreads nor defers its requests.
+	// A node gets pushed worker lists over a watch as well, and has to open that watch itself. So Listen tells
+	// the scheduler to poll, with UnmeteredPolls: the scheduler then neither spreads nor defers its requests for
+	// a watch.
 	listPushed := !cfg.Settings.Dispatch.PollEndpoints
 	cfg.Settings.Dispatch.PollEndpoints, cfg.Settings.Dispatch.UnmeteredPolls = true, listPushed
 	// Only tests set MaxStaleness before they call Listen; the settings file has no field for it.
--- a/internal/node/peer_test.go
+++ b/internal/node/peer_test.go
@@ -18,9 +18,10 @@
 	w        *harness
 	name     string
 	listener net.Listener
-	conn     net.Conn     // conn is the connection of the last message.
+	conn     net.Conn     // conn is that of the last message; a client has only one.
 	received chan message // received holds the messages that have arrived at the peer.
-	deferred []message    // deferred holds messages that arrived while Expect waited for an end.
+	// deferred holds messages that arrived while Expect waited for the end of a connection.
+	deferred []message
 }
 
 type message struct {
@@ -141,9 +142,10 @@
 	return err
 }
 
-// Expect returns the next message. At a server an idle connection may end at any time, so Expect skips an end
-// unless want is "end". The end of one connection and the messages of another one may arrive in any order, so
-// while a server waits for an end, Expect defers other messages to the next call.
+// Expect returns the next message, or "end" for the end of a connection. At a worker or a discovery service
+// an idle connection may end at any time, so their Expect skips ends unless want is "end". The end of one
+// connection and the messages of another one may arrive in any order, so while a worker or a discovery
+// service waits for an end, Expect defers other messages to the next call.
 func (p *peer) Expect(want string) (string, error) {
 	if len(p.deferred) > 0 && want != "end" {
 		m := p.deferred[0]
@@ -163,13 +165,13 @@
 			p.conn = m.conn
 			return m.text, nil
 		case <-time.After(testTimeout):
-			return "", errors.New("no message arrived within testTimeout")
+			return "", errors.New("no message arrived at the peer within testTimeout")
 		}
 	}
 }
 
 // Close closes the connection of the last message; with the text "reset" it resets the connection. After an
-// orderly close a server receives "end" when the node has closed its side as well.
+// orderly close a worker or a discovery service receives "end" when the node has closed its side as well.
 func (p *peer) Close(text string) error {
 	conn := p.conn.(*net.TCPConn)
 	switch {
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -72,11 +72,12 @@
 					}
 					if answered := time.Since(n.start); r.Status == 200 {
 						if answered < min(deadline, maxReadinessTimeout) {
-							t.Errorf("ready %v after the start, want not before the shortest deadline", answered)
+							t.Errorf("ready %v after the node's start, want ready only after the shortest class deadline",
+								answered)
 						}
 						break
 					} else if polledAt > testReadinessLimit {
-						t.Fatalf("not ready %v after the start, want ready within testReadinessLimit", polledAt)
+						t.Fatalf("the node is not ready %v after its start, want it ready within testReadinessLimit", polledAt)
 					}
 					time.Sleep(10 * time.Millisecond) // A front end checks health at intervals as well.
 				}
--- a/internal/node/remaining_test.go
+++ b/internal/node/remaining_test.go
@@ -53,6 +53,7 @@
 	}
 	told, err := strconv.ParseInt(request.Header.Get("X-Remaining-Ms"), 10, 64)
 	if left := e.deadline - released; err != nil || scheduler.Micros(told)*millisecond > left {
-		t.Errorf("X-Remaining-Ms (parse error %v) is %d ms, want at most the remaining %d us", err, told, left)
+		t.Errorf("the attempt's X-Remaining-Ms (parse error %v) is %d ms, want at most the remaining %d us",
+			err, told, left)
 	}
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -25,7 +25,8 @@
 	}
 	r, err := c.reader.Request()
 	receivedAt := c.node.now()
-	if c.queuedSince != 0 { // The request may have been complete when the connection entered the queue.
+	// The request may have been complete when the connection entered the listener's queue.
+	if c.queuedSince != 0 {
 		receivedAt, c.queuedSince = c.queuedSince, 0
 	}
 	if err != nil {
@@ -37,7 +38,8 @@
 		c.respond(receivedAt, response{status: 503, closeConn: true, retryAfter: "0"})
 		return nil, false
 	}
-	// The deadline is cleared after the rank is set: from rankRequester on, evict does not interrupt a read.
+	// The read deadline is cleared only after the rank has become rankRequester or higher: from then on evict
+	// does not set a read deadline.
 	c.conn.SetReadDeadline(time.Time{})
 	path, _, _ := strings.Cut(r.Target, "?")
 	switch {
@@ -62,7 +64,7 @@
 	var protocolErr *http1.Error
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		log.Warn("request too slow", "from", from)
+		log.Warn("client did not send a complete request in time", "from", from)
 		c.respond(receivedAt, response{status: 408, closeConn: true})
 	case errors.As(err, &protocolErr):
 		log.Warn("bad request", "from", from, "why", protocolErr.Text)
--- a/internal/node/scenarios_test.go
+++ b/internal/node/scenarios_test.go
@@ -155,7 +155,8 @@
 			t.Parallel()
 			harness := newHarness
 			if strings.Contains(name, "reused connection") {
-				harness = newLargeFleetHarness // A small fleet reuses connections for only 50 ms.
+				// The nodes of a small fleet reuse a connection to a worker for only 50 ms.
+				harness = newLargeFleetHarness
 			}
 			runScenario(t, harness(t, 0, "r1"), script)
 		})
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -13,7 +13,8 @@
 	n.drainDeadline, n.clientsDrained = drainDeadline, clientsDrained
 	time.AfterFunc(time.Until(by), func() { close(drainDeadline) })
 	n.closingListener.Store(true)
-	_ = n.listener.SetDeadline(time.Now()) // This wakes the acceptor; it fails only if the listener is closed.
+	// SetDeadline wakes the acceptor; the call fails only if the listener is closed.
+	_ = n.listener.SetDeadline(time.Now())
 	for c := range n.clients {
 		c.closeWhenIdle()
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -39,10 +39,12 @@
 		n.onLoop(func() { draining = n.drainDeadline != nil })
 	}
 	releaseSlots()
-	for i, conn := range waiting { // One or two jobs got a slot before the stop and fail with status 500.
+	// One or two of the jobs got a client slot before the stop and fail with status 500.
+	for i, conn := range waiting {
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		if r, err := http1.NewReader(conn).Response(); err != nil || r.Status != 503 && r.Status != 500 {
-			t.Errorf("request %d got response %v and error %v, want status 503 or 500", i, r, err)
+			t.Errorf("request %d from the listener's queue got response %v and error %v, want status 503 or 500",
+				i, r, err)
 		}
 	}
 }
@@ -79,7 +81,8 @@
 	}
 	r, err := exchange("X-Org: sahel\r\nX-Txn: a1\r\nX-Remaining-Ms: 900\r\nContent-Length: 0\r\n\r\n")
 	if err != nil || r.Status != 503 || !r.Close {
-		t.Errorf("got response %v and error %v, want status 503 and a close", r, err)
+		t.Errorf("a request on an open connection got response %v and error %v, want status 503 and a close",
+			r, err)
 	}
 }
 
@@ -172,9 +175,13 @@
 		} {
 			switch {
 			case s.name == "closing" && (event == "a callback" || event == "a late client"):
-				continue // The stage itself contains both events, because the listener may be closed by then.
+				// The scripts of the stage closing contain a callback and a late client already, because the listener may
+				// be closed in this stage.
+				continue
 			case s.name == "still accepting jobs" && event == "a late client":
-				continue // In this stage the job is served, see TestLateClientIsServedDuringShutdownGrace.
+				// While the node still accepts jobs it serves the late client, see
+				// TestLateClientIsServedDuringShutdownGrace.
+				continue
 			}
 			t.Run(s.name+", "+event, func(t *testing.T) {
 				t.Parallel()
@@ -192,7 +199,7 @@
 }
 
 // A node that stops still accepts jobs for a short time, because front ends notice the failing health check
-// late. A run in which the job arrives after that time proves nothing and is repeated.
+// late. A run in which the job arrives after that time proves nothing, so the test repeats the run.
 func TestLateClientIsServedDuringShutdownGrace(t *testing.T) {
 	for end := time.Now().Add(testTimeout); ; {
 		w := newHarness(t, 0, "r1")
--- a/internal/node/slopes_bench_test.go
+++ b/internal/node/slopes_bench_test.go
@@ -117,7 +117,7 @@
 			for head.Scan() && head.Text() != "" {
 				continue // The loop skips the node's request for the watch.
 			}
-			// apply writes an update and waits until it has been applied.
+			// apply writes an update of the worker list and waits until the event loop has applied the update.
 			applied := uint64(0)
 			apply := func(raw []byte) time.Duration {
 				text := fmt.Sprintf("%x\r\n%s\n\r\n", len(raw)+1, raw)
@@ -155,7 +155,7 @@
 	}
 }
 
-// appliedCount returns how many updates have been applied.
+// appliedCount returns how many updates of the worker list the event loop has applied.
 func (t *freshnessGuard) appliedCount() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/storm_test.go
+++ b/internal/node/storm_test.go
@@ -86,7 +86,8 @@
 			conn.Close()
 		}
 	}
-	storm(func() string { return "" }) // The first connections allocate resources that the process keeps.
+	// The first connections allocate resources that the process keeps, so one storm precedes the comparison.
+	storm(func() string { return "" })
 	time.Sleep(2 * sweepInterval)
 	before := resources(n)
 	for _, s := range storms {
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -17,14 +17,14 @@
 type payload struct {
 	method, target, idempotencyKey string
 	body                           []byte
-	// disconnected says that the client has left, so that no attempt may begin.
+	// disconnected says that the client has disconnected, so that no attempt may begin.
 	disconnected atomic.Bool
 }
 
 var lastCaller atomic.Uint64
 
-// uniqueHeaders are the headers that a job may have only once. If a header were repeated, a worker could use
-// another one of its values than the scheduler does.
+// uniqueHeaders are the headers that a job may have only once. If such a header were repeated, the worker
+// could use one of its values and the scheduler another.
 var uniqueHeaders = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Labels", "Idempotency-Key"}
 
 // jobHeaders are the values of the headers that parseJobHeaders validates.
@@ -82,8 +82,8 @@
 	return slots
 }
 
-// submit passes a job to the event loop, and waits until the job is answered or the client disconnects. next
-// receives the result of waiting for the next request on the connection, if the connection stays open.
+// submit passes a job to the event loop, and waits until the job is answered or the client disconnects. If
+// the connection stays open, next receives the result of waiting for the next request on the connection.
 func (c *client) submit(receivedAt scheduler.Micros, r *http1.Request) (next <-chan error, keepOpen bool) {
 	n := c.node
 	job, problem := parseJobHeaders(r)
@@ -93,7 +93,7 @@
 		}
 		return c.awaitRequest(), true
 	}
-	// The client may have disconnected right after its request, or may have sent more than maxReadAhead.
+	// The client may have disconnected right after its request, or may have sent more than maxReadAhead bytes.
 	if err := c.inbound.checkDisconnected(); err != nil {
 		c.closeDisconnected(receivedAt, err)
 		return nil, false
@@ -116,7 +116,7 @@
 	}
 	closeConn := r.Close || answer.FinalForConnection || c.ctx.Err() != nil ||
 		len(n.clientSlots) == cap(n.clientSlots)
-	if ahead.ended != nil { // The read-ahead goroutine must end before another one reads the connection.
+	if ahead.ended != nil { // The read-ahead goroutine must end before another goroutine reads the connection.
 		c.conn.SetReadDeadline(time.Now())
 		closeConn = !errors.Is(<-ahead.ended, os.ErrDeadlineExceeded) || closeConn
 		c.conn.SetReadDeadline(time.Time{})
@@ -132,10 +132,11 @@
 	return ahead.next, keepOpen
 }
 
-// lookahead is the state of reading a connection while a job waits for its answer.
+// lookahead is the state of reading a client's connection while the client's job waits for its answer.
 type lookahead struct {
 	next <-chan error // next receives the result of waiting for the next request.
-	// ended receives the error that ends the read-ahead; it is nil unless the client sent a request early.
+	// ended receives the error that ends the read-ahead; the channel is nil unless the client sent a further
+	// request before the answer.
 	ended chan error
 }
 
@@ -150,12 +151,13 @@
 			return answer, ahead, nil
 		case err := <-disconnect:
 			if err != nil {
-				p.disconnected.Store(true) // Writers see the disconnect before a slow loop has processed the event.
+				// Writers of the job's attempts see this flag before a slow event loop has processed the event.
+				p.disconnected.Store(true)
 				n.post(scheduler.ClientDisconnected{Caller: id})
 				return scheduler.Answer{}, ahead, err
 			}
-			// The next request has arrived before the answer to the present one, and waits. The node
-			// keeps reading into a buffer, to detect a disconnect behind the bytes of that request.
+			// The next request has arrived before the answer to the present request, and has to wait. The node keeps
+			// reading into a buffer, to detect a disconnect behind the bytes of the next request.
 			ready := make(chan error, 1)
 			ready <- nil
 			ended := make(chan error, 1)
--- a/internal/node/validity_test.go
+++ b/internal/node/validity_test.go
@@ -52,14 +52,15 @@
 		until = n.freshness.validUntil
 		return until <= now+limit
 	}) {
-		t.Fatalf("the worker list is still valid for %d us, which exceeds the limit", until-n.now())
+		t.Fatalf("after testTimeout the worker list is still valid for %d us, want at most the limit of the test",
+			until-n.now())
 	}
 	return until
 }
 
-// Where an agent pushes lists, a change takes effect when the agent has it, even if the node has no watch. So
-// after a watch is reset, the node sends attempts for at most the drain grace, until a new watch has sent a
-// list.
+// Where an agent pushes worker lists, a change takes effect when the agent receives the change, even if the
+// node has no watch. So after a watch is reset, the node sends attempts for at most the drain grace, until a
+// new watch has sent a list.
 func TestPushedListsExpireAfterTheGraceWithoutAWatch(t *testing.T) {
 	w := newWatchHarness(t, true, 10*second)
 	runScenario(t, w, "discovery close reset")
@@ -73,20 +74,22 @@
 		discovery expect GET /catalog/members?watch=1&from=5
 		discovery send head`)
 	if got := w.node.freshness.allowSend("r1", w.node.now()); !errors.Is(got, errListStale) {
-		t.Errorf("after the drain grace allowSend returned %v, want errListStale", got)
+		t.Errorf("more than the drain grace after the watch was reset allowSend returned %v, want errListStale",
+			got)
 	}
 	// The decision module must queue the job, and not start attempts that the guard rejects.
 	w.node.onLoop(func() {
 		if k := w.node.sched.Stats(); k.Attempts != 0 || k.DispatcherJobs != 1 || len(w.node.attempts) != 0 {
-			t.Errorf("scheduler state %+v, want one queued job and no attempt", k)
+			t.Errorf("worker list stale: the scheduler state is %+v, want one queued job and no attempt", k)
 		}
 	})
 	w.sendList(t)
 	runScenario(t, w, "r1 expect POST /post/7?a=b txn=a1 key=k body=work")
 }
 
-// Where lists are polled and no watch is open, a change takes effect after the poll interval of the settings.
-// So after a watch is reset the worker list is valid for the poll interval, but for at most 6 s.
+// Where worker lists are polled and no watch is open, a change takes effect after the poll interval of the
+// settings. So after a watch is reset the worker list is valid for the poll interval, but for at most
+// MaxStaleness, which is 6 s.
 func TestPolledListsExpireAfterTheConfiguredTime(t *testing.T) {
 	for _, c := range [][2]scheduler.Micros{{2 * second, 2 * second}, {10 * second, 6 * second}} {
 		pollInterval, want := c[0], c[1]
@@ -95,15 +98,16 @@
 		runScenario(t, w, "discovery close reset\ndiscovery expect GET /catalog/members?watch=1&from=5")
 		w.node.freshness.mu.Lock()
 		if got := w.node.freshness.validUntil - asOf; got != want {
-			t.Errorf("poll interval %d us: the list is valid for %d us, want %d us", pollInterval, got, want)
+			t.Errorf("poll interval %d us: after its last update the worker list is valid for %d us, want %d us",
+				pollInterval, got, want)
 		}
 		w.node.freshness.mu.Unlock()
 	}
 }
 
 // Changes at the discovery service that a reload names take effect 4 s after the reload. If the new service
-// does not respond, the worker list must expire by then. Neither lines from the old service nor further
-// reloads may extend the validity.
+// does not respond, the worker list must expire within those 4 s. Neither lines from the old service nor
+// further reloads may extend the validity.
 func TestUnansweredReloadLimitsValidity(t *testing.T) {
 	w := newWatchHarness(t, false, 10*second)
 	n := w.node
@@ -116,30 +120,31 @@
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0`)
 	until := n.waitValidFor(t, 4*second)
-	n.onLoop(func() { // After the reload an empty line arrives from the old service.
+	// After the reload an empty line, which confirms the list, arrives from the old discovery service.
+	n.onLoop(func() {
 		n.postPendingUpdate()
 		n.applyUpdate(t, watchUpdate{watch: n.previousWatch, event: scheduler.EndpointsUpdated{AsOf: n.now()}})
 	})
 	if repeated := n.waitValidFor(t, 4*second); repeated > until {
-		t.Errorf("after a line of the old service the list is valid until %d us, want at most %d us",
+		t.Errorf("after a line of the old service the worker list is valid until time %d us, want at most %d us",
 			repeated, until)
 	}
 	n.onLoop(func() { n.receiveList(t, 0) })
 	if n.waitValidFor(t, 6*second) <= until {
-		t.Error("a list from the new service did not extend the validity")
+		t.Error("a list from the new service did not extend the worker list's validity past the reload's limit")
 	}
 }
 
 // The end of a watch that never sent anything does not limit the validity of the worker list, because the
-// list did not come from that watch.
+// list did not come over that watch.
 func TestSilentWatchDoesNotLimitValidity(t *testing.T) {
 	guard := newFreshnessGuard(testGrace, 6*second)
 	guard.listPushed, guard.postedUpdates = true, 1
 	guard.countApplied(100 * second)
 	if got := guard.watchClosed(0, false); got != 106*second {
-		t.Errorf("after a silent watch closed: valid until %d us, want 106 s", got)
+		t.Errorf("a watch that sent nothing closed: worker list valid until %d us, want 106 s as before", got)
 	}
 	if got := guard.watchClosed(101*second, false); got != 101*second+testGrace {
-		t.Errorf("after a watch that was empty at 101 s closed: valid until %d us, want 101 s and the grace", got)
+		t.Errorf("watch closed, socket last empty at 101 s: list valid until %d us, want 101 s + drain grace", got)
 	}
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -11,7 +11,7 @@
 type watchUpdate struct {
 	watch *watch
 	event scheduler.Event // event is an EndpointsUpdated or a WatchClosed.
-	// readAt is the time at which an update was read; tests leave it 0 to skip the check for delays.
+	// readAt is the time at which an update was read; tests leave readAt 0 to skip the check for delays.
 	readAt scheduler.Micros
 	// lastEmptyAt, of a watch that has ended, is the last time at which the watch's socket was empty; 0 means
 	// that the watch never sent anything.
@@ -47,14 +47,16 @@
 
 // runWatch is the goroutine of a watch. It posts the watch's updates and the watch's end to the event loop.
 func (n *Node) runWatch(ctx context.Context, w *watch, open scheduler.OpenWatch) {
-	var lastReader *watchReader // lastReader is nil until the watch has sent something.
+	// lastReader is the reader of the watch's connection; nil until the watch has sent something.
+	var lastReader *watchReader
 	err := n.readWatch(ctx, open, func(e scheduler.EndpointsUpdated, reader *watchReader) {
 		lastReader = reader
 		e.AsOf = n.freshness.countPosted(reader, n.now())
 		n.post(watchUpdate{watch: w, event: e, readAt: n.now()})
 	})
 	closed := scheduler.WatchClosed{}
-	if ctx.Err() == nil { // Otherwise the event loop has cancelled the watch, and its end is no failure.
+	// If ctx is cancelled, the event loop has cancelled the watch, and the watch's end is no failure.
+	if ctx.Err() == nil {
 		n.log.Warn("watch of the worker list failed", "error", err)
 		closed.Unreadable = errors.Is(err, errUnreadableList)
 	}
--- a/internal/node/watch_reader.go
+++ b/internal/node/watch_reader.go
@@ -19,15 +19,17 @@
 
 	// The freshness guard's mutex protects the following fields.
 
-	// hasUnposted is true while the data of the last Read may contain an update that is not posted yet.
+	// hasUnposted is true while the data of the last Read may contain an update that has not been posted to the
+	// event loop yet.
 	hasUnposted bool
-	// lastEmptyAt is the latest time at which the socket was found empty with nothing unposted.
+	// lastEmptyAt is the latest time at which the socket was found empty while no update that had been read was
+	// unposted.
 	lastEmptyAt scheduler.Micros
 }
 
-// newWatchReader returns a reader of a watch's connection and registers the reader with the guard: allowSend
-// rejects attempts while that connection has unread data. The caller must close the reader before the
-// connection.
+// newWatchReader returns a reader of a watch's connection and registers the reader with the freshness guard:
+// allowSend rejects attempts while that connection has unread data. The caller must close the reader before
+// the connection.
 func (g *freshnessGuard) newWatchReader(
 	conn net.Conn, now func() scheduler.Micros,
 ) (*watchReader, error) {
@@ -42,7 +44,7 @@
 	return r, nil
 }
 
-// close removes the reader from the guard and wakes writers that wait.
+// close removes the reader from the freshness guard and wakes the writers that wait to send attempts.
 func (r *watchReader) close() {
 	r.guard.mu.Lock()
 	defer r.guard.mu.Unlock()
@@ -51,8 +53,9 @@
 }
 
 // Read reads from the connection. The caller must have posted all complete updates of the previous Read's
-// data before it calls Read again. When the read deadline has passed, Read still returns data that has
-// arrived: a reader that got no processor time finds the expired deadline and an update at the same time.
+// data to the event loop before it calls Read again. When the read deadline has passed, Read still returns
+// data that has arrived: a reader that got no processor time finds the expired deadline and an update at the
+// same time.
 func (r *watchReader) Read(b []byte) (n int, err error) {
 	r.markPosted()
 	ready := false
@@ -81,8 +84,9 @@
 	return n, err
 }
 
-// markPosted records that all updates of the previous Read's data have been posted. The event loop may have
-// applied these updates already, so markPosted wakes the writers that wait.
+// markPosted records that all updates of the previous Read's data have been posted to the event loop. The
+// event loop may have applied these updates already, so markPosted wakes the writers that wait to send
+// attempts.
 func (r *watchReader) markPosted() {
 	r.guard.mu.Lock()
 	defer r.guard.mu.Unlock()
@@ -102,8 +106,8 @@
 	return r.lastEmptyAt
 }
 
-// checkEmpty reports whether the socket is empty and every update that was read has been posted. If so, it
-// records the time in lastEmptyAt. The caller holds the guard's mutex.
+// checkEmpty reports whether the socket is empty and every update that was read has been posted to the event
+// loop. If so, it records the time in lastEmptyAt. The caller holds the guard's mutex.
 func (r *watchReader) checkEmpty(now scheduler.Micros) bool {
 	if r.hasUnposted || !r.empty() {
 		return false
--- a/internal/node/watch_reader_test.go
+++ b/internal/node/watch_reader_test.go
@@ -25,9 +25,10 @@
 	ours.SetReadDeadline(time.Now().Add(-time.Second))
 	buffer := make([]byte, 100)
 	if n, err := reader.Read(buffer); err != nil || string(buffer[:n]) != "word\n" {
-		t.Errorf("first read returned %q and error %v, want the written line and nil", buffer[:n], err)
+		t.Errorf("first read after the read deadline returned %q and error %v, want the written line and no error",
+			buffer[:n], err)
 	}
 	if _, err := reader.Read(buffer); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("second read returned error %v, want a deadline error", err)
+		t.Errorf("read of the empty socket after the read deadline returned error %v, want a deadline error", err)
 	}
 }
--- a/internal/node/watch_stream.go
+++ b/internal/node/watch_stream.go
@@ -21,8 +21,8 @@
 	// watchOpenTimeout is how long discovery may take to respond to the request for a watch. Discovery fails
 	// requests that wait longer.
 	watchOpenTimeout = 4 * time.Second
-	// agentOpenTimeout replaces watchOpenTimeout where an agent pushes the lists. The agent responds at
-	// once while discovery is up, and not at all to requests from a time when discovery is down. So a new
+	// agentOpenTimeout replaces watchOpenTimeout where an agent pushes the lists. The agent responds at once
+	// while discovery is up, and never responds to a request that it gets while discovery is down. So a new
 	// request succeeds sooner than a longer wait would.
 	agentOpenTimeout = time.Second
 	// watchIdleTimeout is the longest time between two lines of a watch. Discovery sends a line every
@@ -67,7 +67,7 @@
 	}
 	n.log.Info("watch of the worker list open", "discovery", open.Addr, "from", open.Revision)
 	extendDeadline := func() {
-		// After a cancellation the deadline has passed, and only data that has arrived is read.
+		// After a cancellation the read deadline has passed, and only data that has arrived already is read.
 		if ctx.Err() == nil {
 			conn.SetReadDeadline(time.Now().Add(n.watchIdleTimeout))
 		}
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -111,7 +111,7 @@
 			done := runNode(n)
 			for range 2 {
 				select {
-				// The node requests changes since revision 4, so it applied nothing of the response.
+				// The node requests changes since revision 4, its initial list, so it applied nothing of the response.
 				case got := <-requests:
 					if want := "GET " + membersPath + "?watch=1&from=4 HTTP/1.1"; got != want {
 						t.Errorf("discovery received the request %q, want %q", got, want)
@@ -121,7 +121,7 @@
 				}
 			}
 			if got := log.count("watch of the worker list failed"); got != 1 {
-				t.Errorf("the log has %d lines about failed watches, want 1", got)
+				t.Errorf("the log has %d lines about failed watches, want 1 for the one fault", got)
 			}
 			n.Stop()
 			checkEnd(t, done)
@@ -146,7 +146,7 @@
 	deliver := func(e scheduler.EndpointsUpdated, _ *watchReader) { updates <- e }
 	err := n.readWatch(n.ctx, scheduler.OpenWatch{Addr: l.Addr().String()}, deliver)
 	if err == nil || errors.Is(err, errUnreadableList) {
-		t.Errorf("after an incomplete last line: got error %v, want any but errUnreadableList", err)
+		t.Errorf("readWatch of an incomplete last line: error %v, want any but errUnreadableList", err)
 	}
 	if close(updates); len(updates) != 2 || (<-updates).List.Revision != 3 {
 		t.Errorf("%d updates in the channel, want 2: revision 3 and the empty line that confirms it", len(updates))
@@ -186,7 +186,8 @@
 		discovery send head
 		node send reload discovery2
 		discovery2 expect GET /catalog/members?watch=1&from=0`)
-	// Without this the reload would limit the validity of the list to 4 s.
+	// Without this extension the reload would limit the validity of the worker list to 4 s, the time after which
+	// changes at the new discovery service take effect.
 	w.node.onLoop(func() { w.node.extendValidity(t, time.Hour) })
 	runScenario(t, w, `
 		discovery2 send head
@@ -196,11 +197,11 @@
 		return errors.Is(w.node.freshness.allowSend("r1", w.node.now()), errWorkerDraining)
 	}
 	if !eventually(isDraining) {
-		t.Fatal("the guard did not report r1 as draining, so the old watch is not read")
+		t.Fatal("allowSend did not report r1 as draining, want the update from the old watch applied")
 	}
 	w.node.onLoop(func() {
 		if w.node.previousWatch == nil {
-			t.Error("an empty line of the new watch closed the old watch")
+			t.Error("an empty line of the new watch closed the old watch, want it open until a list arrives")
 		}
 	})
 	runScenario(t, w, `
@@ -215,7 +216,7 @@
 	}
 }
 
-// A list of 20,000 workers is applied within 5 s; a fraction of a second is normal.
+// The scheduler applies a list of 20,000 workers within 5 s; a fraction of a second is normal.
 func TestHugeList(t *testing.T) {
 	var all []string
 	for len(all) < 20_000 {
@@ -239,7 +240,7 @@
 	// The scheduler must accept the same list a second time.
 	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil)
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("applying the list took %v, want at most 5 s", took)
+		t.Errorf("applying a list of 20000 workers took %v, want at most 5 s", took)
 	}
 }
 
@@ -267,8 +268,8 @@
 	return l, n, runNode(n)
 }
 
-// A node whose lists are pushed has to open a watch as well, because it gets the pushed lists over that
-// watch.
+// A node whose worker lists are pushed by an agent has to open a watch as well, because it gets the pushed
+// lists over that watch.
 func TestPushedListsAreWatched(t *testing.T) {
 	l, n, done := startPushedNode(t, 1)
 	for range 2 { // The node opens a second watch after the first watch is closed.
@@ -288,7 +289,7 @@
 		defer acceptWithin(t, l, testTimeout).Close() // The agent sends nothing on the connection.
 	}
 	if took := time.Since(began); took > calls*2*time.Second {
-		t.Errorf("%d requests took %v, want at most 2 s each", calls, took)
+		t.Errorf("%d requests to an agent that does not respond took %v, want at most 2 s each", calls, took)
 	}
 	n.Stop()
 	checkEnd(t, done)
--- a/internal/node/worker_conn.go
+++ b/internal/node/worker_conn.go
@@ -15,9 +15,11 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The messages of connections to workers to the event loop.
+// The messages that the goroutines of connections to workers send to the event loop.
 type (
-	writeEnded struct { // writeEnded is sent once for each exchange, unless the loop has dropped the connection.
+	// writeEnded tells how dialling or writing ended. It is sent once for each exchange, unless the event loop
+	// has dropped the connection.
+	writeEnded struct {
 		conn *workerConn
 		err  error
 	}
@@ -27,7 +29,7 @@
 	}
 	// readEnded says that nothing more can be read from the connection.
 	readEnded struct{ conn *workerConn }
-	// workerConnClosed says that the file descriptor has been released.
+	// workerConnClosed says that the file descriptor of the connection has been released.
 	workerConnClosed struct{ conn *workerConn }
 )
 
@@ -42,7 +44,7 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	// Only the event loop accesses these fields.
+	// Only the event loop accesses the following fields.
 	connstate.Conn
 	requestID string // requestID is the job's ID in the current exchange, for the log.
 	// idleSince is the time since which the connection is idle; it has no meaning during an exchange.
@@ -90,7 +92,8 @@
 	})
 	for e := first; ; {
 		select {
-		case <-readerDone: // The worker has closed the idle connection. A write error now would look like a reset.
+		// The worker has closed the idle connection. The error of a write now would look like a reset.
+		case <-readerDone:
 			err = net.ErrClosed
 		default:
 			if err = c.write(conn, &e); errors.Is(err, errCancelled) {
--- a/internal/node/worker_dial.go
+++ b/internal/node/worker_dial.go
@@ -15,7 +15,7 @@
 	maxHedgedDials = 8
 )
 
-// dialFunc opens a TCP connection. It fails if the connection is not open at the time by.
+// dialFunc opens a TCP connection to addr. It fails if the connection is not open at the time by.
 type dialFunc func(ctx context.Context, addr string, by time.Time) (net.Conn, error)
 
 func dialTCP(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
--- a/internal/node/worker_dial_test.go
+++ b/internal/node/worker_dial_test.go
@@ -59,7 +59,7 @@
 				t.Fatal("no hedged dial started within testTimeout")
 			}
 			if first.ctx.Err() != nil {
-				t.Error("the first dial was cancelled when the hedged dial started")
+				t.Error("the first dial was cancelled when the hedged dial started, want both dials in progress")
 			}
 			second.result <- nil
 			runScenario(t, w, "r1 expect POST /post/7?a=b txn=a1 key=k body=work")
@@ -70,13 +70,13 @@
 				back expect 204
 				c1 expect 200 it`)
 			if n := w.node; !eventually(func() bool { return n.hedgedDials.Load() == 0 }) {
-				t.Error("hedgedDials did not return to 0 after all dials ended")
+				t.Error("the count of hedged dials in progress is not 0 within testTimeout after all dials ended")
 			}
 		})
 	}
 }
 
-// A refused dial ends the attempt to connect at once, whether or not a second dial is in progress.
+// A refused dial makes workerConn.dial fail at once, whether or not a hedged dial is in progress.
 func TestRefusedDialEndsTheHedge(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	for _, late := range []bool{false, true} {
@@ -99,16 +99,17 @@
 		}
 		first.result <- refused
 		if err := <-done; !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("refused after the hedged dial started (%v): dial returned %v, want ECONNREFUSED", late, err)
+			t.Errorf("first dial refused, hedged dial in progress: %v; workerConn.dial returned %v, want ECONNREFUSED",
+				late, err)
 		}
 		if first.ctx.Err() == nil {
-			t.Error("the context of the dials was not cancelled")
+			t.Error("the context of the dials was not cancelled after a refused dial")
 		}
 	}
 }
 
-// At most maxHedgedDials hedged dials run at the same time when many dials hang, so that they stay within the
-// reserved descriptors.
+// At most maxHedgedDials hedged dials run at the same time when many dials hang, so that the hedged dials
+// stay within the reserved file descriptors.
 func TestHedgedDialsAreBounded(t *testing.T) {
 	n := newHarness(t, 0).node
 	const many = 3 * maxHedgedDials
@@ -129,7 +130,8 @@
 		}()
 	}
 	if !eventually(func() bool { return inProgress.Load() == many+maxHedgedDials }) {
-		t.Errorf("%d dials in progress, want %d", inProgress.Load(), many+maxHedgedDials)
+		t.Errorf("%d dials in progress, want %d, which is one for each connection plus maxHedgedDials",
+			inProgress.Load(), many+maxHedgedDials)
 	}
 	cancel()
 	for range many {
@@ -139,7 +141,7 @@
 	}
 	over := eventually(func() bool { return n.hedgedDials.Load() == 0 && inProgress.Load() == 0 })
 	if !over || maxSeen.Load() > many+maxHedgedDials {
-		t.Errorf("%d hedged dials counted after all ended, want 0; up to %d dials ran at the same time",
+		t.Errorf("%d hedged dials counted after all dials ended, want 0; %d dials at a time, want 32 at most",
 			n.hedgedDials.Load(), maxSeen.Load())
 	}
 }
--- a/internal/node/worker_events.go
+++ b/internal/node/worker_events.go
@@ -9,15 +9,16 @@
 	"dahliaford/internal/scheduler"
 )
 
-// onWriteEnded handles the result of writing an exchange. It corrects the outcome of an attempt that the node
-// itself stopped (NotSent), and of a worker that refuses connections because it is full (AtCapacity).
+// onWriteEnded handles the result of writing an exchange. It corrects the outcome if the node itself stopped
+// the attempt (NotSent), or if a running worker refuses the connection because the worker is full
+// (AtCapacity).
 func (n *Node) onWriteEnded(m writeEnded) error {
 	c := m.conn
 	next, e := c.WriteEnded(writeResult(m.err))
 	if end, ok := e.(scheduler.AttemptEnded); ok {
 		if sendNoLongerAllowed(m.err) {
 			n.log.Info("attempt not sent", "txn", c.requestID, "worker", c.addr, "why", m.err)
-			end.Outcome = dispatch.NotSent // NotSent does not count against the worker.
+			end.Outcome = dispatch.NotSent // The outcome NotSent does not count as a failure of the worker.
 			e = end
 		}
 		if end.Outcome == dispatch.ConnectFailed && n.atCapacity(c, m.err) {
@@ -104,7 +105,8 @@
 	switch e := e.(type) {
 	case scheduler.CancellationResult:
 		if status >= 300 && status != 404 {
-			n.log.Warn("cancellation not accepted", "worker", c.addr, "txn", c.requestID, "status", status)
+			n.log.Warn("worker did not accept the cancellation of an attempt",
+				"worker", c.addr, "txn", c.requestID, "status", status)
 		}
 	case scheduler.AttemptRejected:
 		n.log.Info("worker rejected request", "worker", c.addr, "txn", c.requestID, "status", status)
--- a/internal/node/worker_events_test.go
+++ b/internal/node/worker_events_test.go
@@ -35,7 +35,8 @@
 	} {
 		n := &Node{idleConns: c.idleConns, attempts: c.attempts}
 		if got := n.atCapacity(&workerConn{addr: "r1"}, c.err); got != c.want {
-			t.Errorf("%s: atCapacity returned the wrong result %v", name, got)
+			t.Errorf("other connection of the node: %s; atCapacity returned %v for the dial error, want the opposite",
+				name, got)
 		}
 	}
 }
@@ -120,7 +121,7 @@
 	runScenario(t, w,
 		"c2 send job post a2 || two\nwait open 2\nr1 send 503 Busy | X-Turned-Away: 1\nr1 expect end")
 	w.node.onLoop(func() { w.node.freshness.countApplied(0) })
-	// The attempt arrives on a new connection.
+	// The attempt that was not sent arrives on a new connection.
 	runScenario(t, w, "r1 expect POST /post/7?a=b txn=a2 key=k body=two")
 }
 
@@ -130,8 +131,9 @@
 	ours, theirs := loopbackPair(t)
 	n := &Node{inbox: make(chan any, 2), ctx: t.Context()}
 	c := &workerConn{node: n}
-	if !c.beginWrite() { // This is the state when the writer is about to send the first byte.
-		t.Fatal("beginWrite returned false for a new exchange")
+	// beginWrite puts the connection into the state in which the writer is about to send the first byte.
+	if !c.beginWrite() {
+		t.Fatal("beginWrite returned false for a new exchange, want true")
 	}
 	go c.readResponses(ours)
 	write(t, theirs, "HTTP/1.1 202 OK\r\nContent-Length: 0\r\n\r\n")
@@ -141,9 +143,9 @@
 	n.post(writeEnded{c, nil})
 	c.releaseResponseOrder()
 	if m, ok := (<-n.inbox).(writeEnded); !ok {
-		t.Errorf("the first message is a %T, want writeEnded", m)
+		t.Errorf("the first message in the inbox is a %T, want writeEnded", m)
 	}
 	if m, ok := (<-n.inbox).(workerResponse); !ok || m.Status != 202 {
-		t.Errorf("the second message is %+v, want a workerResponse with status 202", m)
+		t.Errorf("the second message in the inbox is %+v, want a workerResponse with status 202", m)
 	}
 }
--- a/internal/node/worker_pool.go
+++ b/internal/node/worker_pool.go
@@ -73,7 +73,7 @@
 	c.cancel()
 }
 
-// dropOldestIdle drops the connection that has been idle for the longest time.
+// dropOldestIdle drops the connection to a worker that has been idle for the longest time.
 func (n *Node) dropOldestIdle() {
 	var oldest *workerConn
 	for _, idle := range n.idleConns {
@@ -87,7 +87,7 @@
 	}
 }
 
-// dropExpiredIdle drops the connections that have been idle for idleTimeout or longer.
+// dropExpiredIdle drops the connections to workers that have been idle for idleTimeout or longer.
 func (n *Node) dropExpiredIdle() {
 	for addr, idle := range n.idleConns {
 		for len(idle) > 0 && n.now()-idle[0].idleSince >= n.idleTimeout {
--- a/internal/node/worker_pool_test.go
+++ b/internal/node/worker_pool_test.go
@@ -27,7 +27,8 @@
 		got = append(got, ok)
 	}
 	if diff := cmp.Diff([]bool{true, false}, got); diff != "" || dropped != 2 {
-		t.Errorf("results of assign (-want +got): %s dropped %d idle connections, want 2", diff, dropped)
+		t.Errorf("results of two calls of assign (-want +got): %s dropped %d idle connections, want 2",
+			diff, dropped)
 	}
 }
 
@@ -45,7 +46,8 @@
 		}
 		n.dropExpiredIdle()
 		if got := len(n.idleConns["r"]); got != want {
-			t.Errorf("%d schedulers: %d idle connections, want %d", balancers, got, want)
+			t.Errorf("%d schedulers: %d idle connections left after the expired ones were dropped, want %d",
+				balancers, got, want)
 		}
 	}
 }
--- a/internal/node/worker_write.go
+++ b/internal/node/worker_write.go
@@ -58,7 +58,8 @@
 		waitErr := raw.Write(writeReady)
 		switch {
 		case errors.Is(w.blockReason, errDisconnected) && w.sent > 0:
-			c.discardUnsent.Store(true) // The close must discard the rest of the request in the send buffer.
+			// The close must discard the part of the request that is still in the send buffer.
+			c.discardUnsent.Store(true)
 			return w.blockReason
 		case errors.Is(w.blockReason, errUpdatePending) || errors.Is(w.blockReason, errDisconnected):
 			// The event loop is about to process the update or the disconnect, and cancels the exchange if
@@ -90,11 +91,11 @@
 	request     []byte // request is encoded when the socket accepts the first byte.
 	sent        int    // sent counts the bytes of the request that the socket has accepted.
 	blockReason error  // blockReason is the reason why nothing may be written now, or nil.
-	err         error  // err is the error of the last write.
+	err         error  // err is the error of the last write call.
 }
 
-// writeReady writes as many bytes as the socket accepts. syscall.RawConn.Write calls it; it returns false to
-// be called again when the socket accepts more.
+// writeReady writes as many bytes as the socket accepts. syscall.RawConn.Write calls writeReady, and calls it
+// again when the socket accepts more if it has returned false.
 func (w *attemptWriter) writeReady(fd uintptr) (done bool) {
 	if w.blockReason = w.checkAllowed(); w.blockReason != nil {
 		return true
@@ -143,8 +144,8 @@
 	return c.holdsResponseOrder
 }
 
-// releaseResponseOrder lets the reader post responses again. The writer calls it when the writeEnded of the
-// exchange is in the inbox, or when no writeEnded follows.
+// releaseResponseOrder unlocks responseOrder, so that the reader can post responses again. The writer calls
+// it when the writeEnded of the exchange is in the inbox, or when no writeEnded follows.
 func (c *workerConn) releaseResponseOrder() {
 	if c.holdsResponseOrder {
 		c.holdsResponseOrder = false
