--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -36,8 +36,10 @@
 	clientOpened struct{ client *client }
 	clientClosed struct{ client *client }
 	submission   struct {
-		client     *client
-		receivedAt scheduler.Micros // receivedAt is the time at which the request was read completely.
+		client *client
+		// receivedAt is the time at which the request was read completely, or queuedSince if the request may have
+		// waited in the listener's queue.
+		receivedAt scheduler.Micros
 		scheduler.Submitted
 	}
 	// evictionRequest asks the event loop to close client connections, because few or no client slots are free.
@@ -142,7 +144,8 @@
 	if err := <-next; err != nil {
 		return err
 	}
-	if c.rank.load() == rankNew { // The first request has begun and gets the rest of its original time.
+	// The first request has begun and gets the rest of firstRequestTimeout, but at least lingerTime.
+	if c.rank.load() == rankNew {
 		first := c.node.timeOf(c.acceptedAt).Add(firstRequestTimeout)
 		c.conn.SetReadDeadline(latest(first, time.Now().Add(lingerTime)))
 	}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -173,7 +173,8 @@
 			runScenario(t, w, fmt.Sprintf("c%[1]d send job batch a%[1]d || work\nwait open 1", i))
 			resume := n.pauseLoop()
 			w.peers[fmt.Sprint("c", i)].disconnect(t, way)
-			if !eventually(func() bool { return len(n.inbox) > 0 }) { // A ClientDisconnected event is in the inbox.
+			// The test waits until a ClientDisconnected event is in the inbox.
+			if !eventually(func() bool { return len(n.inbox) > 0 }) {
 				t.Fatal("no message about the client's disconnect reached the event loop's inbox within testTimeout")
 			}
 			checked := n.guardCheckWaiter(t)
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -137,9 +137,11 @@
 	case unreadable:
 		g.validUntil = 0
 	case lastEmpty == 0:
-	case g.listPushed: // A change takes effect when the agent receives it, with or without a watch.
+	// A change of the worker list takes effect when the agent receives the change, with or without a watch.
+	case g.listPushed:
 		g.validUntil = min(g.validUntil, lastEmpty+g.drainGrace)
-	case g.pollInterval > 0: // Without a watch a change takes effect pollInterval after it was made.
+	// Without a watch a change of the worker list takes effect pollInterval after the change was made.
+	case g.pollInterval > 0:
 		g.validUntil = min(g.validUntil, g.asOf+g.pollInterval)
 	}
 	return g.validUntil
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -100,7 +100,7 @@
 	began := reader.lastEmptyAt
 	n.freshness.mu.Unlock()
 	if !eventually(func() bool { return reader.lastEmpty() >= began+2*second }) {
-		t.Error("the idle node did not check its watch's empty socket again 2 s later within testTimeout")
+		t.Error("an idle node did not check its watch's socket again, 2 s or more later, within testTimeout")
 	}
 	guard := newFreshnessGuard(testGrace, 6*second)
 	ours, theirs := loopbackPair(t)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -78,14 +78,15 @@
 	listener *net.TCPListener
 	start    time.Time
 	epoch    scheduler.Micros // epoch is the field start, converted to the scheduler's clock.
-	// readinessTimeout is the time from start after which health reports ready even without a worker list.
+	// readinessTimeout is the time from the node's start after which the health check succeeds even without a
+	// worker list.
 	readinessTimeout time.Duration
 	// watchOpenTimeout is how long discovery may take to accept a connection and to respond to the request
 	// for a watch.
 	watchOpenTimeout time.Duration
-	// watchIdleTimeout is how long a watch may stay open without sending a line.
+	// watchIdleTimeout is how long a watch may stay open without receiving a line from discovery.
 	watchIdleTimeout time.Duration
-	// idleTimeout is how long an idle connection to a worker can be reused before the loop closes it.
+	// idleTimeout is how long an idle connection to a worker can be reused before the event loop closes it.
 	idleTimeout    scheduler.Micros
 	maxWorkerConns int
 	// callbackSlots is the number of client slots reserved for callbacks; clients with a pending job get the
--- a/internal/node/peer_test.go
+++ b/internal/node/peer_test.go
@@ -18,7 +18,9 @@
 	w        *harness
 	name     string
 	listener net.Listener
-	conn     net.Conn     // conn is that of the last message; a client has only one.
+	// conn is a client's only connection; at other peers conn is the connection of the message that Expect
+	// returned last.
+	conn     net.Conn
 	received chan message // received holds the messages that have arrived at the peer.
 	// deferred holds messages that arrived while Expect waited for the end of a connection.
 	deferred []message
@@ -231,7 +233,9 @@
 }
 
 func (s nodePeer) Expect(string) (string, error) {
-	return "", errors.New("the node cannot expect messages; its peers expect them")
+	return "", errors.New("expect is not supported for the node, only for its peers")
 }
 
-func (s nodePeer) Close(string) error { return errors.New("the node cannot be closed; send it stop") }
+func (s nodePeer) Close(string) error {
+	return errors.New("close is not supported for the node; the message stop ends the node")
+}
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -7,8 +7,8 @@
 )
 
 // ready reports whether front ends should send clients to this node. The node sends no attempts before
-// discovery has sent a worker list, so until then clients are better served by other nodes. After
-// readinessTimeout the node is ready without a list, as discovery may be down for all nodes.
+// discovery has sent a worker list, so until then other nodes serve clients better. After readinessTimeout
+// the node is ready without a list, as discovery may be down for all nodes.
 func (n *Node) ready() bool { return n.listReceived.Load() || time.Since(n.start) > n.readinessTimeout }
 
 // readinessTimeoutOf returns how long a node without a worker list reports that it is not ready: the shortest
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -3,8 +3,8 @@
 import "time"
 
 // beginDrain closes each client connection once its jobs are answered. The drain ends when no client is
-// connected, or at the given time. It includes connections that wait in the listener's queue: the acceptor
-// closes the listener only when that queue is empty.
+// connected, or at the time by. The drain includes connections that wait in the listener's queue: the
+// acceptor closes the listener only when that queue is empty.
 func (n *Node) beginDrain(by time.Time) {
 	if n.drainDeadline != nil {
 		return
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -138,7 +138,7 @@
 	}, func(t *testing.T, w *harness) {
 		runScenario(t, w, "r1 send 200 OK\nwait end")
 	}},
-	// Clients with incomplete requests keep the node in this stage.
+	// Clients with incomplete requests keep the node in the stage closing.
 	{"closing", func(t *testing.T, w *harness) {
 		runScenario(t, w, "c3 send GET /_health\nc3 expect 200\nback3 send GET /_health\nback3 expect 200")
 		w.writeRaw(t, "c3", "POST /batch/7 HTTP/1.1\r\nX-Lane: batch\r\n")
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -126,7 +126,7 @@
 	}
 	keepOpen = c.respond(deadline, responseTo(answer, closeConn))
 	if late := n.now() - deadline - lagAllowance; late > millisecond {
-		n.log.Warn("answer sent after its deadline", "txn", job.id, "ms", late/millisecond,
+		n.log.Warn("answer sent after the job's deadline", "txn", job.id, "ms", late/millisecond,
 			"read_ms_ago", (n.now()-receivedAt)/millisecond)
 	}
 	return ahead.next, keepOpen
--- a/internal/node/worker_conn.go
+++ b/internal/node/worker_conn.go
@@ -38,8 +38,8 @@
 type workerConn struct {
 	node *Node
 	addr string
-	// exchanges passes exchanges from the event loop to run. It has capacity for one, because a connection has
-	// one exchange at a time.
+	// exchanges passes exchanges from the event loop to run. The channel has capacity for one exchange, because
+	// a connection has one exchange at a time.
 	exchanges chan exchange
 	ctx       context.Context
 	cancel    context.CancelFunc
@@ -92,7 +92,8 @@
 	})
 	for e := first; ; {
 		select {
-		// The worker has closed the idle connection. The error of a write now would look like a reset.
+		// The worker has closed the idle connection, so nothing is written: the error of a write now would look
+		// like a reset of the connection during an attempt.
 		case <-readerDone:
 			err = net.ErrClosed
 		default:
@@ -114,7 +115,8 @@
 }
 
 // close closes the socket. With discardUnsent it also discards data in the send buffer: otherwise the
-// operating system would still send that data when a machine that is unreachable now can be reached again.
+// operating system would still send that data when a worker's machine that is unreachable now can be reached
+// again.
 func (c *workerConn) close(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok && c.discardUnsent.Load() {
 		_ = tcp.SetLinger(0) // SetLinger fails only if the socket is already closed.
--- a/internal/node/worker_dial_test.go
+++ b/internal/node/worker_dial_test.go
@@ -38,8 +38,8 @@
 	return all
 }
 
-// When a dial is slow, a hedged dial starts beside it and its connection carries the job. The job is sent
-// only once, and the connection of the slow dial is closed without use.
+// When a dial is slow, a hedged dial starts beside it, and the connection of the hedged dial carries the job.
+// The job is sent only once, and the connection of the slow dial is closed without use.
 func TestHedgedDialBesideASlowOne(t *testing.T) {
 	for name, firstEnds := range map[string]func(first pendingDial){
 		"never comes up": func(first pendingDial) { <-first.ctx.Done() },
@@ -136,12 +136,12 @@
 	cancel()
 	for range many {
 		if err := <-done; err == nil {
-			t.Error("a dial that never connects returned no error")
+			t.Error("a dial that never connects returned no error, want one")
 		}
 	}
 	over := eventually(func() bool { return n.hedgedDials.Load() == 0 && inProgress.Load() == 0 })
 	if !over || maxSeen.Load() > many+maxHedgedDials {
-		t.Errorf("%d hedged dials counted after all dials ended, want 0; %d dials at a time, want 32 at most",
+		t.Errorf("%d hedged dials counted after all ended, want 0; %d dials at a time, want 24+maxHedgedDials",
 			n.hedgedDials.Load(), maxSeen.Load())
 	}
 }
--- a/internal/node/worker_effects.go
+++ b/internal/node/worker_effects.go
@@ -29,7 +29,8 @@
 	if c.Cancel {
 		n.cancellations--
 	} else if c.writeState.cancel() {
-		n.lastCancelledUnsent = attempt // No worker has the attempt, so a cancellation need not be sent.
+		// No worker has received a byte of the attempt, so a cancellation need not be sent.
+		n.lastCancelledUnsent = attempt
 	}
 	c.discardUnsent.Store(true)
 	n.drop(c)
--- a/internal/node/worker_events.go
+++ b/internal/node/worker_events.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// finishExchange closes a connection if its state machine returned Drop. If the state machine returned an
-// event, the exchange has ended, and finishExchange passes the event to the scheduler. cause is the error of
-// a failed connection, for the log.
+// finishExchange closes a connection if the connection's state machine returned Drop. If the state machine
+// returned an event, the exchange has ended, and finishExchange passes the event to the scheduler. cause is
+// the error of a failed connection, for the log.
 func (n *Node) finishExchange(
 	c *workerConn, next connstate.Disposition, e scheduler.Event, cause error,
 ) error {
--- a/internal/node/worker_pool.go
+++ b/internal/node/worker_pool.go
@@ -40,8 +40,8 @@
 		c.start(e)
 		return c, true
 	}
-	// From 7/8 of the limit on, each new connection drops an idle one: closing takes some time, so waiting
-	// until the limit is reached would be too late.
+	// From 7/8 of maxWorkerConns on, each new connection drops an idle connection. Closing a connection takes
+	// some time, so it would be too late to wait until maxWorkerConns is reached.
 	if n.openWorkerConns >= n.maxWorkerConns-n.maxWorkerConns/8 {
 		n.dropOldestIdle()
 	}
