--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -3,8 +3,8 @@
 import "time"
 
 // beginDrain closes each client connection once its jobs are answered. The drain ends when no client is
-// connected, or at the given time. It includes connections that wait in the listener's queue: the acceptor
-// closes the listener only when that queue is empty.
+// connected, or at the time by. The drain includes connections that wait in the listener's queue: the
+// acceptor closes the listener only when that queue is empty.
 func (n *Node) beginDrain(by time.Time) {
 	if n.drainDeadline != nil {
 		return
@@ -13,7 +13,8 @@
 	n.drainDeadline, n.clientsDrained = drainDeadline, clientsDrained
 	time.AfterFunc(time.Until(by), func() { close(drainDeadline) })
 	n.closingListener.Store(true)
-	_ = n.listener.SetDeadline(time.Now()) // This wakes the acceptor; it fails only if the listener is closed.
+	// SetDeadline wakes the acceptor; the call fails only if the listener is closed.
+	_ = n.listener.SetDeadline(time.Now())
 	for c := range n.clients {
 		c.closeWhenIdle()
 	}
--- a/internal/node/worker_conn.go
+++ b/internal/node/worker_conn.go
@@ -15,9 +15,11 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The messages of connections to workers to the event loop.
+// The messages that the goroutines of connections to workers send to the event loop.
 type (
-	writeEnded struct { // writeEnded is sent once for each exchange, unless the loop has dropped the connection.
+	// writeEnded tells how dialling or writing ended. It is sent once for each exchange, unless the event loop
+	// has dropped the connection.
+	writeEnded struct {
 		conn *workerConn
 		err  error
 	}
@@ -27,7 +29,7 @@
 	}
 	// readEnded says that nothing more can be read from the connection.
 	readEnded struct{ conn *workerConn }
-	// workerConnClosed says that the file descriptor has been released.
+	// workerConnClosed says that the file descriptor of the connection has been released.
 	workerConnClosed struct{ conn *workerConn }
 )
 
@@ -36,13 +38,13 @@
 type workerConn struct {
 	node *Node
 	addr string
-	// exchanges passes exchanges from the event loop to run. It has capacity for one, because a connection has
-	// one exchange at a time.
+	// exchanges passes exchanges from the event loop to run. The channel has capacity for one exchange, because
+	// a connection has one exchange at a time.
 	exchanges chan exchange
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	// Only the event loop accesses these fields.
+	// Only the event loop accesses the following fields.
 	connstate.Conn
 	requestID string // requestID is the job's ID in the current exchange, for the log.
 	// idleSince is the time since which the connection is idle; it has no meaning during an exchange.
@@ -90,7 +92,9 @@
 	})
 	for e := first; ; {
 		select {
-		case <-readerDone: // The worker has closed the idle connection. A write error now would look like a reset.
+		// The worker has closed the idle connection, so nothing is written: the error of a write now would look
+		// like a reset of the connection during an attempt.
+		case <-readerDone:
 			err = net.ErrClosed
 		default:
 			if err = c.write(conn, &e); errors.Is(err, errCancelled) {
@@ -111,7 +115,8 @@
 }
 
 // close closes the socket. With discardUnsent it also discards data in the send buffer: otherwise the
-// operating system would still send that data when a machine that is unreachable now can be reached again.
+// operating system would still send that data when a worker's machine that is unreachable now can be reached
+// again.
 func (c *workerConn) close(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok && c.discardUnsent.Load() {
 		_ = tcp.SetLinger(0) // SetLinger fails only if the socket is already closed.
--- a/internal/node/worker_pool.go
+++ b/internal/node/worker_pool.go
@@ -40,8 +40,8 @@
 		c.start(e)
 		return c, true
 	}
-	// From 7/8 of the limit on, each new connection drops an idle one: closing takes some time, so waiting
-	// until the limit is reached would be too late.
+	// From 7/8 of maxWorkerConns on, each new connection drops an idle connection. Closing a connection takes
+	// some time, so it would be too late to wait until maxWorkerConns is reached.
 	if n.openWorkerConns >= n.maxWorkerConns-n.maxWorkerConns/8 {
 		n.dropOldestIdle()
 	}
@@ -73,7 +73,7 @@
 	c.cancel()
 }
 
-// dropOldestIdle drops the connection that has been idle for the longest time.
+// dropOldestIdle drops the connection to a worker that has been idle for the longest time.
 func (n *Node) dropOldestIdle() {
 	var oldest *workerConn
 	for _, idle := range n.idleConns {
@@ -87,7 +87,7 @@
 	}
 }
 
-// dropExpiredIdle drops the connections that have been idle for idleTimeout or longer.
+// dropExpiredIdle drops the connections to workers that have been idle for idleTimeout or longer.
 func (n *Node) dropExpiredIdle() {
 	for addr, idle := range n.idleConns {
 		for len(idle) > 0 && n.now()-idle[0].idleSince >= n.idleTimeout {
