--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -26,7 +26,9 @@
 }
 
 // TestConditions checks the two conditions of the published overload control: the deadline feasibility of a
-// class and the deadline feasibility of a pair of classes. Class 1 has a wait target of 1 s and a guaranteed
+// class (the jobs that have to start within the class's wait target can start within it) and the deadline
+// feasibility of a pair of classes (the jobs that have to start in the last part of the longer wait target
+// can start in that part). Class 1 has a wait target of 1 s and a guaranteed
 // rate of 2 jobs a second, class 2 a wait target of 3 s and no guaranteed rate. One slot with runs of 0.25 s
 // gives a service time of 0.25 s per job. With N(t) as the number of queued jobs whose latest start is within
 // t seconds, the conditions are, computed by hand:
@@ -55,18 +57,18 @@
 		want  overloadLevel
 	}{
 		{"empty queue", nil, 0},
-		{"class 1, N(1)=3: 0.75 of 1", copies(3, second), 0},
-		{"class 1, N(1)=4: 1 of 1", copies(4, second), 2},
-		{"class 2, N(3)=6: 2.5 of 3", append(copies(1, second), copies(5, 2*second)...), 0},
-		{"class 2, N(3)=7: 2.75 of 3, within the margin", append(copies(2, second), copies(5, 2*second)...), 1},
-		{"class 2, N(3)=8: 3 of 3", append(copies(2, second), copies(6, 2*second)...), 2},
-		{"pair of class 1, 2, 1 latest start in (2, 3]: 0.75 of 1", copies(1, 3*second), 0},
-		{"pair of class 1, 2, 2 latest starts in (2, 3]: 1 of 1", copies(2, 3*second), 2},
+		{"class 1, 3 jobs need 0.75 s of 1 s", copies(3, second), 0},
+		{"class 1, 4 jobs need 1 s of 1 s", copies(4, second), 2},
+		{"class 2, 6 jobs need 2.5 s of 3 s", append(copies(1, second), copies(5, 2*second)...), 0},
+		{"class 2, 7 jobs need 2.75 s of 3 s, in the margin", append(copies(2, second), copies(5, 2*second)...), 1},
+		{"class 2, 8 jobs need 3 s of 3 s", append(copies(2, second), copies(6, 2*second)...), 2},
+		{"pair of class 1 and 2, with 1 job due at 3 s needs 0.75 s of 1 s", copies(1, 3*second), 0},
+		{"pair of class 1 and 2, with 2 jobs due at 3 s needs 1 s of 1 s", copies(2, 3*second), 2},
 		{"latest starts after the wait target of class 2", copies(50, 4*second), 0},
 	} {
 		b.fillQueue(c.queue...)
 		if got := b.d.overloadAssessment(); got != c.want {
-			t.Errorf("%s: got overload assessment %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: the overload assessment returned level %d, want %d", c.name, got, c.want)
 		}
 	}
 }
@@ -86,21 +88,22 @@
 		return b.d.level
 	}
 	if got := assess(overloaded, levelChangeAssessments-1); got != 0 {
-		t.Fatalf("got overload level %d after %d severe assessments, want 0", got, levelChangeAssessments-1)
+		t.Fatalf("got overload level %d after %d assessments of severe overload, want 0 until one more follows",
+			got, levelChangeAssessments-1)
 	}
 	assess(normal, 1)
 	if got := assess(overloaded, levelChangeAssessments-1); got != 0 {
-		t.Fatalf("got overload level %d after a normal assessment between severe ones, want 0", got)
+		t.Fatalf("got overload level %d, want 0, as a normal assessment came between those of severe overload", got)
 	}
 	if got := assess(overloaded, 1); got != 2 {
-		t.Fatalf("got overload level %d after %d consecutive severe assessments, want 2",
+		t.Fatalf("got overload level %d after %d consecutive assessments of severe overload, want 2 (severe)",
 			got, levelChangeAssessments)
 	}
 	if got := assess(normal, levelChangeAssessments-1); got != 2 {
-		t.Fatalf("got overload level %d one normal assessment too early, want 2", got)
+		t.Fatalf("got overload level %d, want 2, as the fall to 0 needs one more normal assessment", got)
 	}
 	if got := assess(normal, 1); got != 0 {
-		t.Fatalf("got overload level %d after enough consecutive normal assessments, want 0", got)
+		t.Fatalf("got overload level %d after the normal assessments in a row that end overload, want 0", got)
 	}
 }
 
@@ -116,7 +119,7 @@
 		b.d.now += after
 		b.d.advanceGapping()
 		if b.d.gappedRanks != want {
-			t.Fatalf("got %d gapped ranks, want %d", b.d.gappedRanks, want)
+			t.Fatalf("got call gapping of the %d lowest ranks, want of the %d lowest", b.d.gappedRanks, want)
 		}
 	}
 	b.d.now = b.now
@@ -128,7 +131,7 @@
 	at(9*x, 6)
 	b.d.setOverloadLevel(0)
 	at(x-1, 6)
-	at(1, 5) // gapping is lifted from the highest rank first
+	at(1, 5) // call gapping ends for the highest rank first
 	at(2*x, 3)
 	b.d.setOverloadLevel(2)
 	at(0, 6)
@@ -140,7 +143,7 @@
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.d.rankClasses()
 	b.d.level, b.d.gappedRanks, b.d.rankCount = 2, 6, 6
-	b.d.flows[0].rate = 4 // gapping passes one job in each 0.25 s
+	b.d.flows[0].rate = 4 // guaranteed jobs a second: call gapping admits one job in each 0.25 s
 	passed := 0
 	for range 100 { // a job arrives every 20 ms for 2 s
 		b.d.now += second / 50
@@ -149,32 +152,34 @@
 		}
 	}
 	if passed < 8 || passed > 9 {
-		t.Errorf("gapping at 4 jobs a second passed %d jobs in 2 s, want 8 or 9", passed)
+		t.Errorf("call gapping at 4 jobs a second admitted %d jobs in 2 s, want 8 or 9", passed)
 	}
 	if b.d.admits(&job{class: 0, tenant: 0, overQuota: true}) {
-		t.Error("gapped flow with rate 0: got a job admitted, want it rejected")
+		t.Error("call gapping with a guaranteed rate of 0: got a job admitted, want it rejected")
 	}
 	b.d.gappedRanks = b.d.ranks[0]
 	if !b.d.admits(&job{class: 0, tenant: 0}) {
-		t.Error("flow whose rank is not gapped: got a job rejected, want it admitted")
+		t.Error("job whose rank is not under call gapping: got it rejected, want it admitted")
 	}
 }
 
 func TestRankByPriorityWeight(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.d.rankClasses()
-	r := b.d.ranks // indexed by class and over quota; the priority weights are 1, .2, 3, .6, 2, .4
+	// The ranks of each class within its quota and over its quota. The weights are 1, 0.2, 3, 0.6, 2 and 0.4.
+	r := b.d.ranks
 	order := []int{r[1], r[5], r[3], r[0], r[4], r[2]}
 	for i, rank := range order {
 		if rank != i {
-			t.Fatalf("by ascending priority weight, got ranks %v, want 0 to 5 in order", order)
+			t.Fatalf("classes within and over quota by ascending weight: got ranks %v, want 0 to 5 in order", order)
 		}
 	}
 }
 
 func TestReleaseByLatestStart(t *testing.T) {
 	b := newHarness(t, testSettings())
-	// A shorter client timeout marks a later try of the client, whose objective is earlier.
+	// A client timeout below the class's deadline counts as a retry by the client. The objective counts from the
+	// first try, so a shorter client timeout gives an earlier latest start.
 	for i, clientTimeout := range []Micros{8, 5, 6} {
 		b.feed(Event{Kind: JobArrived, Job: JobID(i), Class: 1, Work: 2 * second, Slots: 1,
 			ClientTimeout: clientTimeout * second})
@@ -182,7 +187,7 @@
 	sent := actionsOfKind(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull,
 		Workers: []WorkerEntry{ready(1, 0), ready(2, 0), ready(3, 0)}}), Send)
 	if len(sent) != 3 || sent[0].Job != 1 || sent[1].Job != 2 || sent[2].Job != 0 {
-		t.Fatalf("got sends %+v, want jobs 1, 2 and 0 in this order", sent)
+		t.Fatalf("got sends %+v, want jobs 1, 2 and 0 in this order, the earliest latest start first", sent)
 	}
 }
 
@@ -202,7 +207,7 @@
 	for id := JobID(1); id <= 3; id++ {
 		b.want(b.arrive(id, 0), Send, 1)
 		b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-		b.now += second + second/5 // the next probe past the slot limit may follow after one run time
+		b.now += second + second/5 // one job beyond the known capacity may be sent there after a pause of 1 s
 	}
 	b.arrive(4, 0)
 	b.end(4, 0, AtCapacity)
@@ -220,7 +225,7 @@
 	b.d.learnLoadReport(b.d.workers[1], Report{FreeKnown: true, Free: 2, Outstanding: 0}, 0)
 	b.d.learnLoadReport(b.d.workers[1], Report{FreeKnown: true, Free: 0, Outstanding: 4}, 4)
 	if got := b.d.workers[1].slotLimit; got != 2 {
-		t.Errorf("got slot limit %v of a worker with two slots, want 2", got)
+		t.Errorf("got slot limit %v of a worker that has reported two free slots, want 2", got)
 	}
 }
 
@@ -312,14 +317,14 @@
 		{"a keyed job is repeated in its cell", 1, ScopeCell, Failed, 0, Send, 2},
 		{"a keyed job is repeated in its zone", 1, ScopeZone, Failed, 0, Send, 3},
 		{"a keyed job with fleet-wide scope is repeated anywhere", 1, ScopeAll, Failed, 0, Send, 0},
-		{"a keyed job is not repeated past its window", 1, ScopeCell, Failed, 5 * second, Fail, 0},
+		{"a keyed job is not repeated after the deduplication window", 1, ScopeCell, Failed, 5 * second, Fail, 0},
 	} {
 		s := testSettings()
 		s.Classes[1].DedupScope = c.group
-		s.ProgressInterval = 60 * second // a long progress interval prevents that a worker becomes suspect
+		s.ProgressInterval = 60 * second // a long progress interval keeps silent workers from becoming suspect
 		b := newHarness(t, s, ready(1, 0))
 		b.want(b.arrive(1, c.class), Send, 1)
-		// Worker 2 shares the cell of worker 1, worker 3 shares its zone, and worker 4 shares neither.
+		// Worker 2 is in the cell of worker 1, worker 3 only in the zone of worker 1, and worker 4 in neither.
 		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: []WorkerEntry{ready(1, 0),
 			{Worker: 4, Cell: 4, Zone: 4, Status: Ready}}})
 		if c.worker == 2 {
@@ -332,7 +337,7 @@
 		out := b.end(1, 0, c.outcome)
 		b.want(out, c.want, 1)
 		if c.worker != 0 && actionsOfKind(out, Send)[0].Worker != c.worker {
-			t.Errorf("%s: got a repeat on worker %d, which is outside the scope", c.name,
+			t.Errorf("%s: got a repeat on worker %d, which is outside the scope, want one inside", c.name,
 				actionsOfKind(out, Send)[0].Worker)
 		}
 	}
@@ -394,9 +399,9 @@
 	b.want(b.advance(s.PollInterval), WatchEndpoints, 0)
 }
 
-// The work sent to a worker in slow start within an overload window stays within this dispatcher's budget.
-// The worker may be new, restarted according to the list, or restarted without an update of the list, which
-// the dispatcher infers from failed connects.
+// The work that a dispatcher sends to a worker in slow start within an overload window stays within the
+// dispatcher's slow-start budget for that worker. The worker may be new, restarted according to the list, or
+// restarted without an update of the list, which the dispatcher infers from failed connects.
 func TestSlowStartBudget(t *testing.T) {
 	restartedUnlisted := func(b *harness) {
 		b.arrive(900, 0)
@@ -416,15 +421,16 @@
 		s := testSettings()
 		s.OverloadWindow = 2 * second
 		b := newHarness(t, s, ready(1, 0))
-		// The time since the dispatcher's own start exceeds the overload window, so the budget does not begin
-		// empty.
+		// The time since the dispatcher's own start exceeds the overload window, so the slow-start budget does not
+		// begin empty.
 		b.now += 3 * second
 		make(b)
 		work := 0.0
 		start := b.now
-		// The worker has speed 1 and one known slot, so the budget below is the whole one of the first window.
+		// The worker has speed 1 and one known slot, so the budget below is the whole slow-start budget of the
+		// first overload window.
 		if !b.d.isSlowStartOwner(b.d.workers[1]) {
-			t.Fatal("got another owner of worker 1 in slow start, want this dispatcher")
+			t.Fatal("got another dispatcher as the owner that may send to worker 1 in slow start, want this one")
 		}
 		fraction := s.SlowStartInitial + (1-s.SlowStartInitial)*float64(s.OverloadWindow)/float64(s.SlowStart)
 		budget := s.OverloadFactor * fraction * float64(s.OverloadWindow)
@@ -437,25 +443,26 @@
 			b.now += second / 50
 		}
 		if work > budget {
-			t.Errorf("worker %s: got %v us of work sent in a window, want at most the budget of %v us",
+			t.Errorf("worker %s: got %v us of work sent in an overload window, want at most the budget of %v us",
 				name, work, budget)
 		}
 		if work == 0 && name != "restarted without an update" {
-			t.Errorf("worker %s: got no work sent in a window, want some", name)
+			t.Errorf("worker %s: got no work sent in an overload window, want some", name)
 		}
 	}
 }
 
-// After its own start a dispatcher does not know what it sent to a worker in slow start before. The
-// slow-start budget therefore begins empty.
+// After its own start a dispatcher does not know what it sent before the start to a worker in slow start. The
+// slow-start budget for that worker therefore begins empty.
 func TestSlowStartBudgetAfterOwnStart(t *testing.T) {
 	b := newHarness(t, testSettings(), WorkerEntry{Worker: 1, Status: Ready, Started: 99 * second})
 	b.want(b.arrive(1, 0), Send, 0)
 	b.want(b.advance(3*second), Send, 1)
 }
 
-// A worker that reports no progress becomes suspect. Its jobs then get a second attempt on another worker if
-// their class allows a repeat, and unsafe jobs do not. A progress report ends the suspicion.
+// A worker that reports no progress becomes suspect. The jobs at that worker then get a second attempt on
+// another worker if their class allows a repeat; unsafe jobs get none. After a progress report the worker is
+// no longer suspect.
 func TestSilentWorker(t *testing.T) {
 	for class, hedges := range []int{1, 1, 0} {
 		s := testSettings()
@@ -476,8 +483,8 @@
 	}
 }
 
-// A fault of the network, the list or the reports makes all workers look unhealthy at the same time. Then no
-// worker is ejected.
+// A fault of the network, the worker list or the reports makes all workers look unhealthy at the same time.
+// In that case no worker is ejected.
 func TestFleetWideFailuresEjectNoWorker(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
 	for id := JobID(1); id <= 3; id++ {
@@ -491,11 +498,11 @@
 	b.want(b.arrive(5, 0), Send, 1)
 }
 
-// A worker that fails its jobs quickly has free slots and a low expected cost. It must not attract more jobs
-// for that reason.
+// A worker that fails its jobs quickly has free slots and a low expected cost. The worker must not get more
+// jobs for that reason.
 func TestQuickErrorsDoNotAttract(t *testing.T) {
 	s := testSettings()
-	s.ConnectTimeout = 0 // a connect timeout of 0 adds no cost to a worker with failures
+	s.ConnectTimeout = 0 // the connect timeout is added to the cost of a worker that has failed jobs
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
 	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 0.5, 0.5 // the bias makes worker 1 preferred
 	sentToFailing := 0
@@ -535,12 +542,12 @@
 		b.advance(second / 20)
 	}
 	if limit := 400*(1+retryBudgetPerJob) + maxRetryBudget; float64(sent) > limit {
-		t.Errorf("got %d attempts for 400 jobs, want at most %v", sent, limit)
+		t.Errorf("got %d attempts for 400 jobs, want at most the %v that the retry budget allows", sent, limit)
 	}
 }
 
-// Slots that a peer reports by gossip count as in use, so that two dispatchers do not fill the same slot. Old
-// gossip no longer counts.
+// The slots of a worker that a peer (another dispatcher) reports by gossip to use count as in use, so that
+// two dispatchers do not fill the same slot. Old gossip no longer counts.
 func TestPeerJobsCountAsSlotsInUse(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
@@ -580,7 +587,7 @@
 	}
 }
 
-// The dispatcher learns the lower speed of a slow worker from its run times.
+// The dispatcher learns the lower speed of a slow worker from the run times of jobs there.
 func TestSlowWorkerIsLearned(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	for id := JobID(1); id <= 40; id += 2 {
@@ -602,7 +609,7 @@
 		}
 	}
 	if slow, fast := b.d.speed(b.d.workers[1]), b.d.speed(b.d.workers[2]); slow > fast/1.5 {
-		t.Errorf("got speed %v of the slow and %v of the fast worker, want at most 1/1.5 of the fast",
+		t.Errorf("got speed %v of the slow and %v of the fast worker, want the ratio at most 1/1.5",
 			slow, fast)
 	}
 }
@@ -665,7 +672,7 @@
 		j = newJob(2)
 		c.forbid(b, j, w)
 		if b.d.actions = nil; b.d.send(j, w) || len(b.d.actions) != 0 {
-			t.Errorf("case %s: got a send or another action, want none", name)
+			t.Errorf("case %s, which must prevent a send: got a send or another action, want none", name)
 		}
 	}
 	b := newHarness(t, testSettings(), ready(1, 0))
@@ -690,7 +697,7 @@
 }
 
 // A worker that could not be reached and later answers counts as restarted, though the list does not report a
-// restart. The worker is then in slow start for the usual time.
+// restart. The worker is then in slow start for the time that the settings give.
 func TestUnlistedRestartEntersSlowStart(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.now += 5 * second
@@ -720,13 +727,14 @@
 	}
 }
 
-// Without cost hints the estimates fix only the ratio of work to speed, so that both can drift by a common
-// factor. If they drift far, the wait target of a class exceeds its deadline, and the condition of deadline
-// feasibility of a class can no longer fail.
+// Without cost hints the estimates determine only the ratio of a job's work to a worker's speed, so that work
+// and speed can drift by a common factor. If they drift far, the wait target of a class exceeds the class's
+// deadline. The overload control then cannot find any more that jobs of the class would start too late.
 func TestScaleWithoutHints(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	w := b.d.workers[1]
-	b.d.fleetEstimate = speedEstimate{work: 300 * second, time: 100 * second} // the fleet speed has drifted to 3
+	// The estimated mean speed of the fleet has drifted from 1 to 3.
+	b.d.fleetEstimate = speedEstimate{work: 300 * second, time: 100 * second}
 	w.speed = speedEstimate{work: 600 * second, time: 100 * second}
 	if got := b.d.warmSpeed(w); math.Abs(got-2) > 0.1 {
 		t.Errorf("worker twice as fast as the fleet: got speed %v, want about 2", got)
@@ -764,12 +772,14 @@
 			failed)
 	}
 	if b.d.retryBudget > maxRetryBudget || b.d.retryBudget < 2 {
-		t.Fatalf("got retry budget %v, want at least the initial 2 and at most the maximum", b.d.retryBudget)
+		t.Fatalf("after failed connects only: got retry budget %v, want at least the initial 2, up to the maximum",
+			b.d.retryBudget)
 	}
 }
 
-// A peer's job that waits at a worker shows that the worker is full. This dispatcher then sends nothing to
-// the worker until that job runs, however many slots it assumes the worker to have.
+// A job of a peer (another dispatcher) that waits at a worker shows that the worker is full. This dispatcher
+// then sends nothing to the worker until that job runs, however many slots this dispatcher assumes the worker
+// to have.
 func TestWaitingPeerJobBlocksSends(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
@@ -777,34 +787,36 @@
 	w := b.d.workers[7]
 	b.setSlots(7, 9)
 	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}})
-	// The peer's job may still be on its way, so the worker is not known to be full.
+	// The job that the peer reports may still be on its way, so the worker is not known to be full.
 	b.want(b.arrive(1, 0), Send, 1)
 	b.feed(Event{Kind: AttemptReported, Job: 1, Attempt: 0, Note: NoteStarted})
 	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
 	b.want(b.arrive(2, 0), Send, 0)
 	b.want(b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}}), Send, 1)
-	// The dispatcher does not probe past the slot limit while a peer's job is on its way.
+	// While a peer's job is on its way, the dispatcher does not probe the worker with a job beyond the worker's
+	// known capacity.
 	b.feed(Event{Kind: AttemptReported, Job: 2, Attempt: 0, Note: NoteStarted})
 	b.now += waitReportBatches * s.Granularity
 	b.feed(Event{Kind: TimerFired})
 	b.d.kindOf(w).capacityProbedAt = 1
 	if !b.d.mayProbe(w) {
-		t.Fatal("long after the last probe: got no probe allowed, want one allowed")
+		t.Fatal("long after the last job beyond the worker's known capacity: got none allowed, want one allowed")
 	}
 	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 4, 0}})
 	if b.d.mayProbe(w) {
-		t.Error("peer's job has not started: got a probe allowed, want none")
+		t.Error("peer's job has not started: got a job beyond the worker's known capacity allowed, want none")
 	}
 	// Old gossip of a peer that has stopped must not keep the worker idle.
 	b.advance(60 * second)
 	b.feed(Event{Kind: TimerFired})
 	if b.d.peerJobWaits(w) {
-		t.Error("gossip that is 60 s old: got a waiting peer job, want none")
+		t.Error("all gossip is 60 s old: got a peer's job counted as waiting at the worker, want none")
 	}
 }
 
 // A Retry-After that is too short feeds a retry storm, and one that is too long loses a job that could still
-// be answered in time. A refusal therefore carries a delay only where an immediate retry earns nothing.
+// be answered in time. A refusal therefore carries a delay only where the answer to an immediate retry would
+// earn nothing.
 func TestRetryAfterOnlyWhenARetryEarnsNothing(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	refuse := func(objective Micros, aboveQuota bool, level overloadLevel) Micros {
@@ -818,7 +830,8 @@
 	b.d.finish(&job{id: 8, class: 2, objective: b.now})
 	b.want(b.d.actions, Refuse, 1)
 	if b.d.actions[0].Delay != b.d.settings.MaxRetryAfter {
-		t.Errorf("job past its objective: got a retry delay of %v us, want the maximum", b.d.actions[0].Delay)
+		t.Errorf("refused job past its objective: got a Retry-After of %v us, want MaxRetryAfter of the settings",
+			b.d.actions[0].Delay)
 	}
 	for _, c := range []struct {
 		objective  Micros
@@ -828,7 +841,8 @@
 	}{{second, false, 2, false}, {second, true, 1, true}, {second / 10, false, 1, true},
 		{second / 10, false, 0, false}, {second, true, 0, false}} {
 		if got := refuse(c.objective, c.aboveQuota, c.level) > 0; got != c.wantDelay {
-			t.Errorf("objective in %v us, over quota %v, level %d: got a retry delay %v, want the opposite",
+			t.Errorf(
+				"refusal, objective in %v us, over quota %v, overload level %d: got Retry-After %v, want the opposite",
 				c.objective, c.aboveQuota, c.level, got)
 		}
 	}
@@ -842,7 +856,7 @@
 		maxStaleness Micros // the setting MaxStaleness
 		sinceUpdate  Micros // the time since the latest update, or since the start if there was no update
 		noUpdate     bool   // the dispatcher has received only the cached list of its start
-		sent         int    // expected number of the two jobs that is sent at once
+		sent         int    // expected number of jobs, of the two that arrive, that are sent at once
 	}{
 		"a recent update":                 {6 * second, 5 * second, false, 2},
 		"an old update":                   {6 * second, 7 * second, false, 0},
@@ -862,18 +876,18 @@
 			if !c.noUpdate {
 				b.feed(Event{Kind: EndpointsUpdated})
 				b.feed(Event{Kind: JobArrived, Job: 9, ClientTimeout: 60 * second, Slots: 1})
-				// A worker that accepts jobs may still drain, so a start report proves nothing.
+				// A draining worker may accept jobs, so the report of a start does not show that the worker is ready.
 				b.feed(Event{Kind: AttemptReported, Job: 9, Note: NoteStarted})
 			}
 			b.now += c.sinceUpdate
 			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			sent := append(actionsOfKind(b.arrive(1, 0), Send), actionsOfKind(b.arrive(2, 0), Send)...)
 			if len(sent) != c.sent {
-				t.Fatalf("got %d jobs sent, want %d", len(sent), c.sent)
+				t.Fatalf("got %d of 2 jobs sent at their arrival, want %d", len(sent), c.sent)
 			}
 			b.feed(Event{Kind: EndpointsUpdated}) // an update without changes
 			if later := len(actionsOfKind(b.out, Send)); later != 2-c.sent {
-				t.Errorf("got %d jobs sent after an update, want all jobs that were held", later)
+				t.Errorf("got %d jobs sent after an update of the worker list, want all that had to wait for it", later)
 			}
 		})
 	}
@@ -891,16 +905,16 @@
 	b.want(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateDrains, Workers: drains}), Send, 0)
 	sent := actionsOfKind(b.feed(Event{Kind: EndpointsUpdated, Age: second}), Send)
 	if len(sent) != 1 || sent[0].Worker != 2 {
-		t.Errorf("got sends %+v, want one send to worker 2", sent)
+		t.Errorf("got sends %+v, want one send to worker 2, as worker 1 drains", sent)
 	}
 	b.end(1, 0, OK)
-	b.now += 5*second + 1 // the update was 1 s old on arrival, so the list is 6 s and 1 us old now
+	b.now += 5*second + 1 // the update was 1 s old on arrival, so the list is 1 us older than MaxStaleness
 	b.want(b.arrive(2, 0), Send, 0)
 }
 
-// Some clients abandon a try early and set a short client timeout on their first try. Where retries are
-// marked, such a first try still has its whole objective. Only for a retry does the missing part of the
-// client timeout count as time already spent.
+// Some clients abandon a try early and set a short client timeout on their first try. Where clients mark
+// their retries, such a first try still has its whole objective in a large fleet without gossip. Only for a
+// retry does the time by which the client timeout is shorter than the class's deadline count as spent.
 func TestFirstAttemptWithShortClientTimeoutIsNotARetry(t *testing.T) {
 	for name, c := range map[string]struct{ largeFleet, retriesMarked, isRetry, served bool }{
 		"a first try":                  {largeFleet: true, retriesMarked: true, served: true},
@@ -919,7 +933,8 @@
 			out := b.feed(Event{Kind: JobArrived, Job: 1, Class: 2, ClientTimeout: 2 * second,
 				Retry: c.isRetry, Slots: 1})
 			if served := len(actionsOfKind(out, Send)) == 1; served != c.served {
-				t.Errorf("got job sent %v, want %v", served, c.served)
+				t.Errorf("job with a client timeout below the class's deadline: got it sent %v, want %v",
+					served, c.served)
 			}
 		})
 	}
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -11,8 +11,8 @@
 )
 
 // endpointsModel is the reference model of the worker list. At each update it sorts and scans all workers and
-// rebuilds the order, the subset and the ring positions, where the dispatcher updates them incrementally.
-// Workers that are not ready keep their last position on the ring.
+// rebuilds their order, the dispatcher's subset and the ring positions of the workers, which the dispatcher
+// updates incrementally. Workers that are not ready keep their last position on the ring.
 type endpointsModel struct {
 	known         map[WorkerID]*worker // the dispatcher's workers, from which the model reads the list entries
 	ringPositions map[WorkerID]float64
@@ -83,7 +83,8 @@
 	}
 }
 
-// modelHarness passes updates to a dispatcher and to the model, and compares both.
+// modelHarness passes updates of the worker list to a dispatcher and to the reference model, and compares the
+// states of both.
 type modelHarness struct {
 	t interface{ Fatalf(string, ...any) }
 	d *Dispatcher
@@ -100,8 +101,8 @@
 		ringPositions: map[WorkerID]float64{}, removedAt: map[WorkerID]Micros{}}}
 }
 
-// update passes an update to the dispatcher and to the model, and compares both. The harness sends no jobs,
-// so only updates change a worker.
+// update passes an update of the worker list to the dispatcher and to the model, and compares their states.
+// The harness passes no jobs, so only updates change the records of workers.
 func (f *modelHarness) update(now Micros, scope UpdateScope, entries ...WorkerEntry) {
 	d := f.d
 	d.Step(now, &Event{Kind: EndpointsUpdated, Scope: scope, Workers: entries}, nil)
@@ -114,7 +115,7 @@
 	f.compare()
 }
 
-// continueWithClone replaces the dispatcher by its clone.
+// continueWithClone replaces the dispatcher by its clone, so that later updates go to the clone.
 func (f *modelHarness) continueWithClone() {
 	f.d = f.d.Clone()
 	for id := range f.m.known {
@@ -135,21 +136,24 @@
 		got, want []WorkerID
 	}{{"order", ids(d.ordered), m.ordered}, {"subset", ids(d.subset), m.subset}} {
 		if !slices.Equal(list.got, list.want) {
-			f.t.Fatalf("%s of workers: got %v, the rebuilt model has %v", list.what, list.got, list.want)
+			f.t.Fatalf("%s of workers: the dispatcher has %v, the rebuilt model %v, want both equal",
+				list.what, list.got, list.want)
 		}
 	}
 	if d.ringCoverage != m.ringCoverage || !slices.Equal(d.neighbours, m.neighbours) {
-		f.t.Fatalf("got ring coverage %v and neighbours %v, the rebuilt model has %v and %v",
+		f.t.Fatalf("got interval of length %v on the ring, dispatchers %v overlap; the rebuilt model has %v and %v",
 			d.ringCoverage, d.neighbours,
 			m.ringCoverage, m.neighbours)
 	}
 	if len(d.workers) != len(m.ordered) {
-		f.t.Fatalf("got %d workers by number, the rebuilt model has %d", len(d.workers), len(m.ordered))
+		f.t.Fatalf("got %d workers in the dispatcher's map, want %d as in the rebuilt model",
+			len(d.workers), len(m.ordered))
 	}
-	d = d.Clone() // workerRingPosition updates stale positions; the dispatcher under test must keep them
+	d = d.Clone() // workerRingPosition updates old ring positions, which the tested dispatcher must keep
 	for _, id := range m.ordered {
 		if got := d.workerRingPosition(d.workers[id]); got != m.ringPositions[id] {
-			f.t.Fatalf("worker %d: got ring position %v, the rebuilt model has %v", id, got, m.ringPositions[id])
+			f.t.Fatalf("worker %d: got ring position %v, want %v as in the rebuilt model",
+				id, got, m.ringPositions[id])
 		}
 	}
 }
@@ -160,7 +164,8 @@
 	return s
 }
 
-// Any sequence of incremental updates gives the same subset, order and ring positions as a full rebuild.
+// Any sequence of incremental updates of the worker list gives the same order of the workers, the same subset
+// and the same ring positions as a full rebuild.
 func TestUpdatesGiveTheStateOfAFullRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dispatchers := rapid.SampledFrom([]int{1, 3, 9, 17, 80, 300}).Draw(t, "dispatchers")
@@ -185,7 +190,7 @@
 			scope := rapid.SampledFrom([]UpdateScope{UpdateDelta, UpdateDelta, UpdateDelta, UpdateFull, UpdateCached,
 				UpdateDrains}).Draw(t, "scope")
 			n := rapid.SampledFrom([]int{0, 1, 1, 2, 5, -1}).Draw(t, "entries")
-			if n < 0 { // the update has most of the fleet, chosen at random
+			if n < 0 { // the update lists a random part of the fleet
 				f.update(now, scope, randomEntries(rapid.Uint64().Draw(t, "fleet"), fleetSize, now)...)
 			} else {
 				f.update(now, scope, rapid.SliceOfN(entry, n, n).Draw(t, "list")...)
@@ -193,7 +198,8 @@
 			if rapid.IntRange(0, 3).Draw(t, "copied") == 0 {
 				f.continueWithClone()
 			}
-			for _, w := range f.d.subset { // no update reports reachability, but the next update applies the change
+			// Whether a worker is unreachable changes without an update, and the next update applies the change.
+			for _, w := range f.d.subset {
 				if rapid.IntRange(0, 30).Draw(t, "unreachable") == 0 {
 					w.unreachable = !w.unreachable
 				}
@@ -202,16 +208,16 @@
 	})
 }
 
-// usualEntry returns the list entry of worker i with its usual zone and kind. Larger fleets have fewer zones,
-// so that subsets are smaller than the fleet.
+// usualEntry returns the list entry of worker i with the zone and machine kind that the worker has in most
+// updates. Larger fleets have fewer zones, so that subsets are smaller than the fleet.
 func usualEntry(i, fleetSize int) WorkerEntry {
 	source := random(i)
 	return WorkerEntry{Worker: WorkerID(source.uniform() * (1 << 32)),
 		Zone: int(source.uniform() * 60 / float64(fleetSize+20)), Kind: int(source.uniform() * 2), Status: Ready}
 }
 
-// randomEntries returns the entries of a random part of a fleet. Some workers are in slow start, and some are
-// removed or drain.
+// randomEntries returns the list entries of a random part of a fleet. Some of these workers have started
+// within the last 10 s, and some drain or are removed.
 func randomEntries(seed uint64, fleetSize int, now Micros) (list []WorkerEntry) {
 	source := random(seed)
 	listedFraction, restartedFraction := source.uniform(), source.uniform()
@@ -241,9 +247,9 @@
 	return list
 }
 
-// A zone fails and restarts in slow start. The removals arrive in one update for each worker, in one update
-// for all, or mixed with the entries of the restart. The final subset must be the same, and each intermediate
-// state must equal that of a full rebuild.
+// All workers of a zone fail and restart in slow start. The dispatcher receives the removals in one update
+// for each worker, in one update for all workers, or mixed with the entries of the restarted workers. The
+// final subset must be the same, and each intermediate state must equal the state of a full rebuild.
 func TestZoneFailsAndRestarts(t *testing.T) {
 	const zones, failedZone = 14, 3
 	list := entriesInZones(700, zones)
@@ -288,7 +294,8 @@
 					dispatchers,
 					restartOnly.m.subset, removedAndRestarted.m.subset)
 			}
-			// The restarted zone becomes warm as the slow-start time passes, and an empty update applies that.
+			// After the slow-start time the workers of the restarted zone are warm. The dispatcher applies that change
+			// at an update without entries.
 			set := &removedAndRestarted.d.settings
 			removedAndRestarted.update(200*second+set.SlowStart, UpdateDelta)
 		}
@@ -320,7 +327,8 @@
 	}
 }
 
-// A full update that differs from the known list in one entry has the same effect as a delta with that entry.
+// A full update that differs from the known worker list in one entry has the same effect as an incremental
+// update (a delta) with that entry.
 func TestFullUpdateWithOneChangeEqualsADelta(t *testing.T) {
 	list := entriesInZones(200, 2)
 	for _, dispatchers := range []int{3, 300} {
@@ -334,7 +342,7 @@
 		full.update(101*second, UpdateFull, changed...)
 		delta.update(101*second, UpdateDelta, changed[len(changed)-1-17])
 		if !slices.Equal(full.m.subset, delta.m.subset) {
-			t.Errorf("%d dispatchers: the full update gives subset %v, the delta subset %v, want equal subsets",
+			t.Errorf("%d dispatchers: full update gives subset %v, incremental update %v, want equal subsets",
 				dispatchers, full.m.subset,
 				delta.m.subset)
 		}
@@ -350,7 +358,7 @@
 			list := entriesInZones(size[1], 2)
 			f := newModelHarness(t, endpointsSettings(size[0], size[0]/3, false))
 			f.d.Step(100*second, &Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list}, nil)
-			subsetMembers := func() map[int]int { // counts each worker of the subset, to find the changes
+			subsetMembers := func() map[int]int { // maps the number of each worker to its count in the subset
 				members := map[int]int{}
 				for _, w := range f.d.subset {
 					members[int(w.entry.Worker)]++
@@ -371,7 +379,7 @@
 						moved += 1 - before[id]
 					}
 					if moved > 4 {
-						t.Fatalf("got %d changes of the subset as the status of one worker became %d, want at most 4",
+						t.Fatalf("got %d workers that enter or leave the subset by status %d of one worker, want at most 4",
 							moved, status)
 					}
 					before = after
@@ -381,8 +389,8 @@
 	}
 }
 
-// A worker in slow start is in the subset of its owner, wherever the owner is on the ring, until the
-// slow-start time has passed.
+// A worker in slow start has an owner: the one dispatcher that may send to the worker. The worker is in the
+// owner's subset, wherever the owner is on the ring, until the slow-start time has passed.
 func TestSlowStartWorkerIsInItsOwnersSubset(t *testing.T) {
 	list := entriesInZones(200, 1)
 	for i := range list {
@@ -397,7 +405,8 @@
 			if w.covered {
 				covered++
 			} else if !f.d.isSlowStartOwner(w) {
-				t.Errorf("dispatcher %d: got worker %d in the subset, which the dispatcher neither covers nor owns",
+				t.Errorf(
+					"dispatcher %d: subset has worker %d, want none outside the ring interval with another owner",
 					index, w.entry.Worker)
 			}
 		}
@@ -405,18 +414,18 @@
 		f.continueWithClone()
 		f.update(100*second+f.d.settings.SlowStart, UpdateDelta)
 		if len(f.d.subset) != covered {
-			t.Errorf("dispatcher %d: got %d workers of a warm fleet in the subset, want the %d that it covers",
+			t.Errorf("dispatcher %d: got %d warm workers in the subset, want the %d in the ring interval",
 				index, len(f.d.subset), covered)
 		}
 	}
 	if ownedNotCovered < 100 {
-		t.Errorf("got %d of 200 workers in slow start with an owner that does not cover them, want at least 100",
+		t.Errorf("got %d of 200 workers in slow start outside the ring interval of their owner, want at least 100",
 			ownedNotCovered)
 	}
 }
 
-// A worker that was removed longer ago than the retention time is forgotten even by an update that names the
-// worker again as removed, in another zone.
+// The record of a worker that was removed longer ago than the retention time is dropped, even by an update
+// that lists the worker again as removed, in another zone.
 func TestExpiredWorkerIsForgottenByAnUpdateThatNamesIt(t *testing.T) {
 	f := newModelHarness(t, endpointsSettings(3, 0, false))
 	list := entriesInZones(4, 2)
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -22,7 +22,7 @@
 		return
 	}
 	now := dispatch.Micros(second) // the time by the caller's clock, in microseconds
-	var actions []dispatch.Action  // the buffer for actions, reused by each call of Step
+	var actions []dispatch.Action  // the buffer for actions, which each call of Step reuses
 	show := func(e dispatch.Event) {
 		actions = d.Step(now, &e, actions[:0])
 		for _, a := range actions {
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -36,7 +36,8 @@
 	}
 	overQuota, withinQuota := float64(refused[0])/float64(arrivals[0]), float64(refused[1])/float64(arrivals[1])
 	if overQuota < 0.3 || withinQuota > overQuota/2 {
-		t.Errorf("got refused fractions %.2f over and %.2f within quota, want 0.3 or more, at most half of it",
+		t.Errorf(
+			"refused fraction: got %.2f over and %.2f within quota, want at least 0.3, and at most half of the first",
 			overQuota, withinQuota)
 	}
 }
@@ -67,8 +68,8 @@
 	}
 }
 
-// The fleet shrinks under load. Nothing is sent to the draining workers, the remaining workers get no more
-// jobs than they can take, and each job gets at most one answer.
+// The fleet shrinks under load. Nothing is sent to the draining workers, no worker gets more than 12 jobs, as
+// no job ends, and each job gets at most one answer.
 func TestFleetShrinksUnderLoad(t *testing.T) {
 	var workers []WorkerEntry
 	for i := range 6 {
@@ -99,7 +100,7 @@
 		count(b.advance(second / 20))
 	}
 	if b.d.slotTimes.value = second / 5; b.d.serviceTimePerJob() < before {
-		t.Error("with fewer workers: got a shorter service time per job than before, want no shorter one")
+		t.Error("5 of 6 workers drain: got a shorter service time per job than before, want no shorter one")
 	}
 	count(b.advance(10 * second))
 	for id := JobID(1); id <= 200; id++ {
@@ -110,14 +111,14 @@
 	}
 	for w, n := range sentTo {
 		if n > 12 {
-			t.Errorf("worker %d: got %d jobs sent and none ended, want at most 12", w, n)
+			t.Errorf("worker %d: got %d jobs sent there, none of which ended, want at most 12", w, n)
 		}
 	}
 }
 
-// A worker accepts connections from peers, but not from this dispatcher. The gossip of the peers does not
-// prove that this dispatcher can reach the worker, so it tries the worker rarely, and uses it again once
-// connections succeed.
+// A worker accepts connections from peers (other dispatchers), but not from this dispatcher. The gossip of
+// the peers does not prove that this dispatcher can reach the worker. The dispatcher therefore seldom sends
+// to the worker, and uses the worker normally again once connections succeed.
 func TestWorkerUnreachableFromThisDispatcherOnly(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
@@ -151,13 +152,13 @@
 		}
 	}
 	if w := b.d.workers[1]; w.unreachable || w.consecutiveFailures > 0 {
-		t.Error("20 s after connections succeed again: got worker 1 unreachable or failing, want it in use")
+		t.Error("20 s after connections succeed again: got worker 1 unreachable or failing, want neither")
 	}
 }
 
-// Other dispatchers fill a worker without reporting their jobs. Each AtCapacity moves the job to another
-// worker and blocks the full one for a short time. Later the dispatcher probes past the lowered slot limit
-// again.
+// Other dispatchers fill a worker without reporting their jobs. Each attempt that ends with AtCapacity moves
+// the job to another worker and blocks the full worker for a short time. Later the dispatcher may send one
+// job more than the lowered slot limit to that worker, as a probe.
 func TestWorkerFilledByUnreportedJobs(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 6
@@ -178,13 +179,13 @@
 	b.advance(4 * second)
 	b.feed(Event{Kind: TimerFired})
 	if w := b.d.workers[first.Worker]; !b.d.usable(w) || !b.d.mayProbe(w) {
-		t.Error("4 s after AtCapacity: got the worker not usable or no probe allowed, want both")
+		t.Error("4 s after AtCapacity: got the worker unusable or no job beyond its slot limit allowed, want both")
 	}
 }
 
 // The load reports of two workers never change. One worker always reports free slots though it is full, and
-// the other never reports free slots though it serves jobs. The first must not be flooded, the second not
-// starved.
+// the other never reports free slots though it serves jobs. The first worker must not get most of the
+// attempts, and the second must still get jobs.
 func TestFrozenReports(t *testing.T) {
 	s := testSettings()
 	s.StartReported, s.LoadReports = false, true
@@ -213,8 +214,8 @@
 	}
 }
 
-// The list and the attempts contradict each other. An answer of a removed worker counts, but the worker gets
-// no new job. A worker that is listed as ready but refuses connections is ejected.
+// The worker list and the outcomes of attempts contradict each other. An answer of a removed worker counts,
+// but the worker gets no new job. A worker that is listed as ready but refuses connections is ejected.
 func TestListAndAttemptsContradictEachOther(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	sent := actionsOfKind(b.arrive(1, 0), Send)
@@ -237,8 +238,8 @@
 	}
 }
 
-// A noisy neighbour takes most of a worker's capacity for a while. The learned speed of the worker falls
-// meanwhile, and recovers afterwards.
+// A noisy neighbour (other load on a worker's machine) takes most of the worker's capacity for a while. The
+// speed that the dispatcher has learned for the worker falls meanwhile, and recovers afterwards.
 func TestSpeedRecoversAfterANoisyNeighbour(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0), ready(3, 0))
 	id := JobID(0)
@@ -259,7 +260,7 @@
 	before := b.d.speed(w)
 	serve(60, second)
 	during := b.d.speed(w)
-	// The other workers are full, so worker 1 gets jobs that show its speed.
+	// The other workers are full, so worker 1 gets jobs, from whose run times the dispatcher learns its speed.
 	for range 40 {
 		id++
 		b.d.workers[2].slotLimit, b.d.workers[2].ownSlots, b.d.workers[2].slotLimitAt = 1, 1, b.now
@@ -269,13 +270,15 @@
 		}
 	}
 	if after := b.d.speed(w); during > 0.8*before || after < 0.8*before {
-		t.Errorf("got speeds %.2f, %.2f, %.2f before, with, after the neighbour, want under, over 0.8 of the first",
+		t.Errorf(
+			"got speed %.2f before, %.2f with, %.2f after the neighbour, want under 0.8 of the first, then over 0.8",
 			before, during, after)
 	}
 }
 
-// A dispatcher restarts while workers run jobs of its earlier incarnation. Reports of those jobs, and invalid
-// or unknown gossip, cause no action, and do not stop the worker from getting a job.
+// A dispatcher restarts while workers run jobs of its earlier incarnation. Reports of those jobs, and gossip
+// that is invalid or from unknown dispatchers, cause no send and no answer of failure, and do not keep the
+// worker from getting a job.
 func TestEventsOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed = true
@@ -296,8 +299,9 @@
 	b.want(b.arrive(1, 0), Send, 1)
 }
 
-// Dispatchers that share a worker probe past its slot limit in turn, not all within the same run time. So the
-// pause between the probes of one dispatcher grows with their number.
+// Dispatchers that share a worker probe the worker with jobs beyond its known capacity in turn, not all
+// within the same run time. So the pause between the probes of one dispatcher grows with the number of
+// dispatchers.
 func TestProbePauseGrowsWithTheDispatchers(t *testing.T) {
 	stepsToProbe := func(dispatchers int) (steps int) {
 		s := testSettings()
@@ -311,7 +315,8 @@
 		return steps
 	}
 	if one, two, ten := stepsToProbe(1), stepsToProbe(2), stepsToProbe(10); one != two || ten < 4*two {
-		t.Errorf("with 1, 2, 10 dispatchers: got pauses of %d, %d, %d quarter seconds, want n, n, at least 4n",
+		t.Errorf(
+			"quarter seconds before a probe with 1, 2, 10 dispatchers: got %d, %d, %d, want n, n, at least 4n",
 			one, two, ten)
 	}
 }
@@ -324,7 +329,8 @@
 		s.Dispatchers, s.Index = 1, 0
 		s.Classes[0].LateWeight, s.Classes[0].LatencyObjective = lateWeight, second/4
 		b := newHarness(t, s, ready(1, 0))
-		// The time since the dispatcher's own start exceeds the overload window, so budgets do not begin empty.
+		// The time since the dispatcher's own start exceeds the overload window, so the slow-start budgets do not
+		// begin empty.
 		b.advance(2 * s.OverloadWindow)
 		b.setSlotLimits(1)
 		b.want(b.arrive(1, 0), Send, 1)
@@ -341,9 +347,10 @@
 	}
 }
 
-// Because of stale gossip, more jobs sometimes seem to run at a worker than the worker has slots. One job in
-// ten that starts at once with 5 slots in use must not raise the capacity, as the other nine had to wait. The
-// workers of a kind share their capacity, but a worker with fewer slots than its kind gets its own.
+// Because of stale gossip, more jobs sometimes seem to run at a worker than the worker has slots. Of the jobs
+// sent while 5 slots seem in use, one in ten starts at once and the others have to wait. This must not raise
+// the capacity learned for the worker to 5 slots. The workers of a machine kind share the learned capacity,
+// but a worker with fewer slots than the others of its kind gets a capacity of its own.
 func TestStaleGossipDoesNotRaiseCapacity(t *testing.T) {
 	s := testSettings()
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), WorkerEntry{Worker: 3, Status: Ready, Kind: 1})
@@ -353,26 +360,26 @@
 		b.d.recordStartPromptness(&attempt{worker: w, slotsAtSend: 5}, i%10 == 0)
 	}
 	if got := b.d.capacity(w); got != 4 {
-		t.Errorf("worker 1: got capacity %v, want 4", got)
+		t.Errorf("worker 1, where jobs wait with 5 slots in use: got capacity %v slots, want 4", got)
 	}
 	if got := b.d.capacity(b.d.workers[2]); got != 4 {
-		t.Errorf("other worker of the same kind: got capacity %v, want 4", got)
+		t.Errorf("other worker of the same machine kind: got capacity %v slots, want the 4 of its kind", got)
 	}
 	if got := b.d.capacity(b.d.workers[3]); got != 1 {
-		t.Errorf("worker of another kind: got capacity %v, want 1", got)
+		t.Errorf("worker of another machine kind, without jobs so far: got capacity %v slots, want 1", got)
 	}
 	for range 10 { // worker 2 has fewer slots than the other worker of its kind
 		b.d.recordStartPromptness(&attempt{worker: b.d.workers[2], slotsAtSend: 3}, false)
 		b.d.recordStartPromptness(&attempt{worker: b.d.workers[2], slotsAtSend: 4}, false)
 	}
 	if got := b.d.capacity(b.d.workers[2]); got != 2 {
-		t.Errorf("worker with fewer slots than its kind: got capacity %v, want 2", got)
+		t.Errorf("worker where jobs wait with 3 slots in use: got capacity %v slots, want 2", got)
 	}
 }
 
 // A dispatcher that sends jobs to a worker from another zone receives gossip about the worker. Without gossip
-// it would assume that all slots are free. In a large fleet, a dispatcher of another zone that never sent to
-// the worker receives none.
+// the dispatcher would assume that all slots of the worker are free. In a large fleet, a dispatcher of
+// another zone that never sent to the worker receives no gossip about that worker.
 func TestDispatchersThatCrossZonesReceiveGossip(t *testing.T) {
 	s := testSettings()
 	s.GossipAllowed, s.Dispatchers, s.Index = true, 40, 0
@@ -419,7 +426,7 @@
 	b := newHarness(t, s, ready(1, 0))
 	for i, want := range []bool{false, false, true} {
 		if got := b.d.exceedsQuota(1, false); got != want {
-			t.Errorf("job %d: got over quota %v, want the opposite", i+1, got)
+			t.Errorf("job %d of three that arrive together: got over quota %v, want the opposite", i+1, got)
 		}
 	}
 }
@@ -441,8 +448,9 @@
 	b.want(b.feed(late), Refuse, 1)
 }
 
-// A worker fails some of its jobs, but not enough in a row to be ejected. Jobs that must not run twice wait
-// for another worker, and other jobs are still sent there. When most workers fail jobs, no worker is avoided.
+// A worker fails some of its jobs, but too few in a row to be ejected. Jobs that must not run twice wait for
+// another worker, and other jobs are still sent to the failing worker. When most workers fail jobs, no worker
+// is avoided.
 func TestUnsafeJobsAvoidWorkersThatFailJobs(t *testing.T) {
 	const safe, unsafe = 0, 2
 	for name, c := range map[string]struct {
@@ -472,20 +480,20 @@
 				}
 			}
 			if sent != c.sent {
-				t.Errorf("got %d jobs sent, want %d", sent, c.sent)
+				t.Errorf("got %d of 3 jobs sent, want %d", sent, c.sent)
 			}
 			b.now += 10 * second
 			b.feed(Event{Kind: TimerFired})
 			if b.d.failsJobs(b.d.workers[1]) {
-				t.Error("10 s after the errors: got worker 1 still counted as failing jobs, want not")
+				t.Error("10 s after the errors: got worker 1 still counted as failing jobs, want it not counted")
 			}
 		})
 	}
 }
 
-// Networks reset single connections, while they are established or during a job. A single reset must not
-// eject a worker, and a single failed connect must not put it into slow start, which limits the worker for as
-// long as a real restart does. Several failures in a row do count.
+// Networks reset single connections, while the connections are established or during a job. A single reset
+// must not eject a worker. A single failed connect must not put a worker into slow start, which limits the
+// worker for as long as a real restart does. Several failures in a row have these effects.
 func TestSingleResetsDoNotEject(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcomes     []Outcome
@@ -509,10 +517,10 @@
 				b.feed(Event{Kind: ClientDisconnected, Job: id})
 			}
 			if got := b.d.usable(w); got != c.usable {
-				t.Errorf("got usable %v, want the opposite", got)
+				t.Errorf("worker after the failures: got usable %v, want the opposite", got)
 			}
 			if got := b.d.slowStartSince(w) == 0; got != c.warm {
-				t.Errorf("got warm %v, want the opposite", got)
+				t.Errorf("worker after the failures: got warm (not in slow start) %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -5,9 +5,10 @@
 // This file has the test harness: a harness drives one Dispatcher with events, and the other functions make
 // settings and worker lists.
 
-// testSettings returns settings with one class of each effect: class 0 is safe, class 1 is keyed with a cell
-// as its deduplication scope, and class 2 is unsafe. The latency objectives are short enough that tests can
-// exceed them, and long enough that jobs can wait in the queue.
+// testSettings returns settings with one class for each value of Effect, which says whether a job may run
+// again: class 0 is safe, class 1 is keyed with a cell as its deduplication scope, and class 2 is unsafe. The
+// latency objectives are short enough that tests can exceed them, and long enough that jobs can wait in the
+// queue.
 func testSettings() Settings {
 	return Settings{
 		Index: 1, Dispatchers: 2, OverQuotaWeight: 0.2, WeightByWork: true, Granularity: 5000,
@@ -68,7 +69,8 @@
 	}
 }
 
-// setSlots sets the start counts of the worker's kind so that the dispatcher knows a capacity of n slots.
+// setSlots makes the dispatcher assume that all workers of the given worker's machine kind have n slots. For
+// that it records starts without delay with n slots in use, and delayed starts with n+1 slots in use.
 func (b *harness) setSlots(w WorkerID, n int) {
 	k := b.d.kindOf(b.d.workers[w])
 	k.maxSlotsTried, k.capacityProbedAt, k.maxBusySlots = n+1, b.now, float64(n)
@@ -76,13 +78,14 @@
 	k.startCountsBySlots[n].prompt, k.startCountsBySlots[n+1].delayed = 9, 9
 }
 
-// arrive passes the arrival of a job of 200 ms. The client waits as long as the deadline of the class allows.
+// arrive passes the arrival of a job with 200 ms of work to the dispatcher. The client waits as long as the
+// deadline of the class allows.
 func (b *harness) arrive(id JobID, class int) []Action {
 	return b.feed(Event{Kind: JobArrived, Job: id, Class: class, Work: second / 5, Slots: 1,
 		ClientTimeout: b.d.settings.Classes[class].Deadline})
 }
 
-// end passes the end of an attempt. Only the outcome OK finishes the job.
+// end passes the end of an attempt to the dispatcher. Only the outcome OK finishes the job.
 func (b *harness) end(id JobID, attempt int, o Outcome) []Action {
 	return b.feed(Event{Kind: AttemptEnded, Job: id, Attempt: attempt, Outcome: o, Final: o == OK})
 }
@@ -110,8 +113,8 @@
 	return WorkerEntry{Worker: id, Cell: cell, Status: Ready}
 }
 
-// fillQueue replaces the queue by jobs with the given latest starts, in microseconds from now. No arrival
-// events are passed.
+// fillQueue replaces the dispatcher's queue by jobs with the given latest starts, in microseconds from now,
+// without arrival events of these jobs.
 func (b *harness) fillQueue(latestStarts ...Micros) {
 	b.d.queue = nil
 	for i, t := range latestStarts {
@@ -120,7 +123,8 @@
 	}
 }
 
-// testFleet returns a list of n ready workers in two zones and two kinds. None of them is in slow start.
+// testFleet returns a list of n ready workers in two zones and of two machine kinds. None of the workers is
+// in slow start.
 func testFleet(n int) []WorkerEntry {
 	list := make([]WorkerEntry, n)
 	source := random(7)
@@ -131,8 +135,8 @@
 	return list
 }
 
-// startDispatchers starts the given number of dispatchers with the same cached list. The function zone maps
-// the index of a dispatcher to its zone.
+// startDispatchers starts the given number of dispatchers with the same cached worker list. The function zone
+// maps the index of a dispatcher to the dispatcher's zone.
 func startDispatchers(t testing.TB, dispatchers int, list []WorkerEntry, zone func(int) int,
 	configure func(*Settings)) []*harness {
 	t.Helper()
@@ -143,8 +147,8 @@
 	return all
 }
 
-// startDispatcher starts dispatcher i of a fleet of dispatchers with a cached list. The function configure,
-// if not nil, changes the settings first.
+// startDispatcher starts dispatcher i of a fleet of dispatchers with a cached worker list. The function
+// configure, if not nil, changes the settings first.
 func startDispatcher(t testing.TB, dispatchers, i int, list []WorkerEntry, zone int,
 	configure func(*Settings)) *harness {
 	t.Helper()
@@ -173,7 +177,8 @@
 	b.end(sent.Job, sent.Attempt, OK)
 }
 
-// setSlotLimits sets the slot limit of every worker.
+// setSlotLimits sets the slot limit of every worker: the number of slots that the dispatcher may fill there
+// if workers do not report the starts of jobs.
 func (b *harness) setSlotLimits(limit float64) {
 	for _, w := range b.d.ordered {
 		w.slotLimit, w.slotLimitAt = limit, b.now
@@ -181,7 +186,7 @@
 }
 
 // largeFleetWithoutGossipSettings sets what a production deployment with many dispatchers uses: no gossip, no
-// hedging, a low price for crossing zones, and batches of 2 ms.
+// hedging, a low price for an attempt in another zone, and batches of events every 2 ms.
 func largeFleetWithoutGossipSettings(s *Settings) {
 	s.GossipAllowed, s.HedgingAllowed, s.CrossZonePrice, s.Granularity = false, false, 0.01, second/500
 }
--- a/internal/dispatch/index_test.go
+++ b/internal/dispatch/index_test.go
@@ -22,7 +22,7 @@
 	dispatchers []*Dispatcher
 	workers     map[WorkerID]*simWorker
 	jobs        map[JobID]*simJob
-	began       []float64 // seconds from the arrival of a job to the start of an attempt, for each start
+	began       []float64 // for each start of an attempt: seconds since the arrival of the job
 	notServed   int       // number of jobs refused or failed
 }
 
@@ -31,7 +31,7 @@
 	slots, running, done int // number of slots, of running attempts and of completed attempts
 	speed                float64
 	queue                []*simRun
-	busy                 float64 // slot-seconds in use so far
+	busy                 float64 // slot-seconds that attempts have used so far
 }
 
 // simRun is an attempt at a simulated worker.
@@ -42,7 +42,7 @@
 	worker     WorkerID
 	ended      bool // the attempt has completed or was cancelled
 	started    bool
-	began      Micros // time of the start
+	began      Micros // time at which the attempt started
 }
 
 // simJob is a simulated job.
@@ -110,13 +110,14 @@
 	}
 }
 
-// end passes the end of an attempt to its dispatcher.
+// end passes the end of an attempt to the dispatcher that sent the attempt.
 func (f *fleetSim) end(run *simRun, o Outcome) {
 	f.feed(run.dispatcher, Event{Kind: AttemptEnded, Job: run.job, Attempt: run.attempt, Worker: run.worker,
 		Outcome: o, Final: o == OK})
 }
 
-// endRun frees the slot of an attempt that completes or is cancelled, and starts the next one in the queue.
+// endRun frees the slot of an attempt that completes or is cancelled, and starts the next attempt in the
+// worker's queue.
 func (f *fleetSim) endRun(run *simRun) {
 	w := f.workers[run.worker]
 	run.ended = true
@@ -160,7 +161,7 @@
 	examined  float64 // mean number of workers examined for a job
 }
 
-// add adds the result of one of the given number of simulations to their mean.
+// add adds the result of one simulation to the mean over the given number of simulations.
 func (r *fleetResult) add(result fleetResult, simulations float64) {
 	r.mean, r.p99, r.notServed = r.mean+result.mean/simulations, r.p99+result.p99/simulations,
 		r.notServed+result.notServed/simulations
@@ -169,7 +170,7 @@
 
 func (r fleetResult) String() string {
 	return fmt.Sprintf(
-		"mean wait to start %.4f s, 99%% %.3f s, not served %.4f, load spread %.3f, %.0f workers examined per job",
+		"wait to start: mean %.4f s, 99%% up to %.3f s; not served %.4f, load spread %.3f, workers examined %.0f",
 		r.mean, r.p99, r.notServed, r.spread, r.examined)
 }
 
@@ -201,7 +202,8 @@
 		f.dispatchers = append(f.dispatchers, d)
 		f.feed(m, Event{Kind: Started})
 		f.feed(m, Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list})
-		// The dispatchers know the slots in advance, as the tests compare placement and not learning.
+		// The dispatchers know the number of slots of each worker in advance, as the tests compare methods of
+		// placement and not what dispatchers learn.
 		for _, w := range d.ordered {
 			k, n := d.kindOf(w), f.workers[w.entry.Worker].slots
 			k.maxSlotsTried, k.capacityProbedAt, k.maxBusySlots = n+1, f.now, float64(n)
@@ -250,7 +252,8 @@
 
 const unlimitedScan = 1 << 30 // a scan limit, in workers, above the size of any subset
 
-// BenchmarkChoice logs the quality of placement with the index and with full scans. Its time has no meaning.
+// BenchmarkChoice logs the quality of placement with the index and with full scans. The time that the
+// benchmark reports has no meaning.
 func BenchmarkChoice(b *testing.B) {
 	for _, size := range []struct {
 		dispatchers, workers, zones int
@@ -274,8 +277,8 @@
 	}
 }
 
-// With the index, jobs start about as soon as with full scans, are served as often, and spread over the
-// workers about as evenly.
+// When the dispatchers choose workers by the placement index, jobs start about as soon as with full scans,
+// are served as often, and spread over the workers about as evenly.
 func TestIndexChoosesAsWellAsTheScan(t *testing.T) {
 	var scanned, index fleetResult
 	const seeds = 6 // the result of a single seed varies too much
@@ -294,7 +297,8 @@
 	examined := func(workers int) uint64 {
 		b := startDispatcher(t, 17, 0, testFleet(workers), 0, largeFleetWithoutGossipSettings)
 		if !b.d.largeSubset() {
-			t.Fatalf("got a subset of %d workers that is not large, want a large one", len(b.d.subset))
+			t.Fatalf("got a subset of %d workers, which is scanned, want one large enough for the placement index",
+				len(b.d.subset))
 		}
 		before := uint64(0)
 		for i := range 120 {
@@ -366,8 +370,8 @@
 	return remote
 }
 
-// In any state of the workers, the index gives an eligible worker whenever the scan finds one. In a small
-// subset the dispatcher chooses the same worker as the scan.
+// In any state of the workers, the placement index gives an eligible worker whenever the scan of the whole
+// subset finds one. In a small subset the dispatcher chooses the same worker as the scan.
 func TestIndexFindsAWorkerWheneverTheScanDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
@@ -412,10 +416,10 @@
 				}
 			}
 			for _, k := range d.kinds {
-				k.capacityProbedAt = now // prevents probes past the known capacity
+				k.capacityProbedAt = now // prevents probes, that is, jobs beyond a worker's known capacity
 			}
 		}
-		for range 4 { // the index keeps its information from earlier states
+		for range 4 { // the index still has keys of the workers from their earlier states
 			randomizeStates()
 			j := &job{id: 7, class: r.Intn(3), objective: now + Micros(1+r.Intn(2*second)), deadline: now + 8*second,
 				work: second / 5, slots: float64(1 + r.Intn(2)), hinted: true, late: r.Intn(3) == 0}
@@ -426,7 +430,7 @@
 			}
 			d.now, d.cachedBestSpeed = now, 0
 			d.eventCount++
-			twin := d.Clone() // the scan draws random numbers and changes slow-start budgets
+			twin := d.Clone() // for the scan, which draws random numbers and changes slow-start budgets
 			twin.now, twin.eventCount = now, d.eventCount
 			jobCopy := *j
 			jobCopy.attempts = nil
@@ -438,7 +442,8 @@
 			want := twin.scanWorkers(&jobCopy)
 			got := d.selectWorker(j)
 			if (got == nil) != (want == nil) {
-				t.Fatalf("subset of %d workers: got %v from the index, the scan gives %v", len(d.subset), got, want)
+				t.Fatalf("subset of %d workers: got %v by the index and %v by the scan, want both nil or both a worker",
+					len(d.subset), got, want)
 			}
 			if got == nil {
 				continue
@@ -454,7 +459,8 @@
 	})
 }
 
-// newLargeHarness returns a harness whose dispatcher has a large subset and knows one slot for each worker.
+// newLargeHarness returns a harness whose dispatcher uses the placement index, as it has a large subset, and
+// assumes one slot for each worker.
 func newLargeHarness(t *testing.T, configure func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
@@ -467,7 +473,7 @@
 		b.setSlots(b.d.ordered[i].entry.Worker, 1)
 	}
 	if !b.d.largeSubset() {
-		t.Fatal("got a subset that is not large, want a large one")
+		t.Fatal("got a subset that the dispatcher scans, want one large enough for the placement index")
 	}
 	b.want(b.arrive(1000, 0), Send, 1) // the first job makes the dispatcher build the index
 	return b
@@ -503,7 +509,7 @@
 		"in slow start": func(w *worker) {
 			w.inferredStart, w.slowStartBudgetAt, w.slowStartBudget = 100*second, 100*second, -1e12
 		},
-		"slow": func(w *worker) { w.speed = speedEstimate{1, 1e12} }, // only one worker can meet the objective
+		"slow": func(w *worker) { w.speed = speedEstimate{1, 1e12} }, // too slow to meet the job's objective
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newLargeHarness(t, func(s *Settings) { s.Classes[0].LateWeight = 0 })
@@ -515,7 +521,8 @@
 		t.Run(name+", all workers", func(t *testing.T) {
 			b := newLargeHarness(t, func(s *Settings) { s.Classes[0].LateWeight = 0 })
 			checkSentToOnlyUsable(t, b, makeUnusable, 0, nil)
-			w := b.d.ordered[55] // this worker becomes usable again and must be found in spite of old index data
+			// This worker becomes usable again and must be found, although the index has an old key of the worker.
+			w := b.d.ordered[55]
 			w.ownSlots, w.unstartedAttempts, w.ejectedUntil, w.consecutiveFailures = 0, 0, 0, 0
 			w.blockedUntil, w.suspect, w.inferredStart = 0, false, 0
 			w.entry.Status, w.speed = Ready, speedEstimate{}
@@ -554,11 +561,11 @@
 	before := b.d.workersExamined
 	sent := actionsOfKind(b.end(1, 0, Failed), Send)
 	if len(sent) != 1 || sent[0].Worker != sameCell[0].entry.Worker {
-		t.Errorf("got repeats %v, want one on worker %d, the only usable one of the group",
+		t.Errorf("got repeats %v, want one on worker %d, the only usable one of the job's cell",
 			sent, sameCell[0].entry.Worker)
 	}
 	if n := b.d.workersExamined - before; n > 16 {
-		t.Errorf("got %d workers examined for a group of 8, want at most 16", n)
+		t.Errorf("got %d workers examined for a job bound to a cell of 8, want at most 16, twice the cell", n)
 	}
 }
 
@@ -567,14 +574,16 @@
 	list := testFleet(200)
 	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: nil})
 	if sent := actionsOfKind(b.arrive(1, 0), Send); len(b.d.subset) != 0 || len(sent) != 0 {
-		t.Errorf("after an empty list: got sends %v and a subset of %d workers, want none", sent, len(b.d.subset))
+		t.Errorf("after an update with an empty worker list: got sends %v and a subset of %d workers, want none",
+			sent, len(b.d.subset))
 	}
 	b.want(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateDelta, Workers: list[7:8]}), Send, 1)
 	b.now += second / 100
 	b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull, Workers: list})
 	sent := actionsOfKind(b.arrive(2, 0), Send)
 	if len(sent) != 1 || sent[0].Worker == list[7].Worker {
-		t.Errorf("all workers are listed again: got sends %v, want one to another worker than the busy one", sent)
+		t.Errorf("all workers are listed again: got sends %v, want one send, to another worker than the busy one",
+			sent)
 	}
 	for _, w := range b.d.subset {
 		if w.indexNode.Queue() == nil {
@@ -583,8 +592,9 @@
 	}
 }
 
-// When more than half of a large subset are outliers, the dispatcher enters panic mode and uses all workers,
-// as the cause is more likely a fault of the network or of the reports.
+// When more than half of the workers of a large subset are outliers (suspect or ejected), the dispatcher
+// enters panic mode and uses all workers, as the cause is more likely a fault of the network or of the
+// reports.
 func TestIndexOfASubsetOfOutliers(t *testing.T) {
 	b := newLargeHarness(t, nil)
 	for i, w := range b.d.ordered {
@@ -618,8 +628,9 @@
 	}
 }
 
-// A suspect worker that never answers again is removed from the suspects when it is forgotten. Otherwise a
-// fleet whose workers are replaced under new numbers would fill the memory.
+// A suspect worker that never answers again leaves the list of suspects when its record is dropped after the
+// retention time. Otherwise the list would grow without bound in a fleet whose workers are replaced under new
+// numbers.
 func TestRemovedOutliersAreForgotten(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0), ready(2, 0))
 	w := b.d.workers[1]
@@ -632,11 +643,13 @@
 	removed.Status = Removed
 	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}})
 	if n := b.d.countOutliers(); n != 0 || len(b.d.suspects) != 1 {
-		t.Errorf("removed worker: got %d outliers and %d suspects, want 0 and 1", n, len(b.d.suspects))
+		t.Errorf("removed worker whose record is kept: got %d outliers and %d suspects, want 0 and 1",
+			n, len(b.d.suspects))
 	}
 	b.now += b.d.settings.RemovedRetention()
 	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0)}})
 	if n := b.d.countOutliers(); n != 0 || len(b.d.suspects) != 0 {
-		t.Errorf("forgotten worker: got %d outliers and %d suspects, want 0 and 0", n, len(b.d.suspects))
+		t.Errorf("removed worker after the retention time: got %d outliers and %d suspects, want 0 and 0",
+			n, len(b.d.suspects))
 	}
 }
--- a/internal/dispatch/no_gossip_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -15,10 +15,11 @@
 	}
 	w := b.d.workers[sent[0].Worker]
 	for end := b.now + wait(w); b.now < end; b.feed(Event{Kind: TimerFired, Token: b.d.timerToken}) {
-		b.now += min(end-b.now, second/100) // the timer event causes an inspection, as events of other jobs would
+		// The timer event makes the dispatcher look for overdue starts, as the events of other jobs would.
+		b.now += min(end-b.now, second/100)
 	}
 	b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-	b.advance(second / 5 * Micros(1+w.entry.Kind)) // kind 0 is twice as fast as kind 1
+	b.advance(second / 5 * Micros(1+w.entry.Kind)) // workers of machine kind 0 are twice as fast as of kind 1
 	b.end(id, 0, OK)
 	return w
 }
@@ -35,8 +36,8 @@
 	return n
 }
 
-// Jobs wait long at workers of one kind, which other dispatchers fill. This dispatcher then sends its jobs to
-// the other kind, although that kind is slower.
+// Jobs wait long at the workers of one machine kind, as other dispatchers fill these workers. This dispatcher
+// then sends its jobs to workers of the other kind, although those are slower.
 func TestDispatcherWithoutGossipAvoidsAKindWhereJobsWait(t *testing.T) {
 	list := testFleet(60)
 	b := startDispatcher(t, 80, 3, list, 0, largeFleetWithoutGossipSettings)
@@ -53,7 +54,7 @@
 	}
 	sentToSlow := b.countSentTo(waitByKind, func(w *worker) bool { return w.entry.Kind == 0 })
 	if sentToSlow > 4 {
-		t.Errorf("got %d of 20 jobs sent to the kind where jobs wait, want at most 4", sentToSlow)
+		t.Errorf("got %d of 20 jobs sent to the machine kind where jobs wait, want at most 4", sentToSlow)
 	}
 }
 
@@ -74,7 +75,7 @@
 }
 
 // Each worker is in the subsets of a small number of dispatchers, so that a dispatcher's own jobs show a
-// considerable part of the load on the worker. No worker is without dispatchers.
+// considerable part of the load on the worker. No worker is outside all subsets.
 func TestEachWorkerHasASmallNumberOfDispatchersWithoutGossip(t *testing.T) {
 	list := testFleet(60)
 	users := map[WorkerID]int{}
@@ -90,8 +91,9 @@
 	}
 }
 
-// The whole fleet restarts. Several dispatchers that cover a worker own it in slow start together. With a
-// single owner for each worker, the few owners would have to carry the load of all 80 dispatchers.
+// All workers of the fleet restart. A worker in slow start gets jobs only from its owners: several of the
+// dispatchers that have the worker in their subsets. With a single owner for each of the 60 workers, at most
+// 60 of the 80 dispatchers could send their jobs.
 func TestDispatchersWithoutGossipAllUseAFleetInSlowStart(t *testing.T) {
 	list := testFleet(60)
 	all := startDispatchers(t, 80, list, alternatingZone, func(s *Settings) {
@@ -106,7 +108,7 @@
 		b.setSlots(list[0].Worker, 2)
 		b.setSlots(list[2].Worker, 3)
 		b.feed(Event{Kind: EndpointsUpdated, Workers: list})
-		b.advance(second / 2) // part of the slow-start budget flows in
+		b.advance(second / 2) // the slow-start budgets are refilled in part
 		sent := len(actionsOfKind(b.arrive(JobID(i), 0), Send)) + len(actionsOfKind(b.advance(second/2), Send))
 		if sent == 0 {
 			idle++
@@ -124,7 +126,7 @@
 	for i := range 10 {
 		w := b.serve(JobID(i), func(*worker) Micros { return 40_000 })
 		if counts := b.d.startCountsAt(w, 1); counts.delayed > 0 {
-			t.Fatalf("start after 40 ms: got counted as delayed, want counted as prompt")
+			t.Fatalf("start 40 ms after the send: got it counted as a wait for a slot, want it counted as no wait")
 		}
 	}
 }
@@ -138,7 +140,7 @@
 	b := newHarness(t, s, ready(1, 0))
 	b.want(b.arrive(1, 2), Send, 1)
 	actions := b.advance(s.Classes[2].Deadline - second)
-	b.want(actions, Fail, 1) // the unsafe job may have started, so it must fail and not be refused
+	b.want(actions, Fail, 1) // the unsafe job may have started, so the dispatcher must not refuse it but fail it
 	b.want(actions, Cancel, 1)
 
 	b = newHarness(t, s, ready(1, 0))
@@ -149,9 +151,9 @@
 	b.want(actions, Cancel, 0)
 }
 
-// A worker fails many jobs, and each of 80 dispatchers sends to it only every few seconds. The load report
-// shows the errors of all dispatchers' jobs there. After one job at the worker, the dispatcher therefore
-// avoids it for all classes, also if that job happened to succeed.
+// A worker fails many jobs, and each of 80 dispatchers sends to the worker only every few seconds. The
+// worker's load report shows the errors of all dispatchers' jobs there. After one job at the worker, the
+// dispatcher therefore sends no jobs of any class there for a time, also if that job happened to succeed.
 func TestDispatcherWithoutGossipTrustsReportedErrors(t *testing.T) {
 	for name, outcome := range map[string]Outcome{"an error": Failed, "luck": OK} {
 		b := startDispatcher(t, 80, 3, testFleet(60), 0, func(s *Settings) {
@@ -164,7 +166,7 @@
 			Report: Report{FreeKnown: true, Free: 2, Outstanding: -1, Errors: 1.5}})
 		for id := JobID(2); b.now < 107*second; id++ {
 			if b.serve(id, func(*worker) Micros { return second / 500 }) == failing {
-				t.Errorf("%s: got a job sent to the failing worker %v us later, want none for 7 s",
+				t.Errorf("first job ended by %s: got a job sent to the failing worker %v us later, want none for 7 s",
 					name, b.now-100*second)
 				break
 			}
@@ -182,7 +184,7 @@
 		b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{{Worker: i, Status: Removed}, ready(i+1, 0)}})
 	}
 	if n := len(b.d.ordered); n > 15 || len(b.d.workers) != n {
-		t.Errorf("got %d workers in order and %d by number with 1 in the list, want equal numbers of at most 15",
+		t.Errorf("got records of %d workers in order and of %d in the map, want equal numbers of at most 15",
 			n, len(b.d.workers))
 	}
 	b.want(b.arrive(1, 0), Send, 1)
@@ -210,7 +212,8 @@
 	configure := func(s *Settings) {
 		largeFleetWithoutGossipSettings(s)
 		s.SlowStart, s.SlowStartInitial, s.OverloadFactor, s.OverloadWindow = 8*second, 0.3, 4, 2*second
-		s.Classes[0].LatencyObjective = second / 5 // half of the run time, which is not yet learned
+		// The objective is half of the jobs' run time, which the dispatchers have not learned yet.
+		s.Classes[0].LatencyObjective = second / 5
 	}
 	source := random(seed)
 	list := testFleet(workers)
@@ -309,9 +312,9 @@
 func TestNoWorkerInSlowStartIsOverloadedByAllTogether(t *testing.T) {
 	for seed := range uint64(8) {
 		if worst := simulateRestartedFleet(t, 300, 200, seed+1); worst > 1 {
-			t.Errorf("seed %d: got %.2f of the limit sent to a worker in slow start, want at most 1", seed+1, worst)
+			t.Errorf("seed %d: got a worker sent %.2f of its slow-start limit, want at most 1", seed+1, worst)
 		} else {
-			t.Logf("seed %d: at most %.2f of the limit sent to a worker in slow start", seed+1, worst)
+			t.Logf("seed %d: every worker was sent at most %.2f of its slow-start limit", seed+1, worst)
 		}
 	}
 }
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -10,15 +10,16 @@
 // ruleChecker feeds a dispatcher legal random events and checks its actions. The rules are that each request
 // gets one final answer in time, that an attempt that may have run is repeated only as its class allows, that
 // nothing is sent to a worker that drains or is removed, and that a worker in slow start gets no more than
-// its budget. The checks use the records of the checker; only whether a worker is in slow start and
-// which dispatcher owns it is read from the dispatcher.
+// its slow-start budget. The checks use the records of the checker. Only two facts are read from the
+// dispatcher: whether a worker is in slow start, and whether this dispatcher may send to it then, as its
+// owner.
 type ruleChecker struct {
 	t         *testing.T
 	r         *rand.Rand
 	s         Settings
 	d         *Dispatcher
 	now       Micros
-	events    []scheduledEvent // events to come
+	events    []scheduledEvent // events that are still to be passed to the dispatcher
 	jobs      map[JobID]*jobRecord
 	open      []JobID // jobs without a final answer
 	workers   map[WorkerID]*workerRecord
@@ -93,12 +94,12 @@
 		workers: map[WorkerID]*workerRecord{}}
 }
 
-// span returns a random positive multiple of the granularity, up to the longest span.
+// span returns a random positive multiple of Settings.Granularity, up to the given longest span.
 func (w *ruleChecker) span(longest Micros) Micros {
 	return Micros(w.r.Int63n(int64(longest/w.s.Granularity))+1) * w.s.Granularity
 }
 
-// schedule adds an event to the events to come.
+// schedule adds an event that will be passed to the dispatcher at the given time.
 func (w *ruleChecker) schedule(at Micros, e Event) {
 	w.events = append(w.events, scheduledEvent{at, len(w.trace) + len(w.events), e})
 }
@@ -162,11 +163,11 @@
 		}
 	case Cancel:
 		if !w.s.CancelAllowed || a.Attempt >= len(w.jobs[a.Job].attempts) {
-			w.failf("got a cancel that is not allowed or names no attempt: %+v", a)
+			w.failf("got a cancel, want none, as the settings forbid cancels or the job has no such attempt: %+v", a)
 		}
 	case SendGossip:
 		if !w.s.GossipAllowed || len(a.Message) > 256 {
-			w.failf("got gossip that is not allowed or longer than 256 bytes: %+v", a)
+			w.failf("got gossip that the settings forbid or that exceeds 256 bytes, want none such: %+v", a)
 		}
 	}
 }
@@ -186,7 +187,7 @@
 	j, target := w.jobs[a.Job], w.workers[a.Worker]
 	switch {
 	case j == nil || target == nil:
-		w.failf("got a send with an unknown job or worker: %+v", a)
+		w.failf("got a send with an unknown job or worker, want both known: %+v", a)
 	case j.finished || j.answered > 0:
 		w.failf("job %d, finished or answered: got a send, want none", a.Job)
 	case len(j.attempts) >= w.s.MaxAttempts:
@@ -205,7 +206,7 @@
 	c := &w.s.Classes[j.class]
 	for _, p := range j.attempts {
 		if p.inFlight && !w.s.HedgingAllowed {
-			w.failf("job %d: got a second attempt in flight without hedging, want one", a.Job)
+			w.failf("job %d: got a second attempt in flight though hedging is off, want only one", a.Job)
 		}
 		if !p.inFlight && !p.mayHaveRun {
 			continue
@@ -230,8 +231,8 @@
 }
 
 // checkSlowStart checks that the work sent to a worker in slow start, in the overload window that ends now,
-// is within the budget. This dispatcher alone uses the budget. The simulated workers have eight slots of
-// speed 1.
+// is within the worker's slow-start budget. This dispatcher alone uses the budget. The simulated workers have
+// eight slots of speed 1.
 func (w *ruleChecker) checkSlowStart(target *workerRecord, j *jobRecord) {
 	if target.started == 0 || w.now-target.started >= w.s.SlowStart {
 		return
@@ -246,7 +247,7 @@
 	fraction := w.s.SlowStartInitial +
 		(1-w.s.SlowStartInitial)*float64(w.now-target.started)/float64(w.s.SlowStart)
 	if budget := w.s.OverloadFactor * 8 * fraction * float64(w.s.OverloadWindow); sum > budget {
-		w.failf("worker in slow start: got %.0f us of work sent in a window, want at most the budget of %.0f us",
+		w.failf("worker in slow start: got %.0f us of work in an overload window, want at most the budget, %.0f us",
 			sum, budget)
 	}
 }
@@ -369,7 +370,7 @@
 		}
 	case 2:
 		w.feed(Event{Kind: GossipReceived, Peer: w.r.Intn(4), Message: []byte{0, 0, 0, 0, 1, 2, 1}})
-	case 3: // the report may concern a finished job, or a job of another dispatcher
+	case 3: // the report may concern a finished job, or a job that this dispatcher does not know
 		w.feed(Event{Kind: AttemptReported, Job: JobID(w.r.Intn(1000)), Attempt: w.r.Intn(9), Note: NoteStarted})
 	case 4, 5, 6:
 		target := w.now + w.span(second/2)
@@ -393,7 +394,7 @@
 	}
 }
 
-// nextEvent passes the next scheduled event in order of time, and all that are due then.
+// nextEvent passes the next scheduled event in order of time, and all other events that are due by then.
 func (w *ruleChecker) nextEvent() {
 	if len(w.events) == 0 {
 		return
@@ -416,8 +417,8 @@
 	}
 }
 
-// checkDeadlines passes the events that are due, and checks that every job past its deadline has its final
-// answer.
+// checkDeadlines passes the events that are due to the dispatcher, and checks that every job past its
+// deadline has its final answer.
 func (w *ruleChecker) checkDeadlines() {
 	due := func(e scheduledEvent) bool { return e.at <= w.now }
 	for len(w.events) > 0 && slices.ContainsFunc(w.events, due) {
@@ -438,13 +439,13 @@
 	w.open = open
 }
 
-// The rules of ruleChecker hold for random legal events and settings, and the same events give the same
-// actions.
+// A dispatcher keeps the rules that ruleChecker checks, for random legal events and settings, and the same
+// events give the same actions.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range int64(150) {
 		firstTrace := newRuleChecker(t, seed).run(600)
 		if repeated := newRuleChecker(t, seed).run(600); !slices.Equal(firstTrace, repeated) {
-			t.Fatalf("seed %d: got different actions for the same events, want equal actions", seed)
+			t.Fatalf("seed %d: got different actions in two runs with the same events, want equal actions", seed)
 		}
 	}
 }
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -27,7 +27,7 @@
 					}
 				}
 				if local < 3 {
-					t.Errorf("%d dispatchers, zones %s: dispatcher %d got %d workers of its zone, want at least 3",
+					t.Errorf("%d dispatchers, zones %s: subset of dispatcher %d has %d workers of its zone, want 3 or more",
 						n, name, b.d.settings.Index, local)
 				}
 			}
@@ -37,7 +37,7 @@
 			}
 			for _, e := range list {
 				if c := float64(covered[e.Worker]); c < mean/2 || c > mean*2 {
-					t.Errorf("%d dispatchers, zones %s: got a worker in %v subsets of its zone, want 1/2 to 2 times %.1f",
+					t.Errorf("%d dispatchers, zones %s: worker in %v subsets of its zone, want 1/2 to 2 times the mean %.1f",
 						n, name, c, mean)
 				}
 			}
@@ -59,13 +59,13 @@
 		limit, total = max(limit, n), total+n
 	}
 	if total != 260 || limit > 8 || len(sent) < 70 {
-		t.Errorf("got %d jobs sent to %d workers, up to %d to one; want 260, 70 or more, and 8 or fewer",
+		t.Errorf("got %d jobs sent to %d workers, up to %d to one worker; want 260, at least 70, and at most 8",
 			total, len(sent), limit)
 	}
 }
 
-// All dispatchers together keep the slow-start budget of a worker, although each has jobs for which there is
-// no other worker, all gossip is lost, and some dispatchers restart.
+// All dispatchers together send a worker in slow start no more than its slow-start budget, although each
+// dispatcher has jobs for which there is no other worker, all gossip is lost, and some dispatchers restart.
 func TestSlowStartBudgetHoldsInSumAtSize(t *testing.T) {
 	t.Run("peers", func(t *testing.T) { checkSlowStartBudgetInSum(t, nil) })
 	t.Run("without gossip", func(t *testing.T) { checkSlowStartBudgetInSum(t, largeFleetWithoutGossipSettings) })
@@ -124,7 +124,7 @@
 			budget := fleetSettings.OverloadFactor * 4 * max(fleetSettings.SlowStartInitial, fraction) *
 				float64(fleetSettings.OverloadWindow)
 			if sum > budget {
-				t.Fatalf("worker %d in slow start: got %.0f us of work from all dispatchers, want at most %.0f us",
+				t.Fatalf("worker %d in slow start: got %.0f us of work in an overload window, want at most %.0f us",
 					w, sum, budget)
 			}
 		}
@@ -167,7 +167,8 @@
 			messages += len(actionsOfKind(b.arrive(1, 0), SendGossip))
 		}
 		if mean := float64(messages) / float64(n); mean == 0 || mean > 4*targetDispatchersPerWorker {
-			t.Errorf("%d dispatchers: got %.1f gossip messages for a job, want some, up to 4 times the sharing target",
+			t.Errorf(
+				"%d dispatchers: got %.1f gossip messages per job, want over 0, up to 4 times targetDispatchersPerWorker",
 				n, mean)
 		}
 	}
@@ -183,14 +184,16 @@
 	}
 	for hundredth, n := range pollCounts {
 		if n > 26 {
-			t.Errorf("got %d of 260 polls within the same 10 ms, number %d, want at most 26", n, hundredth)
+			t.Errorf("got %d of 260 polls planned in the same hundredth of a second, number %d, want at most 26",
+				n, hundredth)
 		}
 	}
 }
 
-// While discovery is down, polls cost it nothing, and after its return no calls wait there. So the next poll
-// follows soon after a failed one, at a time that is spread over the dispatchers. Only several failures in a
-// row make the wait longer, as they may mean that discovery is overloaded by polls.
+// While the discovery service is down, polls cost the service nothing, and no calls wait there when the
+// service returns. So a dispatcher polls again soon after a failed poll, at a random time, so that the polls
+// of all dispatchers are spread. Only several failures in a row make the wait longer, as they may mean that
+// the service receives too many polls.
 func TestPollBackoffAfterFailures(t *testing.T) {
 	const failures = 8
 	var meanWaits [failures]float64
@@ -198,13 +201,13 @@
 	all := startDispatchers(t, 260, testFleet(20), alternatingZone, func(s *Settings) { s.PollEndpoints = true })
 	for _, b := range all {
 		b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed}) // the subscription ends
-		// After 10 s the latest update of the worker list no longer holds.
+		// The dispatcher last received an update of the worker list 10 s ago.
 		b.now += 10 * second
 		for i := range failures {
 			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			wait := b.d.pollAt - b.now
 			if limit := b.d.settings.PollInterval / 5; wait > 2*limit || i < fastPollRetries && wait > limit {
-				t.Errorf("after failure %d: got the next poll in %d us, want it in 1/5 of the poll interval, or 2/5",
+				t.Errorf("failed poll %d: got the next poll in %d us, want it in 1/5 of the poll interval, later in 2/5",
 					i+1, wait)
 			}
 			meanWaits[i] += float64(wait) / float64(len(all)) / second
@@ -215,17 +218,19 @@
 	}
 	for tenth, n := range pollCounts {
 		if n > 26 {
-			t.Errorf("got %d of %d polls within the same 100 ms, number %d, want at most 26", n, len(all), tenth)
+			t.Errorf("got %d of %d polls planned in the same tenth of a second, number %d, want at most 26",
+				n, len(all), tenth)
 		}
 	}
 	if meanWaits[0] > 1.2 || meanWaits[failures-1] < 1.5*meanWaits[0] {
-		t.Errorf("mean waits after failures: got %.2f s, want the first up to 1.2 s, the last 1.5 times the first",
+		t.Errorf(
+			"mean waits after 1 to 8 failed polls: got %.2f s, want first up to 1.2 s, last at least 1.5 times first",
 			meanWaits)
 	}
 }
 
-// Polls that cost nothing, as of a local agent, are not delayed. Even after hundreds of failures at most half
-// a second passes between two polls.
+// Polls that put no load on discovery, such as polls of a local agent, are not delayed. Even after hundreds
+// of failed polls at most half a second passes before the next poll.
 func TestUnmeteredPollsDoNotWait(t *testing.T) {
 	for _, dispatchers := range []int{1, 300} {
 		s := testSettings()
@@ -242,15 +247,16 @@
 		for i := range 300 {
 			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			if wait := b.d.pollAt - b.now; wait < second/10 || wait > second/2 {
-				t.Fatalf("after failure %d: got the next poll in %d us, want it in 0.1 s to 0.5 s", i, wait)
+				t.Fatalf("after failed poll %d: got the next poll in %d us, want it in 0.1 s to 0.5 s", i, wait)
 			}
 		}
 	}
 }
 
-// Hundreds of dispatchers that start at once do not poll at the same time. A poll that waits too long at
-// discovery fails, and costs discovery as much as one that is answered. But no dispatcher delays its first
-// poll for long, whatever their number, as nothing may be sent before the first update.
+// Hundreds of dispatchers that start at once do not poll at the same time. A poll that waits too long at the
+// discovery service fails, and costs the service as much as a poll that is answered. But no dispatcher delays
+// its first poll for long, whatever the number of dispatchers, as it may send nothing before the first update
+// of the worker list.
 func TestFirstPollsOfAllAreSpread(t *testing.T) {
 	for _, dispatchers := range []int{80, 300, 1000} {
 		pollCounts := map[Micros]int{}
@@ -269,9 +275,10 @@
 				}
 			}
 			if polls != 1 {
-				t.Errorf("dispatcher %d of %d: got %d first polls, want 1", i, dispatchers, polls)
+				t.Errorf("dispatcher %d of %d: got %d polls in 1/5 of the poll interval after its start, want 1",
+					i, dispatchers, polls)
 			}
-			// The poll fails repeatedly, and the random wait before the next one may grow each time.
+			// Polls fail repeatedly, and the random wait before the next poll may grow each time.
 			for range 8 {
 				b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 				if wait := b.d.pollAt - b.now; wait < 0 || wait >= s.PollInterval {
@@ -282,15 +289,15 @@
 		}
 		for at, n := range pollCounts {
 			if n > dispatchers/8 {
-				t.Errorf("got %d of %d polls in the 100 ms after %d us, want at most 1/8 of the dispatchers",
+				t.Errorf("got %d of %d first polls in the 100 ms that begin %d us after the start, want at most 1/8",
 					n, dispatchers, at)
 			}
 		}
 	}
 }
 
-// BenchmarkJobByFleet measures the cost of a job, which should hardly grow with the numbers of workers and
-// dispatchers.
+// BenchmarkJobByFleet measures the time and memory that a dispatcher spends on a job. Both should hardly grow
+// with the numbers of workers and dispatchers.
 func BenchmarkJobByFleet(b *testing.B) {
 	for _, n := range []int{20, 200, 800} {
 		b.Run(fmt.Sprint(n, " workers"), func(b *testing.B) {
--- a/internal/dispatch/slowstart_stated_test.go
+++ b/internal/dispatch/slowstart_stated_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Settings may state fewer dispatchers than are running. If a dispatcher beyond the stated number owned
-// workers in slow start by its position on the ring, the parts of all owners would exceed the whole budget.
-// With twice as many dispatchers running as stated, that fault led to up to 1.70 of the limit, in 24 of 65
-// simulations.
+// Settings may state fewer dispatchers than are running. If a dispatcher beyond the stated number were an
+// owner of workers in slow start, that is, might send to them, the owners' parts of a worker's slow-start
+// budget would add up to more than the budget. With twice as many dispatchers running as stated, that fault
+// let workers get up to 1.70 times their slow-start limit, and more than the limit in 24 of 65 simulations.
 func TestDispatcherBeyondTheStatedNumberOwnsNone(t *testing.T) {
 	list := testFleet(60)
 	for _, stated := range []int{1, 8, 9, 30} {
@@ -37,7 +37,8 @@
 func TestSlowStartFleetKeepsItsLimitWithMoreDispatchersThanStated(t *testing.T) {
 	for s := range allDeployments {
 		deployed := &allDeployments[s]
-		// Deployment wide exceeds the limit with the stated number already, and big takes long.
+		// The deployment named wide exceeds the slow-start limit already if as many dispatchers run as stated, and
+		// the simulation of the deployment named big takes long.
 		if deployed.name != "even" && deployed.name != "steep" {
 			continue
 		}
@@ -47,7 +48,8 @@
 				c := rampCase{deployment: deployed, dispatchers: size[0], statedDispatchers: size[0] / 2,
 					workers: size[1], restarted: -1, load: 1.2, maxDelay: 2 * second, seed: uint64(i + 1)}
 				if result := c.run(t); result.informed > 1 || result.total > 1 {
-					t.Errorf("informed dispatchers sent %.2f of the limit, all %.2f, want at most 1: %v",
+					t.Errorf(
+						"slow-start limit: dispatchers that list the restart sent %.2f of it, all %.2f, want at most 1: %v",
 						result.informed, result.total, &c)
 				}
 			}
@@ -55,11 +57,11 @@
 	}
 }
 
-// On three of 65 seeds that are not pinned elsewhere, the dispatchers exceed the slow-start limit: they send
-// 1.06, 1.11 and 1.01 of it, although only the stated dispatchers own workers in slow start. In deployment
-// wide, with long requests, the owners alone send too much, see
-// TestSlowStartFleetOfLongRequestsKeepsItsLimit. Deployment steep keeps the limit with as many dispatchers as
-// stated; why it exceeds the limit here is unknown.
+// On three of 65 seeds that are not pinned elsewhere, the dispatchers exceed the slow-start limit of a
+// worker: they send 1.06, 1.11 and 1.01 times the limit, although only dispatchers up to the stated number
+// own workers in slow start. In the deployment named wide, with long requests, the owners alone send too
+// much, see TestSlowStartFleetOfLongRequestsKeepsItsLimit. In the deployment named steep, the dispatchers
+// keep the limit if as many of them run as stated; why they exceed the limit here is unknown.
 func TestSlowStartFleetKeepsItsLimitWithMoreDispatchersThanStatedOnOtherSeeds(t *testing.T) {
 	for _, c := range []rampCase{
 		{deployment: &allDeployments[1], dispatchers: 20, statedDispatchers: 10, workers: 16, seed: 17144},
@@ -68,7 +70,8 @@
 	} {
 		c.restarted, c.load, c.maxDelay = -1, 1.2, 2*second
 		if result := c.run(t); result.informed > 1 || result.total > 1 {
-			t.Errorf("informed dispatchers sent %.2f of the limit, all %.2f, want at most 1: %v",
+			t.Errorf(
+				"slow-start limit: dispatchers that list the restart sent %.2f of it, all %.2f, want at most 1: %v",
 				result.informed, result.total, &c)
 		}
 	}
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -9,8 +9,8 @@
 
 // The tests in this file simulate many dispatchers without gossip whose workers restart. Each dispatcher has
 // its own worker list and learns of a restart at its own time. The tests check the slow-start limit: all
-// dispatchers together must not send a worker in slow start more work within an overload window than its
-// limit.
+// dispatchers together must not send a worker in slow start more work within an overload window than that
+// worker's limit.
 
 // deployment describes a deployment: its settings, classes and machines.
 type deployment struct {
@@ -63,8 +63,8 @@
 type rampCase struct {
 	deployment  *deployment
 	dispatchers int
-	// statedDispatchers is the number of dispatchers in the settings; 0 means the actual number. In the tables
-	// for runCases it is a multiple of the actual number.
+	// statedDispatchers is the number of dispatchers that the settings state; 0 means the actual number. In the
+	// tables for runCases the field is a multiple of the actual number.
 	statedDispatchers  int
 	workers            int
 	restarted          int     // workers of zone 0 that restart; 0 means all of zone 0, -1 the whole fleet
@@ -79,10 +79,10 @@
 type rampWorker struct {
 	entry     WorkerEntry
 	restarted bool       // the worker restarts in this simulation
-	starts    []Micros   // times of its restarts
+	starts    []Micros   // times at which the worker started again
 	busy      float64    // slots in use
 	queue     []*rampRun // attempts that wait for a slot
-	sent      []rampSend // attempts sent since the first restart
+	sent      []rampSend // attempts sent to the worker since the first restart
 }
 
 // rampRun is an attempt at a simulated worker.
@@ -101,10 +101,11 @@
 type rampSend struct {
 	at       Micros
 	work     float64
-	informed bool // the dispatcher's list shows the worker's latest restart
+	informed bool // the dispatcher's list showed the worker's latest restart at the time of the send
 }
 
-// rampJobSize is the size of a request.
+// rampJobSize has the work of a request, in core-microseconds, and the number of slots that the request
+// takes.
 type rampJobSize struct {
 	work, slots float64
 }
@@ -112,11 +113,11 @@
 // rampResult is the result of a simulation. The fields informed and total are maxima over all workers and
 // overload windows, as fractions of the slow-start limit.
 type rampResult struct {
-	informed float64 // work from dispatchers whose list shows the restart
-	// total is the work from all dispatchers, taken only from windows in which more than two thirds of the work
-	// came from dispatchers whose list shows the restart.
+	informed float64 // work sent by the dispatchers whose list shows the worker's restart
+	// total is the work sent by all dispatchers, taken only from overload windows in which more than two thirds
+	// of the work came from dispatchers whose list shows the worker's restart.
 	total       float64
-	utilization float64 // used fraction of the restarted workers' capacity after maxDelay
+	utilization float64 // used fraction of the restarted workers' capacity, from maxDelay after the restart on
 	sends       int     // attempts sent to restarted workers
 }
 
@@ -133,7 +134,7 @@
 		restarted = "all"
 	}
 	return fmt.Sprintf(
-		"%s, %d dispatchers (stated %d, 0 for all), %d workers, %s restarted, load %v, listed within %v ms, "+
+		"%s, %d dispatchers (settings: %d, 0 for all), %d workers, %s restarted, load %v, all list it in %v ms, "+
 			"fraction %v of dispatchers restarts, second restart %v", c.deployment.name, c.dispatchers,
 		c.statedDispatchers, c.workers, restarted, c.load, c.maxDelay/1000, c.dispatcherRestarts, c.secondStart)
 }
@@ -168,8 +169,8 @@
 		}
 		workersByID[e.Worker], allWorkers = w, append(allWorkers, w)
 	}
-	// Each dispatcher's list is stale in its own way: some workers are missing, and some listed workers no
-	// longer exist.
+	// Each dispatcher's worker list is stale in a different way: some workers are missing, and some listed
+	// workers no longer exist.
 	lists := make([][]WorkerEntry, c.dispatchers)
 	for i := range lists {
 		for _, e := range list {
@@ -205,7 +206,7 @@
 		}
 	}
 	lastStart := firstStart
-	// The total arrival rate in requests a second.
+	// totalRate is the arrival rate at all dispatchers together, in requests a second.
 	totalRate := c.load * float64(c.workers) * deployed.cores / deployed.meanRequestWork() * second
 	jobs := map[JobID]rampJobSize{}
 	var runs []*rampRun
@@ -259,7 +260,7 @@
 	}
 	job := JobID(0)
 	for now := Micros(100 * second); now < firstStart+rampLength-rampWarmUp; now += rampTick {
-		if now == lastStart-second || now == lastStart { // the workers stop, and start 1 s later
+		if now == lastStart-second || now == lastStart { // the restarting workers stop, and start 1 s later
 			for _, w := range allWorkers {
 				if !w.restarted {
 					continue
@@ -288,7 +289,7 @@
 			if restartAt[i] != 0 && restartAt[i] <= now {
 				restartAt[i] = 0
 				for _, r := range runs {
-					// The connections of the dispatcher close, and its workers abandon the attempts.
+					// The connections of the restarting dispatcher close, and the workers abandon its attempts.
 					if r.dispatcher == i && !r.ended {
 						r.ended = true
 						if r.endsAt != 0 {
@@ -373,8 +374,8 @@
 	return result
 }
 
-// trafficFactor returns the arrival rate as a multiple of the mean: 1.5 from 1 s to 4 s after the restart,
-// and 1 otherwise.
+// trafficFactor returns the arrival rate at a time after the first restart of workers, as a multiple of the
+// usual rate: 1.5 from 1 s to 4 s after the restart, and 1 otherwise.
 func trafficFactor(since Micros) float64 {
 	if since >= second && since < 4*second {
 		return 1.5
@@ -390,8 +391,9 @@
 	return sum
 }
 
-// checkWindows compares the work sent to a worker with the slow-start limit, for the overload window that
-// begins with each attempt sent during slow start, and records the largest fractions in the result.
+// checkWindows compares the work sent to a worker with the slow-start limit, in each overload window that
+// begins with an attempt sent during slow start, and records the largest fractions of the limit in the
+// result.
 func (c *rampCase) checkWindows(w *rampWorker, settings *Settings, result *rampResult) {
 	for s, start := range w.starts {
 		nextStart := Micros(math.MaxInt64)
@@ -425,8 +427,9 @@
 }
 
 // runCases simulates each named deployment at each size, a pair of the numbers of dispatchers and workers,
-// and checks the slow-start limit. In no window may the dispatchers whose lists show the restart send more
-// than the limit, nor may all dispatchers together where over two thirds of the work comes from those.
+// and checks the slow-start limit of each worker. In no overload window may the dispatchers whose lists show
+// the worker's restart send more than the limit. In windows in which over two thirds of the work comes from
+// these dispatchers, all dispatchers together may not exceed the limit, either.
 func runCases(t *testing.T, deploymentNames string, seeds int, cases []rampCase, sizes ...[2]int) {
 	for s := range allDeployments {
 		if !strings.Contains(deploymentNames, allDeployments[s].name) {
@@ -445,13 +448,15 @@
 					c.statedDispatchers *= size[0]
 					result := c.run(t)
 					if result.informed > 1 || result.total > 1 {
-						t.Errorf("informed dispatchers sent %.2f of the limit, all %.2f, want at most 1: %v",
+						t.Errorf(
+							"slow-start limit: dispatchers that list the restart sent %.2f of it, all %.2f, want at most 1: %v",
 							result.informed, result.total, &c)
 					}
 					if c.restarted < 0 && result.utilization < 0.1 {
-						t.Errorf("got utilization %.2f of the restarted fleet, want at least 0.1: %v", result.utilization, &c)
+						t.Errorf("restarted workers used %.2f of their capacity, want at least 0.1: %v", result.utilization, &c)
 					}
-					t.Logf("sent by informed dispatchers %.2f of the limit, by all %.2f; utilization %.2f, %d sends: %v",
+					t.Logf(
+						"of the limit dispatchers that list the restart sent %.2f, all %.2f; capacity used %.2f, %d sends: %v",
 						result.informed, result.total, result.utilization, result.sends, &c)
 				}
 			})
@@ -459,7 +464,7 @@
 	}
 }
 
-// deploymentsWithoutWide and everyDeployment are names of deployments for runCases.
+// deploymentsWithoutWide and everyDeployment list the names of deployments that runCases simulates.
 const deploymentsWithoutWide, everyDeployment = "even steep big", "even steep big wide"
 
 // One worker, three workers and a whole zone restart, while traffic is uneven over the dispatchers and has a
@@ -485,14 +490,15 @@
 	runCases(t, deploymentsWithoutWide, 2, fleetRestartCases, fleetSizes...)
 }
 
-// A few long requests make up most of the work of this deployment, so a single request beyond the slow-start
-// limit is a large part of the limit.
+// In the deployment named wide, a few long requests make up most of the work, so a single request beyond the
+// slow-start limit of a worker is a large part of the limit.
 func TestSlowStartFleetOfLongRequestsKeepsItsLimit(t *testing.T) {
 	runCases(t, "wide", 2, fleetRestartCases, fleetSizes...)
 }
 
-// dispatcherRestartCases restarts the whole fleet under the load of fleetRestartCases while a fraction of 0.3
-// of the dispatchers restarts, too. The slow-start budgets of a restarted dispatcher begin anew.
+// dispatcherRestartCases restarts all workers under the load of fleetRestartCases, and a fraction of 0.3 of
+// the dispatchers restarts, too. A restarted dispatcher does not know how much it sent to workers in slow
+// start before, so its slow-start budgets begin anew.
 var dispatcherRestartCases = []rampCase{
 	{restarted: -1, load: 1.2, dispatcherRestarts: 0.3},
 	{restarted: -1, load: 1.2, dispatcherRestarts: 0.3, seed: 12},
--- a/internal/subset/ring_test.go
+++ b/internal/subset/ring_test.go
@@ -15,9 +15,10 @@
 	covered    bool
 }
 
-// After a random sequence of additions, removals and interval changes, the covered members are those whose
-// positions, recomputed from all members, lie in the interval. Each member that enters or leaves the interval
-// is reported exactly once, and a cloned ring has the same members, positions and coverage.
+// After a random sequence of additions and removals of ring members and of interval changes, the covered
+// members are those whose positions, recomputed from all members, lie in the interval. The ring reports each
+// member that enters or leaves the interval exactly once. A cloned ring has the same members, at the same
+// positions, and the same of them are covered.
 func TestCoverMatchesRecomputation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Ring[*testMember]
@@ -43,7 +44,8 @@
 			}
 			r.Cover(start, length, func(it *testMember, in bool) {
 				if it.covered == in {
-					t.Fatalf("member %d is reported twice in a row with the same coverage: covered %v", it.number, in)
+					t.Fatalf("ring member %d: got two reports in a row that its place in the interval became %v, want one",
+						it.number, in)
 				}
 				it.covered = in
 			})
@@ -51,7 +53,8 @@
 			copied := r.Clone(func(it *testMember) *testMember { copied := *it; copies[it] = &copied; return &copied },
 				func(it *testMember, group *Group[*testMember]) { it.group = group })
 			copied.Cover(start, length, func(it *testMember, _ bool) {
-				t.Fatalf("member %d changes its coverage in a cloned ring, though the interval is the same", it.number)
+				t.Fatalf("member %d of a cloned ring: got it entering or leaving the unchanged interval, want neither",
+					it.number)
 			})
 			checkAgainstRecomputation(t, &r, items, start, length)
 			byNumber := map[uint32]*testMember{}
@@ -63,8 +66,8 @@
 	})
 }
 
-// checkAgainstRecomputation recomputes positions and coverage from the list of members, and compares the ring
-// with both.
+// checkAgainstRecomputation recomputes from the list of members at which position each member of the ring is
+// and whether the interval covers it, and compares the ring with the result.
 func checkAgainstRecomputation(t *rapid.T, r *Ring[*testMember], items map[uint32]*testMember,
 	start, length float64) {
 	t.Helper()
@@ -89,7 +92,7 @@
 				distance++
 			}
 			if it.covered != (distance < length) {
-				t.Fatalf("member %d at distance %v from the interval's start %v: covered is %v, interval length is %v",
+				t.Fatalf("member %d at distance %v from the start %v: got covered %v, want that for a distance below %v",
 					number, distance, start,
 					it.covered, length)
 			}
@@ -97,9 +100,8 @@
 	}
 }
 
-// When a member is added to or removed from a group, at most two other members of the group change their
-// coverage, one at each end of the interval, and no member of another group does. This holds for groups of
-// any size.
+// When a member is added to or removed from a group of a ring, at most two other members of the group enter
+// or leave the interval, one at each end, and no member of another group does, in groups of any size.
 func TestRemovalChangesOneMemberAtEachEnd(t *testing.T) {
 	for _, n := range []int{3, 50, 400, 7200} {
 		for _, length := range []float64{8.0 / 7200, 8.0 / 300, 8.0 / 17, 0.9} {
@@ -111,7 +113,7 @@
 			changedOthers, removed, start := 0, 0, 0.618
 			count := func(i int, _ bool) {
 				if i%2 != 0 {
-					t.Errorf("member %d of the other group changes its coverage", i)
+					t.Errorf("member %d: got it entering or leaving the interval by a change in another group, want not", i)
 				}
 				if i != removed {
 					changedOthers++
@@ -126,7 +128,8 @@
 						r.Remove(groups[0], uint32(removed))
 					}
 					if r.Cover(start, length, count); changedOthers > 2 {
-						t.Fatalf("%d members besides the changed one of %d change coverage, want at most 2; length %v",
+						t.Fatalf(
+							"got %d others that enter or leave the interval by 1 change in a group of %d, want 0 to 2; length %v",
 							changedOthers, n, length)
 					}
 				}
--- a/internal/subset/strategies_test.go
+++ b/internal/subset/strategies_test.go
@@ -15,8 +15,8 @@
 // numbers and its own number, without communication between schedulers. docs/design-list.md has the table of
 // results.
 
-// strategies are the compared subsetting strategies. workersOf returns the positions in workers of the
-// workers that scheduler s uses; workers is sorted by number. Some published strategies depend on a stable
+// strategies are the compared subsetting strategies. workersOf returns the workers that scheduler s uses, as
+// positions in the parameter workers, which is sorted by number. Some published strategies depend on a stable
 // index of each worker, so each worker also has the index that it had in the complete list. A real scheduler
 // of this project does not know that index.
 var strategies = []struct {
@@ -174,7 +174,8 @@
 // Compares the subsetting strategies. The ring by ranks, the strategy in use, leaves no worker without
 // schedulers and spreads the load evenly over the workers. In exchange, one removal of a worker shifts the
 // positions of the other workers: up to two pairs of scheduler and worker change for each scheduler. The test
-// checks the balance and the number of changed pairs for the ring by ranks, and logs both for all strategies.
+// checks the balance of the load and the number of changed pairs for the ring by ranks, and logs both for all
+// strategies.
 func TestSubsettingStrategies(t *testing.T) {
 	t.Logf("%-28s %9s %14s %14s %10s %14s %14s", "strategy", "size", "per worker", "per scheduler", "load",
 		"removed pairs", "moved pairs")
@@ -243,12 +244,14 @@
 			if strategy.name == "ranks" {
 				mean := float64(pairs) / float64(n)
 				if float64(lowest) < mean/2 || heaviest > 1.6 {
-					t.Errorf("%d schedulers, %d workers: fewest for a worker %d, mean %.1f; highest load %.2f of mean",
+					t.Errorf(
+						"%d schedulers, %d workers: a worker has %d, want half the mean %.1f; load is %.2f of mean, want 1.6",
 						schedulers, n,
 						lowest, mean, heaviest)
 				}
 				if limit := float64(2 * schedulers); float64(otherPairs)/float64(removals) > limit {
-					t.Errorf("%d schedulers, %d workers: %d other pairs change in %d removals",
+					t.Errorf(
+						"%d schedulers, %d workers: %d other pairs change in %d removals, want 2 per scheduler and removal",
 						schedulers, n, otherPairs, removals)
 				}
 			}
