--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -111,7 +111,7 @@
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.d.rankClasses()
 	if b.d.rankCount != 6 {
-		t.Fatalf("got %d ranks, want 6: three priority weights, each within and over the quota", b.d.rankCount)
+		t.Fatalf("got %d ranks, want 6: one within and one over the quota for each of 3 classes", b.d.rankCount)
 	}
 	x := b.d.gappingStepInterval
 	at := func(after Micros, want int) {
@@ -119,7 +119,7 @@
 		b.d.now += after
 		b.d.advanceGapping()
 		if b.d.gappedRanks != want {
-			t.Fatalf("got call gapping of the %d lowest ranks, want of the %d lowest", b.d.gappedRanks, want)
+			t.Fatalf("got call gapping of the %d lowest ranks, want it of the %d lowest", b.d.gappedRanks, want)
 		}
 	}
 	b.d.now = b.now
@@ -166,7 +166,8 @@
 func TestRankByPriorityWeight(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.d.rankClasses()
-	// The ranks of each class within its quota and over its quota. The weights are 1, 0.2, 3, 0.6, 2 and 0.4.
+	// The ranks are of class 0 within its quota and over its quota, then of classes 1 and 2 likewise. The
+	// weights of these jobs are 1, 0.2, 3, 0.6, 2 and 0.4.
 	r := b.d.ranks
 	order := []int{r[1], r[5], r[3], r[0], r[4], r[2]}
 	for i, rank := range order {
@@ -207,12 +208,12 @@
 	for id := JobID(1); id <= 3; id++ {
 		b.want(b.arrive(id, 0), Send, 1)
 		b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-		b.now += second + second/5 // one job beyond the known capacity may be sent there after a pause of 1 s
+		b.now += second + second/5 // after a pause of 1 s a worker may get one job beyond its known capacity
 	}
 	b.arrive(4, 0)
 	b.end(4, 0, AtCapacity)
 	if w.slotLimit != 3 {
-		t.Errorf("got slot limit %v after the worker rejected the fourth job as at capacity, want 3", w.slotLimit)
+		t.Errorf("got slot limit %v after the worker had no room for a fourth job, want 3", w.slotLimit)
 	}
 }
 
@@ -268,7 +269,7 @@
 	out := b.end(1, 0, TimedOut)
 	b.want(out, Fail, 1)
 	if late := b.now - (100*second + 8*second); late > 0 {
-		t.Errorf("got the answer %v us after the deadline, want it by the deadline", late)
+		t.Errorf("got the job's answer %v us after the deadline, want it by the deadline", late)
 	}
 	b.want(b.end(1, 0, TimedOut), Fail, 0)
 	b.want(b.feed(Event{Kind: ClientDisconnected, Job: 1}), Send, 0)
@@ -337,7 +338,7 @@
 		out := b.end(1, 0, c.outcome)
 		b.want(out, c.want, 1)
 		if c.worker != 0 && actionsOfKind(out, Send)[0].Worker != c.worker {
-			t.Errorf("%s: got a repeat on worker %d, which is outside the scope, want one inside", c.name,
+			t.Errorf("%s: got a repeat on worker %d, outside the deduplication scope, want one inside", c.name,
 				actionsOfKind(out, Send)[0].Worker)
 		}
 	}
@@ -502,7 +503,7 @@
 // jobs for that reason.
 func TestQuickErrorsDoNotAttract(t *testing.T) {
 	s := testSettings()
-	s.ConnectTimeout = 0 // the connect timeout is added to the cost of a worker that has failed jobs
+	s.ConnectTimeout = 0 // the cost of a worker that fails jobs includes this timeout, so 0 adds nothing
 	b := newHarness(t, s, ready(1, 0), ready(2, 0), ready(3, 0))
 	b.d.workers[2].placementBias, b.d.workers[3].placementBias = 0.5, 0.5 // the bias makes worker 1 preferred
 	sentToFailing := 0
@@ -667,7 +668,7 @@
 		j := newJob(1)
 		w := b.d.workers[1]
 		if b.d.actions = nil; !b.d.send(j, w) {
-			t.Fatalf("case %s: got no send before the condition was violated, want a send", name)
+			t.Fatalf("before case %s, which must prevent a send: got no send, want one", name)
 		}
 		j = newJob(2)
 		c.forbid(b, j, w)
@@ -718,7 +719,7 @@
 	}
 	b.advance(2 * second)
 	if w.unreachable || b.d.slowStartSince(w) == 0 {
-		t.Fatalf("2 s after worker 1 answers: got unreachable %v, slow start since %v us, want false and a time",
+		t.Fatalf("2 s after worker 1 answers: got unreachable %v, slow start since %v us, want false and not 0",
 			w.unreachable, b.d.slowStartSince(w))
 	}
 	b.advance(20 * second)
@@ -793,8 +794,8 @@
 	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
 	b.want(b.arrive(2, 0), Send, 0)
 	b.want(b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}}), Send, 1)
-	// While a peer's job is on its way, the dispatcher does not probe the worker with a job beyond the worker's
-	// known capacity.
+	// While a peer's job is on its way to the worker, the dispatcher does not probe the worker with a job beyond
+	// the worker's known capacity.
 	b.feed(Event{Kind: AttemptReported, Job: 2, Attempt: 0, Note: NoteStarted})
 	b.now += waitReportBatches * s.Granularity
 	b.feed(Event{Kind: TimerFired})
@@ -806,7 +807,7 @@
 	if b.d.mayProbe(w) {
 		t.Error("peer's job has not started: got a job beyond the worker's known capacity allowed, want none")
 	}
-	// Old gossip of a peer that has stopped must not keep the worker idle.
+	// Old gossip of a peer that has stopped must not keep this dispatcher from sending to the worker.
 	b.advance(60 * second)
 	b.feed(Event{Kind: TimerFired})
 	if b.d.peerJobWaits(w) {
@@ -848,9 +849,9 @@
 	}
 }
 
-// A drain counts as known to every dispatcher MaxStaleness after the change, received or not. A dispatcher
-// that has received no update for that long must send nothing, even if its workers still accept jobs and
-// whatever list it had at its start.
+// A drain counts as known to every dispatcher once MaxStaleness has passed since the drain, even if the
+// dispatcher has not received it. A dispatcher that has received no update for MaxStaleness must therefore
+// send nothing, even if its workers still accept jobs, and whatever list it had at its start.
 func TestStaleListStopsSends(t *testing.T) {
 	for name, c := range map[string]struct {
 		maxStaleness Micros // the setting MaxStaleness
@@ -893,8 +894,8 @@
 	}
 }
 
-// An update that cannot be read may contain the drain of any worker, so nothing is sent until the next
-// update. Drains that are known from another source than the list do not count as an update.
+// An update of the worker list that cannot be read may contain the drain of any worker, so nothing is sent
+// until the next update. Drains that are known from another source than the list do not count as an update.
 func TestUnreadableUpdateMakesTheListStale(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints, s.PollInterval, s.MaxStaleness = true, 10*second, 6*second
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -141,7 +141,7 @@
 		}
 	}
 	if d.ringCoverage != m.ringCoverage || !slices.Equal(d.neighbours, m.neighbours) {
-		f.t.Fatalf("got interval of length %v on the ring, dispatchers %v overlap; the rebuilt model has %v and %v",
+		f.t.Fatalf("ring interval has length %v and overlaps those of dispatchers %v, want %v and %v by the model",
 			d.ringCoverage, d.neighbours,
 			m.ringCoverage, m.neighbours)
 	}
@@ -302,8 +302,8 @@
 	}
 }
 
-// The subset is empty after all workers drain or are removed. A job that arrives then, and the later return
-// of the workers, must not break the state.
+// The subset is empty after all workers drain or are removed. After the arrival of a job in this state and
+// the later return of the workers, the state must equal the state of a full rebuild.
 func TestSubsetBecomesEmpty(t *testing.T) {
 	for _, dispatchers := range []int{1, 17, 300} {
 		f := newModelHarness(t, endpointsSettings(dispatchers, 0, false))
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -56,7 +56,8 @@
 	return b.out
 }
 
-// advance moves the time forward, fires each timer that becomes due, and returns the actions of all of them.
+// advance moves the time forward, fires each timer that becomes due, and returns the actions that the
+// dispatcher takes on all these timers.
 func (b *harness) advance(span Micros) []Action {
 	var actions []Action
 	for end := b.now + span; ; {
@@ -69,8 +70,8 @@
 	}
 }
 
-// setSlots makes the dispatcher assume that all workers of the given worker's machine kind have n slots. For
-// that it records starts without delay with n slots in use, and delayed starts with n+1 slots in use.
+// setSlots makes the dispatcher assume that all workers of the given worker's machine kind have n slots:
+// setSlots records starts without delay with n slots in use, and delayed starts with n+1 slots in use.
 func (b *harness) setSlots(w WorkerID, n int) {
 	k := b.d.kindOf(b.d.workers[w])
 	k.maxSlotsTried, k.capacityProbedAt, k.maxBusySlots = n+1, b.now, float64(n)
--- a/internal/dispatch/index_test.go
+++ b/internal/dispatch/index_test.go
@@ -74,7 +74,7 @@
 	return last
 }
 
-// after schedules a call after the given span.
+// after schedules a call of the function do after the given span of simulated time.
 func (f *fleetSim) after(span Micros, do func()) {
 	f.seq++
 	heap.Push(&f.events, simEvent{f.now + span, f.seq, do})
@@ -288,7 +288,7 @@
 	}
 	if index.mean > 1.15*scanned.mean || index.notServed > scanned.notServed+0.002 ||
 		index.spread > 1.1*scanned.spread {
-		t.Errorf("got with the index: %v; with the scan: %v; want the index about as good", index, scanned)
+		t.Errorf("got by the placement index: %v; by full scans: %v; want about equal results", index, scanned)
 	}
 }
 
@@ -302,7 +302,7 @@
 		}
 		before := uint64(0)
 		for i := range 120 {
-			if i == 20 { // the dispatcher has built the index by then
+			if i == 20 { // after 20 jobs the dispatcher has built the index
 				before = b.d.workersExamined
 			}
 			b.serve(JobID(i), func(*worker) Micros { return second / 500 })
@@ -312,15 +312,15 @@
 	small := examined(400)
 	for _, workers := range []int{1600, 7200} {
 		if n := examined(workers); n > small+small/4 {
-			t.Errorf("got %d workers examined per job in a fleet of %d, and %d in one of 400, want at most 1/4 more",
+			t.Errorf("got %d workers examined per job in a fleet of %d, %d in a fleet of 400, want at most 1/4 more",
 				n, workers, small)
 		}
 	}
 }
 
-// scanWorkers is the reference for selectWorker: it scans the whole subset without an index. For a small
-// subset selectWorker must choose the same worker. For a large one it must find some worker whenever the scan
-// does.
+// scanWorkers is the reference for selectWorker: scanWorkers scans the whole subset without an index. For a
+// small subset selectWorker must choose the same worker. For a large subset selectWorker must find some
+// worker whenever scanWorkers finds one.
 func (d *Dispatcher) scanWorkers(j *job) *worker {
 	var local, remote *worker
 	localCost, remoteCost := math.Inf(1), math.Inf(1)
@@ -419,7 +419,7 @@
 				k.capacityProbedAt = now // prevents probes, that is, jobs beyond a worker's known capacity
 			}
 		}
-		for range 4 { // the index still has keys of the workers from their earlier states
+		for range 4 { // from the second round on, the index has keys of the workers' earlier states
 			randomizeStates()
 			j := &job{id: 7, class: r.Intn(3), objective: now + Micros(1+r.Intn(2*second)), deadline: now + 8*second,
 				work: second / 5, slots: float64(1 + r.Intn(2)), hinted: true, late: r.Intn(3) == 0}
@@ -452,7 +452,7 @@
 				t.Fatalf("got worker %d from the index, which is not eligible, want an eligible one", got.entry.Worker)
 			}
 			if !d.largeSubset() && got.entry.Worker != want.entry.Worker {
-				t.Fatalf("small subset of %d workers: got worker %d, want worker %d as by the scan",
+				t.Fatalf("small subset of %d workers: got worker %d, want worker %d, which the scan chooses",
 					len(d.subset), got.entry.Worker, want.entry.Worker)
 			}
 		}
--- a/internal/dispatch/no_gossip_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -5,8 +5,8 @@
 // This file has tests of large fleets without gossip. There a dispatcher learns of the load from other
 // dispatchers only by the time that its own jobs wait at workers.
 
-// serve passes one job, starts it after a wait that depends on its worker, and completes it. It returns the
-// worker to which the job was sent.
+// serve passes one job to the dispatcher, reports the job's start after a wait that depends on the worker,
+// and reports the job's end. The result is the worker to which the dispatcher sent the job.
 func (b *harness) serve(id JobID, wait func(*worker) Micros) *worker {
 	b.t.Helper()
 	sent := actionsOfKind(b.arrive(id, 0), Send)
@@ -19,7 +19,7 @@
 		b.now += min(end-b.now, second/100)
 	}
 	b.feed(Event{Kind: AttemptReported, Job: id, Note: NoteStarted})
-	b.advance(second / 5 * Micros(1+w.entry.Kind)) // workers of machine kind 0 are twice as fast as of kind 1
+	b.advance(second / 5 * Micros(1+w.entry.Kind)) // workers of kind 0 are twice as fast as those of kind 1
 	b.end(id, 0, OK)
 	return w
 }
@@ -131,9 +131,9 @@
 	}
 }
 
-// A job that waits at a worker until it can no longer meet its objective is answered and its attempt
-// cancelled, so that the next job in the worker's queue gets the slot. A job that has started is not
-// cancelled.
+// When a job waits at a worker until the job can no longer meet its objective, the dispatcher answers the
+// job and cancels its attempt, so that the next job in the worker's queue gets the slot. A job that has
+// started is not cancelled.
 func TestJobThatWaitsPastItsObjectiveIsCancelled(t *testing.T) {
 	s := testSettings()
 	s.Classes[2].LateWeight = 0
@@ -174,9 +174,9 @@
 	}
 }
 
-// Removed workers are forgotten after the retention time, so that the records of a dispatcher do not grow
-// while the workers of a fleet are replaced. The package scheduler has a test of the same name for its own
-// records.
+// A dispatcher drops the records of removed workers after the retention time, so that the number of its
+// records does not grow while the workers of a fleet are replaced. The package scheduler has a test of the
+// same name for its own records.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	for i := WorkerID(1); i < 200; i++ {
@@ -190,8 +190,8 @@
 	b.want(b.arrive(1, 0), Send, 1)
 }
 
-// A job that is cancelled before its start does not show how long it would have waited. Its worker is as full
-// as one where a job starts late, so the time until the cancellation must count as a wait.
+// A job that is cancelled before its start does not show how long the job would have waited. The worker is as
+// full as a worker where a job starts late, so the time until the cancellation must count as a wait.
 func TestDispatcherWithoutGossipLearnsFromAJobThatNeverBegan(t *testing.T) {
 	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
 	w := b.d.workers[actionsOfKind(b.arrive(1, 2), Send)[0].Worker]
@@ -205,8 +205,8 @@
 // simulateRestartedFleet simulates many dispatchers without gossip while three in five workers restart.
 // Traffic is uneven over the dispatchers, each dispatcher learns of the restarts at its own time, and some
 // dispatchers restart, too. The result is the largest work sent to a worker within an overload window, as a
-// fraction of the slow-start limit for all dispatchers together. Only windows count in which at least two
-// thirds of the sends came from dispatchers whose lists show the restart.
+// fraction of the slow-start limit for all dispatchers together. Only overload windows count in which at
+// least two thirds of the sends came from dispatchers whose lists show the restart.
 func simulateRestartedFleet(t *testing.T, dispatchers, workers int, seed uint64) float64 {
 	const work, slots, tick, length = 400_000, 2, second / 50, 6 * second
 	configure := func(s *Settings) {
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -28,7 +28,7 @@
 	trace     []string // events passed so far, with the actions that they caused
 }
 
-// scheduledEvent is an event to be passed at a given time.
+// scheduledEvent is an event that the checker passes to the dispatcher at a given time.
 type scheduledEvent struct {
 	at    Micros
 	seq   int
@@ -45,7 +45,7 @@
 	attempts []*attemptRecord
 }
 
-// sentWork is the work of an attempt and the time at which it was sent.
+// sentWork is the work of an attempt and the time at which the attempt was sent.
 type sentWork struct {
 	at   Micros
 	work float64
@@ -64,7 +64,7 @@
 	entry          WorkerEntry
 	statusSince    Micros     // time at which an update listed the present status
 	started        Micros     // time of the latest restart; 0 if the worker has not restarted
-	slowStartSends []sentWork // attempts sent in slow start since the latest restart
+	slowStartSends []sentWork // attempts sent to the worker during slow start, since its latest restart
 }
 
 // newRuleChecker returns a checker with random settings. The seed decides all random choices.
@@ -353,7 +353,7 @@
 	return w.trace
 }
 
-// newEvent passes a new random event now, or moves the time forward.
+// newEvent passes a new random event to the dispatcher now, or moves the time forward.
 func (w *ruleChecker) newEvent() {
 	switch w.r.Intn(20) {
 	case 0:
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Hundreds of dispatchers without any learned state each get a job at the same time. They must not all choose
-// the same few workers.
+// Hundreds of dispatchers without any learned state each get a job at the same time. The dispatchers must not
+// all choose the same few workers.
 func TestChoicesSpreadAtSize(t *testing.T) {
 	sent := map[WorkerID]int{}
 	for _, b := range startDispatchers(t, 260, testFleet(200), alternatingZone, nil) {
@@ -207,7 +207,8 @@
 			b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFailed})
 			wait := b.d.pollAt - b.now
 			if limit := b.d.settings.PollInterval / 5; wait > 2*limit || i < fastPollRetries && wait > limit {
-				t.Errorf("failed poll %d: got the next poll in %d us, want it in 1/5 of the poll interval, later in 2/5",
+				t.Errorf(
+					"failed poll %d: got the next one in %d us, want 1/5 of the poll interval at most, 2/5 from the 4th on",
 					i+1, wait)
 			}
 			meanWaits[i] += float64(wait) / float64(len(all)) / second
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -69,7 +69,7 @@
 	workers            int
 	restarted          int     // workers of zone 0 that restart; 0 means all of zone 0, -1 the whole fleet
 	load               float64 // offered work as a fraction of the capacity of the warm fleet
-	maxDelay           Micros  // longest time from a restart until a dispatcher's list shows it
+	maxDelay           Micros  // longest time from a worker's restart until all dispatchers list the restart
 	dispatcherRestarts float64 // fraction of the dispatchers that restart during the simulation
 	secondStart        bool    // the workers stop again 3 s after the first restart, and start 1 s later
 	seed               uint64
@@ -93,7 +93,7 @@
 	worker     *rampWorker
 	work       float64
 	slots      float64
-	endsAt     Micros // time at which the attempt will end; 0 while it waits for a slot
+	endsAt     Micros // time at which the attempt will end; 0 while the attempt waits for a slot
 	ended      bool
 }
 
@@ -134,7 +134,7 @@
 		restarted = "all"
 	}
 	return fmt.Sprintf(
-		"%s, %d dispatchers (settings: %d, 0 for all), %d workers, %s restarted, load %v, all list it in %v ms, "+
+		"%s, %d dispatchers (%d stated, 0 means all), %d workers, %s restarted, load %v, lists updated in %v ms, "+
 			"fraction %v of dispatchers restarts, second restart %v", c.deployment.name, c.dispatchers,
 		c.statedDispatchers, c.workers, restarted, c.load, c.maxDelay/1000, c.dispatcherRestarts, c.secondStart)
 }
@@ -456,7 +456,7 @@
 						t.Errorf("restarted workers used %.2f of their capacity, want at least 0.1: %v", result.utilization, &c)
 					}
 					t.Logf(
-						"of the limit dispatchers that list the restart sent %.2f, all %.2f; capacity used %.2f, %d sends: %v",
+						"dispatchers that list the restart sent %.2f of the limit, all %.2f; capacity used %.2f, %d sends: %v",
 						result.informed, result.total, result.utilization, result.sends, &c)
 				}
 			})
--- a/internal/subset/ring_test.go
+++ b/internal/subset/ring_test.go
@@ -44,7 +44,7 @@
 			}
 			r.Cover(start, length, func(it *testMember, in bool) {
 				if it.covered == in {
-					t.Fatalf("ring member %d: got two reports in a row that its place in the interval became %v, want one",
+					t.Fatalf("ring member %d: got a second report in a row of covered %v, want reports of changes only",
 						it.number, in)
 				}
 				it.covered = in
@@ -53,7 +53,7 @@
 			copied := r.Clone(func(it *testMember) *testMember { copied := *it; copies[it] = &copied; return &copied },
 				func(it *testMember, group *Group[*testMember]) { it.group = group })
 			copied.Cover(start, length, func(it *testMember, _ bool) {
-				t.Fatalf("member %d of a cloned ring: got it entering or leaving the unchanged interval, want neither",
+				t.Fatalf("member %d of a cloned ring: got a change of covered by an equal interval, want no change",
 					it.number)
 			})
 			checkAgainstRecomputation(t, &r, items, start, length)
@@ -85,14 +85,15 @@
 		for rank, number := range numbers {
 			it, position := items[number], (float64(rank)+0.5)/float64(len(numbers))
 			if got := it.group.Position(number); got != position {
-				t.Fatalf("member %d has position %v, want %v", number, got, position)
+				t.Fatalf("ring member %d: got position %v, want %v", number, got, position)
 			}
 			distance := position - start
 			if distance < 0 {
 				distance++
 			}
 			if it.covered != (distance < length) {
-				t.Fatalf("member %d at distance %v from the start %v: got covered %v, want that for a distance below %v",
+				t.Fatalf(
+					"ring member %d at distance %v from the interval's start %v: got covered %v, want it below length %v",
 					number, distance, start,
 					it.covered, length)
 			}
@@ -113,7 +114,7 @@
 			changedOthers, removed, start := 0, 0, 0.618
 			count := func(i int, _ bool) {
 				if i%2 != 0 {
-					t.Errorf("member %d: got it entering or leaving the interval by a change in another group, want not", i)
+					t.Errorf("member %d: got a change of covered by a change in another group, want none", i)
 				}
 				if i != removed {
 					changedOthers++
@@ -129,7 +130,7 @@
 					}
 					if r.Cover(start, length, count); changedOthers > 2 {
 						t.Fatalf(
-							"got %d others that enter or leave the interval by 1 change in a group of %d, want 0 to 2; length %v",
+							"got %d other members newly in or out of the interval by 1 change of %d, want up to 2; length %v",
 							changedOthers, n, length)
 					}
 				}
--- a/internal/subset/strategies_test.go
+++ b/internal/subset/strategies_test.go
@@ -245,13 +245,13 @@
 				mean := float64(pairs) / float64(n)
 				if float64(lowest) < mean/2 || heaviest > 1.6 {
 					t.Errorf(
-						"%d schedulers, %d workers: a worker has %d, want half the mean %.1f; load is %.2f of mean, want 1.6",
+						"%d schedulers, %d workers: worker in %d subsets, want half of mean %.1f; load %.2f of mean, want 1.6",
 						schedulers, n,
 						lowest, mean, heaviest)
 				}
 				if limit := float64(2 * schedulers); float64(otherPairs)/float64(removals) > limit {
 					t.Errorf(
-						"%d schedulers, %d workers: %d other pairs change in %d removals, want 2 per scheduler and removal",
+						"%d schedulers, %d workers: %d other pairs change in %d removals, want up to 2 a scheduler and removal",
 						schedulers, n, otherPairs, removals)
 				}
 			}
