--- a/internal/dispatch/index_test.go
+++ b/internal/dispatch/index_test.go
@@ -605,7 +605,7 @@
 	}
 	b.d.inspect()
 	if b.d.panicMode || b.d.countOutliers() != 80 {
-		t.Errorf("got %d outliers of 200 workers and panic mode %v, want 80 and false",
+		t.Errorf("got %d outliers (suspect or ejected) of 200 workers, panic mode %v, want 80 and false",
 			b.d.countOutliers(), b.d.panicMode)
 	}
 	for _, w := range b.d.ordered {
@@ -614,7 +614,7 @@
 	}
 	b.d.inspect()
 	if !b.d.panicMode || b.d.countOutliers() != 200 {
-		t.Errorf("got %d outliers of 200 workers and panic mode %v, want 200 and true",
+		t.Errorf("got %d outliers (suspect or ejected) of 200 workers, panic mode %v, want 200 and true",
 			b.d.countOutliers(), b.d.panicMode)
 	}
 	b.now += second / 100
@@ -624,7 +624,8 @@
 	}
 	b.d.inspect()
 	if b.d.panicMode || len(b.d.suspects) != 0 {
-		t.Errorf("all workers are alive: got panic mode or %d suspects, want neither", len(b.d.suspects))
+		t.Errorf("all workers are alive: got panic mode or %d workers in the list of suspects, want neither",
+			len(b.d.suspects))
 	}
 }
 
@@ -637,19 +638,19 @@
 	w.suspect = true
 	b.d.markSuspect(w)
 	if n := b.d.countOutliers(); n != 1 {
-		t.Fatalf("got %d outliers, want 1", n)
+		t.Fatalf("worker 1 is suspect: got %d outliers (suspect or ejected), want 1", n)
 	}
 	removed := ready(1, 0)
 	removed.Status = Removed
 	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{removed}})
 	if n := b.d.countOutliers(); n != 0 || len(b.d.suspects) != 1 {
-		t.Errorf("removed worker whose record is kept: got %d outliers and %d suspects, want 0 and 1",
+		t.Errorf("removed worker whose record is kept: got %d outliers, %d in the list of suspects, want 0 and 1",
 			n, len(b.d.suspects))
 	}
 	b.now += b.d.settings.RemovedRetention()
 	b.feed(Event{Kind: EndpointsUpdated, Workers: []WorkerEntry{ready(2, 0)}})
 	if n := b.d.countOutliers(); n != 0 || len(b.d.suspects) != 0 {
-		t.Errorf("removed worker after the retention time: got %d outliers and %d suspects, want 0 and 0",
+		t.Errorf("removed worker, retention time over: got %d outliers, %d in the list of suspects, want 0 and 0",
 			n, len(b.d.suspects))
 	}
 }
