--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -112,7 +112,7 @@
 // maxPanics is the number of panics of the decision module after which the next one ends the program.
 const maxPanics = 10
 
-var errTooManyPanics = errors.New("the decision module has panicked more than maxPanics times")
+var errTooManyPanics = errors.New("too many panics of the decision module")
 
 // step passes one event to the scheduler and executes the effects that the scheduler returns. After a panic
 // step lets the scheduler recover. It returns an error, which ends the program, if the scheduler cannot
