--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -20,7 +20,7 @@
 	now        time.Time
 	jobs       []jobState
 	stopped    [2]bool
-	faultsLeft int // number of faults that may still happen
+	faultsLeft int // number of events marked as faults, such as a lost response, that may still happen
 	// misread, if set, replaces the outcome of each attempt before the plan receives it. Tests use misread to
 	// make the client misjudge an outcome.
 	misread func(Outcome) Outcome
@@ -38,11 +38,12 @@
 	received     bool // a scheduler has received the current attempt
 	runs         int
 	firstRun     time.Time // time when the job first ran; zero if it has not run
-	ranOnRack    [2]bool   // whether the job ran on the rack of each scheduler
+	ranOnRack    [2]bool   // for each scheduler, whether the job ran on its rack
 	violation    string
 }
 
-// maxFaults is the number of faults that may happen to a model with one job.
+// maxFaults is the maximum number of events marked as faults, such as a lost response, in each explored order
+// of events of a model with one job.
 const maxFaults = 4
 
 // newClientModel returns a model with the given number of jobs of one class.
@@ -65,7 +66,8 @@
 	c := *m
 	p := *m.plan
 	p.schedulers = slices.Clone(p.schedulers)
-	// The random numbers depend only on the time, so that equal states have equal successors.
+	// The seed of the random numbers depends only on the model's time, so that equal states have equal
+	// successors.
 	p.random = rand.New(rand.NewPCG(7, uint64(m.now.Sub(start))))
 	c.plan = &p
 	c.jobs = slices.Clone(m.jobs)
@@ -78,7 +80,7 @@
 	return &c
 }
 
-// event is something that may happen to a job or to a scheduler.
+// event is something that may happen to a job or to a scheduler in the model.
 type event struct {
 	job, scheduler int
 	name           string
@@ -112,7 +114,7 @@
 	{name: "invalid", result: AttemptResult{Status: 400}, fault: true},
 }
 
-// events returns the events that may happen in the current state.
+// events returns the events that may happen in the current state of the model.
 func (m *clientModel) events() (all []event) {
 	add := func(e event) {
 		if !e.fault || m.faultsLeft > 0 {
@@ -247,9 +249,9 @@
 		}
 		switch {
 		case state.violation != "":
-			return fmt.Errorf("job %d: %s", i, state.violation)
+			return fmt.Errorf("job %d got an invalid step from the plan: %s", i, state.violation)
 		case state.runs > 1 && m.cfg.Classes[state.class].Effect != Safe:
-			return fmt.Errorf("job %d ran %d times, want at most once", i, state.runs)
+			return fmt.Errorf("job %d ran %d times, want at most once for its class", i, state.runs)
 		}
 	}
 	if m.plan.InFlight() != inFlight {
@@ -314,9 +316,10 @@
 	return b
 }
 
-// TestEveryOrder explores every order of events for one job with four faults and for two jobs with two
-// faults. Only jobs of the class safe may run twice, a job that ran must not end as refused or expired, no
-// attempt may start after the job's deadline, and the plan must count the attempts in flight correctly.
+// TestEveryOrder explores every order of events for one job with at most four faults and for two jobs with at
+// most two faults. A fault is an event such as a lost response or a refusal. Only jobs of the class safe may
+// run twice, a job that ran must not end as refused or expired, no attempt may start after the job's
+// deadline, and the plan must count the attempts in flight correctly.
 func TestEveryOrder(t *testing.T) {
 	for class, name := range []string{"once", "rack", "anywhere", "safe"} {
 		one := newClientModel(class, 1)
@@ -325,10 +328,10 @@
 		for _, m := range []*clientModel{one, two} {
 			search := modelcheck.Exhaust(m, 3_000_000)
 			if search.Violation != nil || !search.Exhausted || search.States < 1000 {
-				t.Errorf("%s, %d jobs: explored %v, violation %v by events %q, want all states and no violation",
+				t.Errorf("class %s, %d jobs: explored %v, violation %v by events %q, want all states and no violation",
 					name, len(m.jobs), search, search.Violation, search.Path)
 			}
-			t.Logf("%s, %d jobs: explored %v", name, len(m.jobs), search)
+			t.Logf("class %s, model with %d jobs: explored %v", name, len(m.jobs), search)
 		}
 	}
 }
@@ -344,7 +347,7 @@
 		{onceClass, ReusedClosed, NotSent},
 		{onceClass, NoResponse, NotSent},
 		{rackClass, Malformed, ClientLimited},
-		{anywhereClass, NoResponse, NotSent}, // the retry comes after the deduplication window
+		{anywhereClass, NoResponse, NotSent}, // a retry follows after the deduplication window
 	} {
 		m := newClientModel(c.class, 1)
 		m.cfg.Classes = slices.Clone(m.cfg.Classes)
@@ -360,7 +363,7 @@
 			t.Errorf("class %d, outcome %v misread as %v: got no violation, want one; explored %v",
 				c.class, c.actual, c.misreadAs, search)
 		} else {
-			t.Logf("violation %v by events %q", search.Violation, search.Path)
+			t.Logf("expected violation found: %v by events %q", search.Violation, search.Path)
 		}
 	}
 }
--- a/client/internal/plan/outcome.go
+++ b/client/internal/plan/outcome.go
@@ -5,16 +5,17 @@
 // Outcome classifies how an attempt ended, by what the end proves about whether the job may have run.
 type Outcome uint8
 
-// The outcomes of an attempt.
+// The outcomes of an attempt to submit a job to a scheduler. The function mayHaveRun says after which of them
+// the job may have run.
 const (
 	// Answered means that the scheduler sent a complete response; AttemptResult.Status holds its HTTP status.
 	Answered Outcome = iota
 	// ConnectFailed means that the scheduler refused the connection or that the connection could not be
 	// opened. The scheduler did not receive the job.
 	ConnectFailed
-	// IdleClosed means that the scheduler had closed all idle connections of the client before the attempt
-	// could use one, and that the client did not open a new connection. The scheduler is shutting down or has
-	// too few sockets. It did not receive the job.
+	// IdleClosed means that the scheduler had closed all idle connections of the client before the attempt could
+	// use one, and that the client did not open a new connection. The scheduler is shutting down or has too few
+	// sockets. The scheduler did not receive the job.
 	IdleClosed
 	// NotSent means that the connection broke before the last byte of the request was written. The scheduler
 	// cannot have read the whole job.
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -14,7 +14,7 @@
 // Effect says whether a job may be repeated after an attempt in which it may have run.
 type Effect uint8
 
-// The effects of a class.
+// The effects of a class, from the one that forbids most repetitions of a job to the one that allows all.
 const (
 	// Once marks jobs that must never run twice.
 	Once Effect = iota
@@ -30,8 +30,8 @@
 // Class describes a class of jobs.
 type Class struct {
 	Effect Effect
-	// Window is the deduplication window of a class with the effect Anywhere. It starts with the first attempt
-	// in which the job may have run.
+	// Window is the deduplication window of a class with the effect Anywhere: the time during which duplicates
+	// of a job are dropped. The window starts with the first attempt in which the job may have run.
 	Window time.Duration
 	// MaxAttempts bounds the attempts for one job, the first attempt included. Attempts that got no connection
 	// to the scheduler do not count.
@@ -41,7 +41,7 @@
 // Config is the configuration of a plan.
 type Config struct {
 	Schedulers int     // number of schedulers; a scheduler is identified by an index from 0 to Schedulers-1
-	Classes    []Class // indexed by class number
+	Classes    []Class // classes of jobs, indexed by the class number that Begin takes
 	// RetryBudget is the number of retry tokens that each new job adds, and MaxTokens the largest number of
 	// unused tokens that is kept. A plan starts with one token, and each retry uses one. If no token is left,
 	// the job ends with the result of its last attempt.
@@ -55,23 +55,24 @@
 	// ejected. The first ejection lasts about BaseEjection, and each further ejection without a response in
 	// between lasts twice as long, up to MaxEjection. Missing responses eject a scheduler only if at most half
 	// of the schedulers are then ejected. A scheduler that refuses connections is ejected after one failure,
-	// even if all other schedulers are ejected, because a refused connection is proof enough.
+	// even if all other schedulers are ejected, because a refused connection proves that the scheduler takes no
+	// jobs.
 	EjectAfterFailures        int
 	BaseEjection, MaxEjection time.Duration
 }
 
-// MaxRetryAfter bounds the delay that a client honours from a Retry-After header. A longer delay is taken for
-// a misconfiguration of the scheduler, which must not hold a job for a day.
+// MaxRetryAfter bounds the delay that a client honours from a Retry-After header. The client regards a longer
+// delay as a misconfiguration of the scheduler, which must not delay a job by a day.
 const MaxRetryAfter = time.Minute
 
 // Verdict says how a job ended.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts on a job. All verdicts but Pending are final.
 const (
 	Pending Verdict = iota // the job has not ended: an attempt follows
 	Served                 // a scheduler answered with the result of the job
-	Refused                // the job did not run; Step.At is when the caller may submit it again
+	Refused                // the job did not run; Step.At is when the caller may submit the job again
 	Failed                 // the job may have run, and the scheduler answered with an error status
 	Unknown                // the job may have run, and its result cannot be determined
 	Invalid                // a scheduler rejected the job as invalid
@@ -103,7 +104,7 @@
 	// job cannot have run yet.
 	firstMayHaveRun time.Time
 	scheduler       int     // index of the scheduler of the current or last attempt; -1 before the first attempt
-	inFlight        bool    // an attempt is in flight
+	inFlight        bool    // an attempt of the job is in flight
 	fallbackVerdict Verdict // verdict of the job if no further attempt starts
 	done            bool    // the job has a verdict other than Pending, or its caller cancelled it
 }
@@ -113,8 +114,8 @@
 type Plan struct {
 	cfg        Config
 	random     *rand.Rand
-	tokens     float64          // retry tokens that are left; each retry uses one
-	schedulers []schedulerState // indexed by scheduler
+	tokens     float64          // unused retry tokens; each retry uses one token
+	schedulers []schedulerState // state of each scheduler, indexed by scheduler number
 	preference []int            // scheduler indexes in the random order in which this client prefers them
 	throttled  int              // number of jobs that got no retry because no token was left
 }
@@ -147,7 +148,7 @@
 	case cfg.Backoff <= 0 || cfg.MaxBackoff < cfg.Backoff:
 		return errors.New("backoff: must be positive and not above the maximum backoff")
 	case cfg.EjectAfterFailures <= 0 || cfg.BaseEjection <= 0 || cfg.MaxEjection < cfg.BaseEjection:
-		return errors.New("ejection: count and base duration must be positive, base not above maximum")
+		return errors.New("ejection: number of failures and base duration must be positive, base not above maximum")
 	}
 	for i, class := range cfg.Classes {
 		switch {
@@ -198,7 +199,7 @@
 	return p.finish(j, j.fallbackVerdict, availableAt)
 }
 
-// finish ends a job with the given verdict.
+// finish ends a job with the given verdict. at becomes the time At of the returned step.
 func (p *Plan) finish(j *Job, verdict Verdict, at time.Time) Step {
 	j.done = true
 	return Step{Verdict: verdict, At: at}
@@ -238,7 +239,7 @@
 	}
 	j.fallbackVerdict = finalVerdict(r)
 	if !j.firstMayHaveRun.IsZero() && j.fallbackVerdict == Refused {
-		j.fallbackVerdict = Unknown // the job did not run in this attempt but may have run in an earlier one
+		j.fallbackVerdict = Unknown // the job did not run in this attempt, but may have run in an earlier attempt
 	}
 	if !r.submitted() {
 		return p.failOver(now, j)
@@ -248,7 +249,8 @@
 
 // failOver starts another attempt at once after an attempt that got no connection to its scheduler. The
 // failed attempt does not count towards the class's maximum, because it put no load on any scheduler. The
-// number of such attempts is bounded, because each one ejects its scheduler.
+// number of such attempts is bounded, because each of them ejects its scheduler; only closed idle connections
+// do not eject the last available scheduler.
 func (p *Plan) failOver(now time.Time, j *Job) Step {
 	j.attempts--
 	if now.Before(j.deadline) {
@@ -277,7 +279,7 @@
 func (p *Plan) Throttled() int { return p.throttled }
 
 // retryAllowed reports whether the effect of the job's class allows another attempt that starts at the given
-// time, given whether the job may have run in an earlier attempt.
+// time. Every class allows another attempt if the job cannot have run in an earlier attempt.
 func retryAllowed(j *Job, at time.Time) bool {
 	if j.firstMayHaveRun.IsZero() {
 		return true
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The class numbers of testConfig.
+// The numbers of the four classes in testConfig, which have one effect each.
 const (
 	onceClass = iota
 	rackClass
@@ -26,7 +26,7 @@
 			{Effect: Anywhere, Window: time.Second, MaxAttempts: 3}, {Effect: Safe, MaxAttempts: 3}}}
 }
 
-// start is the time at which the tests begin.
+// start is the simulated time at which each test begins.
 var start = time.Unix(1000, 0)
 
 func newPlan(t testing.TB, cfg Config) *Plan {
@@ -45,7 +45,7 @@
 	for _, c := range []struct {
 		name   string
 		result AttemptResult
-		want   [4]Verdict // once, rack, anywhere, safe
+		want   [4]Verdict // verdicts for the effects once, rack, anywhere, safe
 	}{
 		{"served", AttemptResult{Status: 200}, [4]Verdict{Served, Served, Served, Served}},
 		{"refused", AttemptResult{Status: 503}, retry},
@@ -98,12 +98,12 @@
 		t.Fatal(s)
 	}
 	if s := p.AttemptEnded(start, start, j, AttemptResult{Status: 503}); s.Verdict != Unknown {
-		t.Errorf("got step %+v, want verdict Unknown", s)
+		t.Errorf("refusal after an attempt that may have run: got step %+v, want verdict Unknown", s)
 	}
 }
 
-// TestRetryTimes checks that a retry starts no earlier than the Retry-After, limited to MaxRetryAfter, and
-// that a bounded random delay follows, also without a Retry-After.
+// TestRetryTimes checks that a retry starts no earlier than the scheduler's Retry-After, limited to
+// MaxRetryAfter, and that the plan adds a bounded random delay, also without a Retry-After.
 func TestRetryTimes(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -132,13 +132,13 @@
 			s := p.AttemptEnded(start, start, j, c.result)
 			wait := s.At.Sub(start)
 			if s.Verdict != Pending || wait < c.minWait || wait > c.maxWait {
-				t.Fatalf("%s: got verdict %v after %v, want Pending after %v to %v",
+				t.Fatalf("Retry-After %s: got verdict %v with a wait of %v, want Pending with a wait of %v to %v",
 					c.name, s.Verdict, wait, c.minWait, c.maxWait)
 			}
 			seen[wait] = true
 		}
 		if len(seen) < 10 {
-			t.Errorf("%s: got waits %v, want at least 10 different waits of 50", c.name, seen)
+			t.Errorf("Retry-After %s: got the waits %v from 50 jobs, want at least 10 different waits", c.name, seen)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		}
 	}
 	if retries < 100 || retries > 101 {
-		t.Errorf("got %d retries of 1,000 refused jobs, want 100 or 101", retries)
+		t.Errorf("got %d retries of 1,000 refused jobs with a retry budget of 0.1, want 100 or 101", retries)
 	}
 }
 
@@ -189,7 +189,7 @@
 	}
 	for i, n := range total {
 		if n < 15 || n > 55 {
-			t.Errorf("scheduler %d: got %d of 200 clients, want 15 to 55", i, n)
+			t.Errorf("scheduler %d of 6: used by %d of 200 clients, want 15 to 55", i, n)
 		}
 	}
 	p, _ := New(cfg, 1)
@@ -200,7 +200,7 @@
 	}
 	for i := range cfg.Schedulers {
 		if used[i] < 10 {
-			t.Errorf("120 concurrent jobs: got jobs by scheduler %v, want at least 10 each", used)
+			t.Errorf("120 concurrent jobs: got the numbers of jobs by scheduler %v, want at least 10 each", used)
 			break
 		}
 	}
@@ -224,8 +224,8 @@
 }
 
 // TestEjection checks that a scheduler is ejected after three attempts without a response, or after one
-// refused connection, and that a single probe follows after the ejection. An attempt that fails because of
-// the client's own limits must not eject a scheduler.
+// refused connection, and that a single attempt probes the scheduler after the ejection. An attempt that
+// fails because of the client's own limits must not eject a scheduler.
 func TestEjection(t *testing.T) {
 	for _, c := range []struct {
 		result AttemptResult
@@ -234,7 +234,7 @@
 		{AttemptResult{Outcome: Malformed}, 3}} {
 		p := newPlan(t, testConfig())
 		if got := runFirstAttempts(p, start, 100, p.preference[0], c.result); got != c.want || p.Available() != 2 {
-			t.Errorf("result %+v: got ejection after %d attempts and %d available schedulers, want 2 available",
+			t.Errorf("result %+v: got %d attempts, want 1 if refused, else 3; %d schedulers available, want 2",
 				c.result, got, p.Available())
 		}
 		later := start.Add(2 * time.Second)
@@ -247,16 +247,16 @@
 			}
 		}
 		if probes != 1 {
-			t.Errorf("got %d concurrent probes, want 1", probes)
+			t.Errorf("got %d concurrent attempts at a scheduler whose ejection is over, want 1 probe", probes)
 			continue
 		}
-		// A refusal is a response, so it ends the ejection.
+		// A refusal is a response, so a refused probe ends the ejection of the scheduler.
 		if p.AttemptEnded(later, later, probe, AttemptResult{Status: 503}); p.Available() != 3 {
-			t.Error("scheduler still ejected after a response to the probe, want it available")
+			t.Error("scheduler is still ejected after a response to the probe, want the scheduler available")
 		}
 	}
-	// A scheduler that refuses a job and closes the connection is about to shut down. It must be ejected at
-	// once.
+	// A scheduler that refuses a job and closes the connection is about to shut down. The scheduler must be
+	// ejected at once.
 	p := newPlan(t, testConfig())
 	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
@@ -275,12 +275,12 @@
 		}
 	}
 	if p.Available() != 1 {
-		t.Errorf("got %d available schedulers after all closed their idle connections, want 1", p.Available())
+		t.Errorf("got %d available schedulers after all 3 closed their idle connections, want 1", p.Available())
 	}
 	p = newPlan(t, testConfig())
 	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
-		t.Errorf("client's own limits: got an ejection or only %d attempts, want at least 10 and no ejection",
+		t.Errorf("failures by the client's own limits: got an ejection or %d attempts, want none and at least 10",
 			got)
 	}
 }
@@ -298,7 +298,7 @@
 	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	for n := range cfg.Schedulers {
 		if !s.StartNow || s.Retry || p.InFlight() != 1 {
-			t.Fatalf("scheduler %d: got step %+v, %d attempts in flight, want one that is not marked as a retry",
+			t.Fatalf("after %d refused connections: got step %+v, %d in flight, want 1 attempt that is no retry",
 				n, s, p.InFlight())
 		}
 		if s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: ConnectFailed}); s.Verdict != Pending ||
@@ -308,9 +308,10 @@
 		s = p.Start(start, j)
 	}
 	if !s.AllEjected || p.Available() != 0 {
-		t.Errorf("got step %+v, %d available schedulers, want AllEjected and 0", s, p.Available())
+		t.Errorf("all schedulers refuse connections: got step %+v, %d available schedulers, want AllEjected and 0",
+			s, p.Available())
 	}
-	// If the job may have run in an earlier attempt, a refused connection must not end it as refused.
+	// If the job may have run in an earlier attempt, a refused connection must not end the job as refused.
 	p = newPlan(t, testConfig())
 	j, _ = p.Begin(start, safeClass, start.Add(time.Second))
 	s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: NoResponse})
@@ -320,13 +321,13 @@
 		}
 	}
 	if s.Verdict != Unknown {
-		t.Errorf("got step %+v, want verdict Unknown after refused connections", s)
+		t.Errorf("refused connections after an attempt that may have run: got step %+v, want verdict Unknown", s)
 	}
 }
 
 // TestEjectionFloor checks that missing responses eject at most half of the schedulers and that refused
-// connections may eject all of them. If all are ejected, a job must wait until one may be available, or end
-// as refused at once if its deadline is earlier.
+// connections may eject all of them. If all schedulers are ejected, a job must wait until a scheduler may be
+// available, or end as refused at once if the job's deadline is earlier.
 func TestEjectionFloor(t *testing.T) {
 	p := newPlan(t, testConfig())
 	for i := range p.schedulers {
@@ -345,13 +346,13 @@
 	}
 	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	if s.Verdict != Pending || s.StartNow || !s.AllEjected || s.At.Before(start.Add(400*time.Millisecond)) {
-		t.Fatalf("got step %+v, want a wait of at least 400 ms with AllEjected", s)
+		t.Fatalf("all schedulers ejected: got step %+v, want a wait of at least 400 ms with AllEjected", s)
 	}
 	if s = p.Start(s.At, j); !s.StartNow {
-		t.Errorf("got step %+v after the wait, want a probe now", s)
+		t.Errorf("got step %+v after the wait for an ejected scheduler, want an attempt now as a probe", s)
 	}
 	if _, s = p.Begin(start, onceClass, start.Add(100*time.Millisecond)); s.Verdict != Refused || s.At.IsZero() {
-		t.Errorf("got step %+v, want verdict Refused with a time", s)
+		t.Errorf("deadline before the end of all ejections: got step %+v, want verdict Refused with a time", s)
 	}
 	// All clients lose a failed scheduler at the same moment, so the ends of their ejections must be spread.
 	seen := map[time.Time]bool{}
@@ -361,7 +362,8 @@
 		seen[p.schedulers[0].ejectedUntil.Truncate(50*time.Millisecond)] = true
 	}
 	if len(seen) < 10 {
-		t.Errorf("got ejections of 50 clients that end in %d intervals of 50 ms, want at least 10", len(seen))
+		t.Errorf("got ejections of 50 clients that end in %d different intervals of 50 ms, want at least 10",
+			len(seen))
 	}
 }
 
@@ -371,7 +373,7 @@
 	p := newPlan(t, testConfig())
 	refusal := AttemptResult{Status: 503, HasRetryAfter: true, RetryAfter: time.Second}
 	if got := runFirstAttempts(p, start, 1000, p.preference[0], refusal); got > 200 {
-		t.Errorf("got %d of 1,000 jobs at the scheduler that refuses all, want at most 200", got)
+		t.Errorf("got %d of 1,000 jobs at the scheduler that refuses all jobs, want at most 200", got)
 	}
 	// A retry must go to another scheduler.
 	for range 50 {
@@ -432,9 +434,9 @@
 		recordStep := func(tracked *trackedJob, s Step) bool {
 			for s.Verdict == Pending && !s.StartNow {
 				if s.At.Before(now) {
-					t.Fatal("got a wait that ends in the past, want it to end now or later")
+					t.Fatal("plan returned a wait that ends in the past, want an end now or later")
 				}
-				s = p.Start(s.At, tracked.job) // events of other jobs are not played during the wait
+				s = p.Start(s.At, tracked.job) // during the wait, the test plays no events of other jobs
 			}
 			if s.Verdict != Pending {
 				return false
@@ -444,14 +446,14 @@
 			class := cfg.Classes[tracked.class]
 			switch {
 			case !s.At.Before(tracked.deadline):
-				t.Fatalf("got an attempt that starts %v after the deadline, want it to start before",
+				t.Fatalf("got an attempt that starts %v after the job's deadline, want a start before",
 					s.At.Sub(tracked.deadline))
 			case s.At.Before(now):
-				t.Fatal("got an attempt that starts in the past, want it to start now or later")
+				t.Fatal("plan returned an attempt that starts in the past, want a start now or later")
 			case tracked.attempts > class.MaxAttempts:
-				t.Fatalf("got attempt %d, want no more attempts than the class allows", tracked.attempts)
+				t.Fatalf("got attempt %d of a job, want no more attempts than the job's class allows", tracked.attempts)
 			case s.Retry != (tracked.attempts > 1):
-				t.Fatal("step is wrongly marked or not marked as a retry")
+				t.Fatal("first attempt is marked as a retry, or a later attempt is not")
 			case s.Scheduler < 0 || s.Scheduler >= cfg.Schedulers:
 				t.Fatalf("got scheduler %d, want an index of a configured scheduler", s.Scheduler)
 			}
@@ -504,7 +506,7 @@
 			}
 		}
 		if limit := 1 + cfg.RetryBudget*float64(newJobs); float64(retries) > limit {
-			t.Fatalf("got %d retries of %d jobs, want at most %v", retries, newJobs, limit)
+			t.Fatalf("got %d retries of %d jobs, want at most %v by the retry budget", retries, newJobs, limit)
 		}
 		if p.InFlight() != len(inFlight) {
 			t.Fatalf("%d attempts are in flight, but the plan counts %d", len(inFlight), p.InFlight())
--- a/client/internal/plan/schedulers.go
+++ b/client/internal/plan/schedulers.go
@@ -7,8 +7,8 @@
 	inFlight            int     // number of this client's attempts that are in flight at the scheduler
 	consecutiveFailures int     // number of attempts without a response since the last response
 	refusalRate         float64 // moving average of the fraction of responses that were refusals, from 0 to 1
-	// ejectionDuration is the nominal duration of the last ejection. It is zero after a response, so that the
-	// next ejection starts from the base duration.
+	// ejectionDuration is the nominal duration of the scheduler's last ejection, without the random variation.
+	// The field is zero after a response, so that the next ejection starts from the base duration.
 	ejectionDuration time.Duration
 	ejectedUntil     time.Time // end of the current ejection; zero if the scheduler is not ejected
 	// probing reports that the ejection time has passed and that a single attempt is in flight to test whether
@@ -24,19 +24,19 @@
 	// few attempts in flight; without the weight it would look idle and attract all jobs. If all schedulers
 	// refuse the same fraction of jobs, the weight does not change the choice among them.
 	refusalLoadWeight = 8
-	// maxPreferredLoad is the estimated load, in attempts, above which the client also considers schedulers
-	// further down in its order of preference. Below this load, the client uses only the first available
-	// schedulers of that order: connections are reused only if jobs go to the same schedulers, and a scheduler
-	// has too few sockets for a connection from every client.
+	// maxPreferredLoad is the load of a scheduler, as schedulerState.load estimates the load in attempts in
+	// flight, above which the client also considers schedulers further down in its order of preference. Below
+	// this load, the client uses only the first available schedulers of that order: connections are reused only
+	// if jobs go to the same schedulers, and a scheduler has too few sockets for a connection from every client.
 	maxPreferredLoad = 4
-	// recheckSpreadDivisor determines the random delay of jobs that wait until an ejection ends: the delay is
-	// at most the base ejection duration divided by recheckSpreadDivisor. It keeps the jobs from starting at the
-	// same moment.
+	// recheckSpreadDivisor determines the random delay of jobs that wait until an ejection ends: the delay is at
+	// most the base ejection duration divided by recheckSpreadDivisor. The random delay keeps the jobs from
+	// starting at the same moment.
 	recheckSpreadDivisor = 4
 )
 
-// load estimates how busy the scheduler is: the number of attempts in flight including the one to place,
-// raised in proportion to refusalRate.
+// load estimates how busy the scheduler is: the number of this client's attempts in flight at the scheduler,
+// including the attempt to be placed, multiplied by a factor that grows with refusalRate.
 func (s *schedulerState) load() float64 {
 	return float64(s.inFlight+1) * (1 + refusalLoadWeight*s.refusalRate)
 }
@@ -72,7 +72,7 @@
 	s := &p.schedulers[number]
 	switch r.Outcome {
 	case ClientLimited:
-		// The client's own limits caused the failure, so the scheduler's state does not change.
+		// After ClientLimited, the scheduler's state does not change: the client's own limits caused the failure.
 	case IdleClosed:
 		if s.available() && p.Available() > 1 {
 			p.eject(now, s)
@@ -100,9 +100,9 @@
 	}
 }
 
-// recordFailure counts an attempt without a response, and ejects the scheduler after EjectAfterFailures of
-// them in a row. A scheduler that refuses connections is ejected at once, however many other schedulers are
-// ejected.
+// recordFailure counts an attempt without a response, and ejects the scheduler after EjectAfterFailures such
+// attempts in a row, or after a single one that was a probe. A scheduler that refuses connections is ejected
+// at once, however many other schedulers are ejected.
 func (p *Plan) recordFailure(now time.Time, s *schedulerState, r AttemptResult) {
 	s.consecutiveFailures++
 	if r.Outcome != ConnectFailed {
@@ -110,11 +110,13 @@
 			return
 		}
 		if s.available() && !p.mayEjectAnother() {
-			return // more than half would be ejected: the evidence is doubtful, and few alternatives remain
+			// More than half of the schedulers would be ejected. Missing responses are doubtful evidence of a failed
+			// scheduler, and few alternatives would remain.
+			return
 		}
 	}
 	if now.Before(s.ejectedUntil) {
-		return // attempts that were in flight at the ejection report the same failure again
+		return // already ejected: an attempt from before the ejection reports the failure again
 	}
 	p.eject(now, s)
 }
@@ -124,7 +126,7 @@
 
 // eject ejects a scheduler and doubles its ejection duration. The actual time is random, between half and one
 // and a half times the ejection duration: all clients lose a failed scheduler at the same moment, and they
-// must not all try it again at the same moment.
+// must not all send a probe to that scheduler at the same moment.
 func (p *Plan) eject(now time.Time, s *schedulerState) {
 	s.ejectionDuration = min(max(2*s.ejectionDuration, p.cfg.BaseEjection), p.cfg.MaxEjection)
 	s.ejectedUntil = now.Add(s.ejectionDuration/2 + p.jitter(s.ejectionDuration))
