--- a/client/attempt.go
+++ b/client/attempt.go
@@ -32,8 +32,8 @@
 	return r.Outcome != plan.ConnectFailed && r.Outcome != plan.IdleClosed && r.Outcome != plan.ClientLimited
 }
 
-// sendAttempt sends one attempt to the scheduler of the step and waits for the response, until the deadline
-// at most. The result classifies how the attempt ended, by whether the job may have run.
+// sendAttempt sends one attempt to the scheduler that the step names, and waits for the response until the
+// deadline at most. The outcome in the result shows whether the job may have run in the attempt.
 func (c *Client) sendAttempt(
 	ctx context.Context, job *Job, step plan.Step, deadline time.Time) attemptResult {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -45,7 +45,7 @@
 	reusable := false
 	defer func() { c.pool.put(step.Scheduler, connection, reusable) }()
 	// A cancellation by the caller interrupts all reads and writes, so that the connection is closed at once.
-	// The close tells the scheduler of the cancellation.
+	// The closed connection tells the scheduler that the job is cancelled.
 	defer context.AfterFunc(ctx, func() { connection.SetDeadline(time.Now()) })()
 	connection.SetDeadline(deadline)
 	remaining := time.Until(deadline).Milliseconds()
@@ -130,8 +130,7 @@
 )
 
 // readResponse reads the response to a request that was written completely. A response counts as received
-// only if it is complete and states its length: without a length, a response that was cut off would look
-// complete.
+// only if it is complete and states its length: a truncated response without a length would look complete.
 func (c *conn) readResponse() attemptResult {
 	if err := c.reader.Wait(); err != nil {
 		if c.reused && !isTimeout(err) {
--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -89,12 +89,13 @@
 	})
 }
 
-// reportPercentiles reports the 50th and the 99th percentile of the latencies.
+// reportPercentiles reports the 50th and the 99th percentile of the latencies as metrics of the benchmark, in
+// nanoseconds.
 func reportPercentiles(b *testing.B, latencies []time.Duration) {
 	slices.Sort(latencies)
 	b.ReportMetric(float64(latencies[len(latencies)/2]), "p50-ns")
 	b.ReportMetric(float64(latencies[len(latencies)*99/100]), "p99-ns")
 }
 
-// defaultDeadline is the deadline of the benchmark's class, in nanoseconds.
+// defaultDeadline is the time that the benchmark's class allows for a job, in nanoseconds.
 const defaultDeadline = 5_000_000_000
--- a/client/client.go
+++ b/client/client.go
@@ -20,10 +20,10 @@
 // Job is one job to submit.
 type Job struct {
 	Class  string // name of a class in Config.Classes
-	Tenant string // "" means Config.Tenant
+	Tenant string // tenant that submits the job; "" means Config.Tenant
 	Object string // name of the job's object, the last element of the request path; "" means the attempt's id
 	Key    string // idempotency key, sent with each attempt; "" means no key
-	Body   []byte // at most MaxBodyBytes long
+	Body   []byte // content of the job, at most MaxBodyBytes long
 	Slots  int    // number of slots that the job takes at its worker; 0 means one slot
 	// Deadline is the time by which Do returns. Zero means the deadline of the job's class, counted from the
 	// call of Do. An earlier deadline of the context takes precedence.
@@ -39,13 +39,15 @@
 // Client submits jobs. It is safe for concurrent use.
 type Client struct {
 	cfg     Config
-	classes map[string]int // class number in the plan, by class name
+	classes map[string]int // index of each class in the plan's list of classes, by class name
 	log     *slog.Logger
 	pool    *pool
 
-	mu        sync.Mutex // guards the fields below
-	plan      *plan.Plan
-	available chan struct{} // closed and replaced when all schedulers were ejected and one becomes available
+	mu   sync.Mutex // guards plan and available
+	plan *plan.Plan
+	// available is closed, to wake the jobs that wait for a scheduler, and replaced by a new channel when a
+	// scheduler becomes available after all schedulers were ejected.
+	available chan struct{}
 }
 
 // New returns a client with the given configuration. The error names the invalid field.
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -21,7 +21,8 @@
 	"dahliaford/internal/testcluster"
 )
 
-// afterResponse says what a scripted scheduler does with the connection after it has sent the scripted bytes.
+// afterResponse says what a scriptedScheduler does with a connection after it has sent the bytes that the
+// test chose as the response.
 type afterResponse string
 
 const (
@@ -102,8 +103,8 @@
 	return true
 }
 
-// newTestClient returns a client with one class of each of the effects once, rack and safe. Its retry budget
-// allows one retry for each job.
+// newTestClient returns a client with three classes of jobs, which have the effects once, rack and safe. Its
+// retry budget allows one retry for each job.
 func newTestClient(t *testing.T, schedulers ...string) *Client {
 	t.Helper()
 	c, err := New(Config{Schedulers: schedulers, Tenant: "sahel", Seed: 1, RetryBudget: 1,
@@ -121,8 +122,9 @@
 // served is a complete response with status 200.
 const served = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nresult"
 
-// TestResponseCutAtEveryByte cuts the response off after every possible number of bytes. A truncated response
-// must end as unknown, and a job that must not run twice must be submitted only once.
+// TestResponseCutAtEveryByte closes or resets the connection after every possible number of bytes of the
+// response. A truncated response must end as unknown, and a job that must not run twice must be submitted
+// only once.
 func TestResponseCutAtEveryByte(t *testing.T) {
 	for cut := range len(served) + 1 {
 		for _, then := range []afterResponse{resetConnection, closeConnection} {
@@ -133,16 +135,18 @@
 			if cut == len(served) {
 				want = "served"
 			}
-			// A reset may discard bytes that were sent before it, so that a complete response counts as cut off.
+			// A reset of the connection may discard bytes that the server sent before the reset, so a complete
+			// response may end as unknown, too.
 			if got := Verdict(err); got != want && (then != resetConnection || got != "unknown") {
-				t.Errorf("cut after %d bytes, connection action %s: got verdict %s, want %s (error %v)",
+				t.Errorf("response cut after %d bytes, then connection action %s: got verdict %s, want %s (error %v)",
 					cut, then, got, want, err)
 			}
 			if err == nil && string(result.Body) != "result" {
-				t.Errorf("cut after %d bytes: got result %q, want \"result\"", cut, result.Body)
+				t.Errorf("response cut after %d bytes: got result %q, want \"result\"", cut, result.Body)
 			}
 			if n := s.received.Load(); n != 1 {
-				t.Errorf("cut after %d bytes, connection action %s: job submitted %d times, want once", cut, then, n)
+				t.Errorf("response cut after %d bytes, then connection action %s: job submitted %d times, want once",
+					cut, then, n)
 			}
 		}
 	}
@@ -190,7 +194,7 @@
 	start := time.Now()
 	r, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading", Key: "k"})
 	if err != nil || r.Attempts != 3 || time.Since(start) < 100*time.Millisecond {
-		t.Fatalf("got result %+v, error %v after %v; want success by attempt 3 after at least 100 ms",
+		t.Fatalf("got result %+v, error %v after %v; want success by attempt 3 after two delays of 50 ms",
 			r, err, time.Since(start))
 	}
 	ids := map[string]bool{}
@@ -255,7 +259,7 @@
 			t.Fatal(err)
 		}
 		if _, err := c.Do(t.Context(), Job{Class: class}); Verdict(err) != want {
-			t.Errorf("class %s: got error %v, want verdict %s", class, err, want)
+			t.Errorf("class %s, reused connection reset: got error %v, want verdict %s", class, err, want)
 		}
 	}
 }
@@ -268,9 +272,10 @@
 		s := startScripted(t, func(int64) (string, afterResponse) { return served, then })
 		c := newTestClient(t, s.Addr().String())
 		for n := range 5 {
-			// A reset may discard a response that was sent before it. This test does not check that case.
+			// A reset of the connection may discard the response that the server sent before the reset, so the test
+			// accepts an error after a reset.
 			if _, err := c.Do(t.Context(), Job{Class: "post-reading"}); err != nil && then == closeConnection {
-				t.Fatalf("job %d, connection action %s: got error %v, want none", n, then, err)
+				t.Fatalf("job %d, connection action %s after each response: got error %v, want none", n, then, err)
 			}
 			waitFor(t, func() bool {
 				c.pool.mu.Lock()
@@ -299,7 +304,8 @@
 	deadline := time.Now().Add(200 * time.Millisecond)
 	_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline})
 	if late := time.Since(deadline); Verdict(err) != "unknown" || late < 0 || late > 2*time.Second {
-		t.Errorf("got error %v, %v after the deadline; want verdict unknown within 2 s after the deadline",
+		t.Errorf(
+			"job without a response: got error %v, %v after its deadline; want verdict unknown, at most 2 s after",
 			err, late)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -342,7 +348,7 @@
 		"connections": {Schedulers: []string{"x"}, Classes: map[string]Class{"a": good}, MaxConnections: -1},
 	} {
 		if _, err := New(cfg); err == nil || !strings.HasPrefix(err.Error(), "client: "+want) {
-			t.Errorf("got error %v, want prefix \"client: %s\"", err, want)
+			t.Errorf("invalid configuration: got error %v, want prefix \"client: %s\"", err, want)
 		}
 	}
 }
@@ -401,7 +407,7 @@
 			defer mu.Unlock()
 			verdicts[Verdict(err)]++
 			if err == nil && string(r.Body) != strings.ToUpper(body) {
-				t.Errorf("%s: got result %q, want the job's body in capitals", body, r.Body)
+				t.Errorf("%s: got result %q, want the job's body in capitals, as the worker returns it", body, r.Body)
 			}
 		})
 		time.Sleep(5 * time.Millisecond)
--- a/client/config.go
+++ b/client/config.go
@@ -14,7 +14,7 @@
 // Effect says whether jobs of a class may be repeated after an attempt in which they may have run.
 type Effect string
 
-// The effects of a class.
+// The effects of a class, from the one that forbids most repetitions of a job to the one that allows all.
 const (
 	// Once marks jobs that must never run twice. The client never repeats an attempt that may have run.
 	Once Effect = "once"
@@ -28,7 +28,7 @@
 	Safe Effect = "safe"
 )
 
-// effects maps each effect to its value in the plan.
+// effects maps each effect to the value that package plan uses for that effect.
 var effects = map[Effect]plan.Effect{Once: plan.Once, Rack: plan.Rack, Anywhere: plan.Anywhere,
 	Safe: plan.Safe}
 
@@ -36,8 +36,8 @@
 type Class struct {
 	Deadline time.Duration // maximum time for a job with all its attempts; must be positive
 	Effect   Effect
-	// Window is the deduplication window of a class with the effect Anywhere. It starts with the first attempt
-	// in which the job may have run.
+	// Window is the deduplication window of a class with the effect Anywhere: the time during which duplicates
+	// of a job are dropped. The window starts with the first attempt in which the job may have run.
 	Window      time.Duration
 	MaxAttempts int // maximum number of attempts for one job, including the first attempt; 0 means 3
 }
@@ -56,8 +56,8 @@
 	// ConnectRate bounds the number of new connections per second to all schedulers together. A fifth of that
 	// number may be opened in one burst. 0 means 50.
 	ConnectRate float64
-	Log         *slog.Logger // nil disables logging
-	Observer    Observer     // receives events for metrics; nil disables them
+	Log         *slog.Logger // receives a line for each failed attempt; nil disables logging
+	Observer    Observer     // receives the client's events, for metrics; nil means that nobody does
 	Seed        uint64       // seed of the random choices; 0 means a seed from the current time
 }
 
@@ -67,10 +67,10 @@
 	defaultMaxConnections = 64
 	defaultConnectRate    = 50
 
-	// maxRetryTokens is the maximum number of unused retries that the retry budget keeps.
+	// maxRetryTokens is the maximum number of unused retries that the retry budget saves for later jobs.
 	maxRetryTokens = 10
-	// baseBackoff is the upper end of the random delay before the first retry of a job. It doubles with each
-	// further retry, up to maxBackoff.
+	// baseBackoff is the upper end of the random delay before the first retry of a job. The upper end doubles
+	// with each further retry, up to maxBackoff.
 	baseBackoff = 50 * time.Millisecond
 	maxBackoff  = time.Second
 	// ejectAfterFailures is the number of consecutive attempts without a response after which a scheduler is
@@ -104,8 +104,8 @@
 	return cfg
 }
 
-// planConfig returns the configuration of the plan and the plan's class number of each class name. The error
-// names the invalid field by its path in a configuration file.
+// planConfig returns the configuration for package plan, and the number of each class in that configuration
+// by the class's name. The error names the invalid field by its path in a configuration file.
 func (cfg Config) planConfig() (plan.Config, map[string]int, error) {
 	if cfg.MaxConnections < 0 || cfg.ConnectRate < 0 {
 		return plan.Config{}, nil, errors.New("connections and reconnects_per_s must not be negative")
@@ -135,7 +135,7 @@
 	return planCfg, numbers, nil
 }
 
-// planClass validates a class and converts it to a class of the plan.
+// planClass validates a class and converts it to the form that package plan uses.
 func planClass(class Class) (plan.Class, error) {
 	effect, known := effects[class.Effect]
 	switch {
--- a/client/configfile_test.go
+++ b/client/configfile_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestInvalidConfigs checks that ParseConfig rejects an invalid file with a single line that names the path
-// of the invalid field, and that a budget of 0 in a file means no retries.
+// of the invalid field, and that a retry budget of 0 in a file means no retries.
 func TestInvalidConfigs(t *testing.T) {
 	const head, class = `{"schedulers":["a:1"],"classes":`, `{"post":{"deadline_ms":1,"effect":"once"}}`
 	for raw, want := range map[string]string{
@@ -65,6 +65,6 @@
 	}
 	cfg, err := ParseConfig([]byte(head + class + `,"budget":0}`))
 	if err != nil || cfg.RetryBudget != -1 {
-		t.Errorf("got configuration %+v, error %v, want RetryBudget -1 for a budget of 0", cfg, err)
+		t.Errorf("got configuration %+v, error %v, want RetryBudget -1 for a budget of 0 in the file", cfg, err)
 	}
 }
--- a/client/errors.go
+++ b/client/errors.go
@@ -10,7 +10,7 @@
 type RefusedError struct {
 	RetryAfter time.Time // earliest time at which the caller should submit the job again
 	// Cause is the reason why the client could not send the job. Cause is nil if a scheduler refused the job, or
-	// if all schedulers were ejected before the first attempt and none became available in time.
+	// if all schedulers were ejected before the first attempt and none became available before the deadline.
 	Cause error
 }
 
@@ -22,7 +22,7 @@
 	return "client: job refused"
 }
 
-// Unwrap returns the cause; it may be nil.
+// Unwrap returns Cause, which may be nil.
 func (e *RefusedError) Unwrap() error { return e.Cause }
 
 // FailedError reports that a job failed. The job may have run.
@@ -49,7 +49,7 @@
 	return "client: job may have run, result unknown: " + e.Cause.Error()
 }
 
-// Unwrap returns the cause; it may be nil.
+// Unwrap returns Cause, which may be nil.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // InvalidJobError reports that a job is invalid. The job did not run, and submitting it again without a
@@ -69,9 +69,9 @@
 // Error implements error.
 func (e *ExpiredError) Error() string { return "client: deadline passed before the job was submitted" }
 
-// Verdict returns the name of how a job ended, given the error that Do returned: served, refused, failed,
-// unknown, invalid or expired. It returns "" for an error whose type is not from this package. The set of
-// names is fixed and small, so that they are suitable as values of a metric label.
+// Verdict returns a name for how a job ended, given the error that Do returned: served, refused, failed,
+// unknown, invalid or expired. Verdict returns "" for an error whose type is not from this package. The set
+// of names is fixed and small, so the names are suitable as values of a metric label.
 func Verdict(err error) string {
 	var refused *RefusedError
 	var failed *FailedError
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -55,7 +55,7 @@
 func ExampleVerdict() {
 	fmt.Println(client.Verdict(nil))
 	fmt.Println(client.Verdict(&client.RefusedError{RetryAfter: time.Now().Add(time.Second)}))
-	fmt.Println(client.Verdict(fmt.Errorf("reading 17: %w", &client.UnknownOutcomeError{})))
+	fmt.Println(client.Verdict(fmt.Errorf("submitting job 17: %w", &client.UnknownOutcomeError{})))
 	// Output:
 	// served
 	// refused
--- a/client/execution.go
+++ b/client/execution.go
@@ -14,18 +14,19 @@
 	deadline time.Time
 
 	planJob   *plan.Job
-	step      plan.Step     // next step of the job, as decided by the plan
-	available chan struct{} // value of Client.available when the plan returned step
+	step      plan.Step     // the plan's latest decision: what to do next with the job
+	available chan struct{} // Client.available at that time; closed when a scheduler becomes available
 
-	// delivered reports that the client wrote a complete request to a scheduler. If the caller then cancels, the
-	// job ends with an UnknownOutcomeError, even if the scheduler's response to that request was a refusal.
+	// delivered reports that the client wrote a complete request for the job to a scheduler. If the caller then
+	// cancels, the job ends with an UnknownOutcomeError, even if the scheduler's response to that request was a
+	// refusal.
 	delivered  bool
 	attempts   int // number of attempts that were submitted to a scheduler
 	lastResult attemptResult
 }
 
-// newExecution starts the first attempt of a job in the plan and returns the execution of the job. class is
-// the plan's class number.
+// newExecution passes a new job to the plan, which decides the first step, and returns the execution of the
+// job. class is the number of the job's class in the plan.
 func (c *Client) newExecution(job *Job, class int, deadline time.Time) *execution {
 	e := &execution{client: c, job: job, deadline: deadline}
 	c.mu.Lock()
@@ -51,7 +52,7 @@
 }
 
 // wait waits until the time at which the next attempt may start. If all schedulers are ejected, wait returns
-// earlier when one becomes available. The returned error is the context's error.
+// earlier when a scheduler becomes available. The error is not nil if the context ends during the wait.
 func (e *execution) wait(ctx context.Context) error {
 	wake := e.available
 	if !e.step.AllEjected {
@@ -91,7 +92,7 @@
 }
 
 // attemptEnded reports the end of an attempt to the plan. If all schedulers were ejected and the result makes
-// one available again, attemptEnded wakes the jobs that wait for a scheduler.
+// a scheduler available again, attemptEnded wakes the jobs that wait for a scheduler.
 func (c *Client) attemptEnded(start time.Time, job *plan.Job, ended attemptResult) (
 	step plan.Step, available chan struct{}) {
 	c.mu.Lock()
@@ -108,7 +109,8 @@
 	return step, c.available
 }
 
-// cancel ends a job whose caller has cancelled it because of cause, and returns the error that Do returns.
+// cancel ends a job whose context ended with the error cause before the job did, and returns the error that
+// Do returns.
 func (e *execution) cancel(cause error) error {
 	c := e.client
 	c.mu.Lock()
@@ -120,7 +122,7 @@
 	return &RefusedError{RetryAfter: time.Now(), Cause: cause}
 }
 
-// result converts the plan's verdict into the result and the error that Do returns.
+// result converts the plan's verdict on the job into the result and the error that Do returns.
 func (e *execution) result() (*Result, error) {
 	switch e.step.Verdict {
 	case plan.Served:
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -29,7 +29,7 @@
 	build := exec.Command("go", "build", "-o", bin, "./cmd/dahliaford")
 	build.Dir = ".."
 	if out, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%w: %s", err, out)
+		return "", fmt.Errorf("building the scheduler: %w: %s", err, out)
 	}
 	return bin, nil
 })
@@ -60,8 +60,8 @@
 	return f
 }
 
-// maxLateness is the longest time after its deadline at which a call may return. The value allows for a busy
-// machine; schedbench allows only 50 ms.
+// maxLateness is the longest time for which a call of Do may continue after the job's deadline. The value
+// allows for a busy machine; the benchmark program schedbench allows only 50 ms.
 const maxLateness = 2 * time.Second
 
 // truncatingProxy forwards connections to a scheduler. It closes each connection after a fixed number of
@@ -157,7 +157,7 @@
 				defer mu.Unlock()
 				verdicts[Verdict(err)]++
 				if ran > 1 || ran > 0 && Verdict(err) == "refused" {
-					t.Errorf("%s ran %d times, got error %v; want at most one run, and not refused if it ran",
+					t.Errorf("job %s ran %d times, got error %v; want at most one run, and no refusal if the job ran",
 						body, ran, err)
 				}
 			})
@@ -165,16 +165,17 @@
 	}
 	all.Wait()
 	if counts := f.RunCounts(); counts.Duplicates > 0 {
-		t.Errorf("%d post-readings ran more than once, want 0", counts.Duplicates)
+		t.Errorf("%d jobs of class post-reading ran more than once, want 0", counts.Duplicates)
 	}
 	if verdicts["unknown"] < int(lengths[1])/2 {
 		t.Errorf("got verdicts %v, want unknown for at least half of the responses that were cut off", verdicts)
 	}
 }
 
-// TestRestarts restarts schedulers under load: it shuts one scheduler down gracefully, then kills the other
-// one, then kills both at once. Each scheduler is back within 2 s. Jobs must wait for the restarted
-// schedulers instead of failing, and no job may run twice.
+// TestRestarts restarts two schedulers under load: the test shuts one scheduler down gracefully, then kills
+// the other one, then kills both at once. The schedulers are expected to run again within 2 s, before the
+// jobs' deadline of 6 s. Jobs must wait for the restarted schedulers instead of failing, and no job may run
+// twice.
 func TestRestarts(t *testing.T) {
 	f := startFleet(t, 2)
 	c, err := New(Config{Schedulers: f.Schedulers(), Tenant: "sahel", Classes: map[string]Class{
@@ -204,7 +205,7 @@
 				defer mu.Unlock()
 				verdicts[Verdict(err)]++
 				if late := time.Since(deadline); late > maxLateness {
-					t.Errorf("job %d returned %v after its deadline, want no later than the allowed lateness", n, late)
+					t.Errorf("job %d returned %v after its deadline, want at most maxLateness after", n, late)
 				}
 			})
 		}
@@ -240,7 +241,7 @@
 	close(stop)
 	pending.Wait()
 	if counts := f.RunCounts(); counts.Duplicates > 0 {
-		t.Errorf("%d post-readings ran more than once, want 0", counts.Duplicates)
+		t.Errorf("%d jobs of class post-reading ran more than once, want 0", counts.Duplicates)
 	}
 	all := 0
 	for _, n := range verdicts {
@@ -254,13 +255,13 @@
 }
 
 // TestRetryAfter checks for each form of a Retry-After value how long the client waits before the next
-// attempt. A minWait of -1 means that the delay exceeds the deadline, so that the client must not retry and
-// must return a RefusedError with the time.
+// attempt. A minWait of -1 means that the delay exceeds the job's deadline, so that the client must not retry
+// and must return a RefusedError with the time for a new submission.
 func TestRetryAfter(t *testing.T) {
 	for text, minWait := range map[string]time.Duration{
 		"0": 0, "0.05": 50 * time.Millisecond, "2": 2 * time.Second, "-3": 0, "Wed, 21 Oct 2026 07:28:00 GMT": 0,
 		"soon": 0, "NaN": 0, "": 0,
-		"1e300": -1, "Inf": -1, "86400": -1, // longer than the deadline
+		"1e300": -1, "Inf": -1, "86400": -1, // delays beyond the job's deadline
 	} {
 		t.Run(text, func(t *testing.T) {
 			t.Parallel()
@@ -279,14 +280,14 @@
 				var refused *RefusedError
 				if !errors.As(err, &refused) || time.Until(refused.RetryAfter) < 30*time.Second ||
 					s.received.Load() != 1 {
-					t.Errorf("got error %v after %d attempts, want RefusedError with a time after 1 attempt",
+					t.Errorf("got error %v after %d attempts, want RefusedError with a time after 30 s, 1 attempt",
 						err, s.received.Load())
 				}
 				return
 			}
 			if err != nil || time.Duration(wait.Load()) < minWait ||
 				time.Duration(wait.Load()) > minWait+maxLateness {
-				t.Errorf("got error %v, next attempt after %v, want no error and at least %v",
+				t.Errorf("got error %v, next attempt after %v, want no error and a delay of at least %v",
 					err, time.Duration(wait.Load()), minWait)
 			}
 		})
@@ -320,10 +321,10 @@
 					Body: fmt.Append(nil, f.JobPrefix(), name, n)})
 				verdicts[Verdict(err)]++
 				if late := time.Since(deadline); late > maxLateness {
-					t.Errorf("job %d returned %v after its deadline, want no later than the allowed lateness", n, late)
+					t.Errorf("job %d returned %v after its deadline, want at most maxLateness after", n, late)
 				}
 			}
-			if verdicts["served"] < 20 { // half: a slow machine may miss some of the short deadlines
+			if verdicts["served"] < 20 { // half of 40: a slow machine may miss some of the short deadlines
 				t.Errorf("got verdicts %v, %d attempts at the unhealthy scheduler, want at least 20 of 40 jobs served",
 					verdicts, unhealthy.received.Load())
 			}
@@ -347,7 +348,7 @@
 	deadline := time.Now().Add(3 * time.Second)
 	var done sync.WaitGroup
 	var returned, late atomic.Int64
-	verdicts := make([]atomic.Int64, 2) // number of jobs that ended as unknown, and number that did not run
+	verdicts := make([]atomic.Int64, 2) // number of jobs that ended as unknown, number of jobs that did not run
 	for range jobs {
 		done.Go(func() {
 			_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline})
@@ -366,7 +367,7 @@
 	waitFor(t, func() bool { return s.received.Load() > 0 })
 	s.Close() // new connections are refused, and requests on open connections get no response
 	if maxGoroutines := before + jobs + 1000; runtime.NumGoroutine() > maxGoroutines {
-		t.Errorf("got %d goroutines for %d callers, want at most 1,000 more than callers",
+		t.Errorf("got %d goroutines for %d callers, want at most 1,000 more than before the calls and one per call",
 			runtime.NumGoroutine(), jobs)
 	}
 	var m runtime.MemStats
--- a/client/observer.go
+++ b/client/observer.go
@@ -35,7 +35,7 @@
 	Throttled()
 }
 
-// noObserver ignores all events.
+// noObserver is the Observer of a client whose configuration names none. It ignores all events.
 type noObserver struct{}
 
 // AttemptEnded implements Observer.
@@ -50,8 +50,8 @@
 // Throttled implements Observer.
 func (noObserver) Throttled() {}
 
-// failureLabels maps each outcome without a response to its name for Observer. Metrics use the names as label
-// values, so the names must not change when the constants are renamed.
+// failureLabels maps each outcome without a response to the name that an Observer receives for the outcome.
+// Metrics use the names as label values, so the names must not change when the constants are renamed.
 var failureLabels = map[plan.Outcome]string{
 	plan.ConnectFailed: "unreached",
 	plan.IdleClosed:    "parted",
--- a/client/pool.go
+++ b/client/pool.go
@@ -19,7 +19,7 @@
 	net.Conn
 	reader             *http1.Reader
 	reused             bool // the connection has carried a complete request and response before
-	closeAfterResponse bool // the scheduler announced that it closes the connection after the last response
+	closeAfterResponse bool // the scheduler announced in its last response that it closes the connection
 	idleSince          time.Time
 }
 
@@ -27,14 +27,14 @@
 // scheduler and the rate of new connections to all schedulers.
 type pool struct {
 	addrs          []string
-	semaphores     []chan struct{} // indexed by scheduler; each holds one element for every connection in use
+	semaphores     []chan struct{} // indexed by scheduler; each channel holds an element per connection in use
 	connectLimiter *rate.Limiter
 	onConnect      func(scheduler int, err error) // called after each dial with the dial's error
 
 	mu          sync.Mutex // guards the fields below
-	idle        [][]*conn  // indexed by scheduler; the most recently used connection is last
+	idle        [][]*conn  // idle connections by scheduler; the most recently used connection is last
 	lastFailure time.Time  // time when a connection last failed or could not be opened
-	closed      bool       // close was called, so connections are closed after use
+	closed      bool       // close was called, so put closes each connection after its use
 }
 
 const (
@@ -45,8 +45,9 @@
 	// connectTimeout bounds the time for opening a connection, so that after an unreachable scheduler there is
 	// still time to try another scheduler.
 	connectTimeout = time.Second
-	// reconnectJitter is the upper end of the random delay before a new connection after a failure. All clients
-	// lose their connections to a failed scheduler at the same moment and must not all reconnect at once.
+	// reconnectJitter is the upper end of the random delay before a client opens a new connection after a
+	// connection failed. All clients lose their connections to a failed scheduler at the same moment and must
+	// not all reconnect at once.
 	reconnectJitter = 300 * time.Millisecond
 	// reconnectWindow is the time after a failed connection during which new connections are delayed by
 	// reconnectJitter.
@@ -105,8 +106,8 @@
 	return &conn{Conn: opened, reader: http1.NewReader(opened)}, nil
 }
 
-// open opens a connection to a scheduler as soon as the rate limit allows. Shortly after a failed connection,
-// it first waits for a random delay.
+// open opens a connection to a scheduler as soon as the rate limit allows. Within reconnectWindow after a
+// connection failed, open first waits for a random delay.
 func (p *pool) open(ctx context.Context, scheduler int) (net.Conn, error) {
 	if err := p.connectLimiter.Wait(ctx); err != nil {
 		return nil, clientLimitError{err}
@@ -135,10 +136,10 @@
 	p.mu.Unlock()
 }
 
-// takeIdle returns the most recently used idle connection to a scheduler that is still open. It closes the
-// idle connections that it passes over because they exceed idleTimeout or because the scheduler closed them.
-// If no idle connection is left, c is nil, and closed reports whether the scheduler closed at least one of
-// them.
+// takeIdle returns the most recently used idle connection to a scheduler that is still open. takeIdle closes
+// the connections that were idle for longer than idleTimeout or that the scheduler has closed. If no idle
+// connection is left, c is nil, and closed reports whether the scheduler had closed at least one of the
+// connections.
 func (p *pool) takeIdle(scheduler int) (c *conn, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +158,7 @@
 	return nil, closed
 }
 
-// put returns a connection to the pool after an attempt. It keeps the connection as idle if reusable is set
+// put returns a connection to the pool after an attempt. put keeps the connection as idle if reusable is set
 // and the pool is open, and otherwise closes the connection.
 func (p *pool) put(scheduler int, c *conn, reusable bool) {
 	p.mu.Lock()
--- a/client/prom/prom.go
+++ b/client/prom/prom.go
@@ -30,7 +30,7 @@
 //	client_jobs_total{class,verdict}                number of jobs, by verdict (see client.Verdict)
 //	client_job_seconds{class,verdict}               time from the call of Do to its return, in seconds
 //	client_connections_total{scheduler,result}      number of dials, by result: up or failed
-//	client_throttled_total                          number of jobs not retried for lack of budget
+//	client_throttled_total                          number of jobs not retried: retry budget used up
 func New(registerer prometheus.Registerer) (*Observer, error) {
 	// The buckets range from 1 ms to 33 s, which covers the deadlines of the classes.
 	buckets := prometheus.ExponentialBuckets(0.001, 2, 16)
@@ -75,5 +75,6 @@
 	o.connections.WithLabelValues(scheduler, result).Inc()
 }
 
-// Throttled implements client.Observer. It counts a job that got no retry because the budget was used up.
+// Throttled implements client.Observer. It counts a job that got no retry because the retry budget was used
+// up.
 func (o *Observer) Throttled() { o.throttled.Inc() }
--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -16,8 +16,8 @@
 	"dahliaford/client/prom"
 )
 
-// TestCounts checks the metrics after three jobs: a scheduler refuses the first, serves the second, and
-// another scheduler refuses the connection for the third.
+// TestCounts checks the metrics after three jobs: a scheduler refuses the first job and serves the second,
+// and another scheduler refuses the connection for the third job.
 func TestCounts(t *testing.T) {
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if _, err := prom.New(registry); err == nil {
-		t.Error("a second observer was registered with the same registry, want an error")
+		t.Error("got no error for a second observer registered with the same registry, want an error")
 	}
 	do := func(addr string, want string) {
 		c, err := client.New(client.Config{Schedulers: []string{addr}, Observer: o, RetryBudget: -1,
@@ -43,7 +43,7 @@
 		}
 		defer c.Close()
 		if _, err = c.Do(t.Context(), client.Job{Class: "a"}); client.Verdict(err) != want {
-			t.Fatalf("got error %v, want verdict %s", err, want)
+			t.Fatalf("job ended with error %v, want verdict %s", err, want)
 		}
 	}
 	do(addr, "refused")
