--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// compactTxBytes is the maximum size of one transaction of a compaction. The limit also bounds the memory
-// that a compaction takes.
+// compactTxBytes is the maximum size of one transaction of a compaction, in bytes. The limit also bounds the
+// memory that a compaction takes.
 const compactTxBytes = 1 << 20
 
 // BackupTo copies a store into a new file. BackupTo fails if the file already exists.
@@ -29,8 +29,8 @@
 	})
 }
 
-// Restore creates a store from a backup, and returns the number of items. Restore fails if the backup has
-// faults or if the file of the new store already exists.
+// Restore creates a store from a backup, and returns the number of items. Restore fails if Check finds a
+// fault in the backup or if the file of the new store already exists.
 func Restore(backup, path string) (items int, err error) {
 	items, faults, err := Check(backup)
 	if err == nil && len(faults) > 0 {
@@ -42,9 +42,9 @@
 	return items, BackupTo(backup, path)
 }
 
-// Compact rewrites the file without the space of deleted items, and returns the size of the file in bytes
-// before and after. No other process may have the store open. The disk needs free space for a second copy of
-// the bytes in use.
+// Compact rewrites the file of a store without the space of deleted items, and returns the size of the file
+// in bytes before and after the rewrite. No other process may have the store open. The disk needs free space
+// for a second copy of the bytes in use.
 func Compact(path string) (before, after int64, err error) {
 	if before, err = fileSize(path); err != nil {
 		return 0, 0, err
@@ -85,7 +85,7 @@
 	return info.Size(), nil
 }
 
-// createFile fills a new file like replaceFile, and fails if the file already exists.
+// createFile writes a new file in the manner of replaceFile, and fails if a file already exists at path.
 func createFile(path string, fill func(temporary string) error) error {
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		return errors.Join(err, fmt.Errorf("%s already exists and is not overwritten", path))
@@ -94,7 +94,7 @@
 }
 
 // replaceFile calls fill to write a file under a temporary name, syncs the file and renames it to path. After
-// a crash, path has either the old file or the complete new file.
+// a crash at any point, path names either the old file or the complete new file.
 func replaceFile(path string, fill func(temporary string) error) error {
 	temporary := path + ".new"
 	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -16,8 +16,8 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// bareEngineRate returns the number of records per second that bbolt writes without the store, in batches of
-// the given size and with records about as large as those of BenchmarkAccept.
+// bareEngineRate returns the number of records per second that bbolt writes without package store, in batches
+// of the given size and with records about as large as those of BenchmarkAccept.
 func bareEngineRate(b *testing.B, batch int) float64 {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "bare"), 0o600, &bbolt.Options{
 		FreelistType: bbolt.FreelistMapType})
@@ -45,8 +45,8 @@
 }
 
 // BenchmarkAccept measures durable accepts by several concurrent callers. Each caller waits until its item is
-// on disk before it stores the next one. The metric of-engine is the rate relative to bbolt without the
-// store.
+// on disk before it stores the next one. The metric of-engine is the rate of accepted items divided by the
+// rate of records that bbolt writes without package store.
 func BenchmarkAccept(b *testing.B) {
 	for _, callers := range []int{1, 4, 16, 64, 256} {
 		b.Run(fmt.Sprint(callers), func(b *testing.B) {
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -27,18 +27,18 @@
 	readOnly
 )
 
-// bolt implements disk with a bbolt database file.
+// bolt implements the interface disk with a bbolt database file.
 type bolt struct {
 	db *bbolt.DB
-	// metaPageErr is not nil if one of the two meta pages is corrupt. If the newer one is corrupt, bbolt falls
-	// back to the older one, and so loses the latest commit without an error.
+	// metaPageErr is not nil if one of the two meta pages is corrupt. If the newer page is corrupt, bbolt falls
+	// back to the older page, and so loses the latest commit without an error.
 	metaPageErr error
 }
 
 var _ disk = (*bolt)(nil)
 
-// openBolt opens a database file and checks its format. In mode readWrite, openBolt creates the file or
-// migrates an older format if necessary.
+// openBolt opens a database file and checks its format. In mode readWrite, openBolt creates the file if it
+// does not exist, and migrates the file if it has an older format.
 func openBolt(path string, mode access) (*bolt, error) {
 	var db *bbolt.DB
 	err := catchPanics(func() (err error) {
@@ -57,7 +57,7 @@
 	}
 	b := &bolt{db: db, metaPageErr: checkMetaPages(path, db.Info().PageSize)}
 	err = b.view(checkFormat)
-	if err != nil && mode == readWrite { // a file that passes the format check is not modified
+	if err != nil && mode == readWrite { // only a file that fails the format check is modified
 		err = catchPanics(func() error { return db.Update(createOrMigrate) })
 	}
 	if err != nil {
@@ -66,10 +66,11 @@
 	return b, nil
 }
 
-// Layout of the meta pages of bbolt. A file has two meta pages, and commits write them alternately.
+// Layout of the meta pages of bbolt, which describe the latest commits. A file has two meta pages, and
+// commits write to them alternately.
 const (
 	pageHeaderBytes = 16
-	metaBytes       = 56 // bytes of the meta data; the 8 bytes of the FNV-1a checksum follow
+	metaBytes       = 56 // length of the data under the checksum; the FNV-1a checksum of 8 bytes follows
 	metaPages       = 2
 )
 
@@ -98,8 +99,8 @@
 // closeReadOnly closes a file that was only read. An error of Close is ignored, since it cannot lose data.
 func closeReadOnly(f io.Closer) { _ = f.Close() }
 
-// catchPanics calls a function and returns its error. catchPanics turns two failures of bbolt into errors:
-// the panic at a corrupt page, and the memory fault when bbolt reads the mapped file past its end.
+// catchPanics calls do and returns its error. catchPanics turns two failures of bbolt into errors: the panic
+// at a corrupt page, and the memory fault when bbolt reads the mapped file past its end.
 func catchPanics(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -110,16 +111,17 @@
 	return do()
 }
 
-// view calls a function within a read-only transaction.
+// view calls do within a read-only transaction of the database.
 func (b *bolt) view(do func(*bbolt.Tx) error) error {
 	return catchPanics(func() error { return b.db.View(do) })
 }
 
-// bytesInUse returns the size of the file without its free pages. bbolt reuses free pages before the file
-// grows.
+// bytesInUse returns the number of bytes in use in a database file of the given size, which is the size
+// without the free pages. bbolt reuses free pages before the file grows.
 func (b *bolt) bytesInUse(fileSize int64) int64 { return fileSize - int64(b.db.Stats().FreeAlloc) }
 
-// commit writes a batch in one transaction, and returns the number of items and of bytes in use afterwards.
+// commit writes a batch of changes in one transaction, and returns the number of stored items and the number
+// of bytes in use in the file afterwards.
 func (b *bolt) commit(commitTime lifecycle.Micros, batch []Change) (items int, bytes int64, err error) {
 	var fileSize int64
 	err = catchPanics(func() error {
@@ -132,8 +134,8 @@
 	return items, b.bytesInUse(fileSize), err
 }
 
-// applyBatch writes a batch within a transaction, and returns the number of items afterwards. The stored
-// commit time never decreases, even if the wall clock is set back.
+// applyBatch writes a batch of changes within a transaction, and returns the number of stored items
+// afterwards. The stored commit time never decreases, even if the wall clock is set back.
 func applyBatch(tx *bbolt.Tx, commitTime lifecycle.Micros, batch []Change) (int, error) {
 	items, meta := tx.Bucket(itemsBucket), tx.Bucket(metaBucket)
 	count := decodeUint(meta.Get(countKey))
@@ -169,8 +171,8 @@
 
 // forEach calls do for each record. fault is nil for a valid record. Otherwise fault says why the record is
 // invalid: the checksum is wrong, or the state machine of package lifecycle does not allow the record's
-// events. The item may be nil then. A fault with an empty id concerns the store as a whole. An error of do
-// ends the reading.
+// events. The item of an invalid record may be nil. A fault with an empty id concerns the store as a whole.
+// An error that do returns ends the iteration.
 func (b *bolt) forEach(do func(id string, it *lifecycle.Item, fault error) error) error {
 	return b.view(func(tx *bbolt.Tx) error {
 		if b.metaPageErr != nil {
@@ -197,7 +199,7 @@
 	})
 }
 
-// commitTime returns the time of the latest commit.
+// commitTime returns the time of the latest commit to the store.
 func (b *bolt) commitTime() (at lifecycle.Micros, err error) {
 	err = b.view(func(tx *bbolt.Tx) error {
 		at = lifecycle.Micros(decodeUint(tx.Bucket(metaBucket).Get(latestCommitKey)))
@@ -206,7 +208,7 @@
 	return at, err
 }
 
-// size returns the number of items and of bytes in use.
+// size returns the number of stored items and the number of bytes in use in the file.
 func (b *bolt) size() (items int, bytes int64, err error) {
 	var fileSize int64
 	err = b.view(func(tx *bbolt.Tx) error {
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -51,9 +51,9 @@
 	return all
 }
 
-// Guards against an unintended change of the format on disk. A file that an earlier release wrote in format
-// version 2 has the expected items, count and latest commit time, and each item is encoded to the same bytes
-// as in the file. testdata/v2.db must never be regenerated.
+// TestFileOfVersion2 guards against an unintended change of the format on disk. A file that an earlier
+// release wrote in format version 2 has the expected items, count and latest commit time, and each item is
+// encoded to the same bytes as in the file. testdata/v2.db must never be regenerated.
 func TestFileOfVersion2(t *testing.T) {
 	raw, err := os.ReadFile("testdata/v2.db")
 	if err != nil {
@@ -65,14 +65,15 @@
 	}
 	want := version2Items()
 	if items, faults, err := Check(path); err != nil || len(faults) > 0 || items != len(want) {
-		t.Errorf("Check returns %d items, want %d; faults %v, error %v", items, len(want), faults, err)
+		t.Errorf("Check returns %d items, want %d; faults %v, want none; error %v", items, len(want), faults, err)
 	}
 	s := openStore(t, Config{Path: path})
 	if diff := cmp.Diff(want, readAll(t, s)); diff != "" {
 		t.Error(diff)
 	}
 	if commitTime, err := s.disk.commitTime(); err != nil || commitTime < 1_700_000_000_000_000 {
-		t.Errorf("time of the latest commit is %d, want a time after 2023-11-14; error %v", commitTime, err)
+		t.Errorf("latest commit is at %d microseconds since 1970, want a time after 2023-11-14; error %v",
+			commitTime, err)
 	}
 	err = s.disk.(*bolt).db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(itemsBucket).ForEach(func(id, record []byte) error {
@@ -81,7 +82,7 @@
 				return err
 			}
 			if !bytes.Equal(record, c.record) {
-				t.Errorf("item %q is encoded as %q, want %q as in the file", id, c.record, record)
+				t.Errorf("item %q is %q in the file, but this version encodes the item as %q", id, c.record, record)
 			}
 			return nil
 		})
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -18,21 +18,21 @@
 const formatVersion = 2
 
 var (
-	itemsBucket     = []byte("items") // records by item id; a record is a checksum and an item in JSON
+	itemsBucket     = []byte("items") // bucket of the records by item id: a checksum, then the item in JSON
 	metaBucket      = []byte("meta")
 	versionKey      = []byte("version")
-	latestCommitKey = []byte("seen")  // time of the latest commit in microseconds since 1970
-	countKey        = []byte("count") // number of items; a wrong number shows that a record is missing
+	latestCommitKey = []byte("seen")  // key of the latest commit's time, in microseconds since 1970
+	countKey        = []byte("count") // key of the number of items; a wrong number shows a lost record
 )
 
 // checksumBytes is the length of the checksum at the start of each record.
 const checksumBytes = 4
 
-// errCorrupt is the error of a record that differs from what was written.
+// errCorrupt is the error for a record that differs from the record that was written.
 var errCorrupt = errors.New("record is corrupt: its checksum or its content does not match")
 
-// castagnoliTable computes the table at the first use, so that a program that links the store but does not
-// open one does not pay for the computation.
+// castagnoliTable computes the table for CRC-32C checksums at the first use, so that a program that links
+// this package but opens no store does not pay for the computation.
 var castagnoliTable = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
 
 // checksum returns the CRC-32C checksum of a record's key and payload.
@@ -46,7 +46,8 @@
 	return append(binary.BigEndian.AppendUint32(nil, checksum(key, payload)), payload...)
 }
 
-// decodeRecord verifies the checksum of a record and decodes the item. Any failure returns errCorrupt.
+// decodeRecord verifies the checksum of a record and decodes the item. The error is errCorrupt if either step
+// fails.
 func decodeRecord(key, record []byte) (*lifecycle.Item, error) {
 	if len(record) < checksumBytes ||
 		binary.BigEndian.Uint32(record) != checksum(key, record[checksumBytes:]) {
@@ -59,7 +60,7 @@
 	return it, nil
 }
 
-// decodeUint decodes a number of the meta bucket. A missing number is 0.
+// decodeUint decodes a number of the meta bucket. decodeUint returns 0 for a missing number.
 func decodeUint(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
--- a/internal/store/lifecycle/item.go
+++ b/internal/store/lifecycle/item.go
@@ -21,20 +21,20 @@
 // Effect says where a job's class allows another attempt after an earlier attempt may have run.
 type Effect uint8
 
-// Effects, from the most restrictive to the least restrictive.
+// The effects of a class, from the one that forbids most repetitions of a job to the one that allows all.
 const (
 	Once     Effect = iota // the job must never run twice, so no repeat is allowed
-	Rack                   // the workers of a rack drop duplicates for the duration of the window
-	Anywhere               // all workers drop duplicates for the duration of the window
+	Rack                   // the workers of a rack drop duplicates during the deduplication window
+	Anywhere               // all workers drop duplicates during the deduplication window
 	Safe                   // the job may run any number of times
 )
 
 // Outcome says how an attempt ended.
 type Outcome uint8
 
-// Outcomes of an attempt.
+// The possible ends of an attempt; Unfinished means that the attempt has no recorded end.
 const (
-	Unfinished Outcome = iota // the record has no end of the attempt
+	Unfinished Outcome = iota // the item's record shows no end of the attempt
 	NeverRan                  // the attempt did not run and will never run
 	MayHaveRun                // the attempt may have run, or may still run
 	Done                      // the attempt ran, and its result is known
@@ -45,8 +45,8 @@
 	return nameOf(int(o), "not ended", "it never ran", "it may have run", "done")
 }
 
-// nameOf returns the name of an enum value. A corrupt record may contain any value, so values without a name
-// are shown as numbers.
+// nameOf returns the name of an Outcome or a Verdict, which is its index in names. A corrupt record may
+// contain any value, so values without a name are shown as numbers.
 func nameOf(value int, names ...string) string {
 	if value >= len(names) {
 		return fmt.Sprint("unknown: ", value)
@@ -57,11 +57,11 @@
 // Verdict is the kind of an item's final answer.
 type Verdict uint8
 
-// Verdicts of an item.
+// The kinds of final answer that a client can get for an item; None means that there is no answer yet.
 const (
 	None    Verdict = iota // the item has no final answer yet
 	Served                 // the job ran, and its result is known
-	Failed                 // the job has no known result; it may or may not have run
+	Failed                 // the job has no known result; the job may or may not have run
 	Expired                // the deadline passed, and no attempt ran
 )
 
@@ -103,10 +103,10 @@
 	KeepUntil Micros    `json:"keep,omitempty"` // time until which clients can read the answer
 }
 
-// Kind is the kind of an event.
+// Kind says what an Event changes in an item.
 type Kind uint8
 
-// Kinds of events. The acceptance of a job creates the item and is not an event.
+// The kinds of events that change an item. The acceptance of a job creates the item and is not an event.
 const (
 	Routed       Kind = iota // an attempt is about to be sent; the event has Worker and Rack
 	AttemptEnded             // the latest attempt ended; the event has Outcome, and Result if Outcome is Done
@@ -125,7 +125,7 @@
 	KeepUntil Micros
 }
 
-// Errors of Apply and CheckRoute for events that an item does not allow.
+// Reasons why Apply or CheckRoute rejects an event that an item does not allow.
 var (
 	ErrAnswered           = errors.New("item already has its final answer")
 	ErrOutstanding        = errors.New("latest attempt has not ended")
@@ -136,8 +136,8 @@
 	ErrUnjustifiedVerdict = errors.New("recorded attempts do not justify the verdict")
 )
 
-// Apply changes the item by an event. If the item does not allow the event, Apply returns one of the errors
-// above and leaves the item unchanged.
+// Apply changes the item by an event. If the item does not allow the event, Apply returns an error such as
+// ErrAnswered and leaves the item unchanged.
 func (it *Item) Apply(e Event) error {
 	if it.Verdict != None {
 		return ErrAnswered
@@ -167,7 +167,7 @@
 	if !it.Outstanding() || e.Outcome == Unfinished {
 		return ErrNoAttempt
 	}
-	it.Attempts = append([]Attempt(nil), it.Attempts...) // copies of the item may share the old slice
+	it.Attempts = append([]Attempt(nil), it.Attempts...) // copies of the item may share the old array
 	last := &it.Attempts[len(it.Attempts)-1]
 	last.Ended, last.Outcome = e.At, e.Outcome
 	if e.Outcome == Done {
@@ -184,7 +184,8 @@
 	return nil
 }
 
-// justifies reports whether the recorded attempts justify a verdict.
+// justifies reports whether the recorded attempts justify a verdict. Served needs a result, Expired needs
+// that no attempt may have run, and Failed needs nothing.
 func (it *Item) justifies(v Verdict) bool {
 	switch v {
 	case Served:
@@ -215,7 +216,7 @@
 }
 
 // CheckRoute returns nil if another attempt may be sent to a worker of the rack at the given time, and
-// otherwise the reason why not.
+// otherwise an error that says why the attempt is not allowed.
 func (it *Item) CheckRoute(at Micros, rack string) error {
 	switch {
 	case it.Verdict != None:
@@ -240,8 +241,8 @@
 	return ErrMayHaveRun
 }
 
-// Check replays the events of a record and returns an error if the state machine does not allow them. Such a
-// record cannot have been produced by Apply.
+// Check replays the events of a record and returns an error if the state machine does not allow them. Apply
+// cannot have produced a record that Check rejects.
 func (it *Item) Check() error {
 	if it.ID == "" || it.Effect > Safe {
 		return errors.New("item has no id or an unknown effect")
--- a/internal/store/lifecycle/item_test.go
+++ b/internal/store/lifecycle/item_test.go
@@ -23,8 +23,8 @@
 	return Event{Kind: AttemptEnded, At: 2 * second, Outcome: outcome}
 }
 
-// CheckRoute allows or rejects another attempt depending on the effect, on the outcome of the previous
-// attempt, on the rack and on the time.
+// TestCheckRoute checks that CheckRoute allows or rejects another attempt depending on the effect, on the
+// outcome of the previous attempt, on the rack and on the time.
 func TestCheckRoute(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -60,7 +60,8 @@
 	}
 }
 
-// Recover chooses the right step and event for each state of an item on disk and each state of the clock.
+// TestRecover checks the step and the event that Recover returns for each state of an item on disk and each
+// state of the clock.
 func TestRecover(t *testing.T) {
 	outstanding := []Event{routedEvent(second, "a")}
 	ran := append(slices.Clone(outstanding), attemptEndedEvent(MayHaveRun))
@@ -101,23 +102,24 @@
 		it := newItem(c.effect)
 		for _, e := range c.events {
 			if err := it.Apply(e); err != nil {
-				t.Fatalf("%s: %v", c.name, err)
+				t.Fatalf("%s: an event before recovery is rejected with %v, want no error", c.name, err)
 			}
 		}
 		step, event := Recover(&it, c.now, 7*second)
 		if step != c.step || cmp.Diff(c.event, event) != "" {
-			t.Errorf("%s: step is %v, event is %+v", c.name, step, event)
+			t.Errorf("%s: Recover returns step %v and event %+v, want the step and the event of the test case",
+				c.name, step, event)
 		}
 		if step == Apply {
 			if err := it.Apply(event); err != nil {
-				t.Errorf("%s: the item rejects the event of Recover: %v", c.name, err)
+				t.Errorf("%s: the item rejects the event of Recover with %v, want no error", c.name, err)
 			}
 		}
 	}
 }
 
-// The wall clock jumps forwards or backwards by an hour while the store is closed. After a jump backwards,
-// the clock of recovery shows the time of the latest commit and says that the wall clock went back.
+// TestClockJumps lets the wall clock jump forwards or backwards by an hour while the store is closed. After a
+// jump backwards, the Clock for recovery must have the time of the latest commit and WentBack set.
 func TestClockJumps(t *testing.T) {
 	const hour = 3600 * second
 	for _, c := range []struct {
@@ -131,9 +133,10 @@
 	}
 }
 
-// After a random sequence of events, a rejected event leaves the item unchanged, an item with effect Once has
-// at most one attempt that may have run, and Check accepts the record. Recovery reaches a final answer in a
-// few steps. Check rejects a record to which a forbidden attempt was added without Apply.
+// TestProperties applies random sequences of events to an item. A rejected event must leave the item
+// unchanged, an item with effect Once must have at most one attempt that may have run, and Check must accept
+// the record. Recovery must reach a final answer in at most four steps. Check must reject a record to which a
+// forbidden attempt was added without Apply.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		it := newItem(Effect(rapid.IntRange(0, 3).Draw(t, "effect")))
@@ -148,11 +151,11 @@
 			before.Attempts = append([]Attempt(nil), it.Attempts...)
 			if err := it.Apply(e); err != nil {
 				if diff := cmp.Diff(before, it); diff != "" {
-					t.Fatalf("the event was rejected with %v, but the item changed: %s", err, diff)
+					t.Fatalf("Apply rejected the event with %v, but changed the item (-before +after): %s", err, diff)
 				}
 			}
 			if err := it.Check(); err != nil {
-				t.Fatalf("Check rejects the item %+v: %v", it, err)
+				t.Fatalf("Check rejects the item %+v, which Apply produced: got error %v, want none", it, err)
 			}
 		}
 		ran := 0
@@ -167,13 +170,13 @@
 		for n := 0; it.Verdict == None; n++ {
 			step, e := Recover(&it, Clock{At: now + 1000*second, CallbackWaitOver: true}, second)
 			if n > 3 || step != Apply || it.Apply(e) != nil {
-				t.Fatalf("recovery reaches no final answer: step %d, item %+v", step, it)
+				t.Fatalf("recovery reaches no final answer in 4 steps: last step %d, item %+v", step, it)
 			}
 		}
 		if len(it.Attempts) > 0 && it.Effect == Once && it.Attempts[0].Outcome != NeverRan {
 			it.Attempts = append(it.Attempts, Attempt{Worker: "x", At: now})
 			if it.Check() == nil {
-				t.Fatal("Check accepts a second attempt of an item with effect Once that may have run")
+				t.Fatal("Check accepts a second attempt after one that may have run, want an error for effect Once")
 			}
 		}
 	})
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -19,19 +19,19 @@
 	Disk             *Item   // item on disk, which survives a crash
 	Unsaved          []*Item // unsynced writes in order; a crash loses any number of the latest ones
 	AcceptConfirmed  bool    // the client got the confirmation that the item was accepted
-	ClientVerdict    Verdict // answer that the client got; None before
-	ResultAcked      bool    // a worker got the response 204 for the result
+	ClientVerdict    Verdict // verdict in the answer that the client got; None before
+	ResultAcked      bool    // a worker got the response 204 for a callback with the result
 	Submitted        bool
 	Dead             bool
 	CallbackWaitOver bool // the time for which recovery waits for callbacks has passed
 	ClockWentBack    bool // the wall clock shows an earlier time than the latest commit
-	Sent             bool // the latest attempt was sent
+	Sent             bool // the latest attempt was sent to its worker
 	Workers          [2]workerState
 	Crashes          int      // number of crashes that may still happen
 	Runs             int      // number of times that the job ran
 	RanIn            [2]bool  // for each worker, whether the job ran there or was dropped there as a duplicate
 	Violation        string   // description of an event that Apply rejected; empty if there is none
-	SkippedWait      diskWait // wait that the process omits, as an injected fault
+	SkippedWait      diskWait // wait for the disk that the process omits, as an injected fault
 }
 
 // diskWait names an action before which the process must wait for the disk.
@@ -49,8 +49,8 @@
 
 // workerState is the state of a worker in the model.
 type workerState struct {
-	HasJob    bool // the worker has the job and has not run it
-	CallsBack bool // the job ran, and the worker repeats the callback until it gets the response
+	HasJob    bool // the worker has the job and has not run the job yet
+	CallsBack bool // the job ran, and the worker repeats the callback until the response
 }
 
 // maxModelledAttempts limits the attempts in the model. A limit below MaxAttempts keeps the number of states
@@ -72,7 +72,7 @@
 	return c
 }
 
-// saved reports whether all writes of the item are synced to disk.
+// saved reports whether all writes of the item have been synced to disk.
 func (w *world) saved() bool { return len(w.Unsaved) == 0 }
 
 // applyAndWrite applies an event to the item in memory and writes the item without a sync.
@@ -85,7 +85,7 @@
 	w.Unsaved = append(w.Unsaved, &it)
 }
 
-// action is a possible next step of the world.
+// action is a possible next step of the model world.
 type action struct {
 	name string
 	do   func(*world)
@@ -109,7 +109,7 @@
 	return w.processActions(all)
 }
 
-// killActions returns one crash for each number of unsynced writes that may survive.
+// killActions returns one action that kills the process for each number of unsynced writes that may survive.
 func (w *world) killActions() (all []action) {
 	if w.Crashes == 0 || w.Dead || !w.Submitted {
 		return nil
@@ -126,7 +126,7 @@
 	return all
 }
 
-// workerActions adds the actions of the workers and the responses to their callbacks.
+// workerActions appends to all the actions of the workers and the responses to the workers' callbacks.
 func (w *world) workerActions(all []action) []action {
 	for i, r := range w.Workers {
 		add := func(what string, do func(*world)) {
@@ -148,8 +148,8 @@
 	return all
 }
 
-// run lets a worker run the job. A worker drops a duplicate job as the effect demands, but calls back all the
-// same.
+// run lets a worker run the job. A worker drops a duplicate job as the effect of the job's class demands, but
+// also calls back for a duplicate.
 func (w *world) run(i int) {
 	duplicate := w.Effect == Anywhere && w.Runs > 0 || w.Effect == Rack && w.RanIn[i]
 	if !duplicate {
@@ -163,7 +163,7 @@
 func (w *world) callBack(i int) {
 	w.applyAndWrite(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
 	if w.SkippedWait == before204 {
-		// The worker gets the response before the record is on disk.
+		// The injected fault: the worker gets the response 204 before the record is on disk.
 		w.Workers[i].CallsBack, w.ResultAcked = false, true
 	}
 }
@@ -171,7 +171,8 @@
 // acknowledge sends the response to a worker's callback.
 func (w *world) acknowledge(i int) {
 	w.Workers[i].CallsBack = false
-	// A callback after a final answer without a result gets a different status, which confirms no result.
+	// A callback that comes after a final answer without a result gets another status than 204, which confirms
+	// no result.
 	n := len(w.Mem.Attempts)
 	w.ResultAcked = w.ResultAcked || n > 0 && w.Mem.Attempts[n-1].Outcome == Done
 }
@@ -194,8 +195,8 @@
 	w.AcceptConfirmed = true
 }
 
-// restartActions adds the restarts of the process with the item on disk, with and without a clock that went
-// back.
+// restartActions appends to all the restarts of the process with the item on disk, with and without a wall
+// clock that went back.
 func (w *world) restartActions(all []action) []action {
 	for _, wentBack := range []bool{false, true} {
 		all = append(all, action{fmt.Sprint("starts again, the clock went back: ", wentBack), func(w *world) {
@@ -209,7 +210,7 @@
 	return all
 }
 
-// processActions adds the actions of the process on its item, and the passing of time.
+// processActions appends to all the actions of the process on its item, and the passing of time.
 func (w *world) processActions(all []action) []action {
 	add := func(name string, do func(*world)) { all = append(all, action{name, do}) }
 	if !w.CallbackWaitOver {
@@ -241,7 +242,7 @@
 	return all
 }
 
-// route starts an attempt at a worker.
+// route records an attempt at a worker, which send then delivers.
 func (w *world) route(i int) {
 	w.applyAndWrite(Event{Kind: Routed, At: w.Now, Worker: racks[i], Rack: racks[i]})
 	if w.SkippedWait == beforeRoute {
@@ -249,7 +250,7 @@
 	}
 }
 
-// send delivers the job to a worker.
+// send delivers the job of the latest attempt to a worker.
 func (w *world) send(i int) {
 	w.Sent = true
 	w.Workers[i].HasJob = true
@@ -303,35 +304,37 @@
 	return nil
 }
 
-// Explores all orders of events with crashes at any point, including crashes during recovery. No accepted
-// item is lost, no job runs twice unless its effect allows repeats, and no answer changes after a client got
-// it.
+// TestCrashesInEveryOrder explores all orders of events with crashes at any point, including crashes during
+// recovery. No accepted item may be lost, no job may run twice unless its effect allows repeats, and no
+// answer may change after a client got the answer.
 func TestCrashesInEveryOrder(t *testing.T) {
 	for effect := Once; effect <= Safe; effect++ {
 		crashes := 3
 		if effect >= Anywhere || testing.Short() {
-			crashes = 1 // repeated attempts multiply the number of states
+			crashes = 1 // attempts that may be repeated multiply the number of states
 		}
 		if raceOn {
-			crashes = 1 // the race detector makes each state ten times as expensive
+			crashes = 1 // the race detector makes each explored state ten times as expensive
 		}
 		tour := modelcheck.Exhaust(&world{Effect: effect, Crashes: crashes}, 300_000)
 		if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
-			t.Errorf("effect %d: %v; violation %v on the path %q", effect, tour, tour.Violation, tour.Path)
+			t.Errorf("effect %d: explored %v; violation %v on the path %q, want all states and none",
+				effect, tour, tour.Violation, tour.Path)
 		}
-		t.Logf("effect %d: %v", effect, tour)
+		t.Logf("effect %d: explored %v", effect, tour)
 	}
 }
 
-// Each of the four waits for the disk is necessary: if the process omits any of them, some order of events
-// breaks a promise to a client or a worker.
+// TestEachWaitIsNeeded checks that each of the four waits for the disk is necessary: if the process omits any
+// wait, some order of events must break a promise to a client or a worker.
 func TestEachWaitIsNeeded(t *testing.T) {
 	for _, skipped := range []diskWait{beforeAccept, beforeRoute, before204, beforeAnswer} {
 		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, SkippedWait: skipped}, 1_000_000)
 		if tour.Violation == nil {
-			t.Errorf("no violation is found when the process omits the wait before %s: %v", skipped, tour)
+			t.Errorf("got no violation without the wait for the disk before %s, want one; explored %v", skipped, tour)
 			continue
 		}
-		t.Logf("without the wait before %s: violation %v on the path %q", skipped, tour.Violation, tour.Path)
+		t.Logf("without the wait for the disk before %s: expected violation %v on the path %q",
+			skipped, tour.Violation, tour.Path)
 	}
 }
--- a/internal/store/lifecycle/recover.go
+++ b/internal/store/lifecycle/recover.go
@@ -1,8 +1,8 @@
 package lifecycle
 
-// Clock is the information about time on which recovery bases its decisions.
+// Clock is the time, and what recovery needs to know about it, when recovery decides on an item.
 type Clock struct {
-	At Micros // current time, never before the store's latest commit
+	At Micros // current time; never earlier than the store's latest commit
 	// WentBack is true if the wall clock shows an earlier time than the store's latest commit. The duration of
 	// the downtime is unknown then, so recovery cannot rely on any deduplication window.
 	WentBack bool
@@ -11,9 +11,9 @@
 	CallbackWaitOver bool
 }
 
-// ClockAfterRestart returns the Clock of a start from the wall clock and from the time of the store's latest
-// commit. The later of the two is the current time, so that time never runs backwards for an item: a wall
-// clock that was set back by an hour must not extend deadlines by an hour.
+// ClockAfterRestart returns the Clock at a start of the process, given the wall clock and the time of the
+// store's latest commit. The later of the two is the current time, so that time never runs backwards for an
+// item: a wall clock that was set back by an hour must not extend deadlines by an hour.
 func ClockAfterRestart(clock, latestCommit Micros) Clock {
 	if clock < latestCommit {
 		return Clock{At: latestCommit, WentBack: true}
@@ -24,19 +24,19 @@
 // RecoveryStep is the next step of recovery for an item.
 type RecoveryStep uint8
 
-// Steps of recovery.
+// The steps of recovery: what the caller of Recover does next with an item.
 const (
-	AwaitCallback RecoveryStep = iota // wait for a worker's callback until CallbackWaitOver is set
+	AwaitCallback RecoveryStep = iota // wait for a worker's callback until Clock.CallbackWaitOver is set
 	Resume                            // send another attempt to a rack that CheckRoute allows
 	Apply                             // write and apply the event that Recover returns
 	Delete                            // delete the item: its answer's retention time has passed
 	KeepAnswer                        // keep the item: clients may still read its answer
 )
 
-// Recover returns the next step for an item that the store contains at a start, and the event to apply if the
-// step is Apply. An answer that the event gives is kept for the retention time from now on. The event must be
-// on disk before the caller acts on it: after any number of crashes during recovery, the item then still
-// reaches the same final state.
+// Recover returns the next step for an item that the store contains at a start of the process, and the event
+// to apply if the step is Apply. If the event is a final answer, the answer is kept for the retention time
+// from now on. The event must be on disk before the caller acts on it: after any number of crashes during
+// recovery, the item then still reaches the same final state.
 func Recover(it *Item, now Clock, retention Micros) (RecoveryStep, Event) {
 	if it.Verdict != None {
 		if now.At >= it.KeepUntil {
@@ -48,7 +48,7 @@
 		return Apply, Event{Kind: Answered, At: now.At, Verdict: v, KeepUntil: now.At + retention}
 	}
 	if n := len(it.Attempts); n > 0 && it.Attempts[n-1].Outcome == Done {
-		return answer(Served) // the crash came after the result was written and before the answer was
+		return answer(Served) // the crash came after the result was written, but before the answer was written
 	}
 	if it.Outstanding() {
 		if !now.CallbackWaitOver {
--- a/internal/store/reader.go
+++ b/internal/store/reader.go
@@ -34,13 +34,13 @@
 
 // Each calls do for each record. fault is nil for a valid record. Otherwise fault says why the record is
 // invalid: the checksum is wrong, or the state machine of package lifecycle does not allow the record's
-// events. The item may be nil then. A fault with an empty id concerns the store as a whole. An error of do
-// ends the reading.
+// events. The item of an invalid record may be nil. A fault with an empty id concerns the store as a whole.
+// An error that do returns ends the iteration.
 func (r *Reader) Each(do func(id string, it *lifecycle.Item, fault error) error) error {
 	return r.disk.forEach(do)
 }
 
-// Find returns the item with the given id, or ErrNotFound if the store has no such item.
+// Find returns the item with the given id, or the error ErrNotFound if the store has no such item.
 func (r *Reader) Find(id string) (it *lifecycle.Item, err error) {
 	err = r.disk.view(func(tx *bbolt.Tx) error {
 		record := tx.Bucket(itemsBucket).Get([]byte(id))
@@ -56,7 +56,7 @@
 // Backup writes a complete copy of the store to w.
 func (r *Reader) Backup(w io.Writer) error { return r.disk.writeTo(w) }
 
-// Check reads a whole store, and returns the number of valid items and all faults that it finds.
+// Check reads the whole store at path, and returns the number of valid items and all faults in the store.
 func Check(path string) (items int, faults []error, err error) {
 	r, err := OpenReader(path)
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -24,10 +24,11 @@
 const (
 	defaultMaxItems  = 1_000_000
 	defaultMaxBytes  = 1 << 30
-	maxQueuedChanges = 4096 // changes that wait for a commit
-	maxBatchChanges  = 1024 // changes in one commit
+	maxQueuedChanges = 4096 // maximum number of changes that wait for a commit
+	maxBatchChanges  = 1024 // maximum number of changes in one commit
 	// updateReserveDivisor determines the reserve for changes of stored items: new items may not use the last
-	// MaxBytes/updateReserveDivisor bytes. Without the reserve, the end of an accepted item could find no space.
+	// MaxBytes/updateReserveDivisor bytes. Without the reserve, there could be no space to store the answer of
+	// an accepted item.
 	updateReserveDivisor = 8
 )
 
@@ -35,27 +36,27 @@
 type Change struct {
 	Item   *lifecycle.Item
 	Delete bool
-	// Done is called once, from the writer's goroutine and in the order of the changes. The error is nil if the
-	// change is on disk. Done must not block.
+	// Done is called once, in the order of the changes, by the goroutine that writes changes to disk. The error
+	// is nil if the change is on disk. Done must not block.
 	Done func(error)
 
 	isNew  bool   // the change was made by Accept and is counted in Store.pendingNew
 	record []byte // encoded item; the caller's goroutine encodes it to relieve the single writer goroutine
 }
 
-// Errors of a change that is not stored.
+// Reasons why Accept or Update does not queue a change.
 var (
 	// ErrFull means that MaxItems or MaxBytes is reached. New items are rejected until items are deleted.
 	ErrFull = errors.New("store is full: its quota of items or bytes is used up")
-	// ErrBusy means that changes arrive faster than the disk stores them, and too many of them are waiting.
+	// ErrBusy means that changes arrive faster than the disk stores them, and too many changes are waiting.
 	ErrBusy = errors.New("store is busy: too many changes are waiting for the disk")
 	// ErrClosed means that Close was called.
 	ErrClosed = errors.New("store is closed")
 )
 
 // DiskError is the error of the first change that could not be written to disk, and of all later changes.
-// After a failed sync, it is unknown which of the unsynced writes are on disk, so the store accepts no more
-// changes until it is opened again.
+// After a failed sync, the store cannot tell which of the unsynced writes are on disk, so the store accepts
+// no more changes until it is opened again.
 type DiskError struct{ Cause error }
 
 // Error implements the error interface.
@@ -66,16 +67,16 @@
 // Unwrap returns the error of the failed write.
 func (e *DiskError) Unwrap() error { return e.Cause }
 
-// disk is the interface of a store to its database engine.
+// disk is the database file of a store. Tests use a different disk to make commits wait or fail.
 type disk interface {
-	// commit writes a batch in one transaction, and returns the number of items and of bytes in use afterwards.
-	// If the error is nil, the whole batch is on disk.
+	// commit writes a batch of changes in one transaction, and returns the number of stored items and the number
+	// of bytes in use in the file afterwards. If the error is nil, the whole batch is on disk.
 	commit(commitTime lifecycle.Micros, batch []Change) (items int, bytes int64, err error)
-	// forEach calls a function with each record. See bolt.forEach for the arguments.
+	// forEach calls the function for each record. bolt.forEach describes the function's arguments.
 	forEach(func(id string, it *lifecycle.Item, fault error) error) error
 	// commitTime returns the time of the latest commit.
 	commitTime() (lifecycle.Micros, error)
-	// size returns the number of items and of bytes in use.
+	// size returns the number of stored items and the number of bytes in use in the file.
 	size() (items int, bytes int64, err error)
 	// writeTo writes a complete copy of the database.
 	writeTo(w io.Writer) error
@@ -91,9 +92,9 @@
 
 	mu         sync.Mutex // guards the fields below
 	closed     bool
-	diskErr    error // the first DiskError; nothing is stored afterwards
+	diskErr    error // DiskError of the first failed write; no change is stored afterwards
 	items      int   // number of items on disk
-	pendingNew int   // number of accepted items that are not on disk yet
+	pendingNew int   // number of items from Accept that are not on disk yet
 	bytes      int64 // bytes of the file in use, as of the latest commit
 }
 
@@ -116,7 +117,7 @@
 	return start(cfg, d)
 }
 
-// start returns a store on an open disk, and starts the writer goroutine.
+// start returns a store that uses the open database d, and starts the goroutine that writes changes to disk.
 func start(cfg Config, d disk) (*Store, error) {
 	s := &Store{cfg: cfg, disk: d, queue: make(chan Change, maxQueuedChanges)}
 	var err error
@@ -152,7 +153,8 @@
 	return r, err
 }
 
-// prefixItemID adds the item's id to a fault. A fault of the store as a whole has no id and stays as it is.
+// prefixItemID adds an item's id to the fault of the item's record. A fault of the store as a whole has no id
+// and stays unchanged.
 func prefixItemID(id string, fault error) error {
 	if id == "" {
 		return fault
@@ -161,8 +163,8 @@
 }
 
 // Accept queues a new item to be stored. Accept returns ErrFull if the store is full, ErrBusy if too many
-// changes are waiting for the disk, and a DiskError or ErrClosed if the store accepts no more changes. Done
-// is called only if the error is nil.
+// changes are waiting for the disk, and a DiskError or ErrClosed if the store accepts no more changes. c.Done
+// is called later, and only if Accept returns nil.
 func (s *Store) Accept(c Change) error {
 	if err := c.encode(); err != nil {
 		return err
@@ -173,7 +175,8 @@
 	if s.items+s.pendingNew >= s.cfg.MaxItems || s.bytes+int64(len(c.Item.Body)) > maxBytes {
 		return ErrFull
 	}
-	// The other half of the queue is reserved for changes of accepted items, so that these items can end.
+	// The other half of the queue is reserved for changes of accepted items, so that these items can get their
+	// answers.
 	if len(s.queue) > maxQueuedChanges/2 {
 		return ErrBusy
 	}
@@ -186,7 +189,7 @@
 }
 
 // Update queues a change of a stored item: the item's new state or its deletion. Update returns the same
-// errors as Accept except ErrFull.
+// errors as Accept except ErrFull, and c.Done is called under the same condition.
 func (s *Store) Update(c Change) error {
 	if err := c.encode(); err != nil {
 		return err
@@ -196,7 +199,7 @@
 	return s.enqueue(c)
 }
 
-// encode sets the record that the writer goroutine stores.
+// encode sets the change's record: the item's new state in the form that is stored.
 func (c *Change) encode() error {
 	if c.Delete {
 		return nil
@@ -209,7 +212,8 @@
 	return nil
 }
 
-// enqueue queues a change for the writer goroutine, without waiting for the disk. The caller holds s.mu.
+// enqueue queues a change for the goroutine that writes changes to disk, without waiting for the disk. The
+// caller holds s.mu.
 func (s *Store) enqueue(c Change) error {
 	switch {
 	case s.diskErr != nil:
@@ -225,8 +229,8 @@
 	}
 }
 
-// writeLoop commits changes until the queue is closed. All changes that arrive during a commit are committed
-// together, up to maxBatchChanges of them.
+// writeLoop commits the queued changes until the queue is closed. All changes that arrive during a commit are
+// committed together, up to maxBatchChanges of them.
 func (s *Store) writeLoop() {
 	for first := range s.queue {
 		batch := s.fillBatch(first)
@@ -237,8 +241,8 @@
 	}
 }
 
-// fillBatch returns the first change and the changes that are queued behind the first one, without waiting
-// for more changes.
+// fillBatch returns a batch of the first change and the changes that are already queued behind the first
+// change, at most maxBatchChanges in all.
 func (s *Store) fillBatch(first Change) []Change {
 	batch := append(make([]Change, 0, maxBatchChanges), first)
 	for len(batch) < maxBatchChanges {
@@ -255,7 +259,7 @@
 	return batch
 }
 
-// commit writes a batch to disk and updates the counts of items and bytes.
+// commit writes a batch of changes to disk and updates the store's counts of items and bytes.
 func (s *Store) commit(batch []Change) error {
 	if err := s.Err(); err != nil {
 		return err
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	r, err := s.Recover(1)
 	if err != nil || len(r.Corrupt) > 0 {
-		t.Fatalf("Recover returns error %v, corrupt records %v; want neither", err, r.Corrupt)
+		t.Fatalf("Recover returns error %v, corrupt records %v; want neither error nor record", err, r.Corrupt)
 	}
 	all := map[string]*lifecycle.Item{}
 	for _, it := range r.Items {
@@ -76,8 +76,9 @@
 	return all
 }
 
-// All confirmed changes are present after the store is closed and opened again. Opening a store that is
-// already open fails with a clear error, and recovery reports a wall clock that went back.
+// TestReopen checks that all confirmed changes are present after the store is closed and opened again.
+// Opening a store that is already open must fail with a clear error, and recovery must report a wall clock
+// that went back.
 func TestReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "jobs")
 	s := openStore(t, Config{Path: path})
@@ -116,12 +117,13 @@
 	}
 	hourAgo := lifecycle.Micros(time.Now().Add(-time.Hour).UnixMicro())
 	if r, err := s.Recover(hourAgo); err != nil || !r.Clock.WentBack || r.Clock.At <= hourAgo {
-		t.Errorf("%+v, %v", r.Clock, err)
+		t.Errorf("wall clock set back by an hour: got clock %+v, error %v, want WentBack and a later time",
+			r.Clock, err)
 	}
 }
 
 // countingDisk is a disk that counts its commits. Tests can delay the commits, and can make all commits from
-// a given one on fail.
+// a given number on fail.
 type countingDisk struct {
 	disk
 	sync.Mutex
@@ -166,8 +168,8 @@
 	return s
 }
 
-// Changes that arrive during a commit are committed together in the next commit, and no caller of Accept
-// waits for the disk.
+// TestGroupCommit checks that changes that arrive during a commit are committed together in the next commit,
+// and that no caller of Accept waits for the disk.
 func TestGroupCommit(t *testing.T) {
 	c := &countingDisk{commitPermits: make(chan bool)}
 	s := startOnDisk(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
@@ -186,12 +188,12 @@
 	close(c.commitPermits)
 	done.Wait()
 	if c.commits > 3 || len(readAll(t, s)) != 500 {
-		t.Errorf("%d commits for 500 items, want at most 3 with all items on disk", c.commits)
+		t.Errorf("got %d commits for 500 items, want at most 3 and all items on disk", c.commits)
 	}
 }
 
-// When the disk is too slow, new items are rejected with ErrBusy, but the queue still has space for changes
-// of accepted items.
+// TestSlowDisk checks that, when the disk is too slow, new items are rejected with ErrBusy, but the queue
+// still has space for changes of accepted items.
 func TestSlowDisk(t *testing.T) {
 	c := &countingDisk{commitPermits: make(chan bool)}
 	s := startOnDisk(t, c, Config{Path: filepath.Join(t.TempDir(), "jobs")})
@@ -200,17 +202,18 @@
 		if err := s.Accept(Change{Item: testItem(taken), Done: func(error) {}}); errors.Is(err, ErrBusy) {
 			break
 		} else if err != nil || taken > maxQueuedChanges {
-			t.Fatalf("Accept returns %v after %d items, want ErrBusy within the size of the queue", err, taken)
+			t.Fatalf("Accept returns %v after %d items on a slow disk, want ErrBusy in time", err, taken)
 		}
 	}
 	if err := s.Update(Change{Item: testItem(0), Delete: true, Done: func(error) {}}); err != nil {
-		t.Errorf("deleting an accepted item is rejected with %v, want space in the queue", err)
+		t.Errorf("deletion of an accepted item is rejected with %v, want the reserved half of the queue used", err)
 	}
 	close(c.commitPermits)
 }
 
-// When a commit fails, that change and all later ones end with a DiskError. All changes that were confirmed
-// before the failure are present when the store is opened again.
+// TestDiskFails checks that, when a commit fails, the changes of that commit and all later changes end with a
+// DiskError. All changes that were confirmed before the failure must be present when the store is opened
+// again.
 func TestDiskFails(t *testing.T) {
 	for failFrom := 1; failFrom <= 6; failFrom++ {
 		path := filepath.Join(t.TempDir(), "jobs")
@@ -224,7 +227,8 @@
 			case err == nil && n+1 < failFrom:
 				want[it.ID] = it
 			case !errors.As(err, &failure) || !errors.Is(err, errIO) || n+1 < failFrom:
-				t.Errorf("disk fails from commit %d on: storing item %d returns %v", failFrom, n, err)
+				t.Errorf("disk fails from commit %d on: storing item %d returns %v, want a DiskError from then on only",
+					failFrom, n, err)
 			}
 		}
 		if s.Err() == nil {
@@ -234,13 +238,15 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want, readAll(t, openStore(t, Config{Path: path}))); diff != "" {
-			t.Errorf("disk fails from commit %d on: wrong items after opening again: %s", failFrom, diff)
+			t.Errorf("disk fails from commit %d on: wrong items after opening the store again (-want +got): %s",
+				failFrom, diff)
 		}
 	}
 }
 
-// When the quota of items or of bytes is used up, new items are rejected, but changes of stored items are
-// not. A deletion makes space for a new item. The file stays within a small multiple of MaxBytes.
+// TestQuota checks that, when the quota of items or of bytes is used up, new items are rejected, but changes
+// of stored items are not. A deletion must make space for a new item. The file must stay within twice
+// MaxBytes.
 func TestQuota(t *testing.T) {
 	s := openStore(t, Config{Path: filepath.Join(t.TempDir(), "jobs"), MaxItems: 3})
 	for n := range 3 {
@@ -249,7 +255,7 @@
 		}
 	}
 	if err := acceptAndWait(s, testItem(3)); !errors.Is(err, ErrFull) {
-		t.Errorf("storing a fourth item returns %v, want ErrFull for a quota of 3", err)
+		t.Errorf("storing a fourth item returns %v, want ErrFull for a quota of 3 items", err)
 	}
 	if err := errors.Join(updateAndWait(s, Change{Item: testItem(1)}),
 		updateAndWait(s, Change{Item: testItem(0), Delete: true}),
@@ -263,7 +269,7 @@
 		if err := acceptAndWait(small, it); errors.Is(err, ErrFull) {
 			break
 		} else if err != nil || n > 100 {
-			t.Fatalf("storing an item returns %v after %d items, want ErrFull", err, n)
+			t.Fatalf("storing 10 KiB returns %v after %d such items, want ErrFull for a quota of 256 KiB", err, n)
 		}
 	}
 	if info, err := os.Stat(small.cfg.Path); err != nil || info.Size() > 512<<10 {
@@ -274,9 +280,10 @@
 // pageSize is the page size of bbolt files, which is the page size of the operating system.
 var pageSize = os.Getpagesize()
 
-// Simulates crashes within commits. Any data page of an interrupted commit may be missing, truncated or zero;
-// the meta pages, which bbolt writes after a sync, may be on disk only if all data pages are. The store then
-// contains all confirmed changes, and the interrupted commit either completely or not at all.
+// TestTornWrites simulates crashes within commits. Any data page of an interrupted commit may be missing,
+// truncated or zero; the meta pages, which bbolt writes after a sync, may be on disk only if all data pages
+// are. The store must then contain all confirmed changes, and the interrupted commit either completely or not
+// at all.
 func TestTornWrites(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "jobs")
@@ -326,7 +333,7 @@
 			}
 			o, err := Open(Config{Path: tornPath})
 			if err != nil {
-				t.Fatalf("commit %d interrupted: opening the store fails: %v", n, err)
+				t.Fatalf("commit %d interrupted: opening the store fails with %v, want no error", n, err)
 			}
 			if got := readAll(t, o); cmp.Diff(state, got) != "" && cmp.Diff(next, got) != "" {
 				t.Fatalf(
@@ -339,8 +346,8 @@
 	}
 }
 
-// A flipped bit anywhere in the file is either reported or has no effect: no item is read with changed
-// content, and no item is missing without an error.
+// TestFlippedBits checks that a flipped bit anywhere in the file is either reported or has no effect: no item
+// may be read with changed content, and no item may be missing without an error.
 func TestFlippedBits(t *testing.T) {
 	if raceOn {
 		t.Skip("not run with the race detector, which ends the process when bbolt reads a page out of bounds")
@@ -379,16 +386,16 @@
 		r, err := o.Recover(1)
 		for _, it := range r.itemsOrNone() {
 			if diff := cmp.Diff(want[it.ID], it); diff != "" {
-				t.Errorf("bit flipped in byte %d: an item is read with changed content: %s", at, diff)
+				t.Errorf("bit flipped in byte %d: an item is read with changed content (-want +got): %s", at, diff)
 			}
 		}
 		if err != nil || len(r.Corrupt) > 0 {
 			detected++
 		} else if len(r.Items) != len(want) {
-			t.Errorf("bit flipped in byte %d: %d of %d items are read, and no error is reported",
+			t.Errorf("bit flipped in byte %d: %d of %d items are read and no error is reported, want one",
 				at, len(r.Items), len(want))
 		}
-		_ = o.Close() // an error of closing a corrupt file that was only read does not matter
+		_ = o.Close() // an error does not matter: the file was only read
 	}
 	if detected < 20 {
 		t.Errorf("%d of 600 flipped bits are reported, want at least 20; most of the file may be unused", detected)
@@ -403,8 +410,8 @@
 	return r.Items
 }
 
-// A file of format version 1, written by an old release, is migrated with all its items. A file of a later
-// version and a file that is not a store are rejected with an error.
+// TestVersions checks that a file of format version 1, which an old release wrote, is migrated with all its
+// items. A file of a later version and a file that is not a store must be rejected with an error.
 func TestVersions(t *testing.T) {
 	raw, err := os.ReadFile("testdata/v1.db")
 	if err != nil {
@@ -414,11 +421,12 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // the second opening reads the migrated file
+	for range 2 { // the second opening reads the migrated file again
 		s := openStore(t, Config{Path: path})
 		got := readAll(t, s)
 		if len(got) != 3 || cmp.Diff(testItem(2), got["item-0002"]) != "" {
-			t.Errorf("store has %d items, want 3; item-0002 is %+v", len(got), got["item-0002"])
+			t.Errorf("migrated store has %d items, want 3; item-0002 is %+v, want the content of testItem(2)",
+				len(got), got["item-0002"])
 		}
 		closeStore(t, s)
 	}
@@ -441,8 +449,8 @@
 	}
 }
 
-// A backup made while items are being stored is a complete store, and contains all items that were confirmed
-// before the backup.
+// TestBackup checks that a backup made while items are being stored is a complete store, and contains all
+// items that were confirmed before the backup.
 func TestBackup(t *testing.T) {
 	folder := t.TempDir()
 	s := openStore(t, Config{Path: filepath.Join(folder, "jobs")})
@@ -478,7 +486,7 @@
 	got := readAll(t, openStore(t, Config{Path: f.Name()}))
 	for n := range 50 {
 		if cmp.Diff(testItem(n), got[testItem(n).ID]) != "" {
-			t.Fatalf("item %d is missing from the backup or differs", n)
+			t.Fatalf("item %d is missing from the backup or differs from the stored item", n)
 		}
 	}
 }
