--- a/client/alive_unix.go
+++ b/client/alive_unix.go
@@ -25,7 +25,7 @@
 		var next [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		nothingToRead = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK)
-		return true // false would make Read wait until the socket is readable
+		return true // the result false would make Read wait until the socket is readable
 	})
 	return err == nil && nothingToRead
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -85,7 +85,7 @@
 				return
 			}
 		case noResponse:
-			_, _ = reader.Request() // returns when the client closes the connection
+			_, _ = reader.Request() // Request returns when the client closes the connection
 			return
 		}
 	}
@@ -194,7 +194,7 @@
 	start := time.Now()
 	r, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading", Key: "k"})
 	if err != nil || r.Attempts != 3 || time.Since(start) < 100*time.Millisecond {
-		t.Fatalf("got result %+v, error %v after %v; want success by attempt 3 after two delays of 50 ms",
+		t.Fatalf("job refused twice: got result %+v, error %v after %v; want success in attempt 3 after 100 ms",
 			r, err, time.Since(start))
 	}
 	ids := map[string]bool{}
@@ -208,7 +208,7 @@
 		}
 	}
 	if len(ids) != 3 {
-		t.Errorf("got %d different ids in 3 attempts, want 3", len(ids))
+		t.Errorf("got %d different X-Txn ids in 3 attempts, want 3", len(ids))
 	}
 	var refused *RefusedError
 	alwaysRefuses := startScripted(t, func(int64) (string, afterResponse) {
@@ -291,7 +291,7 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("condition still false after 10 s, want true")
+			t.Fatal("the condition that the test waits for is still false after 10 s")
 		}
 	}
 }
--- a/client/config.go
+++ b/client/config.go
@@ -57,7 +57,7 @@
 	// number may be opened in one burst. 0 means 50.
 	ConnectRate float64
 	Log         *slog.Logger // receives a line for each failed attempt; nil disables logging
-	Observer    Observer     // receives the client's events, for metrics; nil means that nobody does
+	Observer    Observer     // receives the client's events, for example for metrics; nil discards the events
 	Seed        uint64       // seed of the random choices; 0 means a seed from the current time
 }
 
--- a/client/execution.go
+++ b/client/execution.go
@@ -15,7 +15,7 @@
 
 	planJob   *plan.Job
 	step      plan.Step     // the plan's latest decision: what to do next with the job
-	available chan struct{} // Client.available at that time; closed when a scheduler becomes available
+	available chan struct{} // Client.available when the plan returned step; closed once a scheduler is available
 
 	// delivered reports that the client wrote a complete request for the job to a scheduler. If the caller then
 	// cancels, the job ends with an UnknownOutcomeError, even if the scheduler's response to that request was a
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -104,9 +104,9 @@
 	done := make(chan bool, 2)
 	relay := func(to, from net.Conn, limited bool) {
 		if limited {
-			_, _ = io.CopyN(to, from, c.limit) // either side may close the connection before the limit
+			_, _ = io.CopyN(to, from, c.limit) // an error is expected: either side may close the connection
 		} else {
-			_, _ = io.Copy(to, from) // either side may close the connection at any time
+			_, _ = io.Copy(to, from) // an error is expected: either side may close the connection
 		}
 		done <- true
 	}
@@ -205,7 +205,7 @@
 				defer mu.Unlock()
 				verdicts[Verdict(err)]++
 				if late := time.Since(deadline); late > maxLateness {
-					t.Errorf("job %d returned %v after its deadline, want at most maxLateness after", n, late)
+					t.Errorf("call of Do for job %d returned %v after the job's deadline, want at most 2 s", n, late)
 				}
 			})
 		}
@@ -247,8 +247,8 @@
 	for _, n := range verdicts {
 		all += n
 	}
-	// Only jobs that are in flight at a killed scheduler should fail. Refused jobs should be retried at another
-	// scheduler.
+	// Only jobs that are in flight at a killed scheduler should fail, at most a quarter of all jobs. Refused
+	// jobs should be retried at another scheduler.
 	if notServed := all - verdicts["served"]; notServed > all/4 {
 		t.Errorf("%v", verdicts)
 	}
@@ -280,7 +280,7 @@
 				var refused *RefusedError
 				if !errors.As(err, &refused) || time.Until(refused.RetryAfter) < 30*time.Second ||
 					s.received.Load() != 1 {
-					t.Errorf("got error %v after %d attempts, want RefusedError with a time after 30 s, 1 attempt",
+					t.Errorf("delay beyond the deadline: got error %v, %d attempts, want RefusedError with a time and 1",
 						err, s.received.Load())
 				}
 				return
@@ -321,7 +321,7 @@
 					Body: fmt.Append(nil, f.JobPrefix(), name, n)})
 				verdicts[Verdict(err)]++
 				if late := time.Since(deadline); late > maxLateness {
-					t.Errorf("job %d returned %v after its deadline, want at most maxLateness after", n, late)
+					t.Errorf("call of Do for job %d returned %v after the job's deadline, want at most 2 s", n, late)
 				}
 			}
 			if verdicts["served"] < 20 { // half of 40: a slow machine may miss some of the short deadlines
@@ -367,7 +367,7 @@
 	waitFor(t, func() bool { return s.received.Load() > 0 })
 	s.Close() // new connections are refused, and requests on open connections get no response
 	if maxGoroutines := before + jobs + 1000; runtime.NumGoroutine() > maxGoroutines {
-		t.Errorf("got %d goroutines for %d callers, want at most 1,000 more than before the calls and one per call",
+		t.Errorf("got %d goroutines for %d callers, want at most one per caller and 1,000 more than before",
 			runtime.NumGoroutine(), jobs)
 	}
 	var m runtime.MemStats
@@ -378,7 +378,7 @@
 	done.Wait()
 	if verdicts[0].Load()+verdicts[1].Load() != jobs || late.Load() > 0 ||
 		verdicts[0].Load() > defaultMaxConnections {
-		t.Errorf("got %d jobs unknown, %d not run, want a total of %d and at most 64 unknown; %d late, want 0",
+		t.Errorf("got %d jobs unknown, %d not run, want %d in all and at most 64 unknown; %d jobs late, want 0",
 			verdicts[0].Load(), verdicts[1].Load(), jobs, late.Load())
 	}
 }
--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -347,7 +347,7 @@
 		{onceClass, ReusedClosed, NotSent},
 		{onceClass, NoResponse, NotSent},
 		{rackClass, Malformed, ClientLimited},
-		{anywhereClass, NoResponse, NotSent}, // a retry follows after the deduplication window
+		{anywhereClass, NoResponse, NotSent}, // a retry after the deduplication window runs the job again
 	} {
 		m := newClientModel(c.class, 1)
 		m.cfg.Classes = slices.Clone(m.cfg.Classes)
--- a/client/internal/plan/outcome.go
+++ b/client/internal/plan/outcome.go
@@ -46,8 +46,8 @@
 type AttemptResult struct {
 	Outcome Outcome
 	Status  int // HTTP status of the response; only set if Outcome is Answered
-	// RetryAfter is the delay, counted from the response, before which the scheduler asks the client not to
-	// retry. RetryAfter is only valid if HasRetryAfter is set.
+	// HasRetryAfter reports that the response has a valid Retry-After header. RetryAfter is then the delay,
+	// counted from the response, before which the scheduler asks the client not to retry.
 	HasRetryAfter bool
 	RetryAfter    time.Duration
 	// ConnectionClose reports that the scheduler closes the connection after its response. A refusal with
@@ -67,7 +67,7 @@
 }
 
 // submitted reports whether the attempt counts towards Class.MaxAttempts. An attempt does not count if the
-// connection could not be opened or if all idle connections were closed.
+// client could not open a connection or if the scheduler had closed all idle connections.
 func (r AttemptResult) submitted() bool { return r.Outcome != ConnectFailed && r.Outcome != IdleClosed }
 
 // mayHaveRun reports whether a worker may have run the job in an attempt with this result.
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -47,9 +47,9 @@
 	// the job ends with the result of its last attempt.
 	RetryBudget float64
 	MaxTokens   float64
-	// Backoff is the upper end of the random delay before the first retry. The delay is added to the
-	// scheduler's Retry-After, if it sent one. The upper end doubles with each further retry of the job, up to
-	// MaxBackoff.
+	// Backoff is the upper end of the random delay before the first retry. The delay is added to the Retry-After
+	// of the scheduler's response, if there is one. The upper end doubles with each further retry of the job, up
+	// to MaxBackoff.
 	Backoff, MaxBackoff time.Duration
 	// EjectAfterFailures is the number of consecutive attempts without a response after which a scheduler is
 	// ejected. The first ejection lasts about BaseEjection, and each further ejection without a response in
@@ -293,9 +293,9 @@
 	return false
 }
 
-// retryAt returns the time at which the next attempt may start: the scheduler's Retry-After, if it sent one,
-// plus a random delay. The random delay keeps jobs that were refused at the same time from being retried at
-// the same time.
+// retryAt returns the time at which the next attempt may start: now, plus the Retry-After of the scheduler's
+// response, if there is one, plus a random delay. The random delay keeps jobs that were refused at the same
+// time from being retried at the same time.
 func (p *Plan) retryAt(now time.Time, j *Job, r AttemptResult) time.Time {
 	limit := p.cfg.Backoff
 	for range j.attempts - 1 {
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -72,16 +72,18 @@
 			s = p.AttemptEnded(start.Add(time.Millisecond), start, j, c.result)
 			got[class] = s.Verdict
 			if inFlight := p.InFlight(); inFlight != 0 {
-				t.Errorf("%s: got %d attempts in flight after verdict %v, want 0", c.name, inFlight, s.Verdict)
+				t.Errorf("first attempt ended as %s: got %d attempts in flight after verdict %v, want 0",
+					c.name, inFlight, s.Verdict)
 			}
 			if s.Verdict == Pending {
 				if s = p.Start(s.At, j); !s.StartNow || !s.Retry || p.InFlight() != 1 {
-					t.Errorf("%s: got step %+v, want one attempt in flight that is marked as a retry", c.name, s)
+					t.Errorf("first attempt ended as %s: got step %+v, want an attempt in flight that is marked as a retry",
+						c.name, s)
 				}
 			}
 		}
 		if diff := cmp.Diff(c.want, got); diff != "" {
-			t.Errorf("%s: wrong verdicts by class (-want +got): %s", c.name, diff)
+			t.Errorf("first attempt ended as %s: wrong verdicts by class (-want +got): %s", c.name, diff)
 		}
 	}
 }
@@ -404,7 +406,7 @@
 		cfg := testConfig()
 		invalidate(&cfg)
 		if _, err := New(cfg, 1); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("got error %v, want an error that starts with %s", err, want)
+			t.Errorf("invalid configuration: got error %v, want an error that starts with %s", err, want)
 		}
 	}
 }
--- a/client/internal/plan/schedulers.go
+++ b/client/internal/plan/schedulers.go
@@ -21,8 +21,8 @@
 	refusalRateSmoothing = 0.2
 	// refusalLoadWeight raises the estimated load of a scheduler that refuses jobs: a refusal rate of 1
 	// multiplies the load by 1 + refusalLoadWeight. A scheduler that refuses all jobs answers quickly and has
-	// few attempts in flight; without the weight it would look idle and attract all jobs. If all schedulers
-	// refuse the same fraction of jobs, the weight does not change the choice among them.
+	// few attempts in flight; without the weight, such a scheduler would look idle and attract all jobs. If all
+	// schedulers refuse the same fraction of jobs, the weight does not change the choice among them.
 	refusalLoadWeight = 8
 	// maxPreferredLoad is the load of a scheduler, as schedulerState.load estimates the load in attempts in
 	// flight, above which the client also considers schedulers further down in its order of preference. Below
--- a/client/pool.go
+++ b/client/pool.go
@@ -31,7 +31,7 @@
 	connectLimiter *rate.Limiter
 	onConnect      func(scheduler int, err error) // called after each dial with the dial's error
 
-	mu          sync.Mutex // guards the fields below
+	mu          sync.Mutex // guards idle, lastFailure and closed
 	idle        [][]*conn  // idle connections by scheduler; the most recently used connection is last
 	lastFailure time.Time  // time when a connection last failed or could not be opened
 	closed      bool       // close was called, so put closes each connection after its use
--- a/internal/store/backup.go
+++ b/internal/store/backup.go
@@ -67,7 +67,7 @@
 	return before, after, nil
 }
 
-// compactInto copies the database into a new file, without free pages.
+// compactInto copies the database into a new file at path, without the free pages.
 func (b *bolt) compactInto(path string) error {
 	target, err := bbolt.Open(path, 0o600, &bbolt.Options{FreelistType: bbolt.FreelistMapType})
 	if err != nil {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -44,9 +44,9 @@
 	return float64(n) / time.Since(began).Seconds()
 }
 
-// BenchmarkAccept measures durable accepts by several concurrent callers. Each caller waits until its item is
-// on disk before it stores the next one. The metric of-engine is the rate of accepted items divided by the
-// rate of records that bbolt writes without package store.
+// BenchmarkAccept measures how many items per second several concurrent callers store with Accept. Each
+// caller waits until its item is on disk before the caller stores the next item. The metric of-engine is the
+// rate of accepted items divided by the rate of records that bbolt writes without package store.
 func BenchmarkAccept(b *testing.B) {
 	for _, callers := range []int{1, 4, 16, 64, 256} {
 		b.Run(fmt.Sprint(callers), func(b *testing.B) {
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// closeReadOnly closes a file that was only read. An error of Close is ignored, since it cannot lose data.
+// closeReadOnly closes a file that was only read. closeReadOnly ignores an error of Close, since such an
+// error cannot lose data.
 func closeReadOnly(f io.Closer) { _ = f.Close() }
 
 // catchPanics calls do and returns its error. catchPanics turns two failures of bbolt into errors: the panic
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -52,8 +52,8 @@
 }
 
 // TestFileOfVersion2 guards against an unintended change of the format on disk. A file that an earlier
-// release wrote in format version 2 has the expected items, count and latest commit time, and each item is
-// encoded to the same bytes as in the file. testdata/v2.db must never be regenerated.
+// release wrote in format version 2 must have the expected items, count and latest commit time, and this
+// version must encode each item to the same bytes as in the file. testdata/v2.db must never be regenerated.
 func TestFileOfVersion2(t *testing.T) {
 	raw, err := os.ReadFile("testdata/v2.db")
 	if err != nil {
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -18,7 +18,7 @@
 const formatVersion = 2
 
 var (
-	itemsBucket     = []byte("items") // bucket of the records by item id: a checksum, then the item in JSON
+	itemsBucket     = []byte("items") // records by item id; a record is a checksum, then an item in JSON
 	metaBucket      = []byte("meta")
 	versionKey      = []byte("version")
 	latestCommitKey = []byte("seen")  // key of the latest commit's time, in microseconds since 1970
--- a/internal/store/lifecycle/item.go
+++ b/internal/store/lifecycle/item.go
@@ -45,8 +45,8 @@
 	return nameOf(int(o), "not ended", "it never ran", "it may have run", "done")
 }
 
-// nameOf returns the name of an Outcome or a Verdict, which is its index in names. A corrupt record may
-// contain any value, so values without a name are shown as numbers.
+// nameOf returns the name of an Outcome or a Verdict; names lists the names by value. A corrupt record may
+// contain any value, so nameOf shows a value without a name as a number.
 func nameOf(value int, names ...string) string {
 	if value >= len(names) {
 		return fmt.Sprint("unknown: ", value)
@@ -71,8 +71,8 @@
 // MaxAttempts is the maximum number of attempts of an item, the first one included.
 const MaxAttempts = 4
 
-// Attempt records that an item was routed to a worker, and how that attempt ended. The JSON keys are part of
-// the store's format on disk, which calls a worker "region", an earlier name for workers.
+// Attempt records that an item was routed to a worker, and how the attempt at the worker ended. The JSON keys
+// are part of the store's format on disk, which calls a worker "region", an earlier name for workers.
 type Attempt struct {
 	Worker  string  `json:"region"`
 	Rack    string  `json:"rack"`            // rack of the worker
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -17,7 +17,7 @@
 	Now              Micros
 	Mem              *Item   // item in the memory of the process; nil if there is none or if the process is dead
 	Disk             *Item   // item on disk, which survives a crash
-	Unsaved          []*Item // unsynced writes in order; a crash loses any number of the latest ones
+	Unsaved          []*Item // unsynced writes in order; a crash may lose any number of the latest writes
 	AcceptConfirmed  bool    // the client got the confirmation that the item was accepted
 	ClientVerdict    Verdict // verdict in the answer that the client got; None before
 	ResultAcked      bool    // a worker got the response 204 for a callback with the result
@@ -38,10 +38,10 @@
 type diskWait string
 
 const (
-	beforeAccept diskWait = "accept" // the client gets the confirmation of its item
-	beforeRoute  diskWait = "route"  // an attempt is sent
-	before204    diskWait = "204"    // a worker gets the response to its callback
-	beforeAnswer diskWait = "answer" // the client gets the answer
+	beforeAccept diskWait = "accept" // wait before the client gets the confirmation of its item
+	beforeRoute  diskWait = "route"  // wait before an attempt is sent to a worker
+	before204    diskWait = "204"    // wait before a worker gets the response to its callback
+	beforeAnswer diskWait = "answer" // wait before the client gets the answer
 )
 
 // racks has the rack of each worker. The name of a worker is the name of its rack.
@@ -50,14 +50,14 @@
 // workerState is the state of a worker in the model.
 type workerState struct {
 	HasJob    bool // the worker has the job and has not run the job yet
-	CallsBack bool // the job ran, and the worker repeats the callback until the response
+	CallsBack bool // the job ran, and the worker repeats the callback until a response arrives
 }
 
 // maxModelledAttempts limits the attempts in the model. A limit below MaxAttempts keeps the number of states
 // small.
 const maxModelledAttempts = 2
 
-// answerRetention is the time for which an answer is kept.
+// answerRetention is the time for which the modelled process keeps an answer.
 const answerRetention = 50 * second
 
 func (w *world) clone() *world {
@@ -126,7 +126,8 @@
 	return all
 }
 
-// workerActions appends to all the actions of the workers and the responses to the workers' callbacks.
+// workerActions appends the actions of the workers and the responses to the workers' callbacks to the list
+// all.
 func (w *world) workerActions(all []action) []action {
 	for i, r := range w.Workers {
 		add := func(what string, do func(*world)) {
@@ -195,8 +196,8 @@
 	w.AcceptConfirmed = true
 }
 
-// restartActions appends to all the restarts of the process with the item on disk, with and without a wall
-// clock that went back.
+// restartActions appends two restarts of the process with the item on disk to the list all, with and without
+// a wall clock that went back.
 func (w *world) restartActions(all []action) []action {
 	for _, wentBack := range []bool{false, true} {
 		all = append(all, action{fmt.Sprint("starts again, the clock went back: ", wentBack), func(w *world) {
@@ -210,7 +211,7 @@
 	return all
 }
 
-// processActions appends to all the actions of the process on its item, and the passing of time.
+// processActions appends the actions of the process on its item, and the passing of time, to the list all.
 func (w *world) processActions(all []action) []action {
 	add := func(name string, do func(*world)) { all = append(all, action{name, do}) }
 	if !w.CallbackWaitOver {
@@ -318,7 +319,7 @@
 		}
 		tour := modelcheck.Exhaust(&world{Effect: effect, Crashes: crashes}, 300_000)
 		if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
-			t.Errorf("effect %d: explored %v; violation %v on the path %q, want all states and none",
+			t.Errorf("effect %d: explored %v with violation %v on the path %q, want all states and no violation",
 				effect, tour, tour.Violation, tour.Path)
 		}
 		t.Logf("effect %d: explored %v", effect, tour)
--- a/internal/store/lifecycle/recover.go
+++ b/internal/store/lifecycle/recover.go
@@ -1,6 +1,6 @@
 package lifecycle
 
-// Clock is the time, and what recovery needs to know about it, when recovery decides on an item.
+// Clock holds the current time and the facts about time on which recovery bases its decisions on an item.
 type Clock struct {
 	At Micros // current time; never earlier than the store's latest commit
 	// WentBack is true if the wall clock shows an earlier time than the store's latest commit. The duration of
@@ -52,7 +52,7 @@
 	}
 	if it.Outstanding() {
 		if !now.CallbackWaitOver {
-			return AwaitCallback, Event{} // the worker may still report the result, even after the deadline
+			return AwaitCallback, Event{} // the worker may still report the result, even after the item's deadline
 		}
 		return Apply, Event{Kind: AttemptEnded, At: now.At, Outcome: MayHaveRun}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -41,7 +41,7 @@
 	Done func(error)
 
 	isNew  bool   // the change was made by Accept and is counted in Store.pendingNew
-	record []byte // encoded item; the caller's goroutine encodes it to relieve the single writer goroutine
+	record []byte // encoded item; the caller encodes the item to relieve the single goroutine that writes
 }
 
 // Reasons why Accept or Update does not queue a change.
@@ -74,7 +74,7 @@
 	commit(commitTime lifecycle.Micros, batch []Change) (items int, bytes int64, err error)
 	// forEach calls the function for each record. bolt.forEach describes the function's arguments.
 	forEach(func(id string, it *lifecycle.Item, fault error) error) error
-	// commitTime returns the time of the latest commit.
+	// commitTime returns the time of the latest commit to the database.
 	commitTime() (lifecycle.Micros, error)
 	// size returns the number of stored items and the number of bytes in use in the file.
 	size() (items int, bytes int64, err error)
@@ -90,7 +90,7 @@
 	queue  chan Change
 	writer sync.WaitGroup
 
-	mu         sync.Mutex // guards the fields below
+	mu         sync.Mutex // guards closed, diskErr, items, pendingNew and bytes
 	closed     bool
 	diskErr    error // DiskError of the first failed write; no change is stored afterwards
 	items      int   // number of items on disk
@@ -135,7 +135,7 @@
 	Clock   lifecycle.Clock
 }
 
-// Recover reads all items. The argument is the current time of the wall clock.
+// Recover reads all items of the store. now is the current time of the wall clock.
 func (s *Store) Recover(now lifecycle.Micros) (*Recovered, error) {
 	commitTime, err := s.disk.commitTime()
 	if err != nil {
@@ -230,7 +230,7 @@
 }
 
 // writeLoop commits the queued changes until the queue is closed. All changes that arrive during a commit are
-// committed together, up to maxBatchChanges of them.
+// committed together afterwards, up to maxBatchChanges in one commit.
 func (s *Store) writeLoop() {
 	for first := range s.queue {
 		batch := s.fillBatch(first)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -67,7 +67,8 @@
 	t.Helper()
 	r, err := s.Recover(1)
 	if err != nil || len(r.Corrupt) > 0 {
-		t.Fatalf("Recover returns error %v, corrupt records %v; want neither error nor record", err, r.Corrupt)
+		t.Fatalf("Recover returns error %v, corrupt records %v; want no error and no corrupt record",
+			err, r.Corrupt)
 	}
 	all := map[string]*lifecycle.Item{}
 	for _, it := range r.Items {
@@ -127,7 +128,8 @@
 type countingDisk struct {
 	disk
 	sync.Mutex
-	// commits is the number of commits so far. Commits from number failFrom on fail; 0 means that none fails.
+	// commits is the number of commits so far. Commits from number failFrom on fail; failFrom 0 means that no
+	// commit fails.
 	commits, failFrom int
 	// Each commit waits to receive from commitPermits; a nil channel means that commits do not wait.
 	commitPermits chan bool
@@ -202,11 +204,11 @@
 		if err := s.Accept(Change{Item: testItem(taken), Done: func(error) {}}); errors.Is(err, ErrBusy) {
 			break
 		} else if err != nil || taken > maxQueuedChanges {
-			t.Fatalf("Accept returns %v after %d items on a slow disk, want ErrBusy in time", err, taken)
+			t.Fatalf("Accept returns %v after %d items, want ErrBusy before the queue is full", err, taken)
 		}
 	}
 	if err := s.Update(Change{Item: testItem(0), Delete: true, Done: func(error) {}}); err != nil {
-		t.Errorf("deletion of an accepted item is rejected with %v, want the reserved half of the queue used", err)
+		t.Errorf("deletion of an accepted item is rejected with %v, want space in the reserve of the queue", err)
 	}
 	close(c.commitPermits)
 }
@@ -227,7 +229,7 @@
 			case err == nil && n+1 < failFrom:
 				want[it.ID] = it
 			case !errors.As(err, &failure) || !errors.Is(err, errIO) || n+1 < failFrom:
-				t.Errorf("disk fails from commit %d on: storing item %d returns %v, want a DiskError from then on only",
+				t.Errorf("disk fails from commit %d on: storing item %d returns %v, want a DiskError from that commit on",
 					failFrom, n, err)
 			}
 		}
@@ -337,7 +339,7 @@
 			}
 			if got := readAll(t, o); cmp.Diff(state, got) != "" && cmp.Diff(next, got) != "" {
 				t.Fatalf(
-					"commit %d interrupted: store has neither the old nor the new state, difference to the old one: %s",
+					"commit %d interrupted: store has neither the old nor the new state, difference to the old state: %s",
 					n, cmp.Diff(state, got))
 			}
 			closeStore(t, o)
@@ -392,7 +394,7 @@
 		if err != nil || len(r.Corrupt) > 0 {
 			detected++
 		} else if len(r.Items) != len(want) {
-			t.Errorf("bit flipped in byte %d: %d of %d items are read and no error is reported, want one",
+			t.Errorf("bit flipped in byte %d: %d of %d items are read and no error is reported, want an error",
 				at, len(r.Items), len(want))
 		}
 		_ = o.Close() // an error does not matter: the file was only read
