--- a/client/internal/plan/outcome.go
+++ b/client/internal/plan/outcome.go
@@ -5,16 +5,17 @@
 // Outcome classifies how an attempt ended, by what the end proves about whether the job may have run.
 type Outcome uint8
 
-// The outcomes of an attempt.
+// The outcomes of an attempt to submit a job to a scheduler. The function mayHaveRun says after which of them
+// the job may have run.
 const (
 	// Answered means that the scheduler sent a complete response; AttemptResult.Status holds its HTTP status.
 	Answered Outcome = iota
 	// ConnectFailed means that the scheduler refused the connection or that the connection could not be
 	// opened. The scheduler did not receive the job.
 	ConnectFailed
-	// IdleClosed means that the scheduler had closed all idle connections of the client before the attempt
-	// could use one, and that the client did not open a new connection. The scheduler is shutting down or has
-	// too few sockets. It did not receive the job.
+	// IdleClosed means that the scheduler had closed all idle connections of the client before the attempt could
+	// use one, and that the client did not open a new connection. The scheduler is shutting down or has too few
+	// sockets. The scheduler did not receive the job.
 	IdleClosed
 	// NotSent means that the connection broke before the last byte of the request was written. The scheduler
 	// cannot have read the whole job.
@@ -45,8 +46,8 @@
 type AttemptResult struct {
 	Outcome Outcome
 	Status  int // HTTP status of the response; only set if Outcome is Answered
-	// RetryAfter is the delay, counted from the response, before which the scheduler asks the client not to
-	// retry. RetryAfter is only valid if HasRetryAfter is set.
+	// HasRetryAfter reports that the response has a valid Retry-After header. RetryAfter is then the delay,
+	// counted from the response, before which the scheduler asks the client not to retry.
 	HasRetryAfter bool
 	RetryAfter    time.Duration
 	// ConnectionClose reports that the scheduler closes the connection after its response. A refusal with
@@ -66,7 +67,7 @@
 }
 
 // submitted reports whether the attempt counts towards Class.MaxAttempts. An attempt does not count if the
-// connection could not be opened or if all idle connections were closed.
+// client could not open a connection or if the scheduler had closed all idle connections.
 func (r AttemptResult) submitted() bool { return r.Outcome != ConnectFailed && r.Outcome != IdleClosed }
 
 // mayHaveRun reports whether a worker may have run the job in an attempt with this result.
