--- a/cmd/schedbench/clientreport.go
+++ b/cmd/schedbench/clientreport.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// report returns the results of the desk drill, with a table row for each run. The drill fails if a run with
-// the client library breaks a guarantee of the library.
+// report returns the results of the desk drill, with a table row for each run, which is a group of clients of
+// one kind. The drill fails if a run with the client library breaks a guarantee of the library.
 func (r *clientRuns) report() *report {
 	rep := &report{ok: true, figures: map[string]any{}, chart: r.chart,
 		table: [][]string{{"kind", "jobs", "served", "late", "tries a job", "new connections", "peak in 100 ms",
@@ -18,7 +18,7 @@
 		rep.table = append(rep.table, run.row())
 		rep.figures[run.name] = run.figures()
 		if n := run.fleet.RunCounts().Foreign; n > 0 {
-			// The workers ran jobs of clients outside the run. This can happen if a process of another fleet
+			// The workers ran jobs of clients outside the run. Such jobs can arrive if a process of another fleet
 			// listens on the port of a stopped scheduler.
 			rep.figures["alien_jobs"] = n
 		}
@@ -35,7 +35,7 @@
 	return rep
 }
 
-// row returns the run's row of the table.
+// row returns the row of the run, a group of clients of one kind, in the table of the desk drill.
 func (r *clientRun) row() []string {
 	counts := r.fleet.RunCounts()
 	served := r.verdicts[verdictServed]
@@ -46,7 +46,7 @@
 		fmt.Sprint(r.maxDeadlineOverrun.Round(time.Millisecond))}
 }
 
-// figures returns the run's results for the line of JSON.
+// figures returns the results of the run for the drill's line of JSON.
 func (r *clientRun) figures() map[string]any {
 	counts := r.fleet.RunCounts()
 	return map[string]any{"jobs": r.jobs, "returns": r.returned, "ends": r.verdicts, "late": r.servedLate,
--- a/cmd/schedbench/clientrun.go
+++ b/cmd/schedbench/clientrun.go
@@ -23,13 +23,15 @@
 var clientClasses = []clientClass{{"post-reading", time.Second, 2 * time.Second, client.Once},
 	{"district-batch", 2 * time.Second, 4 * time.Second, client.Rack}}
 
-// The verdicts of plain clients. Clients of the library report all verdicts of client.Verdict.
+// The verdicts of jobs of plain clients, which do not use the client library. Clients of the library report
+// all verdicts of client.Verdict.
 const (
 	verdictServed = "served"
 	verdictFailed = "failed"
 )
 
-// clientRun holds the clients of one kind, the fleet that serves only them, and the results of their jobs.
+// clientRun holds the clients of one kind, the fleet that serves only these clients, and the results of their
+// jobs.
 type clientRun struct {
 	name  string
 	fleet *testcluster.Fleet
@@ -39,7 +41,7 @@
 
 	attempts atomic.Int64
 	dials    *timeline
-	served   *timeline // jobs that were served by their deadlines
+	served   *timeline // jobs that were served by their deadlines, by time of the answer
 
 	mu                 sync.Mutex     // guards the fields below
 	jobs               int            // jobs submitted
@@ -49,7 +51,8 @@
 	returned           int            // jobs whose submission returned
 }
 
-// newClientRun returns a run with a fleet and no clients. Its timelines cover the given length of time.
+// newClientRun returns a run with a fleet and no clients. The timelines of its results cover the given length
+// of time.
 func newClientRun(name string, fleet *testcluster.Fleet, length time.Duration) *clientRun {
 	return &clientRun{name: name, fleet: fleet, closeClients: func() {}, dials: newTimeline(length),
 		served: newTimeline(length), verdicts: map[string]int{}}
@@ -63,14 +66,15 @@
 // A clientRun is the client.Observer of its clients that use the library.
 var _ client.Observer = (*clientRun)(nil)
 
-// AttemptEnded counts the attempts that were sent. An attempt that got no connection was not sent.
+// AttemptEnded counts the attempts that a client sent to a scheduler. An attempt that got no connection was
+// not sent.
 func (r *clientRun) AttemptEnded(_, _, outcome string, _ time.Duration) {
 	if outcome != "no room" && outcome != "unreached" && outcome != "parted" {
 		r.attempts.Add(1)
 	}
 }
 
-// JobEnded does nothing. submitOne counts the jobs.
+// JobEnded does nothing, because submitOne counts the ended jobs.
 func (r *clientRun) JobEnded(string, string, int, time.Duration) {}
 
 // Connected counts an attempt to open a connection, successful or not.
@@ -161,7 +165,8 @@
 	}
 }
 
-// submitOne submits a job, waits for its verdict and counts the result.
+// submitOne submits a job through the client with index i, waits for the job's verdict and counts the
+// verdict.
 func (r *clientRun) submitOne(i int, class clientClass, s fakes.Submission) {
 	r.mu.Lock()
 	r.jobs++
--- a/cmd/schedbench/clients.go
+++ b/cmd/schedbench/clients.go
@@ -24,16 +24,17 @@
 	// returnGrace is how long after its deadline a job may return from the client library.
 	returnGrace = 50 * time.Millisecond
 	stopTimeout = 10 * time.Second // limit for the orderly shutdown of a scheduler
-	// timelineMargin is the time that timelines cover beyond the end of submissions. It leaves room for the
-	// jobs that are open at that time.
+	// timelineMargin is the time that timelines cover after the last submission. Jobs that are open at the last
+	// submission end within the margin.
 	timelineMargin = 10 * time.Second
-	firstBackoff   = 50 * time.Millisecond // longest wait of a plain client before the first retry
+	firstBackoff   = 50 * time.Millisecond // longest wait of a plain client before the first retry of a job
 )
 
 // stopAndRestart stops all but remainingSchedulers of a fleet, one after another, and later restarts them. It
 // begins after a quarter of the duration, and spreads the stops over a sixth of the duration (10 s of a
-// minute). It kills every other scheduler and shuts the rest down in order. After another sixth it restarts
-// the schedulers at the same pace. It returns early when the context ends.
+// minute). It kills every second scheduler and lets the others shut down in an orderly way. After another
+// sixth of the duration it restarts the schedulers at the same pace. stopAndRestart returns early when the
+// context ends.
 func stopAndRestart(ctx context.Context, f *testcluster.Fleet, duration time.Duration) error {
 	sleep := func(d time.Duration) bool { return testcluster.Sleep(ctx, d) }
 	const removed = clientSchedulers - remainingSchedulers
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// clientRuns are the concurrent runs of a desk drill.
+// clientRuns are the concurrent runs of a desk drill, one for each group of clients.
 type clientRuns struct {
 	library   *clientRun // clients of the library
 	immediate *clientRun // plain clients that retry without a wait
@@ -73,7 +74,7 @@
 	faults    *clientRun // clients of the library, with workers that inject faults
 }
 
-// all returns the runs in the order of the report.
+// all returns the runs of the drill in the order of the rows of the report.
 func (r *clientRuns) all() []*clientRun {
 	return []*clientRun{r.library, r.immediate, r.backoff, r.faults}
 }
@@ -119,11 +120,11 @@
 			Schedulers: clientSchedulers, WorkersPerScheduler: workersPerScheduler, Seed: seed,
 			Faults: kind.faults})
 		if err != nil {
-			return runs, fmt.Errorf("start the fleet of %q: %w", kind.name, err)
+			return runs, fmt.Errorf("start the schedulers and workers of the run %q: %w", kind.name, err)
 		}
 		*kind.run = newClientRun(kind.name, fleet, duration+timelineMargin)
 		if err := kind.useClients(*kind.run); err != nil {
-			return runs, fmt.Errorf("start the clients of %q: %w", kind.name, err)
+			return runs, fmt.Errorf("start the clients of the run %q: %w", kind.name, err)
 		}
 	}
 	return runs, nil
--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -28,16 +28,16 @@
 // diskDrill repeatedly starts a process that stores items and kills it at a random time. After each kill it
 // checks that the store holds every confirmed step and that every stored item is readable.
 type diskDrill struct {
-	program, path string // the paths of this executable and of the store's file
+	program, path string // the paths of this executable and of the file of the store
 	random        *rand.Rand
 	progress      progressFunc
 
 	confirmed map[int]int // the last confirmed step of each item, by the item's number
 	nextItem  int         // the number of the first item of the next round
 
-	// The counts in the report. kills counts the rounds. The other three counts are sums over all checks: lost
-	// counts items whose stored step is behind the confirmed step, unreadable counts stored items that cannot
-	// be read, and storedUnconfirmed counts items whose stored step is ahead of the confirmed step.
+	// The counts in the report. kills counts the killed processes. The other counts are sums over all checks:
+	// lost counts items whose stored step is behind the confirmed step, unreadable counts stored items that
+	// cannot be read, and storedUnconfirmed counts items whose stored step is ahead of the confirmed step.
 	kills, lost, unreadable, storedUnconfirmed int
 }
 
@@ -60,7 +60,7 @@
 			return nil, err
 		}
 		if err := d.check(); err != nil {
-			return nil, fmt.Errorf("after kill %d: %w", d.kills, err)
+			return nil, fmt.Errorf("check the store after kill %d of the storing process: %w", d.kills, err)
 		}
 	}
 	return d.report(), nil
@@ -79,7 +79,7 @@
 	}
 	lifetime := time.Duration(20+d.random.IntN(400)) * time.Millisecond
 	kill := time.AfterFunc(lifetime, func() {
-		_ = process.Process.Kill() // Kill fails if the process has exited; then its output ends as well
+		_ = process.Process.Kill() // Kill fails only if the process has exited, which ends its output too
 	})
 	d.readConfirmed(out)
 	kill.Stop()
@@ -101,7 +101,7 @@
 	}
 }
 
-// check compares the stored items with the confirmed steps.
+// check compares the items in the store with the steps that the killed processes confirmed.
 func (d *diskDrill) check() error {
 	stored, err := d.readStore()
 	if err != nil {
@@ -114,7 +114,7 @@
 			d.progress("after kill %d: item %d: step %d was confirmed, found step %d", d.kills, n, step, stored[n])
 		case stored[n] > step:
 			d.storedUnconfirmed++
-			d.confirmed[n] = stored[n] // the step is on disk, so later checks must find it
+			d.confirmed[n] = stored[n] // the step is on disk, so later checks must find the step
 		}
 	}
 	return nil
--- a/cmd/schedbench/drill.go
+++ b/cmd/schedbench/drill.go
@@ -27,8 +27,8 @@
 // JSON.
 type report struct {
 	ok      bool           // every check of the run passed
-	figures map[string]any // the results in the line of JSON, by key
-	table   [][]string     // rows of cells
+	figures map[string]any // results for the line of JSON, by key
+	table   [][]string     // rows of the printed table, each a list of cells
 	chart   chart          // nil if the run has no chart
 }
 
@@ -135,7 +135,7 @@
 func printTable(out io.Writer, lines [][]string) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, line := range lines {
-		_, _ = fmt.Fprintln(table, strings.Join(line, "\t")) // flush says why errors are ignored
+		_, _ = fmt.Fprintln(table, strings.Join(line, "\t")) // flush explains why write errors are ignored
 	}
 	flush(table)
 }
@@ -144,7 +144,7 @@
 func printRightAligned(out io.Writer, lines [][]string) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, line := range lines {
-		_, _ = fmt.Fprintln(table, strings.Join(line, "\t")+"\t") // flush says why errors are ignored
+		_, _ = fmt.Fprintln(table, strings.Join(line, "\t")+"\t") // flush explains why write errors are ignored
 	}
 	flush(table)
 }
--- a/cmd/schedbench/engine.go
+++ b/cmd/schedbench/engine.go
@@ -14,12 +14,12 @@
 	// commit stores the values under the keys in one batch. A nil value deletes the key. When commit returns
 	// without an error, the batch is on disk.
 	commit(keys, values [][]byte) error
-	// count returns the number of keys. It reads all of them.
+	// count returns the number of keys in the store. It reads all keys.
 	count() (int, error)
 	close() error
 }
 
-// openEngine opens or creates a store of the named engine in a folder.
+// openEngine opens or creates a store of the engine "bbolt" or "pebble" in a folder.
 func openEngine(name, folder string) (engine, error) {
 	switch name {
 	case "bbolt":
@@ -39,7 +39,7 @@
 		}
 		return pebbleEngine{db}, nil
 	}
-	return nil, usageError("unknown engine %q", name)
+	return nil, usageError("unknown storage engine %q: want bbolt or pebble", name)
 }
 
 // silentLogger is a pebble.Logger that discards all messages but fatal errors.
@@ -48,7 +48,7 @@
 // Infof discards a message.
 func (silentLogger) Infof(string, ...any) {}
 
-// Errorf discards a message. Pebble returns the same error to the caller.
+// Errorf discards a message, because Pebble also returns the error to the caller.
 func (silentLogger) Errorf(string, ...any) {}
 
 // Fatalf panics, because pebble.Logger requires that Fatalf does not return.
--- a/cmd/schedbench/engineaccept.go
+++ b/cmd/schedbench/engineaccept.go
@@ -11,7 +11,7 @@
 // maxCommitItems is the maximum number of items in one commit.
 const maxCommitItems = 1024
 
-// acceptRequest asks a groupCommitter to store one item.
+// acceptRequest asks a groupCommitter to store the record of one item under a key.
 type acceptRequest struct {
 	key, value []byte
 	done       chan error // receives the result of the commit
@@ -22,10 +22,10 @@
 type groupCommitter struct {
 	engine  engine
 	inbox   chan acceptRequest
-	commits int // number of commits; valid once run has returned
+	commits int // number of commits so far; read only after run has returned
 }
 
-// run commits the items from the inbox until the inbox is closed.
+// run commits the items that arrive in the inbox until the inbox is closed.
 func (g *groupCommitter) run() {
 	for first := range g.inbox {
 		batch := g.fillBatch(first)
@@ -41,7 +41,8 @@
 	}
 }
 
-// fillBatch returns the first request and the requests that are already in the inbox, up to maxCommitItems.
+// fillBatch returns the first request and the requests that already wait in the inbox, at most maxCommitItems
+// in total.
 func (g *groupCommitter) fillBatch(first acceptRequest) []acceptRequest {
 	batch := []acceptRequest{first}
 	for len(batch) < maxCommitItems {
@@ -58,8 +59,8 @@
 	return batch
 }
 
-// accept measures group commit for the duration of c.For. c.Count concurrent callers store items; each caller
-// waits until its item is on disk before it stores the next one.
+// accept measures group commit for the duration c.For. c.Count concurrent callers store items; each caller
+// waits until its item is on disk before the caller stores the next item.
 func (c *engineCmd) accept(e engine, figures map[string]any) error {
 	committer := &groupCommitter{engine: e, inbox: make(chan acceptRequest, c.Count)}
 	deadline := time.Now().Add(c.For)
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// storeItems stores the items of one caller until a deadline. It returns the time that each item took.
+// storeItems stores items for one caller until a deadline. It returns the time until each item was on disk.
 func (c *engineCmd) storeItems(to *groupCommitter, caller int,
 	deadline time.Time) (times []time.Duration, err error) {
 	random := rand.New(rand.NewPCG(c.Seed, uint64(caller)))
--- a/cmd/schedbench/engines.go
+++ b/cmd/schedbench/engines.go
@@ -14,9 +14,10 @@
 // engineNames are the names of the engines that the engines drill measures.
 var engineNames = []string{"bbolt", "pebble"}
 
-// engineMeasurement measures one engine. The steps run one after another, each in its own process.
+// engineMeasurement measures one engine, an embedded store. The steps of the measurement run one after
+// another, each in a process of its own.
 type engineMeasurement struct {
-	program, name string // the path of this executable, and the name of the engine
+	program, name string // path of this executable, and name of the engine
 	seed          uint64
 	progress      progressFunc
 
@@ -42,7 +43,7 @@
 	return rep, nil
 }
 
-// run runs all steps of the measurement of an engine.
+// run runs all steps of the measurement of one engine, an embedded store.
 func (d *engineMeasurement) run(ctx context.Context) error {
 	folder, err := os.MkdirTemp("", "engine")
 	if err != nil {
@@ -68,17 +69,17 @@
 		d.step(ctx, engineChurn, engineChurn, churnFolder, "--many", "2000000"))
 }
 
-// step runs one step in a child process and records its results under a label.
+// step runs one step of the measurement in a child process and records the results under a label.
 func (d *engineMeasurement) step(ctx context.Context, label, step, folder string, args ...string) error {
 	d.progress("%s: %s %s", d.name, step, strings.Join(args, " "))
 	args = append([]string{"engine", d.name, folder, step, "--seed", fmt.Sprint(d.seed)}, args...)
 	out, err := exec.CommandContext(ctx, d.program, args...).Output()
 	if err != nil {
-		return fmt.Errorf("%s, %s: %w", d.name, step, err)
+		return fmt.Errorf("measure engine %s: run step %s: %w", d.name, step, err)
 	}
 	var figures map[string]any
 	if err := json.Unmarshal(out, &figures); err != nil {
-		return fmt.Errorf("%s, %s: %w", d.name, step, err)
+		return fmt.Errorf("measure engine %s: parse results of step %s: %w", d.name, step, err)
 	}
 	d.figures[label] = figures
 	d.rows = append(d.rows, []string{d.name, label, strings.TrimSpace(string(out))})
--- a/cmd/schedbench/enginestep.go
+++ b/cmd/schedbench/enginestep.go
@@ -20,7 +20,7 @@
 	Folder string        `arg:"" type:"path"`
 	Step   string        `arg:"" enum:"accept,fill,open,churn"`
 	For    time.Duration `default:"2s"`
-	Count  int           `name:"many" default:"1"` // callers of the step accept; items of fill and churn
+	Count  int           `name:"many" default:"1"` // callers in the step accept, or items in fill and churn
 	Seed   uint64        `default:"1"`
 }
 
@@ -33,14 +33,14 @@
 )
 
 const (
-	recordSize     = 300     // bytes of the record of one item; it stands for a body, names and times
-	keySize        = 8       // bytes of a key
+	recordSize     = 300     // bytes in the record of one item, which stands for a job's body, names and times
+	keySize        = 8       // bytes in the key of an item
 	batchItems     = 2000    // items stored by one commit of the steps fill and churn
 	churnLiveItems = 100_000 // items that stay in the store during the step churn
-	megabyte       = 1 << 20 // bytes
+	megabyte       = 1 << 20 // bytes in a megabyte
 )
 
-// randomRecord returns a record of random bytes, which compression cannot shrink.
+// randomRecord returns the record of an item: random bytes, which compression cannot shrink.
 func randomRecord(random *rand.Rand) []byte {
 	b := make([]byte, recordSize)
 	for i := 0; i < len(b); i += 4 {
@@ -53,7 +53,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Run runs the step and prints its results as a line of JSON.
+// Run runs one step of the measurement of an engine and prints the results as a line of JSON.
 func (c *engineCmd) Run() error {
 	startedAt := time.Now()
 	e, err := openEngine(c.Name, c.Folder)
@@ -65,7 +65,7 @@
 	switch c.Step {
 	case engineAccept:
 		err = c.accept(e, figures)
-	case engineFill: // the process exits without closing the store, like a killed process
+	case engineFill: // the process exits without closing the store, as a killed process does
 		err = c.fill(e, random)
 		figures["fill_s"] = time.Since(startedAt).Seconds()
 	case engineOpen:
--- a/cmd/schedbench/keep.go
+++ b/cmd/schedbench/keep.go
@@ -9,14 +9,15 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// storeItemsCmd is the command that the disk drill runs and kills. It takes items through their lifecycle in
-// a store. When the store confirms a step, the command prints a line with the item's number and the step.
+// storeItemsCmd is the command that the disk drill runs and kills. The command takes items through their
+// lifecycle in a store. When the store confirms that a step is on disk, the command prints a line with the
+// item's number and the step.
 type storeItemsCmd struct {
 	File string `arg:"" type:"path"`
 	From int    `arg:"" help:"The number of the first item."`
 }
 
-// itemsInFlight is the number of items that are stored concurrently.
+// itemsInFlight is the number of items that the command stores concurrently.
 const itemsInFlight = 16
 
 // itemStep is a step in the lifecycle of an item. The steps are numbered from 1.
@@ -31,10 +32,10 @@
 	lastStep = stepAnswered
 )
 
-// farFuture is a point in time that no run reaches. It is used for deadlines and for the end of retention.
+// farFuture is a time that no run reaches, for the deadlines of items and for the end of their retention.
 const farFuture = 1 << 60
 
-// reachedStep returns the number of the last lifecycle step that a stored item has completed.
+// reachedStep returns the itemStep that a stored item has completed last.
 func reachedStep(it *lifecycle.Item) int {
 	steps := 1 + len(it.Attempts)
 	if len(it.Attempts) > 0 && !it.Outstanding() {
--- a/cmd/schedbench/main_test.go
+++ b/cmd/schedbench/main_test.go
@@ -68,7 +68,7 @@
 			status, _, stderr := runCommand(t, strings.Fields(c.args)...)
 			lines := strings.Split(strings.TrimSpace(stderr), "\n")
 			if status != exitUsage || len(lines) != 1 || !strings.Contains(lines[0], c.want) {
-				t.Errorf("got status %d and standard error %q, want the usage status and one line with %q", status,
+				t.Errorf("got exit status %d and standard error %q, want status 2 and one line that contains %q", status,
 					stderr, c.want)
 			}
 		})
@@ -84,26 +84,28 @@
 		for _, name := range []string{former, present} {
 			status, out, _ := runCommand(t, name, "--world", "turned", "--faults", "1", "--out", folder)
 			if status != exitOK {
-				t.Fatalf("command %s: got status %d with output %s, want success", name, status, out)
+				t.Fatalf("the command %s got exit status %d with output %s, want status 0", name, status, out)
 			}
 			s := lastSummary(t, out)
-			s.Seconds, s.PerSecond, s.Depth = 0, 0, 0 // these differ between runs of a parallel search
+			s.Seconds, s.PerSecond, s.Depth = 0, 0, 0 // these fields differ between runs of a parallel search
 			summaries = append(summaries, s)
 		}
 		if diff := cmp.Diff(summaries[1], summaries[0]); diff != "" {
-			t.Errorf("summaries of %s and %s differ (-present +former): %s", former, present, diff)
+			t.Errorf("the summaries of the commands %s and %s differ (-present +former), want equal ones: %s", former,
+				present, diff)
 		}
 	}
 	if d, err := drillByName("planted"); err != nil || d.description != drills["mutants"].description {
-		t.Errorf("drill planted: got drill %q, error %v, want the drill mutants", d.description, err)
+		t.Errorf("the former drill name planted selects the drill %q, error %v; want drill mutants", d.description,
+			err)
 	}
 	status, help, _ := runCommand(t, "--help")
 	if status != exitOK {
-		t.Fatalf("--help: got status %d, want success", status)
+		t.Fatalf("schedbench --help got exit status %d, want 0", status)
 	}
 	for _, former := range []string{"explore", "fit"} {
 		if strings.Contains(help, "\n  "+former+" ") {
-			t.Errorf("the help lists the former command name %s: %s", former, help)
+			t.Errorf("the help lists the former command name %s, want only present names: %s", former, help)
 		}
 	}
 	for _, present := range []string{"modelcheck", "regress"} {
@@ -132,29 +134,31 @@
 	status, out, _ := runCommand(t, "modelcheck", "--world", "hole", "--out", folder)
 	s := lastSummary(t, out)
 	if status != exitViolation || s.Violations != 1 || s.Property != "called-back" || s.Exhausted {
-		t.Fatalf("search of the world hole: got status %d with output %s; want a violation of called-back",
+		t.Fatalf("search of the world hole: got exit status %d, output %s; want a violation of called-back",
 			status, out)
 	}
 	status, out, _ = runCommand(t, "modelcheck", "--replay", s.Trace)
 	if status != exitViolation || !strings.Contains(out, "broken: called-back") {
-		t.Errorf("replay of the trace: got status %d with output %s; want a replay that violates called-back",
+		t.Errorf("replay of the trace: got exit status %d, output %s; want a violation of the property called-back",
 			status, out)
 	}
 	status, out, _ = runCommand(t, "modelcheck", "--world", "turned", "--coverage", "--out", folder)
 	if s = lastSummary(t, out); status != exitOK || !s.Exhausted || s.States < 1000 || s.Violations != 0 ||
 		len(s.Uncovered) == 0 {
-		t.Errorf("world turned: got status %d with output %s; want exhausted, no violation, some uncovered",
+		t.Errorf("search of the world turned: status %d, output %s; want exhausted, no violation, uncovered events",
 			status, out)
 	}
 	status, out, _ = runCommand(t, "modelcheck", "--walk", "--budget", "200ms", "--out", folder)
 	if s = lastSummary(t, out); status != exitOK || s.World != "large" || s.States == 0 {
-		t.Errorf("random walk: got status %d with output %s; want a walk through the world large", status, out)
+		t.Errorf("random walk: got exit status %d with output %s; want a walk through the world large", status, out)
 	}
 	if status, out, _ = runCommand(t, "modelcheck", "--list"); status != exitOK || !strings.Contains(out,
 		"one-final-answer") {
-		t.Errorf("list of worlds: got status %d with output %s; want a list with one-final-answer", status, out)
+		t.Errorf("modelcheck --list: got exit status %d, output %s; want a list with the property one-final-answer",
+			status, out)
 	}
 	if status, out, _ = runCommand(t, "drill"); status != exitOK || !strings.Contains(out, "mutants") {
-		t.Errorf("list of drills: got status %d with output %s; want a list with mutants", status, out)
+		t.Errorf("list of drills: got exit status %d with output %s; want a list with the drill mutants", status,
+			out)
 	}
 }
--- a/cmd/schedbench/modelcheck.go
+++ b/cmd/schedbench/modelcheck.go
@@ -39,10 +39,11 @@
 // collections make it faster.
 const (
 	searchGCPercent   = 600
-	searchMemoryLimit = 12 << 30 // soft limit in bytes, near which the garbage collector runs more often
+	searchMemoryLimit = 12 << 30 // memory in bytes near which the garbage collector runs more often
 )
 
-// Run explores, walks, lists or replays, as the flags select.
+// Run explores a world, walks through a world at random, lists the worlds or replays a trace, as the flags
+// select.
 func (c *modelCheckCmd) Run() error {
 	switch {
 	case c.List:
@@ -92,7 +93,8 @@
 	return cfg.Resize(c.Requests, c.Workers, c.Faults)
 }
 
-// search explores or walks a world. It shows its progress if standard error is a terminal.
+// search explores all states of a world, or walks through the world at random. It prints its progress if
+// standard error is a terminal.
 func (c *modelCheckCmd) search(ctx context.Context, cfg *modelcheck.Config) (*modelcheck.Result, error) {
 	opt := modelcheck.Options{Parallel: c.Parallel, ReplayStates: c.Engine == "replay"}
 	if isatty.IsTerminal(os.Stderr.Fd()) {
--- a/cmd/schedbench/modelcheck_report.go
+++ b/cmd/schedbench/modelcheck_report.go
@@ -11,7 +11,8 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// searchSummary is the result of a search. It is printed as JSON in the last line of standard output.
+// searchSummary is the result of a search by the model checker. The command prints it as JSON in the last
+// line of standard output.
 type searchSummary struct {
 	World       string   `json:"world"`
 	States      int64    `json:"states"`
--- a/cmd/schedbench/mutants.go
+++ b/cmd/schedbench/mutants.go
@@ -16,14 +16,15 @@
 	"dahliaford/internal/modelcheck/mutants"
 )
 
-// mutantSearchBudget is the maximum duration of the search of a mutant in its own world.
+// mutantSearchBudget is the maximum duration of the search of a mutant in its own world, in which the model
+// checker must find the mutant.
 const mutantSearchBudget = 60 * time.Second
 
-// A mutant with OnlyInWorld set must be found only in its own world. The drill also searches it in each world
-// with the default rules, to check that no violation is found there.
+// The model checker must find a mutant with OnlyInWorld set only in the mutant's own world. The drill also
+// searches the mutant in each world with the default rules, to check that these searches find no violation.
 const (
-	otherWorldBudget    = 2 * time.Second // maximum duration of the search in one world
-	otherWorldMaxFaults = 2               // maximum number of faults in the search of one world
+	otherWorldBudget    = 2 * time.Second // longest search of a mutant in one world
+	otherWorldMaxFaults = 2               // largest number of injected faults in the search of one world
 )
 
 // runMutantDrill builds this program once with each mutant, a seeded fault in the source. Each build searches
@@ -57,7 +58,7 @@
 	return r, nil
 }
 
-// mutantOutcome is the result of the searches of a mutant.
+// mutantOutcome is the result of the searches of a mutant by the model checker.
 type mutantOutcome struct {
 	mutant      mutants.Mutant
 	search      searchSummary
@@ -72,7 +73,7 @@
 		len(o.otherWorlds.foundIn) == 0
 }
 
-// row returns the mutant's row of the drill's table.
+// row returns the row of the mutant in the table of the drill.
 func (o mutantOutcome) row() []string {
 	property, steps, otherWorlds := "not found", "", ""
 	if o.search.Violations > 0 {
@@ -85,7 +86,7 @@
 		property, steps, strconv.FormatInt(o.search.States, 10), fmt.Sprintf("%.2f", o.search.Seconds), otherWorlds}
 }
 
-// otherWorlds is the result of the searches of a mutant in the worlds with the default rules.
+// otherWorlds is the result of the searches of a mutant in all worlds with the default rules.
 type otherWorlds struct {
 	worlds  int      // number of worlds searched
 	states  int64    // number of states searched in all worlds
@@ -98,7 +99,7 @@
 	if len(e.foundIn) > 0 {
 		return "found in " + strings.Join(e.foundIn, ", ")
 	}
-	return fmt.Sprintf("in none of %d worlds, %d states", e.worlds, e.states)
+	return fmt.Sprintf("found in none of %d worlds with %d states", e.worlds, e.states)
 }
 
 // checkMutant builds this program with a mutant and searches for a violation. If it finds one, it replays the
@@ -148,7 +149,7 @@
 	build := exec.CommandContext(ctx, "go", "build", "-overlay", overlay, "-o", b.program, "./cmd/schedbench")
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
-		return b, fmt.Errorf("build: %w: %s", err, out)
+		return b, fmt.Errorf("build schedbench with the mutant: %w: %s", err, out)
 	}
 	return b, nil
 }
@@ -160,22 +161,22 @@
 		more...)
 	out, err := exec.CommandContext(ctx, b.program, args...).Output()
 	if err != nil && !endedWithViolation(err) {
-		return searchSummary{}, fmt.Errorf("world %s: %w", world, err)
+		return searchSummary{}, fmt.Errorf("search world %s: %w", world, err)
 	}
 	lines := strings.Split(strings.TrimSpace(string(out)), "\n")
 	var s searchSummary
 	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &s); err != nil {
-		return s, fmt.Errorf("world %s: summary: %w", world, err)
+		return s, fmt.Errorf("parse the summary of the search of world %s: %w", world, err)
 	}
 	return s, nil
 }
 
-// searchOtherWorlds searches all worlds with the default settings.
+// searchOtherWorlds searches for violations of the mutant in all worlds with the default rules.
 func (b mutantBuild) searchOtherWorlds(ctx context.Context) (otherWorlds, error) {
 	var e otherWorlds
 	for _, c := range modelcheck.Worlds() {
 		if c.Overrides != (modelcheck.Overrides{}) || c.DeleteOvertakesRequest {
-			// Where a DELETE may overtake its request, a violation is found without a mutant, too.
+			// In a world in which a DELETE may overtake its request, a search finds a violation without a mutant.
 			continue
 		}
 		faults := strconv.Itoa(min(otherWorldMaxFaults, int(c.MaxFaults)))
@@ -205,7 +206,7 @@
 	}
 	err = exec.CommandContext(ctx, b.program, "modelcheck", "--replay", path).Run()
 	if !endedWithViolation(err) {
-		return 0, errors.New("the replay of the trace does not violate a property")
+		return 0, errors.New("the replay of the mutant's trace does not violate a property, want a violation")
 	}
 	return len(trace.Steps), nil
 }
--- a/cmd/schedbench/regress.go
+++ b/cmd/schedbench/regress.go
@@ -27,11 +27,11 @@
 	var all seriesList
 	for _, path := range c.Files {
 		if err := all.readFile(path); err != nil {
-			return fmt.Errorf("%s: %w", path, err)
+			return fmt.Errorf("read benchmark results of %s: %w", path, err)
 		}
 	}
 	if len(all) == 0 {
-		return usageError("no benchmark result with a size in its name")
+		return usageError("the files hold no benchmark result with a size in its name")
 	}
 	if err := printFits(os.Stdout, all); err != nil {
 		return err
@@ -46,7 +46,7 @@
 	return drawSeries(path, text, all)
 }
 
-// readFile adds the metrics of the benchmarks in a file.
+// readFile adds the metrics of the benchmark results in a file to the list.
 func (all *seriesList) readFile(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -56,11 +56,11 @@
 	return all.read(f)
 }
 
-// fitTableHead is the head of the Markdown table of fits.
+// fitTableHead is the head of the Markdown table of fitted growth models.
 const fitTableHead = "| figure | at the sizes | runs, spread | grows as | base + rate x law | " +
 	"worst residual n, n log n, n² |\n| --- | --- | --- | --- | --- | --- |\n"
 
-// printFits writes a Markdown table with a row for each series.
+// printFits writes a Markdown table with a row for each series of benchmark results.
 func printFits(w io.Writer, all seriesList) error {
 	var table strings.Builder
 	table.WriteString(fitTableHead)
@@ -71,8 +71,8 @@
 	return err
 }
 
-// writeFit writes the row of one series: its mean at each size, the best growth model, and the largest
-// relative residual of each model.
+// writeFit writes the table row of one series of benchmark results: the mean at each size, the best growth
+// model, and the largest relative residual of each model.
 func writeFit(table *strings.Builder, s *series) {
 	r, err := regression.Fit(s.points)
 	var means []string
@@ -119,7 +119,7 @@
 		}
 	}
 	if len(args) == 0 {
-		return usageError("no series has %q in its name and values at two sizes", text)
+		return usageError("no benchmark has %q in its name or unit and values above 0 at two sizes", text)
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
 		return err
--- a/cmd/schedbench/regress_test.go
+++ b/cmd/schedbench/regress_test.go
@@ -22,7 +22,7 @@
 	}
 	var all seriesList
 	if err := all.read(strings.NewReader(text.String())); err != nil || len(all) != 3 {
-		t.Fatalf("got %d series, error %v, want 3 series", len(all), err)
+		t.Fatalf("read found %d series of metrics in the benchmark results, error %v, want 3 series", len(all), err)
 	}
 	var out strings.Builder
 	if err := printFits(&out, all); err != nil {
@@ -31,7 +31,7 @@
 	for _, want := range []string{"Word/300 schedulers, N workers, ns/op", "7200: 7.2e+04",
 		"| 2, ±0% | n |", "| flat (", "1 sizes, too few to fit"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the table does not contain %q:\n%s", want, out.String())
+			t.Errorf("the table of fitted growth models does not contain %q:\n%s", want, out.String())
 		}
 	}
 	path := filepath.Join(t.TempDir(), "word.svg")
@@ -39,10 +39,10 @@
 		t.Error(err)
 	}
 	if raw, err := os.ReadFile(path); err != nil || !strings.Contains(string(raw), "<svg") {
-		t.Errorf("got no SVG file, error %v, want a chart", err)
+		t.Errorf("drawSeries wrote no SVG file, error %v, want a file with a chart", err)
 	}
 	if err := new(seriesList).read(strings.NewReader("BenchmarkX/0_workers 1 5 ns/op")); err == nil {
-		t.Error("a benchmark with size 0 is accepted, want an error")
+		t.Error("read accepts a benchmark with size 0 in its name, want an error")
 	}
 }
 
@@ -56,7 +56,7 @@
 	for _, command := range []string{"regress", "fit"} { // fit is the former name of regress
 		for _, args := range [][]string{{command}, {command, path}, {command, path + "x"}} {
 			if status := run(args); status != exitUsage {
-				t.Errorf("arguments %v: got status %d, want a usage error", args, status)
+				t.Errorf("run with arguments %v got exit status %d, want status 2 for a usage error", args, status)
 			}
 		}
 	}
--- a/cmd/schedbench/scale.go
+++ b/cmd/schedbench/scale.go
@@ -32,10 +32,10 @@
 }
 
 const (
-	scaleMemoryLimit  = 6 << 30   // soft limit in bytes, near which the garbage collector runs more often
-	scaleTimeout      = time.Hour // of wall-clock time for a run
-	maxRealSchedulers = 64
-	realZones         = 14 // zones in the worker list of real schedulers; two zones form a region
+	scaleMemoryLimit  = 6 << 30   // memory in bytes near which the garbage collector runs more often
+	scaleTimeout      = time.Hour // longest wall-clock time of a run
+	maxRealSchedulers = 64        // largest number of scheduler processes with --real
+	realZones         = 14        // largest number of zones in a run with --real; two zones form a region
 )
 
 // Run runs the fleet. It returns a usage error for invalid options, and an error with exitViolation if the
@@ -134,7 +134,7 @@
 	return scaledLine(name, values, 1)
 }
 
-// scaledLine returns a chart line of values, one value for each second, multiplied by a factor.
+// scaledLine returns a chart line of values, one value for each second. Each value is multiplied by a factor.
 func scaledLine(name string, values []float64, factor float64) chartLine {
 	l := chartLine{name: name}
 	for second, value := range values {
--- a/cmd/schedbench/scale_real.go
+++ b/cmd/schedbench/scale_real.go
@@ -12,7 +12,7 @@
 	"dahliaford/internal/simfleet"
 )
 
-// maxViolations is the maximum number of violations that are printed.
+// maxViolations is the largest number of violations that a run with real schedulers prints.
 const maxViolations = 20
 
 // runReal runs real schedulers against simulated workers and a simulated discovery service. It writes its
@@ -43,7 +43,7 @@
 		return err
 	}
 	if n := len(r.Violations); n > 0 {
-		return exitError{exitViolation, fmt.Sprintf("%d property violations", n)}
+		return exitError{exitViolation, fmt.Sprintf("the run violated checked properties %d times", n)}
 	}
 	return nil
 }
--- a/cmd/schedbench/scale_real_test.go
+++ b/cmd/schedbench/scale_real_test.go
@@ -29,7 +29,7 @@
 // set.
 func TestScaleByHand(t *testing.T) {
 	if *realSchedulers == 0 {
-		t.Skip("measurement on request only: -scale.real is not set")
+		t.Skip("the flag -scale.real is not set; it requests this measurement")
 	}
 	t.Chdir("../..")
 	if err := runReal(t.Context(), os.Stdout, simfleet.Options{Schedulers: *realSchedulers, Fleet: *fleetSize,
@@ -52,7 +52,8 @@
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
 	var r simfleet.Report
 	if err := json.Unmarshal(lines[len(lines)-1], &r); err != nil {
-		t.Fatalf("last line is not a report: %v: %s", err, lines[len(lines)-1])
+		t.Fatalf("want the report as JSON in the last line of the output, got error %v: %s", err,
+			lines[len(lines)-1])
 	}
 	if r.Workers != 40 || r.FindEvent("zone lost, in one line") == nil || r.Served == 0 {
 		t.Errorf("%+v", r)
@@ -60,6 +61,6 @@
 	o.Workers = 0
 	var e exitError
 	if err := runReal(t.Context(), io.Discard, o); !errors.As(err, &e) || e.status != exitUsage {
-		t.Errorf("options with 0 workers: got error %v, want a usage error", err)
+		t.Errorf("a run with 0 workers returns error %v, want an error with the usage status 2", err)
 	}
 }
--- a/cmd/schedbench/scale_table.go
+++ b/cmd/schedbench/scale_table.go
@@ -8,8 +8,9 @@
 	"dahliaford/internal/emulator"
 )
 
-// scaleTable returns the report of a run as rows of a table: the results in virtual time, the measurements on
-// the machine, the processor time of each kind of event, the counts of log lines, and the violations.
+// scaleTable returns the report of a simulated run as rows of a table: the results in virtual time, the
+// processor time and memory that the run took, the processor time of each kind of event, the counts of log
+// lines, and the violations.
 func scaleTable(r *emulator.Report) [][]string {
 	return slices.Concat(jobRows(&r.Model), trafficRows(&r.Model), measuredRows(&r.Measured),
 		eventCostRows(&r.Measured), logRows(&r.Model))
--- a/cmd/schedbench/scale_test.go
+++ b/cmd/schedbench/scale_test.go
@@ -33,7 +33,7 @@
 			status, out, errors := runCommand(t, strings.Fields("scale "+args)...)
 			oneLine := strings.Count(strings.TrimSpace(errors), "\n") == 0
 			if status != exitUsage || !oneLine || !strings.Contains(errors, want) || out != "" {
-				t.Errorf("got status %d and standard error %q, want the usage status and one line with %q", status,
+				t.Errorf("got exit status %d and standard error %q, want status 2 and one line that contains %q", status,
 					errors, want)
 			}
 		})
@@ -61,11 +61,11 @@
 	}
 	for _, name := range []string{".txt", "-starts.svg", "-control.svg"} {
 		if info, err := os.Stat(filepath.Join(folder, "scale-calm-10x100"+name)); err != nil || info.Size() == 0 {
-			t.Errorf("output file with suffix %s is missing or empty: error %v", name, err)
+			t.Errorf("the output file of --keep with suffix %s is missing or empty: error %v", name, err)
 		}
 	}
 	status, out, _ = runCommand(t, "scale", "--workers", "50", "--schedulers", "2", "--for", "1s", "--json")
 	if status != exitOK || strings.Count(out, "\n") != 1 {
-		t.Errorf("with --json: got status %d and output %s, want success and one line", status, out)
+		t.Errorf("scale --json: got exit status %d and output %s, want status 0 and one line", status, out)
 	}
 }
--- a/cmd/schedbench/series.go
+++ b/cmd/schedbench/series.go
@@ -11,7 +11,7 @@
 	"dahliaford/internal/regression"
 )
 
-// series is one metric of one benchmark, measured at several sizes.
+// series is one metric of one benchmark, measured at several sizes such as numbers of workers.
 type series struct {
 	name   string // the name of the benchmark, with N in place of the size
 	unit   string // the metric's unit, such as ns/op
@@ -52,23 +52,24 @@
 	}
 	size, err := strconv.ParseFloat(m[2], 64)
 	if err != nil || size <= 0 {
-		return fmt.Errorf("%s: size must be above 0", fields[0])
+		return fmt.Errorf("%s: the size in the name of the benchmark must be above 0", fields[0])
 	}
 	for i := 2; i+1 < len(fields); i += 2 {
 		value, err := strconv.ParseFloat(fields[i], 64)
 		if err != nil {
-			return fmt.Errorf("%s: value %s is not a number", fields[0], fields[i])
+			return fmt.Errorf("%s: the value %s of a metric is not a number", fields[0], fields[i])
 		}
 		unit := fields[i+1]
 		if unit == "ns/op" && value == 0 {
-			continue // a benchmark that reports only custom metrics sets ns/op to 0
+			continue // a benchmark that reports only metrics of its own sets ns/op to 0
 		}
 		all.findOrAdd(m[1]+"N"+m[3], unit).add(size, value)
 	}
 	return nil
 }
 
-// findOrAdd returns the series of a metric. If the list has no such series, findOrAdd adds an empty one.
+// findOrAdd returns the series of a metric of a benchmark. If the list has no such series, findOrAdd adds an
+// empty series.
 func (all *seriesList) findOrAdd(name, unit string) *series {
 	for _, s := range *all {
 		if s.name == name && s.unit == unit {
@@ -80,7 +81,7 @@
 	return s
 }
 
-// add adds a value that was measured at a size.
+// add adds a value of the metric that was measured at a size.
 func (s *series) add(size, value float64) {
 	for i := range s.points {
 		if s.points[i].Size == size {
--- a/cmd/schedbench/timeline.go
+++ b/cmd/schedbench/timeline.go
@@ -19,7 +19,7 @@
 // counts in the last bin. A timeline is safe for concurrent use once startedAt is set.
 type timeline struct {
 	startedAt time.Time
-	bins      []atomic.Int64 // the number of events in each bin
+	bins      []atomic.Int64 // number of events in each bin of binLength
 }
 
 // newTimeline returns an empty timeline that covers the given length of time.
@@ -27,12 +27,12 @@
 	return &timeline{bins: make([]atomic.Int64, int(length/binLength))}
 }
 
-// add counts an event at the current time.
+// add counts an event in the bin of the current time.
 func (t *timeline) add() {
 	t.bins[min(int(time.Since(t.startedAt)/binLength), len(t.bins)-1)].Add(1)
 }
 
-// total returns the number of events in all bins.
+// total returns the number of events in the whole timeline.
 func (t *timeline) total() (sum int64) {
 	for i := range t.bins {
 		sum += t.bins[i].Load()
@@ -40,8 +40,8 @@
 	return sum
 }
 
-// peak returns the largest number of events in a bin. It ignores the bins before initialConnectTime, because
-// the clients open their first connections then.
+// peak returns the largest number of events in a bin, which covers binLength. The result ignores the bins
+// before initialConnectTime, because the clients open their first connections during that time.
 func (t *timeline) peak() (largest int64) {
 	for i := int(initialConnectTime / binLength); i < len(t.bins); i++ {
 		largest = max(largest, t.bins[i].Load())
@@ -49,7 +49,7 @@
 	return largest
 }
 
-// perSecond returns the number of events in each second.
+// perSecond returns the number of events in each second of the timeline.
 func (t *timeline) perSecond() []int64 {
 	perSecond := int(time.Second / binLength)
 	seconds := make([]int64, (len(t.bins)+perSecond-1)/perSecond)
@@ -59,7 +59,7 @@
 	return seconds
 }
 
-// chartLine returns the events per second as a line of a chart.
+// chartLine returns the events per second as a named line of a chart.
 func (t *timeline) chartLine(name string) chartLine {
 	l := chartLine{name: name}
 	for second, n := range t.perSecond() {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -32,8 +32,8 @@
 	slotMixIndex  int
 	slots, work   float64  // work is the run time on a machine of speed 1, in microseconds
 	zone          int      // zone of the client
-	submittedAt   Micros   // time of the first submission
-	submissions   int      // number of submissions so far
+	submittedAt   Micros   // time of the first submission of the job
+	submissions   int      // number of submissions of the job so far
 	firstStarted  *request // the first request of the job that a worker started, or nil
 }
 
@@ -51,8 +51,8 @@
 	for _, n := range f.nodes {
 		c.schedulersByZone[n.zone] = append(c.schedulersByZone[n.zone], n)
 	}
-	// Clients of a zone without schedulers use the schedulers of its region, or all schedulers if the region has
-	// none.
+	// Clients of a zone without schedulers use the schedulers of the zone's region, or all schedulers if the
+	// region has none.
 	for z := range Zones {
 		if len(c.schedulersByZone[z]) > 0 {
 			continue
@@ -142,8 +142,9 @@
 	c.fleet.scheduleAfter(delay, func() { c.submit(req.job, remaining) })
 }
 
-// recordStart records that a worker starts the job of a request. It reports a violation if an earlier request
-// for an at-most-once job has been started before: the scheduler had answered that request with a refusal.
+// recordStart records that a worker starts the job of a request. A client sends a second request for a job
+// only after a refusal of the first. recordStart therefore reports a violation if the job must run at most
+// once and a worker has already started the job for an earlier request.
 func (c *clients) recordStart(req *request) {
 	f, job := c.fleet, req.job
 	f.tally.model.Starts++
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -6,8 +6,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// receiveTimeout is how long data that a scheduler has written can wait at the worker's machine for the
-// process to read it. After this time the scheduler has closed the connection.
+// receiveTimeout is how long data that a scheduler has written can wait at the worker's machine until the
+// worker's process reads the data. After receiveTimeout the scheduler has closed the connection.
 const receiveTimeout = 300 * millisecond
 
 // conn is a connection from a scheduler to a worker. It carries one exchange at a time, which is an attempt
@@ -16,9 +16,9 @@
 	connstate.Conn
 	node          *node
 	worker        *worker
-	incarnation   int // incarnation of the worker's process that accepted the connection
+	incarnation   int // number of the worker's process that accepted the connection (see worker)
 	connected     bool
-	writing       bool // a part of the present exchange's request has been written
+	writing       bool // a part of the present attempt or cancellation has been written
 	writtenAt     Micros
 	idleSince     Micros
 	closed        bool
@@ -61,7 +61,7 @@
 	c.start()
 }
 
-// abandonAttempt closes the connection that carries an attempt or the attempt's cancellation.
+// abandonAttempt closes the connection that carries an attempt or the cancellation of the attempt.
 func (n *node) abandonAttempt(attempt scheduler.AttemptID) {
 	c := n.attempts[attempt]
 	if c == nil {
@@ -79,7 +79,8 @@
 	return !c.Released && c.Busy && c.Attempt == attempt
 }
 
-// start writes the request of the present exchange, after establishing the connection if it is a new one.
+// start writes the attempt or the cancellation that is assigned to the connection. If the connection is new,
+// start establishes the connection first.
 func (c *conn) start() {
 	f, attempt := c.node.fleet, c.Attempt
 	if c.connected {
@@ -113,8 +114,7 @@
 	})
 }
 
-// write writes the request of the present exchange, unless the connection no longer carries the given
-// attempt.
+// write writes the given attempt or its cancellation, unless the connection no longer carries either.
 func (c *conn) write(attempt scheduler.AttemptID) {
 	switch {
 	case !c.carries(attempt) || c.writing:
@@ -141,7 +141,7 @@
 	switch {
 	case c.incarnation != c.worker.incarnation:
 		c.sendReset(attempt)
-	case c.receiveTimedOut(): // the scheduler has closed the connection
+	case c.receiveTimedOut(): // the scheduler has closed the connection by now
 	case c.worker.cancel(c.cancelID):
 		c.worker.respond(c, connstate.WorkerResponse{Status: 200, Close: true})
 	default:
@@ -179,8 +179,8 @@
 	})
 }
 
-// receiveAttempt handles the arrival of an attempt at the worker's machine. The incarnation is that of the
-// worker's process to which the connection belonged when the attempt was written.
+// receiveAttempt handles the arrival of an attempt at the worker's machine. The incarnation is the number of
+// the worker's process to which the connection led when the attempt was written.
 func (c *conn) receiveAttempt(attempt scheduler.AttemptID, req *request, incarnation int) {
 	switch {
 	case c.receiveTimedOut() && c.Released: // the scheduler closed the connection and discarded the unsent data
@@ -196,10 +196,11 @@
 	c.node.fleet.network.send(c.worker.zone, c.node.zone, packetBytes, func() { c.handleReset(attempt) })
 }
 
-// receiveTimedOut reports whether the data written last is older than receiveTimeout.
+// receiveTimedOut reports whether more than receiveTimeout has passed since the scheduler last wrote to the
+// connection.
 func (c *conn) receiveTimedOut() bool { return c.node.fleet.now-c.writtenAt > receiveTimeout }
 
-// writeFailure is the reason why the request of an exchange was not written.
+// writeFailure is the reason why an attempt or a cancellation was not written to its connection.
 type writeFailure uint8
 
 const (
@@ -208,7 +209,8 @@
 	dialRefused                             // the worker's process does not run
 )
 
-// writeFailed ends the present exchange, whose request was not written, with the outcome for the reason.
+// writeFailed ends an attempt or a cancellation that was not written to the connection, with the outcome that
+// corresponds to the reason.
 func (c *conn) writeFailed(reason writeFailure) {
 	result := connstate.WriteFailed
 	if reason == dialRefused {
@@ -229,8 +231,8 @@
 	c.finish(next, e)
 }
 
-// workerAtCapacity reports whether a refused connection means that the worker is at capacity. Package node
-// assumes so if other connections to the worker's process are open.
+// workerAtCapacity reports whether the refusal of connection c means that the worker is at capacity. Like
+// package node, workerAtCapacity assumes so if other connections to the worker's process are open.
 func (n *node) workerAtCapacity(c *conn) bool {
 	for _, o := range n.idleConns[c.worker] {
 		if o.incarnation == c.worker.incarnation {
@@ -263,8 +265,9 @@
 	c.finish(next, e)
 }
 
-// finish closes the connection if its state machine demands it. If the exchange has ended, finish passes the
-// event e, which ends it, to the reducer.
+// finish closes the connection if next, the result of the connection's state machine, is connstate.Drop. If e
+// is not nil, the attempt or the cancellation has ended, and finish passes e, the event of the end, to the
+// reducer.
 func (c *conn) finish(next connstate.Disposition, e scheduler.Event) {
 	if next == connstate.Drop {
 		c.node.closeConn(c)
--- a/internal/emulator/connection_pool.go
+++ b/internal/emulator/connection_pool.go
@@ -2,23 +2,23 @@
 
 // Limits of a scheduler's connections to workers. Package node uses the same limits.
 const (
-	// A scheduler closes a connection that has been idle for the timeout. The timeout depends on the size of
-	// the fleet (see dispatch.Settings.LargeFleet).
+	// A scheduler closes a connection to a worker that has been idle for the idle timeout. The idle timeout
+	// depends on the size of the fleet (see dispatch.Settings.LargeFleet).
 	idleTimeoutSmallFleet = 50 * millisecond
 	idleTimeoutLargeFleet = 2000 * millisecond
-	maxConnections        = (1024 - 32) / 4 // a quarter of 1,024 file descriptors, of which 32 are reserved
+	maxConnections        = (1024 - 32) / 4 // a quarter of 1,024 file descriptors less 32 reserved ones
 )
 
-// idleEntry records that a connection became idle at a time. The entry is outdated if the connection has been
-// used after that time.
+// idleEntry records that a connection became idle at time since. The entry is outdated if the connection has
+// been used after that time.
 type idleEntry struct {
 	conn  *conn
 	since Micros
 }
 
-// acquireIdle returns the connection to a worker that became idle last, or nil if there is none. It closes
-// connections to a process that has ended, if the packet that closes them has had time to reach the
-// scheduler.
+// acquireIdle returns the connection to a worker that became idle last, or nil if there is none. Idle
+// connections to a worker process that has ended are closed instead of returned, provided that the TCP
+// packet that closes the connection has had time to reach the scheduler.
 func (n *node) acquireIdle(w *worker) *conn {
 	for idle := n.idleConns[w]; len(idle) > 0; idle = n.idleConns[w] {
 		c := idle[len(idle)-1]
@@ -33,7 +33,7 @@
 }
 
 // acquireConn returns a connection for an attempt. It prefers an idle connection to a new one, and returns
-// nil if the limit of connections is reached.
+// nil if the scheduler has maxConnections open.
 func (n *node) acquireConn(w *worker) *conn {
 	n.closeExpired()
 	if c := n.acquireIdle(w); c != nil {
@@ -42,15 +42,15 @@
 	return n.newConn(w)
 }
 
-// acquireNewConn returns a new connection for a cancellation; cancellations never reuse a connection. It
-// returns nil if the limit of connections is reached.
+// acquireNewConn returns a new connection for a cancellation; cancellations never reuse a connection. The
+// result is nil if the scheduler has maxConnections open.
 func (n *node) acquireNewConn(w *worker) *conn {
 	n.closeExpired()
 	return n.newConn(w)
 }
 
-// newConn returns a new connection, or nil if maxConnections are open. From 7/8 of this limit on it first
-// closes the connection that has been idle for longest.
+// newConn returns a new connection, or nil if maxConnections are open. If 7/8 of maxConnections are open,
+// newConn first closes the connection that has been idle for longest.
 func (n *node) newConn(w *worker) *conn {
 	if n.openConns >= maxConnections-maxConnections/8 {
 		n.closeOldestIdle()
--- a/internal/emulator/cost_meter.go
+++ b/internal/emulator/cost_meter.go
@@ -18,31 +18,32 @@
 // costMeter measures the processor time and the memory that a run takes on the machine.
 type costMeter struct {
 	startedAt        time.Time             // wall time at the start of the run
-	timesByKind      map[string]*stepTimes // processor times by the result of kindOfEvent
-	heapPerScheduler float64               // live heap in bytes, measured when all schedulers have the list
+	timesByKind      map[string]*stepTimes // processor times by kind of event (see kindOfEvent)
+	heapPerScheduler float64               // live heap in bytes, measured when all have the worker list
 	maxHeap          uint64                // largest total size of the heap objects, in bytes
 	series           Series
 	loadStarted      bool // whether the warm-up is over
 	// observe is set by tests to see each event that a reducer processes; otherwise it is nil.
 	observe func(scheduler.Event)
 
-	// maxLag is the longest time that a reducer's processing lags behind the arrival of events, and
-	// maxChangeDelay the longest time until a change of the worker list is applied. Both assume a core for
-	// each reducer. The fields with AtBudget are the same times of a reducer that processes only control
-	// events, with the fraction controlCoreBudget of a core.
+	// maxLag is the longest time by which a reducer lags behind the arrival of its events. maxChangeDelay is
+	// the longest time from when discovery learns of a change of the worker list until a reducer has applied
+	// the change. Both fields assume a processor core for each reducer. The fields with AtBudget assume a
+	// reducer that processes only control events, on the fraction controlCoreBudget of a core.
 	maxLag, maxLagAtBudget                 time.Duration
 	maxChangeDelay, maxChangeDelayAtBudget time.Duration
 }
 
 // stepTimes holds the processor times of the reducer steps for one kind of event.
 type stepTimes struct {
-	histogram *hdrhistogram.Histogram // in nanoseconds
+	histogram *hdrhistogram.Histogram // processor time of each step in nanoseconds
 	total     time.Duration
 }
 
 func (m *costMeter) start() { m.startedAt, m.timesByKind = time.Now(), map[string]*stepTimes{} }
 
-// startLoad resets the usage counters of all schedulers, which exclude the warm-up.
+// startLoad resets the usage counters of all schedulers at the end of the warm-up, because the counters cover
+// only the load.
 func (m *costMeter) startLoad(f *fleet) {
 	m.loadStarted = true
 	for _, n := range f.nodes {
@@ -50,7 +51,7 @@
 	}
 }
 
-// kindOfEvent returns the kind of an event, by which the report groups processor times.
+// kindOfEvent returns the kind of a reducer event, by which the report groups processor times.
 func kindOfEvent(e scheduler.Event) string {
 	switch e := e.(type) {
 	case scheduler.Started:
@@ -100,7 +101,7 @@
 		times = &stepTimes{histogram: hdrhistogram.New(1, int64(time.Hour), 2)}
 		m.timesByKind[kind] = times
 	}
-	// RecordValue fails only for a step of more than an hour.
+	// RecordValue fails only for a reducer step that took more than an hour.
 	_ = times.histogram.RecordValue(max(int64(elapsed), 1))
 	times.total += elapsed
 	if !m.loadStarted {
@@ -120,15 +121,15 @@
 	*currentSecond(&m.series.CoreSeconds, n.fleet) += elapsed.Seconds()
 }
 
-// recordChange records the delay from the time at which discovery learned of a change until the reducer of
-// scheduler n has processed the change and all earlier events.
+// recordChange records the delay from time since, at which discovery learned of a change of the worker list,
+// until the reducer of scheduler n has processed the change and all earlier events.
 func (m *costMeter) recordChange(n *node, since Micros) {
 	m.maxChangeDelay = max(m.maxChangeDelay, n.usage.busyUntil-toDuration(since))
 	m.maxChangeDelayAtBudget = max(m.maxChangeDelayAtBudget, n.usage.controlBusyUntil-toDuration(since))
 }
 
-// currentSecond returns a pointer to the element of a series for the present second of the load. It extends
-// the series if necessary.
+// currentSecond returns a pointer to the element of a series for the present second of the load, and extends
+// the series if necessary. A series has one element for each second of the load.
 func currentSecond[T any](series *[]T, f *fleet) *T {
 	i := int((f.now - epoch - warmUp) / second)
 	for len(*series) <= i {
@@ -146,7 +147,8 @@
 	}
 }
 
-// sampleHeap updates the largest heap size, and schedules itself again after a second of virtual time.
+// sampleHeap updates maxHeap with the present heap size, and schedules the next sample after a second of
+// virtual time.
 func (m *costMeter) sampleHeap(f *fleet) {
 	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(heap)
@@ -156,7 +158,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// results returns the measurements in the form of the report.
+// results returns the processor times and heap sizes of the run in the form of the report.
 func (m *costMeter) results(f *fleet) Measured {
 	measured := Measured{
 		WallSeconds:                time.Since(m.startedAt).Seconds(),
@@ -185,7 +187,7 @@
 	return measured
 }
 
-// cost returns the processor times of a kind of event in the form of the report.
+// cost returns the processor times of the reducer steps for a kind of event in the form of the report.
 func (t *stepTimes) cost(kind string) EventCost {
 	micros := func(nanoseconds int64) float64 { return float64(nanoseconds) / 1000 }
 	return EventCost{
--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -15,7 +15,7 @@
 	restartsPerDay       = 410  // workers that are restarted or replaced within 24 hours
 	failuresPerDay       = 130  // worker processes and machines that fail within 24 hours
 	configChangesPerHour = 296  // configuration changes per hour; 7,100 in 24 hours
-	delayedLineFraction  = 0.01 // fraction of the lines of a watch that arrive late in scenario "storm"
+	delayedLineFraction  = 0.01 // fraction of a watch's lines that arrive late in scenario "storm"
 )
 
 // Durations of outages and of recovery from faults.
@@ -27,8 +27,8 @@
 	discoveryOutage = 5 * second        // longest outage of discovery while it restarts
 )
 
-// day is a fault scenario: schedule adds the events of its faults, which happen during the load, to the
-// queue.
+// day is a fault scenario. Its function schedule adds the events of the faults, which happen during the load,
+// to the event queue.
 type day struct {
 	description string
 	schedule    func(*fleet)
@@ -48,7 +48,7 @@
 		"discovery": {"discovery restarts at 1/3 of the time: all watches are closed and opened again",
 			(*fleet).scheduleDiscoveryRestart},
 		"storm": {
-			"failures of 24 hours (130 of 7,200 workers), of a rack, an hour's configuration changes, late lines",
+			"failures of 24 hours (130 of 7,200 workers) and of a rack; configuration changes of an hour; late lines",
 			(*fleet).scheduleFailureStorm},
 	}
 }
@@ -65,8 +65,8 @@
 	return start + Micros(fraction*float64(f.end-start))
 }
 
-// scaledCount scales a number of faults in the reference fleet to the size of this fleet. The result is at
-// least minimum and at most the number of workers.
+// scaledCount scales a number of faults in a fleet of referenceWorkers workers to the size of this fleet. The
+// result is at least minimum and at most the number of workers.
 func (f *fleet) scaledCount(count, minimum int) int {
 	scaled := int(math.Ceil(float64(count) * float64(f.options.Workers) / referenceWorkers))
 	return min(max(scaled, minimum), f.options.Workers)
@@ -131,7 +131,7 @@
 	}
 }
 
-// whenDrained runs an action once a worker has no attempts left, or at the deadline. It checks the worker
+// whenDrained runs an action once a worker has no attempts left, or at the deadline. The attempts are checked
 // once per second of virtual time.
 func (f *fleet) whenDrained(w *worker, deadline Micros, action func()) {
 	if w.idle() || f.now >= deadline {
@@ -169,8 +169,8 @@
 			f.scheduleAt(f.atFraction(0.7)+Micros(random.Int64N(int64(powerOnSpread))), w.boot)
 		}
 	}
-	// Each pair of configuration changes sets a worker to draining and, after a tenth of the load, to ready
-	// again. The worker list expresses no other change of configuration.
+	// Each pair of configuration changes sets a worker to draining and, after a tenth of the duration of the
+	// load, to ready again. The worker list expresses no other change of configuration.
 	for range f.scaledCount(configChangesPerHour, 8) / 2 {
 		w := f.workers[order[random.IntN(len(order))]]
 		start := burst()
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -19,32 +19,32 @@
 	// writing the list. Discovery processes one call at a time.
 	callProcessingTime = 5 * millisecond
 	listBytesPerMicro  = 100.0      // bytes of a list that discovery writes per microsecond
-	maxCallWait        = 2 * second // longest time that a call waits for its processing
+	maxCallWait        = 2 * second // longest time that a call that opens a watch waits for its processing
 
-	// livenessTimeout is how long a worker must be silent before discovery removes it. The actual time
-	// varies randomly by up to half a second in both directions.
+	// livenessTimeout is how long the heartbeats of a worker must be missing until discovery removes the worker
+	// from the list. The actual time varies randomly by up to half a second in both directions.
 	livenessTimeout   = 3 * second
-	agentReportDelay  = 20 * millisecond  // time until a machine's agent reports the end of a process
-	registrationDelay = 200 * millisecond // time from the start of a worker until discovery learns of it
+	agentReportDelay  = 20 * millisecond  // time until a machine's agent reports a crash to discovery
+	registrationDelay = 200 * millisecond // time from the start of a worker until discovery learns of the start
 
 	maxLineDelay     = 2 * second // largest additional delay of a late line of a watch
-	maxChangeHistory = 4096       // revisions whose changes discovery remembers
+	maxChangeHistory = 4096       // number of revisions of the worker list whose changes discovery remembers
 
 	discoveryZone = 0 // zone in which the discovery service runs
 )
 
-// discovery is the simulated discovery service. It maintains the worker list and writes changes of the list
-// to the watches of the schedulers.
+// discovery is the simulated discovery service, which maintains the worker list. A scheduler opens a watch
+// with a call, and discovery writes changes of the worker list to the watch.
 type discovery struct {
 	fleet           *fleet
 	down            bool
-	table           *endpoints.Table       // the published list; worker.index is the worker's position
-	notReadySince   []Micros               // by worker.index; 0 means that the worker is listed as ready
+	table           *endpoints.Table       // the published worker list; worker.index is the worker's position
+	notReadySince   []Micros               // by worker.index; time since which a worker is not ready, or 0
 	pending         map[int]*pendingChange // unpublished changes by worker.index
 	watches         []*watch               // open watches, ordered by the index of their schedulers
 	queuedCalls     []*watch               // watches whose opening call is not yet answered
 	incarnation     int                    // number of restarts of the discovery process
-	busyUntil       Micros                 // time at which all queued calls are answered
+	busyUntil       Micros                 // time at which the calls queued so far are answered
 	random          func() float64
 	delayedFraction float64 // fraction of the lines of watches that get an additional delay
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-// add adds a new worker to the list without publishing a revision.
+// add adds a new worker to the worker list without publishing a revision.
 func (d *discovery) add(w *worker) {
 	state := endpoints.Ready
 	if !w.running {
@@ -99,7 +99,7 @@
 	d.notReadySince = append(d.notReadySince, 0)
 }
 
-// setState changes the state of a worker's entry in the next revision of the list.
+// setState changes the state of a worker's entry in the next revision of the worker list.
 func (d *discovery) setState(w *worker, state endpoints.State) {
 	change := d.pending[w.index]
 	if change == nil {
@@ -119,7 +119,8 @@
 	d.pending[w.index] = change
 }
 
-// publish applies the pending changes to the list as one revision, and writes the revision to all watches.
+// publish applies the pending changes to the worker list as one revision, and writes the revision to all
+// watches.
 func (d *discovery) publish() {
 	if d.down || len(d.pending) == 0 {
 		return
@@ -144,8 +145,9 @@
 	}
 }
 
-// handleCall handles a call that opens a watch for the changes after revision rev. Discovery refuses the call
-// at once while discovery is down, and after maxCallWait if the call would wait longer for its processing.
+// handleCall handles a call that opens a watch for the changes after revision rev. While discovery is down,
+// handleCall refuses the call at once. If the call would wait longer than maxCallWait for its processing,
+// handleCall refuses the call after maxCallWait.
 func (d *discovery) handleCall(s *watch, rev int64) {
 	f := d.fleet
 	if d.down {
@@ -172,14 +174,14 @@
 	incarnation := d.incarnation
 	d.queuedCalls = append(d.queuedCalls, s)
 	f.scheduleAt(d.busyUntil, func() {
-		if d.incarnation == incarnation { // A restart has closed the watch otherwise.
+		if d.incarnation == incarnation { // Otherwise a restart of discovery has closed the watch.
 			d.open(s, rev)
 		}
 	})
 }
 
-// open answers a queued call. The first line of the watch holds the changes from revision rev to the present
-// list, or the full list if discovery no longer remembers the changes.
+// open answers the queued call that opens watch s. The first line of the watch holds the changes of the
+// worker list since revision rev, or the full list if discovery no longer remembers the changes.
 func (d *discovery) open(s *watch, rev int64) {
 	d.queuedCalls = slices.DeleteFunc(d.queuedCalls, func(o *watch) bool { return o == s })
 	s.connected = true
@@ -207,8 +209,8 @@
 	d.watches, d.queuedCalls = nil, nil
 	d.fleet.scheduleAfter(outage, func() {
 		d.down, d.busyUntil = false, 0
-		// An empty revision makes all earlier revisions outdated. After DropHistory, a call that names one of them
-		// is answered with the full list.
+		// An empty revision makes all earlier revisions outdated. After DropHistory, discovery answers a call that
+		// names an earlier revision with the full list.
 		d.table.Publish()
 		d.table.DropHistory()
 		d.fleet.tally.recordRevision(d.table.Revision(), d.fleet.now, 0)
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -7,8 +7,9 @@
 	"dahliaford/internal/endpoints"
 )
 
-// Discovery answers a call with the changes since the requested revision. It answers with the full list if
-// the revision is unknown, or if a restart has erased the history of changes.
+// Discovery answers a call that opens a watch with the changes of the worker list since the requested
+// revision. The answer is the full list if the revision is unknown, or if a restart has erased the history of
+// changes.
 func TestChangesSinceRevision(t *testing.T) {
 	f := newIdleFleet(t, shortRun("calm"))
 	d := f.discovery
@@ -21,7 +22,7 @@
 		f.runUntil(f.now + batchInterval)
 	}
 	if rev := d.table.Revision(); rev != 4 {
-		t.Fatalf("the revision after three changes is %d, want 4", rev)
+		t.Fatalf("the worker list has revision %d after three published changes, want 4, as it starts at 1", rev)
 	}
 	for rev, want := range map[int64]string{0: "full", 1: "w2 w4", 2: "w2 w4", 3: "w4", 4: "", 9: "full"} {
 		got := "full"
@@ -32,16 +33,16 @@
 			}
 			got = strings.Join(names, " ")
 		} else if len(list.Workers) != len(f.workers) {
-			t.Errorf("the full list has %d workers, want %d", len(list.Workers), len(f.workers))
+			t.Errorf("the full worker list of discovery has %d workers, want %d", len(list.Workers), len(f.workers))
 		}
 		if got != want {
-			t.Errorf("changes since revision %d: got %q, want %q", rev, got, want)
+			t.Errorf("discovery lists the workers changed since revision %d as %q, want %q", rev, got, want)
 		}
 	}
 	d.restart(second)
 	f.runUntil(f.now + second)
 	if !d.table.Since(4).Complete || d.table.Since(5).Complete {
-		t.Error("after a restart, got changes since revision 4 or a full list since 5; want the reverse")
+		t.Error("after a restart, discovery has changes since revision 4 or a full list since 5; want the reverse")
 	}
 }
 
@@ -61,19 +62,20 @@
 		Micros(float64(messageBytes(workerList(d.table.Full())))/listBytesPerMicro)
 	fit := int(maxCallWait/timePerCall) + 1
 	if got := d.fleet.tally.discovery; got.FullLists != fit || got.RefusedCalls != calls-fit {
-		t.Errorf("%d calls answered, %d refused of %d calls; want %d answered and the others refused",
+		t.Errorf("discovery answered %d and refused %d of %d calls; want %d answered, which wait at most 2 s",
 			got.FullLists, got.RefusedCalls, calls, fit)
 	}
 	f.runUntil(f.now + maxCallWait/2)
 	if open := len(d.watches); open < fit/2-2 || open > fit/2+2 {
-		t.Errorf("%d watches open of %d answered calls after half of the longest wait, want about half", open, fit)
+		t.Errorf("discovery has %d watches open for %d answered calls after half of maxCallWait, want about half",
+			open, fit)
 	}
 	d.restart(second)
 	if len(d.watches)+len(d.queuedCalls) != 0 || all[0].connected {
-		t.Error("watches are open or calls are queued after a restart of discovery, want none")
+		t.Error("discovery has open watches or queued calls after its restart, want none")
 	}
 	f.runUntil(f.now + 3*maxCallWait)
 	if len(d.watches) != 0 {
-		t.Error("discovery answers a call from before its restart after the restart, want no answer")
+		t.Error("discovery opens a watch after its restart for a call from before the restart, want no watch")
 	}
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -17,7 +17,8 @@
 	"dahliaford/internal/settings"
 )
 
-// orphanLimit is the longest time that a worker may hold an attempt whose result no scheduler waits for.
+// orphanLimit is the longest time that a worker may hold an orphan, an attempt whose result no scheduler
+// waits for. The checks of the request histories report an orphan that a worker holds longer.
 const orphanLimit = 20 * time.Second
 
 // fleet holds the state of one run: the simulated components, the virtual clock, the pending events and the
@@ -38,14 +39,14 @@
 	byUID        map[string]*worker
 	byAddr       map[string]*worker
 	clients      *clients
-	requests     map[string]*request // by id; only requests that await an answer or the end of an attempt
+	requests     map[string]*request // by id; requests that await an answer or the end of an attempt
 	historyRules history.Rules
 	tally        tally
 	meter        costMeter
 }
 
-// scheduleAt schedules an action for time t, or for the present if t has passed. Actions for the same time
-// run in the order in which they were scheduled.
+// scheduleAt schedules an action for virtual time t, or for the present time if t has passed. Actions for the
+// same time run in the order in which they were scheduled.
 func (f *fleet) scheduleAt(t Micros, action func()) { f.events.push(max(t, f.now), action) }
 
 // scheduleAfter schedules an action to run after a delay of virtual time.
@@ -59,8 +60,8 @@
 	discoveryStream = 2
 	clientStream    = 3
 	dayStream       = 4
-	workerStreams   = 1000      // stream of worker 0; worker i uses workerStreams + i
-	nodeStreams     = 1_000_000 // stream of scheduler 0; scheduler i uses nodeStreams + i
+	workerStreams   = 1000      // random stream of worker 0; worker i uses workerStreams + i
+	nodeStreams     = 1_000_000 // random stream of scheduler 0; scheduler i uses nodeStreams + i
 )
 
 // newRandom returns a random source for the given stream, seeded with the seed of the run.
@@ -90,8 +91,8 @@
 	return f.report(), nil
 }
 
-// eventsPerContextCheck is the number of events between two checks of the context. A check before every
-// event would show up in the processor profile.
+// eventsPerContextCheck is the number of simulation events that a run executes between two checks whether its
+// context has ended. A check before every event would take a visible part of the processor time.
 const eventsPerContextCheck = 4096
 
 // runEvents executes all events in the order of their times, up to the end of the run.
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// newFleet returns a fleet with its first events scheduled: the starts of the schedulers, and the begin of
-// the load after the warm-up.
+// newFleet returns a fleet whose event queue holds the first events: the starts of the schedulers, and the
+// first submission of a job after the warm-up.
 func newFleet(opt Options) (*fleet, error) {
 	set, err := fleetSettings(opt)
 	if err != nil {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -17,25 +17,25 @@
 			r := mustRun(t, shortRun(day))
 			m := r.Model
 			if diff := cmp.Diff(m, mustRun(t, shortRun(day)).Model); diff != "" {
-				t.Errorf("two runs with the same seed differ: %s", diff)
+				t.Errorf("two runs with the same seed give different models, want equal models: %s", diff)
 			}
 			if !r.OK() || m.Invalid > 0 {
 				t.Errorf("got violations %v and %d invalid answers, want none; findings: %s",
 					m.Violations, m.Invalid, strings.Join(m.Findings, "\n"))
 			}
 			if m.Starts < m.Jobs/2 || m.Served < m.Jobs/4 || m.CheckedRequests < m.Requests-3 {
-				t.Errorf("%d jobs, %d starts (want half), %d served (want a quarter), %d of %d checked (want all but 3)",
+				t.Errorf("%d jobs, %d starts (want half), %d served (want 1/4), checks of %d of %d requests (all but 3)",
 					m.Jobs, m.Starts, m.Served, m.CheckedRequests, m.Requests)
 			}
 			if m.Changes.NotInForce > 0 || m.Changes.InForce.Max > 8000 {
-				t.Errorf("some changes are not in force at all schedulers within 8 s: %+v", m.Changes)
+				t.Errorf("want each change of the worker list in force at all schedulers within 8 s, got %+v", m.Changes)
 			}
 			expectFaults(t, m)
 		})
 	}
 }
 
-// expectFaults checks that the faults of the scenario have happened.
+// expectFaults checks that the figures of a run show the faults of its scenario.
 func expectFaults(t *testing.T, m Model) {
 	t.Helper()
 	workersInZone := (m.Workers + Zones - 1) / Zones
@@ -50,7 +50,7 @@
 		"storm":     m.KilledAttempts > 0 && m.Changes.Entries >= 2*rackSize,
 	}
 	if !happened[m.Day] {
-		t.Errorf("the figures do not show the faults of the scenario: %d killed attempts, %+v, %+v",
+		t.Errorf("the report lacks the faults of the scenario: %d killed attempts, changes %+v, discovery %+v",
 			m.KilledAttempts, m.Changes, m.Discovery)
 	}
 }
@@ -61,7 +61,7 @@
 	first := mustRun(t, opt)
 	opt.Seed = 2
 	if cmp.Equal(first.Model.TimeToStart, mustRun(t, opt).Model.TimeToStart) {
-		t.Error("runs with different seeds have the same times to start, want different times")
+		t.Error("runs with seeds 1 and 2 have the same times to start of jobs, want different times")
 	}
 }
 
@@ -87,7 +87,7 @@
 			opt := shortRun("calm")
 			change(&opt)
 			if _, err := Run(context.Background(), opt); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("got error %v, want an error that contains %q", err, want)
+				t.Errorf("Run with an invalid option returns error %v, want an error that contains %q", err, want)
 			}
 		})
 	}
@@ -104,7 +104,7 @@
 		quota += tenant.Quota
 	}
 	if len(set.Dispatch.Tenants) != tenantCount || quota < 1.29*80 || quota > 1.31*80 {
-		t.Errorf("got %d tenants with a total quota of %v jobs per second, want tenantCount and 103.2 to 104.8",
+		t.Errorf("got %d tenants with %v jobs/s of quota; want tenantCount and 1.3 times the job rate of 80",
 			len(set.Dispatch.Tenants), quota)
 	}
 	d := set.Dispatch
@@ -119,6 +119,7 @@
 		sum += m.fraction
 	}
 	if sum < 1.999 || sum > 2.001 || len(set.Zones) != Zones {
-		t.Errorf("the fractions of classes and of slot counts add up to %v, want 2, or zones are missing", sum)
+		t.Errorf("the job fractions of classes and slot counts add up to %v, want 1 + 1; or a zone is missing",
+			sum)
 	}
 }
--- a/internal/emulator/message_sizes.go
+++ b/internal/emulator/message_sizes.go
@@ -14,11 +14,12 @@
 	cancelBytes      = 75  // the cancellation of an attempt
 	openWatchBytes   = 95  // the request that opens a watch of the worker list
 	entryBytes       = 139 // an entry of the worker list; a list of 7,200 workers takes 1,000 KB
-	listFrameBytes   = 48  // a line with a full list or a change, without its entries; includes chunk framing
+	listFrameBytes   = 48  // a line with a full list or a change: chunk framing and JSON around the entries
 	heartbeatBytes   = 6   // an empty line, written to a watch as a heartbeat
 )
 
-// messageBytes returns the size in bytes of a line of a watch. A list with revision 0 is a heartbeat.
+// messageBytes returns the size in bytes of the line of a watch that carries a list. A list with revision 0
+// stands for a heartbeat.
 func messageBytes(list scheduler.WorkerList) int {
 	if list.Revision == 0 {
 		return heartbeatBytes
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -15,25 +15,25 @@
 const (
 	zoneDelay        = 250        // delay within a zone
 	regionDelay      = 900        // delay between two zones of a region
-	delayPerRegion   = 11_000     // delay for each step between two neighbors on the ring of regions
+	delayPerRegion   = 11_000     // delay for each step between two neighboring regions on the ring of regions
 	interRegionDelay = 6_000      // delay between different regions, in addition to delayPerRegion
-	jitterFraction   = 0.2        // largest random increase of a delay, as a fraction of it
+	jitterFraction   = 0.2        // largest random increase of a delay, as a fraction of the delay
 	microsPerByte    = 1.0 / 125. // transmission time of a byte on a link of 1 Gbit/s
 )
 
 // network carries messages between zones. Each message arrives after a delay. A cut is a network partition
 // that separates one region from all others. A message across the cut is sent when the cut ends, as TCP
-// would retransmit it; its sender or its receiver may have timed out by then.
+// would retransmit the message; the sender or the receiver may have timed out by then.
 type network struct {
 	fleet     *fleet
 	random    *rand.Rand
 	cutRegion int              // region that is cut off from all others, or noRegion
-	blocked   []blockedMessage // messages across the cut, in the order of sending
+	blocked   []blockedMessage // messages that the cut holds back, in the order of sending
 }
 
 // blockedMessage is a message that is held back until the cut ends.
 type blockedMessage struct {
-	from, to  int // zones
+	from, to  int // zones of the sender and of the receiver
 	bytes     int
 	onArrival func()
 }
@@ -54,7 +54,7 @@
 	return d + Micros(n.random.Float64()*jitterFraction*float64(d))
 }
 
-// separated reports whether the cut separates zones a and b.
+// separated reports whether the present network cut separates zones a and b.
 func (n *network) separated(a, b int) bool {
 	return n.cutRegion >= 0 && region(a) != region(b) && (region(a) == n.cutRegion || region(b) == n.cutRegion)
 }
@@ -69,7 +69,7 @@
 	n.fleet.scheduleAfter(n.delay(from, to)+Micros(float64(bytes)*microsPerByte), onArrival)
 }
 
-// heal ends the cut and sends the messages that it held back.
+// heal ends the network cut and sends the messages that the cut held back.
 func (n *network) heal() {
 	n.cutRegion = noRegion
 	blocked := n.blocked
--- a/internal/emulator/network_test.go
+++ b/internal/emulator/network_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A cut holds back the messages across it until it ends, and does not delay other messages.
+// A network cut, which separates a region from all others, holds back the messages across the cut until the
+// cut ends. The cut does not delay other messages.
 func TestCutRegion(t *testing.T) {
 	f := newIdleFleet(t, shortRun("calm"))
 	arrivals := map[string]Micros{}
@@ -14,17 +15,19 @@
 	}
 	f.runUntil(f.atFraction(0) + second)
 	if len(arrivals) != 2 || arrivals["within"] == 0 || arrivals["elsewhere"] == 0 {
-		t.Errorf("got arrivals %v during the cut, want only those of within and elsewhere", arrivals)
+		t.Errorf("arrivals of messages during the cut of region 3: %v, want only within (the region) and elsewhere",
+			arrivals)
 	}
 	f.network.heal()
 	f.runUntil(f.atFraction(0) + 2*second)
 	if arrivals["out"] < f.atFraction(0)+second || arrivals["in"] < f.atFraction(0)+second {
-		t.Errorf("got arrivals %v, want out and in to arrive after the end of the cut", arrivals)
+		t.Errorf("arrivals of messages after the cut of region 3: %v, want out and in after the end of the cut",
+			arrivals)
 	}
 }
 
-// The delay of a message is shortest within a zone, longer within a region, and between regions grows with
-// their distance on the ring.
+// The delay of a message is shortest within a zone and longer within a region. Between regions, the delay
+// grows with the distance of the regions on the ring.
 func TestNetworkDelays(t *testing.T) {
 	f := newIdleFleet(t, shortRun("calm"))
 	for _, c := range []struct {
@@ -39,7 +42,7 @@
 	} {
 		for range 100 {
 			if d := f.network.delay(c.from, c.to); d < c.minDelay || d > c.maxDelay {
-				t.Errorf("the delay from zone %d to zone %d is %d us, want %d to %d us",
+				t.Errorf("a message from zone %d to zone %d has a delay of %d us, want %d to %d us",
 					c.from, c.to, d, c.minDelay, c.maxDelay)
 			}
 		}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -19,28 +19,28 @@
 	reducer *scheduler.Scheduler
 	random  *rand.Rand
 
-	effects      []scheduler.Effect // effects of the present step; reused to save allocations
-	timerDue     Micros             // time at which the reducer's timer fires; 0 means that it is not set
-	timerCheckAt Micros             // time of the next event that checks timerDue; 0 means no such event
+	effects      []scheduler.Effect // effects of the present reducer step; the slice is reused
+	timerDue     Micros             // time at which the reducer's timer fires; 0 if the timer is not set
+	timerCheckAt Micros             // time of the next event that checks timerDue; 0 if there is no such event
 
 	// State of the worker list.
 	watch           *watch
-	previousWatch   *watch            // the earlier watch, in use until watch receives its first line
+	previousWatch   *watch            // earlier watch, in use until the first line arrives on watch
 	stoppedWorkers  map[string]bool   // UIDs of the workers to which the reducer forbids new attempts
-	workerStarts    map[string]Micros // start times by UID, of workers that discovery listed with a start time
-	listAsOf        Micros            // time as of which the scheduler knows the worker list
+	workerStarts    map[string]Micros // start times of workers by UID, as listed by discovery
+	listAsOf        Micros            // time at which the worker list was known to be current
 	validUntil      Micros            // time after which the worker list is stale
 	appliedRevision int64             // latest revision of the worker list that the reducer has processed
 
 	// State of the connections to workers.
-	idleConns map[*worker][]*conn // the connection that became idle last is at the end of its slice
-	idleOrder []idleEntry         // entries of all workers, the longest idle first
+	idleConns map[*worker][]*conn // idle connections by worker, the one idle for longest first
+	idleOrder []idleEntry         // idle connections to all workers, the one idle for longest first
 	openConns int
-	attempts  map[scheduler.AttemptID]*conn // connections that carry an attempt or its cancellation
-	// lastUnsentAttempt is the attempt abandoned last of those of which no byte had been written.
+	attempts  map[scheduler.AttemptID]*conn // connections by the attempt that they carry or cancel
+	// lastUnsentAttempt is the most recently abandoned attempt of which no byte had been written.
 	lastUnsentAttempt scheduler.AttemptID
 
-	callers    map[scheduler.CallerID]*request // requests without an answer
+	callers    map[scheduler.CallerID]*request // unanswered requests
 	lastCaller scheduler.CallerID
 
 	usage nodeUsage
@@ -48,11 +48,12 @@
 
 // nodeUsage counts the network traffic and the processor time of a scheduler since the load began.
 type nodeUsage struct {
-	controlBytes, jobBytes         int64 // bytes sent and received
+	controlBytes, jobBytes         int64 // bytes that the scheduler sent and received
 	controlMessages, jobMessages   int64
-	currentSecond                  Micros // number of the second of virtual time that bytesInSecond covers
-	bytesInSecond, peakSecondBytes int64  // bytes of control messages
-	// reducerTime is the processor time of all events, controlTime that of the control events.
+	currentSecond                  Micros // second of virtual time, counted from 0, that bytesInSecond covers
+	bytesInSecond, peakSecondBytes int64  // bytes of messages to and from discovery
+	// reducerTime is the processor time that the reducer took for all events, and controlTime the processor
+	// time for the control events, which are those about the worker list and its watch.
 	reducerTime, controlTime time.Duration
 	// busyUntil is the virtual time at which a reducer with a core of its own has processed all events so
 	// far. controlBusyUntil is the time at which a reducer with the fraction controlCoreBudget of a core has
@@ -172,7 +173,7 @@
 	n.fleet.network.send(n.zone, req.zone, answerBytes, func() { n.fleet.clients.handleAnswer(req, a) })
 }
 
-// cancelUnsent ends an attempt as not sent, unless a part of it has been written.
+// cancelUnsent ends an attempt as not sent, unless a part of the attempt has been written to a connection.
 func (n *node) cancelUnsent(attempt scheduler.AttemptID) {
 	c := n.attempts[attempt]
 	if c == nil || c.writing {
@@ -205,7 +206,7 @@
 	n.timerCheckAt = at
 	n.fleet.scheduleAt(at, func() {
 		if n.timerCheckAt != at {
-			return // An event for an earlier time has replaced this one.
+			return // A timer check scheduled for an earlier time replaces this check.
 		}
 		n.timerCheckAt = 0
 		switch {
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -13,12 +13,13 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The reducer receives the same events as on sockets, for a job that succeeds and for each kind of fault.
+// The reducer receives the same events from the emulator as from real sockets, for a job that succeeds and
+// for each kind of fault.
 func TestEventsOfAJob(t *testing.T) {
 	const success = "Submitted AttemptAccepted Callback/started Callback/done"
 	for name, c := range map[string]struct {
 		want   string
-		answer string // status of the answer; not checked if empty
+		answer string // HTTP status of the answer to the client; not checked if empty
 		fault  func(f *fleet, w *worker)
 	}{
 		"no fault": {want: success, answer: "200"},
@@ -57,13 +58,14 @@
 				MeanRunTime: 3 * time.Second, Day: "calm"})
 			req, events := runOneJob(f, c.fault)
 			got := strings.Join(events, " ")
-			// The worker sends the acceptance and the callback at the same time, and either may arrive first.
+			// The worker sends the acceptance of the attempt and the callback of the start at the same time, and
+			// either may arrive first.
 			got = strings.Replace(got, "Callback/started AttemptAccepted", "AttemptAccepted Callback/started", 1)
 			if !strings.HasPrefix(got+" ", c.want+" ") {
-				t.Errorf("got events %s; want the prefix %s", got, c.want)
+				t.Errorf("the reducer got the events %s about the job; want events that begin with %s", got, c.want)
 			}
 			if answer := statusesOf(req); c.answer != "" && answer != c.answer {
-				t.Errorf("got answers with status %q, want %s", answer, c.answer)
+				t.Errorf("the client got answers with the HTTP statuses %q, want the single status %s", answer, c.answer)
 			}
 			if len(f.tally.model.Violations) > 0 {
 				t.Error(f.tally.model.Findings)
@@ -135,7 +137,7 @@
 }
 
 // A scheduler reuses an idle connection until its idle timeout, unless the worker's process has ended.
-// Cancellations never reuse a connection. The number of open connections is limited.
+// Cancellations never reuse a connection. A scheduler has at most maxConnections connections open.
 func TestIdleConnectionsAreReused(t *testing.T) {
 	f := newIdleFleet(t, shortRun("calm"))
 	n, w := f.nodes[0], f.workers[0]
@@ -151,15 +153,15 @@
 	c := addIdle()
 	f.now += idleTimeoutLargeFleet - 1
 	if n.acquireNewConn(w) == c {
-		t.Error("a cancellation gets an idle connection, want a new connection")
+		t.Error("a cancellation of an attempt gets an idle connection, want a new connection")
 	}
 	if n.acquireConn(w) != c {
-		t.Error("an attempt does not get the idle connection before the idle timeout, want it to be reused")
+		t.Error("an attempt does not reuse the idle connection to its worker before the idle timeout, want reuse")
 	}
 	c = addIdle()
 	f.now += idleTimeoutLargeFleet
 	if n.acquireConn(w) == c || !c.Released {
-		t.Error("a connection is reused or still open after the idle timeout, want it to be closed")
+		t.Error("an idle connection is reused or still open after the idle timeout, want the connection closed")
 	}
 	c = addIdle()
 	w.crash()
@@ -171,7 +173,7 @@
 		n.acquireConn(w)
 	}
 	if n.openConns != maxConnections || f.tally.model.NoConnection == 0 {
-		t.Errorf("got %d open connections, want %d; got %d attempts without a connection, want some",
+		t.Errorf("the scheduler has %d open connections, want %d; got %d attempts without a connection, want some",
 			n.openConns, maxConnections, f.tally.model.NoConnection)
 	}
 }
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Upper bounds of the options of a run.
+// Upper bounds of the options of a simulated run.
 const (
 	MaxWorkers    = 20_000
 	MaxSchedulers = 2_000
-	MaxRate       = 10_000 // jobs per second
+	MaxRate       = 10_000 // jobs that all clients together submit per second
 	// MaxPairs bounds the number of schedulers times the number of workers. Each pair takes about a kilobyte
 	// of memory.
 	MaxPairs = 6_000_000
@@ -21,10 +21,10 @@
 	MaxMeanRunTime = 10 * time.Minute
 )
 
-// Defaults of the options.
+// Defaults of the options of a simulated run.
 const (
 	DefaultMeanRunTime  = 13 * time.Second
-	DefaultLoadFraction = 0.6 // fraction of the highest job rate that the workers can sustain
+	DefaultLoadFraction = 0.6 // default job rate, divided by the highest job rate that the workers can sustain
 )
 
 const minMeanRunTime = 10 * time.Millisecond
@@ -48,20 +48,20 @@
 func (o Options) Validate() error {
 	switch {
 	case o.Workers < 1 || o.Workers > MaxWorkers:
-		return fmt.Errorf("workers must be 1 to %d", MaxWorkers)
+		return fmt.Errorf("the number of workers must be 1 to %d", MaxWorkers)
 	case o.Schedulers < 1 || o.Schedulers > MaxSchedulers:
-		return fmt.Errorf("schedulers must be 1 to %d", MaxSchedulers)
+		return fmt.Errorf("the number of schedulers must be 1 to %d", MaxSchedulers)
 	case !(o.Rate >= 0 && o.Rate <= MaxRate): // This form of the condition also rejects NaN.
-		return fmt.Errorf("rate must be 0 to %d", MaxRate)
+		return fmt.Errorf("the rate must be 0 to %d jobs per second", MaxRate)
 	case o.Duration < time.Second || o.Duration > MaxDuration:
-		return fmt.Errorf("the time must be 1s to %v", MaxDuration)
+		return fmt.Errorf("the time must be 1s to %v of virtual time", MaxDuration)
 	case o.MeanRunTime < 0 || o.MeanRunTime > MaxMeanRunTime ||
 		o.MeanRunTime > 0 && o.MeanRunTime < minMeanRunTime:
-		return fmt.Errorf("a task must be %v to %v", minMeanRunTime, MaxMeanRunTime)
+		return fmt.Errorf("a task must be %v to %v of mean run time", minMeanRunTime, MaxMeanRunTime)
 	case o.Workers*o.Schedulers > MaxPairs:
-		return fmt.Errorf("schedulers times workers must be at most %d", MaxPairs)
+		return fmt.Errorf("the number of schedulers times workers must be at most %d", MaxPairs)
 	case jobRate(o.withDefaults())*o.withDefaults().MeanRunTime.Seconds() > MaxRunningJobs:
-		return fmt.Errorf("the rate times the seconds of a task must be at most %d", MaxRunningJobs)
+		return fmt.Errorf("the rate times the seconds of a task must be at most %d running jobs", MaxRunningJobs)
 	case o.Day != "" && days[o.Day].schedule == nil:
 		return fmt.Errorf("unknown day %q: there are %s", o.Day, strings.Join(Days(), ", "))
 	}
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -1,9 +1,9 @@
 package emulator
 
-// event is an action that is due at a time.
+// event is an action that the simulation runs at a virtual time.
 type event struct {
 	at     Micros
-	seq    uint64 // position in the order of scheduling, which decides between events for the same time
+	seq    uint64 // number of the event in the order of scheduling; orders events for the same time
 	action func()
 }
 
@@ -12,7 +12,7 @@
 // eventQueue is a binary heap of events with the earliest event at its root.
 type eventQueue struct {
 	heap []event
-	seq  uint64 // seq of the event scheduled last; the number of events scheduled so far
+	seq  uint64 // number of events scheduled so far, which is also the seq of the latest event
 }
 
 func (q *eventQueue) push(at Micros, action func()) {
@@ -38,7 +38,7 @@
 	first = h[0]
 	last := len(h) - 1
 	h[0] = h[last]
-	h[last] = event{} // Clearing the element lets the garbage collector free the action.
+	h[last] = event{} // Clearing the unused element lets the garbage collector free its action.
 	h = h[:last]
 	q.heap = h
 	for i := 0; ; {
--- a/internal/emulator/queue_test.go
+++ b/internal/emulator/queue_test.go
@@ -28,7 +28,7 @@
 			e.action()
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("events returned in order %v, want %v", got, want)
+			t.Fatalf("the queue returns events, each with its time and number, in order %v, want %v", got, want)
 		}
 	})
 }
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -4,13 +4,14 @@
 type Report struct {
 	Model    Model    `json:"model"`
 	Measured Measured `json:"measured"`
-	Series   Series   `json:"-"` // data for charts
+	Series   Series   `json:"-"` // data for charts, not part of the JSON
 }
 
 // OK reports whether the run had no violations.
 func (r *Report) OK() bool { return len(r.Model.Violations) == 0 }
 
-// Model holds the figures in virtual time, from the submission of the first job to the end of the run.
+// Model holds the figures that depend on virtual time only. They cover the time from the submission of the
+// first job to the end of the run.
 type Model struct {
 	Day            string  `json:"day"`
 	Workers        int     `json:"workers"`
@@ -21,7 +22,7 @@
 	LoadSeconds    float64 `json:"seconds"`    // duration of the load in seconds
 
 	Jobs     int `json:"jobs"`     // jobs that clients submitted
-	Requests int `json:"requests"` // requests that clients sent for the jobs, including retries
+	Requests int `json:"requests"` // requests that clients sent for all jobs, including retries
 	Starts   int `json:"starts"`   // attempts that workers started
 	Served   int `json:"served"`   // requests answered with the result of the job
 	Refused  int `json:"refused"`  // requests answered with a refusal
@@ -33,44 +34,44 @@
 
 	Unanswered int `json:"open"`    // requests without an answer at the end of the run
 	NotRunning int `json:"waiting"` // unanswered requests of which no attempt has started
-	// MaxNotRunningAtOneScheduler is the largest number of requests at one scheduler that are part of
-	// NotRunning.
+	// MaxNotRunningAtOneScheduler is the largest number of unanswered requests without a started attempt at any
+	// single scheduler.
 	MaxNotRunningAtOneScheduler int `json:"waiting_at_one"`
-	CheckedRequests             int `json:"checked"` // requests whose history has been checked
+	CheckedRequests             int `json:"checked"` // requests whose history was checked for violations
 
 	StartsPerSecond     float64 `json:"starts_per_s"`
-	PeakStartsPerSecond int     `json:"peak_starts_per_s"` // attempts started in the busiest second
+	PeakStartsPerSecond int     `json:"peak_starts_per_s"` // attempts started in the second with the most starts
 	// TimeToStart is the time from the first submission of a job to its first start, by job class.
 	TimeToStart        map[string]Spread `json:"time_to_start"`
 	TimeToStartBySlots map[string]Spread `json:"by_slots"` // TimeToStart by the number of slots of the job
 	Attempts           int               `json:"attempts"`
 	RejectedAtCapacity int               `json:"turned_away"` // attempts rejected by a worker at capacity
-	// NotSent counts attempts that were not written because the worker was no longer in use or the worker
-	// list was stale.
+	// NotSent counts attempts that a scheduler did not write to a connection, because the reducer had stopped
+	// the use of the worker or the worker list was stale.
 	NotSent         int `json:"turned_back"`
-	KilledAttempts  int `json:"killed"`      // attempts that ended with the worker's process
+	KilledAttempts  int `json:"killed"`      // attempts that ended because the worker's process ended
 	Cancelled       int `json:"withdrawn"`   // attempts that workers canceled on request
 	OverloadCrashes int `json:"pushed_over"` // crashes of workers that were overloaded in slow start
 
-	CallbacksUndelivered int `json:"callbacks_lost"` // callbacks that workers stopped retrying
+	CallbacksUndelivered int `json:"callbacks_lost"` // callbacks that did not arrive within the time for retries
 	// NoConnection counts attempts and cancellations that were not sent because the scheduler had reached its
 	// limit of connections.
 	NoConnection int            `json:"no_connection"`
-	LogLines     map[string]int `json:"log"` // log lines of the reducers, with N for each number
+	LogLines     map[string]int `json:"log"` // log lines of the reducers by text, with N for each number
 
 	ControlTraffic Traffic   `json:"control"` // traffic between a scheduler and discovery
 	JobTraffic     Traffic   `json:"work"`    // traffic between a scheduler and clients and workers
 	Discovery      Discovery `json:"discovery"`
 	Changes        Changes   `json:"changes"`
 
-	Violations map[string]int `json:"broken"`             // number of violations of each property
+	Violations map[string]int `json:"broken"`             // number of violations by property
 	Findings   []string       `json:"findings,omitempty"` // descriptions of the first violations
 }
 
 // Spread describes a distribution of times in milliseconds.
 type Spread struct {
 	Total int     `json:"of,omitempty"` // number of jobs, including jobs that have not started
-	Count int64   `json:"n"`            // number of times in the distribution
+	Count int64   `json:"n"`            // number of measured times
 	P50   float64 `json:"p50_ms"`       // median
 	P99   float64 `json:"p99_ms"`       // 99th percentile
 	Max   float64 `json:"max_ms"`
@@ -80,9 +81,9 @@
 
 // Traffic describes the messages that a scheduler receives and sends. The sizes of messages are estimates.
 type Traffic struct {
-	BytesPerSecond    float64 `json:"bytes_per_s"`                  // mean of all schedulers
-	MaxBytesPerSecond float64 `json:"most_bytes_per_s"`             // highest rate of any scheduler
-	PeakSecondBytes   int64   `json:"worst_second_bytes,omitempty"` // most bytes of any scheduler in any second
+	BytesPerSecond    float64 `json:"bytes_per_s"`                  // mean of all schedulers, sent and received
+	MaxBytesPerSecond float64 `json:"most_bytes_per_s"`             // highest BytesPerSecond of any scheduler
+	PeakSecondBytes   int64   `json:"worst_second_bytes,omitempty"` // most bytes of a scheduler in any second
 	MessagesPerSecond float64 `json:"messages_per_s"`               // mean of all schedulers
 }
 
@@ -92,12 +93,13 @@
 	Deltas        int     `json:"deltas"`        // calls answered with the changes since a revision
 	RefusedCalls  int     `json:"refused_calls"` // calls whose wait would exceed maxCallWait
 	WatchesClosed int     `json:"lost_watches"`  // watches that ended or timed out without a scheduler's release
-	BusySeconds   float64 `json:"busy_s"`        // time spent on calls that open a watch
+	BusySeconds   float64 `json:"busy_s"`        // time that discovery spent on calls that open a watch
 }
 
 // Changes describes how long changes of the worker list took to reach the schedulers, from the time at which
-// discovery learned of the first entry of a change. A change is one revision of the list. It is in force at a
-// scheduler once the scheduler has applied the change, or sends no attempts because its list is stale.
+// discovery learned of the first entry of a change. A change is one revision of the worker list. A change is
+// in force at a scheduler once the scheduler has applied the change, or sends no attempts because its list is
+// stale.
 type Changes struct {
 	Updates    int    `json:"words"`    // number of published revisions
 	Entries    int    `json:"entries"`  // number of entries in all published revisions
@@ -142,7 +144,7 @@
 type EventCost struct {
 	Kind         string  `json:"kind"`
 	Count        int64   `json:"n"`
-	MeanUs       float64 `json:"mean_us"` // MeanUs, P50Us, P99Us and MaxUs are in microseconds.
+	MeanUs       float64 `json:"mean_us"` // MeanUs, P50Us, P99Us and MaxUs are times in microseconds.
 	P50Us        float64 `json:"p50_us"`
 	P99Us        float64 `json:"p99_us"`
 	MaxUs        float64 `json:"max_us"`
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -20,14 +20,14 @@
 	timeout  Micros
 	deadline Micros
 	answered bool
-	// outstanding counts the answer, unless it has been written, the attempts that are on their way to a
-	// worker, and the attempts that a worker has accepted and not ended.
+	// outstanding is the number of things that the history of the request still waits for: the answer, each
+	// attempt that is on its way to a worker, and each attempt that a worker has accepted and not ended.
 	outstanding int
 	history     []history.Event
 }
 
-// idFactor is 2^64 divided by the golden ratio. Multiplication by it (Fibonacci hashing) distributes the
-// consecutive numbers of requests evenly over all ids.
+// idFactor is 2^64 divided by the golden ratio. Multiplication by idFactor (Fibonacci hashing) distributes
+// the consecutive numbers of requests evenly over all ids.
 const idFactor = 0x9e3779b97f4a7c15
 
 // newRequest returns an unanswered request for a job, to be sent to scheduler n.
@@ -49,7 +49,7 @@
 	scheduler.Invalid: 400, scheduler.Conflict: 409}
 
 // recordReceipt records that the scheduler has received the last byte of the request. The timeout of the
-// request starts at this time.
+// request begins with the receipt.
 func (r *request) recordReceipt() {
 	r.deadline = r.fleet.now + r.timeout
 	r.fleet.requests[r.id] = r
@@ -73,8 +73,8 @@
 	r.history = append(r.history, e)
 }
 
-// release decrements the outstanding count. When the count reaches zero, release checks the history and
-// removes the request from the fleet.
+// release decrements outstanding. When outstanding reaches zero, release checks the history of the request
+// for violations and removes the request from the fleet.
 func (r *request) release() {
 	if r.outstanding--; r.outstanding == 0 {
 		r.checkHistory()
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -14,7 +14,7 @@
 	quotaPerJobRate = 1.3
 
 	slowStartTime    = 8300 * millisecond // duration of slow start after the start of a worker
-	slowStartInitial = 0.3                // fraction of its full speed with which a worker starts
+	slowStartInitial = 0.3                // fraction of its full speed at which a worker begins slow start
 	// A worker in slow start crashes of overload if the work that arrives within overloadWindow exceeds
 	// overloadFactor times the work that the worker can do in that time at its present speed, plus two mean
 	// run times of a job.
--- a/internal/emulator/slow_start.go
+++ b/internal/emulator/slow_start.go
@@ -14,7 +14,7 @@
 type arrival struct {
 	at         Micros
 	work       float64 // run time on a machine of speed 1, in microseconds, multiplied by the slots of the job
-	startKnown bool    // the scheduler that sent the attempt knew of the worker's start, or had to know of it
+	startKnown bool    // whether the sending scheduler knew of the worker's start (see checkOverload)
 }
 
 // speedFraction returns the worker's present speed as a fraction of its full speed. During slow start the
@@ -27,8 +27,8 @@
 }
 
 // checkOverload crashes a worker in slow start if the work that the worker received within overloadWindow
-// exceeds its limit. The crash counts as a violation if at least two thirds of the work came from schedulers
-// that knew of the worker's start.
+// exceeds the limit that the comment on overloadWindow describes. The crash counts as a violation if at least
+// two thirds of the work came from schedulers that knew of the worker's start.
 func (w *worker) checkOverload(c *conn, req *request) {
 	f := w.fleet
 	speed := w.speedFraction()
@@ -36,8 +36,9 @@
 		w.recentArrivals = nil
 		return
 	}
-	// A scheduler that has not received the start of the worker must treat it as known after this time, because
-	// a worker list from before the start is stale by then.
+	// A scheduler counts as knowing of the worker's start if it has received the start time. Every scheduler
+	// counts as knowing after registrationDelay, batchInterval and listValidity together, because a worker list
+	// from before the start is stale by then.
 	startKnown := c.node.workerStarts[w.uid] == w.startedAt ||
 		f.now-w.startedAt > registrationDelay+batchInterval+listValidity
 	w.recentArrivals = append(w.recentArrivals, arrival{f.now, req.job.work * req.job.slots, startKnown})
--- a/internal/emulator/summary.go
+++ b/internal/emulator/summary.go
@@ -7,7 +7,8 @@
 	"dahliaford/internal/history"
 )
 
-// report returns the report of the run, after checking the requests that are still open.
+// report returns the report of the run. Before, it checks the histories of the requests that still await an
+// answer or the end of an attempt.
 func (f *fleet) report() *Report {
 	f.summarizeTimeToStart()
 	f.tally.model.Discovery = f.tally.discovery
@@ -87,9 +88,9 @@
 	m.Changes.InForce, m.Changes.Applied = summarize(inForce), summarize(applied)
 }
 
-// checkInForce reports whether a change is in force at all schedulers at the end of the run. For each
-// scheduler that has not applied the change and whose list is stale, it updates inForceAt to the time at
-// which the list became stale.
+// checkInForce reports whether a change is in force at all schedulers at the end of the run (see Changes).
+// For each scheduler that has not applied the change and whose list is stale, checkInForce updates inForceAt
+// to the time at which the list became stale.
 func (f *fleet) checkInForce(c *changeProgress, rev int64) bool {
 	if c.pendingSchedulers == 0 {
 		return true
@@ -117,7 +118,8 @@
 	}
 }
 
-// add adds the traffic of one scheduler to the figures for all schedulers. The duration is in seconds.
+// add adds the bytes and messages of one scheduler to the means and maxima of all schedulers. The duration
+// of the load is in seconds.
 func (t *Traffic) add(bytes, messages int64, schedulers int, duration float64) {
 	schedulerSeconds := float64(schedulers) * duration
 	t.BytesPerSecond += float64(bytes) / schedulerSeconds
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -17,14 +17,14 @@
 	discovery          Discovery
 	timeToStart        []*hdrhistogram.Histogram // times in microseconds, by index of classes
 	withinObjective    []int64                   // jobs that started within StartObjective, by index of classes
-	jobsByClass        []int                     // by index of classes
+	jobsByClass        []int                     // submitted jobs, by index of classes
 	timeToStartBySlots []*hdrhistogram.Histogram // times in microseconds, by index of slotMix
-	jobsBySlots        []int                     // by index of slotMix
-	changes            []*changeProgress         // progress of each revision, beginning with firstChange
+	jobsBySlots        []int                     // submitted jobs, by index of slotMix
+	changes            []*changeProgress         // progress of the revisions of the list from firstChange on
 }
 
-// firstChange is the number of the first revision that discovery publishes during a run. The schedulers start
-// with the revision before it.
+// firstChange is the number of the first revision of the worker list that discovery publishes during a run.
+// The schedulers start with revision 1.
 const firstChange = 2
 
 // changeProgress describes how far a revision of the worker list has reached the schedulers.
@@ -75,8 +75,8 @@
 
 // recordTime adds a time to a histogram that newTimeHistogram has created.
 func recordTime(h *hdrhistogram.Histogram, t Micros) {
-	// RecordValue fails only for a time longer than MaxDuration. Such a time must have begun in the warm-up, and
-	// is not counted.
+	// RecordValue fails only for a time longer than MaxDuration, the longest load. Such a time must have begun
+	// in the warm-up, and is not counted.
 	_ = h.RecordValue(max(int64(t), 1))
 }
 
@@ -87,7 +87,7 @@
 		P99: toMilliseconds(h.ValueAtQuantile(99)), Max: toMilliseconds(h.Max())}
 }
 
-// addFinding counts a violation. The report describes the first maxFindings violations.
+// addFinding counts a violation of a checked property. The report describes the first maxFindings violations.
 func (t *tally) addFinding(f history.Finding) {
 	t.model.Violations[f.Property]++
 	if len(t.model.Findings) < maxFindings {
@@ -129,7 +129,8 @@
 	}
 }
 
-// recordRevision records that discovery publishes a revision with the given number of entries. since is the
+// recordRevision records that discovery publishes a revision of the worker list with the given number of
+// entries. since is the
 // time at which discovery learned of the first change in the revision.
 func (t *tally) recordRevision(rev int64, since Micros, entries int) {
 	for int64(len(t.changes)) <= rev-firstChange {
--- a/internal/emulator/time.go
+++ b/internal/emulator/time.go
@@ -16,7 +16,8 @@
 	epoch  = 1_000_000 * second // virtual time at which a run starts
 	warmUp = 3 * second         // time between the start of a run and the first job
 
-	// timingSlack is the tolerance that the checks add to each time limit. Runs on sockets use the same value.
+	// timingSlack is the tolerance that the checks for violations add to each time limit. The checks of runs on
+	// real sockets use the same tolerance.
 	timingSlack = 50 * millisecond
 )
 
--- a/internal/emulator/violations_test.go
+++ b/internal/emulator/violations_test.go
@@ -29,7 +29,8 @@
 	req.record(history.Event{Kind: history.Ended, ID: "a", Actor: worker, MayHaveRun: true, Result: "a"})
 }
 
-// Each check reports its violation, and reports nothing in the permitted cases next to it.
+// Each check of a run reports the violation that a scenario causes, and reports nothing in similar scenarios
+// without a violation.
 func TestViolationsAreFound(t *testing.T) {
 	served := scheduler.Answer{Verdict: scheduler.Served, Body: []byte("a")}
 	failed := scheduler.Answer{Verdict: scheduler.Failed}
@@ -92,7 +93,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := violationsOf(t, c.scenario); got != c.want {
-				t.Errorf("got violations of %q, want %q", got, c.want)
+				t.Errorf("the checks report violations of the properties %q, want %q", got, c.want)
 			}
 		})
 	}
@@ -127,7 +128,7 @@
 	f.tally.recordChangeApplied(f.nodes[0], 2, f.now+second)
 	f.now += 4 * second
 	f.tally.recordChangeApplied(f.nodes[1], 2, f.now-2*second) // the scheduler's list has been stale for 2 s
-	// The list of the third scheduler is stale, and the change does not arrive there.
+	// The worker list of the third scheduler is stale, and the change does not arrive at this scheduler.
 	f.nodes[2].validUntil = f.now - second
 	m := f.report().Model.Changes
 	if m.NotInForce != 0 || m.Unapplied != 1 || m.InForce.Max < 4240 || m.InForce.Max > 4260 {
--- a/internal/emulator/watch.go
+++ b/internal/emulator/watch.go
@@ -2,23 +2,23 @@
 
 import "dahliaford/internal/scheduler"
 
-// Timeouts after which a scheduler closes a watch. Package node uses the same values.
+// Timeouts after which a scheduler closes a watch of the worker list. Package node uses the same values.
 const (
-	watchOpenTimeout    = 4 * second // time until the first line arrives
-	watchSilenceTimeout = 3 * second // time between two lines
+	watchOpenTimeout    = 4 * second // longest time until the first line arrives
+	watchSilenceTimeout = 3 * second // longest time between two lines
 )
 
 // watch is a scheduler's watch of the worker list, with the state of both ends of its connection.
 type watch struct {
 	node *node
 
-	// State at discovery.
-	connected   bool                   // discovery writes lines to the watch
+	// State of the connection's end at the discovery service.
+	connected   bool                   // discovery has opened the watch and writes lines to it
 	lastWrite   Micros                 // time at which the last line was written
-	lastArrival Micros                 // arrival of the last line; no later line may arrive before it
+	lastArrival Micros                 // arrival of the line written last; a later line may not arrive earlier
 	buffered    []scheduler.WorkerList // lines that a network cut holds back
 
-	// State at the scheduler.
+	// State of the connection's end at the scheduler.
 	closed        bool   // the end of the watch has been handled, or the watch has been released
 	released      bool   // the scheduler has closed the watch
 	receivedLine  bool   // at least one line has arrived
@@ -26,7 +26,8 @@
 	timeoutAt     Micros // time at which the scheduler closes the watch unless a line arrives before
 }
 
-// write sends a line to the scheduler. Lines arrive in the order in which they are written.
+// write sends a line with changes of the worker list to the scheduler. Lines arrive in the order in which
+// they are written.
 func (s *watch) write(list scheduler.WorkerList) {
 	if !s.connected {
 		return
@@ -55,7 +56,7 @@
 	}
 }
 
-// heartbeat writes an empty line whenever no line has been written for heartbeatInterval.
+// heartbeat writes an empty line to the watch whenever no line has been written for heartbeatInterval.
 func (s *watch) heartbeat() {
 	if !s.connected {
 		return
@@ -67,7 +68,8 @@
 	f.scheduleAt(s.lastWrite+heartbeatInterval, s.heartbeat)
 }
 
-// openWatch opens a new watch. The previous watch stays in use until the first line arrives on the new one.
+// openWatch opens a new watch of the worker list. The previous watch stays in use until the first line
+// arrives on the new watch.
 func (n *node) openWatch(w scheduler.OpenWatch) {
 	if w.ValidUntil != 0 {
 		n.validUntil = min(n.validUntil, w.ValidUntil)
@@ -118,9 +120,9 @@
 	}
 }
 
-// receive passes a line to the reducer, together with the time as of which the scheduler knows the list. This
-// time is half the drain grace after the scheduler last found the socket empty, but not later than the
-// present. The list is valid for listValidity from this time on.
+// receive passes a line to the reducer, together with the time as of which the worker list is current. The
+// list is current as of half the drain grace after the scheduler last found the socket of the watch empty,
+// but not later than the present. From that time on the list is valid for listValidity.
 func (s *watch) receive(list scheduler.WorkerList, bytes int) {
 	if s.closed || s.released {
 		return
@@ -178,8 +180,8 @@
 }
 
 // allowSend reports whether an attempt may be written to a worker: the reducer has not stopped the use of the
-// worker, and the worker list is not stale. A positive result implies that the sockets of the watches were
-// checked for unread lines, so allowSend records that they are empty.
+// worker, and the worker list is not stale. A real scheduler allows an attempt only if the sockets of
+// the watches hold no unread lines, so allowSend records the present time in socketEmptyAt.
 func (n *node) allowSend(uid string) bool {
 	if n.stoppedWorkers[uid] || n.fleet.now > n.validUntil {
 		return false
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	queueFactor     = 2.0    // capacity of a worker's queue, in slots of jobs, divided by the worker's slots
-	failureFraction = 0.0005 // fraction of the runs that end with an error of the job
+	queueFactor     = 2.0    // slots of the jobs that fit into a worker's queue, divided by the worker's slots
+	failureFraction = 0.0005 // fraction of the job runs that end with an error
 	// callbackTimeout is how long a worker retries a callback that does not reach its scheduler. It
 	// corresponds to ten retries at intervals of a second.
 	callbackTimeout = 10 * second
-	// errorWindow is the time within which the contribution of an error to the error rate in the load
+	// errorWindow is the time within which the contribution of a failed run to the error rate in a worker's load
 	// report decreases linearly to zero.
 	errorWindow = 10 * second
 )
@@ -34,19 +34,19 @@
 	kind   *machineKind
 	random *rand.Rand
 
-	running            bool     // the process runs
+	running            bool     // the worker's process runs
 	unreachable        bool     // the machine has failed and answers nothing
 	retired            bool     // the worker never starts again
-	incarnation        int      // number of ended processes; a connection belongs to one incarnation
-	diedAt             Micros   // time at which the last process ended
-	startedAt          Micros   // start of the process; 0 means before the run, without slow start
-	deferredDeliveries []func() // messages that arrived while the machine was unreachable
+	incarnation        int      // number of the worker's processes that have ended so far
+	diedAt             Micros   // time at which the worker's latest process ended
+	startedAt          Micros   // start time of the process; 0 if it started before the run, without slow start
+	deferredDeliveries []func() // actions of messages that arrived while the machine was unreachable
 
 	attempts       map[string]*attempt // queued and running attempts by id of the request
 	queue          []*attempt
 	usedSlots      float64
-	recentArrivals []arrival // attempts received within the overload window, recorded during slow start
-	errorRate      float64   // errors per second, as of errorRateAt
+	recentArrivals []arrival // attempts received within the last overloadWindow; empty after slow start
+	errorRate      float64   // failed runs per second, as of time errorRateAt
 	errorRateAt    Micros
 }
 
@@ -55,7 +55,7 @@
 	request *request
 	worker  *worker
 	node    *node
-	running bool // whether the attempt occupies slots; otherwise it is queued, unless it has ended
+	running bool // whether the attempt occupies slots; a queued or ended attempt occupies none
 	ended   bool
 }
 
@@ -63,7 +63,7 @@
 func (f *fleet) newWorker(zone int) *worker {
 	index := len(f.workers)
 	hash := fnv.New32a()
-	_, _ = fmt.Fprintf(hash, "worker %d", index) // Writing to a hash never fails.
+	_, _ = fmt.Fprintf(hash, "worker %d", index) // A write to a hash never fails.
 	indexInZone := index / Zones
 	w := &worker{
 		fleet:    f,
@@ -144,8 +144,8 @@
 	})
 }
 
-// startQueued starts queued attempts in the order of their arrival until the next one does not fit into the
-// free slots.
+// startQueued starts queued attempts in the order of their arrival until the next attempt does not fit into
+// the free slots.
 func (w *worker) startQueued() {
 	f := w.fleet
 	for len(w.queue) > 0 && w.usedSlots+w.queue[0].request.job.slots <= w.kind.slots {
@@ -192,8 +192,8 @@
 	}
 }
 
-// currentErrorRate returns the errors per second for the load report. The rate decreases linearly to zero
-// within errorWindow after the last error.
+// currentErrorRate returns the failed runs per second for the worker's load report. The rate decreases
+// linearly to zero within errorWindow after the last failed run.
 func (w *worker) currentErrorRate() float64 {
 	return w.errorRate * max(0, 1-float64(w.fleet.now-w.errorRateAt)/float64(errorWindow))
 }
--- a/internal/emulator/worker_lifecycle.go
+++ b/internal/emulator/worker_lifecycle.go
@@ -8,7 +8,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// exitReport says whether the agent of the machine reports the end of a worker's process to the schedulers.
+// exitReport says whether the agent, a service on the worker's machine, reports the end of the worker's
+// process to the schedulers.
 type exitReport uint8
 
 const (
@@ -63,8 +64,8 @@
 	w.missHeartbeats()
 }
 
-// missHeartbeats schedules the removal of the worker from the list after livenessTimeout, provided that the
-// worker is still unreachable or cut off from discovery at that time.
+// missHeartbeats schedules the removal of the worker from the worker list after livenessTimeout, provided
+// that the worker is still unreachable or cut off from discovery at that time.
 func (w *worker) missHeartbeats() {
 	d := w.fleet.discovery
 	w.fleet.scheduleAfter(livenessTimeout+Micros((d.random()-0.5)*float64(second)), func() {
@@ -74,8 +75,8 @@
 	})
 }
 
-// boot starts the worker's process, after its machine if that is unreachable. The messages that arrived while
-// the machine was unreachable are delivered.
+// boot starts the worker's process, and makes the machine reachable if it has failed. Then boot delivers the
+// messages that arrived while the machine was unreachable.
 func (w *worker) boot() {
 	if w.running || w.retired {
 		return
@@ -106,7 +107,7 @@
 	replacement.boot()
 }
 
-// setStateIfRunning changes the state of the worker's entry in the list if the worker's process runs.
+// setStateIfRunning changes the state of the worker's entry in the worker list if the worker's process runs.
 func (w *worker) setStateIfRunning(state endpoints.State) {
 	if w.running {
 		w.fleet.discovery.setState(w, state)
--- a/internal/emulator/worker_test.go
+++ b/internal/emulator/worker_test.go
@@ -24,19 +24,19 @@
 		w.receive(c, req)
 	}
 	if w.usedSlots != 14 || len(w.queue) != 28 || f.tally.model.RejectedAtCapacity != jobs-42 {
-		t.Errorf("got %v used slots, %d queued and %d rejected attempts; want 14, 28 and 18",
+		t.Errorf("the worker has %v used slots, %d queued and %d rejected attempts of 60; want 14, 28 and 18",
 			w.usedSlots, len(w.queue), f.tally.model.RejectedAtCapacity)
 	}
 	w.cancel("A")
 	if w.usedSlots != 14 || len(w.queue) != 27 {
-		t.Errorf("after a cancellation got %v used slots and %d queued attempts, want 14 and 27",
+		t.Errorf("after a cancellation the worker has %v used slots and %d queued attempts, want 14 and 27",
 			w.usedSlots, len(w.queue))
 	}
 	w.crash()
 	f.runUntil(f.now + second)
 	state := f.discovery.table.At(0).State
 	if !w.idle() || state != endpoints.Removed || f.tally.model.KilledAttempts != 41 {
-		t.Errorf("a crashed worker has %d attempts and is listed as %s with %d killed; want 0, removed and 41",
+		t.Errorf("a crashed worker has %d attempts, is listed as %s, and lost %d attempts; want 0, removed and 41",
 			len(w.attempts), state, f.tally.model.KilledAttempts)
 	}
 	w.boot()
@@ -44,7 +44,7 @@
 	listed := workerList(f.discovery.table.Full()).Workers[0]
 	if listed.UID != w.uid || listed.Status != dispatch.Ready || listed.Started != w.startedAt ||
 		w.speedFraction() >= 1 {
-		t.Errorf("after its restart the worker is listed as %+v with %v of its speed; want it ready, in slow start",
+		t.Errorf("after a restart the worker is listed as %+v and has %v of its full speed; want ready and below 1",
 			listed, w.speedFraction())
 	}
 }
--- a/internal/emulator/workload.go
+++ b/internal/emulator/workload.go
@@ -9,7 +9,7 @@
 type machineKind struct {
 	name  string
 	slots float64
-	speed float64 // work done per unit of time; a job's run time is stated for speed 1
+	speed float64 // run time of a job on a machine of speed 1, divided by its run time on this kind
 }
 
 // kinds are the hardware types of the workers; they alternate within a zone. A worker has 16 slots on
@@ -19,7 +19,7 @@
 // jobClass describes a class of jobs, as the settings state it and as the simulated clients submit it.
 type jobClass struct {
 	name     string
-	fraction float64 // fraction of all jobs
+	fraction float64 // fraction of all jobs that belong to the class
 	// The latency objective for the time to start is objective plus stretch times the run time of the job.
 	objective Micros
 	stretch   float64
@@ -70,8 +70,8 @@
 
 const tenantCount = 54
 
-// tenantFraction returns the fraction of all jobs that a tenant submits. It is proportional to 1/(tenant+3),
-// so that a few tenants are large and many are small.
+// tenantFraction returns the fraction of all jobs that a tenant submits. The fraction is proportional to
+// 1/(tenant+3), so that a few tenants are large and many are small.
 func tenantFraction(tenant int) float64 {
 	sum := 0.0
 	for k := range tenantCount {
