--- a/cmd/schedbench/attempt.go
+++ b/cmd/schedbench/attempt.go
@@ -91,7 +91,7 @@
 	}
 	program, err := testcluster.Build(ctx, ".", folder)
 	if err != nil {
-		return "", fmt.Errorf("no dahliaford binary beside schedbench, and the build failed: %w", err)
+		return "", fmt.Errorf("no dahliaford program beside schedbench, and its build failed: %w", err)
 	}
 	return program, nil
 }
--- a/cmd/schedbench/chart.go
+++ b/cmd/schedbench/chart.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// chart draws the charts of a report. The path is that of an SVG file; a report with several charts adds a
+// chart draws the charts of a report. The path names an SVG file; a report with several charts adds a
 // suffix to the base name of the file for each chart.
 type chart func(path string) error
 
--- a/cmd/schedbench/clients.go
+++ b/cmd/schedbench/clients.go
@@ -21,9 +21,9 @@
 	remainingSchedulers = 2   // schedulers of a fleet that run throughout the drill
 	workersPerScheduler = 12
 	jobsPerClient       = 4. // jobs per second that each client submits
-	// returnGrace is how long after its deadline a job may return from the client library.
+	// returnGrace is how long after the deadline of a job the client library may return the job's verdict.
 	returnGrace = 50 * time.Millisecond
-	stopTimeout = 10 * time.Second // limit for the orderly shutdown of a scheduler
+	stopTimeout = 10 * time.Second // longest time for the orderly shutdown of a scheduler
 	// timelineMargin is the time that timelines cover after the last submission. Jobs that are open at the last
 	// submission end within the margin.
 	timelineMargin = 10 * time.Second
--- a/cmd/schedbench/drill.go
+++ b/cmd/schedbench/drill.go
@@ -38,7 +38,7 @@
 // progressFunc prints a formatted line about the progress of a drill.
 type progressFunc func(format string, args ...any)
 
-// drill is a drill with the description that the list of drills shows.
+// drill is a test or measurement with the description that the list of drills shows.
 type drill struct {
 	description string
 	run         drillFunc
--- a/cmd/schedbench/enginestep.go
+++ b/cmd/schedbench/enginestep.go
@@ -20,7 +20,7 @@
 	Folder string        `arg:"" type:"path"`
 	Step   string        `arg:"" enum:"accept,fill,open,churn"`
 	For    time.Duration `default:"2s"`
-	Count  int           `name:"many" default:"1"` // callers in the step accept, or items in fill and churn
+	Count  int           `name:"many" default:"1"` // number of callers (accept) or items (fill, churn)
 	Seed   uint64        `default:"1"`
 }
 
--- a/cmd/schedbench/modelcheck.go
+++ b/cmd/schedbench/modelcheck.go
@@ -36,7 +36,7 @@
 const unlimitedBudget = time.Duration(-1)
 
 // Settings of the garbage collector for a search. A search allocates many short-lived states, so rare
-// collections make it faster.
+// collections make the search faster.
 const (
 	searchGCPercent   = 600
 	searchMemoryLimit = 12 << 30 // memory in bytes near which the garbage collector runs more often
--- a/cmd/schedbench/modelcheck_report.go
+++ b/cmd/schedbench/modelcheck_report.go
@@ -91,7 +91,7 @@
 	}
 	trace, err := modelcheck.ReadTrace(raw)
 	if err != nil {
-		return usageError("%s: %v", path, err)
+		return usageError("read the trace in %s: %v", path, err)
 	}
 	fmt.Printf("world %s; recorded violation: %s: %s\n", trace.World, trace.Property, trace.Text)
 	result, err := trace.Replay(func(line string) { fmt.Println(line) })
--- a/cmd/schedbench/mutants.go
+++ b/cmd/schedbench/mutants.go
@@ -16,8 +16,8 @@
 	"dahliaford/internal/modelcheck/mutants"
 )
 
-// mutantSearchBudget is the maximum duration of the search of a mutant in its own world, in which the model
-// checker must find the mutant.
+// mutantSearchBudget is the maximum duration of the search of a mutant in its own world, the configuration in
+// which the model checker must find the mutant's seeded fault.
 const mutantSearchBudget = 60 * time.Second
 
 // The model checker must find a mutant with OnlyInWorld set only in the mutant's own world. The drill also
@@ -45,7 +45,7 @@
 		progress("%s ...", m.Name)
 		outcome, err := checkMutant(ctx, root, m)
 		if err != nil {
-			return nil, fmt.Errorf("mutant %s: %w", m.Name, err)
+			return nil, fmt.Errorf("check mutant %s: %w", m.Name, err)
 		}
 		if outcome.asExpected() {
 			found++
@@ -133,7 +133,7 @@
 	return o, err
 }
 
-// mutantBuild is a build of this program with a mutant.
+// mutantBuild is a build of this program with a mutant, a seeded fault in the source.
 type mutantBuild struct {
 	program string // path of the executable
 	folder  string // the folder that traces are written to
--- a/cmd/schedbench/series.go
+++ b/cmd/schedbench/series.go
@@ -42,7 +42,7 @@
 // readLine adds the metrics of one line of output. It ignores a line that is not the result of a benchmark
 // with a size in its name.
 func (all *seriesList) readLine(text string) error {
-	fields := strings.Fields(text) // the name, the number of iterations, and pairs of a value and its unit
+	fields := strings.Fields(text) // name of the benchmark, iterations, and pairs of a value and a unit
 	if len(fields) < 4 {
 		return nil
 	}
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -9,9 +9,9 @@
 
 // Limits of the retries of a client whose request was refused.
 const (
-	maxSubmissions  = 3                 // number of requests that a client sends for one job
+	maxSubmissions  = 3                 // largest number of requests that a client sends for one job
 	minRetryDelay   = 100 * millisecond // shortest delay before a refused job is submitted again
-	minTimeForRetry = second            // a client retries only if at least this time remains until its deadline
+	minTimeForRetry = second            // shortest time left until a job's deadline with which a client retries the job
 )
 
 // clients simulates all clients of the fleet. Together they submit jobs as a Poisson process; the zones of
@@ -21,7 +21,7 @@
 	random           *rand.Rand
 	meanInterval     float64 // mean time between two jobs, in microseconds
 	schedulersByZone [Zones][]*node
-	lastRequest      int // number of the request created last
+	lastRequest      int // number of the latest request; requests are numbered from 1
 	// cumulativeByTenant[i] is the fraction of all jobs that tenants 0 to i submit together.
 	cumulativeByTenant []float64
 }
@@ -30,7 +30,7 @@
 type clientJob struct {
 	class, tenant int
 	slotMixIndex  int
-	slots, work   float64  // work is the run time on a machine of speed 1, in microseconds
+	slots, work   float64  // work is the run time of the job on a machine of speed 1, in microseconds
 	zone          int      // zone of the client
 	submittedAt   Micros   // time of the first submission of the job
 	submissions   int      // number of submissions of the job so far
@@ -78,8 +78,8 @@
 	f.scheduleAfter(Micros(c.random.ExpFloat64()*c.meanInterval), c.submitNext)
 }
 
-// drawJob returns a job with random properties. A changed order of the draws changes the result of every
-// seed.
+// drawJob returns a job with random properties. A change of the order of the random draws changes the results
+// of the runs with every seed.
 func (c *clients) drawJob() *clientJob {
 	job := &clientJob{zone: c.random.IntN(Zones), submittedAt: c.fleet.now}
 	draw := c.random.Float64()
@@ -114,7 +114,7 @@
 	f.network.send(job.zone, n.zone, requestBytes, func() { n.submit(req) })
 }
 
-// handleAnswer handles the arrival of an answer at the client.
+// handleAnswer handles the arrival of the scheduler's answer to a request at the client.
 func (c *clients) handleAnswer(req *request, a scheduler.Answer) {
 	f := c.fleet
 	switch a.Verdict {
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -183,7 +183,7 @@
 // the worker's process to which the connection led when the attempt was written.
 func (c *conn) receiveAttempt(attempt scheduler.AttemptID, req *request, incarnation int) {
 	switch {
-	case c.receiveTimedOut() && c.Released: // the scheduler closed the connection and discarded the unsent data
+	case c.receiveTimedOut() && c.Released: // the scheduler has closed the connection and discarded the attempt
 	case incarnation != c.worker.incarnation || !c.worker.running:
 		c.sendReset(attempt)
 	default:
@@ -204,7 +204,7 @@
 type writeFailure uint8
 
 const (
-	sendNotAllowed      writeFailure = iota // allowSend rejected the attempt
+	sendNotAllowed      writeFailure = iota // allowSend forbade to send the attempt to the worker
 	writeDeadlinePassed                     // the write deadline passed before the first byte was written
 	dialRefused                             // the worker's process does not run
 )
--- a/internal/emulator/cost_meter.go
+++ b/internal/emulator/cost_meter.go
@@ -19,7 +19,7 @@
 type costMeter struct {
 	startedAt        time.Time             // wall time at the start of the run
 	timesByKind      map[string]*stepTimes // processor times by kind of event (see kindOfEvent)
-	heapPerScheduler float64               // live heap in bytes, measured when all have the worker list
+	heapPerScheduler float64               // live heap of a scheduler with its worker list, in bytes
 	maxHeap          uint64                // largest total size of the heap objects, in bytes
 	series           Series
 	loadStarted      bool // whether the warm-up is over
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// batchInterval is how long discovery collects changes before it publishes them as one revision.
+	// batchInterval is how long discovery collects changes of the worker list before it publishes the changes
+	// as one revision.
 	batchInterval     = 250 * millisecond
 	heartbeatInterval = Micros(endpoints.HeartbeatInterval / time.Microsecond)
 
@@ -39,8 +40,8 @@
 	fleet           *fleet
 	down            bool
 	table           *endpoints.Table       // the published worker list; worker.index is the worker's position
-	notReadySince   []Micros               // by worker.index; time since which a worker is not ready, or 0
-	pending         map[int]*pendingChange // unpublished changes by worker.index
+	notReadySince   []Micros               // time since which a worker is not ready, or 0; by worker.index
+	pending         map[int]*pendingChange // unpublished changes of the worker list by worker.index
 	watches         []*watch               // open watches, ordered by the index of their schedulers
 	queuedCalls     []*watch               // watches whose opening call is not yet answered
 	incarnation     int                    // number of restarts of the discovery process
@@ -49,7 +50,7 @@
 	delayedFraction float64 // fraction of the lines of watches that get an additional delay
 }
 
-// pendingChange is a worker's new entry, which the next revision of the list will contain.
+// pendingChange is the new entry of a worker that the next revision of the worker list will contain.
 type pendingChange struct {
 	endpoint endpoints.Endpoint
 	since    Micros // time at which discovery learned of the change
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -32,14 +32,15 @@
 	end         Micros
 	events      eventQueue
 
-	network      network
-	discovery    *discovery
-	nodes        []*node
-	workers      []*worker
-	byUID        map[string]*worker
-	byAddr       map[string]*worker
-	clients      *clients
-	requests     map[string]*request // by id; requests that await an answer or the end of an attempt
+	network   network
+	discovery *discovery
+	nodes     []*node
+	workers   []*worker
+	byUID     map[string]*worker
+	byAddr    map[string]*worker
+	clients   *clients
+	// requests holds the requests that await an answer or the end of an attempt, by the id of the request.
+	requests     map[string]*request
 	historyRules history.Rules
 	tally        tally
 	meter        costMeter
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -20,11 +20,12 @@
 				t.Errorf("two runs with the same seed give different models, want equal models: %s", diff)
 			}
 			if !r.OK() || m.Invalid > 0 {
-				t.Errorf("got violations %v and %d invalid answers, want none; findings: %s",
+				t.Errorf("the run has violations %v and %d invalid answers, want none; findings: %s",
 					m.Violations, m.Invalid, strings.Join(m.Findings, "\n"))
 			}
 			if m.Starts < m.Jobs/2 || m.Served < m.Jobs/4 || m.CheckedRequests < m.Requests-3 {
-				t.Errorf("%d jobs, %d starts (want half), %d served (want 1/4), checks of %d of %d requests (all but 3)",
+				t.Errorf(
+					"%d jobs, %d started (want half), %d served (want 1/4), checked %d of %d requests (want all but 3)",
 					m.Jobs, m.Starts, m.Served, m.CheckedRequests, m.Requests)
 			}
 			if m.Changes.NotInForce > 0 || m.Changes.InForce.Max > 8000 {
--- a/internal/emulator/harness_test.go
+++ b/internal/emulator/harness_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// shortRun returns the options of a run of the given day with a small fleet and a load of 12 s.
+// shortRun returns the options of a run of the given fault scenario (day) with a small fleet and a load of
+// 12 s.
 func shortRun(day string) Options {
 	return Options{Workers: 200, Schedulers: 20, Rate: 80, Duration: 12 * time.Second, MeanRunTime: time.Second,
 		Day: day, Seed: 1}
--- a/internal/emulator/message_sizes.go
+++ b/internal/emulator/message_sizes.go
@@ -7,8 +7,8 @@
 const (
 	packetBytes      = 0   // a TCP handshake or reset, which carries no payload
 	requestBytes     = 420 // a submitted job: headers and a body of 200 bytes
-	answerBytes      = 90  // an answer: the status line and two headers
-	emptyAnswerBytes = 27  // an answer with status 204
+	answerBytes      = 90  // an HTTP answer: the status line and two headers
+	emptyAnswerBytes = 27  // an HTTP answer with status 204, which has no body
 	callbackBytes    = 210 // POST /callback with its JSON object, without the job's result
 	reportBytes      = 80  // the load report within a callback
 	cancelBytes      = 75  // the cancellation of an attempt
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -13,10 +13,10 @@
 
 // One-way delays of messages, in microseconds.
 const (
-	zoneDelay        = 250        // delay within a zone
-	regionDelay      = 900        // delay between two zones of a region
-	delayPerRegion   = 11_000     // delay for each step between two neighboring regions on the ring of regions
-	interRegionDelay = 6_000      // delay between different regions, in addition to delayPerRegion
+	zoneDelay        = 250        // delay of a message within a zone, in microseconds
+	regionDelay      = 900        // delay of a message between two zones of a region, in microseconds
+	delayPerRegion   = 11_000     // microseconds for each step between neighbors on the ring of regions
+	interRegionDelay = 6_000      // microseconds between different regions, in addition to delayPerRegion
 	jitterFraction   = 0.2        // largest random increase of a delay, as a fraction of the delay
 	microsPerByte    = 1.0 / 125. // transmission time of a byte on a link of 1 Gbit/s
 )
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -51,7 +51,7 @@
 	controlBytes, jobBytes         int64 // bytes that the scheduler sent and received
 	controlMessages, jobMessages   int64
 	currentSecond                  Micros // second of virtual time, counted from 0, that bytesInSecond covers
-	bytesInSecond, peakSecondBytes int64  // bytes of messages to and from discovery
+	bytesInSecond, peakSecondBytes int64  // bytes to and from discovery, now and in the busiest second
 	// reducerTime is the processor time that the reducer took for all events, and controlTime the processor
 	// time for the control events, which are those about the worker list and its watch.
 	reducerTime, controlTime time.Duration
@@ -130,8 +130,8 @@
 	}
 }
 
-// stepLater schedules a step for the present time, after all actions already scheduled for it. Effects use
-// stepLater because they are executed within a step, and steps must not be nested.
+// stepLater schedules a reducer step for the present time, after all actions already scheduled for that time.
+// Effects use stepLater because effects are executed within a step, and steps must not be nested.
 func (n *node) stepLater(e scheduler.Event) { n.fleet.scheduleAfter(0, func() { n.step(e) }) }
 
 func (n *node) execute(e scheduler.Effect) {
--- a/internal/emulator/options.go
+++ b/internal/emulator/options.go
@@ -57,7 +57,7 @@
 		return fmt.Errorf("the time must be 1s to %v of virtual time", MaxDuration)
 	case o.MeanRunTime < 0 || o.MeanRunTime > MaxMeanRunTime ||
 		o.MeanRunTime > 0 && o.MeanRunTime < minMeanRunTime:
-		return fmt.Errorf("a task must be %v to %v of mean run time", minMeanRunTime, MaxMeanRunTime)
+		return fmt.Errorf("a task must be %v to %v long on average", minMeanRunTime, MaxMeanRunTime)
 	case o.Workers*o.Schedulers > MaxPairs:
 		return fmt.Errorf("the number of schedulers times workers must be at most %d", MaxPairs)
 	case jobRate(o.withDefaults())*o.withDefaults().MeanRunTime.Seconds() > MaxRunningJobs:
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -28,8 +28,8 @@
 	Refused  int `json:"refused"`  // requests answered with a refusal
 	GaveUp   int `json:"gave_up"`  // jobs that clients stopped retrying after a refusal
 	Failed   int `json:"failed"`   // requests answered with a failure
-	// Invalid counts answers of any other kind. No client should get one; such an answer means a fault of
-	// the emulator.
+	// Invalid counts answers that are no result, refusal or failure. No client should get an invalid answer;
+	// such an answer means a fault of the emulator.
 	Invalid int `json:"invalid"`
 
 	Unanswered int `json:"open"`    // requests without an answer at the end of the run
@@ -53,7 +53,7 @@
 	Cancelled       int `json:"withdrawn"`   // attempts that workers canceled on request
 	OverloadCrashes int `json:"pushed_over"` // crashes of workers that were overloaded in slow start
 
-	CallbacksUndelivered int `json:"callbacks_lost"` // callbacks that did not arrive within the time for retries
+	CallbacksUndelivered int `json:"callbacks_lost"` // callbacks not delivered within callbackTimeout
 	// NoConnection counts attempts and cancellations that were not sent because the scheduler had reached its
 	// limit of connections.
 	NoConnection int            `json:"no_connection"`
@@ -81,7 +81,7 @@
 
 // Traffic describes the messages that a scheduler receives and sends. The sizes of messages are estimates.
 type Traffic struct {
-	BytesPerSecond    float64 `json:"bytes_per_s"`                  // mean of all schedulers, sent and received
+	BytesPerSecond    float64 `json:"bytes_per_s"`                  // sent and received, mean of all schedulers
 	MaxBytesPerSecond float64 `json:"most_bytes_per_s"`             // highest BytesPerSecond of any scheduler
 	PeakSecondBytes   int64   `json:"worst_second_bytes,omitempty"` // most bytes of a scheduler in any second
 	MessagesPerSecond float64 `json:"messages_per_s"`               // mean of all schedulers
@@ -92,7 +92,7 @@
 	FullLists     int     `json:"whole_lists"`   // calls answered with the full list
 	Deltas        int     `json:"deltas"`        // calls answered with the changes since a revision
 	RefusedCalls  int     `json:"refused_calls"` // calls whose wait would exceed maxCallWait
-	WatchesClosed int     `json:"lost_watches"`  // watches that ended or timed out without a scheduler's release
+	WatchesClosed int     `json:"lost_watches"`  // watches that discovery closed or refused, or that timed out
 	BusySeconds   float64 `json:"busy_s"`        // time that discovery spent on calls that open a watch
 }
 
@@ -115,10 +115,10 @@
 type Measured struct {
 	WallSeconds float64     `json:"seconds"` // wall time of the run in seconds
 	Events      uint64      `json:"events"`  // number of events of the simulation
-	EventCosts  []EventCost `json:"kinds"`   // kinds of reducer events, by descending total processor time
+	EventCosts  []EventCost `json:"kinds"`   // by kind of reducer event, the largest total time first
 
 	CorePercent        float64 `json:"core_percent"`         // use of a core in percent, mean of all schedulers
-	MaxCorePercent     float64 `json:"core_percent_most"`    // highest use of a core by any scheduler
+	MaxCorePercent     float64 `json:"core_percent_most"`    // highest use of a core in percent by any scheduler
 	ControlCorePercent float64 `json:"core_percent_control"` // CorePercent of the control events alone
 
 	// MaxLagMs is the longest time by which a reducer with a core of its own lags behind the arrival of events.
@@ -127,8 +127,9 @@
 	MaxLagMs                float64 `json:"lag_ms"`
 	MaxLagMsAtControlBudget float64 `json:"lag_at_2.9_percent_ms"`
 
-	// MaxChangeMs is the longest time from when discovery learns of a change until a scheduler whose list is
-	// not stale has applied the change, including the lag of a reducer with a core of its own.
+	// MaxChangeMs is the longest time from when discovery learns of a change of the worker list until a
+	// scheduler whose list is not stale has applied the change, including the lag of a reducer with a core of
+	// its own.
 	// MaxChangeMsAtControlBudget is the same time with the lag of a reducer that processes control events only,
 	// within the control budget.
 	MaxChangeMs                float64 `json:"change_ms"`
@@ -153,7 +154,7 @@
 
 // Series holds figures of all schedulers together for each second of the load.
 type Series struct {
-	Starts, Refused []int     // started attempts and refused requests
-	ControlKB       []float64 // kilobytes of control messages
-	CoreSeconds     []float64 // processor time of the reducers in seconds
+	Starts, Refused []int     // started attempts and refused requests in each second
+	ControlKB       []float64 // kilobytes of messages to and from discovery in each second
+	CoreSeconds     []float64 // processor time of the reducers in each second, in seconds
 }
--- a/internal/emulator/report_test.go
+++ b/internal/emulator/report_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The JSON keys of the report and their order are an interface to other programs. They must not change when a
-// Go field is renamed.
+// The JSON keys of the report and their order are an interface to other programs. The keys must not change
+// when a Go field is renamed.
 func TestReportKeys(t *testing.T) {
 	const (
 		spread = `{"of":1,"n":2,"p50_ms":3,"p99_ms":4,"max_ms":5,"in_aim":6}`
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -20,8 +20,9 @@
 	timeout  Micros
 	deadline Micros
 	answered bool
-	// outstanding is the number of things that the history of the request still waits for: the answer, each
-	// attempt that is on its way to a worker, and each attempt that a worker has accepted and not ended.
+	// outstanding is the number of events that the check of the history waits for: the answer, unless it has
+	// been written, the arrival of each attempt that is on its way to a worker, and the end of each attempt that
+	// a worker has accepted.
 	outstanding int
 	history     []history.Event
 }
@@ -67,7 +68,7 @@
 	}
 }
 
-// record appends an event to the history and sets its time to the present time.
+// record appends an event to the history of the request and sets the event's time to the present time.
 func (r *request) record(e history.Event) {
 	e.At = r.fleet.wallTime()
 	r.history = append(r.history, e)
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -8,7 +8,7 @@
 
 // Properties of the workers that the settings state to the schedulers and that the simulated workers have.
 const (
-	rackSize = 16 // workers in a rack
+	rackSize = 16 // number of workers in a rack
 	// quotaPerJobRate is the sum of the quotas of all tenants divided by the rate at which clients submit
 	// jobs.
 	quotaPerJobRate = 1.3
--- a/internal/emulator/summary.go
+++ b/internal/emulator/summary.go
@@ -7,7 +7,7 @@
 	"dahliaford/internal/history"
 )
 
-// report returns the report of the run. Before, it checks the histories of the requests that still await an
+// report returns the report of the run. First, it checks the histories of the requests that still await an
 // answer or the end of an attempt.
 func (f *fleet) report() *Report {
 	f.summarizeTimeToStart()
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -130,8 +130,7 @@
 }
 
 // recordRevision records that discovery publishes a revision of the worker list with the given number of
-// entries. since is the
-// time at which discovery learned of the first change in the revision.
+// entries. since is the time at which discovery learned of the first change in the revision.
 func (t *tally) recordRevision(rev int64, since Micros, entries int) {
 	for int64(len(t.changes)) <= rev-firstChange {
 		t.changes = append(t.changes, &changeProgress{
--- a/internal/emulator/violations_test.go
+++ b/internal/emulator/violations_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// A change of the worker list is in force at a scheduler that has applied it, and at a scheduler that sends
-// no attempts because its list is stale.
+// A change of the worker list is in force at a scheduler that has applied the change, and at a scheduler
+// that sends no attempts because its list is stale.
 func TestChangesInForce(t *testing.T) {
 	f := newIdleFleet(t, shortRun("calm"))
 	f.nodes = f.nodes[:3]
--- a/internal/emulator/watch.go
+++ b/internal/emulator/watch.go
@@ -4,17 +4,17 @@
 
 // Timeouts after which a scheduler closes a watch of the worker list. Package node uses the same values.
 const (
-	watchOpenTimeout    = 4 * second // longest time until the first line arrives
-	watchSilenceTimeout = 3 * second // longest time between two lines
+	watchOpenTimeout    = 4 * second // longest time until the first line arrives on a watch
+	watchSilenceTimeout = 3 * second // longest time between two lines of a watch
 )
 
-// watch is a scheduler's watch of the worker list, with the state of both ends of its connection.
+// watch is a scheduler's watch of the worker list, with the state of both ends of the connection.
 type watch struct {
 	node *node
 
 	// State of the connection's end at the discovery service.
 	connected   bool                   // discovery has opened the watch and writes lines to it
-	lastWrite   Micros                 // time at which the last line was written
+	lastWrite   Micros                 // time at which the last line was written to the watch
 	lastArrival Micros                 // arrival of the line written last; a later line may not arrive earlier
 	buffered    []scheduler.WorkerList // lines that a network cut holds back
 
@@ -22,7 +22,7 @@
 	closed        bool   // the end of the watch has been handled, or the watch has been released
 	released      bool   // the scheduler has closed the watch
 	receivedLine  bool   // at least one line has arrived
-	socketEmptyAt Micros // last time at which the scheduler found no unread data in the socket
+	socketEmptyAt Micros // last time at which the scheduler found no unread data in the watch's socket
 	timeoutAt     Micros // time at which the scheduler closes the watch unless a line arrives before
 }
 
@@ -89,7 +89,7 @@
 			f.discovery.handleCall(s, w.Revision)
 		}
 	}
-	// The TCP handshake takes one round trip before the call can be sent.
+	// The TCP handshake takes one round trip before the call that opens the watch can be sent.
 	f.network.send(n.zone, discoveryZone, packetBytes, func() {
 		f.network.send(discoveryZone, n.zone, packetBytes, func() {
 			f.network.send(n.zone, discoveryZone, openWatchBytes, call)
@@ -120,9 +120,9 @@
 	}
 }
 
-// receive passes a line to the reducer, together with the time as of which the worker list is current. The
-// list is current as of half the drain grace after the scheduler last found the socket of the watch empty,
-// but not later than the present. From that time on the list is valid for listValidity.
+// receive passes a line of the watch to the reducer, with the time as of which the worker list is current.
+// The list is current as of half the drain grace after the scheduler last found the socket of the watch
+// empty, but not later than the present. From that time on the list is valid for listValidity.
 func (s *watch) receive(list scheduler.WorkerList, bytes int) {
 	if s.closed || s.released {
 		return
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -15,8 +15,8 @@
 const (
 	queueFactor     = 2.0    // slots of the jobs that fit into a worker's queue, divided by the worker's slots
 	failureFraction = 0.0005 // fraction of the job runs that end with an error
-	// callbackTimeout is how long a worker retries a callback that does not reach its scheduler. It
-	// corresponds to ten retries at intervals of a second.
+	// callbackTimeout is how long a worker retries a callback that does not reach its scheduler. The
+	// timeout corresponds to ten retries at intervals of a second.
 	callbackTimeout = 10 * second
 	// errorWindow is the time within which the contribution of a failed run to the error rate in a worker's load
 	// report decreases linearly to zero.
@@ -39,7 +39,7 @@
 	retired            bool     // the worker never starts again
 	incarnation        int      // number of the worker's processes that have ended so far
 	diedAt             Micros   // time at which the worker's latest process ended
-	startedAt          Micros   // start time of the process; 0 if it started before the run, without slow start
+	startedAt          Micros   // start time of the process; 0 if before the run, without slow start
 	deferredDeliveries []func() // actions of messages that arrived while the machine was unreachable
 
 	attempts       map[string]*attempt // queued and running attempts by id of the request
@@ -50,7 +50,7 @@
 	errorRateAt    Micros
 }
 
-// attempt is the state of an attempt at the worker that has accepted it.
+// attempt is the state of an attempt at the worker that has accepted the attempt.
 type attempt struct {
 	request *request
 	worker  *worker
@@ -93,7 +93,7 @@
 }
 
 // deliver runs the action for a message that arrives at the worker's machine. While the machine is
-// unreachable it defers the action until the machine starts again.
+// unreachable, deliver defers the action until the machine starts again.
 func (w *worker) deliver(action func()) {
 	if w.unreachable {
 		w.deferredDeliveries = append(w.deferredDeliveries, action)
@@ -133,7 +133,7 @@
 	return queued+slots <= queueFactor*w.kind.slots && slots <= w.kind.slots
 }
 
-// respond sends an answer to the scheduler on the connection of the present exchange.
+// respond sends the worker's answer to an attempt or a cancellation to the scheduler, on connection c.
 func (w *worker) respond(c *conn, a connstate.WorkerResponse) {
 	attempt := c.Attempt
 	w.fleet.network.send(w.zone, c.node.zone, answerBytes, func() {
--- a/internal/emulator/worker_test.go
+++ b/internal/emulator/worker_test.go
@@ -9,8 +9,8 @@
 )
 
 // A worker runs as many attempts as fit into its slots, queues attempts up to the capacity of its queue, and
-// rejects further attempts. The end of its process kills all attempts and removes the worker from the list.
-// After a restart the worker is listed again.
+// rejects further attempts. The end of the worker's process kills all attempts and removes the worker from
+// the worker list. After a restart the worker is listed again.
 func TestWorkerAtCapacity(t *testing.T) {
 	f := newIdleFleet(t, shortRun("calm"))
 	w, n := f.workers[0], f.nodes[0]
--- a/internal/emulator/workload.go
+++ b/internal/emulator/workload.go
@@ -26,7 +26,7 @@
 	// The timeout of a request is fixedDeadline plus deadlineRunTimes times the mean run time of all jobs.
 	fixedDeadline    Micros
 	deadlineRunTimes float64
-	weight           float64 // utility of a request that starts within its objective
+	weight           float64 // utility of a request that starts within its latency objective
 	semantics        string  // name of the retry semantics in the settings file
 	atMostOnce       bool    // whether a job of the class must not run twice
 }
