--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -11,7 +11,7 @@
 const (
 	maxSubmissions  = 3                 // largest number of requests that a client sends for one job
 	minRetryDelay   = 100 * millisecond // shortest delay before a refused job is submitted again
-	minTimeForRetry = second            // shortest time left until a job's deadline with which a client retries the job
+	minTimeForRetry = second            // shortest time left until the deadline of a job that is retried
 )
 
 // clients simulates all clients of the fleet. Together they submit jobs as a Poisson process; the zones of
