--- a/cmd/schedbench/modelcheck_report.go
+++ b/cmd/schedbench/modelcheck_report.go
@@ -11,7 +11,8 @@
 	"dahliaford/internal/modelcheck"
 )
 
-// searchSummary is the result of a search. It is printed as JSON in the last line of standard output.
+// searchSummary is the result of a search by the model checker. The command prints it as JSON in the last
+// line of standard output.
 type searchSummary struct {
 	World       string   `json:"world"`
 	States      int64    `json:"states"`
@@ -90,7 +91,7 @@
 	}
 	trace, err := modelcheck.ReadTrace(raw)
 	if err != nil {
-		return usageError("%s: %v", path, err)
+		return usageError("read the trace in %s: %v", path, err)
 	}
 	fmt.Printf("world %s; recorded violation: %s: %s\n", trace.World, trace.Property, trace.Text)
 	result, err := trace.Replay(func(line string) { fmt.Println(line) })
