--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -16,7 +16,7 @@
 	attempts     int
 	runCount     int
 	mayHaveRunAt map[string]time.Time // workers where the job may have run, with the arrival time of the attempt
-	heldSince    map[string]time.Time // workers that hold an attempt now, with its arrival time
+	heldSince    map[string]time.Time // workers that hold an attempt now, with the arrival time of the attempt
 	results      map[string]bool
 }
 
@@ -24,7 +24,7 @@
 type checker struct {
 	rules        Rules
 	requests     map[string]*request
-	leavingSince map[string]time.Time // draining or removed workers, with the time of the change
+	leavingSince map[string]time.Time // draining or removed workers, with the time of that change
 	findings     []Finding
 }
 
--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -30,7 +30,7 @@
 		fields := strings.Fields(line)
 		kind, known := kinds[fields[1]]
 		if !known {
-			t.Fatalf("%q is not an event", line)
+			t.Fatalf("%q is not an event of a history: unknown kind in the second field", line)
 		}
 		e := Event{At: at(fields[0]), Kind: kind, ID: "t", Actor: fields[2], MayHaveRun: fields[1] == "ran"}
 		if len(fields) > 3 {
@@ -48,7 +48,7 @@
 	return events
 }
 
-// TestCheck checks the properties that Check finds violated in short histories.
+// TestCheck compares the properties that Check finds violated in short histories with the expected ones.
 func TestCheck(t *testing.T) {
 	rules := Rules{AtMostOnce: map[string]bool{"post": true},
 		RackOf: map[string]string{"a": "1", "b": "1", "c": "2"},
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -20,7 +20,7 @@
 	Started                        // a job started to run at a worker
 	Ended                          // an attempt ended at a worker; MayHaveRun is set if the job may have run
 	WorkerDied                     // a worker's process died while it held a job
-	Closed                         // a connection ended before its 202, so the worker dropped the attempt
+	Closed                         // a connection ended before its worker's 202; the worker dropped the attempt
 	CancelReceived                 // a DELETE reached a worker; Status is 200 if the worker held the job
 	EndpointChanged                // discovery listed the worker Actor as draining or removed
 	WorkerReady                    // discovery listed the worker Actor as ready again
@@ -63,7 +63,7 @@
 	AtMostOnce  map[string]bool   // classes whose jobs must not run twice
 	RackOf      map[string]string // rack of each worker
 	Window      time.Duration     // deduplication window within which workers of a rack drop repetitions
-	DrainGrace  time.Duration     // time after a drain or removal during which attempts may still arrive
+	DrainGrace  time.Duration     // time for which attempts may still reach a drained or removed worker
 	MaxAttempts int               // largest number of attempts of a request
 	Slack       time.Duration     // tolerance for late events
 	// OrphanLimit is the time for which a worker may hold a job after its request is finished. Check applies it
--- a/internal/modelcheck/action.go
+++ b/internal/modelcheck/action.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// ActionKind is a kind of action, that is, of transition between states of a world.
+// ActionKind is a kind of action. An action is one transition between two states of the simulated system.
 type ActionKind uint8
 
 // The kinds of actions. Trace files contain their names from actionNames.
 const (
 	Submit               ActionKind = iota // the client sends a request
-	SubmitDuplicate                        // the client sends the same id again
+	SubmitDuplicate                        // the client submits a request again under an id that it has used
 	RenewRequest                           // a request with a new id replaces a finished request
 	ClientDisconnects                      // a client disconnects before its answer
 	RefuseConnection                       // the connection of an attempt cannot be established
 	WriteRequest                           // the node writes an attempt to its connection
 	DeliverWritten                         // the event loop is notified that an attempt has been written
-	ArriveAtWorker                         // a request reaches its worker; the variant is the result
-	BreakConnection                        // a connection breaks; the variant is the time
+	ArriveAtWorker                         // a request reaches its worker; Variant selects the worker's answer
+	BreakConnection                        // a connection breaks; Variant selects when
 	DeliverBroken                          // the event loop is notified that a connection has ended
 	DeliverAnswer                          // the event loop receives a worker's answer
-	CloseArrives                           // the scheduler's close reaches a worker; the variant is the time
+	CloseArrives                           // the close of a connection reaches the worker; Variant selects when
 	StartJob                               // a worker starts a job
 	FinishJob                              // a worker finishes a job
 	FailJob                                // a job fails
 	HandBackJob                            // a worker hands a job back without starting it
 	AbortJob                               // a worker aborts a job
 	DeliverCallback                        // a callback reaches the scheduler
-	DuplicateCallback                      // a callback reaches the scheduler; a copy of it stays in transit
+	DuplicateCallback                      // a callback reaches the scheduler and also stays in transit
 	DropCallback                           // a callback is lost
 	CancellationArrives                    // a DELETE reaches its worker
 	CancellationAnswered                   // the scheduler receives the answer to a DELETE
@@ -42,7 +42,7 @@
 	AnnounceReady                          // discovery lists a worker as ready
 	CloseWatch                             // the watch of the worker list closes
 	AnswerWatch                            // discovery answers a watch with the complete list
-	RestartDiscovery                       // discovery restarts: it answers a watch with a list of revision 1
+	RestartDiscovery                       // discovery restarts and answers the watch with a list of revision 1
 	ReloadConfig                           // a new configuration is loaded
 	Terminate                              // the scheduler receives SIGTERM
 	PanicModule                            // the decision module will panic at the next event that it processes
@@ -104,7 +104,7 @@
 // Variant selects one of several outcomes of an action. Actions with one outcome have variant 0.
 type Variant uint8
 
-// The variants of ArriveAtWorker.
+// The variants of ArriveAtWorker: the answers of a worker to a request.
 const (
 	arriveAccepted    Variant = iota // the worker accepts the job and answers 202
 	arriveAtCapacity                 // the worker is at capacity and answers 503 without starting the job
@@ -112,7 +112,7 @@
 	arriveRejected                   // the worker answers 400 without starting the job
 )
 
-// The variants of BreakConnection.
+// The variants of BreakConnection: the times at which the connection of an attempt breaks.
 const (
 	breakBeforeArrival Variant = iota // the request does not reach the worker
 	breakWhileRunning                 // the request arrives and runs; the job ends with the connection
@@ -120,13 +120,13 @@
 	breakAfterAccept                  // the connection breaks after the event loop has received the 202
 )
 
-// The variants of CloseArrives.
+// The variants of CloseArrives: whether the worker sends its 202 before the scheduler's close arrives.
 const (
 	closeBeforeAccept Variant = iota // the close reaches the worker before its 202: the worker drops the request
 	closeAfterAccept                 // the worker sends its 202 before the close reaches it, and holds the job
 )
 
-// Action is one transition of a world.
+// Action is one transition between states of a world, the simulated system.
 type Action struct {
 	Kind ActionKind
 	// Target is the index of the request, worker, connection, job, callback or cancellation that the action
--- a/internal/modelcheck/cancellations.go
+++ b/internal/modelcheck/cancellations.go
@@ -22,7 +22,8 @@
 	c.conn.Assign(e.Attempt, true)
 	for _, attempt := range w.unsentAttempts {
 		if attempt == e.Attempt {
-			c.answered = true // no byte of the attempt was written: package node acknowledges without a DELETE
+			// Package node acknowledges the cancellation of an unwritten attempt without sending a DELETE.
+			c.answered = true
 		}
 	}
 	w.cancellations = append(w.cancellations, c)
@@ -84,7 +85,7 @@
 	w.endCancellation(a.Target, e)
 }
 
-// endCancellation removes a cancellation and passes the event of its end to the scheduler.
+// endCancellation removes a cancellation and passes the event that reports its result to the scheduler.
 func (w *World) endCancellation(i uint8, e scheduler.Event) {
 	w.removeCancellation(int(i))
 	w.step(e)
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -7,7 +7,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// checkSingleAnswer checks OneFinalAnswer when the scheduler answers a client.
+// checkSingleAnswer checks when the scheduler answers a client that the answer is the only one of the request
+// and in time (property OneFinalAnswer).
 func (w *World) checkSingleAnswer(q *request) {
 	switch {
 	case q.state == answered:
@@ -20,7 +21,8 @@
 	}
 }
 
-// checkAnswerContent checks HonestAnswers when the scheduler answers a client.
+// checkAnswerContent checks the property HonestAnswers when the scheduler answers a client: a worker made the
+// result, and a request that may have run is neither refused nor called invalid.
 func (w *World) checkAnswerContent(q *request, a scheduler.Answer) {
 	switch a.Verdict {
 	case scheduler.Served:
@@ -58,8 +60,8 @@
 	}
 }
 
-// checkArrival checks OneAttemptOutstanding, AttemptsCapped, RunsAsAllowed and SlowStartRespected when the
-// last byte of an attempt reaches a worker.
+// checkArrival checks the properties OneAttemptOutstanding, AttemptsCapped, RunsAsAllowed and
+// SlowStartRespected when the last byte of an attempt reaches a worker.
 func (w *World) checkArrival(c *connection) {
 	q := &w.requests[c.id]
 	if q.attempts++; int(q.attempts) > w.cfg.Overrides.maxAttempts() {
@@ -78,7 +80,8 @@
 	w.checkSlowStart(c)
 }
 
-// checkBatchRepeat checks RunsAsAllowed when a batch that may have run reaches a worker again.
+// checkBatchRepeat checks the property RunsAsAllowed when a request of class Batch that may have run reaches
+// a worker again: the worker is in the same rack, and the deduplication window has not ended.
 func (w *World) checkBatchRepeat(c *connection) {
 	q := &w.requests[c.id]
 	id, uid := w.requestID(c.id), workerUID(c.worker)
@@ -93,9 +96,9 @@
 	}
 }
 
-// checkSlowStart checks SlowStartRespected. In all worlds the budget of a worker in slow start is less than
-// one job for each overloadWindow. A worker may therefore receive at most one job within overloadWindow from
-// senders that know of its slow start (slow-start rule).
+// checkSlowStart checks the property SlowStartRespected: a worker in slow start is not sent more jobs than
+// its budget. In all worlds that budget is less than one job in each overloadWindow (400 ms). Two jobs that
+// are sent with knowledge of the slow start must therefore be sent at least overloadWindow apart.
 func (w *World) checkSlowStart(c *connection) {
 	if !c.slowStart {
 		return
@@ -110,7 +113,8 @@
 	to.slowStartSends = append(to.slowStartSends, c.sentAt)
 }
 
-// checkWrite checks DrainsRespected and NoSendAfterDisconnect when the first byte of an attempt is written.
+// checkWrite checks the properties DrainsRespected and NoSendAfterDisconnect when the first byte of an
+// attempt is written.
 func (w *World) checkWrite(c *connection) {
 	to := &w.workers[c.worker]
 	c.slowStart = to.startedAt != 0 && to.knownStartedAt == to.startedAt &&
@@ -142,9 +146,9 @@
 	}
 }
 
-// checkCancelAllowed checks CancelsAsAllowed when the scheduler abandons an attempt. An attempt that a
-// callback, the end of its connection or its deadline has ended is no longer outstanding and may be
-// abandoned.
+// checkCancelAllowed checks the property CancelsAsAllowed when the scheduler abandons an attempt in a world
+// where cancelling is forbidden. The scheduler may abandon an attempt only after a callback, the end of the
+// connection or the attempt's deadline has ended the attempt.
 func (w *World) checkCancelAllowed(attempt scheduler.AttemptID) {
 	if !w.cfg.Overrides.CancelForbidden {
 		return
@@ -158,7 +162,8 @@
 	}
 }
 
-// recordRun records that a job may have run at a worker and checks RunsAsAllowed.
+// recordRun records that a job may have run at a worker, and checks that a request of class Post runs at most
+// once (property RunsAsAllowed).
 func (w *World) recordRun(id, worker uint8, sentAt Micros) {
 	q := &w.requests[id]
 	if q.runCount++; q.class == Post && q.runCount > 1 {
@@ -170,7 +175,7 @@
 	q.mayHaveRun.add(worker)
 }
 
-// checkExit checks OneFinalAnswer when the scheduler exits.
+// checkExit checks when the scheduler exits that no request is without an answer (property OneFinalAnswer).
 func (w *World) checkExit() {
 	for i := range w.requests {
 		if w.requests[i].state == open {
@@ -179,7 +184,8 @@
 	}
 }
 
-// checkDeadlines checks OneFinalAnswer and Terminates after each action.
+// checkDeadlines checks after each action that no open request is past its client's deadline (property
+// OneFinalAnswer) and that a timer is set for each open request before that deadline (property Terminates).
 func (w *World) checkDeadlines() {
 	for i := range w.requests {
 		q := &w.requests[i]
--- a/internal/modelcheck/clock.go
+++ b/internal/modelcheck/clock.go
@@ -7,7 +7,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// timerJitter is the distance from a deadline of events that occur just before or just after it.
+// timerJitter is the simulated time between a deadline and an event that the model checker places just before
+// or just after that deadline.
 const timerJitter = 1 * millisecond
 
 func duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
@@ -24,15 +25,15 @@
 	return at
 }
 
-// timeRelevant reports whether the passing of time can still have an effect that a property checks: a client
-// waits, a cancellation is open, the scheduler is stopping or an attempt may still be written.
+// timeRelevant reports whether the passing of time can still change what a property checks: a client waits, a
+// cancellation is unacknowledged, the scheduler is stopping or an attempt may still be written.
 func (w *World) timeRelevant() bool {
 	if !w.allAnswered() || len(w.cancellations) > 0 || w.stopping {
 		return true
 	}
 	for i := range w.connections {
 		if w.connections[i].phase == connecting {
-			return true // a late write may violate NoSendAfterDisconnect
+			return true // a write after the client's disconnect may violate NoSendAfterDisconnect
 		}
 	}
 	return false
@@ -54,8 +55,8 @@
 	return out
 }
 
-// advanceTime advances the time to the next deadline. One event occurs there: the connection of an attempt
-// times out or the scheduler's timer fires.
+// advanceTime advances the simulated time to the next deadline. One event occurs at that time: the connection
+// of an attempt times out or the scheduler's timer fires.
 func (w *World) advanceTime(Action) {
 	w.now = max(w.now, w.nextDeadline())
 	for i := range w.connections {
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -11,8 +11,8 @@
 // Class is the class of a simulated request.
 type Class uint8
 
-// The classes differ in the repetition rule: a Post must not run twice; a Batch that may have run may be
-// repeated on workers of the same rack within its deduplication window.
+// The classes differ in how often a request may run: a Post must not run twice; a Batch that may have run may
+// be repeated on workers of the same rack within its deduplication window.
 const (
 	Post Class = iota
 	Batch
@@ -28,13 +28,14 @@
 	return batchDeadline
 }
 
-// Limits on the size of a world. IDs of requests and UIDs of workers contain their index as one digit.
+// Limits on the size of a world. They must not exceed 10, because the id of a request and the UID of a worker
+// contain the index of the request or worker as one digit.
 const (
 	maxRequests = 8
 	maxWorkers  = 8
 )
 
-// Config describes a world.
+// Config describes a world: the simulated requests, workers, faults and scheduler settings.
 type Config struct {
 	Name  string
 	About string
@@ -42,7 +43,8 @@
 	Requests []Class
 	// Racks holds the rack of each worker.
 	Racks []int
-	// Faults limits the injections of each kind of fault on a path, MaxFaults those of all kinds together.
+	// Faults limits the number of injected faults of each kind on a path through the states of the world;
+	// MaxFaults limits the number of faults of all kinds together.
 	Faults    Budget
 	MaxFaults uint8
 	// AnswerOvertakesWrite allows a worker's answer to reach the event loop before the event that the
@@ -58,12 +60,12 @@
 	// Overrides holds the settings in which the world differs from the default settings.
 	Overrides Overrides
 
-	settings settings.Settings // parsed from Overrides by prepare
+	settings settings.Settings // the scheduler's settings, which prepare parses from Overrides
 }
 
-// Resize returns a copy of the world with other numbers of requests, workers and total faults. Added requests
-// alternate in class; added workers are in the rack of the first worker. 0 requests, 0 workers and -1 faults
-// keep the respective number.
+// Resize returns a copy of the world with other numbers of requests and workers and another limit on the
+// faults of all kinds together. Added requests alternate in class; added workers are in the rack of the first
+// worker. An argument of 0 requests, 0 workers or -1 faults keeps the present number.
 func (c *Config) Resize(requests, workers, maxFaults int) (*Config, error) {
 	switch {
 	case requests < 0 || requests > maxRequests:
--- a/internal/modelcheck/connections.go
+++ b/internal/modelcheck/connections.go
@@ -14,10 +14,10 @@
 	written                             // the request is in transit to the worker
 	replied                             // the worker's answer is in transit to the scheduler
 	broken                              // the connection has broken; the event loop is not notified yet
-	endDelivered                        // the event loop was notified of the end, but not yet of the write
-	acceptedOpen                        // the event loop has received the 202; the connection is still open
-	closing                             // the scheduler's close is in transit to the worker behind the request
-	notSent                             // no byte was written; the event loop is not notified of that yet
+	endDelivered                        // the event loop is notified of the end, but not yet of the write
+	acceptedOpen                        // the event loop has received the worker's 202; the connection is open
+	closing                             // the request, followed by the scheduler's close, is in transit
+	notSent                             // no byte of the request was written; the event loop is not notified yet
 )
 
 // phaseTexts describes the phases in the output of a replay.
@@ -217,7 +217,8 @@
 	c := &w.connections[a.Target]
 	_, e := c.conn.ReadEnded()
 	if e == nil {
-		c.phase = endDelivered // connstate reports the end only after the notice of the write, which is pending
+		// Package connstate reports the connection's end only after the notice of the write, which is pending.
+		c.phase = endDelivered
 		return
 	}
 	w.endConnection(a.Target, e)
@@ -300,9 +301,9 @@
 	}
 }
 
-// removeFinishedConnections removes the connections of accepted attempts that are over, and those that cannot
-// break because the fault budget is exhausted. Such connections have no further effect and would only
-// multiply the states.
+// removeFinishedConnections removes the connection of an accepted attempt if the attempt is over or if the
+// fault budget allows no further break of a connection. Such a connection has no further effect and would
+// only multiply the states.
 func (w *World) removeFinishedConnections() {
 	for i := len(w.connections) - 1; i >= 0; i-- {
 		c := &w.connections[i]
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -15,7 +15,7 @@
 	stageStarted
 	stageAbandoned
 	stageEnded
-	stageEarlier // the event concerns an attempt before the last one of its request
+	stageEarlier // the event concerns an attempt before the last attempt of its request
 	stages
 )
 
@@ -30,7 +30,7 @@
 	stageEarlier:    "earlier",
 }
 
-// eventKind is a kind of scheduler event, as coverage counts it.
+// eventKind is a kind of scheduler event that Coverage counts separately.
 type eventKind uint8
 
 const (
@@ -95,7 +95,7 @@
 	}
 }
 
-// The following methods group the kinds of events for impossible.
+// The following methods group the kinds of events for the function impossible.
 
 // onConnection reports whether an event comes from the connection of an attempt.
 func (e eventKind) onConnection() bool { return e >= evAccepted && e <= evRejected }
@@ -106,7 +106,8 @@
 // isCancellation reports whether an event is the result of a cancellation.
 func (e eventKind) isCancellation() bool { return e == evCancelled || e == evNotCancelled }
 
-// impossible returns the reason why an event cannot occur in a stage in any world, or "" if it can.
+// impossible returns the reason why an event of a kind cannot occur in a stage of an attempt in any world, or
+// "" if the event can occur.
 func impossible(e eventKind, s stage) string {
 	switch {
 	case s == stageEarlier && (e == evSubmitted || e == evDisconnected || e >= evList):
@@ -165,7 +166,7 @@
 	return ""
 }
 
-// Uncovered lists the possible pairs of event and stage that did not occur.
+// Uncovered lists the pairs of event kind and attempt stage that are possible but did not occur.
 func (c *Coverage) Uncovered() []string {
 	var uncovered []string
 	for e := range evKinds {
--- a/internal/modelcheck/describe.go
+++ b/internal/modelcheck/describe.go
@@ -7,10 +7,10 @@
 	"dahliaford/internal/scheduler"
 )
 
-// describer returns a description of an action. It is called in the state before the action.
+// describer returns a description of an action for traces. It is called before the action is performed.
 type describer func(w *World, a Action) string
 
-// describers holds the describer of each kind of action.
+// describers holds the function that describes each kind of action.
 var describers = [actionKinds]describer{
 	Submit:               describeSubmit,
 	SubmitDuplicate:      describeSubmit,
@@ -81,7 +81,7 @@
 	scheduler.CallbackAborted:    "lost",
 }
 
-// describe returns a description of an action. It must be called in the state before the action.
+// describe returns a description of an action for traces. It must be called before the action is performed.
 func (w *World) describe(a Action) string { return describers[a.Kind](w, a) }
 
 // fixedText describes an action by a constant text.
--- a/internal/modelcheck/effects.go
+++ b/internal/modelcheck/effects.go
@@ -67,7 +67,7 @@
 		w.sched.InjectPanic()
 	}
 	effects = w.sched.Step(w.now, e, nil)
-	if w.panicPending { // the event did not reach the decision module, so the panic stays pending
+	if w.panicPending { // the event did not reach the decision module, so the injected panic stays pending
 		w.note("(the event did not reach the decision module)")
 	}
 	return effects, false
@@ -139,7 +139,7 @@
 	w.checkSingleAnswer(q)
 	w.checkAnswerContent(q, a)
 	q.state, q.verdict = answered, a.Verdict
-	// A Conflict rejects only this submission. It does not concern the earlier submission of the id.
+	// The verdict Conflict rejects only the present submission, not the earlier submission of the same id.
 	if a.Verdict != scheduler.Conflict {
 		w.requests[q.id].rejected = a.Verdict == scheduler.Invalid
 	}
--- a/internal/modelcheck/endpoints.go
+++ b/internal/modelcheck/endpoints.go
@@ -49,7 +49,7 @@
 // freshness guard of package node, which computes that time but needs sockets and therefore cannot run here.
 func (w *World) closeWatch(Action) {
 	w.spendFault(FaultWatchClosed)
-	if w.watch.open { // without an established watch, the close does not shorten the validity of the list
+	if w.watch.open { // if no watch is established, its close does not shorten the validity of the list
 		limit := w.watch.lastContact + w.cfg.Overrides.pollInterval()
 		if w.cfg.Overrides.EndpointsPushed {
 			limit = w.now + drainGrace
@@ -69,7 +69,7 @@
 	}
 }
 
-// recordListDelivery records that the scheduler has received the present list.
+// recordListDelivery records that the scheduler has received the present worker list.
 func (w *World) recordListDelivery() {
 	if w.cfg.Overrides.LimitStaleness {
 		w.watch.lastContact, w.watch.validUntil, w.watch.reloadedAt = w.now, w.now+maxStaleness, 0
@@ -86,7 +86,8 @@
 	}
 }
 
-// publish creates a new revision of the list after a change of a worker, and delivers it if a watch is open.
+// publish creates a new revision of the worker list after a change of a worker, and delivers the change if
+// the scheduler's watch is open.
 func (w *World) publish(worker uint8) {
 	r := &w.workers[worker]
 	switch {
@@ -94,7 +95,8 @@
 		r.leavingChangedAt = 0
 	case r.leavingChangedAt == 0:
 		r.leavingChangedAt = w.now
-		if w.watch.reloadedAt != 0 { // changes by the discovery of a new configuration count only after the grace
+		// After a reload, a change by the newly configured discovery counts as notified only after reloadGrace.
+		if w.watch.reloadedAt != 0 {
 			r.leavingChangedAt = max(w.now, w.watch.reloadedAt+reloadGrace)
 		}
 	}
@@ -134,7 +136,7 @@
 	return w.listStale() || w.cfg.Overrides.LimitStaleness && to.leavingNotifiedAt != 0
 }
 
-// listStale reports whether the list has expired.
+// listStale reports whether the validity of the scheduler's worker list has expired.
 func (w *World) listStale() bool { return w.cfg.Overrides.LimitStaleness && w.now > w.watch.validUntil }
 
 // leavingSince returns the time at which the scheduler counts as notified that a worker drains or is removed,
--- a/internal/modelcheck/fault.go
+++ b/internal/modelcheck/fault.go
@@ -55,10 +55,10 @@
 // String returns the name of the fault.
 func (f Fault) String() string { return faultNames[f] }
 
-// Budget is the number of injections that each kind of fault has left.
+// Budget holds, for each kind of fault, the number of faults that may still be injected.
 type Budget [faults]uint8
 
-// max returns the largest budget of each kind of fault among b and others.
+// max returns, for each kind of fault, the largest number among b and others.
 func (b Budget) max(others ...Budget) Budget {
 	for _, other := range others {
 		for f := range b {
--- a/internal/modelcheck/jobs.go
+++ b/internal/modelcheck/jobs.go
@@ -73,7 +73,7 @@
 func (w *World) abortJob(a Action) {
 	w.spendFault(FaultJobAborted)
 	j := &w.jobs[a.Target]
-	if !j.running { // an aborted job counts as possibly run
+	if !j.running { // a job that is aborted before its start counts as possibly run
 		w.recordRun(j.id, j.worker, j.sentAt)
 	}
 	w.sendCallback(j, scheduler.CallbackAborted)
--- a/internal/modelcheck/model.go
+++ b/internal/modelcheck/model.go
@@ -17,14 +17,14 @@
 	// AppendState appends an encoding of the state to b. States that behave alike have equal encodings, and
 	// all other states have different ones.
 	AppendState(b []byte) []byte
-	// Check returns an error that names the rule that the state violates, or nil.
+	// Check returns an error that names the property that the state violates, or nil if it violates none.
 	Check() error
 }
 
 // Exploration is the result of Exhaust.
 type Exploration struct {
 	States, Transitions int
-	Depth               int      // steps from the root to the state that is farthest from it
+	Depth               int      // number of steps from the initial state to the state farthest from it
 	Exhausted           bool     // whether no state was left out because of maxStates
 	Violation           error    // the first violation found; nil if there is none
 	Path                []string // names of the steps on a shortest path to Violation
@@ -33,13 +33,13 @@
 // modelState is a state of a model and the step that reached it.
 type modelState[M any] struct {
 	world  M
-	parent int // index of the preceding state; -1 for the root
+	parent int // index of the preceding state; -1 for the initial state
 	step   string
 	depth  int
 }
 
-// Exhaust visits the states of a model breadth first until it has visited all, one violates a rule, or more
-// than maxStates states have been found.
+// Exhaust visits the states of a model breadth first until all states are visited, the Check of a state
+// returns an error, or more than maxStates states are found.
 func Exhaust[M Model[M]](root M, maxStates int) Exploration {
 	states := []modelState[M]{{world: root, parent: -1}}
 	seen := map[xxh3.Uint128]struct{}{xxh3.Hash128(root.AppendState(nil)): {}}
@@ -81,7 +81,7 @@
 	return path
 }
 
-// String returns the counts as one line for test logs.
+// String returns the numbers of states and transitions, the depth and Exhausted as one line for test logs.
 func (e Exploration) String() string {
 	return fmt.Sprintf("%d states, %d transitions, %d deep, exhausted %v", e.States, e.Transitions, e.Depth,
 		e.Exhausted)
--- a/internal/modelcheck/mutants/dispatch_mutants.go
+++ b/internal/modelcheck/mutants/dispatch_mutants.go
@@ -30,7 +30,7 @@
 				Old: " || !sameDedupGroup(c.DedupScope, &a.worker.entry, &w.entry) {",
 				New: " {",
 			},
-			{File: "internal/dispatch/candidates.go", // restricts the candidates to the rack before rules.go checks it
+			{File: "internal/dispatch/candidates.go", // candidates.go checks the rack before rules.go does
 				Old: "\tif a == nil || c.DedupScope == ScopeAll {",
 				New: "\tif c.DedupScope == ScopeCell || a == nil || c.DedupScope == ScopeAll {",
 			},
--- a/internal/modelcheck/mutants/mutants.go
+++ b/internal/modelcheck/mutants/mutants.go
@@ -15,10 +15,10 @@
 // Mutant is one deliberate fault.
 type Mutant struct {
 	Name    string
-	About   string // what the fault does and what breaks
+	About   string // what the fault does and which failure follows
 	Patches []Patch
 	World   string // name of the world in which the model checker must find the fault
-	Walk    bool   // RandomWalk instead of Search looks for the fault
+	Walk    bool   // whether RandomWalk, instead of Search, looks for the fault
 	// Violates lists the names of the properties that the fault may violate, separated by spaces.
 	Violates string
 	// OnlyInWorld means that the fault has an effect only with the settings of World. The model checker must not
@@ -29,8 +29,8 @@
 // Patch is one text replacement of a mutant.
 type Patch struct {
 	File string // path relative to the root of the repository
-	Old  string // occurs exactly once in the file after the preceding patches
-	New  string // replaces Old
+	Old  string // text to replace; must occur exactly once in File after the preceding patches
+	New  string // text that replaces Old
 }
 
 // The files that most patches change.
@@ -66,7 +66,7 @@
 		if err != nil {
 			return "", err
 		}
-		// The number keeps files of the same name from two packages apart.
+		// The number in the name of the patched file distinguishes files of the same name from two packages.
 		patched := filepath.Join(folder, fmt.Sprintf("%d-%s", i, filepath.Base(file)))
 		if err := os.WriteFile(patched, []byte(text), 0o666); err != nil {
 			return "", fmt.Errorf("mutant %s: %w", m.Name, err)
--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -1,6 +1,6 @@
 package mutants
 
-// The files of the reducer except schedulerFile.
+// The source files of the reducer that patches change, except schedulerFile.
 const (
 	attemptsFile      = "internal/scheduler/attempts.go"
 	callbacksFile     = "internal/scheduler/callbacks.go"
--- a/internal/modelcheck/mutants_test.go
+++ b/internal/modelcheck/mutants_test.go
@@ -38,7 +38,7 @@
 // subject of the mutant drill of cmd/schedbench, which takes minutes.
 func TestMutantsCompile(t *testing.T) {
 	if raceEnabled {
-		t.Skip("compilation does not depend on the race detector")
+		t.Skip("compilation of mutants does not depend on the race detector")
 	}
 	root := repositoryRoot(t)
 	for _, m := range mutants.All() {
--- a/internal/modelcheck/observe.go
+++ b/internal/modelcheck/observe.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// observeAttempt counts an event about an attempt. The attempt enters the stage to, unless to is stageNone or
-// the scheduler has abandoned the attempt or received its end.
+// observeAttempt counts an event about an attempt and sets the attempt's stage to the argument to. It keeps
+// the stage if to is stageNone, or if the scheduler has abandoned the attempt or received its end.
 func (w *World) observeAttempt(kind eventKind, attempt scheduler.AttemptID, to stage) {
 	for i := range w.requests {
 		q := &w.requests[i]
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -14,16 +14,16 @@
 	OneFinalAnswer        Property = iota + 1 // each request gets one final answer before the client's deadline
 	OneAttemptOutstanding                     // workers hold at most one attempt of a request at a time
 	AttemptsCapped                            // a request gets no more attempts than the settings allow
-	RunsAsAllowed                             // a Post runs at most once; a Batch repeats in its rack and window
+	RunsAsAllowed                             // a Post runs once at most, a Batch is repeated only in its rack
 	DrainsRespected                           // no attempt is sent over 500 ms after a drain or removal notice
-	HonestAnswers                             // refusals only if a retry is safe; results only from workers
+	HonestAnswers                             // refused only if a retry is safe; workers made all results
 	SlowStartRespected                        // a worker in slow start gets no more jobs than its budget
 	NothingLeaks                              // the scheduler keeps no state past its retention time
 	OrphansCancelled                          // each worker that may hold an abandoned job gets a cancellation
-	Terminates                                // every request ends by the passing of time alone
+	Terminates                                // each request gets an answer if only time passes
 	CancelsAsAllowed                          // where cancelling is forbidden, no attempt is cancelled early
 	NoSendAfterDisconnect                     // no attempt is sent for a disconnected client
-	StaleListUnused                           // no attempt is sent by a worker list past its validity
+	StaleListUnused                           // no attempt is sent from an expired worker list
 )
 
 // propertyInfo holds the names of the properties in trace files and their descriptions.
@@ -72,7 +72,7 @@
 	return all
 }
 
-// Violation is a property that was violated and a description of how.
+// Violation is a violated property and a description of the violation.
 type Violation struct {
 	Property Property
 	Text     string
--- a/internal/modelcheck/race_enabled_test.go
+++ b/internal/modelcheck/race_enabled_test.go
@@ -2,4 +2,4 @@
 
 package modelcheck
 
-const raceEnabled = true // a state takes about ten times as long with the race detector
+const raceEnabled = true // the race detector makes the check of a state about ten times slower
--- a/internal/modelcheck/requests.go
+++ b/internal/modelcheck/requests.go
@@ -31,7 +31,7 @@
 	// only in the request that was submitted first.
 
 	acceptedAt      Micros    // time of the last submission that the scheduler accepted
-	rejected        bool      // the last submission that was not a Conflict was answered as Invalid
+	rejected        bool      // whether the last submission, not counting Conflicts, was Invalid
 	attempts        uint8     // number of attempts that reached a worker
 	runCount        uint8     // number of attempts that may have run
 	mayHaveRun      workerSet // workers where an attempt may have run
@@ -43,7 +43,8 @@
 	stage           stage  // stage of the last attempt
 }
 
-// requestID returns the id on the wire of the present generation of a request.
+// requestID returns the id on the wire of a request. The id contains the generation of the request if
+// RenewRequest has replaced the request.
 func (w *World) requestID(index uint8) string {
 	id := "t" + string(rune('0'+index))
 	if generation := w.requests[index].generation; generation > 0 {
@@ -57,7 +58,7 @@
 
 // requestActions appends the enabled submissions and disconnects of the client.
 func (w *World) requestActions(out []Action) []Action {
-	first := true // whether no earlier request is unsubmitted: the client submits requests in order
+	first := true // whether all earlier requests are submitted: the client submits requests in order
 	for i := range w.requests {
 		q := &w.requests[i]
 		switch {
@@ -75,7 +76,7 @@
 	return out
 }
 
-// renewActions appends the enabled replacements of finished requests.
+// renewActions appends the enabled replacements of finished requests by new requests.
 func (w *World) renewActions(out []Action) []Action {
 	if !w.cfg.RenewRequests || w.settling {
 		return out
@@ -151,8 +152,8 @@
 // resetRunHistory clears the record of an id before a new submission if the submission counts as a new job.
 // This is the case when no message or job of the id is left and no earlier attempt can be within its
 // deduplication window: each attempt was sent before the deadline of the last accepted submission. If the
-// last submission was rejected as invalid and no attempt may have run, the attempts of the new submission are
-// at once counted from zero.
+// last submission was rejected as invalid and no attempt may have run, the count of attempts starts from zero
+// even within that time.
 func (w *World) resetRunHistory(id uint8) {
 	q := &w.requests[id]
 	if q.rejected && q.mayHaveRun == 0 {
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -11,9 +11,9 @@
 type Overrides struct {
 	CancelForbidden  bool   // an outstanding attempt must not be cancelled
 	HedgingAllowed   bool   // a second attempt may be sent while the first one is outstanding
-	MaxAttempts      int    // largest number of attempts of a request; 0: four
+	MaxAttempts      int    // largest number of attempts of a request; 0 means four
 	EndpointsPushed  bool   // discovery pushes worker lists
-	PollInterval     Micros // age at which a change counts as notified without a watch; 0: 10 s
+	PollInterval     Micros // age at which a change counts as known without a watch; 0 means 10 s
 	ProgressInterval Micros // interval of the progress reports of workers; 0 means no reports
 	// LimitStaleness limits the validity of worker lists as package node does: it sets MaxStaleness, and the
 	// event of a closed watch contains the time at which the list expires. Otherwise a list never expires.
@@ -50,9 +50,9 @@
 	return set, err
 }
 
-// worldSettings is the format of the settings of all worlds. Its granularity is larger in proportion to the
-// other times than in a real deployment, so that few deadlines lie within the lifetime of a request and the
-// number of states stays small.
+// worldSettings is the format string of the settings of all worlds. The setting granularity (50 ms) is larger
+// in proportion to the other times than in a real deployment, so that few deadlines lie within the lifetime
+// of a request and the number of states stays small.
 const worldSettings = `{"balancers":1,"me":0,"granularity":50000,"azs":["north"],"kinds":["m1"],
 	"grades":[
 	{"name":"post-reading","semantics":"at_most_once","slo":500000,"deadline":1000000,"worth":2},
@@ -81,10 +81,11 @@
 const (
 	defaultMaxAttempts  = 4
 	defaultPollInterval = 10 * second
-	// maxStaleness is the age at which a change of the worker list counts as notified even if it was not
-	// delivered.
+	// maxStaleness is the age at which the scheduler counts as notified of a change of the worker list even if
+	// the change was not delivered.
 	maxStaleness = 6 * second
-	// reloadGrace is the time after a reload before which changes by the new discovery do not count as notified.
+	// reloadGrace is the time after a reload of the configuration before which the scheduler does not count as
+	// notified of changes by the newly configured discovery.
 	reloadGrace = 4 * second
 	// disconnectGrace is the time after the disconnect of a client within which an attempt may still be written.
 	disconnectGrace = 100 * millisecond
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -13,9 +13,9 @@
 // Options configures a search or a random walk.
 type Options struct {
 	Parallel int // number of searching goroutines; 0 means GOMAXPROCS
-	// ReplayStates makes the search rebuild each state by a replay from the root instead of a copy. A replay is
-	// slower but does not depend on Scheduler.Clone. Both ways must find the same number of states, which
-	// checks that copies are exact.
+	// ReplayStates makes the search rebuild each state by a replay of the actions from the initial state instead
+	// of copying it. A replay is slower but does not depend on Scheduler.Clone. Searches with replayed and with
+	// copied states must find the same number of states, which checks that copies are exact.
 	ReplayStates bool
 	// Progress, if not nil, receives the number of states and transitions so far: every progressInterval in a
 	// search, after every walk in RandomWalk.
@@ -30,7 +30,7 @@
 	Depth       int        // length of the longest path, in actions
 	Exhausted   bool       // whether all reachable states of the world were visited
 	Violation   *Violation // nil if no property was violated
-	Path        []Action   // shortened path from the root to the violation
+	Path        []Action   // shortened path from the initial state to the violation
 	Coverage    *Coverage
 }
 
@@ -84,8 +84,8 @@
 	return true
 }
 
-// search is a depth-first search by several goroutines. A goroutine with states left shares them with idle
-// ones.
+// search is a depth-first search by several goroutines. A goroutine shares its unexpanded states with idle
+// goroutines.
 type search struct {
 	cfg     *Config
 	opt     Options
@@ -175,7 +175,8 @@
 	s.mu.Unlock()
 }
 
-// ownStackStates is the stack size up to which a searching goroutine does not share states with idle ones.
+// ownStackStates is the number of states on the stack of a searching goroutine up to which the goroutine does
+// not share states with idle goroutines.
 const ownStackStates = 8
 
 // expander is one searching goroutine with its own stack of states and reusable buffers.
@@ -222,7 +223,7 @@
 		case e.opt.ReplayStates:
 			next = e.materialize(at)
 		case i == len(e.enabled)-1:
-			next = w // the last action needs no copy, because w is not used afterwards
+			next = w // the last action of a state needs no copy of w, which is not used afterwards
 		default:
 			next = w.clone()
 		}
@@ -235,8 +236,8 @@
 	}
 }
 
-// discover checks a state and pushes it on the stack if it is new. It returns false if it found a violation,
-// so that the expansion of the preceding state ends.
+// discover checks the properties of a state and pushes the state on the stack if no goroutine has visited it
+// yet. It returns false if a property is violated, so that the expansion of the preceding state ends.
 func (e *expander) discover(w *World, at *node) bool {
 	if w.violation != nil {
 		e.report(w.violation, at)
@@ -261,7 +262,7 @@
 	return true
 }
 
-// raiseDepth sets the depth of the search to d unless it is already as large.
+// raiseDepth raises the recorded length of the longest path to depth, if depth is larger.
 func (s *search) raiseDepth(depth int64) {
 	for d := s.depth.Load(); d < depth && !s.depth.CompareAndSwap(d, depth); {
 		d = s.depth.Load()
@@ -275,7 +276,7 @@
 	}
 	w, err := newWorld(s.cfg)
 	if err != nil {
-		panic(err) // Search created the root with the same configuration without an error
+		panic(err) // cannot occur: Search has called newWorld with the same configuration without an error
 	}
 	for _, a := range at.node.path() {
 		w.apply(a)
@@ -283,8 +284,8 @@
 	return w
 }
 
-// report records a violation unless one with a path of the same or a smaller length is recorded, and stops
-// the search.
+// report stops the search and records a violation, unless the path of an already recorded violation is not
+// longer.
 func (s *search) report(violation *Violation, at *node) {
 	s.mu.Lock()
 	if s.violation == nil || at.depth < s.violationAt.depth {
--- a/internal/modelcheck/search_bench_test.go
+++ b/internal/modelcheck/search_bench_test.go
@@ -10,7 +10,8 @@
 // BenchmarkSearch measures the number of states per second of a search: with copied states on all cores, with
 // copied states on one core, and with states rebuilt by a replay on one core.
 func BenchmarkSearch(b *testing.B) {
-	defer debug.SetGCPercent(debug.SetGCPercent(600)) // the value that cmd/schedbench sets
+	// 600 is the garbage collection target, in percent, that cmd/schedbench sets.
+	defer debug.SetGCPercent(debug.SetGCPercent(600))
 	for name, opt := range map[string]Options{"copy": {}, "copy-one": {Parallel: 1},
 		"replay-one": {Parallel: 1, ReplayStates: true}} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/modelcheck/settle.go
+++ b/internal/modelcheck/settle.go
@@ -8,14 +8,14 @@
 	// settlingDuration is the simulated time that settle adds after the last answer. It exceeds every retention
 	// time of the scheduler and the time for which the scheduler retries the cancellation of an attempt.
 	settlingDuration = 20 * second
-	// maxSettlingActions is the largest number of actions in settle. A world that needs more violates
-	// Terminates.
+	// maxSettlingActions is the largest number of actions that settle performs. A world that needs more actions
+	// violates the property Terminates.
 	maxSettlingActions = 500
 )
 
 // shutdownLimit is the time after SIGTERM from which a stopping scheduler may exit with unacknowledged
-// cancellations. It is 300 ms before the earliest time of the kill, which comes 700 ms after the longest
-// deadline of a class.
+// cancellations. The limit lies 300 ms before the earliest time at which the process may be killed, which is
+// 700 ms after the longest deadline of a class.
 const shutdownLimit = batchDeadline + 700*millisecond - 300*millisecond
 
 // settle continues a copy of the world without further faults until no action is left: all messages in
@@ -64,9 +64,9 @@
 	return w.violation
 }
 
-// checkOrphans checks OrphansCancelled at the end of settling. It allows orphaned jobs if the scheduler
-// exited at shutdownLimit, before all cancellations were acknowledged, or exited where cancelling is
-// forbidden.
+// checkOrphans checks at the end of settle that no worker holds a job for which no client waits (property
+// OrphansCancelled). Such jobs are allowed if the scheduler exited at shutdownLimit, before all cancellations
+// were acknowledged, or if it exited in a world where cancelling is forbidden.
 func (w *World) checkOrphans() {
 	if w.cancellationsAbandoned || w.exited && w.cfg.Overrides.CancelForbidden {
 		return
@@ -89,7 +89,7 @@
 	}
 	for i := range w.connections {
 		for _, a := range w.actionsOnConnection(i, nil) {
-			// Of the two outcomes of a close, closeAfterAccept is chosen, as it leaves a job at the worker.
+			// Of the two variants of CloseArrives, settle performs closeAfterAccept, which leaves a job at the worker.
 			if a.Kind != CloseArrives || a.Variant == closeAfterAccept {
 				return a, true
 			}
--- a/internal/modelcheck/shorten.go
+++ b/internal/modelcheck/shorten.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	maxShorteningActions = 2_000_000 // limit on the actions replayed to shorten one path
+	maxShorteningActions = 2_000_000 // limit on the number of actions replayed to shorten one path
 	maxPairDistance      = 40        // largest distance, in actions, of two actions that are removed together
 )
 
@@ -15,8 +15,8 @@
 	budget    int // number of actions that may still be replayed
 }
 
-// shorten returns a path to a violation of the same property that is at most as long as path. It tries to
-// remove long ranges of actions first, then shorter ranges, and finally single actions and pairs.
+// shorten returns a path that violates the same property as path and is not longer than path. It tries to
+// remove long ranges of actions first, then shorter ranges, and finally single actions and pairs of actions.
 func shorten(cfg *Config, path []Action, violation *Violation) ([]Action, *Violation) {
 	s := &shortener{cfg, path, violation, maxShorteningActions}
 	s.dropRanges()
--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -51,7 +51,7 @@
 	f.Ints(int64(q.caller), int64(q.deadline), int64(q.acceptedAt), int64(q.firstRunSentAt),
 		int64(q.lastAttempt), int64(q.generation), int64(q.attemptDeadline))
 	f.Bools(q.rejected)
-	if q.state == disconnected { // times beyond the grace period are equivalent
+	if q.state == disconnected { // all times past disconnectGrace after the disconnect are equivalent
 		f.Ints(int64(min(now-q.disconnectedAt, disconnectGrace+1)))
 	}
 }
--- a/internal/modelcheck/state_test.go
+++ b/internal/modelcheck/state_test.go
@@ -38,17 +38,17 @@
 			c := w.clone()
 			before := w.appendState(nil)
 			if string(before) != string(c.appendState(nil)) {
-				t.Fatal("encodings of a copy and its original differ")
+				t.Fatal("encodings of a cloned world and its original differ, want equal encodings")
 			}
 			notes := take(c, a)
 			if string(before) != string(w.appendState(nil)) {
-				t.Fatalf("action %v of the copy changed the original", a)
+				t.Fatalf("action %v on the clone changed the state of the original world, want it unchanged", a)
 			}
 			if diff := cmp.Diff(notes, take(w, a)); diff != "" {
-				t.Fatalf("action %v: effects of copy and original differ, -copy +original:\n%s", a, diff)
+				t.Fatalf("action %v: effects on a cloned world and its original differ, -clone +original:\n%s", a, diff)
 			}
 			if string(w.appendState(nil)) != string(c.appendState(nil)) {
-				t.Fatalf("action %v: copy and original end in different states", a)
+				t.Fatalf("action %v: a cloned world and its original end in different states, want equal states", a)
 			}
 		}
 	})
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -16,9 +16,9 @@
 type Trace struct {
 	Format    int    `json:"format"`
 	World     string `json:"world"`
-	Requests  int    `json:"requests,omitempty"` // 0 means the number of the world
-	Workers   int    `json:"workers,omitempty"`  // 0 means the number of the world
-	MaxFaults *int   `json:"faults,omitempty"`   // nil means the number of the world
+	Requests  int    `json:"requests,omitempty"` // number of requests; 0 means the number that the world has
+	Workers   int    `json:"workers,omitempty"`  // number of workers; 0 means the number that the world has
+	MaxFaults *int   `json:"faults,omitempty"`   // limit on all faults; nil means the limit of the world
 	Property  string `json:"property"`
 	Text      string `json:"text"` // description of the violation
 	Steps     []Step `json:"steps"`
@@ -28,7 +28,7 @@
 type Step struct {
 	Action      string   `json:"do"`
 	Description string   `json:"words"`
-	Effects     []string `json:"then,omitempty"` // effects of the scheduler that followed
+	Effects     []string `json:"then,omitempty"` // effects that the scheduler returned after the action
 }
 
 // NewTrace returns the trace of a path that a search or a walk found to a violation.
@@ -103,8 +103,8 @@
 
 // ReplayResult is the outcome of a replay.
 type ReplayResult struct {
-	Violation  *Violation // nil if there was none
-	DivergedAt int        // number from 1 of the first step that is not enabled; 0 if all were taken
+	Violation  *Violation // nil if the replay violated no property
+	DivergedAt int        // number, from 1, of the first step that was not enabled; 0 if there was none
 }
 
 // Replay performs the steps of a trace again. It calls printLine for each line of a log of steps and effects.
--- a/internal/modelcheck/trace_format_test.go
+++ b/internal/modelcheck/trace_format_test.go
@@ -77,7 +77,7 @@
 			t.Fatal(name, err)
 		}
 		if diff := cmp.Diff(traceKeys(t, raw), traceKeys(t, written)); diff != "" {
-			t.Errorf("%s: keys and values, -want +got:\n%s", name, diff)
+			t.Errorf("%s: keys and values of the trace after reading and writing, -want +got:\n%s", name, diff)
 		}
 	}
 	for k := range actionKinds {
@@ -105,7 +105,7 @@
 			}
 		default:
 			if strings.HasSuffix(at, ".words") || strings.HasSuffix(at, ".then[]") {
-				v = "" // the wording of descriptions is not part of the format
+				v = "" // the wording of descriptions is not part of the trace format
 			}
 			line, err := json.Marshal(v)
 			if err != nil {
--- a/internal/modelcheck/trace_test.go
+++ b/internal/modelcheck/trace_test.go
@@ -32,7 +32,8 @@
 			}
 			known := trace.World == knownViolationWorld.Name
 			if violated := result.Violation != nil; violated != known || lines == 0 {
-				t.Errorf("replay: got violation %v after %d lines, diverged at step %d; want lines, known violation",
+				t.Errorf(
+					"replay: got violation %v, %d lines, divergence at step %d; want lines, no violation but the known one",
 					result.Violation, lines, result.DivergedAt)
 			}
 		})
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestInvalidTraces checks that an invalid trace is rejected with an error of one line that states the
-// reason.
+// TestInvalidTraces checks that ReadTrace rejects an invalid trace with an error whose text is one line and
+// states the reason.
 func TestInvalidTraces(t *testing.T) {
 	const link = `{"format":1,"world":"link","property":`
 	for text, want := range map[string]string{
--- a/internal/modelcheck/transitions.go
+++ b/internal/modelcheck/transitions.go
@@ -18,7 +18,7 @@
 	(*World).timeActions,
 }
 
-// enabled appends the actions that are enabled in the present state.
+// enabled appends the actions that are enabled in the present state to out.
 func (w *World) enabled(out []Action) []Action {
 	if w.exited || w.violation != nil {
 		return out
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -8,8 +8,8 @@
 // maxWalkActions is the largest number of actions in one walk.
 const maxWalkActions = 4000
 
-// RandomWalk takes random paths through a world, each from the root, until the context ends or a property is
-// violated. The paths depend only on the seed.
+// RandomWalk takes random paths through the states of a world, each from the initial state, until the context
+// ends or a property is violated. The paths depend only on the seed.
 func RandomWalk(ctx context.Context, cfg *Config, seed uint64, opt Options) (*Result, error) {
 	r := &Result{World: cfg.Name, Coverage: &Coverage{}}
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -56,10 +56,10 @@
 }
 
 const (
-	maxRedraws     = 3 // largest number of redraws in place of a rare action
+	maxRedraws     = 3 // limit on further draws after rare actions that were not accepted
 	rareActionOdds = 4 // a drawn rare action is accepted with the probability 1/rareActionOdds
-	// A drawn Terminate is accepted with the probability 1/terminateOdds, without a limit on redraws, because it
-	// ends the walk.
+	// A drawn action Terminate is accepted with the probability 1/terminateOdds, without a limit on redraws,
+	// because Terminate ends the walk.
 	terminateOdds = 2000
 )
 
--- a/internal/modelcheck/walk_test.go
+++ b/internal/modelcheck/walk_test.go
@@ -37,5 +37,5 @@
 			t.Fatalf("%v\n%s", violation, formatSteps(cfg, &Result{Path: path, Violation: violation}))
 		}
 	})
-	t.Logf("%d actions in all walks, %d in the longest one", actions, deepest)
+	t.Logf("%d actions in all random walks together, %d in the longest walk", actions, deepest)
 }
--- a/internal/modelcheck/workers.go
+++ b/internal/modelcheck/workers.go
@@ -11,7 +11,7 @@
 	unreachable       bool // the machine of the worker has no network connection
 	status            dispatch.Status
 	startedAt         Micros   // time of the last restart; 0 if the worker did not restart in this world
-	knownStartedAt    Micros   // startedAt in the last worker list that the scheduler received
+	knownStartedAt    Micros   // value of startedAt in the last worker list that the scheduler received
 	leavingNotifiedAt Micros   // time at which the scheduler learned of a drain or removal; 0 if ready
 	leavingChangedAt  Micros   // time at which discovery listed the worker as draining or removed; 0 if ready
 	slowStartSends    []Micros // send times of arrived jobs whose sender knew of the slow start
@@ -106,7 +106,7 @@
 
 func (w *World) reconnectMachine(a Action) { w.workers[a.Target].unreachable = false }
 
-// announcedStatus holds the status that discovery lists in each of its actions.
+// announcedStatus maps each action of discovery to the status that discovery then lists for the worker.
 var announcedStatus = map[ActionKind]dispatch.Status{AnnounceDraining: dispatch.Draining,
 	AnnounceRemoved: dispatch.Removed, AnnounceReady: dispatch.Ready}
 
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -21,7 +21,7 @@
 	jobs           []job
 	callbacks      []callback
 	cancellations  []cancellation
-	unsentAttempts []scheduler.AttemptID // attempts whose connection was closed before the first byte
+	unsentAttempts []scheduler.AttemptID // attempts closed before their first byte was written
 
 	watch            watchState
 	faultBudget      Budget
@@ -30,8 +30,8 @@
 	stopping               bool // SIGTERM was received
 	stoppingSince          Micros
 	exited                 bool
-	cancellationsAbandoned bool   // the process exited at its limit, with cancellations possibly unacknowledged
-	settling               bool   // a run of settle: no further faults
+	cancellationsAbandoned bool   // the exit, at shutdownLimit, may have left cancellations unacknowledged
+	settling               bool   // settle is running, so no further faults are injected
 	settleUntil            Micros // end of the period that settle simulates
 
 	violation  *Violation // the first violation; nil if there is none
@@ -80,7 +80,7 @@
 	return &c
 }
 
-// mayInject reports whether the budgets allow another fault of kind f and no settling is in progress.
+// mayInject reports whether the fault budgets allow another fault of kind f and settle is not running.
 func (w *World) mayInject(f Fault) bool {
 	return w.faultBudget[f] > 0 && w.totalFaultBudget > 0 && !w.settling
 }
--- a/internal/modelcheck/worlds.go
+++ b/internal/modelcheck/worlds.go
@@ -41,7 +41,7 @@
 	return b
 }
 
-// generalWorlds have the default settings and many kinds of faults.
+// generalWorlds are worlds with the default settings and many kinds of faults.
 var generalWorlds = []*Config{
 	{
 		Name:      "attempt",
@@ -151,7 +151,7 @@
 	},
 }
 
-// settingsWorlds override default settings.
+// settingsWorlds are worlds that override default settings.
 var settingsWorlds = []*Config{
 	{
 		Name:      "forbidden",
--- a/internal/modelcheck/worlds_test.go
+++ b/internal/modelcheck/worlds_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// bounded returns a world with another limit on faults, small enough for a complete search in CI.
+// bounded returns a world with maxFaults as the limit on the faults of all kinds together, so that a complete
+// search is possible in CI.
 func bounded(t *testing.T, name string, maxFaults uint8) *Config {
 	t.Helper()
 	cfg, err := WorldByName(name)
@@ -50,14 +51,15 @@
 				t.Fatalf("%v\n%s", r.Violation, formatSteps(cfg, r))
 			}
 			if !r.Exhausted {
-				t.Errorf("search is not exhaustive: %+v", r)
+				t.Errorf("search did not visit all states of the world: got result %+v, want Exhausted", r)
 			}
 			t.Logf("%d states, %d transitions, depth %d", r.States, r.Transitions, r.Depth)
 			all.add(r.Coverage)
 		})
 	}
 	if uncovered := all.Uncovered(); !raceEnabled && len(uncovered) > 0 {
-		t.Logf("not covered with these limits on faults: %s", strings.Join(uncovered, "; "))
+		t.Logf("pairs of event and attempt stage that did not occur with these limits on faults: %s",
+			strings.Join(uncovered, "; "))
 	}
 }
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -5,8 +5,8 @@
 //	ACTOR close TEXT     the actor closes a connection or ends an activity
 //	wait TEXT            time passes
 //
-// Each actor defines the meaning of its texts, and the World that of the text of a wait. Blank lines and
-// lines that begin with # are skipped.
+// Each Actor defines the meaning of the TEXT in its lines, and the World the meaning of the TEXT after wait.
+// Blank lines and lines that begin with # are skipped.
 package scenario
 
 import (
@@ -62,7 +62,7 @@
 			return err
 		}
 		if got != text {
-			return fmt.Errorf("-want +got:\n%s", diff(text, got))
+			return fmt.Errorf("received text differs from the expected text, -want +got:\n%s", diff(text, got))
 		}
 		return nil
 	}
