--- a/internal/fakes/callback.go
+++ b/internal/fakes/callback.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxCallbackAttempts = 10 // for each callback, repetitions of an accepted callback included
+	maxCallbackAttempts = 10 // limit for each callback, including repetitions of an accepted callback
 	callbackTimeout     = 2 * time.Second
 	callbackInterval    = 20 * time.Millisecond
 )
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -22,7 +22,7 @@
 	mu      sync.Mutex
 	table   *endpoints.Table
 	watches map[chan endpoints.Message]bool
-	done    chan struct{} // closed by Close
+	done    chan struct{} // channel that Close closes
 }
 
 // NewDiscovery starts a discovery service at an address, with the given entries of workers as its list.
--- a/internal/fakes/retrying_client.go
+++ b/internal/fakes/retrying_client.go
@@ -15,7 +15,7 @@
 const (
 	maxAttempts  = 10
 	maxBackoff   = time.Second
-	maxIdleConns = 64 // idle connections that are kept to each scheduler
+	maxIdleConns = 64 // limit of idle connections that are kept to each scheduler
 )
 
 // RetryingClient is a client that does not use the client library. It retries a job after any failed attempt,
@@ -92,7 +92,7 @@
 		var op *net.OpError
 		return !errors.As(err, &op) || op.Op != "dial", false
 	}
-	defer func() { _ = answer.Body.Close() }() // the read below returns any error of the body
+	defer func() { _ = answer.Body.Close() }() // an error of the body is already returned by the read below
 	_, err = io.Copy(io.Discard, answer.Body)
 	return true, err == nil && answer.StatusCode == http.StatusOK
 }
--- a/internal/fakes/script.go
+++ b/internal/fakes/script.go
@@ -20,14 +20,14 @@
 // time and reports it as done.
 type Script struct {
 	Status            int           // HTTP status of the answer; 0 stands for 202
-	TurnedAway        bool          // answer, with status 503 or 504, says that the job was not begun
-	ResetConn         bool          // worker resets the connection instead of answering
-	Unresponsive      bool          // worker sends neither an answer nor callbacks
+	TurnedAway        bool          // the answer (status 503 or 504) says that the job was not begun
+	ResetConn         bool          // the worker resets the connection instead of answering
+	Unresponsive      bool          // the worker sends neither an answer nor callbacks
 	AnswerDelay       time.Duration // time from the request to its answer
 	QueueTime         time.Duration // time from the acceptance of the job to its start
 	RunTime           time.Duration // time from the start of the job to its end
-	FinalState        JobState      // state in the last callback; "" stands for Done; NeverEnds: none is sent
-	EarlyCallbacks    bool          // worker may send callbacks before its 202
+	FinalState        JobState      // state in the last callback; "" stands for Done, NeverEnds for no callback
+	EarlyCallbacks    bool          // the worker may send callbacks before its 202
 	RepeatedCallbacks int           // number of repetitions of each callback after the scheduler has accepted it
 	Result            string        // result in a callback with Done; "" stands for the job's body in capitals
 }
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -109,7 +109,7 @@
 // dies.
 func ResetConn(conn net.Conn) {
 	if c, ok := conn.(*net.TCPConn); ok {
-		_ = c.SetLinger(0) // fails only if the connection is already closed
+		_ = c.SetLinger(0) // SetLinger fails only if the connection is already closed
 	}
 	conn.Close()
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -26,7 +26,7 @@
 	recorder  Recorder
 	server
 	jobsMu    sync.Mutex
-	jobs      map[string]chan struct{} // by job id; closed when the job is cancelled or lost
+	jobs      map[string]chan struct{} // channels by job id; closed when the job is cancelled or lost
 	callbacks sync.WaitGroup
 }
 
@@ -45,7 +45,7 @@
 // Addr returns the address that the worker listens on.
 func (w *Worker) Addr() string { return w.addr() }
 
-// Close stops the worker. Its jobs are lost, with callbacks that say so, and its connections are reset.
+// Close stops the worker: it reports each held job as lost by a callback and resets all connections.
 func (w *Worker) Close() {
 	w.Crash()
 	w.close()
--- a/internal/simfleet/clients.go
+++ b/internal/simfleet/clients.go
@@ -18,18 +18,18 @@
 	batchDeadline = 4 * time.Second
 	tenant        = "sahel"
 
-	maxOpenJobs       = 128                   // limit of outstanding jobs of submitAtRate, for each scheduler
+	maxOpenJobs       = 128                   // limit of outstanding jobs of submitAtRate at each scheduler
 	paceInterval      = 5 * time.Millisecond  // interval at which submitAtRate submits the jobs that are due
 	shortestRunTime   = 40 * time.Millisecond // jobs of submitAtRate run for 1 to 4 times this time
 	maxReportedErrors = 20                    // limit of errors that are kept for the report
 	retryDelay        = 10 * time.Millisecond // pause of a client of saturate after a job that was not served
 
-	healthTimeout = time.Second // for a health check, the connection included
+	healthTimeout = time.Second // limit of a health check, including the opening of the connection
 )
 
 // clients simulates the clients of all schedulers. Their connections are pooled and reused.
 type clients struct {
-	pools    []*connPool    // pool of connections to each scheduler
+	pools    []*connPool    // connection pool for each scheduler
 	openJobs []atomic.Int64 // outstanding jobs of submitAtRate, by scheduler
 	record   fakes.Recorder
 	lastID   atomic.Int64
@@ -130,7 +130,7 @@
 				c.skipped.Add(1)
 				continue
 			}
-			// Multiplicative hashing distributes the four run times over consecutive jobs.
+			// Multiplicative hashing distributes the four factors of the run time over consecutive jobs.
 			factor := 1 + (uint64(submitted)*2654435761+seed)%4
 			openJobs.Go(func() {
 				defer c.openJobs[scheduler].Add(-1)
--- a/internal/simfleet/day.go
+++ b/internal/simfleet/day.go
@@ -16,11 +16,11 @@
 // ends when its work is done.
 type step func(ctx context.Context, span time.Duration) error
 
-// schedule is the sequence of steps of a day.
+// schedule is the sequence of steps of a day, the scenario of a run.
 type schedule struct {
 	steps          []step
-	measureJobPath bool // whether the day ends with the measurement of the job path, a further timed step
-	timedSteps     int  // number of timed steps, the measurement of the job path included
+	measureJobPath bool // whether measureJobPath ends the day, as a further timed step
+	timedSteps     int  // number of timed steps, including measureJobPath
 }
 
 func (r *run) schedule() schedule {
@@ -41,8 +41,8 @@
 	}
 }
 
-// runDay runs the steps of the day one after another, while clients submit jobs at the run's rate. It stops
-// these clients before it measures the job path.
+// runDay runs the steps of the day one after another, while clients submit jobs at Options.Rate. It stops
+// these clients before it measures the job path, the handling of a job from the request to the answer.
 func (r *run) runDay(ctx context.Context) error {
 	load, stopLoad := context.WithCancel(ctx)
 	var loading sync.WaitGroup
@@ -61,11 +61,11 @@
 	}
 	stopLoad()
 	loading.Wait()
-	r.maxBaseLoad, r.meanBaseLoad = 0, 0 // clients no longer submit jobs at the run's rate
+	r.maxBaseLoad, r.meanBaseLoad = 0, 0 // the clients that submit jobs at Options.Rate have stopped
 	return r.measureJobPath(ctx, span)
 }
 
-// measureBaseline measures the CPU use of the schedulers while they only serve the jobs at the run's rate.
+// measureBaseline measures the CPU use of the schedulers while they only serve the jobs at Options.Rate.
 func (r *run) measureBaseline(ctx context.Context, span time.Duration) error {
 	err := r.measureWork(ctx, Event{Name: "jobs at the rate alone"}, func(*Event) { sleep(ctx, span) })
 	if err != nil {
--- a/internal/simfleet/discovery.go
+++ b/internal/simfleet/discovery.go
@@ -27,8 +27,9 @@
 )
 
 // discovery is a simulated discovery service. It lists all workers to all schedulers. Each scheduler connects
-// to it at a different loopback address, which identifies the scheduler; a single listener accepts all of
-// them. Discovery writes each change as a line to every watch as soon as the watch's client reads.
+// to discovery at a different loopback address, which identifies the scheduler; a single listener accepts the
+// connections to all addresses. Discovery writes each change as a line to every watch as soon as the watch's
+// client reads.
 type discovery struct {
 	mu      sync.Mutex
 	port    int
@@ -37,7 +38,7 @@
 	watches map[*watcher]bool
 	closed  chan struct{} // closed when discovery goes down; open creates a new channel
 
-	traffic                  []traffic // bytes on the connections of each scheduler
+	traffic                  []traffic // bytes on the connections between discovery and each scheduler
 	fullLists, watchesOpened atomic.Int64
 }
 
@@ -90,8 +91,8 @@
 // addr returns the address at which a scheduler connects to discovery.
 func (d *discovery) addr(scheduler int) string { return loopbackAddress(scheduler, d.port) }
 
-// publish changes the entries of workers and makes all watches send the changed entries, grouped into lines
-// as given. It returns the number of lines.
+// publish changes the entries of workers and makes all watches send the changed entries, in one line for each
+// entry or in a single line as grouping says. It returns the number of lines.
 func (d *discovery) publish(workers []int, change func(*endpoints.Endpoint),
 	grouping lineGrouping) (lines int) {
 	d.mu.Lock()
@@ -123,7 +124,7 @@
 }
 
 // pendingChunks returns the encoded changes that have not been sent on a watch yet. ok is false if discovery
-// no longer has all of them.
+// no longer keeps all of these changes.
 func (d *discovery) pendingChunks(w *watcher) (chunks [][]byte, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/simfleet/discovery_test.go
+++ b/internal/simfleet/discovery_test.go
@@ -62,8 +62,8 @@
 		t.Helper()
 		revisions, entries, full := readWatch(t, d.addr(1), from, len(wantRevisions))
 		if !slices.Equal(revisions, wantRevisions) || !slices.Equal(entries, wantEntries) || full != wantFull {
-			t.Errorf("from %d: revisions %v with %v entries, full: %v; want %v, %v, %v", from, revisions, entries,
-				full, wantRevisions, wantEntries, wantFull)
+			t.Errorf("watch from revision %d: got revisions %v with %v entries, full list %v; want %v, %v, %v", from,
+				revisions, entries, full, wantRevisions, wantEntries, wantFull)
 		}
 	}
 	check(0, []int{1}, []int{10}, true)
@@ -89,7 +89,7 @@
 	check(4, []int{5}, []int{5}, true)
 	check(5, []int{5}, []int{0}, false)
 	if in := d.traffic[1].in.Load(); in < 1000 || d.traffic[0].in.Load() != 0 || d.traffic[1].out.Load() < 100 {
-		t.Errorf("%d bytes sent to scheduler 1, want at least 1000, and 100 received; %d to scheduler 0, want 0",
+		t.Errorf("scheduler 1 received %d bytes, want at least 1000 (and 100 sent); scheduler 0 %d bytes, want 0",
 			in, d.traffic[0].in.Load())
 	}
 }
--- a/internal/simfleet/events.go
+++ b/internal/simfleet/events.go
@@ -8,13 +8,14 @@
 
 const (
 	outageDuration = 3 * time.Second // duration of an outage of discovery or of a region
-	// A rolling restart restarts rollingRestartWorkers of each rollingRestartFleet workers.
+	// A rolling restart restarts rollingRestartWorkers (410) of each rollingRestartFleet (7200) workers.
 	rollingRestartWorkers = 410
 	rollingRestartFleet   = 7200
 	drainDuration         = 600 * time.Millisecond // time for which a worker drains in a rolling restart
 )
 
-// concurrentClients are the numbers of concurrent clients for which the job path is measured.
+// concurrentClients are the numbers of concurrent clients with which the job path, the handling of a job from
+// the client's request to its answer, is measured.
 var concurrentClients = []int{1, 8, 32, 128}
 
 // singleChanges publishes one changed entry each second: alternately a random worker that drains, and the
@@ -45,8 +46,9 @@
 	})
 }
 
-// zoneOutage removes all workers of a random zone and restores them as just started: once in each grouping of
-// lines, and then a third time with updates in both groupings in quick succession.
+// zoneOutage removes all workers of a random zone and restores them as just started: once with a line of the
+// watch for each entry, once with all entries in a single line, and a third time with both kinds of updates
+// in quick succession.
 func (r *run) zoneOutage(ctx context.Context, _ time.Duration) error {
 	first := r.random.IntN(r.Zones)
 	zone := r.workersInZones(first, first+1)
@@ -170,7 +172,7 @@
 	return nil
 }
 
-// measureJobPathWith measures the CPU time for each job at one scheduler with n concurrent clients.
+// measureJobPathWith measures the CPU time that one scheduler takes for each job with n concurrent clients.
 func (r *run) measureJobPathWith(ctx context.Context, n int, span time.Duration) error {
 	before, err := r.processes[0].CPUTime()
 	if err != nil {
--- a/internal/simfleet/finish.go
+++ b/internal/simfleet/finish.go
@@ -17,9 +17,9 @@
 	cancellationGrace = time.Second
 	stopTimeout       = 10 * time.Second
 
-	// Limits for the check of the history. They follow from the settings that package testcluster writes.
+	// Limits that the recorded events must keep. They follow from the settings that package testcluster writes.
 	dedupWindow = 10 * time.Second
-	drainGrace  = 550 * time.Millisecond // drain_grace of 500 ms, and 50 ms for the scheduler's reaction
+	drainGrace  = 550 * time.Millisecond // drain_grace (500 ms) plus 50 ms for the scheduler's reaction
 	maxAttempts = 4
 	orphanLimit = 3 * time.Second // longest time that a worker may hold a job that its scheduler has given up
 	// timingSlack is the tolerance that the check adds to its time limits, for delays on a busy machine.
--- a/internal/simfleet/jobid.go
+++ b/internal/simfleet/jobid.go
@@ -11,7 +11,7 @@
 type jobPurpose string
 
 const (
-	purposeLoad    jobPurpose = "rate"  // job of the load at the run's rate
+	purposeLoad    jobPurpose = "rate"  // job of the load that clients submit at Options.Rate
 	purposeProbe   jobPurpose = "probe" // job that probes whether a scheduler serves jobs again
 	purposeJobPath jobPurpose = "path"  // job that measures the job path; its events are not recorded
 )
--- a/internal/simfleet/loopback.go
+++ b/internal/simfleet/loopback.go
@@ -15,8 +15,8 @@
 // client dialled identifies the worker or scheduler. So each of thousands of workers has its own address
 // without a descriptor of its own, and no client outside of the machine can connect.
 
-// firstSubnet and lastSubnet are the least and greatest second byte of the addresses, which are the 2^22 ones
-// from 127.64.0.0 to 127.127.255.255.
+// firstSubnet and lastSubnet are the least and greatest second byte of the loopback addresses of workers and
+// of discovery: the 2^22 addresses from 127.64.0.0 to 127.127.255.255.
 const (
 	firstSubnet = 64
 	lastSubnet  = 127
--- a/internal/simfleet/measure.go
+++ b/internal/simfleet/measure.go
@@ -9,15 +9,15 @@
 
 const (
 	pollInterval = 50 * time.Millisecond
-	idlePolls    = 6 // consecutive polls with all schedulers idle after which an event's window ends
+	idlePolls    = 6 // number of consecutive polls with all schedulers idle that end an event's window
 	// A scheduler counts as idle in a poll interval if it takes at most maxIdleCPU of CPU time, plus
-	// baseLoadMargin times the CPU time that the jobs at the run's rate take; the factor allows for the
-	// variation of their arrivals.
+	// baseLoadMargin times the CPU time that the jobs at Options.Rate take on average; the factor allows for the
+	// variation of the arrivals of these jobs.
 	maxIdleCPU     = 2 * time.Millisecond
 	baseLoadMargin = 1.5
 	// settleTimeout is the longest wait for the schedulers to be idle, or to serve a probe.
 	settleTimeout = 30 * time.Second
-	probeDelay    = 20 * time.Millisecond // pause of a scheduler's probes after a probe that it did not serve
+	probeDelay    = 20 * time.Millisecond // pause of the probe jobs to a scheduler after an unserved probe
 )
 
 // snapshot holds the values of all counters at one time.
@@ -25,7 +25,7 @@
 	at                        time.Time
 	cpu                       []time.Duration // CPU time of each scheduler
 	listBytesIn, listBytesOut []int64         // bytes that each scheduler received from and sent to discovery
-	jobBytesIn, jobBytesOut   int64           // bytes from and to clients and workers, of all schedulers
+	jobBytesIn, jobBytesOut   int64           // bytes from and to clients and workers, sum of the schedulers
 	fullLists, watches        int64
 	jobsEnded, jobsServed     int64
 }
@@ -63,7 +63,7 @@
 	return times, nil
 }
 
-// waitUntilIdle waits until all schedulers are idle except for the jobs at the run's rate, or until
+// waitUntilIdle waits until all schedulers are idle except for the jobs at Options.Rate, or until
 // settleTimeout, and then adds the event to the report.
 func (r *run) waitUntilIdle(ctx context.Context, e Event, since snapshot) error {
 	allowed := maxIdleCPU + time.Duration(baseLoadMargin*r.maxBaseLoad*float64(pollInterval))
@@ -130,8 +130,8 @@
 // lastEvent returns the event that was added to the report last.
 func (r *run) lastEvent() *Event { return &r.report.Events[len(r.report.Events)-1] }
 
-// awaitRecovery submits probe jobs to each scheduler until the scheduler has served a probe, and returns the
-// times that this took, in seconds.
+// awaitRecovery submits probe jobs to each scheduler until the scheduler has served a probe. It returns the
+// spread of the times until the first served probe, in seconds.
 func (r *run) awaitRecovery(ctx context.Context) Spread {
 	took := make([]float64, r.Schedulers)
 	startedAt := time.Now()
--- a/internal/simfleet/report.go
+++ b/internal/simfleet/report.go
@@ -22,8 +22,9 @@
 // Microseconds is a duration in microseconds.
 type Microseconds float64
 
-// Event is the measurement of an event of a day. Its window begins with the event and ends when the
-// schedulers are idle again, or, for an event that lasts for a set time, with the event.
+// Event is the measurement of an event of a day, the scenario of a run. The window of the measurement begins
+// with the event and ends when the schedulers are idle again, or, for an event that lasts for a set time,
+// with the event.
 type Event struct {
 	Name string `json:"name"`
 	// Updates is the number of lines with changes that discovery sent to each scheduler; Entries is the number
@@ -32,13 +33,13 @@
 	Entries int `json:"entries"`
 	// Window is the length of the window in seconds.
 	Window  float64 `json:"window_s"`
-	Settled bool    `json:"settled"` // false if waiting for idle schedulers timed out
+	Settled bool    `json:"settled"` // false if the wait for idle schedulers timed out
 	// CPUSeconds is the CPU time of a scheduler within the window, in seconds; CoreFraction is its mean divided
 	// by the window, as a fraction of one core.
 	CPUSeconds   Spread  `json:"processor_s"`
 	CoreFraction float64 `json:"core_share"`
 	// NetCPUSeconds is the mean of CPUSeconds less the CPU time that a scheduler takes in a window of this
-	// length for the jobs at the run's rate alone, as measured at the beginning of the day.
+	// length for the jobs at Options.Rate alone, as measured at the beginning of the day.
 	NetCPUSeconds float64 `json:"processor_net_s"`
 	// RecoverySeconds is the time in seconds from the last update until a scheduler has served a probe job. For
 	// the event "start" it is the time until a scheduler was ready.
@@ -48,8 +49,8 @@
 	// that a scheduler sent to discovery.
 	ListBytes    Spread `json:"list_bytes"`
 	RequestBytes Spread `json:"ask_bytes"`
-	FullLists    int    `json:"whole_lists"` // full lists that discovery sent to all schedulers together
-	Watches      int    `json:"watches"`     // watches that all schedulers together opened
+	FullLists    int    `json:"whole_lists"` // number of full lists that discovery sent to all schedulers
+	Watches      int    `json:"watches"`     // number of watches that all schedulers opened
 	// Clients is the number of concurrent clients of an event that measures the job path.
 	Clients int `json:"clients,omitempty"`
 	// Jobs is the number of jobs that ended within the window at all schedulers; Served is the number of jobs
@@ -83,8 +84,8 @@
 	PeakMemoryMB Spread `json:"memory_mb"`
 	// HarnessMB is the peak resident memory of the process that simulates workers, discovery and clients.
 	HarnessMB      float64 `json:"hollow_memory_mb"`
-	MaxThreads     int     `json:"threads_most"`     // most threads of a scheduler at the end of any event
-	MaxDescriptors int     `json:"descriptors_most"` // most descriptors of a scheduler at the end of any event
+	MaxThreads     int     `json:"threads_most"`     // most threads of a scheduler at the end of an event
+	MaxDescriptors int     `json:"descriptors_most"` // most descriptors of a scheduler at the end of an event
 	// CPUSeconds is the CPU time of a scheduler over the whole run, summed over its threads, in seconds;
 	// CPUTickSeconds is this CPU time as read from /proc/PID/stat, in steps of 10 ms.
 	CPUSeconds     Spread `json:"processor_s"`
@@ -93,10 +94,10 @@
 	Served         int    `json:"served"`
 	Refused        int    `json:"refused"`
 	Failed         int    `json:"failed"`
-	// Skipped is the number of jobs at the run's rate that were not submitted, as their scheduler had
+	// Skipped is the number of jobs of the load at Options.Rate that were not submitted, as their scheduler had
 	// maxOpenJobs outstanding jobs.
 	Skipped int `json:"skipped"`
-	// Errors are the first errors by which a client's connection ended instead of with an answer.
+	// Errors are the first maxReportedErrors errors of jobs whose client got no answer.
 	Errors         []string `json:"errors"`
 	ElapsedSeconds float64  `json:"took_s"`
 	// Violations are the violated properties that package history found; CheckedEvents is the number of events
--- a/internal/simfleet/run.go
+++ b/internal/simfleet/run.go
@@ -17,8 +17,8 @@
 // maxHistory is the greatest number of events that are recorded for the check of the history.
 const maxHistory = 2_000_000
 
-// randomStream is the random number stream of a run. It keeps the random numbers independent of the
-// generators of other packages with the same seed.
+// randomStream is the random number stream of a run. The number keeps the run's random numbers independent of
+// those of other packages' generators with the same seed.
 const randomStream = 28
 
 // run is the state of a call of Run.
@@ -34,7 +34,7 @@
 	jobTraffic traffic                // bytes on the connections of clients and workers
 	random     *rand.Rand
 	// maxBaseLoad and meanBaseLoad are the maximum and the mean over the schedulers of the fraction of a core
-	// that a scheduler takes for the jobs at the run's rate alone.
+	// that a scheduler takes for the jobs at Options.Rate alone.
 	maxBaseLoad, meanBaseLoad float64
 
 	mu      sync.Mutex
@@ -65,7 +65,7 @@
 	_, _ = fmt.Fprintf(r.log, "%6.1f s  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// recordEvent records an event that a client or worker has observed, for the check of the history.
+// recordEvent records an event that a client or worker has observed, for the check by package history.
 func (r *run) recordEvent(e history.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder does no harm
+	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that is not removed does no harm
 	if r.workers, err = newWorkers(r.Workers, r.Schedulers, r.recordEvent, &r.jobTraffic); err != nil {
 		return err
 	}
--- a/internal/simfleet/run_test.go
+++ b/internal/simfleet/run_test.go
@@ -70,11 +70,11 @@
 			continue
 		}
 		if e.Updates != want.updates || e.Entries != want.entries || e.FullLists != want.fullLists {
-			t.Errorf("%s: %d updates, %d entries, %d full lists; want %d, %d, %d", want.name, e.Updates,
+			t.Errorf("event %s: got %d updates, %d entries, %d full lists; want %d, %d, %d", want.name, e.Updates,
 				e.Entries, e.FullLists, want.updates, want.entries, want.fullLists)
 		}
 		if e.CPUSeconds.Min <= 0 || e.PeakMemoryMB <= 0 {
-			t.Errorf("%s: want CPU time and peak memory above 0, got %+v", want.name, e)
+			t.Errorf("event %s: want CPU time and peak memory above 0, got %+v", want.name, e)
 		}
 	}
 	if r.Served < 100 || r.CheckedEvents < 400 {
--- a/internal/simfleet/table.go
+++ b/internal/simfleet/table.go
@@ -38,7 +38,7 @@
 	return err
 }
 
-// text formats the mean times unit, followed by minimum and maximum if they differ when formatted.
+// text formats the mean multiplied by unit, followed by minimum and maximum if they differ when formatted.
 func (s Spread) text(format string, unit float64) string {
 	low, mean, high := fmt.Sprintf(format, s.Min*unit), fmt.Sprintf(format, s.Mean*unit),
 		fmt.Sprintf(format, s.Max*unit)
--- a/internal/simfleet/workers.go
+++ b/internal/simfleet/workers.go
@@ -24,7 +24,7 @@
 // and the id of the job gives the scheduler that sent it.
 type workers struct {
 	server     *fakes.Server
-	port       int // port of the addresses of all workers
+	port       int // port that the addresses of all workers share
 	uids       []string
 	poweredOff []atomic.Bool // whether the machine of each worker is powered off
 	record     fakes.Recorder
@@ -160,7 +160,7 @@
 	if !ok {
 		// The connection is closed after this answer, whether or not the write succeeds.
 		_, _ = conn.Write(http1.AppendResponse(nil, http.StatusBadRequest, nil, nil))
-		return fmt.Errorf("job %q has an id or body that this run does not use", id)
+		return fmt.Errorf("job %q: want an id with a scheduler's index and a run time as body", id)
 	}
 	j := &job{id: id, worker: worker, scheduler: scheduler, runTime: runTime, cancelled: make(chan struct{})}
 	w.recordEvent(history.Event{Kind: history.Arrived, ID: id, Actor: w.uids[worker]})
--- a/internal/testcluster/deployment.go
+++ b/internal/testcluster/deployment.go
@@ -22,7 +22,7 @@
 	*Process
 	program, folder, name string
 	workers               []*fakes.Worker
-	endpoints             []endpoints.Endpoint // entry of each worker in the state Ready
+	endpoints             []endpoints.Endpoint // discovery's entry of each worker, in the state Ready
 	discovery             *fakes.Discovery
 }
 
--- a/internal/testcluster/fastworker_test.go
+++ b/internal/testcluster/fastworker_test.go
@@ -24,9 +24,9 @@
 type fastWorker struct {
 	*http.Server
 	addr          string
-	scheduler     atomic.Pointer[string] // address that callbacks are sent to
+	scheduler     atomic.Pointer[string] // address that the worker sends callbacks to
 	client        *http.Client
-	neverFinishes bool // the worker sends no callback with the state "done"
+	neverFinishes bool // whether the worker sends no callback with the state "done"
 	attempts      atomic.Int64
 	connections   atomic.Int64
 	bytes         atomic.Int64
@@ -81,7 +81,7 @@
 			return countedConn{conn, &w.bytes}, err
 		}}}
 	w.Server = &http.Server{Handler: http.HandlerFunc(w.serve)}
-	go func() { _ = w.Serve(countingListener{l, w}) }() // Serve returns http.ErrServerClosed
+	go func() { _ = w.Serve(countingListener{l, w}) }() // after Close, Serve returns http.ErrServerClosed
 	tb.Cleanup(func() { _ = w.Close() })
 	return w
 }
@@ -149,7 +149,7 @@
 			case <-stop:
 				return
 			case <-time.After(time.Second):
-				_ = discovery.heartbeat() // after a failed watch the scheduler keeps the list that it has
+				_ = discovery.heartbeat() // if the watch has failed, the scheduler keeps its list
 			}
 		}
 	}()
--- a/internal/testcluster/faultdrill.go
+++ b/internal/testcluster/faultdrill.go
@@ -28,7 +28,8 @@
 	postReadingDeadline = 2 * time.Second
 	batchDeadline       = 4 * time.Second
 
-	// Streams of the random number generator with the drill's seed. workerStream is a further stream.
+	// Streams of the random number generator that is seeded with FaultDrill.Seed. Workers use further streams,
+	// from workerStream on.
 	jobStream   = 1
 	faultStream = 2
 )
@@ -52,7 +53,7 @@
 	Started                       int // attempts that a worker started to run
 	Cancelled                     int // cancellation requests that reached a worker
 	Crashes, Drains               int // crashes and drains of workers that the drill caused
-	Events                        int // checked events
+	Events                        int // number of recorded events that the drill checked
 	Findings                      []history.Finding
 	Log                           []string // log lines of the scheduler
 }
@@ -75,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder does no harm
+	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder that is not removed does no harm
 	workers := drillEndpoints()
 	d, err := startDeployment(deploymentOptions{program: drill.Program, folder: folder, name: "n0",
 		endpoints: workers, recorder: recorder,
@@ -102,7 +103,7 @@
 	return out, nil
 }
 
-// drillEndpoints returns the entries of the drill's workers, workersPerCell of them in each cell.
+// drillEndpoints returns the entries of the drill's workers for discovery, workersPerCell in each cell.
 func drillEndpoints() (workers []endpoints.Endpoint) {
 	for i := range drillWorkers {
 		workers = append(workers, endpoints.Endpoint{UID: fmt.Sprintf("s-%08x", i+1), Cell: i / workersPerCell})
@@ -110,11 +111,11 @@
 	return workers
 }
 
-// rules returns the limits that the schedulers have to keep with the settings of this package.
+// rules returns the limits that a scheduler with the settings of this package has to keep.
 func (drill *FaultDrill) rules(workers []endpoints.Endpoint) history.Rules {
 	rules := history.Rules{AtMostOnce: map[string]bool{postReadingClass: true}, RackOf: map[string]string{},
 		Window:      10 * time.Second,
-		DrainGrace:  550 * time.Millisecond, // drain_grace of 500 ms, and 50 ms for the scheduler's reaction
+		DrainGrace:  550 * time.Millisecond, // drain_grace (500 ms) plus 50 ms for the scheduler's reaction
 		MaxAttempts: 4, Slack: drill.Slack, OrphanLimit: 3 * time.Second}
 	for _, w := range workers {
 		rules.RackOf[w.UID] = strconv.Itoa(w.Cell)
@@ -146,7 +147,7 @@
 			s.DisconnectAt = time.Now().Add(time.Duration(random.IntN(300)) * time.Millisecond)
 		}
 		open.Go(func() {
-			_, _ = fakes.Submit(addr, s, recorder) // the recorder receives the outcome
+			_, _ = fakes.Submit(addr, s, recorder) // the recorder receives the outcome of the job
 		})
 	}
 }
--- a/internal/testcluster/faultdrill_test.go
+++ b/internal/testcluster/faultdrill_test.go
@@ -10,7 +10,7 @@
 // fault that the protocol allows.
 func TestFaultDrillOfTheRealProgram(t *testing.T) {
 	o, err := RunFaultDrill(t.Context(), FaultDrill{Program: buildScheduler(t), Duration: 4 * time.Second,
-		Seed: 7, Rate: 50, Slack: 2 * time.Second}) // other tests may delay the processes
+		Seed: 7, Rate: 50, Slack: 2 * time.Second}) // slack: other tests may delay the processes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,7 +20,7 @@
 		t.Error(f)
 	}
 	if o.Jobs < 20 || o.Served < 5 {
-		t.Errorf("want at least 20 jobs and 5 served, got %+v", o)
+		t.Errorf("want at least 20 submitted and 5 served jobs, got outcome %+v", o)
 	}
 	if t.Failed() {
 		for _, line := range o.Log {
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -24,13 +24,14 @@
 	jobByID         map[string]job    // job of each attempt that reached a worker, by the attempt's id
 	ranAttempts     map[string]bool   // attempts that may have run, by the attempt's id and the worker
 	postReadingRuns map[string]int    // number of attempts at each post-reading that may have run, by job name
-	cellByKey       map[string]string // first worker that ran each key; "" after the key is counted in crossCell
+	cellByKey       map[string]string // worker that ran each key first; "" once the key is counted in crossCell
 	duplicates      int               // post-readings that may have run more than once
 	crossCell       int               // idempotency keys whose jobs may have run in more than one cell
-	foreignAttempts int               // attempts at jobs that no client of this fleet has submitted
+	foreignAttempts int               // attempts that may have run, at jobs without jobPrefix
 }
 
-// job identifies a job that a client submitted. The client's retries have other ids, but the same job.
+// job identifies a job that a client submitted. Retries by the client have other request ids, but the same
+// job.
 type job struct {
 	name          string // body of a post-reading; idempotency key of any other job
 	isPostReading bool
@@ -41,7 +42,7 @@
 	Program             string // path of the scheduler's executable
 	Folder              string // folder for the configuration files
 	Schedulers          int
-	WorkersPerScheduler int // each worker is the only worker of its cell
+	WorkersPerScheduler int // number of workers of each scheduler; each worker is the only one of its cell
 	Seed                uint64
 	// Faults makes the workers show every fault that the protocol allows; without Faults they run all jobs.
 	Faults bool
@@ -71,7 +72,7 @@
 		f.deployments = append(f.deployments, d)
 	}
 	if len(f.deployments) == 0 {
-		return f, errors.New("fleet has no schedulers")
+		return f, errors.New("fleet has no schedulers, want at least 1")
 	}
 	return f, nil
 }
@@ -83,8 +84,8 @@
 	return healthyScript(o.Seed, worker)
 }
 
-// recordJobs returns a script that records which job an attempt's id belongs to and then calls the given
-// script.
+// recordJobs returns a function that records which job the id of an attempt belongs to and then returns the
+// result of script.
 func (f *Fleet) recordJobs(script scriptFor) scriptFor {
 	return func(j fakes.Job) fakes.Script {
 		submitted := job{name: j.Key}
@@ -142,8 +143,8 @@
 // RunCounts counts attempts and jobs that the workers of a fleet may have run. A post-reading is a job of
 // postReadingClass, which may run at most once.
 type RunCounts struct {
-	Foreign    int // attempts at jobs whose name lacks the fleet's prefix
-	Total      int // attempts that may have run, foreign ones included
+	Foreign    int // attempts that may have run, at jobs whose name lacks the fleet's prefix
+	Total      int // attempts that may have run, Foreign included
 	Duplicates int // post-readings that may have run more than once
 	CrossCell  int // idempotency keys whose jobs may have run in more than one cell
 }
--- a/internal/testcluster/fleetsize_test.go
+++ b/internal/testcluster/fleetsize_test.go
@@ -11,7 +11,7 @@
 	"dahliaford/internal/history"
 )
 
-// startWorkers starts n workers, whose UIDs contain the group, and returns their entries.
+// startWorkers starts n workers, whose UIDs contain the text group, and returns their discovery entries.
 func startWorkers(t *testing.T, group string, n int, scheduler func() string) []endpoints.Endpoint {
 	t.Helper()
 	entries := make([]endpoints.Endpoint, n)
@@ -83,7 +83,7 @@
 			}
 			waitUntil(t, "a first job", p, func() bool { return served("first", 1) == 1 })
 			if got := served("old", 40); got < 36 {
-				t.Errorf("%d of 40 jobs served, want at least 36", got)
+				t.Errorf("before the workers were replaced: %d of 40 jobs served, want at least 36", got)
 			}
 			for i, entry := range startWorkers(t, fmt.Sprint("new-", size), size, scheduler) {
 				entry.BootMs = time.Now().Add(-time.Minute).UnixMilli()
@@ -98,9 +98,9 @@
 			}
 			use, err := p.Usage()
 			if err != nil || use.PeakMemoryMB > 32 || use.Descriptors > 256 {
-				t.Errorf("usage %+v, error %v; want at most 32 MB and 256 descriptors", use, err)
+				t.Errorf("scheduler's resources: got %+v, error %v; want at most 32 MB and 256 descriptors", use, err)
 			}
-			t.Logf("%d workers: serving after %v, %.1f MB, %d descriptors, %d threads", size,
+			t.Logf("%d workers: scheduler serves after %v, peak memory %.1f MB, %d descriptors, %d threads", size,
 				startDuration.Round(time.Millisecond), use.PeakMemoryMB, use.Descriptors, use.Threads)
 		})
 	}
--- a/internal/testcluster/idleclients_test.go
+++ b/internal/testcluster/idleclients_test.go
@@ -91,6 +91,6 @@
 	defer restarted.Close()
 	waitUntil(t, "a job served once discovery is back", p, func() bool { return submit() == 200 })
 	if use, err := p.Usage(); err != nil || use.Descriptors > descriptors {
-		t.Errorf("usage %+v, error %v; want at most 64 descriptors", use, err)
+		t.Errorf("scheduler's resources: got %+v, error %v; want at most 64 descriptors", use, err)
 	}
 }
--- a/internal/testcluster/jobpath_bench_test.go
+++ b/internal/testcluster/jobpath_bench_test.go
@@ -54,7 +54,7 @@
 // callback, and, for comparison, a relay on net/http that makes no scheduling decisions.
 func BenchmarkSlopePath(b *testing.B) {
 	bin := buildScheduler(b)
-	b.Setenv("GOMAXPROCS", "1") // takes effect in the processes that the benchmark starts
+	b.Setenv("GOMAXPROCS", "1") // GOMAXPROCS applies to the processes that the benchmark starts
 	for _, kind := range []string{"program", "relay", "new clients", "new callbacks", "relay, new callbacks"} {
 		for _, clients := range []int{1, 4, 8, 32, 64, 128} {
 			b.Run(fmt.Sprintf("%s/%d clients", kind, clients), func(b *testing.B) {
@@ -74,7 +74,7 @@
 				used, served := cpuTime(b, p)-cpuBefore, float64(t.served.Load())
 				b.ReportMetric(0, "ns/op")
 				b.ReportMetric(used.Seconds()*1e6/served, "cpu-us/job")
-				b.ReportMetric(ticks.Seconds()*1e6/served, "proc-us/job") // from /proc/PID/stat, in steps of 10 ms
+				b.ReportMetric(ticks.Seconds()*1e6/served, "proc-us/job") // CPU time from /proc/PID/stat
 				b.ReportMetric(served/loadDuration.Seconds(), "jobs/s")
 				b.ReportMetric(float64(t.other.Load())/served, "refused/job")
 				b.ReportMetric(float64(w.attempts.Load()-attempts)/served, "attempts/job")
@@ -113,7 +113,7 @@
 					_, _ = submitJob(conn, http1.NewReader(conn), fmt.Sprintf("%016x", i))
 				}()
 			}
-			time.Sleep(time.Second) // shorter than the jobs' latency objective of 2 s
+			time.Sleep(time.Second) // the wait is shorter than the jobs' latency objective of 2 s
 			use, err := p.Usage()
 			if err != nil {
 				b.Fatal(err)
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -78,10 +78,12 @@
 	case p.Addr = <-serving:
 		return p, nil
 	case <-p.exited:
-		return nil, fmt.Errorf("scheduler %s exited before it served: %s", config.Name, strings.Join(p.Log(), "\n"))
+		return nil, fmt.Errorf("scheduler %s exited before it served, log: %s", config.Name,
+			strings.Join(p.Log(), "\n"))
 	case <-ctx.Done():
 		p.Kill()
-		return nil, fmt.Errorf("scheduler %s does not serve in time: %s", config.Name, strings.Join(p.Log(), "\n"))
+		return nil, fmt.Errorf("scheduler %s does not serve in time, log: %s", config.Name,
+			strings.Join(p.Log(), "\n"))
 	}
 }
 
--- a/internal/testcluster/usage.go
+++ b/internal/testcluster/usage.go
@@ -28,7 +28,7 @@
 	}
 	u.PeakMemoryMB = PeakMemoryMB(string(status))
 	for line := range strings.Lines(string(status)) {
-		_, _ = fmt.Sscanf(line, "Threads: %d", &u.Threads) // only the line of the thread count matches
+		_, _ = fmt.Sscanf(line, "Threads: %d", &u.Threads) // the format matches only the line of the thread count
 	}
 	open, err := os.ReadDir(folder + "fd")
 	u.Descriptors = len(open)
@@ -57,7 +57,7 @@
 	for _, path := range paths {
 		raw, err := os.ReadFile(path)
 		if errors.Is(err, os.ErrNotExist) {
-			continue // the thread has exited since the directory was read
+			continue // the thread has exited after its directory was listed
 		}
 		if err != nil {
 			return 0, err
@@ -81,7 +81,7 @@
 	_, rest, _ := strings.Cut(string(raw), ") ") // skips the program's name, which may contain spaces
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
-		return 0, fmt.Errorf("/proc/PID/stat: %d fields", len(fields))
+		return 0, fmt.Errorf("/proc/PID/stat: got %d fields after the name, want 13 or more", len(fields))
 	}
 	var user, system time.Duration
 	_, err = fmt.Sscan(fields[11]+" "+fields[12], &user, &system)
