--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -18,7 +18,7 @@
 	ID, Class, Tenant, Key string
 	Body                   []byte
 	Deadline               time.Time // deadline for the answer, sent to the scheduler as the remaining time
-	DisconnectAt           time.Time // time at which the client disconnects; zero: the client does not
+	DisconnectAt           time.Time // disconnect time of the client; zero: the client waits for the answer
 }
 
 // Submit submits a job on a new connection and waits for the answer.
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -81,7 +81,8 @@
 }
 
 // checkBatchRepeat checks the property RunsAsAllowed when a request of class Batch that may have run reaches
-// a worker again: the worker is in the same rack, and the deduplication window has not ended.
+// a worker again: the request may have run only in the rack of this worker, and its deduplication window has
+// not ended.
 func (w *World) checkBatchRepeat(c *connection) {
 	q := &w.requests[c.id]
 	id, uid := w.requestID(c.id), workerUID(c.worker)
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -41,7 +41,7 @@
 	About string
 	// Requests holds the class of each request. The client sends the requests in this order.
 	Requests []Class
-	// Racks holds the rack of each worker.
+	// Racks holds the number of the rack of each worker, by the index of the worker.
 	Racks []int
 	// Faults limits the number of injected faults of each kind on a path through the states of the world;
 	// MaxFaults limits the number of faults of all kinds together.
@@ -113,7 +113,7 @@
 	}
 	var err error
 	if c.settings, err = c.Overrides.parse(); err != nil {
-		return fmt.Errorf("world %q: %w", c.Name, err)
+		return fmt.Errorf("settings of world %q: %w", c.Name, err)
 	}
 	return nil
 }
--- a/internal/modelcheck/connections.go
+++ b/internal/modelcheck/connections.go
@@ -14,9 +14,9 @@
 	written                             // the request is in transit to the worker
 	replied                             // the worker's answer is in transit to the scheduler
 	broken                              // the connection has broken; the event loop is not notified yet
-	endDelivered                        // the event loop is notified of the end, but not yet of the write
+	endDelivered                        // the event loop knows of the connection's end, but not of the write
 	acceptedOpen                        // the event loop has received the worker's 202; the connection is open
-	closing                             // the request, followed by the scheduler's close, is in transit
+	closing                             // the request and then the close are in transit to the worker
 	notSent                             // no byte of the request was written; the event loop is not notified yet
 )
 
--- a/internal/modelcheck/mutants/mutants.go
+++ b/internal/modelcheck/mutants/mutants.go
@@ -75,7 +75,7 @@
 	}
 	raw, err := json.Marshal(map[string]map[string]string{"Replace": replaced})
 	if err != nil {
-		return "", fmt.Errorf("mutant %s: overlay: %w", m.Name, err)
+		return "", fmt.Errorf("mutant %s: encode the overlay file: %w", m.Name, err)
 	}
 	overlay := filepath.Join(folder, "overlay.json")
 	return overlay, os.WriteFile(overlay, raw, 0o666)
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -22,7 +22,7 @@
 	OrphansCancelled                          // each worker that may hold an abandoned job gets a cancellation
 	Terminates                                // each request gets an answer if only time passes
 	CancelsAsAllowed                          // where cancelling is forbidden, no attempt is cancelled early
-	NoSendAfterDisconnect                     // no attempt is sent for a disconnected client
+	NoSendAfterDisconnect                     // no attempt is sent over 100 ms after its client disconnected
 	StaleListUnused                           // no attempt is sent from an expired worker list
 )
 
--- a/internal/modelcheck/requests.go
+++ b/internal/modelcheck/requests.go
@@ -89,8 +89,8 @@
 	return out
 }
 
-// renewable reports whether a request is finished and no message, job or further submission of its id is
-// left.
+// renewable reports whether RenewRequest may replace a request: the request is finished, and no message, job
+// or further submission of its id is left.
 func (w *World) renewable(id uint8) bool {
 	q := &w.requests[id]
 	if q.id != id || q.state == notSubmitted || q.state == open || q.stage == stageConnecting ||
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -13,7 +13,7 @@
 	HedgingAllowed   bool   // a second attempt may be sent while the first one is outstanding
 	MaxAttempts      int    // largest number of attempts of a request; 0 means four
 	EndpointsPushed  bool   // discovery pushes worker lists
-	PollInterval     Micros // age at which a change counts as known without a watch; 0 means 10 s
+	PollInterval     Micros // age at which a list change counts as notified if no watch is open; 0 means 10 s
 	ProgressInterval Micros // interval of the progress reports of workers; 0 means no reports
 	// LimitStaleness limits the validity of worker lists as package node does: it sets MaxStaleness, and the
 	// event of a closed watch contains the time at which the list expires. Otherwise a list never expires.
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -52,7 +52,7 @@
 
 // state is a state whose successors are not visited yet.
 type state struct {
-	world *World // nil if states are rebuilt by a replay
+	world *World // world of the state; nil if a replay rebuilds it
 	node  *node
 }
 
@@ -269,7 +269,8 @@
 	}
 }
 
-// materialize returns the world of a state: the stored one, or one rebuilt by a replay from the root.
+// materialize returns the world of a state: the stored world, or a world rebuilt by a replay
+// of the actions from the initial state.
 func (s *search) materialize(at state) *World {
 	if !s.opt.ReplayStates {
 		return at.world
--- a/internal/modelcheck/shorten.go
+++ b/internal/modelcheck/shorten.go
@@ -71,8 +71,8 @@
 	return false
 }
 
-// replay performs the actions of a path from the root up to the first violation or the first action that is
-// not enabled. It returns the violation, if there is one, and the number of actions performed.
+// replay performs the actions of a path from the initial state up to the first violation or the first action
+// that is not enabled. It returns the violation, if there is one, and the number of actions performed.
 func replay(cfg *Config, path []Action) (*Violation, int) {
 	w, err := newWorld(cfg)
 	if err != nil {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -21,7 +21,7 @@
 	jobs           []job
 	callbacks      []callback
 	cancellations  []cancellation
-	unsentAttempts []scheduler.AttemptID // attempts closed before their first byte was written
+	unsentAttempts []scheduler.AttemptID // attempts whose connection closed before a byte was written
 
 	watch            watchState
 	faultBudget      Budget
@@ -32,9 +32,9 @@
 	exited                 bool
 	cancellationsAbandoned bool   // the exit, at shutdownLimit, may have left cancellations unacknowledged
 	settling               bool   // settle is running, so no further faults are injected
-	settleUntil            Micros // end of the period that settle simulates
+	settleUntil            Micros // simulated time until which settle continues
 
-	violation  *Violation // the first violation; nil if there is none
+	violation  *Violation // the first violation of a property; nil if there is none
 	coverage   *Coverage
 	notes      *[]string // log of actions and effects for traces; nil disables it
 	lastCaller scheduler.CallerID
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		if err := runLine(w, line, diff); err != nil {
-			t.Fatalf("line %d: %s: %v", i+1, line, err)
+			t.Fatalf("script line %d: %s: %v", i+1, line, err)
 		}
 	}
 }
--- a/internal/simfleet/measure.go
+++ b/internal/simfleet/measure.go
@@ -20,7 +20,7 @@
 	probeDelay    = 20 * time.Millisecond // pause of the probe jobs to a scheduler after an unserved probe
 )
 
-// snapshot holds the values of all counters at one time.
+// snapshot holds the values of all counters of a run at one time.
 type snapshot struct {
 	at                        time.Time
 	cpu                       []time.Duration // CPU time of each scheduler
@@ -30,7 +30,7 @@
 	jobsEnded, jobsServed     int64
 }
 
-// snapshot reads all counters. It returns an error if a scheduler process has exited.
+// snapshot reads all counters of the run. It returns an error if a scheduler process has exited.
 func (r *run) snapshot() (s snapshot, err error) {
 	s.at = time.Now()
 	if s.cpu, err = r.cpuTimes(); err != nil {
--- a/internal/simfleet/run_test.go
+++ b/internal/simfleet/run_test.go
@@ -46,8 +46,8 @@
 		t.Error(violation)
 	}
 	t.Logf("%d jobs, %d served, %d refused, %d failed, %d skipped; %d events checked; %.1f MB, %.3f s, %.3f s "+
-		"in ticks", r.Jobs, r.Served, r.Refused, r.Failed, r.Skipped, r.CheckedEvents, r.PeakMemoryMB.Max,
-		r.CPUSeconds.Mean, r.CPUTickSeconds.Mean)
+		"(peak memory; CPU time by thread, then in ticks)", r.Jobs, r.Served, r.Refused, r.Failed, r.Skipped,
+		r.CheckedEvents, r.PeakMemoryMB.Max, r.CPUSeconds.Mean, r.CPUTickSeconds.Mean)
 	zone, region, roll := workers/zones, 2*workers/zones, workers*410/7200
 	for _, want := range []struct {
 		name                        string
@@ -129,7 +129,7 @@
 	}
 	difference := math.Abs(r.CPUSeconds.Mean - r.CPUTickSeconds.Mean)
 	if r.CPUSeconds.Mean == 0 || difference > 0.03 {
-		t.Errorf("CPU time %.3f s by thread, %.3f s in ticks; want above 0 and a difference of at most 0.03 s",
+		t.Errorf("CPU time: got %.3f s by thread, %.3f s in ticks; want above 0 and a difference of at most 0.03 s",
 			r.CPUSeconds.Mean, r.CPUTickSeconds.Mean)
 	}
 	path := r.FindEvent("jobs of 0 s, clients: 128")
--- a/internal/testcluster/faultdrill.go
+++ b/internal/testcluster/faultdrill.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// crashWorker crashes a worker and publishes its entry with the present time as start time, so that the
-// scheduler treats the worker as just started.
+// crashWorker crashes a worker and publishes its discovery entry with the present time as start time, so that
+// the scheduler treats the worker as just started.
 func (d *deployment) crashWorker(i int) {
 	d.workers[i].Crash()
 	d.endpoints[i].BootMs = time.Now().UnixMilli()
--- a/internal/testcluster/idle_bench_test.go
+++ b/internal/testcluster/idle_bench_test.go
@@ -86,7 +86,7 @@
 		entry := i.workers[n/2*7919%len(i.workers)]
 		entry.State = []endpoints.State{endpoints.Draining, endpoints.Ready}[n%2]
 		i.sendChange(b, entry)
-		time.Sleep(2 * time.Millisecond) // lets the scheduler read and apply each line separately
+		time.Sleep(2 * time.Millisecond) // the pause lets the scheduler apply each line separately
 	}
 	return (i.waitUntilIdle(b, i.process) - before) / changes
 }
@@ -100,7 +100,7 @@
 		if err := i.process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			b.Fatal(err)
 		}
-		time.Sleep(100 * time.Millisecond) // keeps signals apart: a pending SIGHUP absorbs the next
+		time.Sleep(100 * time.Millisecond) // the pause keeps a SIGHUP from merging with a pending one
 	}
 	took := i.waitUntilIdle(b, i.process) - before
 	reloads := 0
--- a/internal/testcluster/relay_test.go
+++ b/internal/testcluster/relay_test.go
@@ -33,7 +33,7 @@
 type relay struct {
 	worker  string
 	client  *http.Client
-	results sync.Map // by job id: the chan string on which the callback's result is passed to ServeHTTP
+	results sync.Map // maps a job's id to the chan string that passes the callback's result to ServeHTTP
 }
 
 // serveRelay listens on a free port, prints the address on standard output, and serves until an error, which
--- a/internal/testcluster/usage.go
+++ b/internal/testcluster/usage.go
@@ -64,7 +64,7 @@
 		}
 		var ns int64
 		if _, err := fmt.Sscan(string(raw), &ns); err != nil {
-			return 0, fmt.Errorf("%s: %w", path, err)
+			return 0, fmt.Errorf("read a CPU time from %s: %w", path, err)
 		}
 		total += time.Duration(ns)
 	}
