--- a/internal/simfleet/run_test.go
+++ b/internal/simfleet/run_test.go
@@ -46,8 +46,8 @@
 		t.Error(violation)
 	}
 	t.Logf("%d jobs, %d served, %d refused, %d failed, %d skipped; %d events checked; %.1f MB, %.3f s, %.3f s "+
-		"in ticks", r.Jobs, r.Served, r.Refused, r.Failed, r.Skipped, r.CheckedEvents, r.PeakMemoryMB.Max,
-		r.CPUSeconds.Mean, r.CPUTickSeconds.Mean)
+		"(peak memory; CPU time by thread, then in ticks)", r.Jobs, r.Served, r.Refused, r.Failed, r.Skipped,
+		r.CheckedEvents, r.PeakMemoryMB.Max, r.CPUSeconds.Mean, r.CPUTickSeconds.Mean)
 	zone, region, roll := workers/zones, 2*workers/zones, workers*410/7200
 	for _, want := range []struct {
 		name                        string
@@ -70,11 +70,11 @@
 			continue
 		}
 		if e.Updates != want.updates || e.Entries != want.entries || e.FullLists != want.fullLists {
-			t.Errorf("%s: %d updates, %d entries, %d full lists; want %d, %d, %d", want.name, e.Updates,
+			t.Errorf("event %s: got %d updates, %d entries, %d full lists; want %d, %d, %d", want.name, e.Updates,
 				e.Entries, e.FullLists, want.updates, want.entries, want.fullLists)
 		}
 		if e.CPUSeconds.Min <= 0 || e.PeakMemoryMB <= 0 {
-			t.Errorf("%s: want CPU time and peak memory above 0, got %+v", want.name, e)
+			t.Errorf("event %s: want CPU time and peak memory above 0, got %+v", want.name, e)
 		}
 	}
 	if r.Served < 100 || r.CheckedEvents < 400 {
@@ -129,7 +129,7 @@
 	}
 	difference := math.Abs(r.CPUSeconds.Mean - r.CPUTickSeconds.Mean)
 	if r.CPUSeconds.Mean == 0 || difference > 0.03 {
-		t.Errorf("CPU time %.3f s by thread, %.3f s in ticks; want above 0 and a difference of at most 0.03 s",
+		t.Errorf("CPU time: got %.3f s by thread, %.3f s in ticks; want above 0 and a difference of at most 0.03 s",
 			r.CPUSeconds.Mean, r.CPUTickSeconds.Mean)
 	}
 	path := r.FindEvent("jobs of 0 s, clients: 128")
