--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -48,13 +48,14 @@
 type overloadLevel int
 
 const (
-	// levelNormal means that both feasibility conditions hold with conditionMargin. Call gapping is lifted rank
-	// by rank.
+	// levelNormal means that both feasibility conditions hold, and the jobs need less than the fraction
+	// conditionMargin of the available time. Call gapping is lifted rank by rank.
 	levelNormal overloadLevel = iota
-	// levelOverload means that both feasibility conditions hold, but not with conditionMargin. Call gapping is
-	// extended rank by rank.
+	// levelOverload means that both feasibility conditions hold, but the jobs need the fraction conditionMargin
+	// or more of the available time. Call gapping is extended rank by rank.
 	levelOverload
-	levelSevere // at least one feasibility condition fails: call gapping applies to all ranks
+	// levelSevere means that at least one feasibility condition fails. Call gapping applies to all ranks.
+	levelSevere
 )
 
 // onJobArrived queues an arriving job, or gives the job its final answer at once if admits rejects the job.
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -49,7 +49,7 @@
 // Class describes one class of jobs.
 type Class struct {
 	LatencyObjective Micros  // an answer within this time earns the full PriorityWeight; 0: equal to Deadline
-	ObjectiveStretch float64 // multiple of the job's own work that is added to the latency objective
+	ObjectiveStretch float64 // multiple of a job's work that is added to the job's latency objective
 	Deadline         Micros  // the longest time that the client waits, over all its tries
 	// PriorityWeight is the value of an answer within the latency objective: for each job or, if
 	// Settings.WeightByWork is set, for each unit of the job's work. Under overload the dispatcher first rejects
@@ -141,22 +141,35 @@
 
 // The kinds of events. The comment of each kind lists the fields of Event that the kind uses.
 const (
-	JobArrived         EventKind = iota // Event fields: Job, Class, Tenant, ClientTimeout, Retry, Work, Slots
-	AttemptEnded                        // Event fields: Job, Attempt, Worker, Outcome, Final, Report
-	AttemptReported                     // Event fields: Job, Attempt, Worker, Note, Value
-	StreamStarted                       // Event fields: Job, Attempt, Worker
-	ClientDisconnected                  // Event field: Job
-	EndpointsUpdated                    // Event fields: Scope, Workers, Age
-	GossipReceived                      // Event fields: Peer, Message
-	TimerFired                          // Event field: Token
-	Started                             // sent once, before all other events; no Event fields
+	// JobArrived reports that a client has submitted a job. It uses the Event fields Job, Class, Tenant,
+	// ClientTimeout, Retry, Work and Slots.
+	JobArrived EventKind = iota
+	// AttemptEnded reports how an attempt ended. It uses the Event fields Job, Attempt, Worker, Outcome, Final
+	// and Report.
+	AttemptEnded
+	// AttemptReported carries a worker's report about an attempt that has not ended. It uses the Event fields
+	// Job, Attempt, Worker, Note and Value.
+	AttemptReported
+	// StreamStarted reports that a worker has begun to stream its answer. It uses the Event fields Job, Attempt
+	// and Worker.
+	StreamStarted
+	// ClientDisconnected reports that the client of a job has disconnected. It uses the Event field Job.
+	ClientDisconnected
+	// EndpointsUpdated carries an update of the worker list. It uses the Event fields Scope, Workers and Age.
+	EndpointsUpdated
+	// GossipReceived carries a message of another dispatcher. It uses the Event fields Peer and Message.
+	GossipReceived
+	// TimerFired reports that the time of a SetTimer action has come. It uses the Event field Token.
+	TimerFired
+	// Started is the first event of a dispatcher and is sent once. It uses no Event fields.
+	Started
 )
 
 // Outcome says how an attempt ended.
 type Outcome uint8
 
-// The values of Outcome. After AtCapacity, ConnectFailed, NotSent and HandedBack it is certain that the job
-// did not run in the attempt.
+// The values of Outcome. After AtCapacity, ConnectFailed, NotSent and HandedBack the job certainly did not
+// run in the attempt.
 const (
 	OK            Outcome = iota // the worker finished the job
 	Failed                       // the worker reported an error
@@ -186,11 +199,12 @@
 // UpdateScope says which part of the worker list an EndpointsUpdated event carries.
 type UpdateScope uint8
 
-// The values of UpdateScope say which entries an update carries and how far it can be relied on.
+// The values of UpdateScope say which entries of the worker list an update carries, and how far the update
+// can be relied on.
 const (
-	UpdateDelta  UpdateScope = iota // the changed entries only
-	UpdateFull                      // the complete list
-	UpdateCached                    // the complete list as stored before a restart; it may be stale
+	UpdateDelta  UpdateScope = iota // the update carries only the changed entries
+	UpdateFull                      // the update carries the complete worker list
+	UpdateCached                    // the complete worker list as stored before a restart, which may be stale
 
 	// UpdateFailed means that a call to discovery failed or the subscription ended. The event carries no
 	// entries. The dispatcher's present worker list may be older than assumed: Event.Age is its least age.
@@ -229,7 +243,7 @@
 	Report        Report
 	Workers       []WorkerEntry
 	Age           Micros // time since discovery last confirmed the worker list; see also UpdateFailed
-	Peer          int    // number of the dispatcher that sent the message
+	Peer          int    // number of the dispatcher that sent the gossip message
 	Message       []byte
 	Token         uint64 // token of the SetTimer action whose timer fired
 }
@@ -239,14 +253,23 @@
 
 // The kinds of actions. The comment of each kind lists the fields of Action that the kind uses.
 const (
-	Send           ActionKind = iota // Action fields: Job, Attempt, Worker, Deadline, SendBy
-	Refuse                           // Action fields: Job, Delay (Retry-After for the client)
-	Fail                             // Action field: Job
-	Cancel                           // Action fields: Job, Attempt
-	SetTimer                         // Action fields: Delay, Token
-	WatchEndpoints                   // subscribe to the worker list; no Action fields
-	SendGossip                       // Action fields: Peer, Message
-	Log                              // Action field: Text
+	// Send sends an attempt of a job to a worker. It uses the Action fields Job, Attempt, Worker, Deadline and
+	// SendBy.
+	Send ActionKind = iota
+	// Refuse refuses a job. It uses the Action fields Job and Delay (the Retry-After for the client).
+	Refuse
+	// Fail answers a job as failed. It uses the Action field Job.
+	Fail
+	// Cancel cancels an attempt. It uses the Action fields Job and Attempt.
+	Cancel
+	// SetTimer requests a TimerFired event. It uses the Action fields Delay and Token.
+	SetTimer
+	// WatchEndpoints subscribes to the worker list. It uses no Action fields.
+	WatchEndpoints
+	// SendGossip sends a message to another dispatcher. It uses the Action fields Peer and Message.
+	SendGossip
+	// Log writes a log line. It uses the Action field Text.
+	Log
 )
 
 // Action is an output of Dispatcher.Step that the caller carries out. Kind says which fields are used.
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -56,7 +56,7 @@
 	}
 	d.detach(a)
 	d.recordOutcome(a, e)
-	if !turnedAway { // a rejection for lack of a slot is more reliable than a report of free slots
+	if !turnedAway { // a rejection because no slot is free is more reliable than a report of free slots
 		d.learnLoadReport(w, e.Report, j.slots)
 	}
 	a.mayHaveRun, a.handedBack = e.Outcome.MayHaveRun(), e.Outcome == HandedBack
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -34,7 +34,8 @@
 		return e.Cell
 	}
 	if d.dedupGroups[c.DedupScope] == nil {
-		// The groups keep the order of d.ordered, which decides between workers of equal placement cost.
+		// The workers of each deduplication group keep the order of d.ordered, which decides between workers of
+		// equal placement cost.
 		groups := map[int][]*worker{}
 		for _, w := range d.ordered {
 			groups[groupOf(&w.entry)] = append(groups[groupOf(&w.entry)], w)
--- a/internal/dispatch/clone.go
+++ b/internal/dispatch/clone.go
@@ -29,7 +29,8 @@
 	return &c
 }
 
-// cloneEstimates copies the estimates of machine kinds and of groups.
+// cloneEstimates copies the estimates of machine kinds and of groups (the workers of one machine kind in one
+// zone).
 func (d *Dispatcher) cloneEstimates(from *Dispatcher) {
 	d.kinds = make(map[int]*kind, len(from.kinds))
 	for number, known := range from.kinds {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -20,7 +20,7 @@
 		s := testSettings()
 		makeInvalid(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("settings with an invalid %s: got error %v, want an error that names the field", field, err)
+			t.Errorf("settings with an invalid field %s: got error %v, want an error that names the field", field, err)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	at(9*x, 6)
 	b.d.setOverloadLevel(0)
 	at(x-1, 6)
-	at(1, 5) // call gapping ends for the highest rank first
+	at(1, 5) // call gapping ends for the highest rank (priority) first
 	at(2*x, 3)
 	b.d.setOverloadLevel(2)
 	at(0, 6)
@@ -301,7 +301,7 @@
 }
 
 // An attempt that may have run is repeated only as its class allows: a safe job on any worker, a keyed job
-// within its deduplication scope and window, an unsafe job never.
+// within its deduplication scope and deduplication window, an unsafe job never.
 func TestNoDoubleEffects(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -322,7 +322,7 @@
 	} {
 		s := testSettings()
 		s.Classes[1].DedupScope = c.group
-		s.ProgressInterval = 60 * second // a long progress interval keeps silent workers from becoming suspect
+		s.ProgressInterval = 60 * second // progress is due so seldom that silent workers do not become suspect
 		b := newHarness(t, s, ready(1, 0))
 		b.want(b.arrive(1, c.class), Send, 1)
 		// Worker 2 is in the cell of worker 1, worker 3 only in the zone of worker 1, and worker 4 in neither.
@@ -379,7 +379,7 @@
 }
 
 // Where the worker list must be polled, the dispatcher polls at its start, again after a failed poll, and
-// again within the poll interval when a poll gets no answer. Otherwise drains would go unnoticed.
+// again within the setting PollInterval when a poll gets no answer. Otherwise drains would go unnoticed.
 func TestKeepsPollingForTheList(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints, s.PollInterval = true, 10*second
@@ -697,8 +697,8 @@
 	j.attempts = []*attempt{{job: j, worker: &worker{entry: w.entry}, sentAt: b.now}}
 }
 
-// A worker that could not be reached and later answers counts as restarted, though the list does not report a
-// restart. The worker is then in slow start for the time that the settings give.
+// A worker that could not be reached and later answers counts as restarted, though the worker list does not
+// report a restart. The worker is then in slow start for the time that the settings give.
 func TestUnlistedRestartEntersSlowStart(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	b.now += 5 * second
@@ -719,7 +719,7 @@
 	}
 	b.advance(2 * second)
 	if w.unreachable || b.d.slowStartSince(w) == 0 {
-		t.Fatalf("2 s after worker 1 answers: got unreachable %v, slow start since %v us, want false and not 0",
+		t.Fatalf("2 s after worker 1 answers: got unreachable = %v, slow start since %v us, want false and not 0",
 			w.unreachable, b.d.slowStartSince(w))
 	}
 	b.advance(20 * second)
@@ -843,7 +843,7 @@
 		{second / 10, false, 0, false}, {second, true, 0, false}} {
 		if got := refuse(c.objective, c.aboveQuota, c.level) > 0; got != c.wantDelay {
 			t.Errorf(
-				"refusal, objective in %v us, over quota %v, overload level %d: got Retry-After %v, want the opposite",
+				"case objective in %v us, over quota = %v, overload level %d: got Retry-After = %v, want its negation",
 				c.objective, c.aboveQuota, c.level, got)
 		}
 	}
@@ -886,7 +886,7 @@
 			if len(sent) != c.sent {
 				t.Fatalf("got %d of 2 jobs sent at their arrival, want %d", len(sent), c.sent)
 			}
-			b.feed(Event{Kind: EndpointsUpdated}) // an update without changes
+			b.feed(Event{Kind: EndpointsUpdated}) // an update of the worker list without changes
 			if later := len(actionsOfKind(b.out, Send)); later != 2-c.sent {
 				t.Errorf("got %d jobs sent after an update of the worker list, want all that had to wait for it", later)
 			}
@@ -934,7 +934,7 @@
 			out := b.feed(Event{Kind: JobArrived, Job: 1, Class: 2, ClientTimeout: 2 * second,
 				Retry: c.isRetry, Slots: 1})
 			if served := len(actionsOfKind(out, Send)) == 1; served != c.served {
-				t.Errorf("job with a client timeout below the class's deadline: got it sent %v, want %v",
+				t.Errorf("job with a client timeout below the class's deadline: got sent = %v, want %v",
 					served, c.served)
 			}
 		})
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -277,7 +277,7 @@
 				}
 			})
 			if !slices.Equal(inOneUpdate.m.subset, inDeltas.m.subset) {
-				t.Errorf("%d dispatchers: zone removed in one update: got subset %v; in %d updates: %v, want the same",
+				t.Errorf("%d dispatchers, zone removed in 1 update: got subset %v, and in %d updates %v, want the same",
 					dispatchers,
 					inOneUpdate.m.subset, len(failed), inDeltas.m.subset)
 			}
@@ -290,7 +290,7 @@
 				f.update(200*second, UpdateDelta, append(slices.Clone(failed), restarted...)...)
 			})
 			if !slices.Equal(restartOnly.m.subset, removedAndRestarted.m.subset) {
-				t.Errorf("%d dispatchers: zone restarted: got subset %v; removed and restarted: %v, want the same",
+				t.Errorf("%d dispatchers, zone restarted: got subset %v, and %v after removals, want the same",
 					dispatchers,
 					restartOnly.m.subset, removedAndRestarted.m.subset)
 			}
--- a/internal/dispatch/estimate_peers.go
+++ b/internal/dispatch/estimate_peers.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// This file derives the peers' use of a worker from their gossip, and this dispatcher's own use that has to
-// be reported to the peers. It makes no dispatch decisions.
+// This file derives the peers' use of a worker from their gossip, and this dispatcher's use of a worker that
+// has to be reported to the peers. It makes no dispatch decisions.
 
 // peerSlots returns the number of slots that the peers' jobs use at a worker, and the number of those slots
 // whose jobs run. Reports that are too old do not count, because their senders may have stopped.
@@ -62,8 +62,8 @@
 	}
 }
 
-// ownWaitingSlots returns the number of slots of own jobs that wait at a worker for their start, and whether
-// own jobs were sent there so recently that their start may not have been reported.
+// ownWaitingSlots returns the number of slots of this dispatcher's jobs that wait at a worker for their
+// start, and whether this dispatcher sent jobs there so recently that their start may not have been reported.
 func (d *Dispatcher) ownWaitingSlots(w *worker) (slots float64, arriving bool) {
 	for _, a := range w.attempts {
 		if d.settings.StartReported && a.startedAt == 0 {
--- a/internal/dispatch/estimate_quota.go
+++ b/internal/dispatch/estimate_quota.go
@@ -33,12 +33,13 @@
 	return max(minQuotaBurst, d.quotaShare(tenant)*quotaBurstSeconds)
 }
 
-// MaxSlots is the largest number of slots that counts for one job: far more than any machine has, and small
-// enough for every type that holds a sum of slots.
+// MaxSlots is the largest number of worker slots that counts for one job: far more than any machine has, and
+// small enough for every type that holds a sum of slots.
 const MaxSlots = 1 << 20
 
-// clampSlots returns the number of slots that counts for a job: the stated number, but 1 at least and
-// MaxSlots at most. NaN counts as 1, because NaN added to a worker's use could not be subtracted again.
+// clampSlots returns the number of worker slots that counts for a job: the number that the job's submission
+// states, but 1 at least and MaxSlots at most. NaN counts as 1, because NaN added to a worker's use could not
+// be subtracted again.
 func clampSlots(stated float64) float64 {
 	if !(stated >= 1) {
 		return 1
--- a/internal/dispatch/estimate_slots.go
+++ b/internal/dispatch/estimate_slots.go
@@ -20,14 +20,15 @@
 	// reported a start within startReportTimeout, computed at that report.
 	maxBusySlots float64
 
-	startCountsBySlots [maxTrackedSlots + 1]startCounts // start counts by slots in use when a job was sent
+	startCountsBySlots [maxTrackedSlots + 1]startCounts // start counts by number of slots in use at the send
 	maxSlotsTried      int                              // largest index in startCountsBySlots with a counted job
 	// capacityProbedAt is the time when a job was last sent beyond a worker's capacity or last had a delayed
 	// start.
 	capacityProbedAt Micros
 }
 
-// add multiplies the earlier counts by keep and then counts a job as started promptly or as delayed.
+// add multiplies the earlier counts by the factor keep, and then counts a job as started promptly or as
+// delayed.
 func (c *startCounts) add(prompt bool, keep float64) {
 	c.prompt *= keep
 	c.delayed *= keep
@@ -109,7 +110,7 @@
 	return float64(max(best, 1))
 }
 
-const anyZone = -2 // stands for all zones; no zone has this number
+const anyZone = -2 // zone number that stands for all zones; no zone has this number
 
 // usableSlots counts the slots that this dispatcher may fill on the usable workers of its subset that are in
 // a given zone. After 16, 32, 64 and so on workers the function calls enough with the number of slots so far,
@@ -137,20 +138,22 @@
 	return max(d.capacity(w)-others, w.ownSlots)
 }
 
-// slotsInUse returns the number of slots of a worker that this dispatcher's jobs use and peers report to use.
+// slotsInUse returns the number of slots of a worker that are in use: by this dispatcher's jobs, and by the
+// peers' jobs according to their gossip.
 func (d *Dispatcher) slotsInUse(w *worker) float64 {
 	others, _ := d.peerSlots(w)
 	return w.ownSlots + others
 }
 
-// knownRunningSlots returns the number of slots of a worker that are known to run a job, either an own job or
-// a job that a peer reports.
+// knownRunningSlots returns the number of slots of a worker that are known to run a job, either a job of this
+// dispatcher or a job that a peer reports.
 func (d *Dispatcher) knownRunningSlots(w *worker) float64 {
 	_, others := d.peerSlots(w)
 	return d.ownRunningSlots(w) + others
 }
 
-// ownRunningSlots returns the number of slots of own jobs that are known to run at a worker.
+// ownRunningSlots returns the number of slots that this dispatcher's jobs take at a worker, over the jobs
+// that are known to run.
 func (d *Dispatcher) ownRunningSlots(w *worker) float64 {
 	n := 0.0
 	for _, a := range w.attempts {
--- a/internal/dispatch/estimate_speed.go
+++ b/internal/dispatch/estimate_speed.go
@@ -8,7 +8,7 @@
 // both in microseconds.
 type speedEstimate struct{ work, time float64 }
 
-// add multiplies the earlier sums by keep and then adds the work and the time of a run.
+// add multiplies the earlier sums by the factor keep, and then adds the work and the time of a run.
 func (s *speedEstimate) add(work, time, keep float64) {
 	s.work, s.time = s.work*keep+work, s.time*keep+time
 }
@@ -57,8 +57,8 @@
 	return v
 }
 
-// priorSpeed returns the speed assumed of a worker without own runs: the speed of its machine kind, or of the
-// fleet while the kind has no runs.
+// priorSpeed returns the speed assumed of a worker that has run no job yet: the speed of its machine kind, or
+// of the fleet while no worker of the kind has run a job.
 func (d *Dispatcher) priorSpeed(w *worker) float64 {
 	if k := d.kindOf(w); k.time > 0 {
 		return k.speed()
@@ -66,7 +66,8 @@
 	return d.fleetEstimate.speed()
 }
 
-// typicalSpeed returns the speed of an average worker of the same machine kind outside slow start.
+// typicalSpeed returns the speed that an average worker of the given worker's machine kind has outside slow
+// start.
 func (d *Dispatcher) typicalSpeed(w *worker) float64 {
 	if !d.hintsSeen && d.fleetEstimate.work > 0 {
 		return d.priorSpeed(w) * d.fleetEstimate.time / d.fleetEstimate.work
--- a/internal/dispatch/estimate_waits.go
+++ b/internal/dispatch/estimate_waits.go
@@ -7,20 +7,28 @@
 // decisions.
 
 const (
-	groupWaitDecayRuns  = 12.0 // multiples of upperRunTime in which the waits of a group decay to 1/e
-	groupWaitWeight     = 0.5  // weight of a group's expected wait relative to one wait at the worker itself
-	workerWaitDecayRuns = 6.0  // multiples of upperRunTime in which the waits at a single worker decay to 1/e
+	// groupWaitDecayRuns is the time, in multiples of upperRunTime, in which the weight of the waits in a group
+	// (the workers of one machine kind in one zone) decays to 1/e.
+	groupWaitDecayRuns = 12.0
+	// groupWaitWeight is the weight of a group's expected wait relative to one wait at the worker itself.
+	groupWaitWeight = 0.5
+	// workerWaitDecayRuns is the time, in multiples of upperRunTime, in which the weight of the waits at one
+	// worker decays to 1/e.
+	workerWaitDecayRuns = 6.0
 )
 
 // Additions to the placement cost of a worker, in multiples of upperRunTime, that make dispatchers choose
 // different workers.
 const (
-	choiceJitterRuns   = 0.25 // largest random addition to the cost, in multiples of upperRunTime
-	choiceDistanceRuns = 0.5  // addition at the far end of the ring interval, in multiples of upperRunTime
+	// choiceJitterRuns is the largest random addition to the cost, in multiples of upperRunTime.
+	choiceJitterRuns = 0.25
+	// choiceDistanceRuns is the addition for a worker at the far end of the dispatcher's ring interval, in
+	// multiples of upperRunTime.
+	choiceDistanceRuns = 0.5
 )
 
 // waitEstimate is the mean time that jobs waited at workers before they started. Earlier waits lose weight
-// with time, because the load by other dispatchers changes.
+// with time, because the load that other dispatchers put on the workers changes.
 type waitEstimate struct {
 	sum, count float64 // decayed sum of the waits in microseconds, and decayed number of the waits
 	decayedAt  Micros  // time as of which the sum and the number are decayed
@@ -50,7 +58,8 @@
 	s.sum, s.count = s.sum+wait, s.count+1
 }
 
-// groupOf returns the group of a worker, which it creates if there is none.
+// groupOf returns the group of a worker: the workers of the same machine kind in the same zone. It creates
+// the group if there is none.
 func (d *Dispatcher) groupOf(w *worker) *group {
 	if w.group == nil {
 		key := groupKey{w.entry.Zone, w.entry.Kind}
@@ -62,8 +71,8 @@
 	return w.group
 }
 
-// recordWait adds the time in microseconds that a job waited at a worker to the estimates of the worker and
-// of its group.
+// recordWait adds the time in microseconds that a job waited at a worker to the estimate for this worker and
+// to the estimate for the worker's group, which is the workers of the same machine kind in the same zone.
 func (d *Dispatcher) recordWait(w *worker, wait float64) {
 	if !d.largeFleetWithoutGossip() {
 		return
@@ -73,9 +82,10 @@
 }
 
 // expectedWait returns the expected time in microseconds that a job would wait at a worker before its start:
-// the mean of this dispatcher's own recent waits there and of the group's expected wait, which has the weight
-// groupWaitWeight. A job that still waits counts in the group's expected wait with twice its wait so far,
-// because on average half of the job's wait has passed.
+// the mean of the recent waits of this dispatcher's jobs at the worker and of the expected wait of the
+// worker's group (same machine kind, same zone), which has the weight groupWaitWeight. A job that still waits
+// counts in the group's expected wait with twice its wait so far, because on average half of the job's wait
+// has passed.
 func (d *Dispatcher) expectedWait(w *worker) float64 {
 	if !d.settings.StartReported || !d.largeFleetWithoutGossip() {
 		return 0
@@ -110,10 +120,10 @@
 }
 
 // crossZoneCost returns the cost, in microseconds, at which a worker of another zone is compared with a
-// worker of the own zone. In a large fleet without gossip it is the placement cost plus a price in proportion
-// to the time that remains until the job's objective. In other fleets it is at least the remaining time, so
-// that a dispatcher sends to its own zone while a worker there can meet the objective: dispatchers of
-// different zones then send to the same worker at the same time less often.
+// worker of this dispatcher's zone. In a large fleet without gossip the result is the placement cost plus a
+// price in proportion to the time that remains until the job's objective. In other fleets the result is at
+// least the remaining time, so that a dispatcher sends to its own zone while a worker of that zone can meet
+// the objective: dispatchers of different zones then send to the same worker at the same time less often.
 func (d *Dispatcher) crossZoneCost(cost, remaining float64) float64 {
 	if !d.largeFleetWithoutGossip() {
 		return max(remaining, cost)
--- a/internal/dispatch/estimate_work.go
+++ b/internal/dispatch/estimate_work.go
@@ -4,10 +4,10 @@
 
 // This file estimates the work and the run times of jobs by class. It makes no dispatch decisions.
 
-// priorWorkObjectives is the mean work assumed of a class, in multiples of the class's latency objective,
-// until runs show the work. The assumption is high because runs on workers in slow start do not count, and
-// because with too low an assumption, which all dispatchers share, they would together overload workers in
-// slow start.
+// priorWorkObjectives is the mean work that is assumed of a class's jobs until runs show the work, in
+// multiples of the class's latency objective. Too low a value would overload workers in slow start, because
+// all dispatchers use the same value and their sends add up. Runs on such workers would not correct the
+// value, as runs on workers in slow start do not count. Therefore the value is high.
 const priorWorkObjectives = 2.0
 
 // classState holds the estimates for a class. Work is in microseconds on a standard core.
@@ -80,8 +80,8 @@
 	return squares / max(1, sum)
 }
 
-// workInTransit returns the sum of slowStartCost over the own jobs that are in flight at a worker and not
-// known to have started. If the worker has just restarted, these jobs reach the worker in slow start.
+// workInTransit returns the sum of slowStartCost over this dispatcher's jobs that are in flight at a worker
+// and not known to have started. If the worker has just restarted, these jobs reach the worker in slow start.
 func (d *Dispatcher) workInTransit(w *worker) float64 {
 	work := 0.0
 	for _, a := range w.attempts {
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -172,7 +172,7 @@
 			first.Worker, next)
 	}
 	if w := b.d.workers[first.Worker]; w.slotLimit != 1 || b.d.usable(w) {
-		t.Fatalf("right after AtCapacity: got slot limit %v and usable %v, want 1 and false",
+		t.Fatalf("right after AtCapacity: got slot limit %v and usable = %v, want 1 and false",
 			w.slotLimit, b.d.usable(w))
 	}
 	b.runAttempt(next[0], second/5)
@@ -426,7 +426,7 @@
 	b := newHarness(t, s, ready(1, 0))
 	for i, want := range []bool{false, false, true} {
 		if got := b.d.exceedsQuota(1, false); got != want {
-			t.Errorf("job %d of three that arrive together: got over quota %v, want the opposite", i+1, got)
+			t.Errorf("job %d of three that arrive together: got over quota = %v, want its negation", i+1, got)
 		}
 	}
 }
@@ -517,10 +517,10 @@
 				b.feed(Event{Kind: ClientDisconnected, Job: id})
 			}
 			if got := b.d.usable(w); got != c.usable {
-				t.Errorf("worker after the failures: got usable %v, want the opposite", got)
+				t.Errorf("worker after the failures: got usable = %v, want its negation", got)
 			}
 			if got := b.d.slowStartSince(w) == 0; got != c.warm {
-				t.Errorf("worker after the failures: got warm (not in slow start) %v, want the opposite", got)
+				t.Errorf("worker after the failures: got warm (not in slow start) = %v, want its negation", got)
 			}
 		})
 	}
--- a/internal/dispatch/gossip.go
+++ b/internal/dispatch/gossip.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Gossip: dispatchers that share a worker report to each other how many of its slots they use.
+// Gossip: dispatchers that share a worker report to each other how many of the worker's slots they use.
 
 const (
 	// gossipMessageSize is the length of a message in bytes: the sender's zone (1), the worker (4), slots in use
@@ -70,7 +70,7 @@
 	}
 }
 
-// onGossip handles a peer's report of its use of a worker.
+// onGossip handles a gossip message, in which a peer reports how many slots of a worker the peer uses.
 func (d *Dispatcher) onGossip(e *Event) {
 	m := e.Message
 	if len(m) != gossipMessageSize || e.Peer < 0 || e.Peer >= d.settings.Dispatchers {
@@ -80,7 +80,7 @@
 	peer.zone = int(m[0])
 	w := d.workers[WorkerID(binary.BigEndian.Uint32(m[1:]))]
 	if w == nil {
-		return // the worker is not on this dispatcher's list, and a peer's report does not add it
+		return // the worker is not on this dispatcher's list, and a peer's report does not add the worker
 	}
 	if peer.zone != w.entry.Zone {
 		peer.crossedZoneAt = d.now
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -30,7 +30,7 @@
 	nextMember   int                          // index in members of the last worker reindexed in rotation
 	dirty        []*worker                    // workers that changed since their index key was computed
 	nodeBuffer   []*bucketqueue.Node[*worker] // buffer of appendSmallest, reused to save allocations
-	workerBuffer []*worker                    // latest shortlist; its memory is reused
+	workerBuffer []*worker                    // the latest shortlist, whose memory the next one reuses
 }
 
 // groupQueue holds the workers of one group (one zone and kind) by index key.
@@ -95,7 +95,8 @@
 	return x
 }
 
-// dropEmptyQueues removes the queues of groups that have no worker in the subset any more.
+// dropEmptyQueues removes the queues of groups (workers of one zone and kind) that have no worker in the
+// subset any more.
 func (x *index) dropEmptyQueues() {
 	remaining := x.queues[:0]
 	for _, s := range x.queues {
@@ -110,8 +111,8 @@
 }
 
 // indexKey computes the index key of a worker: the cost of a job of mean work there, without the part of the
-// cost that all workers of the group share. The key only determines which workers selectWorker examines
-// first.
+// cost that all workers of the same zone and kind share. The key only determines which workers selectWorker
+// examines first.
 func (d *Dispatcher) indexKey(w *worker) int {
 	if !d.usable(w) || d.slowStartSince(w) != 0 && !w.unreachable && !d.isSlowStartOwner(w) {
 		return unusableWorkerKey
@@ -160,7 +161,7 @@
 		if kind >= 0 && kind != s.key.kind {
 			continue
 		}
-		limit := shortlistPerGroup // groups of the own zone keep this limit if CrossZonePrice is set
+		limit := shortlistPerGroup // the limit for groups of this dispatcher's zone if CrossZonePrice is set
 		if s.key.zone != d.settings.Zone || d.settings.CrossZonePrice == 0 {
 			limit = max(2, min(shortlistPerGroup, shortlistTotal/len(x.queues)))
 		}
--- a/internal/dispatch/index_test.go
+++ b/internal/dispatch/index_test.go
@@ -157,7 +157,7 @@
 type fleetResult struct {
 	mean, p99 float64 // seconds from the arrival of a job to the start of an attempt
 	notServed float64 // fraction of the jobs that were refused or failed
-	spread    float64 // standard deviation of the workers' utilization, divided by its mean
+	spread    float64 // standard deviation of the workers' utilization, divided by the mean utilization
 	examined  float64 // mean number of workers examined for a job
 }
 
@@ -561,7 +561,7 @@
 	before := b.d.workersExamined
 	sent := actionsOfKind(b.end(1, 0, Failed), Send)
 	if len(sent) != 1 || sent[0].Worker != sameCell[0].entry.Worker {
-		t.Errorf("got repeats %v, want one on worker %d, the only usable one of the job's cell",
+		t.Errorf("got sends of the repeat %v, want one to worker %d, the only usable one of the job's cell",
 			sent, sameCell[0].entry.Worker)
 	}
 	if n := b.d.workersExamined - before; n > 16 {
@@ -605,7 +605,7 @@
 	}
 	b.d.inspect()
 	if b.d.panicMode || b.d.countOutliers() != 80 {
-		t.Errorf("got %d outliers (suspect or ejected) of 200 workers, panic mode %v, want 80 and false",
+		t.Errorf("got %d outliers (suspect or ejected) of 200 workers, panic mode = %v, want 80 and false",
 			b.d.countOutliers(), b.d.panicMode)
 	}
 	for _, w := range b.d.ordered {
@@ -614,7 +614,7 @@
 	}
 	b.d.inspect()
 	if !b.d.panicMode || b.d.countOutliers() != 200 {
-		t.Errorf("got %d outliers (suspect or ejected) of 200 workers, panic mode %v, want 200 and true",
+		t.Errorf("got %d outliers (suspect or ejected) of 200 workers, panic mode = %v, want 200 and true",
 			b.d.countOutliers(), b.d.panicMode)
 	}
 	b.now += second / 100
--- a/internal/dispatch/no_gossip_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -92,8 +92,8 @@
 }
 
 // All workers of the fleet restart. A worker in slow start gets jobs only from its owners: several of the
-// dispatchers that have the worker in their subsets. With a single owner for each of the 60 workers, at most
-// 60 of the 80 dispatchers could send their jobs.
+// dispatchers that have the worker in their subsets. If a single dispatcher were the owner of each of the 60
+// workers, at most 60 of the 80 dispatchers could send their jobs.
 func TestDispatchersWithoutGossipAllUseAFleetInSlowStart(t *testing.T) {
 	list := testFleet(60)
 	all := startDispatchers(t, 80, list, alternatingZone, func(s *Settings) {
@@ -166,7 +166,7 @@
 			Report: Report{FreeKnown: true, Free: 2, Outstanding: -1, Errors: 1.5}})
 		for id := JobID(2); b.now < 107*second; id++ {
 			if b.serve(id, func(*worker) Micros { return second / 500 }) == failing {
-				t.Errorf("first job ended by %s: got a job sent to the failing worker %v us later, want none for 7 s",
+				t.Errorf("case first job ends by %s: got a job sent to the failing worker %v us later, want none for 7 s",
 					name, b.now-100*second)
 				break
 			}
@@ -190,8 +190,9 @@
 	b.want(b.arrive(1, 0), Send, 1)
 }
 
-// A job that is cancelled before its start does not show how long the job would have waited. The worker is as
-// full as a worker where a job starts late, so the time until the cancellation must count as a wait.
+// If a job is cancelled before its start, the time until the cancellation must count as a wait at the worker.
+// The job would have waited even longer, by an unknown time, but a worker where a job does not start is as
+// full as a worker where a job starts late.
 func TestDispatcherWithoutGossipLearnsFromAJobThatNeverBegan(t *testing.T) {
 	b := startDispatcher(t, 80, 3, testFleet(60), 0, largeFleetWithoutGossipSettings)
 	w := b.d.workers[actionsOfKind(b.arrive(1, 2), Send)[0].Worker]
@@ -203,10 +204,10 @@
 }
 
 // simulateRestartedFleet simulates many dispatchers without gossip while three in five workers restart.
-// Traffic is uneven over the dispatchers, each dispatcher learns of the restarts at its own time, and some
-// dispatchers restart, too. The result is the largest work sent to a worker within an overload window, as a
-// fraction of the slow-start limit for all dispatchers together. Only overload windows count in which at
-// least two thirds of the sends came from dispatchers whose lists show the restart.
+// Traffic is uneven over the dispatchers, each dispatcher receives the worker list with the restarts at a
+// different time, and some dispatchers restart, too. The result is the largest work sent to a worker within
+// an overload window, as a fraction of the slow-start limit for all dispatchers together. Only overload
+// windows count in which at least two thirds of the sends came from dispatchers whose lists show the restart.
 func simulateRestartedFleet(t *testing.T, dispatchers, workers int, seed uint64) float64 {
 	const work, slots, tick, length = 400_000, 2, second / 50, 6 * second
 	configure := func(s *Settings) {
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -38,7 +38,8 @@
 	switch e.Outcome {
 	case OK:
 		if w.unreachable {
-			// The worker was unreachable and now answers, so it has restarted, even if the list does not say so.
+			// The worker was unreachable and now answers, so it has restarted, even if the worker list does not show a
+			// restart.
 			w.inferredStart, w.unreachable = d.now, false
 		}
 		w.consecutiveFailures = 0
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -101,9 +101,11 @@
 		d.choiceJitter(w), true
 }
 
-// crossZoneJustified reports whether the value that a job risks by waiting for a worker of this dispatcher's
-// zone exceeds the price of an attempt in another zone. The risk is estimated from the expected time until a
-// slot in this dispatcher's zone becomes free, compared with the time until the job's latest start.
+// crossZoneJustified reports whether a job may be sent to another zone instead of waiting for a worker of
+// this dispatcher's zone. Waiting costs the value that the job loses if it misses its objective, times the
+// risk of a miss. The risk is the expected time until a slot in this dispatcher's zone becomes free, as a
+// fraction of the time until the job's latest start, and at most 1. An attempt in another zone costs
+// CrossZonePrice, in multiples of the mean job's value. The result is true if waiting costs more.
 func (d *Dispatcher) crossZoneJustified(j *job) bool {
 	justified := func(local float64) bool {
 		risk := 1.0
@@ -132,9 +134,9 @@
 	return d.attemptAllowed(j, w) && d.slowStartAllows(j, w)
 }
 
-// usable reports whether any job may be sent to a worker now: the worker is ready, the list is current, and
-// the worker is not at capacity, ejected or suspect. In panic mode ejected and suspect workers are usable,
-// too.
+// usable reports whether any job may be sent to a worker now: the worker is ready, the worker list is
+// current, and the worker is not at capacity, ejected or suspect. In panic mode ejected and suspect workers
+// are usable, too.
 func (d *Dispatcher) usable(w *worker) bool {
 	if w.entry.Status != Ready || d.endpointsStale() || d.now < w.blockedUntil {
 		return false
--- a/internal/dispatch/polling.go
+++ b/internal/dispatch/polling.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// This file computes when the worker list is polled and how long an update of the list stays valid. It makes
-// no dispatch decisions.
+// This file computes when the worker list is polled and how long an update of the worker list stays valid. It
+// makes no dispatch decisions.
 
 const (
 	// pollServiceTime is the approximate time, in microseconds, that the discovery service spends on one poll.
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -11,8 +11,8 @@
 // gets one final answer in time, that an attempt that may have run is repeated only as its class allows, that
 // nothing is sent to a worker that drains or is removed, and that a worker in slow start gets no more than
 // its slow-start budget. The checks use the records of the checker. Only two facts are read from the
-// dispatcher: whether a worker is in slow start, and whether this dispatcher may send to it then, as its
-// owner.
+// dispatcher: whether a worker is in slow start, and whether the dispatcher is then the worker's owner, which
+// may send to the worker.
 type ruleChecker struct {
 	t         *testing.T
 	r         *rand.Rand
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -18,7 +18,7 @@
 	progress       float64 // fraction of the job's work, 0 to 1, that the speed estimates already include
 	inFlight       bool    // the attempt was sent and its end is not known
 	mayHaveRun     bool    // the attempt ended with an outcome after which the job may have run
-	handedBack     bool    // the worker handed the job back and may repeat this report for a later attempt
+	handedBack     bool    // the worker handed the job back; it may report so again during a later attempt
 	slotsAtSend    float64 // known slots in use at the worker just after the send, with this attempt's slots
 	startOverdue   bool    // no start was reported within startReportTimeout
 }
@@ -43,7 +43,7 @@
 	finished      bool       // the job has its final answer, or its client has disconnected
 }
 
-// worker holds what the dispatcher knows of a worker of the list.
+// worker holds what the dispatcher knows of a worker of the worker list.
 type worker struct {
 	// The fields that each update of the worker list touches come first, so that they share a few cache lines.
 	entry      WorkerEntry // latest entry of the worker list
@@ -54,24 +54,24 @@
 	covered    bool        // this dispatcher's interval of the ring covers the worker
 	inSubset   bool        // the worker is in this dispatcher's subset
 	lastUpdate uint64      // number of the last list update that named the worker
-	removedAt  Micros      // time when the list first showed the worker as removed; 0 while it is not removed
+	removedAt  Micros      // time when the worker list first showed the worker as removed; 0 if not removed
 
 	ringPosition float64                // position on the ring, see workerRingPosition
 	ringVersion  uint64                 // generation of ringGroup for which ringPosition is valid; 0 for none
 	ringGroup    *subset.Group[*worker] // ready workers of the same zone and kind; nil while not ready
 
-	attempts          []*attempt // own attempts in flight at the worker
-	ownSlots          float64    // slots of the worker that the own attempts in flight take
-	unstartedAttempts int        // number of own attempts in flight without a known start
+	attempts          []*attempt // attempts of this dispatcher in flight at the worker
+	ownSlots          float64    // slots of the worker that this dispatcher's attempts in flight take
+	unstartedAttempts int        // number of this dispatcher's attempts in flight without a known start
 
 	slotLimit     float64 // number of slots that may be filled; used if workers report no starts
 	slotLimitAt   Micros  // time when a send, an outcome or a load report last set slotLimit
 	reportedSlots float64 // running mean of free slots plus jobs in flight in load reports; 0 if unknown
 	blockedUntil  Micros  // time until which no job is sent after the outcome AtCapacity or HandedBack
-	// startCountsBySlots counts how own jobs started, by the number of slots in use when a job was sent. It is
-	// nil until the first own job is counted.
+	// startCountsBySlots counts how this dispatcher's jobs at the worker started, promptly or delayed, by the
+	// number of slots in use when a job was sent. It is nil until the first job is counted.
 	startCountsBySlots *[maxTrackedSlots + 1]startCounts
-	speed              speedEstimate // speed of the worker in this dispatcher's own runs
+	speed              speedEstimate // speed of the worker in the runs of this dispatcher's jobs
 	startWait          waitEstimate  // waits of this dispatcher's jobs at the worker before their start
 
 	lastSeen            Micros  // time of the last sign of life, see markAlive
@@ -84,7 +84,7 @@
 	unreachable         bool    // connects failed; the worker counts as just started until an attempt succeeds
 	ejectedUntil        Micros  // time when the ejection ends; 0 if the worker never was ejected
 
-	inferredStart     Micros  // time of the first answer after failed connects; 0 if there was none
+	inferredStart     Micros  // time of the worker's first answer after failed connects; 0 if there was none
 	slowStartBudget   float64 // work in microseconds that may be sent during slow start, at slowStartBudgetAt
 	slowStartBudgetAt Micros  // time of the last refill of slowStartBudget; 0 if never computed
 
@@ -102,10 +102,10 @@
 
 // slotUse is a dispatcher's use of a worker, in slots.
 type slotUse struct {
-	used, waiting byte // slots of all jobs in flight, and slots of those jobs that wait for their start
+	used, waiting byte // slots of all jobs in flight at the worker, and slots of those that wait for their start
 }
 
-// peerUse is a peer's use of a worker as the peer last reported it.
+// peerUse is a peer's use of a worker, in slots, as the peer last reported this use.
 type peerUse struct {
 	slotUse
 	peer          int    // number of the peer
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -9,7 +9,7 @@
 	maxPlacementMisses = 8
 
 	// feasibleRunFraction is the fraction of a queued job's expected run time that must still fit before its
-	// objective. It is below 1 because run times are rough estimates.
+	// objective. The fraction is below 1 because run times are rough estimates.
 	feasibleRunFraction = 0.7
 
 	// lateOffset is added to the latest start of late jobs, in microseconds, so that they sort behind all jobs
@@ -39,7 +39,8 @@
 	return 2*d.settings.Granularity + d.inspectionInterval()
 }
 
-// inspectionInterval returns the time between two calls of inspect while jobs are queued, in microseconds.
+// inspectionInterval returns the time in microseconds between two calls of inspect while jobs are queued.
+// inspect finds what no event reports, such as queued jobs near their deadline and silent workers.
 func (d *Dispatcher) inspectionInterval() Micros { return 4 * d.settings.Granularity }
 
 // expire handles a queued job that is about to reach its deadline or can no longer meet its objective. The
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -230,8 +230,8 @@
 	}
 }
 
-// Polls that put no load on discovery, such as polls of a local agent, are not delayed. Even after hundreds
-// of failed polls at most half a second passes before the next poll.
+// Polls that put no load on discovery, such as polls of a discovery agent on the same machine, are not
+// delayed. Even after hundreds of failed polls at most half a second passes before the next poll.
 func TestUnmeteredPollsDoNotWait(t *testing.T) {
 	for _, dispatchers := range []int{1, 300} {
 		s := testSettings()
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -49,9 +49,10 @@
 	return w.slowStartBudget >= min(d.slowStartCost(j), limit)
 }
 
-// isSlowStartOwner reports whether this dispatcher owns a worker in slow start and may send to it. A
-// dispatcher whose Index is not below Dispatchers owns no worker, because the other dispatchers do not count
-// such a dispatcher when they divide the budget among the owners.
+// isSlowStartOwner reports whether this dispatcher is an owner of a worker in slow start, that is, one of the
+// dispatchers that may send to the worker then. A dispatcher whose Index is not below Dispatchers owns no
+// worker, because the other dispatchers do not count such a dispatcher when they divide the budget among the
+// owners.
 func (d *Dispatcher) isSlowStartOwner(w *worker) bool {
 	if d.largeFleetWithoutGossip() && d.settings.Index < d.settings.Dispatchers {
 		return d.ringDistance(d.position, w) < d.ringCoverage*d.slowStartOwnerCount(w)/d.dispatchersPerWorker()
@@ -59,10 +60,10 @@
 	return d.isOwnerByNumber(w)
 }
 
-// isOwnerByNumber reports whether this dispatcher owns a worker by the worker's number, whatever the worker's
-// position on the ring. The owner may send to the worker while the worker is in slow start. The result is
-// false in a large fleet without gossip, where ownership depends on the ring position and the interval of an
-// owner always covers the worker.
+// isOwnerByNumber reports whether this dispatcher is the owner of a worker by the worker's number, whatever
+// the worker's position on the ring. The owner may send to the worker while the worker is in slow start. The
+// result is false in a large fleet without gossip, where ownership depends on the ring position and the
+// interval of an owner always covers the worker.
 func (d *Dispatcher) isOwnerByNumber(w *worker) bool {
 	source := random(w.entry.Worker)
 	return !d.largeFleetWithoutGossip() &&
@@ -71,15 +72,16 @@
 
 // refillSlowStartBudget updates the budget of a worker in slow start to the present time and returns the
 // limit up to which budget may be saved. The refill within one overload window and the saved budget (see
-// slowStartRate) together stay below the work that the settings allow in a window. A job that costs more than
-// the limit may be sent when the budget is full; the budget is negative afterwards and has to be refilled
-// before the next job. Shortly after a start of this dispatcher the budget begins empty, because the jobs
-// that it sent before the start are unknown.
+// slowStartRate) together stay below the work that the settings allow in an overload window. A job that costs
+// more than the limit may be sent when the budget is full; the budget is negative afterwards and has to be
+// refilled before the next job. Shortly after a start of this dispatcher the budget begins empty, because the
+// dispatcher does not know the jobs that it sent before the start.
 func (d *Dispatcher) refillSlowStartBudget(w *worker) float64 {
 	windowBegan := d.slowStartFraction(d.slowStartSince(w) + d.settings.OverloadWindow)
 	rate := d.slowStartRate(w) * windowBegan
 	if w.unreachable {
-		// Every dispatcher may try whether the worker is reachable again, so the rate is divided among all of them.
+		// Every dispatcher may try whether the worker is reachable again, so the rate is divided among all
+		// dispatchers.
 		rate /= 2 * float64(d.settings.Dispatchers)
 	} else {
 		rate /= d.slowStartOwnerCount(w)
@@ -101,8 +103,8 @@
 
 // slowStartRate returns the work per unit of time that a worker of full capacity may be sent under the limits
 // of slow start; refillSlowStartBudget multiplies the rate by the fraction of its full capacity that the
-// worker has now. The rate of a single owner is halved, because the saved budget of a whole overload window
-// may come on top of the refill.
+// worker has now. If a single dispatcher, the owner, may send to the worker, its rate is halved, because the
+// saved budget of a whole overload window may come on top of the refill.
 func (d *Dispatcher) slowStartRate(w *worker) float64 {
 	budgetFraction := slowStartBudgetFraction / 2
 	if d.largeFleetWithoutGossip() {
@@ -111,10 +113,10 @@
 	return budgetFraction * d.settings.OverloadFactor * max(1, d.kindOf(w).maxBusySlots) * d.warmSpeed(w)
 }
 
-// slowStartOwnerCount returns how many dispatchers own a worker in slow start. Each owner has an equal part
-// of the budget. In a large fleet without gossip there are as many owners as can each send one job of typical
-// work within an overload window, in which the refill and the saved budget together are 1.5 times
-// slowStartRate.
+// slowStartOwnerCount returns how many dispatchers are owners of a worker in slow start, that is, may send to
+// it. Each owner has an equal part of the budget. In a large fleet without gossip there are as many owners as
+// can each send one job of typical work within an overload window, in which the refill and the saved budget
+// together are 1.5 times slowStartRate.
 func (d *Dispatcher) slowStartOwnerCount(w *worker) float64 {
 	if !d.largeFleetWithoutGossip() {
 		return 1
--- a/internal/dispatch/slowstart_stated_test.go
+++ b/internal/dispatch/slowstart_stated_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Settings may state fewer dispatchers than are running. If a dispatcher beyond the stated number were an
-// owner of workers in slow start, that is, might send to them, the owners' parts of a worker's slow-start
-// budget would add up to more than the budget. With twice as many dispatchers running as stated, that fault
-// let workers get up to 1.70 times their slow-start limit, and more than the limit in 24 of 65 simulations.
+// Settings may state fewer dispatchers than are running. If those beyond the stated number owned workers in
+// slow start (might send to them), the owners' parts of a worker's slow-start budget would exceed the budget.
+// With twice the stated number running, this fault let workers get up to 1.70 times their slow-start limit,
+// and more than the limit in 24 of 65 simulations.
 func TestDispatcherBeyondTheStatedNumberOwnsNone(t *testing.T) {
 	list := testFleet(60)
 	for _, stated := range []int{1, 8, 9, 30} {
@@ -23,12 +23,13 @@
 			}
 			ownedByAll += owned
 			if i >= stated && owned > 0 {
-				t.Errorf("dispatcher %d owns %d workers in slow start, want none as the settings state %d dispatchers",
+				t.Errorf("dispatcher %d may send to %d workers in slow start, want 0, as settings state %d dispatchers",
 					i, owned, stated)
 			}
 		}
 		if ownedByAll == 0 {
-			t.Errorf("%d dispatchers stated: got no owner of any worker in slow start, want owners", stated)
+			t.Errorf("settings state %d dispatchers: got none that may send to workers in slow start, want some",
+				stated)
 		}
 	}
 }
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -8,8 +8,8 @@
 )
 
 // The tests in this file simulate many dispatchers without gossip whose workers restart. Each dispatcher has
-// its own worker list and learns of a restart at its own time. The tests check the slow-start limit: all
-// dispatchers together must not send a worker in slow start more work within an overload window than that
+// its own worker list, and the lists show a restart at different times. The tests check the slow-start limit:
+// all dispatchers together must not send a worker in slow start more work within an overload window than that
 // worker's limit.
 
 // deployment describes a deployment: its settings, classes and machines.
@@ -145,7 +145,7 @@
 		(1-settings.SlowStartInitial)*float64(max(0, since))/float64(settings.SlowStart))
 }
 
-// run simulates the case and returns its result.
+// run simulates the case and returns the result of the simulation.
 func (c *rampCase) run(t *testing.T) rampResult {
 	deployed, source := c.deployment, random(c.seed*7919)
 	applySettings := func(s *Settings) {
@@ -289,7 +289,8 @@
 			if restartAt[i] != 0 && restartAt[i] <= now {
 				restartAt[i] = 0
 				for _, r := range runs {
-					// The connections of the restarting dispatcher close, and the workers abandon its attempts.
+					// The connections of the restarting dispatcher close, and the workers abandon that dispatcher's
+					// attempts.
 					if r.dispatcher == i && !r.ended {
 						r.ended = true
 						if r.endsAt != 0 {
@@ -404,8 +405,8 @@
 			if first.at < start || first.at >= nextStart || first.at-start >= settings.SlowStart {
 				continue
 			}
-			// The limit is based on the worker's capacity at the beginning of the window, which is the strictest
-			// interpretation: the capacity grows during the window.
+			// The limit is based on the worker's capacity at the beginning of the overload window, which is the
+			// strictest interpretation: the capacity grows during the window.
 			meanRequests := c.deployment.slowStartFraction(settings, first.at-start) * c.deployment.cores *
 				settings.OverloadFactor * float64(settings.OverloadWindow) / c.deployment.meanRequestWork()
 			limit := (meanRequests + 2*math.Sqrt(meanRequests) + 2) * c.deployment.meanRequestWork()
@@ -428,8 +429,8 @@
 
 // runCases simulates each named deployment at each size, a pair of the numbers of dispatchers and workers,
 // and checks the slow-start limit of each worker. In no overload window may the dispatchers whose lists show
-// the worker's restart send more than the limit. In windows in which over two thirds of the work comes from
-// these dispatchers, all dispatchers together may not exceed the limit, either.
+// the worker's restart send more than the limit. In overload windows in which over two thirds of the work
+// comes from these dispatchers, all dispatchers together may not exceed the limit, either.
 func runCases(t *testing.T, deploymentNames string, seeds int, cases []rampCase, sizes ...[2]int) {
 	for s := range allDeployments {
 		if !strings.Contains(deploymentNames, allDeployments[s].name) {
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -18,7 +18,7 @@
 
 	eventCount uint64 // number of events so far; identifies the event for which a cached value was computed
 	timerToken uint64 // token of the latest timer; a timer event with another token is ignored
-	timerDueAt Micros // time when the pending timer fires; 0 if no timer is pending
+	timerDueAt Micros // time when the timer of the last SetTimer fires; 0 if no timer is set
 	loggedAt   Micros // time of the last log action; 0 if there was none
 
 	jobState
@@ -48,7 +48,7 @@
 	// isOwnerByNumber) but that its interval of the ring does not cover, in the order of compareWorkers.
 	ownedNotCovered []*worker
 	removed         []removedWorker // removed workers whose records are still kept, earliest removal first
-	busy            []*worker       // workers with own attempts in flight
+	busy            []*worker       // workers with attempts of this dispatcher in flight
 	gossipQueue     []*worker       // workers whose slot use may have to be reported to peers
 
 	position     float64 // this dispatcher's position on the ring, from 0 to 1
@@ -57,7 +57,8 @@
 	peers        []peer  // records of all dispatchers, this one included, by dispatcher number
 }
 
-// endpointState describes the worker list itself: its updates and its age.
+// endpointState describes the worker list itself: its updates and the time as of which discovery last
+// confirmed it.
 type endpointState struct {
 	updatedBuffer []*worker // buffer for the workers that an update names; reused to save allocations
 	updateCount   uint64    // number of updates of the worker list so far
@@ -76,16 +77,16 @@
 	cachedBestSpeed float64             // result of bestSpeed in the current event; 0 if not computed yet
 	fastestWorker   *worker             // worker with the best speed in the last search; nil if not known
 	meanJobValue    float64             // running mean of the value of arriving jobs, see Dispatcher.value
-	hintsSeen       bool                // at least one job arrived with a hint of its work
+	hintsSeen       bool                // at least one job has arrived with a cost hint, its expected run time
 }
 
 // admissionState is the state of the admission control: quotas, overload level and call gapping.
 type admissionState struct {
-	quotaTokens     []float64 // for each tenant: number of jobs that may arrive now within its quota
-	quotaRefilledAt []Micros  // for each tenant: time of the last refill of its quotaTokens
+	quotaTokens     []float64 // for each tenant: number of jobs that may arrive now within the tenant's quota
+	quotaRefilledAt []Micros  // for each tenant: time of the last refill of quotaTokens
 
 	level       overloadLevel
-	gappedRanks int // number of ranks to which call gapping applies now: all ranks below this number
+	gappedRanks int // call gapping applies now to all ranks (priorities) below this number
 
 	// The number of latest calls of overloadAssessment in a row that returned levelSevere, the number of those
 	// that returned levelOverload or levelSevere, and the number of those that returned levelNormal.
--- a/internal/dispatch/state_form.go
+++ b/internal/dispatch/state_form.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// appendEstimates appends the ranks and the records of peers, machine kinds and groups.
+// appendEstimates appends the ranks and the records of peers, of machine kinds and of groups (the workers of
+// one machine kind in one zone).
 func (d *Dispatcher) appendEstimates(f *fingerprint.Buffer) {
 	for _, list := range [][]int{d.neighbours, d.ranks, d.classesByWaitTarget} {
 		for _, n := range list {
@@ -82,12 +83,12 @@
 	}
 }
 
-// compareGroupKeys orders group keys by zone, then by kind.
+// compareGroupKeys orders the keys of worker groups by zone, then by machine kind.
 func compareGroupKeys(a, b groupKey) int {
 	return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.kind, b.kind))
 }
 
-// appendWorker appends the record of a worker, and the attempts in flight there by job and number.
+// appendWorker appends the record of a worker, and the attempts in flight at the worker, by job and number.
 func (d *Dispatcher) appendWorker(f *fingerprint.Buffer, w *worker) {
 	e := &w.entry
 	f.Ints(int64(e.Zone), int64(e.Cell), int64(e.Kind), int64(e.Status), int64(e.Started))
