--- a/internal/connstate/connstate.go
+++ b/internal/connstate/connstate.go
@@ -13,9 +13,9 @@
 // Conn is the state of one connection to a worker. The connection carries one exchange at a time: an
 // attempt, or the cancellation of an attempt. The zero Conn is idle.
 type Conn struct {
-	Attempt    scheduler.AttemptID // Attempt is the attempt of the current exchange.
-	Cancel     bool                // Cancel says that the current exchange is the cancellation of Attempt.
-	Busy       bool                // Busy says that an exchange is in progress.
+	Attempt    scheduler.AttemptID // Attempt is the attempt of the connection's current request.
+	Cancel     bool                // Cancel says that the current request is the cancellation of Attempt.
+	Busy       bool                // Busy says that an attempt or a cancellation is in progress.
 	Reused     bool                // Reused says that the connection carried an earlier exchange.
 	Written    bool                // Written says that the last byte of the current request has been written.
 	ReadClosed bool                // ReadClosed says that the peer closed or reset the connection.
@@ -45,7 +45,7 @@
 	ConnectRefused
 )
 
-// WorkerResponse is a worker's HTTP response to an exchange.
+// WorkerResponse is a worker's HTTP response to an attempt or to a cancellation.
 type WorkerResponse struct {
 	Status     int  // Status is the HTTP status.
 	NotStarted bool // NotStarted says that the worker declares that it did not start the job.
@@ -59,8 +59,8 @@
 	c.Attempt, c.Cancel, c.Busy, c.Written = attempt, cancel, true, false
 }
 
-// Release ends the use of the connection, whether or not an exchange is in progress. Later events of the
-// connection are ignored.
+// Release ends the use of the connection, whether or not an attempt or a cancellation is in progress on it.
+// Later events of the connection are ignored.
 func (c *Conn) Release() { c.Released = true }
 
 // WriteEnded handles the result of writing the request of the current exchange.
@@ -94,8 +94,8 @@
 	return KeepOpen, nil // The later WriteEnded decides between ConnectFailed and Reset.
 }
 
-// end ends the exchange without a response. processExited says that the worker's process no longer exists.
-// There is then nothing to cancel, so a cancellation counts as acknowledged.
+// end ends the current attempt or cancellation without a response. processExited says that the worker's
+// process no longer exists. There is then nothing to cancel, so a cancellation counts as acknowledged.
 func (c *Conn) end(outcome dispatch.Outcome, processExited bool) (Disposition, scheduler.Event) {
 	c.Released, c.Busy = true, false
 	if c.Cancel {
@@ -105,10 +105,11 @@
 }
 
 // ResponseReceived handles a worker's response. A worker may send a response twice, the second time late, and
-// a response does not identify its exchange. Therefore a connection is reused only after an attempt that was
-// accepted (status 202), and on a reused connection only a 202 is believed. A repeated NotStarted response to
-// an earlier attempt would otherwise end the current attempt as not started while it runs. A repeated 202 is
-// harmless: the scheduler waits for callbacks of the current attempt, as it does for each accepted attempt.
+// a response does not say which request it answers. Therefore a connection is reused only after an attempt
+// that was accepted (status 202), and on a reused connection only a 202 is believed. A repeated NotStarted
+// response to an earlier attempt would otherwise end the current attempt as not started while it runs. A
+// repeated 202 is harmless: the scheduler waits for callbacks of the current attempt, as it does for each
+// accepted attempt.
 func (c *Conn) ResponseReceived(a WorkerResponse) (Disposition, scheduler.Event) {
 	switch {
 	case c.Released:
--- a/internal/node/acceptor.go
+++ b/internal/node/acceptor.go
@@ -20,8 +20,8 @@
 // queue.
 func (n *Node) accept() {
 	defer n.serving.Done()
-	// queuedSince is the time since which all client slots have been taken without interruption; 0 if a slot is
-	// free.
+	// queuedSince is the time since which all client slots (one for each open client connection) have been taken
+	// without interruption; 0 if a client slot is free.
 	queuedSince := scheduler.Micros(0)
 	for {
 		since, ok := n.acquireSlot()
@@ -59,7 +59,7 @@
 	switch {
 	case n.ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 		return false
-	// beginDrain set this deadline of the listener to wake accept.
+	// beginDrain set this deadline of the listener to wake the acceptor.
 	case n.closingListener.Load() && errors.Is(err, os.ErrDeadlineExceeded):
 		_ = n.listener.SetDeadline(time.Time{}) // If SetDeadline fails, the next Accept fails as well.
 		return true
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -37,8 +37,9 @@
 	clientClosed struct{ client *client }
 	submission   struct {
 		client *client
-		// receivedAt is the time at which the request was read completely, or queuedSince if the request may have
-		// waited in the listener's queue.
+		// receivedAt is the time from which the client's remaining time counts: the time at which the node had read
+		// the request completely. For the first request of a connection that may have waited in the listener's
+		// queue, receivedAt is the earliest time at which the connection can have entered that queue.
 		receivedAt scheduler.Micros
 		scheduler.Submitted
 	}
@@ -186,7 +187,7 @@
 	if half, ok := c.conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		c.conn.SetReadDeadline(time.Now().Add(lingerTime))
 		// The error is ignored because the connection is closed next, whether the client, the deadline or the limit
-		// ended the copy.
+		// of bytes ended the copy.
 		_, _ = io.Copy(io.Discard, io.LimitReader(c.conn, 4*http1.MaxBodyBytes))
 	}
 }
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -93,7 +93,7 @@
 			took := n.now() - began
 			want := began + 900*millisecond - scheduler.Micros(c.less.Microseconds())
 			if !is || m.Deadline < want || m.Deadline > want+took+scheduler.Micros(c.lag.Microseconds()) {
-				t.Errorf("job deadline %d us after arrival + remaining time - unread time, want 0 to %d us",
+				t.Errorf("got the deadline %d us after the stated time less the unread time, want 0 to %d us",
 					m.Deadline-want, took)
 			}
 		})
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -119,7 +119,7 @@
 		n.onLoop(func() {
 			n.freshness.countApplied(n.now())
 			if k := n.sched.Stats(); k.Attempts != 0 && len(n.attempts) != 0 {
-				t.Errorf("CancelAllowed %v: after the client disconnected the scheduler state is %+v, want no attempt",
+				t.Errorf("case CancelAllowed = %v: after the disconnect the scheduler state is %+v, want no attempt",
 					allowed, k)
 			}
 		})
@@ -262,10 +262,10 @@
 func TestDisconnectInTheAcceptQueueIsSeenFirst(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	n := w.node
-	// After this scenario the acceptor holds the next client slot.
+	// After this scenario the acceptor has acquired a client slot for the connection that comes next.
 	runScenario(t, w, "c1 send GET /_health\nc1 expect 200")
 	releaseSlots := n.takeFreeSlots()
-	// This connection gets the client slot that the acceptor holds.
+	// This connection gets the client slot that the acceptor has acquired in advance.
 	first, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -316,7 +316,7 @@
 	for _, disconnectFirst := range []bool{true, false} {
 		withAndWithoutCancel(t, func(t *testing.T, w *harness) {
 			n := w.node
-			// The node believes a worker's refusal only on a connection that carried no earlier exchange.
+			// The node believes a worker's refusal only on a connection that carried no earlier request.
 			n.onLoop(func() { n.idleTimeout = 0 })
 			for i, way := range disconnectWays {
 				runScenario(t, w, fmt.Sprintf(`
--- a/internal/node/eviction.go
+++ b/internal/node/eviction.go
@@ -45,8 +45,8 @@
 // closes all connections that are older than newConnGrace and never sent a complete request, and all that
 // have been idle for longer than newConnGrace and sent neither an accepted job nor a callback. It closes all
 // of these connections at once, because a thousand more of the kind may be in the listener's queue ahead of
-// established clients. If that does not free enough slots, it closes further idle connections, lowest rank
-// and longest idle first.
+// clients that have sent an accepted job or a callback. If that does not free enough slots, it closes further
+// idle connections, lowest rank and longest idle first.
 func (n *Node) evictClients() {
 	n.evictionRequested.Store(false)
 	free := cap(n.clientSlots) - len(n.clientSlots)
@@ -56,7 +56,7 @@
 		since, rank := c.idleSince.Load(), c.rank.load()
 		switch {
 		case c.ctx.Err() != nil:
-			free++ // The connection is already closing and frees its slot soon.
+			free++ // The connection is already closing and frees its client slot soon.
 		case rank == rankNew && n.now()-c.acceptedAt > newConnGraceMicros,
 			rank == rankRequester && since != 0 && n.now()-scheduler.Micros(since) > newConnGraceMicros:
 			c.evict()
@@ -75,7 +75,8 @@
 	})
 	for _, c := range candidates[:min(len(candidates), n.callbackSlots-free)] {
 		if c.rank.load() == rankEstablished && newConns > 0 {
-			// The new connections can be evicted once newConnGrace has passed, which spares established clients.
+			// The new connections can be evicted once newConnGrace has passed. Waiting for that spares established
+			// clients, which have sent an accepted job or a callback.
 			return
 		}
 		c.evict()
--- a/internal/node/eviction_test.go
+++ b/internal/node/eviction_test.go
@@ -13,9 +13,9 @@
 	"dahliaford/internal/scheduler"
 )
 
-// At the limit of client connections, idle connections are evicted for new connections. While clients with
-// pending jobs hold all client slots except those reserved for callbacks, further jobs are refused and
-// callbacks are still accepted.
+// At the limit of client connections, idle connections are evicted for new connections. While clients whose
+// jobs have no answer yet hold all client slots except those reserved for callbacks, further jobs are refused
+// and callbacks are still accepted.
 func TestSocketBudget(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	script := ""
@@ -41,7 +41,8 @@
 }
 
 // Many clients that send nothing, or stay connected after a health check, must not delay a new job or a
-// callback for long, and must not cause the eviction of an established client.
+// callback for long, and must not cause the eviction of an established client, which is one that has sent an
+// accepted job or a callback.
 func TestManyIdleClients(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	script := `
@@ -70,8 +71,9 @@
 }
 
 // Clients that sent no accepted job and stay connected are evicted all at once. If only a few were evicted at
-// a time, a thousand of them would delay clients in the listener's queue for seconds. Established clients,
-// and connections that are new or idle for less than newConnGrace, are not evicted.
+// a time, a thousand of them would delay clients in the listener's queue for seconds. Two kinds of clients
+// are not evicted: established clients, which have sent an accepted job or a callback, and clients whose
+// connection is new or idle for less than newConnGrace.
 func TestEvictionFreesAllSlotsAtOnce(t *testing.T) {
 	n := &Node{start: time.Now().Add(-time.Minute), ctx: t.Context(), clients: map[*client]bool{},
 		clientSlots: make(chan struct{}, 100), callbackSlots: 4}
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -14,7 +14,7 @@
 	requestID, workerUID string
 	writeBy              scheduler.Micros
 	deadline             scheduler.Micros
-	payload              *payload // payload is nil if the exchange is a cancellation.
+	payload              *payload // payload is nil if the request is a cancellation.
 }
 
 // encode returns the HTTP request of the exchange. An attempt tells the worker the client's remaining time
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -22,7 +22,8 @@
 	// maxStaleness is the time after which a change of the worker list takes effect whether or not this
 	// scheduler has received the change. With 0 a change takes effect only when it is received.
 	maxStaleness scheduler.Micros
-	// listPushed says that an agent pushes worker lists, so a change takes effect at once even without a watch.
+	// listPushed says that a discovery agent on the machine pushes worker lists, so that a change takes effect
+	// at once even without a watch.
 	listPushed bool
 	// pollInterval is the time after which a change of the worker list takes effect while no watch is open; 0 if
 	// the settings state no such time.
@@ -31,9 +32,9 @@
 	mu       sync.Mutex
 	readers  map[*watchReader]bool
 	draining map[string]bool // draining holds the UIDs of the workers that get no new attempts.
-	// postedUpdates counts the updates that watch readers have sent to the event loop.
+	// postedUpdates counts the worker list updates that watch readers have sent to the event loop.
 	postedUpdates  uint64
-	appliedUpdates uint64 // appliedUpdates counts the updates that the event loop has applied.
+	appliedUpdates uint64 // appliedUpdates counts the worker list updates that the event loop has applied.
 	// asOf is the time up to which all changes of the worker list have been applied.
 	asOf scheduler.Micros
 	// validUntil is the time until which attempts may be sent by the present worker list.
@@ -79,9 +80,9 @@
 }
 
 // checkReaders records for each watch reader whether the reader's socket is empty, as allowSend does for each
-// attempt. The guard counts the age of the next update from the last time at which the socket was empty.
-// Without checkReaders a scheduler that sends few attempts would overestimate that age and would treat its
-// worker list as stale too early.
+// attempt. The guard counts the age of the next worker list update from the last time at which the socket was
+// empty. Without checkReaders a scheduler that sends few attempts would overestimate that age and would treat
+// its worker list as stale too early.
 func (g *freshnessGuard) checkReaders(now scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,8 +115,8 @@
 	return min(now, reader.lastEmptyAt+g.drainGrace/2)
 }
 
-// countApplied counts an update that the event loop has applied. asOf is the time that countPosted returned
-// for the update, or 0 if the update is from a watch that has been replaced.
+// countApplied counts a worker list update that the event loop has applied. asOf is the time that countPosted
+// returned for the update, or 0 if the update is from a watch that has been replaced.
 func (g *freshnessGuard) countApplied(asOf scheduler.Micros) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,7 +138,8 @@
 	case unreadable:
 		g.validUntil = 0
 	case lastEmpty == 0:
-	// A change of the worker list takes effect when the agent receives the change, with or without a watch.
+	// A change of the worker list takes effect when the discovery agent on the machine receives the change, with
+	// or without a watch.
 	case g.listPushed:
 		g.validUntil = min(g.validUntil, lastEmpty+g.drainGrace)
 	// Without a watch a change of the worker list takes effect pollInterval after the change was made.
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -63,7 +63,7 @@
 	guard.setDraining("r1", false)
 	want("back", "r1", nil)
 	if clock += 6*second + 1; !errors.Is(guard.allowSend("r1", clock), errListStale) {
-		t.Error("maxStaleness after the last update of the worker list allowSend did not return errListStale")
+		t.Error("maxStaleness after the last update of the worker list, allowSend did not return errListStale")
 	}
 	guard.countPosted(reader, clock)
 	guard.countApplied(clock)
@@ -72,8 +72,8 @@
 	want("watch closed by an unreadable update", "r1", errListStale)
 }
 
-// The age of an update counts from the earliest time at which discovery can have written the update, not from
-// the time at which the update was read.
+// The age of a worker list update counts from the earliest time at which discovery can have written the
+// update, not from the time at which the update was read.
 func TestUpdateAgeCountsFromTheEarliestWrite(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	for name, c := range map[string]struct{ empty, read, want scheduler.Micros }{
@@ -190,9 +190,9 @@
 	}
 }
 
-// A zone is removed by one update for each of its workers. While updates are pending, the guard rejects
-// attempts to all workers. It reports a worker as draining once that worker's update is applied. After the
-// last update the remaining workers may get attempts.
+// A zone is removed by one update for each of its workers. While an update has arrived but is not applied,
+// the freshness guard rejects attempts to all workers. The guard reports a worker as draining once that
+// worker's update is applied. After the last update the remaining workers may get attempts.
 func TestNoSendWhileZoneUpdatesAreApplied(t *testing.T) {
 	const zone, rest = 514, 30
 	w := newHarness(t, 0, "r1")
@@ -210,7 +210,7 @@
 	}
 	n.onLoop(func() {
 		n.freshness.mu.Lock()
-		clear(n.freshness.readers) // Without readers only the updates that this test posts affect the guard.
+		clear(n.freshness.readers) // Without watch readers only the updates of this test affect the guard.
 		n.freshness.mu.Unlock()
 		if err := n.onWatchUpdate(update(10, true, all...)); err != nil {
 			t.Error(err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,7 +77,7 @@
 	log      *slog.Logger
 	listener *net.TCPListener
 	start    time.Time
-	epoch    scheduler.Micros // epoch is the field start, converted to the scheduler's clock.
+	epoch    scheduler.Micros // epoch is the field start on the scheduler's clock, in us of Unix time.
 	// readinessTimeout is the time from the node's start after which the health check succeeds even without a
 	// worker list.
 	readinessTimeout time.Duration
@@ -89,8 +89,8 @@
 	// idleTimeout is how long an idle connection to a worker can be reused before the event loop closes it.
 	idleTimeout    scheduler.Micros
 	maxWorkerConns int
-	// callbackSlots is the number of client slots reserved for callbacks; clients with a pending job get the
-	// others.
+	// callbackSlots is the number of client slots reserved for callbacks. The other slots may be held by clients
+	// that wait for the answer to a job.
 	callbackSlots int
 	dial          dialFunc        // dial replaces dialTCP in tests; it is nil otherwise.
 	ctx           context.Context // ctx is cancelled when the event loop ends.
@@ -140,8 +140,8 @@
 	idleConns map[string][]*workerConn
 	// attempts maps an attempt to the connection that carries the attempt or its cancellation.
 	attempts map[scheduler.AttemptID]*workerConn
-	// lastCancelledUnsent is the last attempt whose connection was closed before any byte of the attempt was
-	// sent.
+	// lastCancelledUnsent is the last attempt that closeAttemptConn cancelled, by closing its connection, before
+	// any byte of the attempt was sent. A cancellation of this attempt need not be sent to the worker.
 	lastCancelledUnsent scheduler.AttemptID
 	openWorkerConns     int
 	cancellations       int // cancellations counts the cancellations in progress.
@@ -216,7 +216,7 @@
 	return n.start.Add(time.Duration(t-n.epoch) * time.Microsecond)
 }
 
-// Stop requests a shutdown: Run returns once all pending jobs have been answered.
+// Stop requests a shutdown: Run returns once all accepted jobs have been answered.
 func (n *Node) Stop() { n.post(scheduler.ShutdownRequested{}) }
 
 // Reload applies a new configuration. Only the address of the discovery service can change.
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -72,7 +72,7 @@
 					}
 					if answered := time.Since(n.start); r.Status == 200 {
 						if answered < min(deadline, maxReadinessTimeout) {
-							t.Errorf("ready %v after the node's start, want ready only after the shortest class deadline",
+							t.Errorf("the node is ready %v after its start, want it ready only after the shortest class deadline",
 								answered)
 						}
 						break
--- a/internal/node/remaining_test.go
+++ b/internal/node/remaining_test.go
@@ -31,7 +31,7 @@
 	}
 	writer := attemptWriter{conn: c, exchange: e}
 
-	// Until this update is applied, the guard rejects the attempt.
+	// Until this worker list update is applied, the freshness guard rejects the attempt.
 	n.freshness.countPosted(&watchReader{lastEmptyAt: began}, began)
 	if err := raw.Write(writer.writeReady); err != nil || !errors.Is(writer.blockReason, errUpdatePending) {
 		t.Fatalf("write before the update is applied: error %v, block reason %v, want nil and errUpdatePending",
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -16,7 +16,9 @@
 func TestAcceptQueueIsServedAtShutdown(t *testing.T) {
 	w := newHarness(t, minDescriptors, "r1")
 	n := w.node
-	first, err := net.Dial("tcp", n.Addr().String()) // After this dial the acceptor holds the next client slot.
+	// Once the acceptor has accepted this connection, it acquires another client slot for the connection that
+	// comes next.
+	first, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,8 +51,8 @@
 	}
 }
 
-// A node that stops has no pending jobs and has closed its listener when the rest of a request arrives on an
-// open connection. The request must still be answered.
+// A node that stops has answered all jobs and has closed its listener when the rest of a request arrives on
+// an open connection. The request must still be answered.
 func TestRequestCrossesTheEnd(t *testing.T) {
 	w := newHarness(t, 0, "r1")
 	conn, err := net.Dial("tcp", w.node.Addr().String())
@@ -86,7 +88,8 @@
 	}
 }
 
-// waitRefusing waits until a node that stops refuses new jobs while jobs or cancellations are still pending.
+// waitRefusing waits until a node that stops refuses new jobs while earlier jobs have no answer yet or
+// cancellations are in progress.
 func (n *Node) waitRefusing(t *testing.T) {
 	t.Helper()
 	n.waitFor(t, "refusing", func() bool { return n.draining.Load() && n.drainDeadline == nil })
@@ -153,7 +156,7 @@
 }
 
 // In each stage of the shutdown each kind of event is handled: every client gets an answer, and the node ends
-// when all pending jobs are answered, as it does without the event.
+// when all accepted jobs are answered, as it does without the event.
 func TestEventsInEachStageOfShutdown(t *testing.T) {
 	for _, s := range shutdownStages {
 		for event, happen := range map[string]string{
@@ -175,8 +178,9 @@
 		} {
 			switch {
 			case s.name == "closing" && (event == "a callback" || event == "a late client"):
-				// The scripts of the stage closing contain a callback and a late client already, because the listener may
-				// be closed in this stage.
+				// This case is skipped, because the listener may be closed in the stage closing, so that no new
+				// connection is possible. The finish script of the stage instead completes a callback and a late client's
+				// job on connections that it opened before the stop.
 				continue
 			case s.name == "still accepting jobs" && event == "a late client":
 				// While the node still accepts jobs it serves the late client, see
--- a/internal/node/validity_test.go
+++ b/internal/node/validity_test.go
@@ -58,9 +58,9 @@
 	return until
 }
 
-// Where an agent pushes worker lists, a change takes effect when the agent receives the change, even if the
-// node has no watch. So after a watch is reset, the node sends attempts for at most the drain grace, until a
-// new watch has sent a list.
+// Where a discovery agent on the machine pushes worker lists, a change takes effect when the agent receives
+// the change, even if the node has no watch. So after a watch is reset, the node sends attempts for at most
+// the drain grace, until a new watch has sent a list.
 func TestPushedListsExpireAfterTheGraceWithoutAWatch(t *testing.T) {
 	w := newWatchHarness(t, true, 10*second)
 	runScenario(t, w, "discovery close reset")
@@ -74,7 +74,7 @@
 		discovery expect GET /catalog/members?watch=1&from=5
 		discovery send head`)
 	if got := w.node.freshness.allowSend("r1", w.node.now()); !errors.Is(got, errListStale) {
-		t.Errorf("more than the drain grace after the watch was reset allowSend returned %v, want errListStale",
+		t.Errorf("later than the drain grace after the watch was reset, allowSend returned %v, want errListStale",
 			got)
 	}
 	// The decision module must queue the job, and not start attempts that the guard rejects.
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -78,7 +78,8 @@
 	asOf := e.AsOf
 	late := n.now() - m.readAt
 	if m.readAt != 0 && late > n.freshness.drainGrace/2 && n.freshness.drainGrace > 0 {
-		n.log.Warn("worker list update applied late", "rev", e.List.Revision, "ms", late/millisecond)
+		n.log.Warn("worker list update applied later than half the drain grace after it was read",
+			"rev", e.List.Revision, "ms", late/millisecond)
 	}
 	if m.watch == n.watch {
 		n.listReceived.Store(true)
--- a/internal/node/watch_reader_test.go
+++ b/internal/node/watch_reader_test.go
@@ -9,8 +9,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// A watch's reader that got no processor time finds its read deadline expired and an update in the socket. It
-// must return the update before it reports the deadline.
+// A watch's reader that got no processor time finds its read deadline expired and an update in the socket.
+// The reader must return the update before it reports the deadline.
 func TestReadDeadlineDoesNotSkipAnUpdate(t *testing.T) {
 	guard := newFreshnessGuard(500*millisecond, 6*second)
 	ours, theirs := loopbackPair(t)
--- a/internal/node/watch_stream.go
+++ b/internal/node/watch_stream.go
@@ -21,9 +21,9 @@
 	// watchOpenTimeout is how long discovery may take to respond to the request for a watch. Discovery fails
 	// requests that wait longer.
 	watchOpenTimeout = 4 * time.Second
-	// agentOpenTimeout replaces watchOpenTimeout where an agent pushes the lists. The agent responds at once
-	// while discovery is up, and never responds to a request that it gets while discovery is down. So a new
-	// request succeeds sooner than a longer wait would.
+	// agentOpenTimeout replaces watchOpenTimeout where a discovery agent on the machine pushes the worker lists.
+	// The agent responds at once while discovery is up, and never responds to a request that it gets while
+	// discovery is down. So a new request succeeds sooner than a longer wait would.
 	agentOpenTimeout = time.Second
 	// watchIdleTimeout is the longest time between two lines of a watch. Discovery sends a line every
 	// 2 s. A change of the list takes effect 6 s after it was made even if it does not arrive, so a dead
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -48,8 +48,8 @@
 	return b.String()
 }
 
-// After a fault of the discovery service the last valid list stays in use, the log has one line for the
-// fault, and the node requests the list again.
+// After a fault of the discovery service the last valid worker list stays in use, the log has one line for
+// the fault, and the node requests the list again.
 func TestDiscoveryFaults(t *testing.T) {
 	const removed = `{"rev":9,"all":true,"targets":[` +
 		`{"uid":"s-1","endpoint":"h:1","az":"a","model":"m","state":"gone"}`
@@ -111,7 +111,8 @@
 			done := runNode(n)
 			for range 2 {
 				select {
-				// The node requests changes since revision 4, its initial list, so it applied nothing of the response.
+				// The node requests changes since revision 4, its initial list, so the node applied nothing of the
+				// response.
 				case got := <-requests:
 					if want := "GET " + membersPath + "?watch=1&from=4 HTTP/1.1"; got != want {
 						t.Errorf("discovery received the request %q, want %q", got, want)
@@ -237,7 +238,7 @@
 	}
 	s.Step(1, scheduler.Started{CachedList: list}, nil)
 	began := time.Now()
-	// The scheduler must accept the same list a second time.
+	// The scheduler must accept the same worker list a second time.
 	s.Step(2, scheduler.EndpointsUpdated{List: list}, nil)
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("applying a list of 20000 workers took %v, want at most 5 s", took)
@@ -255,7 +256,8 @@
 }
 
 // startPushedNode runs a node with settings for a fleet of the given number of nodes, whose worker lists are
-// pushed by an agent. The test is the agent and accepts the node's watches at the listener.
+// pushed by a discovery agent on the machine. The test takes the part of the agent and accepts the node's
+// watches at the listener.
 func startPushedNode(t *testing.T, nodes int) (agent *net.TCPListener, n *Node, done chan error) {
 	t.Helper()
 	set, err := settings.Parse([]byte(strings.Replace(testSettings, "on_request", "pushed", 1)))
@@ -268,8 +270,8 @@
 	return l, n, runNode(n)
 }
 
-// A node whose worker lists are pushed by an agent has to open a watch as well, because it gets the pushed
-// lists over that watch.
+// A node whose worker lists are pushed by the discovery agent of its machine has to open a watch as well,
+// because it gets the pushed lists over that watch.
 func TestPushedListsAreWatched(t *testing.T) {
 	l, n, done := startPushedNode(t, 1)
 	for range 2 { // The node opens a second watch after the first watch is closed.
@@ -279,17 +281,19 @@
 	checkEnd(t, done)
 }
 
-// An agent that pushes lists does not respond while discovery is down, and responds at once otherwise. So the
-// node must give up an unanswered request soon and send the next one, even in a fleet of 300 schedulers.
+// A discovery agent, which runs on the node's machine and pushes worker lists, does not respond while
+// discovery is down, and responds at once otherwise. So the node must give up an unanswered request soon and
+// send the next one, even in a fleet of 300 schedulers.
 func TestSilentAgentIsRetriedSoon(t *testing.T) {
 	l, n, done := startPushedNode(t, 300)
 	const calls = 5
 	began := time.Now()
 	for range calls {
-		defer acceptWithin(t, l, testTimeout).Close() // The agent sends nothing on the connection.
+		defer acceptWithin(t, l, testTimeout).Close() // The discovery agent sends nothing on the connection.
 	}
 	if took := time.Since(began); took > calls*2*time.Second {
-		t.Errorf("%d requests to an agent that does not respond took %v, want at most 2 s each", calls, took)
+		t.Errorf("%d requests to the discovery agent, which does not respond, took %v, want at most 2 s each",
+			calls, took)
 	}
 	n.Stop()
 	checkEnd(t, done)
--- a/internal/node/worker_conn.go
+++ b/internal/node/worker_conn.go
@@ -17,8 +17,8 @@
 
 // The messages that the goroutines of connections to workers send to the event loop.
 type (
-	// writeEnded tells how dialling or writing ended. It is sent once for each exchange, unless the event loop
-	// has dropped the connection.
+	// writeEnded tells how dialling or writing ended. It is sent once for each exchange (attempt or
+	// cancellation), unless the event loop has dropped the connection.
 	writeEnded struct {
 		conn *workerConn
 		err  error
@@ -38,23 +38,23 @@
 type workerConn struct {
 	node *Node
 	addr string
-	// exchanges passes exchanges from the event loop to run. The channel has capacity for one exchange, because
-	// a connection has one exchange at a time.
+	// exchanges passes exchanges (requests to the worker: an attempt or a cancellation) from the event loop to
+	// run. The channel has capacity for one exchange, because a connection has one exchange at a time.
 	exchanges chan exchange
 	ctx       context.Context
 	cancel    context.CancelFunc
 
 	// Only the event loop accesses the following fields.
 	connstate.Conn
-	requestID string // requestID is the job's ID in the current exchange, for the log.
-	// idleSince is the time since which the connection is idle; it has no meaning during an exchange.
+	requestID string // requestID is the ID of the job whose attempt or cancellation is in progress, for the log.
+	// idleSince is the time since which the connection is idle; unused while a request is in progress.
 	idleSince scheduler.Micros
 
 	// The event loop and the writer share these fields.
 
 	writeState atomicWriteState
-	// discardUnsent says that no further byte of the exchange may be written, and that the close must discard
-	// bytes that are still in the send buffer.
+	// discardUnsent says that no further byte of the request to the worker may be written, and that the close
+	// must discard bytes that are still in the send buffer.
 	discardUnsent atomic.Bool
 
 	// responseOrder keeps a response from reaching the inbox before the writeEnded of the same exchange. The
@@ -64,12 +64,12 @@
 	holdsResponseOrder bool // holdsResponseOrder is true while the writer, its only user, holds responseOrder.
 }
 
-// start begins an exchange on a connection that is idle or new.
+// start begins an exchange, which is an attempt or a cancellation, on a connection that is idle or new.
 func (c *workerConn) start(e exchange) {
 	c.Assign(e.attempt, e.payload == nil)
 	c.requestID = e.requestID
 	c.writeState.reset()
-	c.exchanges <- e // This does not block: the channel has capacity for the connection's only exchange.
+	c.exchanges <- e // This send does not block: the channel has capacity for the connection's only request.
 }
 
 // run is the goroutine that owns the connection's socket, from the dial to the close.
@@ -143,8 +143,8 @@
 	}
 }
 
-// waitWriteEnded waits until the writeEnded of the current exchange is in the inbox, if the writer has begun
-// to write the exchange.
+// waitWriteEnded waits until the message writeEnded of the current attempt or cancellation is in the inbox,
+// if the writer has begun to write it.
 func (c *workerConn) waitWriteEnded() {
 	c.responseOrder.Lock()
 	c.responseOrder.Unlock() //nolint:staticcheck // SA2001: the lock is acquired to wait for the writer
--- a/internal/node/worker_dial.go
+++ b/internal/node/worker_dial.go
@@ -61,7 +61,7 @@
 		case r := <-results:
 			pending--
 			if pending > 0 && os.IsTimeout(r.err) {
-				continue // The other of the two dials may still succeed.
+				continue // The other of the two dials (the first or the hedged one) may still succeed.
 			}
 			if pending > 0 {
 				n.spawn(func() {
--- a/internal/node/worker_dial_test.go
+++ b/internal/node/worker_dial_test.go
@@ -99,7 +99,7 @@
 		}
 		first.result <- refused
 		if err := <-done; !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("first dial refused, hedged dial in progress: %v; workerConn.dial returned %v, want ECONNREFUSED",
+			t.Errorf("case hedged dial in progress = %v: after a refused dial got error %v, want ECONNREFUSED",
 				late, err)
 		}
 		if first.ctx.Err() == nil {
--- a/internal/node/worker_events.go
+++ b/internal/node/worker_events.go
@@ -9,9 +9,9 @@
 	"dahliaford/internal/scheduler"
 )
 
-// onWriteEnded handles the result of writing an exchange. It corrects the outcome if the node itself stopped
-// the attempt (NotSent), or if a running worker refuses the connection because the worker is full
-// (AtCapacity).
+// onWriteEnded handles the result of writing an exchange, which is an attempt or a cancellation. It corrects
+// the outcome if the node itself stopped the attempt (NotSent), or if a running worker refuses the connection
+// because the worker is full (AtCapacity).
 func (n *Node) onWriteEnded(m writeEnded) error {
 	c := m.conn
 	next, e := c.WriteEnded(writeResult(m.err))
@@ -118,8 +118,8 @@
 }
 
 // finishExchange closes a connection if the connection's state machine returned Drop. If the state machine
-// returned an event, the exchange has ended, and finishExchange passes the event to the scheduler. cause is
-// the error of a failed connection, for the log.
+// returned an event, the exchange (attempt or cancellation) has ended, and finishExchange passes the event to
+// the scheduler. cause is the error of a failed connection, for the log.
 func (n *Node) finishExchange(
 	c *workerConn, next connstate.Disposition, e scheduler.Event, cause error,
 ) error {
--- a/internal/node/worker_events_test.go
+++ b/internal/node/worker_events_test.go
@@ -35,7 +35,7 @@
 	} {
 		n := &Node{idleConns: c.idleConns, attempts: c.attempts}
 		if got := n.atCapacity(&workerConn{addr: "r1"}, c.err); got != c.want {
-			t.Errorf("other connection of the node: %s; atCapacity returned %v for the dial error, want the opposite",
+			t.Errorf("case other connection: %s; got atCapacity = %v for the dial error, want its negation",
 				name, got)
 		}
 	}
@@ -78,8 +78,8 @@
 	back send POST /callback || {"id":"a1","from":"r1","state":"started"}
 	back expect 204`
 
-// A worker responds twice to an attempt, and the second response, a refusal, arrives during the next exchange
-// on the connection. The attempt of that exchange runs, so it must not be taken for refused and sent again.
+// A worker responds twice to an attempt, and the second response, a refusal, arrives while the connection
+// carries the next attempt. That attempt runs, so it must not be taken for refused and sent again.
 func TestDuplicateResponseIsNotTheNextExchanges(t *testing.T) {
 	w := newLargeFleetHarness(t, 0, "r1")
 	runScenario(t, w, acceptedJob)
--- a/internal/node/worker_pool.go
+++ b/internal/node/worker_pool.go
@@ -30,8 +30,9 @@
 	return min(timeout, set.WorkerIdleTimeout/2)
 }
 
-// assign starts an exchange on an idle connection to a worker, or on a new connection. A cancellation always
-// gets a new connection. assign returns false if maxWorkerConns connections are open.
+// assign starts an exchange (an attempt or a cancellation) on an idle connection to a worker, or on a new
+// connection. A cancellation always gets a new connection. assign returns false if maxWorkerConns connections
+// are open.
 func (n *Node) assign(addr string, e exchange) (*workerConn, bool) {
 	n.dropExpiredIdle()
 	if idle := n.idleConns[addr]; len(idle) > 0 && e.payload != nil {
--- a/internal/node/worker_pool_test.go
+++ b/internal/node/worker_pool_test.go
@@ -9,8 +9,8 @@
 	"dahliaford/internal/scheduler"
 )
 
-// The number of connections to workers stays within the limit. When the limit is near, idle connections are
-// dropped; at the limit assign fails.
+// The number of connections to workers stays within maxWorkerConns. When that limit is near, idle connections
+// are dropped; at the limit assign fails.
 func TestWorkerConnectionsAreBounded(t *testing.T) {
 	n := &Node{start: time.Now(), idleConns: map[string][]*workerConn{}, maxWorkerConns: 8, ctx: t.Context(),
 		inbox: make(chan any, 100)}
--- a/internal/node/worker_write.go
+++ b/internal/node/worker_write.go
@@ -9,20 +9,23 @@
 	"time"
 )
 
-// The reasons why an exchange is not written, in addition to those of the freshness guard.
+// The reasons why a request to a worker (an exchange: an attempt or the cancellation of an attempt) is not
+// written, in addition to the reasons of the freshness guard.
 var (
-	errCancelled    = errors.New("exchange cancelled before its first byte was sent")
+	errCancelled    = errors.New("the request to the worker was cancelled before its first byte was sent")
 	errDisconnected = errors.New("the client has disconnected")
 )
 
-// atomicWriteState resolves the race between the event loop, which may cancel an exchange, and the writer of
-// the exchange: whichever of cancel and begin is called first succeeds, and the other one fails.
+// atomicWriteState resolves the race between the event loop, which may cancel an exchange (an attempt or a
+// cancellation that is sent to a worker), and the writer of the exchange: whichever of cancel and begin is
+// called first succeeds, and the other one fails.
 type atomicWriteState struct{ state atomic.Int32 }
 
 const (
 	writePending int32 = iota
 	writeBegun
-	writeCancelled // writeCancelled means that no byte of the exchange has been sent or will be sent.
+	// writeCancelled means that no byte of the request to the worker has been sent or will be sent.
+	writeCancelled
 )
 
 func (s *atomicWriteState) reset()       { s.state.Store(writePending) }
@@ -62,8 +65,7 @@
 			c.discardUnsent.Store(true)
 			return w.blockReason
 		case errors.Is(w.blockReason, errUpdatePending) || errors.Is(w.blockReason, errDisconnected):
-			// The event loop is about to process the update or the disconnect, and cancels the exchange if
-			// necessary.
+			// The event loop is about to process the update or the disconnect, and cancels the attempt if necessary.
 		case w.blockReason != nil:
 			return w.blockReason
 		case waitErr != nil:
@@ -134,8 +136,8 @@
 	return nil
 }
 
-// beginWrite marks the exchange as begun and acquires responseOrder. It returns false, without the mutex, if
-// the event loop has cancelled the exchange.
+// beginWrite marks the exchange (attempt or cancellation) as begun and acquires responseOrder. It returns
+// false, without the mutex, if the event loop has cancelled the exchange.
 func (c *workerConn) beginWrite() bool {
 	c.responseOrder.Lock()
 	if c.holdsResponseOrder = c.writeState.begin(); !c.holdsResponseOrder {
