--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -68,7 +68,7 @@
 				t.Error("chunk:", diff)
 			}
 			if got := c.message.IsHeartbeat(); got != (name == "heartbeat") {
-				t.Errorf("IsHeartbeat: got %v, want the opposite; only the zero message is a heartbeat", got)
+				t.Errorf("IsHeartbeat = %v, want its negation, as only the zero message is a heartbeat", got)
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 	for rev, want := range map[int64][]Message{1: {drains, removed}, 2: {removed}, 3: {}} {
 		chunks, ok := table.ChunksSince(rev)
 		if !ok || len(chunks) != len(want) {
-			t.Fatalf("changes since revision %d: got %d chunks and ok %v, want %d chunks and ok true",
+			t.Fatalf("changes since revision %d: got %d chunks and ok = %v, want %d chunks and ok = true",
 				rev, len(chunks), ok, len(want))
 		}
 		for i := range want {
@@ -125,7 +125,7 @@
 	}
 	for _, rev := range []int64{0, 4} {
 		if chunks, ok := table.ChunksSince(rev); ok || chunks != nil {
-			t.Errorf("changes since unknown revision %d: got %d chunks or ok true, want no chunks and ok false", rev,
+			t.Errorf("changes since unknown revision %d: got %d chunks or ok = true, want none and ok = false", rev,
 				len(chunks))
 		}
 	}
@@ -155,7 +155,7 @@
 			for rev := int64(1); rev <= 6; rev++ {
 				want := rev >= int64(6-c.known)
 				if table.HistoryCovers(rev) != want || table.Since(rev).Complete == want {
-					t.Errorf("revision %d of %d is in the history: got %v, want %v, and a full list from Since if not",
+					t.Errorf("revision %d of %d: got in the history = %v, want %v, and a full list from Since if not",
 						rev, table.Revision(), table.HistoryCovers(rev), want)
 				}
 			}
--- a/internal/scheduler/cancellation_test.go
+++ b/internal/scheduler/cancellation_test.go
@@ -24,11 +24,10 @@
 	return w
 }
 
-// Guards against a retry that is sent while a worker may still hold the first attempt. The connection of the
-// first attempt breaks before the 202, and the worker is unreachable, so that it cannot acknowledge the
-// cancellation. When the cancellation was given up after cancellationLifetime (15 s) although the request was
-// open until its deadline (20 s), the deferred retry was sent to a second worker, and the job could run twice
-// at once.
+// Guards against a retry that is sent while a worker may still hold the first attempt, whose connection broke
+// before the 202. The worker is unreachable and cannot acknowledge the cancellation. When the cancellation
+// was given up after cancellationLifetime (15 s), before the request's deadline (20 s), the deferred retry
+// went to a second worker, and the job could run twice at once.
 func TestRetryWaitsForAnAcknowledgedCancellationUntilTheDeadline(t *testing.T) {
 	for _, outage := range []string{"1s", "14s", "16s", "18s"} {
 		t.Run(outage, func(t *testing.T) {
--- a/internal/scheduler/clone.go
+++ b/internal/scheduler/clone.go
@@ -109,7 +109,7 @@
 	return c.request(a.request).attempts[slices.Index(a.request.attempts, a)]
 }
 
-// InjectPanic makes the scheduler panic at the next event that reaches its dispatcher.
+// InjectPanic makes the scheduler panic at the next event that it passes to its dispatcher.
 func (s *Scheduler) InjectPanic() { s.dispatcher = nil }
 
 // Stats holds the numbers of records that a scheduler keeps for open and answered requests.
--- a/internal/scheduler/dispatcher.go
+++ b/internal/scheduler/dispatcher.go
@@ -6,7 +6,7 @@
 	"dahliaford/internal/dispatch"
 )
 
-// queueDispatcherEvent queues an event that the dispatcher gets after its current one.
+// queueDispatcherEvent queues an event that the dispatcher gets after the event that it is handling now.
 func (s *Scheduler) queueDispatcherEvent(e dispatch.Event) {
 	s.dispatcherEvents = append(s.dispatcherEvents, e)
 }
@@ -72,7 +72,8 @@
 
 // watchForDispatcher carries out the dispatcher's request for a watch of the worker list. If a watch is open,
 // its heartbeats show that it works, and opening a second watch would only add load to discovery. Instead of
-// a second watch, the dispatcher then gets an empty update with the present age of the list.
+// a second watch, the dispatcher then gets an empty update with the present age of the worker list (the time
+// since discovery last confirmed the list).
 func (s *Scheduler) watchForDispatcher() {
 	if !s.watchOpen {
 		s.emit(OpenWatch{Addr: s.discoveryAddr, Revision: s.revision})
--- a/internal/scheduler/endpoints.go
+++ b/internal/scheduler/endpoints.go
@@ -50,8 +50,8 @@
 		Age: s.ageIfValidUntil(validUntil)})
 }
 
-// ageIfValidUntil returns the age that the dispatcher has to assume for the worker list so that the list
-// becomes stale at the given time.
+// ageIfValidUntil returns the age (time since discovery last confirmed the worker list) that the dispatcher
+// has to assume so that the list becomes stale at the given time.
 func (s *Scheduler) ageIfValidUntil(validUntil Micros) Micros {
 	return s.now - validUntil + s.settings.Dispatch.MaxStaleness
 }
@@ -68,8 +68,9 @@
 		}
 		w.pendingUpdate = nil
 		if w.drainingSince == 0 {
-			// The revision of this update is not comparable with revisions of the new discovery service. No other
-			// version has the epoch -1, so none counts as newer.
+			// The revision of this update, which the replaced discovery service gave it, is not comparable with
+			// revisions of the new service. No other version has the epoch -1, so no version counts as newer than this
+			// one.
 			w.Status, w.version = listed.Status, version{epoch: -1}
 			entries = append(entries, s.workerEntry(w))
 			changed = append(changed, w)
@@ -111,8 +112,8 @@
 		Workers: entries})
 }
 
-// nextVersion records the revision of an update and returns the update's version, which is the revision with
-// its epoch.
+// nextVersion records the revision of a worker list update and returns the update's version, which is the
+// revision with the epoch, a counter that rises whenever discovery may begin to number its revisions anew.
 func (s *Scheduler) nextVersion(list WorkerList) version {
 	if list.Complete && list.Revision < s.revision {
 		// The discovery service has restarted or been replaced, and counts its revisions from the beginning.
@@ -125,10 +126,11 @@
 	return version{s.epoch, list.Revision}
 }
 
-// implicitChanges updates the workers whose state changes without being named in an update, and returns them
-// ordered by UID. They are the workers that are missing from a complete list, which are removed, and the
-// workers that have been draining or removed for MaxStaleness and have a pendingUpdate, which makes them
-// ready again and is now applied.
+// implicitChanges changes the state of workers that the update does not name, and returns the changed workers
+// ordered by UID. There are two cases. Workers that are missing from a complete list are removed. Workers
+// that have been draining or removed for MaxStaleness and have a pendingUpdate, an entry that lists them as
+// ready, become ready: within MaxStaleness every discovery service reports a drain or removal, and such a
+// report would have deleted the pendingUpdate.
 func (s *Scheduler) implicitChanges(complete bool, updateVersion version) (changed []*worker) {
 	if complete {
 		for _, w := range s.workers {
--- a/internal/scheduler/endpoints_test.go
+++ b/internal/scheduler/endpoints_test.go
@@ -58,7 +58,7 @@
 				want bool
 			}{{"right after the events", c.ready}, {"after MaxStaleness", c.later}} {
 				if got := w.scheduler.workers["r1"].Status == dispatch.Ready; got != at.want {
-					t.Errorf("worker r1 %s: ready is %v, want %v", at.when, got, at.want)
+					t.Errorf("case worker r1 %s: got ready = %v, want %v", at.when, got, at.want)
 				}
 				w.now += 6 * second
 				w.step(EndpointsUpdated{})
@@ -68,7 +68,8 @@
 }
 
 // The worker list is only as recent as the AsOf time of its last update, even if sockets and queues delay the
-// update on its way to the reducer. The dispatcher decides by the age of the list whether to poll discovery.
+// update on its way to the reducer. The dispatcher decides by the time since then, the age of the list,
+// whether to poll discovery.
 func TestDelayedUpdateKeepsItsAge(t *testing.T) {
 	w := newHarness(t)
 	w.step(EndpointsUpdated{AsOf: w.now - second})
@@ -103,11 +104,12 @@
 			Deadline: w.now + 5*second}, nil)
 		i := slices.IndexFunc(got, func(e Effect) bool { _, is := e.(SendAttempt); return is })
 		if i < 0 || got[i].(SendAttempt).WorkerUID != "r2" || got[i].(SendAttempt).Addr != r2.Addr {
-			t.Errorf("r1 removed by a complete list: %v; got effects %+v, want request a9 sent to r2", complete, got)
+			t.Errorf("case complete list = %v (else a delta) removes r1: got effects %+v, want a9 sent to r2",
+				complete, got)
 		}
 		status1, status2 := w.scheduler.workers["r1"].Status, w.scheduler.workers["r2"].Status
 		if status1 != dispatch.Removed || status2 != dispatch.Ready {
-			t.Errorf("r1 removed by a complete list: %v; got status %d of r1, %d of r2, want removed and ready",
+			t.Errorf("case complete list = %v (else a delta) removes r1: got status %d, r2 %d, want removed, ready",
 				complete, status1, status2)
 		}
 	}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -83,8 +83,9 @@
 		// Unreadable is set if the watch ended because an update could not be parsed. The lost update may
 		// have drained any worker.
 		Unreadable bool
-		// ValidUntil is the time until which the known worker list may be used. If it is 0 and Unreadable is
-		// not set, the validity of the known list does not change.
+		// ValidUntil is the time until which the known worker list may be used. The value 0 means, if Unreadable is
+		// set, that the known list may not be used any more, and otherwise that the validity of the known list does
+		// not change.
 		ValidUntil Micros
 	}
 	// TimerFired reports that the time of the latest SetTimer effect has come.
@@ -124,7 +125,7 @@
 // WorkerList is a complete worker list or a change to the worker list.
 type WorkerList struct {
 	Revision int64 // the revision that discovery gave the update
-	Complete bool  // Workers names every worker: a known worker that is missing from it is removed
+	Complete bool  // Workers names every worker: a known worker that is missing from Workers is removed
 	Workers  []Worker
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -41,7 +41,7 @@
 	kinds          nameIndex
 	discoveryAddr  string
 	revision       int64
-	epoch          int             // the epoch of revision; only revisions of one epoch are comparable
+	epoch          int             // the epoch of the field revision, see the type version
 	updateCount    uint64          // the number of updates applied
 	pendingWorkers []*worker       // all workers whose pendingUpdate is set, and possibly others
 	removedWorkers []removedWorker // removals in the order of their times
--- a/internal/scheduler/workers.go
+++ b/internal/scheduler/workers.go
@@ -12,7 +12,7 @@
 type worker struct {
 	Worker
 	number        dispatch.WorkerID
-	version       version // the version of the update that set the embedded Worker
+	version       version // the version (epoch and revision) of the update that set the embedded Worker
 	drainingSince Micros  // the time since which the worker has not been ready; 0: it is ready
 	removedSince  Micros  // the time since which the worker has been removed; 0: it is not removed
 	// pendingUpdate is an update that lists the worker as ready and may be older than the update that
@@ -27,7 +27,9 @@
 	since  Micros
 }
 
-// version orders the updates of discovery. Only versions of the same epoch can be compared.
+// version orders the updates of the worker list: it is the revision number that discovery gave an update,
+// with an epoch. A new epoch begins whenever discovery may number its revisions anew. Only versions of the
+// same epoch can be compared.
 type version struct {
 	epoch    int // incremented when the discovery address changes or the revisions of discovery restart
 	revision int64
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -174,12 +174,12 @@
 func (p *parameters) class(number int, g *classParameters) (dispatch.Class, error) {
 	effect, known := effectsByName[g.EffectName]
 	if !known {
-		return dispatch.Class{}, fmt.Errorf("settings: grades[%d].semantics: unknown value %q", number,
+		return dispatch.Class{}, fmt.Errorf("settings: grades[%d].semantics: unknown value %q of a class", number,
 			g.EffectName)
 	}
 	scope, known := dedupScopes[g.DedupScope]
 	if !known {
-		return dispatch.Class{}, fmt.Errorf("settings: grades[%d].dedup_scope: unknown value %q", number,
+		return dispatch.Class{}, fmt.Errorf("settings: grades[%d].dedup_scope: unknown value %q of a class", number,
 			g.DedupScope)
 	}
 	class := dispatch.Class{
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -27,20 +27,22 @@
 // Group holds the members of one zone and kind, sorted by number.
 type Group[M any] struct {
 	zone, kind int
-	// generation counts the additions and removals of members. The ranks of the members do not change while the
-	// generation does not change.
+	// generation counts the additions and removals of members. The ranks of the members (their indexes in the
+	// order by number) do not change while the generation does not change.
 	generation uint64
 	numbers    []uint32 // sorted numbers of the members, indexed by rank
 	members    []M      // members, indexed by rank
-	// covered holds the ranks of the members in the interval. The second range begins at the interval's start.
-	// The first range begins at rank 0 and is empty unless the interval wraps around the end of the ring.
+	// covered holds the ranks (indexes in members) of the members in the interval. The second range begins at
+	// the interval's start. The first range begins at rank 0 and is empty unless the interval wraps around the
+	// end of the ring.
 	covered [2]rankRange
 	// start and length describe the interval for which the field covered was computed. The length is -1 if
 	// members were added or removed after that computation.
 	start, length float64
 }
 
-// rankRange is the half-open range of ranks from lo up to, but not including, hi.
+// rankRange is the half-open range of ranks from lo up to, but not including, hi. A rank is a member's index
+// in its group.
 type rankRange struct{ lo, hi int }
 
 func (r rankRange) contains(rank int) bool { return r.lo <= rank && rank < r.hi }
@@ -69,8 +71,9 @@
 
 // Add adds a member. No member of the same zone and kind may have the same number. Add returns the group of
 // the new member, and whether the member counts as covered, that is, as lying in the interval that Cover has
-// set. Only a new member whose rank lies between the ranks of two covered members is covered at once. All
-// other changes in which members are covered follow at the next call of Cover.
+// set. Only a new member whose rank (index in the group's order by number) lies between the ranks of two
+// covered members is covered at once. All other changes in which members are covered follow at the next call
+// of Cover.
 func (r *Ring[M]) Add(zone, kind int, number uint32, member M) (group *Group[M], covered bool) {
 	at, found := r.findGroup(zone, kind)
 	if !found {
@@ -130,8 +133,8 @@
 	g.length = -1
 }
 
-// Generation returns the number of additions and removals of members so far. The positions of the group's
-// members do not change while the generation does not change.
+// Generation returns the number of additions and removals of the group's members so far. The positions of the
+// group's members do not change while the generation does not change.
 func (g *Group[M]) Generation() uint64 { return g.generation }
 
 // Position returns the position on the ring, from 0 to 1, of the member with the given number.
@@ -140,7 +143,8 @@
 	return g.position(rank)
 }
 
-// position returns the position on the ring, from 0 to 1, of the member with the given rank.
+// position returns the position on the ring, from 0 to 1, of the member with the given rank, which is the
+// member's index in the group's order by number.
 func (g *Group[M]) position(rank int) float64 {
 	return (float64(rank) + 0.5) / float64(len(g.numbers))
 }
@@ -154,9 +158,9 @@
 	return distance
 }
 
-// Cover sets the interval of the ring by its start and length, both as fractions of the circumference. Cover
-// calls changed with in set to true for each member that has entered the interval since the last call, and
-// with false for each member that has left the interval.
+// Cover sets the interval of the ring, the part whose members count as covered, by its start and length, both
+// as fractions of the circumference. Cover calls changed with in set to true for each member that has entered
+// the interval since the last call, and with false for each member that has left the interval.
 func (r *Ring[M]) Cover(start, length float64, changed func(member M, in bool)) {
 	for _, group := range r.groups {
 		if group.start != start || group.length != length {
@@ -165,8 +169,9 @@
 	}
 }
 
-// cover computes which ranks of a group lie in the interval with the given start and length, and calls
-// changed for the members that enter or leave the interval.
+// cover computes which members of a group lie in the interval with the given start and length, and calls
+// changed for the members that enter or leave the interval. The members in the interval are recorded by rank,
+// which is a member's index in the group's order by number.
 func (g *Group[M]) cover(start, length float64, changed func(member M, in bool)) {
 	outside := func(rank int) bool { return Distance(start, g.position(rank)) >= length }
 	n := len(g.numbers)
@@ -178,8 +183,9 @@
 	forEachRankOnlyIn(now, before, func(rank int) { changed(g.members[rank], true) })
 }
 
-// forEachRankOnlyIn calls do for each rank that a range in ranges contains and that no range in others
-// contains. Consecutive ranks that a range in others contains are skipped in one step.
+// forEachRankOnlyIn calls do for each rank (index of a member in its group) that a range in ranges contains
+// and that no range in others contains. Consecutive ranks that a range in others contains are skipped in one
+// step.
 func forEachRankOnlyIn(ranges, others [2]rankRange, do func(rank int)) {
 	for _, r := range ranges {
 		for rank := r.lo; rank < r.hi; {
--- a/internal/subset/ring_test.go
+++ b/internal/subset/ring_test.go
@@ -17,8 +17,8 @@
 
 // After a random sequence of additions and removals of ring members and of interval changes, the covered
 // members are those whose positions, recomputed from all members, lie in the interval. The ring reports each
-// member that enters or leaves the interval exactly once. A cloned ring has the same members, at the same
-// positions, and the same of them are covered.
+// member that enters or leaves the interval exactly once. A cloned ring has the same members at the same
+// positions, and its interval covers the same members.
 func TestCoverMatchesRecomputation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Ring[*testMember]
@@ -44,7 +44,7 @@
 			}
 			r.Cover(start, length, func(it *testMember, in bool) {
 				if it.covered == in {
-					t.Fatalf("ring member %d: got a second report in a row of covered %v, want reports of changes only",
+					t.Fatalf("ring member %d: got reported twice in a row, in the interval = %v, want one report",
 						it.number, in)
 				}
 				it.covered = in
@@ -53,7 +53,7 @@
 			copied := r.Clone(func(it *testMember) *testMember { copied := *it; copies[it] = &copied; return &copied },
 				func(it *testMember, group *Group[*testMember]) { it.group = group })
 			copied.Cover(start, length, func(it *testMember, _ bool) {
-				t.Fatalf("member %d of a cloned ring: got a change of covered by an equal interval, want no change",
+				t.Fatalf("member %d of a cloned ring: got a report that it entered or left an equal interval, want none",
 					it.number)
 			})
 			checkAgainstRecomputation(t, &r, items, start, length)
@@ -66,8 +66,8 @@
 	})
 }
 
-// checkAgainstRecomputation recomputes from the list of members at which position each member of the ring is
-// and whether the interval covers it, and compares the ring with the result.
+// checkAgainstRecomputation recomputes, from the list of members, each member's position on the ring and
+// whether the interval covers the member, and compares the ring with the result.
 func checkAgainstRecomputation(t *rapid.T, r *Ring[*testMember], items map[uint32]*testMember,
 	start, length float64) {
 	t.Helper()
@@ -93,7 +93,7 @@
 			}
 			if it.covered != (distance < length) {
 				t.Fatalf(
-					"ring member %d at distance %v from the interval's start %v: got covered %v, want it below length %v",
+					"ring member %d, distance %v from the interval's start %v: got covered = %v, want true below length %v",
 					number, distance, start,
 					it.covered, length)
 			}
@@ -114,7 +114,7 @@
 			changedOthers, removed, start := 0, 0, 0.618
 			count := func(i int, _ bool) {
 				if i%2 != 0 {
-					t.Errorf("member %d: got a change of covered by a change in another group, want none", i)
+					t.Errorf("member %d: got a report that it entered or left by a change in another group, want none", i)
 				}
 				if i != removed {
 					changedOthers++
@@ -130,7 +130,7 @@
 					}
 					if r.Cover(start, length, count); changedOthers > 2 {
 						t.Fatalf(
-							"got %d other members newly in or out of the interval by 1 change of %d, want up to 2; length %v",
+							"got %d other members enter or leave by 1 change in a group of %d, want up to 2; interval length %v",
 							changedOthers, n, length)
 					}
 				}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -18,7 +18,7 @@
 // used. Fields that are absent on the wire are zero. Times are in microseconds.
 type message struct {
 	name          string                 // name of the event
-	instance      int                    // number of the instance that the event is for
+	instance      int                    // number of the scheduler instance that the event is for
 	job           uint64                 // ID of the job
 	class         int                    // number of the job's class
 	tenant        int                    // number of the job's tenant
@@ -38,8 +38,8 @@
 	timerToken    uint64                 // token of the timer that fired
 	sender        int                    // number of the dispatcher that sent the gossip message
 	gossip        string                 // gossip message in hexadecimal digits
-	seed          uint64                 // seed of the new instance's random draws
-	params        []byte                 // settings object of the new instance, as raw JSON
+	seed          uint64                 // seed of the random draws of the new scheduler instance
+	params        []byte                 // settings object of the new scheduler instance, as raw JSON
 	report        dispatch.Report        // load report of the worker
 	workers       []dispatch.WorkerEntry // entries of a worker list
 }
@@ -175,8 +175,8 @@
 	return true
 }
 
-// decodeInstanceField decodes a field that concerns an instance and no job. It returns false if the key names
-// no such field.
+// decodeInstanceField decodes a field that concerns a scheduler instance and no job. It returns false if the
+// key names no such field.
 func (m *message) decodeInstanceField(in *jlexer.Lexer, key string) bool {
 	switch key {
 	case "who":
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,8 +8,8 @@
 	"dahliaford/internal/dispatch"
 )
 
-// appendAction appends one action of an instance, followed by a comma. An action of an unknown kind is
-// skipped.
+// appendAction appends one action of a scheduler instance, followed by a comma. An action of an unknown kind
+// is skipped.
 func appendAction(b []byte, instance int, a *dispatch.Action) []byte {
 	switch a.Kind {
 	case dispatch.Send:
@@ -40,13 +40,13 @@
 	return append(b, '}', '}', ',')
 }
 
-// appendFault appends an exception message, which says that the dispatcher of an instance panicked or could
-// not be started.
+// appendFault appends an exception message, which says that the dispatcher of a scheduler instance panicked
+// or could not be started.
 func appendFault(b []byte, instance int, text string) []byte {
 	return append(appendText(openObject(b, "exception", instance), text), '}', '}', ',')
 }
 
-// openObject appends the start of an action, up to and including the number of the instance.
+// openObject appends the start of an action, up to and including the number of the scheduler instance.
 func openObject(b []byte, name string, instance int) []byte {
 	b = append(append(append(b, '{', '"'), name...), `":{"who":`...)
 	return strconv.AppendInt(b, int64(instance), 10)
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -18,7 +18,7 @@
 // Host runs the dispatchers of many scheduler instances. The instances share only the worker lists, because
 // the wire format numbers the lists for the whole process. A Host is not safe for concurrent use.
 type Host struct {
-	dispatchers map[int]*dispatch.Dispatcher     // dispatchers by number of the instance
+	dispatchers map[int]*dispatch.Dispatcher     // dispatchers by the number of their scheduler instance
 	lists       [maxLists][]dispatch.WorkerEntry // worker lists by number, as last registered
 
 	// Buffers of the current batch, reused to save allocations.
@@ -28,7 +28,7 @@
 	reply    []byte
 }
 
-// NewHost returns a host without instances.
+// NewHost returns a host without scheduler instances.
 func NewHost() *Host {
 	return &Host{dispatchers: map[int]*dispatch.Dispatcher{}}
 }
@@ -71,8 +71,9 @@
 	return h.reply, nil
 }
 
-// handle processes one message, and passes an event to the dispatcher of its instance. If the dispatcher
-// panics, the reply reports the panic for the instance, and the host drops the instance.
+// handle processes one message, and passes an event to the dispatcher of the scheduler instance that the
+// message names. If the dispatcher panics, the reply reports the panic for the instance, and the host drops
+// the instance.
 func (h *Host) handle(now dispatch.Micros, m *message) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -121,8 +122,8 @@
 	0: dispatch.UpdateDelta, 1: dispatch.UpdateCached, 2: dispatch.UpdateFailed, 3: dispatch.UpdateFull,
 }
 
-// updateEndpoints passes an update of the worker list to an instance. An update with an unknown scope is
-// ignored.
+// updateEndpoints passes an update of the worker list to a scheduler instance. An update with an unknown
+// scope is ignored.
 func (h *Host) updateEndpoints(now dispatch.Micros, m *message) {
 	scope, known := scopes[m.scope]
 	if !known {
@@ -135,8 +136,8 @@
 	h.step(now, m.instance)
 }
 
-// step passes the host's current event to an instance and appends the instance's actions to the reply. An
-// unknown instance is ignored.
+// step passes the host's current event to a scheduler instance and appends the instance's actions to the
+// reply. An unknown instance is ignored.
 func (h *Host) step(now dispatch.Micros, instance int) {
 	d := h.dispatchers[instance]
 	if d == nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -47,7 +47,7 @@
 // singleLine removes line breaks and tabs.
 func singleLine(s string) string { return strings.NewReplacer("\n", "", "\t", "").Replace(s) }
 
-// enlist returns the event that starts an instance with testSettings.
+// enlist returns the event that starts a scheduler instance with testSettings.
 func enlist(instance string) string {
 	return singleLine(`{"enlist":{"who":` + instance + `,"rng_seed":5,"params":` + testSettings + `}}`)
 }
@@ -80,8 +80,9 @@
 	}
 }
 
-// TestEventsAndActions sends events about the jobs of two instances over the wire. The batches register two
-// worker lists under the same number, have unknown keys, events and IDs, and restart an instance.
+// TestEventsAndActions sends events about the jobs of two scheduler instances over the wire. The batches
+// register two worker lists under the same number, have unknown keys, events and IDs, and restart an
+// instance.
 func TestEventsAndActions(t *testing.T) {
 	list := func(listNumber, worker string) string {
 		return `{"register":{"ref":` + listNumber + `,"nodes_list":[{"generation_hw":0,"power_hint":1,"cohort":0,` +
@@ -123,12 +124,13 @@
 		}
 	}
 	if !strings.Contains(replies[1], `{"transmit":{"who":1,"op_id":6,"worker":22,`) {
-		t.Errorf("second instance: want a job sent to worker 22 of the list that replaced the first list, got %s",
+		t.Errorf("scheduler instance 2: want a job sent to worker 22 of the list that replaced the first, got %s",
 			replies[1])
 	}
 }
 
-// TestInstancesAreIndependent checks that the actions of an instance depend only on its own events.
+// TestInstancesAreIndependent checks that the actions of a scheduler instance depend only on the events for
+// that instance.
 func TestInstancesAreIndependent(t *testing.T) {
 	knock := func(instance string) string {
 		return `{"knock":{"who":` + instance + `,"op_id":1` + instance +
@@ -141,7 +143,8 @@
 		for _, line := range strings.Split(strings.TrimSpace(alone), "\n") {
 			want := strings.TrimSuffix(strings.TrimPrefix(line, `{"do":[`), `]}`)
 			if !strings.Contains(both, want) {
-				t.Errorf("actions of an instance alone: want %s in the replies to two instances, got %s", want, both)
+				t.Errorf("actions of a scheduler instance alone: want %s in the replies to two instances, got %s",
+					want, both)
 			}
 		}
 	}
@@ -188,6 +191,7 @@
 	batch := `{"t":1,"inbox":[{"knock":{"who":2,"op_id":1,"class":0,"patience_left":5}}]}`
 	out, err := h.HandleBatch([]byte(batch))
 	if err != nil || !strings.Contains(string(out), `{"exception":{"who":2,"line":`) {
-		t.Errorf("dispatcher that panics: want an exception for instance 2, got reply %s and error %v", out, err)
+		t.Errorf("dispatcher that panics: want an exception for scheduler instance 2, got reply %s and error %v",
+			out, err)
 	}
 }
