--- a/cmd/dahliaford/check.go
+++ b/cmd/dahliaford/check.go
@@ -20,7 +20,7 @@
 	}
 	cfg, err := appliance.Parse(raw)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.File, err)
+		return fmt.Errorf("configuration file %s: %w", c.File, err)
 	}
 	configured := "no job store"
 	if cfg.Store != nil {
--- a/cmd/dahliaford/log.go
+++ b/cmd/dahliaford/log.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The log writes at most maxLines lines with the same message in each window of lineWindow.
+// The log writes at most maxLines lines with the same message in each time window of length lineWindow.
 const (
 	maxLines   = 20
 	lineWindow = 5 * time.Second
@@ -45,9 +45,10 @@
 	byMessage map[string]*messageWindow
 }
 
-// messageWindow counts the written and the dropped lines of one message since the start of its window.
+// messageWindow counts the written and the dropped log lines of one message since the start of its time
+// window, which lasts lineWindow.
 type messageWindow struct {
-	since            time.Time // the start of the window
+	since            time.Time // the start of the time window in which the lines are counted
 	written, dropped int
 }
 
--- a/cmd/dahliaford/store_test.go
+++ b/cmd/dahliaford/store_test.go
@@ -107,7 +107,8 @@
 	for _, args := range [][]string{{"backup", path, backup}, {"restore", backup, other}, {"compact", other},
 		{"check", other}} {
 		if status, out, errs := call(args...); status != exitOK {
-			t.Errorf("store %v: got exit status %d, output %q, errors %q, want status 0", args, status, out, errs)
+			t.Errorf("command store %v: got exit status %d, output %q, errors %q, want status 0",
+				args, status, out, errs)
 		}
 	}
 	if status, out, _ := call("show", other, "a1"); status != exitOK ||
