--- a/client/alive_unix.go
+++ b/client/alive_unix.go
@@ -9,8 +9,8 @@
 )
 
 // alive reports whether an idle connection can still be used: the client has received neither the scheduler's
-// close nor an unexpected byte on it. A close that the scheduler sends at the same time as the client's next
-// request cannot be detected.
+// close nor an unexpected byte on the connection. A close that the scheduler sends at the same time as the
+// client's next request cannot be detected.
 func alive(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
--- a/client/client.go
+++ b/client/client.go
@@ -33,7 +33,7 @@
 // Result is the result of a job that was served.
 type Result struct {
 	Body     []byte // result as the worker returned it
-	Attempts int    // number of attempts that reached a scheduler, including the successful attempt
+	Attempts int    // number of attempts that got a connection to a scheduler, including the successful attempt
 }
 
 // Client submits jobs. It is safe for concurrent use.
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -175,7 +175,8 @@
 			s := startScripted(t, func(int64) (string, afterResponse) { return c.text, closeConnection })
 			_, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 			if got := Verdict(err); got != c.want || s.received.Load() != 1 {
-				t.Errorf("got verdict %s (error %v) after %d requests, want %s after 1 request",
+				t.Errorf(
+					"scripted response: got verdict %s (error %v) after %d requests, want verdict %s after 1 request",
 					got, err, s.received.Load(), c.want)
 			}
 		})
@@ -194,7 +195,8 @@
 	start := time.Now()
 	r, err := newTestClient(t, s.Addr().String()).Do(t.Context(), Job{Class: "post-reading", Key: "k"})
 	if err != nil || r.Attempts != 3 || time.Since(start) < 100*time.Millisecond {
-		t.Fatalf("job refused twice: got result %+v, error %v after %v; want success in attempt 3 after 100 ms",
+		t.Fatalf(
+			"job refused twice: got result %+v, error %v after %v; want success in attempt 3, after 2 waits of 50 ms",
 			r, err, time.Since(start))
 	}
 	ids := map[string]bool{}
@@ -216,7 +218,8 @@
 	})
 	_, err = newTestClient(t, alwaysRefuses.Addr().String()).Do(t.Context(), Job{Class: "post-reading"})
 	if !errors.As(err, &refused) || alwaysRefuses.received.Load() != 3 {
-		t.Errorf("scheduler that always refuses: got error %v after %d attempts, want RefusedError after 3",
+		t.Errorf(
+			"scheduler that always refuses: got error %v after %d attempts, want RefusedError after 3 attempts",
 			err, alwaysRefuses.received.Load())
 	}
 }
@@ -305,7 +308,7 @@
 	_, err := c.Do(t.Context(), Job{Class: "post-reading", Deadline: deadline})
 	if late := time.Since(deadline); Verdict(err) != "unknown" || late < 0 || late > 2*time.Second {
 		t.Errorf(
-			"job without a response: got error %v, %v after its deadline; want verdict unknown, at most 2 s after",
+			"no response: got error %v, %v after the job's deadline; want verdict unknown at most 2 s after it",
 			err, late)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/client/config.go
+++ b/client/config.go
@@ -14,7 +14,8 @@
 // Effect says whether jobs of a class may be repeated after an attempt in which they may have run.
 type Effect string
 
-// The effects of a class, from the one that forbids most repetitions of a job to the one that allows all.
+// The effects that a class may have, from the strictest to the least strict: Once never allows a job that may
+// have run to be repeated, and Safe always allows a repeat.
 const (
 	// Once marks jobs that must never run twice. The client never repeats an attempt that may have run.
 	Once Effect = "once"
--- a/client/execution.go
+++ b/client/execution.go
@@ -21,7 +21,7 @@
 	// cancels, the job ends with an UnknownOutcomeError, even if the scheduler's response to that request was a
 	// refusal.
 	delivered  bool
-	attempts   int // number of attempts that were submitted to a scheduler
+	attempts   int // number of attempts for this job that got a connection to a scheduler
 	lastResult attemptResult
 }
 
@@ -36,7 +36,7 @@
 	return e
 }
 
-// run carries out the plan's steps until the job has a verdict. It returns early if the caller's context is
+// run carries out the plan's steps until the job has a verdict. run returns early if the caller's context is
 // cancelled.
 func (e *execution) run(ctx context.Context) (*Result, error) {
 	for e.step.Verdict == plan.Pending {
@@ -109,8 +109,8 @@
 	return step, c.available
 }
 
-// cancel ends a job whose context ended with the error cause before the job did, and returns the error that
-// Do returns.
+// cancel ends a job whose context ended before the plan gave a verdict on the job. cause is the context's
+// error. cancel returns the error that Do returns.
 func (e *execution) cancel(cause error) error {
 	c := e.client
 	c.mu.Lock()
--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -280,14 +280,16 @@
 				var refused *RefusedError
 				if !errors.As(err, &refused) || time.Until(refused.RetryAfter) < 30*time.Second ||
 					s.received.Load() != 1 {
-					t.Errorf("delay beyond the deadline: got error %v, %d attempts, want RefusedError with a time and 1",
+					t.Errorf(
+						"Retry-After beyond the deadline: got error %v, %d attempts, want RefusedError with a time, 1 attempt",
 						err, s.received.Load())
 				}
 				return
 			}
 			if err != nil || time.Duration(wait.Load()) < minWait ||
 				time.Duration(wait.Load()) > minWait+maxLateness {
-				t.Errorf("got error %v, next attempt after %v, want no error and a delay of at least %v",
+				t.Errorf(
+					"job refused once: got error %v, retry %v after the refusal, want no error and a delay of at least %v",
 					err, time.Duration(wait.Load()), minWait)
 			}
 		})
@@ -373,12 +375,14 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	if m.HeapAlloc > 256<<20 {
-		t.Errorf("got %d MB on the heap, want at most 256 MB", m.HeapAlloc>>20)
+		t.Errorf("client with concurrent calls of Do: got %d MB on the heap, want at most 256 MB",
+			m.HeapAlloc>>20)
 	}
 	done.Wait()
 	if verdicts[0].Load()+verdicts[1].Load() != jobs || late.Load() > 0 ||
 		verdicts[0].Load() > defaultMaxConnections {
-		t.Errorf("got %d jobs unknown, %d not run, want %d in all and at most 64 unknown; %d jobs late, want 0",
+		t.Errorf(
+			"got %d jobs of verdict unknown, %d not run, want %d in all and at most 64 unknown; %d late calls, want 0",
 			verdicts[0].Load(), verdicts[1].Load(), jobs, late.Load())
 	}
 }
--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -37,8 +37,8 @@
 	attempts     int
 	received     bool // a scheduler has received the current attempt
 	runs         int
-	firstRun     time.Time // time when the job first ran; zero if it has not run
-	ranOnRack    [2]bool   // for each scheduler, whether the job ran on its rack
+	firstRun     time.Time // time when the job first ran; zero if the job has not run
+	ranOnRack    [2]bool   // for each scheduler, whether the job ran in the scheduler's rack
 	violation    string
 }
 
@@ -251,11 +251,13 @@
 		case state.violation != "":
 			return fmt.Errorf("job %d got an invalid step from the plan: %s", i, state.violation)
 		case state.runs > 1 && m.cfg.Classes[state.class].Effect != Safe:
-			return fmt.Errorf("job %d ran %d times, want at most once for its class", i, state.runs)
+			return fmt.Errorf("job %d ran %d times, want at most once, as the effect of its class is not Safe",
+				i, state.runs)
 		}
 	}
 	if m.plan.InFlight() != inFlight {
-		return fmt.Errorf("%d attempts are in flight, but the plan counts %d", inFlight, m.plan.InFlight())
+		return fmt.Errorf("model has %d attempts in flight, but the plan counts %d attempts in flight",
+			inFlight, m.plan.InFlight())
 	}
 	return nil
 }
@@ -328,7 +330,8 @@
 		for _, m := range []*clientModel{one, two} {
 			search := modelcheck.Exhaust(m, 3_000_000)
 			if search.Violation != nil || !search.Exhausted || search.States < 1000 {
-				t.Errorf("class %s, %d jobs: explored %v, violation %v by events %q, want all states and no violation",
+				t.Errorf(
+					"class %s, model with %d jobs: explored %v, violation %v by events %q, want all states and no violation",
 					name, len(m.jobs), search, search.Violation, search.Path)
 			}
 			t.Logf("class %s, model with %d jobs: explored %v", name, len(m.jobs), search)
@@ -360,10 +363,10 @@
 			return p
 		}
 		if search := modelcheck.Exhaust(m, 3_000_000); search.Violation == nil {
-			t.Errorf("class %d, outcome %v misread as %v: got no violation, want one; explored %v",
+			t.Errorf("job of class %d, outcome %v misread by the plan as %v: got no violation, want one; explored %v",
 				c.class, c.actual, c.misreadAs, search)
 		} else {
-			t.Logf("expected violation found: %v by events %q", search.Violation, search.Path)
+			t.Logf("misread outcome: got violation %v by events %q, as expected", search.Violation, search.Path)
 		}
 	}
 }
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -14,7 +14,8 @@
 // Effect says whether a job may be repeated after an attempt in which it may have run.
 type Effect uint8
 
-// The effects of a class, from the one that forbids most repetitions of a job to the one that allows all.
+// The effects that a class may have, from the strictest to the least strict: Once never allows a job that may
+// have run to be repeated, and Safe always allows a repeat.
 const (
 	// Once marks jobs that must never run twice.
 	Once Effect = iota
@@ -99,7 +100,7 @@
 type Job struct {
 	class    *Class
 	deadline time.Time
-	attempts int // number of attempts that were submitted or are in flight
+	attempts int // number of this job's attempts that were submitted to a scheduler or are in flight
 	// firstMayHaveRun is the start time of the first attempt in which the job may have run. It is zero if the
 	// job cannot have run yet.
 	firstMayHaveRun time.Time
@@ -142,9 +143,9 @@
 	case len(cfg.Classes) == 0:
 		return errors.New("classes: none configured")
 	case !(cfg.RetryBudget >= 0 && cfg.RetryBudget <= 1): // the negation also rejects NaN
-		return fmt.Errorf("budget: got %v, must be between 0 and 1", cfg.RetryBudget)
+		return fmt.Errorf("budget: got %v retries per job, must be between 0 and 1", cfg.RetryBudget)
 	case !(cfg.MaxTokens >= 0):
-		return fmt.Errorf("max tokens: got %v, must not be negative", cfg.MaxTokens)
+		return fmt.Errorf("max tokens: got %v retry tokens, must not be negative", cfg.MaxTokens)
 	case cfg.Backoff <= 0 || cfg.MaxBackoff < cfg.Backoff:
 		return errors.New("backoff: must be positive and not above the maximum backoff")
 	case cfg.EjectAfterFailures <= 0 || cfg.BaseEjection <= 0 || cfg.MaxEjection < cfg.BaseEjection:
@@ -153,7 +154,7 @@
 	for i, class := range cfg.Classes {
 		switch {
 		case class.MaxAttempts <= 0:
-			return fmt.Errorf("classes[%d].tries: got %d, must be positive", i, class.MaxAttempts)
+			return fmt.Errorf("classes[%d].tries: got %d attempts, must be positive", i, class.MaxAttempts)
 		case class.Effect > Safe:
 			return fmt.Errorf("classes[%d].effect: unknown effect", i)
 		case class.Effect == Anywhere && class.Window <= 0:
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -67,7 +67,8 @@
 			p := newPlan(t, testConfig())
 			j, s := p.Begin(start, class, start.Add(5*time.Second))
 			if s.Verdict != Pending || s.Retry || !s.At.Equal(start) {
-				t.Fatalf("first attempt: got step %+v, want an attempt now that is not marked as a retry", s)
+				t.Fatalf("new job: Begin returns step %+v, want an attempt that starts now and is not marked as a retry",
+					s)
 			}
 			s = p.AttemptEnded(start.Add(time.Millisecond), start, j, c.result)
 			got[class] = s.Verdict
@@ -77,7 +78,8 @@
 			}
 			if s.Verdict == Pending {
 				if s = p.Start(s.At, j); !s.StartNow || !s.Retry || p.InFlight() != 1 {
-					t.Errorf("first attempt ended as %s: got step %+v, want an attempt in flight that is marked as a retry",
+					t.Errorf(
+						"first attempt ended as %s: Start returns step %+v, want an attempt in flight and marked as a retry",
 						c.name, s)
 				}
 			}
@@ -100,7 +102,8 @@
 		t.Fatal(s)
 	}
 	if s := p.AttemptEnded(start, start, j, AttemptResult{Status: 503}); s.Verdict != Unknown {
-		t.Errorf("refusal after an attempt that may have run: got step %+v, want verdict Unknown", s)
+		t.Errorf("refusal after an attempt that may have run: AttemptEnded returns step %+v, want verdict Unknown",
+			s)
 	}
 }
 
@@ -191,7 +194,7 @@
 	}
 	for i, n := range total {
 		if n < 15 || n > 55 {
-			t.Errorf("scheduler %d of 6: used by %d of 200 clients, want 15 to 55", i, n)
+			t.Errorf("scheduler %d of 6 is used by %d of 200 clients, want 15 to 55 clients (33 on average)", i, n)
 		}
 	}
 	p, _ := New(cfg, 1)
@@ -236,7 +239,8 @@
 		{AttemptResult{Outcome: Malformed}, 3}} {
 		p := newPlan(t, testConfig())
 		if got := runFirstAttempts(p, start, 100, p.preference[0], c.result); got != c.want || p.Available() != 2 {
-			t.Errorf("result %+v: got %d attempts, want 1 if refused, else 3; %d schedulers available, want 2",
+			t.Errorf(
+				"result %+v: got %d attempts until ejection, want 1 if refused, else 3; %d available schedulers, want 2",
 				c.result, got, p.Available())
 		}
 		later := start.Add(2 * time.Second)
@@ -262,13 +266,15 @@
 	p := newPlan(t, testConfig())
 	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Status: 503, ConnectionClose: true}); got != 1 || p.Available() != 2 {
-		t.Errorf("scheduler that shuts down: got %d attempts, %d available schedulers, want 1 and 2",
+		t.Errorf(
+			"scheduler shuts down: got %d attempts until its ejection, %d schedulers available, want 1 and 2 of 3",
 			got, p.Available())
 	}
 	p = newPlan(t, testConfig())
 	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Outcome: IdleClosed}); got != 1 || p.Available() != 2 {
-		t.Errorf("scheduler closed its idle connections: got %d attempts, %d available schedulers, want 1 and 2",
+		t.Errorf(
+			"idle connections closed: got %d attempts until the ejection, %d schedulers available, want 1 and 2 of 3",
 			got, p.Available())
 	}
 	for range 9 { // closed idle connections must not eject the last available scheduler
@@ -277,12 +283,14 @@
 		}
 	}
 	if p.Available() != 1 {
-		t.Errorf("got %d available schedulers after all 3 closed their idle connections, want 1", p.Available())
+		t.Errorf("all 3 schedulers closed their idle connections: got %d available, want 1, as the last stays",
+			p.Available())
 	}
 	p = newPlan(t, testConfig())
 	if got := runFirstAttempts(p, start, 100, p.preference[0],
 		AttemptResult{Outcome: ClientLimited}); got < 10 || p.Available() != 3 {
-		t.Errorf("failures by the client's own limits: got an ejection or %d attempts, want none and at least 10",
+		t.Errorf(
+			"failures by the client's limits: got an ejection or %d attempts, want no ejection, at least 10 attempts",
 			got)
 	}
 }
@@ -300,7 +308,8 @@
 	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	for n := range cfg.Schedulers {
 		if !s.StartNow || s.Retry || p.InFlight() != 1 {
-			t.Fatalf("after %d refused connections: got step %+v, %d in flight, want 1 attempt that is no retry",
+			t.Fatalf(
+				"after %d refused connections: got step %+v, %d attempts in flight, want 1 attempt not marked as a retry",
 				n, s, p.InFlight())
 		}
 		if s = p.AttemptEnded(start, start, j, AttemptResult{Outcome: ConnectFailed}); s.Verdict != Pending ||
@@ -310,7 +319,8 @@
 		s = p.Start(start, j)
 	}
 	if !s.AllEjected || p.Available() != 0 {
-		t.Errorf("all schedulers refuse connections: got step %+v, %d available schedulers, want AllEjected and 0",
+		t.Errorf(
+			"all schedulers refuse connections: got step %+v, %d schedulers available, want AllEjected and 0",
 			s, p.Available())
 	}
 	// If the job may have run in an earlier attempt, a refused connection must not end the job as refused.
@@ -338,13 +348,13 @@
 		}
 	}
 	if n := p.Available(); n != 2 {
-		t.Errorf("missing responses: got %d of 3 schedulers available, want 2", n)
+		t.Errorf("no scheduler responds: got %d of 3 schedulers available, want 2, as at most half are ejected", n)
 	}
 	for i := range p.schedulers {
 		p.recordOutcome(start, i, AttemptResult{Outcome: ConnectFailed})
 	}
 	if n := p.Available(); n != 0 {
-		t.Errorf("all schedulers refuse connections: got %d available, want 0", n)
+		t.Errorf("all schedulers refuse connections: got %d schedulers available, want 0", n)
 	}
 	j, s := p.Begin(start, onceClass, start.Add(5*time.Second))
 	if s.Verdict != Pending || s.StartNow || !s.AllEjected || s.At.Before(start.Add(400*time.Millisecond)) {
@@ -354,7 +364,9 @@
 		t.Errorf("got step %+v after the wait for an ejected scheduler, want an attempt now as a probe", s)
 	}
 	if _, s = p.Begin(start, onceClass, start.Add(100*time.Millisecond)); s.Verdict != Refused || s.At.IsZero() {
-		t.Errorf("deadline before the end of all ejections: got step %+v, want verdict Refused with a time", s)
+		t.Errorf(
+			"deadline before the end of all ejections: got step %+v, want verdict Refused with a time to submit again",
+			s)
 	}
 	// All clients lose a failed scheduler at the same moment, so the ends of their ejections must be spread.
 	seen := map[time.Time]bool{}
@@ -413,7 +425,7 @@
 
 // TestProperties runs random sequences of events. No attempt may start at or after the job's deadline or
 // exceed the class's maximum number of attempts, a job that may have run may be repeated only if its class
-// allows it, the retries must stay within the budget, and the plan must count the attempts in flight
+// allows a repeat, the retries must stay within the budget, and the plan must count the attempts in flight
 // correctly.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -436,7 +448,7 @@
 		recordStep := func(tracked *trackedJob, s Step) bool {
 			for s.Verdict == Pending && !s.StartNow {
 				if s.At.Before(now) {
-					t.Fatal("plan returned a wait that ends in the past, want an end now or later")
+					t.Fatal("plan returned a wait for the next attempt that ends in the past, want an end now or later")
 				}
 				s = p.Start(s.At, tracked.job) // during the wait, the test plays no events of other jobs
 			}
@@ -448,7 +460,7 @@
 			class := cfg.Classes[tracked.class]
 			switch {
 			case !s.At.Before(tracked.deadline):
-				t.Fatalf("got an attempt that starts %v after the job's deadline, want a start before",
+				t.Fatalf("got an attempt that starts %v after the job's deadline, want a start before the deadline",
 					s.At.Sub(tracked.deadline))
 			case s.At.Before(now):
 				t.Fatal("plan returned an attempt that starts in the past, want a start now or later")
@@ -461,7 +473,9 @@
 			}
 			if !tracked.firstMayHaveRun.IsZero() && (class.Effect <= Rack || class.Effect == Anywhere &&
 				s.At.Sub(tracked.firstMayHaveRun) >= class.Window) {
-				t.Fatalf("got another attempt of a job of effect %d that may have run, want none", class.Effect)
+				t.Fatalf(
+					"job of effect %d may have run: got another attempt that its effect or its window forbids, want none",
+					class.Effect)
 			}
 			if tracked.attempts > 1 {
 				retries++
@@ -508,10 +522,12 @@
 			}
 		}
 		if limit := 1 + cfg.RetryBudget*float64(newJobs); float64(retries) > limit {
-			t.Fatalf("got %d retries of %d jobs, want at most %v by the retry budget", retries, newJobs, limit)
+			t.Fatalf("got %d retries for %d new jobs, want at most the %v retries that the retry budget allows",
+				retries, newJobs, limit)
 		}
 		if p.InFlight() != len(inFlight) {
-			t.Fatalf("%d attempts are in flight, but the plan counts %d", len(inFlight), p.InFlight())
+			t.Fatalf("test has %d attempts in flight, but the plan counts %d attempts in flight",
+				len(inFlight), p.InFlight())
 		}
 	})
 }
--- a/client/internal/plan/schedulers.go
+++ b/client/internal/plan/schedulers.go
@@ -101,8 +101,8 @@
 }
 
 // recordFailure counts an attempt without a response, and ejects the scheduler after EjectAfterFailures such
-// attempts in a row, or after a single one that was a probe. A scheduler that refuses connections is ejected
-// at once, however many other schedulers are ejected.
+// attempts in a row, or after a single attempt that was a probe. A scheduler that refuses connections is
+// ejected at once, however many other schedulers are ejected.
 func (p *Plan) recordFailure(now time.Time, s *schedulerState, r AttemptResult) {
 	s.consecutiveFailures++
 	if r.Outcome != ConnectFailed {
@@ -116,17 +116,17 @@
 		}
 	}
 	if now.Before(s.ejectedUntil) {
-		return // already ejected: an attempt from before the ejection reports the failure again
+		return // the scheduler is already ejected, and this attempt is from before the ejection
 	}
 	p.eject(now, s)
 }
 
-// mayEjectAnother reports whether at most half of the schedulers are ejected after one more ejection.
+// mayEjectAnother reports whether at most half of the schedulers would be ejected after one more ejection.
 func (p *Plan) mayEjectAnother() bool { return 2*(p.ejectedCount()+1) <= len(p.schedulers) }
 
-// eject ejects a scheduler and doubles its ejection duration. The actual time is random, between half and one
-// and a half times the ejection duration: all clients lose a failed scheduler at the same moment, and they
-// must not all send a probe to that scheduler at the same moment.
+// eject ejects a scheduler and doubles its ejection duration. The actual duration of the ejection is random,
+// between half and one and a half times the ejection duration: all clients lose a failed scheduler at the
+// same moment, and they must not all send a probe to that scheduler at the same moment.
 func (p *Plan) eject(now time.Time, s *schedulerState) {
 	s.ejectionDuration = min(max(2*s.ejectionDuration, p.cfg.BaseEjection), p.cfg.MaxEjection)
 	s.ejectedUntil = now.Add(s.ejectionDuration/2 + p.jitter(s.ejectionDuration))
@@ -150,7 +150,8 @@
 			if number != last {
 				candidates = append(candidates, number)
 			}
-		// The ejection time has passed, and no available scheduler is preferred to this one: probe the scheduler.
+		// The ejection time has passed, and the client prefers no available scheduler to this scheduler: probe this
+		// scheduler.
 		case !now.Before(s.ejectedUntil) && !s.probing && len(candidates) == 0:
 			s.probing = true
 			return number, now
@@ -185,7 +186,8 @@
 	}
 }
 
-// lessLoadedOfTwo draws two schedulers at random, with replacement, and returns the one with the lower load.
+// lessLoadedOfTwo draws two schedulers at random, with replacement, and returns the scheduler with the lower
+// load.
 func (p *Plan) lessLoadedOfTwo(from []int) int {
 	a, b := from[p.random.IntN(len(from))], from[p.random.IntN(len(from))]
 	if p.schedulers[b].load() < p.schedulers[a].load() {
--- a/client/prom/prom_test.go
+++ b/client/prom/prom_test.go
@@ -43,7 +43,7 @@
 		}
 		defer c.Close()
 		if _, err = c.Do(t.Context(), client.Job{Class: "a"}); client.Verdict(err) != want {
-			t.Fatalf("job ended with error %v, want verdict %s", err, want)
+			t.Fatalf("Do returns error %v, want an error with the verdict %s", err, want)
 		}
 	}
 	do(addr, "refused")
@@ -78,6 +78,8 @@
 		t.Error(err)
 	}
 	if n, err := testutil.GatherAndCount(registry, "client_job_seconds"); err != nil || n != 2 {
-		t.Errorf("got %d histograms of client_job_seconds, error %v, want 2: one for each verdict", n, err)
+		t.Errorf(
+			"got %d histograms of client_job_seconds, error %v, want 2: one for served and one for refused jobs",
+			n, err)
 	}
 }
--- a/internal/store/bolt.go
+++ b/internal/store/bolt.go
@@ -70,8 +70,10 @@
 // commits write to them alternately.
 const (
 	pageHeaderBytes = 16
-	metaBytes       = 56 // length of the data under the checksum; the FNV-1a checksum of 8 bytes follows
-	metaPages       = 2
+	// metaBytes is the length, in bytes, of the fields of a meta page that describe a commit. The checksum of
+	// these fields (FNV-1a, 8 bytes) follows the fields.
+	metaBytes = 56
+	metaPages = 2
 )
 
 // checkMetaPages returns an error if one of the file's meta pages is corrupt. A crash cannot corrupt a meta
@@ -106,7 +108,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("file is corrupt: %v", cause)
+			err = fmt.Errorf("file is corrupt: bbolt panicked: %v", cause)
 		}
 	}()
 	return do()
@@ -194,7 +196,8 @@
 			return err
 		}
 		if counted := decodeUint(tx.Bucket(metaBucket).Get(countKey)); counted != n {
-			return do("", nil, fmt.Errorf("store has %d records, but its stored count is %d", n, counted))
+			return do("", nil, fmt.Errorf("store has %d records, but the count of records in its file is %d",
+				n, counted))
 		}
 		return nil
 	})
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -65,14 +65,16 @@
 	}
 	want := version2Items()
 	if items, faults, err := Check(path); err != nil || len(faults) > 0 || items != len(want) {
-		t.Errorf("Check returns %d items, want %d; faults %v, want none; error %v", items, len(want), faults, err)
+		t.Errorf("Check returns %d items, want %d items; faults %v, want none; error %v, want none",
+			items, len(want), faults, err)
 	}
 	s := openStore(t, Config{Path: path})
 	if diff := cmp.Diff(want, readAll(t, s)); diff != "" {
 		t.Error(diff)
 	}
 	if commitTime, err := s.disk.commitTime(); err != nil || commitTime < 1_700_000_000_000_000 {
-		t.Errorf("latest commit is at %d microseconds since 1970, want a time after 2023-11-14; error %v",
+		t.Errorf(
+			"latest commit is at %d microseconds since 1970, want a time after 2023-11-14; error %v, want none",
 			commitTime, err)
 	}
 	err = s.disk.(*bolt).db.View(func(tx *bbolt.Tx) error {
@@ -82,7 +84,8 @@
 				return err
 			}
 			if !bytes.Equal(record, c.record) {
-				t.Errorf("item %q is %q in the file, but this version encodes the item as %q", id, c.record, record)
+				t.Errorf("this version encodes item %q as %q, but the record in the file of version 2 is %q",
+					id, c.record, record)
 			}
 			return nil
 		})
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -46,8 +46,8 @@
 	return append(binary.BigEndian.AppendUint32(nil, checksum(key, payload)), payload...)
 }
 
-// decodeRecord verifies the checksum of a record and decodes the item. The error is errCorrupt if either step
-// fails.
+// decodeRecord verifies the checksum of a record and decodes the item. The error is errCorrupt if the
+// checksum is wrong or the item cannot be decoded.
 func decodeRecord(key, record []byte) (*lifecycle.Item, error) {
 	if len(record) < checksumBytes ||
 		binary.BigEndian.Uint32(record) != checksum(key, record[checksumBytes:]) {
--- a/internal/store/lifecycle/item.go
+++ b/internal/store/lifecycle/item.go
@@ -18,14 +18,16 @@
 // Micros is a wall-clock time in microseconds since 1970, or a duration in microseconds.
 type Micros int64
 
-// Effect says where a job's class allows another attempt after an earlier attempt may have run.
+// Effect says whether a job's class allows another attempt after an earlier attempt may have run, and in
+// which racks.
 type Effect uint8
 
-// The effects of a class, from the one that forbids most repetitions of a job to the one that allows all.
+// The effects that a class may have, from the strictest to the least strict: Once allows no further attempt
+// for a job that may have run, and Safe allows any further attempt.
 const (
 	Once     Effect = iota // the job must never run twice, so no repeat is allowed
-	Rack                   // the workers of a rack drop duplicates during the deduplication window
-	Anywhere               // all workers drop duplicates during the deduplication window
+	Rack                   // in the deduplication window, the job may be repeated in the rack of the first run
+	Anywhere               // in the deduplication window, the job may be repeated in any rack
 	Safe                   // the job may run any number of times
 )
 
@@ -68,7 +70,7 @@
 // String returns the name of the verdict.
 func (v Verdict) String() string { return nameOf(int(v), "none", "served", "failed", "expired") }
 
-// MaxAttempts is the maximum number of attempts of an item, the first one included.
+// MaxAttempts is the maximum number of attempts of an item, the first attempt included.
 const MaxAttempts = 4
 
 // Attempt records that an item was routed to a worker, and how the attempt at the worker ended. The JSON keys
@@ -150,7 +152,7 @@
 	case Answered:
 		return it.answer(e)
 	}
-	return fmt.Errorf("unknown event kind %d", e.Kind)
+	return fmt.Errorf("event of unknown kind %d", e.Kind)
 }
 
 func (it *Item) route(e Event) error {
@@ -265,7 +267,7 @@
 		return nil
 	}
 	if err := replay.Apply(Event{Kind: Answered, Verdict: it.Verdict}); err != nil {
-		return fmt.Errorf("recorded verdict %d: %w", it.Verdict, err)
+		return fmt.Errorf("recorded verdict %d is not allowed: %w", it.Verdict, err)
 	}
 	return nil
 }
--- a/internal/store/lifecycle/item_test.go
+++ b/internal/store/lifecycle/item_test.go
@@ -54,7 +54,7 @@
 				}
 			}
 			if got := it.CheckRoute(c.at, c.rack); !errors.Is(got, want) {
-				t.Errorf("%s, effect %d: CheckRoute returns %v, want %v", c.name, effect, got, want)
+				t.Errorf("%s, item with effect %d: CheckRoute returns error %v, want error %v", c.name, effect, got, want)
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 		it := newItem(c.effect)
 		for _, e := range c.events {
 			if err := it.Apply(e); err != nil {
-				t.Fatalf("%s: an event before recovery is rejected with %v, want no error", c.name, err)
+				t.Fatalf("%s: the item rejects an event before recovery with error %v, want no error", c.name, err)
 			}
 		}
 		step, event := Recover(&it, c.now, 7*second)
@@ -112,7 +112,7 @@
 		}
 		if step == Apply {
 			if err := it.Apply(event); err != nil {
-				t.Errorf("%s: the item rejects the event of Recover with %v, want no error", c.name, err)
+				t.Errorf("%s: the item rejects the event that Recover returns with error %v, want no error", c.name, err)
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 			before.Attempts = append([]Attempt(nil), it.Attempts...)
 			if err := it.Apply(e); err != nil {
 				if diff := cmp.Diff(before, it); diff != "" {
-					t.Fatalf("Apply rejected the event with %v, but changed the item (-before +after): %s", err, diff)
+					t.Fatalf("Apply rejected the event with error %v, but changed the item (-before +after): %s", err, diff)
 				}
 			}
 			if err := it.Check(); err != nil {
@@ -170,13 +170,13 @@
 		for n := 0; it.Verdict == None; n++ {
 			step, e := Recover(&it, Clock{At: now + 1000*second, CallbackWaitOver: true}, second)
 			if n > 3 || step != Apply || it.Apply(e) != nil {
-				t.Fatalf("recovery reaches no final answer in 4 steps: last step %d, item %+v", step, it)
+				t.Fatalf("recovery must reach a final answer in 4 steps Apply: got last step %d, item %+v", step, it)
 			}
 		}
 		if len(it.Attempts) > 0 && it.Effect == Once && it.Attempts[0].Outcome != NeverRan {
 			it.Attempts = append(it.Attempts, Attempt{Worker: "x", At: now})
 			if it.Check() == nil {
-				t.Fatal("Check accepts a second attempt after one that may have run, want an error for effect Once")
+				t.Fatal("effect Once: Check accepts an attempt after an attempt that may have run, want an error")
 			}
 		}
 	})
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -10,16 +10,16 @@
 )
 
 // world is a model of one item, a store that loses unsynced writes at a crash, a scheduler process that may
-// be killed and restarted at any point, and two workers in two racks. The process acts by Apply and Recover,
-// and waits for the disk where the package comment demands it.
+// be killed and restarted at any point, and two workers in two racks. The process acts by Apply and Recover.
+// Before each of the four actions that diskWait names, the process waits until the item is synced to disk.
 type world struct {
 	Effect           Effect
 	Now              Micros
 	Mem              *Item   // item in the memory of the process; nil if there is none or if the process is dead
 	Disk             *Item   // item on disk, which survives a crash
-	Unsaved          []*Item // unsynced writes in order; a crash may lose any number of the latest writes
+	Unsaved          []*Item // unsynced writes of the item, oldest first; a crash may lose any of the latest
 	AcceptConfirmed  bool    // the client got the confirmation that the item was accepted
-	ClientVerdict    Verdict // verdict in the answer that the client got; None before
+	ClientVerdict    Verdict // verdict in the final answer that the client got; None before the answer
 	ResultAcked      bool    // a worker got the response 204 for a callback with the result
 	Submitted        bool
 	Dead             bool
@@ -27,24 +27,31 @@
 	ClockWentBack    bool // the wall clock shows an earlier time than the latest commit
 	Sent             bool // the latest attempt was sent to its worker
 	Workers          [2]workerState
-	Crashes          int      // number of crashes that may still happen
-	Runs             int      // number of times that the job ran
-	RanIn            [2]bool  // for each worker, whether the job ran there or was dropped there as a duplicate
-	Violation        string   // description of an event that Apply rejected; empty if there is none
-	SkippedWait      diskWait // wait for the disk that the process omits, as an injected fault
+	Crashes          int // number of crashes of the process that may still happen
+	Runs             int // number of times that the workers ran the job
+	// RanIn is true for each worker that has got a copy of the job, whether the worker ran the copy or dropped
+	// the copy as a duplicate. The model reads RanIn only for the effect Rack. With that effect, a worker runs
+	// the first copy that it gets and drops all later copies, so a worker that is true in RanIn ran the job.
+	RanIn     [2]bool
+	Violation string // description of an event that Apply rejected; empty if there is none
+	// SkippedWait names the action before which the process does not wait for the sync to disk, as an injected
+	// fault. SkippedWait is empty if the process omits no wait.
+	SkippedWait diskWait
 }
 
-// diskWait names an action before which the process must wait for the disk.
+// diskWait names an action before which the process must wait until all writes of the item are synced to
+// disk.
 type diskWait string
 
 const (
-	beforeAccept diskWait = "accept" // wait before the client gets the confirmation of its item
-	beforeRoute  diskWait = "route"  // wait before an attempt is sent to a worker
-	before204    diskWait = "204"    // wait before a worker gets the response to its callback
-	beforeAnswer diskWait = "answer" // wait before the client gets the answer
+	beforeAccept diskWait = "accept" // wait for the sync to disk before confirming the item to the client
+	beforeRoute  diskWait = "route"  // wait for the sync to disk before sending an attempt to its worker
+	before204    diskWait = "204"    // wait for the sync to disk before the response 204 to a worker's callback
+	beforeAnswer diskWait = "answer" // wait for the sync to disk before giving the client the final answer
 )
 
-// racks has the rack of each worker. The name of a worker is the name of its rack.
+// racks lists the rack of each worker, by the worker's index. Each rack has one worker, which has the name of
+// the rack.
 var racks = []string{"a", "b"}
 
 // workerState is the state of a worker in the model.
@@ -78,14 +85,16 @@
 // applyAndWrite applies an event to the item in memory and writes the item without a sync.
 func (w *world) applyAndWrite(e Event) {
 	if err := w.Mem.Apply(e); err != nil {
-		w.Violation = fmt.Sprintf("Apply rejects event kind %d at time %d: %v", e.Kind, e.At, err)
+		w.Violation = fmt.Sprintf("Apply rejects an event of kind %d at the time of %d microseconds: %v",
+			e.Kind, e.At, err)
 		return
 	}
 	it := *w.Mem
 	w.Unsaved = append(w.Unsaved, &it)
 }
 
-// action is a possible next step of the model world.
+// action is something that may happen next in a world: an action of the process, of a worker or of the
+// client, a sync to disk, a crash, or the passing of time.
 type action struct {
 	name string
 	do   func(*world)
@@ -164,7 +173,7 @@
 func (w *world) callBack(i int) {
 	w.applyAndWrite(Event{Kind: AttemptEnded, At: w.Now, Outcome: Done})
 	if w.SkippedWait == before204 {
-		// The injected fault: the worker gets the response 204 before the record is on disk.
+		// The injected fault: the worker gets the response 204 before its result is on disk.
 		w.Workers[i].CallsBack, w.ResultAcked = false, true
 	}
 }
@@ -172,8 +181,8 @@
 // acknowledge sends the response to a worker's callback.
 func (w *world) acknowledge(i int) {
 	w.Workers[i].CallsBack = false
-	// A callback that comes after a final answer without a result gets another status than 204, which confirms
-	// no result.
+	// A callback that comes after a final answer without a result gets a status other than 204, so that the
+	// worker's result is not confirmed.
 	n := len(w.Mem.Attempts)
 	w.ResultAcked = w.ResultAcked || n > 0 && w.Mem.Attempts[n-1].Outcome == Done
 }
@@ -243,7 +252,7 @@
 	return all
 }
 
-// route records an attempt at a worker, which send then delivers.
+// route records in the item that an attempt is routed to worker i. The job reaches the worker later, by send.
 func (w *world) route(i int) {
 	w.applyAndWrite(Event{Kind: Routed, At: w.Now, Worker: racks[i], Rack: racks[i]})
 	if w.SkippedWait == beforeRoute {
@@ -288,16 +297,16 @@
 	case w.Violation != "":
 		return fmt.Errorf("%s", w.Violation)
 	case w.Runs > 1 && w.Effect != Safe:
-		return fmt.Errorf("the job ran %d times, want at most once for its effect", w.Runs)
+		return fmt.Errorf("the job ran %d times, want at most once, as its effect is not Safe", w.Runs)
 	case w.AcceptConfirmed && w.Disk == nil:
-		return fmt.Errorf("the client got a confirmation, but the item is not on disk")
+		return fmt.Errorf("the client got the confirmation of its item, but the item is not on disk")
 	case w.ClientVerdict != None && w.Disk != nil && w.Mem != nil && w.Mem.Verdict != w.ClientVerdict:
-		return fmt.Errorf("the client got the answer %v, but the item's verdict is now %v",
+		return fmt.Errorf("the client got the final answer %v, but the verdict in the item is now %v",
 			w.ClientVerdict, w.Mem.Verdict)
 	case w.ResultAcked && w.ClientVerdict == Failed:
-		return fmt.Errorf("a worker got the response 204 for its result, but the client got the answer failed")
+		return fmt.Errorf("a worker got the response 204 for its result, but the client's final answer is failed")
 	case w.ClientVerdict == Expired && w.Runs > 0:
-		return fmt.Errorf("the client got the answer expired, but the job ran")
+		return fmt.Errorf("the client got the final answer expired, but a worker ran the job")
 	}
 	if w.Disk != nil {
 		return w.Disk.Check()
@@ -312,30 +321,33 @@
 	for effect := Once; effect <= Safe; effect++ {
 		crashes := 3
 		if effect >= Anywhere || testing.Short() {
-			crashes = 1 // attempts that may be repeated multiply the number of states
+			crashes = 1 // effects that allow repeated attempts multiply the number of states
 		}
 		if raceOn {
 			crashes = 1 // the race detector makes each explored state ten times as expensive
 		}
 		tour := modelcheck.Exhaust(&world{Effect: effect, Crashes: crashes}, 300_000)
 		if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
-			t.Errorf("effect %d: explored %v with violation %v on the path %q, want all states and no violation",
+			t.Errorf(
+				"item with effect %d: explored %v, violation %v by actions %q, want all states explored and no violation",
 				effect, tour, tour.Violation, tour.Path)
 		}
-		t.Logf("effect %d: explored %v", effect, tour)
+		t.Logf("item with effect %d: the model checker explored %v", effect, tour)
 	}
 }
 
-// TestEachWaitIsNeeded checks that each of the four waits for the disk is necessary: if the process omits any
-// wait, some order of events must break a promise to a client or a worker.
+// TestEachWaitIsNeeded checks that each of the four waits for a sync to disk that diskWait names is
+// necessary: if the process omits any of these waits, the model checker must find an order of events that
+// breaks a promise to a client or a worker.
 func TestEachWaitIsNeeded(t *testing.T) {
 	for _, skipped := range []diskWait{beforeAccept, beforeRoute, before204, beforeAnswer} {
 		tour := modelcheck.Exhaust(&world{Effect: Once, Crashes: 2, SkippedWait: skipped}, 1_000_000)
 		if tour.Violation == nil {
-			t.Errorf("got no violation without the wait for the disk before %s, want one; explored %v", skipped, tour)
+			t.Errorf("process omits the wait for the disk before %s: got no violation, want one; explored %v",
+				skipped, tour)
 			continue
 		}
-		t.Logf("without the wait for the disk before %s: expected violation %v on the path %q",
+		t.Logf("process omits the wait for the disk before %s: got violation %v by actions %q, as expected",
 			skipped, tour.Violation, tour.Path)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -32,7 +32,7 @@
 	updateReserveDivisor = 8
 )
 
-// Change is an item's new state, or its deletion.
+// Change is the new state of an item, or the deletion of an item.
 type Change struct {
 	Item   *lifecycle.Item
 	Delete bool
@@ -189,7 +189,7 @@
 }
 
 // Update queues a change of a stored item: the item's new state or its deletion. Update returns the same
-// errors as Accept except ErrFull, and c.Done is called under the same condition.
+// errors as Accept except ErrFull. c.Done is called later, and only if Update returns nil.
 func (s *Store) Update(c Change) error {
 	if err := c.encode(); err != nil {
 		return err
@@ -291,7 +291,7 @@
 // Backup writes a consistent snapshot of the store to w. Changes continue to be stored during the backup.
 func (s *Store) Backup(w io.Writer) error { return s.disk.writeTo(w) }
 
-// Close writes the queued changes and closes the store. A second call has no effect.
+// Close writes the queued changes and closes the store. A second call of Close has no effect.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	if err := acceptAndWait(s, testItem(99)); !errors.Is(err, ErrClosed) {
-		t.Errorf("Accept after Close returns %v, want ErrClosed", err)
+		t.Errorf("Accept after Close returns error %v, want ErrClosed", err)
 	}
 	s = openStore(t, Config{Path: path})
 	if diff := cmp.Diff(want, readAll(t, s)); diff != "" {
@@ -118,7 +118,8 @@
 	}
 	hourAgo := lifecycle.Micros(time.Now().Add(-time.Hour).UnixMicro())
 	if r, err := s.Recover(hourAgo); err != nil || !r.Clock.WentBack || r.Clock.At <= hourAgo {
-		t.Errorf("wall clock set back by an hour: got clock %+v, error %v, want WentBack and a later time",
+		t.Errorf(
+			"wall clock set back by an hour: Recover returns clock %+v, error %v, want WentBack and a later time",
 			r.Clock, err)
 	}
 }
@@ -190,7 +191,9 @@
 	close(c.commitPermits)
 	done.Wait()
 	if c.commits > 3 || len(readAll(t, s)) != 500 {
-		t.Errorf("got %d commits for 500 items, want at most 3 and all items on disk", c.commits)
+		t.Errorf(
+			"got %d commits for 500 items that were accepted during a commit, want at most 3 and all items on disk",
+			c.commits)
 	}
 }
 
@@ -204,11 +207,13 @@
 		if err := s.Accept(Change{Item: testItem(taken), Done: func(error) {}}); errors.Is(err, ErrBusy) {
 			break
 		} else if err != nil || taken > maxQueuedChanges {
-			t.Fatalf("Accept returns %v after %d items, want ErrBusy before the queue is full", err, taken)
+			t.Fatalf("Accept returns error %v after %d accepted items, want ErrBusy before the queue is full",
+				err, taken)
 		}
 	}
 	if err := s.Update(Change{Item: testItem(0), Delete: true, Done: func(error) {}}); err != nil {
-		t.Errorf("deletion of an accepted item is rejected with %v, want space in the reserve of the queue", err)
+		t.Errorf("deletion of an accepted item is rejected with error %v, want space in the reserve of the queue",
+			err)
 	}
 	close(c.commitPermits)
 }
@@ -229,7 +234,8 @@
 			case err == nil && n+1 < failFrom:
 				want[it.ID] = it
 			case !errors.As(err, &failure) || !errors.Is(err, errIO) || n+1 < failFrom:
-				t.Errorf("disk fails from commit %d on: storing item %d returns %v, want a DiskError from that commit on",
+				t.Errorf(
+					"disk fails from commit %d on: storing item %d returns error %v, want a DiskError from that commit on",
 					failFrom, n, err)
 			}
 		}
@@ -257,7 +263,7 @@
 		}
 	}
 	if err := acceptAndWait(s, testItem(3)); !errors.Is(err, ErrFull) {
-		t.Errorf("storing a fourth item returns %v, want ErrFull for a quota of 3 items", err)
+		t.Errorf("storing a fourth item returns error %v, want ErrFull for a quota of 3 items", err)
 	}
 	if err := errors.Join(updateAndWait(s, Change{Item: testItem(1)}),
 		updateAndWait(s, Change{Item: testItem(0), Delete: true}),
@@ -271,11 +277,14 @@
 		if err := acceptAndWait(small, it); errors.Is(err, ErrFull) {
 			break
 		} else if err != nil || n > 100 {
-			t.Fatalf("storing 10 KiB returns %v after %d such items, want ErrFull for a quota of 256 KiB", err, n)
+			t.Fatalf(
+				"storing an item of 10 KiB returns error %v after %d such items, want ErrFull for a quota of 256 KiB",
+				err, n)
 		}
 	}
 	if info, err := os.Stat(small.cfg.Path); err != nil || info.Size() > 512<<10 {
-		t.Errorf("file has %d bytes, want at most twice MaxBytes; error %v", info.Size(), err)
+		t.Errorf("file of the store has %d bytes, want at most twice MaxBytes of 256 KiB; error %v, want none",
+			info.Size(), err)
 	}
 }
 
@@ -335,11 +344,11 @@
 			}
 			o, err := Open(Config{Path: tornPath})
 			if err != nil {
-				t.Fatalf("commit %d interrupted: opening the store fails with %v, want no error", n, err)
+				t.Fatalf("commit %d interrupted: opening the store fails with error %v, want no error", n, err)
 			}
 			if got := readAll(t, o); cmp.Diff(state, got) != "" && cmp.Diff(next, got) != "" {
 				t.Fatalf(
-					"commit %d interrupted: store has neither the old nor the new state, difference to the old state: %s",
+					"commit %d interrupted: items are neither those before nor those after the commit (-before +got): %s",
 					n, cmp.Diff(state, got))
 			}
 			closeStore(t, o)
@@ -447,7 +456,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(Config{Path: path}); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("opening a file that is not a store returns %v, want an error of one line", err)
+		t.Errorf("opening a file that is not a store returns error %v, want an error of one line", err)
 	}
 }
 
