--- a/client/failure_test.go
+++ b/client/failure_test.go
@@ -326,7 +326,7 @@
 					t.Errorf("call of Do for job %d returned %v after the job's deadline, want at most 2 s", n, late)
 				}
 			}
-			if verdicts["served"] < 20 { // half of 40: a slow machine may miss some of the short deadlines
+			if verdicts["served"] < 20 { // half of the 40 jobs: a slow machine may miss some of the short deadlines
 				t.Errorf("got verdicts %v, %d attempts at the unhealthy scheduler, want at least 20 of 40 jobs served",
 					verdicts, unhealthy.received.Load())
 			}
--- a/client/internal/plan/plan.go
+++ b/client/internal/plan/plan.go
@@ -44,8 +44,8 @@
 	Schedulers int     // number of schedulers; a scheduler is identified by an index from 0 to Schedulers-1
 	Classes    []Class // classes of jobs, indexed by the class number that Begin takes
 	// RetryBudget is the number of retry tokens that each new job adds, and MaxTokens the largest number of
-	// unused tokens that is kept. A plan starts with one token, and each retry uses one. If no token is left,
-	// the job ends with the result of its last attempt.
+	// unused tokens that is kept. A plan starts with one token, and each retry uses one token. If no token is
+	// left, the job ends with the result of its last attempt.
 	RetryBudget float64
 	MaxTokens   float64
 	// Backoff is the upper end of the random delay before the first retry. The delay is added to the Retry-After
@@ -100,7 +100,7 @@
 type Job struct {
 	class    *Class
 	deadline time.Time
-	attempts int // number of this job's attempts that were submitted to a scheduler or are in flight
+	attempts int // number of attempts for this job that count towards Class.MaxAttempts, one in flight included
 	// firstMayHaveRun is the start time of the first attempt in which the job may have run. It is zero if the
 	// job cannot have run yet.
 	firstMayHaveRun time.Time
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -467,7 +467,7 @@
 			case tracked.attempts > class.MaxAttempts:
 				t.Fatalf("got attempt %d of a job, want no more attempts than the job's class allows", tracked.attempts)
 			case s.Retry != (tracked.attempts > 1):
-				t.Fatal("first attempt is marked as a retry, or a later attempt is not")
+				t.Fatal("first attempt is marked as a retry, or a later attempt is not, want only later attempts marked")
 			case s.Scheduler < 0 || s.Scheduler >= cfg.Schedulers:
 				t.Fatalf("got scheduler %d, want an index of a configured scheduler", s.Scheduler)
 			}
--- a/client/pool.go
+++ b/client/pool.go
@@ -148,7 +148,7 @@
 		p.idle[scheduler] = p.idle[scheduler][:n-1]
 		if time.Since(c.idleSince) <= idleTimeout {
 			if alive(c.Conn) {
-				c.SetDeadline(time.Time{}) // removes the last deadline, which a cancellation may have set to the past
+				c.SetDeadline(time.Time{}) // removes the last attempt's deadline, which a cancellation may have moved
 				return c, false
 			}
 			closed = true
--- a/internal/store/lifecycle/item.go
+++ b/internal/store/lifecycle/item.go
@@ -130,11 +130,11 @@
 // Reasons why Apply or CheckRoute rejects an event that an item does not allow.
 var (
 	ErrAnswered           = errors.New("item already has its final answer")
-	ErrOutstanding        = errors.New("latest attempt has not ended")
+	ErrOutstanding        = errors.New("latest attempt of the item has not ended")
 	ErrNoAttempt          = errors.New("item has no outstanding attempt that this event could end")
-	ErrTooManyAttempts    = errors.New("maximum number of attempts is reached")
+	ErrTooManyAttempts    = errors.New("item already has the maximum number of attempts")
 	ErrMayHaveRun         = errors.New("an attempt may have run, and the class allows no repeat in this rack")
-	ErrDeadlinePassed     = errors.New("deadline has passed")
+	ErrDeadlinePassed     = errors.New("deadline of the item has passed")
 	ErrUnjustifiedVerdict = errors.New("recorded attempts do not justify the verdict")
 )
 
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -60,8 +60,8 @@
 	CallsBack bool // the job ran, and the worker repeats the callback until a response arrives
 }
 
-// maxModelledAttempts limits the attempts in the model. A limit below MaxAttempts keeps the number of states
-// small.
+// maxModelledAttempts is the maximum number of attempts of the item in the model. A limit below MaxAttempts
+// keeps the number of states small.
 const maxModelledAttempts = 2
 
 // answerRetention is the time for which the modelled process keeps an answer.
