--- a/internal/node/slopes_bench_test.go
+++ b/internal/node/slopes_bench_test.go
@@ -156,10 +156,10 @@
 }
 
 // appliedCount returns how many updates of the worker list the event loop has applied.
-func (t *freshnessGuard) appliedCount() uint64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.appliedUpdates
+func (g *freshnessGuard) appliedCount() uint64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.appliedUpdates
 }
 
 // BenchmarkSlopeMemory measures the memory of a worker list as a scheduler.WorkerList, as the watch's reader
