--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -18,7 +18,8 @@
 const (
 	// diskDrillMargin is the time that is reserved for one more round of storing, killing and checking.
 	diskDrillMargin = 5 * time.Second
-	// maxConfirmedItems limits the number of items with confirmed steps, and so the time that a check takes.
+	// maxConfirmedItems limits the number of items of which the store has confirmed a step, and so the time that
+	// a check takes.
 	maxConfirmedItems = 400_000
 	// skippedItemNumbers is the gap in item numbers between two rounds. The killed process may have stored
 	// items beyond the last confirmed number; the gap keeps the next round from reusing their numbers.
@@ -26,18 +27,20 @@
 )
 
 // diskDrill repeatedly starts a process that stores items and kills it at a random time. After each kill it
-// checks that the store holds every confirmed step and that every stored item is readable.
+// checks that the store holds every lifecycle step of an item that the store had confirmed, and that every
+// stored item is readable.
 type diskDrill struct {
 	program, path string // the paths of this executable and of the file of the store
 	random        *rand.Rand
 	progress      progressFunc
 
-	confirmed map[int]int // the last confirmed step of each item, by the item's number
+	confirmed map[int]int // the last lifecycle step that the store confirmed of each item, by the item's number
 	nextItem  int         // the number of the first item of the next round
 
 	// The counts in the report. kills counts the killed processes. The other counts are sums over all checks:
-	// lost counts items whose stored step is behind the confirmed step, unreadable counts stored items that
-	// cannot be read, and storedUnconfirmed counts items whose stored step is ahead of the confirmed step.
+	// lost counts items whose stored step is earlier than the step that the store confirmed, unreadable counts
+	// stored items that cannot be read, and storedUnconfirmed counts items whose stored step is later than the
+	// confirmed step.
 	kills, lost, unreadable, storedUnconfirmed int
 }
 
@@ -79,7 +82,8 @@
 	}
 	lifetime := time.Duration(20+d.random.IntN(400)) * time.Millisecond
 	kill := time.AfterFunc(lifetime, func() {
-		_ = process.Process.Kill() // Kill fails only if the process has exited, which ends its output too
+		// Kill fails only if the process has already exited. The end of the output then ends readConfirmed too.
+		_ = process.Process.Kill()
 	})
 	d.readConfirmed(out)
 	kill.Stop()
@@ -89,7 +93,8 @@
 	return nil
 }
 
-// readConfirmed reads the confirmed steps that the process prints, until the output ends.
+// readConfirmed reads the output of the process that stores items, until the output ends. Each line has the
+// number of an item and a lifecycle step that the store has confirmed.
 func (d *diskDrill) readConfirmed(out io.Reader) {
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		var n, step int
@@ -101,7 +106,8 @@
 	}
 }
 
-// check compares the items in the store with the steps that the killed processes confirmed.
+// check compares the lifecycle step of each stored item with the last step that the killed processes printed
+// as confirmed.
 func (d *diskDrill) check() error {
 	stored, err := d.readStore()
 	if err != nil {
@@ -120,7 +126,7 @@
 	return nil
 }
 
-// readStore returns the last completed step of each stored item, by the item's number.
+// readStore returns the last completed lifecycle step of each stored item, by the item's number.
 func (d *diskDrill) readStore() (stored map[int]int, err error) {
 	r, err := store.OpenReader(d.path)
 	if err != nil {
--- a/cmd/schedbench/keep.go
+++ b/cmd/schedbench/keep.go
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// itemWriter stores items and prints each confirmed step.
+// itemWriter stores items and prints each lifecycle step that the store confirms.
 type itemWriter struct {
 	store *store.Store
 	out   sync.Mutex // serializes the lines on standard output
 }
 
-// storeItem takes one item through its lifecycle and stores each step.
+// storeItem takes one item through its lifecycle and stores the item after each step.
 func (w *itemWriter) storeItem(n int) error {
 	it := &lifecycle.Item{ID: fmt.Sprint(n), Class: "post-reading", Body: make([]byte, 200), Deadline: farFuture}
 	for step := stepAccepted; step <= lastStep; step++ {
--- a/cmd/schedbench/main_test.go
+++ b/cmd/schedbench/main_test.go
@@ -96,7 +96,7 @@
 		}
 	}
 	if d, err := drillByName("planted"); err != nil || d.description != drills["mutants"].description {
-		t.Errorf("the former drill name planted selects the drill %q, error %v; want drill mutants", d.description,
+		t.Errorf("the former drill name \"planted\" selects drill %q, error %v; want \"mutants\"", d.description,
 			err)
 	}
 	status, help, _ := runCommand(t, "--help")
@@ -134,31 +134,31 @@
 	status, out, _ := runCommand(t, "modelcheck", "--world", "hole", "--out", folder)
 	s := lastSummary(t, out)
 	if status != exitViolation || s.Violations != 1 || s.Property != "called-back" || s.Exhausted {
-		t.Fatalf("search of the world hole: got exit status %d, output %s; want a violation of called-back",
+		t.Fatalf("search of world \"hole\": got exit status %d, output %s; want \"called-back\" violated",
 			status, out)
 	}
 	status, out, _ = runCommand(t, "modelcheck", "--replay", s.Trace)
 	if status != exitViolation || !strings.Contains(out, "broken: called-back") {
-		t.Errorf("replay of the trace: got exit status %d, output %s; want a violation of the property called-back",
+		t.Errorf("replay of the trace: got exit status %d, output %s; want property \"called-back\" violated",
 			status, out)
 	}
 	status, out, _ = runCommand(t, "modelcheck", "--world", "turned", "--coverage", "--out", folder)
 	if s = lastSummary(t, out); status != exitOK || !s.Exhausted || s.States < 1000 || s.Violations != 0 ||
 		len(s.Uncovered) == 0 {
-		t.Errorf("search of the world turned: status %d, output %s; want exhausted, no violation, uncovered events",
+		t.Errorf("world \"turned\": status %d, output %s; want a complete search, no violation, uncovered events",
 			status, out)
 	}
 	status, out, _ = runCommand(t, "modelcheck", "--walk", "--budget", "200ms", "--out", folder)
 	if s = lastSummary(t, out); status != exitOK || s.World != "large" || s.States == 0 {
-		t.Errorf("random walk: got exit status %d with output %s; want a walk through the world large", status, out)
+		t.Errorf("random walk: got exit status %d with output %s; want states of world \"large\"", status, out)
 	}
 	if status, out, _ = runCommand(t, "modelcheck", "--list"); status != exitOK || !strings.Contains(out,
 		"one-final-answer") {
-		t.Errorf("modelcheck --list: got exit status %d, output %s; want a list with the property one-final-answer",
+		t.Errorf("modelcheck --list: got exit status %d, output %s; want a list with property \"one-final-answer\"",
 			status, out)
 	}
 	if status, out, _ = runCommand(t, "drill"); status != exitOK || !strings.Contains(out, "mutants") {
-		t.Errorf("list of drills: got exit status %d with output %s; want a list with the drill mutants", status,
+		t.Errorf("list of drills: got exit status %d with output %s; want a list with drill \"mutants\"", status,
 			out)
 	}
 }
--- a/cmd/schedbench/modelcheck.go
+++ b/cmd/schedbench/modelcheck.go
@@ -42,8 +42,8 @@
 	searchMemoryLimit = 12 << 30 // memory in bytes near which the garbage collector runs more often
 )
 
-// Run explores a world, walks through a world at random, lists the worlds or replays a trace, as the flags
-// select.
+// Run does what the flags select: it explores all states of a world (a small configuration of clients,
+// schedulers and workers), takes random walks through a large world, lists the worlds, or replays a trace.
 func (c *modelCheckCmd) Run() error {
 	switch {
 	case c.List:
@@ -75,9 +75,9 @@
 	return c.report(cfg, result, time.Since(began))
 }
 
-// config returns the world that the command explores. A walk takes the large world unless --world is that
-// world's name followed by a hyphen and a suffix. Such a name selects one of WalkedWorlds, or the large world
-// with the rules of another world.
+// config returns the world, a simulated configuration, that the command explores. A walk takes the large
+// world unless --world is that world's name followed by a hyphen and a suffix. Such a name selects one of
+// WalkedWorlds, or the large world with the settings of another world.
 func (c *modelCheckCmd) config() (*modelcheck.Config, error) {
 	if c.Walk {
 		large := modelcheck.LargeWorld()
@@ -93,8 +93,8 @@
 	return cfg.Resize(c.Requests, c.Workers, c.Faults)
 }
 
-// search explores all states of a world, or walks through the world at random. It prints its progress if
-// standard error is a terminal.
+// search explores all states of a world (a simulated configuration), or takes random walks through the world.
+// It prints its progress if standard error is a terminal.
 func (c *modelCheckCmd) search(ctx context.Context, cfg *modelcheck.Config) (*modelcheck.Result, error) {
 	opt := modelcheck.Options{Parallel: c.Parallel, ReplayStates: c.Engine == "replay"}
 	if isatty.IsTerminal(os.Stderr.Fd()) {
--- a/cmd/schedbench/modelcheck_report.go
+++ b/cmd/schedbench/modelcheck_report.go
@@ -69,7 +69,8 @@
 	return path, os.WriteFile(path, append(raw, '\n'), 0o666)
 }
 
-// listWorlds prints the worlds and the checked properties, each with a description.
+// listWorlds prints the worlds (the configurations that the model checker can explore) and the checked
+// properties, each with a description.
 func listWorlds() {
 	var table [][]string
 	for _, c := range slices.Concat(modelcheck.Worlds(), modelcheck.WalkedWorlds()) {
@@ -77,7 +78,7 @@
 	}
 	table = append(table, nil)
 	for i, p := range modelcheck.Properties() {
-		table = append(table, []string{fmt.Sprintf("%d %s", i+1, p), p.About()})
+		table = append(table, []string{fmt.Sprintf("%d %s", i+1, p), p.About()}) // number, name
 	}
 	printTable(os.Stdout, table)
 }
--- a/cmd/schedbench/mutants.go
+++ b/cmd/schedbench/mutants.go
@@ -21,9 +21,10 @@
 const mutantSearchBudget = 60 * time.Second
 
 // The model checker must find a mutant with OnlyInWorld set only in the mutant's own world. The drill also
-// searches the mutant in each world with the default rules, to check that these searches find no violation.
+// searches the mutant in each world (simulated configuration) with the default settings, to check that these
+// searches find no violation.
 const (
-	otherWorldBudget    = 2 * time.Second // longest search of a mutant in one world
+	otherWorldBudget    = 2 * time.Second // longest search for a mutant's fault in one world
 	otherWorldMaxFaults = 2               // largest number of injected faults in the search of one world
 )
 
@@ -86,7 +87,8 @@
 		property, steps, strconv.FormatInt(o.search.States, 10), fmt.Sprintf("%.2f", o.search.Seconds), otherWorlds}
 }
 
-// otherWorlds is the result of the searches of a mutant in all worlds with the default rules.
+// otherWorlds is the result of the searches for a mutant's fault in all worlds (simulated configurations)
+// with the default settings.
 type otherWorlds struct {
 	worlds  int      // number of worlds searched
 	states  int64    // number of states searched in all worlds
@@ -99,7 +101,7 @@
 	if len(e.foundIn) > 0 {
 		return "found in " + strings.Join(e.foundIn, ", ")
 	}
-	return fmt.Sprintf("found in none of %d worlds with %d states", e.worlds, e.states)
+	return fmt.Sprintf("found in none of %d searched worlds, with %d states together", e.worlds, e.states)
 }
 
 // checkMutant builds this program with a mutant and searches for a violation. If it finds one, it replays the
@@ -154,7 +156,8 @@
 	return b, nil
 }
 
-// search runs the model checker of the build on a world and returns its summary.
+// search runs the model checker of the build on the world with the given name, and returns the summary of the
+// search.
 func (b mutantBuild) search(ctx context.Context, world string, budget time.Duration,
 	more ...string) (searchSummary, error) {
 	args := append([]string{"modelcheck", "--world", world, "--out", b.folder, "--budget", budget.String()},
@@ -171,7 +174,8 @@
 	return s, nil
 }
 
-// searchOtherWorlds searches for violations of the mutant in all worlds with the default rules.
+// searchOtherWorlds searches for violations by the mutant in all worlds (simulated configurations) with the
+// default settings.
 func (b mutantBuild) searchOtherWorlds(ctx context.Context) (otherWorlds, error) {
 	var e otherWorlds
 	for _, c := range modelcheck.Worlds() {
--- a/cmd/schedbench/regress.go
+++ b/cmd/schedbench/regress.go
@@ -41,7 +41,8 @@
 	}
 	text, path, ok := strings.Cut(c.Chart, "=")
 	if !ok {
-		return usageError("--chart %q must have the form TEXT=FILE", c.Chart)
+		return usageError("--chart %q must have the form TEXT=FILE, with TEXT in the names of the series",
+			c.Chart)
 	}
 	return drawSeries(path, text, all)
 }
--- a/cmd/schedbench/scale_table.go
+++ b/cmd/schedbench/scale_table.go
@@ -18,7 +18,7 @@
 
 // formatSpread formats the median, the 99th percentile and the maximum of a distribution.
 func formatSpread(s emulator.Spread) string {
-	return fmt.Sprintf("%.0f / %.0f / %.0f ms", s.P50, s.P99, s.Max)
+	return fmt.Sprintf("%.0f / %.0f / %.0f ms", s.P50, s.P99, s.Max) // median, 99th percentile, maximum
 }
 
 // jobRows returns the rows about the run's options, the jobs, the times to start and the attempts.
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -42,7 +42,7 @@
 	d.restart(second)
 	f.runUntil(f.now + second)
 	if !d.table.Since(4).Complete || d.table.Since(5).Complete {
-		t.Error("after a restart, discovery has changes since revision 4 or a full list since 5; want the reverse")
+		t.Error("after a restart, discovery has no full list for revision 4 or has one for 5; want one for 4 only")
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 	f.runUntil(f.now + maxCallWait/2)
 	if open := len(d.watches); open < fit/2-2 || open > fit/2+2 {
-		t.Errorf("discovery has %d watches open for %d answered calls after half of maxCallWait, want about half",
+		t.Errorf("discovery has %d open watches after half of maxCallWait, want half of %d answered calls, +/- 2",
 			open, fit)
 	}
 	d.restart(second)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -17,7 +17,8 @@
 			r := mustRun(t, shortRun(day))
 			m := r.Model
 			if diff := cmp.Diff(m, mustRun(t, shortRun(day)).Model); diff != "" {
-				t.Errorf("two runs with the same seed give different models, want equal models: %s", diff)
+				t.Errorf("two runs with the same seed give different figures (Report.Model), want equal figures: %s",
+					diff)
 			}
 			if !r.OK() || m.Invalid > 0 {
 				t.Errorf("the run has violations %v and %d invalid answers, want none; findings: %s",
@@ -25,7 +26,7 @@
 			}
 			if m.Starts < m.Jobs/2 || m.Served < m.Jobs/4 || m.CheckedRequests < m.Requests-3 {
 				t.Errorf(
-					"%d jobs, %d started (want half), %d served (want 1/4), checked %d of %d requests (want all but 3)",
+					"%d jobs: %d started (want half), %d served (want 1/4); checked %d of %d requests (want all but 3)",
 					m.Jobs, m.Starts, m.Served, m.CheckedRequests, m.Requests)
 			}
 			if m.Changes.NotInForce > 0 || m.Changes.InForce.Max > 8000 {
@@ -120,7 +121,7 @@
 		sum += m.fraction
 	}
 	if sum < 1.999 || sum > 2.001 || len(set.Zones) != Zones {
-		t.Errorf("the job fractions of classes and slot counts add up to %v, want 1 + 1; or a zone is missing",
+		t.Errorf("the job fractions of classes and slot counts add up to %v, want 2 (1 each); or a zone is missing",
 			sum)
 	}
 }
--- a/internal/emulator/network_test.go
+++ b/internal/emulator/network_test.go
@@ -15,13 +15,13 @@
 	}
 	f.runUntil(f.atFraction(0) + second)
 	if len(arrivals) != 2 || arrivals["within"] == 0 || arrivals["elsewhere"] == 0 {
-		t.Errorf("arrivals by message during the cut of region 3: %v, want only the messages within and elsewhere",
+		t.Errorf("arrivals by message during the cut of region 3: %v, want only \"within\" and \"elsewhere\"",
 			arrivals)
 	}
 	f.network.heal()
 	f.runUntil(f.atFraction(0) + 2*second)
 	if arrivals["out"] < f.atFraction(0)+second || arrivals["in"] < f.atFraction(0)+second {
-		t.Errorf("arrivals by message after the cut of region 3: %v, want out and in after the end of the cut",
+		t.Errorf("arrivals by message after the cut of region 3: %v, want \"out\" and \"in\" after its end",
 			arrivals)
 	}
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -28,7 +28,7 @@
 	previousWatch   *watch            // earlier watch, in use until the first line arrives on watch
 	stoppedWorkers  map[string]bool   // UIDs of the workers to which the reducer forbids new attempts
 	workerStarts    map[string]Micros // start times of workers by UID, as listed by discovery
-	listAsOf        Micros            // time at which the worker list was known to be current
+	listAsOf        Micros            // time as of which the worker list of the scheduler is current
 	validUntil      Micros            // time after which the worker list is stale
 	appliedRevision int64             // latest revision of the worker list that the reducer has processed
 
--- a/internal/emulator/node_test.go
+++ b/internal/emulator/node_test.go
@@ -153,7 +153,7 @@
 	c := addIdle()
 	f.now += idleTimeoutLargeFleet - 1
 	if n.acquireNewConn(w) == c {
-		t.Error("a cancellation of an attempt gets an idle connection, want a new connection")
+		t.Error("the connection for sending a cancellation is an idle one, want a new connection")
 	}
 	if n.acquireConn(w) != c {
 		t.Error("an attempt does not reuse the idle connection to its worker before the idle timeout, want reuse")
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -42,7 +42,8 @@
 		return settings.Settings{}, err
 	}
 	// Package node sets these two options in the scheduler program. With PollEndpoints the scheduler opens the
-	// watch of the worker list itself. MaxStaleness is the age from which the scheduler no longer uses the list.
+	// watch of the worker list itself. MaxStaleness is the age of the worker list from which the scheduler no
+	// longer uses the list.
 	set.Dispatch.PollEndpoints, set.Dispatch.MaxStaleness = true, listValidity
 	return set, nil
 }
--- a/internal/emulator/tally.go
+++ b/internal/emulator/tally.go
@@ -124,7 +124,7 @@
 	late := t.fleet.now - notReadySince - listValidity - t.fleet.settings.DrainGrace
 	if late > timingSlack {
 		t.addFinding(history.Finding{Property: "drains-kept", ID: req.id,
-			Text: fmt.Sprintf("scheduler %d writes to %s, which counts as known not to be ready since %v before",
+			Text: fmt.Sprintf("scheduler %d writes to %s, which is not ready, %v after the last allowed time",
 				n.index, w.uid, toDuration(late))})
 	}
 }
--- a/internal/modelcheck/action.go
+++ b/internal/modelcheck/action.go
@@ -104,7 +104,7 @@
 // Variant selects one of several outcomes of an action. Actions with one outcome have variant 0.
 type Variant uint8
 
-// The variants of ArriveAtWorker: the answers of a worker to a request.
+// The variants of the action ArriveAtWorker: the answers of a worker to a request.
 const (
 	arriveAccepted    Variant = iota // the worker accepts the job and answers 202
 	arriveAtCapacity                 // the worker is at capacity and answers 503 without starting the job
@@ -112,7 +112,7 @@
 	arriveRejected                   // the worker answers 400 without starting the job
 )
 
-// The variants of BreakConnection: the times at which the connection of an attempt breaks.
+// The variants of the action BreakConnection: the times at which the connection of an attempt breaks.
 const (
 	breakBeforeArrival Variant = iota // the request does not reach the worker
 	breakWhileRunning                 // the request arrives and runs; the job ends with the connection
@@ -120,10 +120,11 @@
 	breakAfterAccept                  // the connection breaks after the event loop has received the 202
 )
 
-// The variants of CloseArrives: whether the worker sends its 202 before the scheduler's close arrives.
+// The variants of the action CloseArrives: whether the worker sends its 202 before the scheduler's close
+// arrives.
 const (
-	closeBeforeAccept Variant = iota // the close reaches the worker before its 202: the worker drops the request
-	closeAfterAccept                 // the worker sends its 202 before the close reaches it, and holds the job
+	closeBeforeAccept Variant = iota // the close arrives before the worker sends its 202; the job is dropped
+	closeAfterAccept                 // the worker sends its 202 before the close arrives, and holds the job
 )
 
 // Action is one transition between states of a world, the simulated system.
@@ -139,7 +140,8 @@
 func (a Action) String() string { return fmt.Sprintf("%v %d %d", a.Kind, a.Target, a.Variant) }
 
 func parseAction(text string) (Action, error) {
-	invalid := fmt.Errorf("%q is not a step: want the name of an action, a target and a variant", text)
+	invalid := fmt.Errorf("%q is not a step: want an action with the numbers of its target and its variant",
+		text)
 	fields := strings.Fields(text)
 	if len(fields) != 3 {
 		return Action{}, invalid
--- a/internal/modelcheck/clock.go
+++ b/internal/modelcheck/clock.go
@@ -33,7 +33,7 @@
 	}
 	for i := range w.connections {
 		if w.connections[i].phase == connecting {
-			return true // a write after the client's disconnect may violate NoSendAfterDisconnect
+			return true // a request written after the client's disconnect may violate NoSendAfterDisconnect
 		}
 	}
 	return false
--- a/internal/modelcheck/connections.go
+++ b/internal/modelcheck/connections.go
@@ -10,21 +10,24 @@
 type connectionPhase uint8
 
 const (
-	connecting   connectionPhase = iota // no byte of the request is written yet
-	written                             // the request is in transit to the worker
-	replied                             // the worker's answer is in transit to the scheduler
-	broken                              // the connection has broken; the event loop is not notified yet
-	endDelivered                        // the event loop knows of the connection's end, but not of the write
-	acceptedOpen                        // the event loop has received the worker's 202; the connection is open
-	closing                             // the request and then the close are in transit to the worker
-	notSent                             // no byte of the request was written; the event loop is not notified yet
+	connecting connectionPhase = iota // no byte of the request is written yet
+	written                           // the request is in transit to the worker
+	replied                           // the worker's answer is in transit to the scheduler
+	broken                            // the connection has broken; the event loop is not notified yet
+	// endDelivered: the event loop has been notified of the connection's end, but not yet of the write of the
+	// request, which preceded it.
+	endDelivered
+	acceptedOpen // the event loop has received the worker's 202; the connection is open
+	closing      // the request and then the close are in transit to the worker
+	notSent      // no byte of the request was written; the event loop is not notified yet
 )
 
 // phaseTexts describes the phases in the output of a replay.
 var phaseTexts = [...]string{connecting: "connecting", written: "written", replied: "answer in transit",
 	broken:       "connection broken, event loop not notified",
-	endDelivered: "event loop notified of the end, not of the write", acceptedOpen: "accepted",
-	closing: "our close in transit", notSent: "not sent"}
+	endDelivered: "event loop notified of the connection's end, not of the request's write",
+	acceptedOpen: "accepted",
+	closing:      "the scheduler's close in transit", notSent: "not sent"}
 
 // connection is an attempt and the connection that carries it.
 type connection struct {
@@ -33,7 +36,7 @@
 	worker              uint8
 	phase               connectionPhase
 	writtenEventPending bool // the event loop is not yet notified that the request was written
-	slowStart           bool // at the write, the scheduler knew that the worker was in slow start
+	slowStart           bool // the request was written in a slow start of the worker that the scheduler knew of
 	status              int  // HTTP status of the worker's answer
 	writeDeadline       Micros
 	sentAt              Micros
@@ -217,7 +220,8 @@
 	c := &w.connections[a.Target]
 	_, e := c.conn.ReadEnded()
 	if e == nil {
-		// Package connstate reports the connection's end only after the notice of the write, which is pending.
+		// Package connstate reports the connection's end only after the event loop has the notice that the request
+		// was written. That notice is still pending.
 		c.phase = endDelivered
 		return
 	}
--- a/internal/modelcheck/describe.go
+++ b/internal/modelcheck/describe.go
@@ -155,7 +155,7 @@
 			workerUID(c.worker), phaseTexts[c.phase]))
 	}
 	for _, j := range w.jobs {
-		all = append(all, fmt.Sprintf("job %s at worker %s, running %v", w.requestID(j.id), workerUID(j.worker),
+		all = append(all, fmt.Sprintf("job %s at worker %s (running: %v)", w.requestID(j.id), workerUID(j.worker),
 			j.running))
 	}
 	for _, c := range w.callbacks {
--- a/internal/modelcheck/endpoints.go
+++ b/internal/modelcheck/endpoints.go
@@ -95,7 +95,8 @@
 		r.leavingChangedAt = 0
 	case r.leavingChangedAt == 0:
 		r.leavingChangedAt = w.now
-		// After a reload, a change by the newly configured discovery counts as notified only after reloadGrace.
+		// After a reload of the configuration, the scheduler counts as notified of a change by the newly configured
+		// discovery only after reloadGrace.
 		if w.watch.reloadedAt != 0 {
 			r.leavingChangedAt = max(w.now, w.watch.reloadedAt+reloadGrace)
 		}
@@ -140,9 +141,9 @@
 func (w *World) listStale() bool { return w.cfg.Overrides.LimitStaleness && w.now > w.watch.validUntil }
 
 // leavingSince returns the time at which the scheduler counts as notified that a worker drains or is removed,
-// or 0 if the scheduler does not count as notified yet. With LimitStaleness, a change counts as notified even
-// if its notice is not delivered: at once with pushed lists, after the poll interval without a watch, and
-// otherwise after maxStaleness.
+// or 0 if the scheduler does not count as notified yet. With LimitStaleness, the scheduler counts as notified
+// of a change even if the notice is not delivered: at once with pushed lists, after the poll interval without
+// a watch, and otherwise after maxStaleness.
 func (w *World) leavingSince(r *worker) Micros {
 	since := r.leavingNotifiedAt
 	if r.leavingChangedAt == 0 || !w.cfg.Overrides.LimitStaleness {
@@ -150,7 +151,7 @@
 	}
 	counts := r.leavingChangedAt + maxStaleness
 	switch {
-	case w.cfg.Overrides.EndpointsPushed: // with pushed lists a change counts as notified at once
+	case w.cfg.Overrides.EndpointsPushed: // with pushed lists the scheduler counts as notified at once
 		counts = r.leavingChangedAt
 	case !w.watch.open:
 		counts = min(counts, r.leavingChangedAt+w.cfg.Overrides.pollInterval())
--- a/internal/modelcheck/model.go
+++ b/internal/modelcheck/model.go
@@ -7,12 +7,15 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Model is a small world around a state machine other than the scheduler, for example the retry decisions of
-// a client. Exhaust explores it in one goroutine. M is the type that implements the methods.
+// Model is a small simulated environment around a state machine other than the scheduler, for example the
+// retry decisions of a client. Exhaust explores it in one goroutine. M is the type that implements the
+// methods.
 type Model[M any] interface {
-	// Steps returns the names of the enabled steps in a fixed order. It returns none in a final state.
+	// Steps returns the names of the steps (transitions) that are possible in this state, in a fixed order. A
+	// final state has none.
 	Steps() []string
-	// Step returns the state after the step with index i of Steps. It does not change the receiver.
+	// Step returns the state to which the step with index i in the result of Steps leads. It does not change the
+	// receiver.
 	Step(i int) M
 	// AppendState appends an encoding of the state to b. States that behave alike have equal encodings, and
 	// all other states have different ones.
@@ -30,7 +33,7 @@
 	Path                []string // names of the steps on a shortest path to Violation
 }
 
-// modelState is a state of a model and the step that reached it.
+// modelState is a state of a model, and the step that led to the state.
 type modelState[M any] struct {
 	world  M
 	parent int // index of the preceding state; -1 for the initial state
@@ -65,13 +68,13 @@
 			states = append(states, modelState[M]{next, at, step, current.depth + 1})
 		}
 		var zero M
-		states[at].world = zero // releases the expanded state; pathTo needs only parent and step
+		states[at].world = zero // releases the memory of the expanded state; pathTo needs only parent and step
 	}
 	result.States, result.Exhausted = len(states), len(states) <= maxStates
 	return result
 }
 
-// pathTo lists the steps from the root to the state with index at.
+// pathTo lists the steps from the initial state to the state with index at in states.
 func pathTo[M any](states []modelState[M], at int) []string {
 	var path []string
 	for ; states[at].parent >= 0; at = states[at].parent {
@@ -83,6 +86,6 @@
 
 // String returns the numbers of states and transitions, the depth and Exhausted as one line for test logs.
 func (e Exploration) String() string {
-	return fmt.Sprintf("%d states, %d transitions, %d deep, exhausted %v", e.States, e.Transitions, e.Depth,
-		e.Exhausted)
+	return fmt.Sprintf("%d states, %d transitions, depth %d steps, all states visited: %v", e.States,
+		e.Transitions, e.Depth, e.Exhausted)
 }
--- a/internal/modelcheck/mutants/dispatch_mutants.go
+++ b/internal/modelcheck/mutants/dispatch_mutants.go
@@ -30,7 +30,8 @@
 				Old: " || !sameDedupGroup(c.DedupScope, &a.worker.entry, &w.entry) {",
 				New: " {",
 			},
-			{File: "internal/dispatch/candidates.go", // candidates.go checks the rack before rules.go does
+			// Both files keep a repetition in the rack, so a change of one file alone would have no effect.
+			{File: "internal/dispatch/candidates.go",
 				Old: "\tif a == nil || c.DedupScope == ScopeAll {",
 				New: "\tif c.DedupScope == ScopeCell || a == nil || c.DedupScope == ScopeAll {",
 			},
--- a/internal/modelcheck/mutants/mutants.go
+++ b/internal/modelcheck/mutants/mutants.go
@@ -22,7 +22,7 @@
 	// Violates lists the names of the properties that the fault may violate, separated by spaces.
 	Violates string
 	// OnlyInWorld means that the fault has an effect only with the settings of World. The model checker must not
-	// find it in any world with the default settings.
+	// find the fault in any world with the default settings.
 	OnlyInWorld bool
 }
 
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -14,7 +14,7 @@
 	OneFinalAnswer        Property = iota + 1 // each request gets one final answer before the client's deadline
 	OneAttemptOutstanding                     // workers hold at most one attempt of a request at a time
 	AttemptsCapped                            // a request gets no more attempts than the settings allow
-	RunsAsAllowed                             // a Post runs once at most, a Batch is repeated only in its rack
+	RunsAsAllowed                             // a Post job runs at most once, a Batch repeats only in its rack
 	DrainsRespected                           // no attempt is sent over 500 ms after a drain or removal notice
 	HonestAnswers                             // refused only if a retry is safe; workers made all results
 	SlowStartRespected                        // a worker in slow start gets no more jobs than its budget
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -9,11 +9,13 @@
 // Overrides holds the settings that may differ between worlds. The zero value gives the default
 // settings of most worlds: cancelling allowed, worker lists polled, at most four attempts, no hedging.
 type Overrides struct {
-	CancelForbidden  bool   // an outstanding attempt must not be cancelled
-	HedgingAllowed   bool   // a second attempt may be sent while the first one is outstanding
-	MaxAttempts      int    // largest number of attempts of a request; 0 means four
-	EndpointsPushed  bool   // discovery pushes worker lists
-	PollInterval     Micros // age at which a list change counts as notified if no watch is open; 0 means 10 s
+	CancelForbidden bool // an outstanding attempt must not be cancelled
+	HedgingAllowed  bool // a second attempt may be sent while the first one is outstanding
+	MaxAttempts     int  // largest number of attempts of a request; 0 means four
+	EndpointsPushed bool // discovery pushes worker lists
+	// PollInterval is the time after a change of the worker list from which the scheduler counts as notified of
+	// the change if no watch is open. 0 means 10 s.
+	PollInterval     Micros
 	ProgressInterval Micros // interval of the progress reports of workers; 0 means no reports
 	// LimitStaleness limits the validity of worker lists as package node does: it sets MaxStaleness, and the
 	// event of a closed watch contains the time at which the list expires. Otherwise a list never expires.
@@ -81,11 +83,11 @@
 const (
 	defaultMaxAttempts  = 4
 	defaultPollInterval = 10 * second
-	// maxStaleness is the age at which the scheduler counts as notified of a change of the worker list even if
-	// the change was not delivered.
+	// maxStaleness is the time after a change of the worker list from which the property checks treat the
+	// scheduler as notified of the change, even if the change was not delivered.
 	maxStaleness = 6 * second
-	// reloadGrace is the time after a reload of the configuration before which the scheduler does not count as
-	// notified of changes by the newly configured discovery.
+	// reloadGrace is the time after a reload of the configuration before which the property checks do not treat
+	// the scheduler as notified of an undelivered change by the newly configured discovery.
 	reloadGrace = 4 * second
 	// disconnectGrace is the time after the disconnect of a client within which an attempt may still be written.
 	disconnectGrace = 100 * millisecond
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -34,14 +34,15 @@
 	Coverage    *Coverage
 }
 
-// node records the path to a state as a linked list of actions.
+// node is one element of a linked list of actions, the path to a state: the last action on the path, and the
+// node of the path before that action.
 type node struct {
 	parent *node
 	action Action
 	depth  int
 }
 
-// path returns the actions from the root to the node.
+// path returns the actions on the path from the initial state to the node's state.
 func (n *node) path() []Action {
 	p := make([]Action, n.depth)
 	for ; n.parent != nil; n = n.parent {
@@ -52,7 +53,7 @@
 
 // state is a state whose successors are not visited yet.
 type state struct {
-	world *World // world of the state; nil if a replay rebuilds it
+	world *World // stored copy of the state; nil if a replay of the path rebuilds the state
 	node  *node
 }
 
@@ -269,8 +270,8 @@
 	}
 }
 
-// materialize returns the world of a state: the stored world, or a world rebuilt by a replay
-// of the actions from the initial state.
+// materialize returns the World value of a state: the stored copy, or a World that is rebuilt by a replay of
+// the actions from the initial state.
 func (s *search) materialize(at state) *World {
 	if !s.opt.ReplayStates {
 		return at.world
--- a/internal/modelcheck/settle.go
+++ b/internal/modelcheck/settle.go
@@ -5,11 +5,12 @@
 )
 
 const (
-	// settlingDuration is the simulated time that settle adds after the last answer. It exceeds every retention
-	// time of the scheduler and the time for which the scheduler retries the cancellation of an attempt.
+	// settlingDuration is the simulated time that settle, which continues a world to its end without further
+	// faults, adds after the last answer. It exceeds every retention time of the scheduler and the time for
+	// which the scheduler retries the cancellation of an attempt.
 	settlingDuration = 20 * second
-	// maxSettlingActions is the largest number of actions that settle performs. A world that needs more actions
-	// violates the property Terminates.
+	// maxSettlingActions is the largest number of actions that settle performs. A world in which actions are
+	// still possible after that number violates the property Terminates.
 	maxSettlingActions = 500
 )
 
@@ -64,9 +65,10 @@
 	return w.violation
 }
 
-// checkOrphans checks at the end of settle that no worker holds a job for which no client waits (property
-// OrphansCancelled). Such jobs are allowed if the scheduler exited at shutdownLimit, before all cancellations
-// were acknowledged, or if it exited in a world where cancelling is forbidden.
+// checkOrphans checks, after settle has performed all actions without faults, that no worker holds a job for
+// which no client waits (property OrphansCancelled). Such jobs are allowed if the scheduler exited at
+// shutdownLimit, before all cancellations were acknowledged, or if it exited in a world where cancelling is
+// forbidden.
 func (w *World) checkOrphans() {
 	if w.cancellationsAbandoned || w.exited && w.cfg.Overrides.CancelForbidden {
 		return
@@ -77,7 +79,8 @@
 	}
 }
 
-// nextFaultFreeAction returns the next action of settle. more is false if no action is left.
+// nextFaultFreeAction returns the next action that settle performs, an action without a fault. more is false
+// if no action is left.
 func (w *World) nextFaultFreeAction() (a Action, more bool) {
 	for i := range w.workers {
 		if w.workers[i].unreachable {
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -151,7 +151,8 @@
 	effectIndent = actionIndent + "-> "
 )
 
-// replaySettling calls settle, and prints the actions and effects if it finds a violation.
+// replaySettling calls settle, which continues the world to its end without further faults. If settle finds a
+// violation, replaySettling prints the actions that settle performed and their effects.
 func (w *World) replaySettling(printLine func(string)) *Violation {
 	var notes []string
 	w.notes = &notes
--- a/internal/modelcheck/trace_format_test.go
+++ b/internal/modelcheck/trace_format_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestTraceFormatUnchanged checks that stored traces with every kind of action can be read, replayed
-// completely and written again with the same keys and actions.
+// completely and written again with the same JSON keys and the same actions.
 func TestTraceFormatUnchanged(t *testing.T) {
 	met := map[ActionKind]bool{}
 	for _, name := range []string{"walk-large.json", "walk-large-leaves.json", "walk-large-pushed.json"} {
@@ -66,7 +66,7 @@
 		}
 		result, err := trace.Replay(func(string) {})
 		if err != nil || result.DivergedAt != 0 || result.Violation != nil {
-			t.Errorf("%s: replay: got %+v, error %v; want all steps taken without a violation", name, result, err)
+			t.Errorf("%s: replay got result %+v, error %v; want all steps taken and no violation", name, result, err)
 		}
 		cfg, err := trace.config()
 		if err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// traceKeys returns the paths of all keys of a trace with their values. It omits the values of the
+// traceKeys returns the paths of all JSON keys of a trace with their values. It omits the values of the
 // descriptions for readers.
 func traceKeys(t *testing.T, raw []byte) []string {
 	t.Helper()
--- a/internal/modelcheck/trace_test.go
+++ b/internal/modelcheck/trace_test.go
@@ -33,7 +33,7 @@
 			known := trace.World == knownViolationWorld.Name
 			if violated := result.Violation != nil; violated != known || lines == 0 {
 				t.Errorf(
-					"replay: got violation %v, %d lines, divergence at step %d; want lines, no violation but the known one",
+					"replay got violation %v, %d lines, divergence at step %d; want lines, violation only in world hole",
 					result.Violation, lines, result.DivergedAt)
 			}
 		})
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// maxWalkActions is the largest number of actions in one walk.
+// maxWalkActions is the largest number of actions in one random walk through the states of a world.
 const maxWalkActions = 4000
 
 // RandomWalk takes random paths through the states of a world, each from the initial state, until the context
@@ -63,9 +63,9 @@
 	terminateOdds = 2000
 )
 
-// walk performs actions that pick chooses until no action is enabled, and then calls settle if all requests
-// are answered or the scheduler has exited. pick returns a number from 0 to n-1. walk returns the path even
-// if it found no violation.
+// walk performs actions that pick chooses until no action is enabled, and then calls settle, which continues
+// the world without further faults, if all requests are answered or the scheduler has exited. pick returns a
+// number from 0 to n-1. walk returns the path even if it found no violation.
 func walk(w *World, pick func(n int) int) ([]Action, *Violation) {
 	var path, enabled []Action
 	for range maxWalkActions {
--- a/internal/modelcheck/workers.go
+++ b/internal/modelcheck/workers.go
@@ -11,10 +11,10 @@
 	unreachable       bool // the machine of the worker has no network connection
 	status            dispatch.Status
 	startedAt         Micros   // time of the last restart; 0 if the worker did not restart in this world
-	knownStartedAt    Micros   // value of startedAt in the last worker list that the scheduler received
+	knownStartedAt    Micros   // startedAt in the last worker list that the scheduler received
 	leavingNotifiedAt Micros   // time at which the scheduler learned of a drain or removal; 0 if ready
 	leavingChangedAt  Micros   // time at which discovery listed the worker as draining or removed; 0 if ready
-	slowStartSends    []Micros // send times of arrived jobs whose sender knew of the slow start
+	slowStartSends    []Micros // send times of arrived jobs for which connection.slowStart is set
 }
 
 // workerSet is a set of workers by index.
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -7,7 +7,7 @@
 	"dahliaford/internal/scheduler"
 )
 
-// World is one state of a world: the scheduler and its simulated environment.
+// World is one state of a model-checked configuration (a world): the scheduler and its simulated environment.
 type World struct {
 	cfg          *Config
 	now          Micros
@@ -31,8 +31,8 @@
 	stoppingSince          Micros
 	exited                 bool
 	cancellationsAbandoned bool   // the exit, at shutdownLimit, may have left cancellations unacknowledged
-	settling               bool   // settle is running, so no further faults are injected
-	settleUntil            Micros // simulated time until which settle continues
+	settling               bool   // settle, which ends the path without further faults, is running
+	settleUntil            Micros // simulated time until which settle lets timers fire after the last answer
 
 	violation  *Violation // the first violation of a property; nil if there is none
 	coverage   *Coverage
@@ -80,7 +80,8 @@
 	return &c
 }
 
-// mayInject reports whether the fault budgets allow another fault of kind f and settle is not running.
+// mayInject reports whether the fault budgets allow another fault of kind f, and that settle, which continues
+// a path without faults, is not running.
 func (w *World) mayInject(f Fault) bool {
 	return w.faultBudget[f] > 0 && w.totalFaultBudget > 0 && !w.settling
 }
--- a/internal/modelcheck/worlds.go
+++ b/internal/modelcheck/worlds.go
@@ -41,7 +41,7 @@
 	return b
 }
 
-// generalWorlds are worlds with the default settings and many kinds of faults.
+// generalWorlds are worlds (simulated configurations) with the default settings and many kinds of faults.
 var generalWorlds = []*Config{
 	{
 		Name:      "attempt",
@@ -105,8 +105,8 @@
 	},
 }
 
-// mutantWorlds are small worlds, each with the requests, workers and faults that some mutant needs to have an
-// effect.
+// mutantWorlds are small worlds (simulated configurations), each with the requests, workers and faults that
+// some mutant needs to have an effect.
 var mutantWorlds = []*Config{
 	{
 		Name:      "late",
@@ -151,7 +151,7 @@
 	},
 }
 
-// settingsWorlds are worlds that override default settings.
+// settingsWorlds are worlds (simulated configurations) that override default settings of the scheduler.
 var settingsWorlds = []*Config{
 	{
 		Name:      "forbidden",
--- a/internal/modelcheck/worlds_test.go
+++ b/internal/modelcheck/worlds_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// bounded returns a world with maxFaults as the limit on the faults of all kinds together, so that a complete
-// search is possible in CI.
+// bounded returns the world (simulated configuration) of the given name with maxFaults as the limit on the
+// faults of all kinds together, so that a complete search is possible in CI.
 func bounded(t *testing.T, name string, maxFaults uint8) *Config {
 	t.Helper()
 	cfg, err := WorldByName(name)
@@ -51,9 +51,10 @@
 				t.Fatalf("%v\n%s", r.Violation, formatSteps(cfg, r))
 			}
 			if !r.Exhausted {
-				t.Errorf("search did not visit all states of the world: got result %+v, want Exhausted", r)
+				t.Errorf("search did not visit all states of the world: got result %+v, want Exhausted set", r)
 			}
-			t.Logf("%d states, %d transitions, depth %d", r.States, r.Transitions, r.Depth)
+			t.Logf("search visited %d states and %d transitions, longest path %d actions", r.States,
+				r.Transitions, r.Depth)
 			all.add(r.Coverage)
 		})
 	}
--- a/internal/simfleet/day.go
+++ b/internal/simfleet/day.go
@@ -12,8 +12,8 @@
 // zonesPerRegion is the number of consecutive zones that form a region.
 const zonesPerRegion = 2
 
-// step runs one or more events of a day. A timed step lasts for the span; any other step ignores the span and
-// ends when its work is done.
+// step runs one or more events of a day. A timed step lasts for the duration span; any other step ignores
+// span and ends when its work is done.
 type step func(ctx context.Context, span time.Duration) error
 
 // schedule is the sequence of steps of a day, the scenario of a run.
--- a/internal/simfleet/events.go
+++ b/internal/simfleet/events.go
@@ -131,8 +131,8 @@
 }
 
 // rollingRestart restarts a fraction of the workers (rollingRestartWorkers of rollingRestartFleet; at least
-// one, at most half), at equal intervals over the span. Each worker drains for drainDuration and is then
-// published as ready and just started.
+// one, at most half), at equal intervals over the duration span. Each worker drains for drainDuration and is
+// then published as ready and just started.
 func (r *run) rollingRestart(ctx context.Context, span time.Duration) error {
 	n := max(min(r.Workers*rollingRestartWorkers/rollingRestartFleet, r.Workers/2), 1)
 	before, err := r.snapshot()
--- a/internal/simfleet/run_test.go
+++ b/internal/simfleet/run_test.go
@@ -45,7 +45,7 @@
 	for _, violation := range r.Violations {
 		t.Error(violation)
 	}
-	t.Logf("%d jobs, %d served, %d refused, %d failed, %d skipped; %d events checked; %.1f MB, %.3f s, %.3f s "+
+	t.Logf("%d jobs, %d served, %d refused, %d failed, %d skipped; %d history events; %.1f MB, %.3f s, %.3f s "+
 		"(peak memory; CPU time by thread, then in ticks)", r.Jobs, r.Served, r.Refused, r.Failed, r.Skipped,
 		r.CheckedEvents, r.PeakMemoryMB.Max, r.CPUSeconds.Mean, r.CPUTickSeconds.Mean)
 	zone, region, roll := workers/zones, 2*workers/zones, workers*410/7200
--- a/internal/simfleet/table.go
+++ b/internal/simfleet/table.go
@@ -45,5 +45,5 @@
 	if low == high {
 		return mean
 	}
-	return fmt.Sprintf("%s (%s to %s)", mean, low, high)
+	return fmt.Sprintf("%s (%s to %s)", mean, low, high) // mean (minimum to maximum)
 }
--- a/internal/testcluster/faultdrill_test.go
+++ b/internal/testcluster/faultdrill_test.go
@@ -14,8 +14,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d jobs, %d served, %d refused, %d failed, %d disconnected, %d attempts, %d events", o.Jobs,
-		o.Served, o.Refused, o.Failed, o.Disconnected, o.Attempts, o.Events)
+	t.Logf("%d jobs, %d served, %d refused, %d failed, %d disconnects; %d attempts, %d history events",
+		o.Jobs, o.Served, o.Refused, o.Failed, o.Disconnected, o.Attempts, o.Events)
 	for _, f := range o.Findings {
 		t.Error(f)
 	}
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -21,13 +21,15 @@
 	jobPrefix   string
 
 	mu              sync.Mutex
-	jobByID         map[string]job    // job of each attempt that reached a worker, by the attempt's id
-	ranAttempts     map[string]bool   // attempts that may have run, by the attempt's id and the worker
-	postReadingRuns map[string]int    // number of attempts at each post-reading that may have run, by job name
-	cellByKey       map[string]string // worker that ran each key first; "" once the key is counted in crossCell
-	duplicates      int               // post-readings that may have run more than once
-	crossCell       int               // idempotency keys whose jobs may have run in more than one cell
-	foreignAttempts int               // attempts that may have run, at jobs without jobPrefix
+	jobByID         map[string]job  // job of each attempt that reached a worker, by the attempt's id
+	ranAttempts     map[string]bool // attempts that may have run, by the attempt's id and the worker
+	postReadingRuns map[string]int  // number of attempts at each post-reading that may have run, by job name
+	// cellByKey holds the worker that may first have run a job with the key, by idempotency key. Each worker is
+	// the only worker of its cell. The value is "" once the key is counted in crossCell.
+	cellByKey       map[string]string
+	duplicates      int // post-readings that may have run more than once
+	crossCell       int // idempotency keys whose jobs may have run in more than one cell
+	foreignAttempts int // attempts that may have run, of jobs whose name lacks jobPrefix
 }
 
 // job identifies a job that a client submitted. Retries by the client have other request ids, but the same
@@ -99,8 +101,9 @@
 	}
 }
 
-// record counts the attempts that may have run. As each worker is the only one of its cell, the worker's UID
-// identifies the cell.
+// record counts the attempt of an event if the attempt may have run, and the jobs that may have run twice or
+// in two cells. Each worker is the only worker of its cell, so the worker's UID, Event.Actor, stands for the
+// cell.
 func (f *Fleet) record(e history.Event) {
 	mayHaveRun := e.Kind == history.Started || e.Kind == history.Ended && e.MayHaveRun
 	if !mayHaveRun {
@@ -143,7 +146,7 @@
 // RunCounts counts attempts and jobs that the workers of a fleet may have run. A post-reading is a job of
 // postReadingClass, which may run at most once.
 type RunCounts struct {
-	Foreign    int // attempts that may have run, at jobs whose name lacks the fleet's prefix
+	Foreign    int // attempts that may have run, of jobs whose name lacks the fleet's prefix
 	Total      int // attempts that may have run, Foreign included
 	Duplicates int // post-readings that may have run more than once
 	CrossCell  int // idempotency keys whose jobs may have run in more than one cell
--- a/internal/testcluster/usage.go
+++ b/internal/testcluster/usage.go
@@ -81,7 +81,7 @@
 	_, rest, _ := strings.Cut(string(raw), ") ") // skips the program's name, which may contain spaces
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
-		return 0, fmt.Errorf("/proc/PID/stat: got %d fields after the name, want 13 or more", len(fields))
+		return 0, fmt.Errorf("/proc/PID/stat: got %d fields after the program's name, want 13 or more", len(fields))
 	}
 	var user, system time.Duration
 	_, err = fmt.Sscan(fields[11]+" "+fields[12], &user, &system)
