--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -120,7 +120,7 @@
 			d.progress("after kill %d: item %d: step %d was confirmed, found step %d", d.kills, n, step, stored[n])
 		case stored[n] > step:
 			d.storedUnconfirmed++
-			d.confirmed[n] = stored[n] // the step is on disk, so later checks must find the step
+			d.confirmed[n] = stored[n] // the later step is on disk, so the next checks must find that step
 		}
 	}
 	return nil
--- a/internal/emulator/connection_pool.go
+++ b/internal/emulator/connection_pool.go
@@ -91,7 +91,7 @@
 		n.idleOrder = n.idleOrder[1:]
 		c := oldest.conn
 		if c.Busy || c.Released || c.idleSince != oldest.since {
-			continue // The entry is outdated: the connection has been used or closed.
+			continue // The entry of idleOrder is outdated: its connection has been used or closed.
 		}
 		n.removeIdle(c)
 		n.closeConn(c)
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -175,7 +175,7 @@
 	incarnation := d.incarnation
 	d.queuedCalls = append(d.queuedCalls, s)
 	f.scheduleAt(d.busyUntil, func() {
-		if d.incarnation == incarnation { // Otherwise a restart of discovery has closed the watch.
+		if d.incarnation == incarnation { // A restart of discovery changes the incarnation and closes the watch.
 			d.open(s, rev)
 		}
 	})
--- a/internal/emulator/slow_start.go
+++ b/internal/emulator/slow_start.go
@@ -58,7 +58,7 @@
 	f.tally.model.OverloadCrashes++
 	if startKnownWork >= work*2/3 {
 		f.tally.addFinding(history.Finding{Property: "cold-spared", ID: req.id,
-			Text: fmt.Sprintf("%s crashes of overload, with %.0f s of work within its window", w.uid, work/1e6)})
+			Text: fmt.Sprintf("%s crashes of overload, with %.0f s of work within overloadWindow", w.uid, work/1e6)})
 	}
 	w.crash()
 	f.scheduleAfter(overloadDowntime, w.boot)
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -65,7 +65,7 @@
 	Window      time.Duration     // deduplication window within which workers of a rack drop repetitions
 	DrainGrace  time.Duration     // time for which attempts may still reach a drained or removed worker
 	MaxAttempts int               // largest number of attempts of a request
-	Slack       time.Duration     // tolerance for late events
+	Slack       time.Duration     // tolerance that Check adds to each time limit
 	// OrphanLimit is the time for which a worker may hold a job after its request is finished. Check applies it
 	// only to requests that finished longer than OrphanLimit before the last event of the history.
 	OrphanLimit time.Duration
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -16,7 +16,7 @@
 	AttemptsCapped                            // a request gets no more attempts than the settings allow
 	RunsAsAllowed                             // a Post job runs at most once, a Batch repeats only in its rack
 	DrainsRespected                           // no attempt is sent over 500 ms after a drain or removal notice
-	HonestAnswers                             // refused only if a retry is safe; workers made all results
+	HonestAnswers                             // a refusal means that a retry is safe; workers made all results
 	SlowStartRespected                        // a worker in slow start gets no more jobs than its budget
 	NothingLeaks                              // the scheduler keeps no state past its retention time
 	OrphansCancelled                          // each worker that may hold an abandoned job gets a cancellation
--- a/internal/modelcheck/requests.go
+++ b/internal/modelcheck/requests.go
@@ -31,7 +31,7 @@
 	// only in the request that was submitted first.
 
 	acceptedAt      Micros    // time of the last submission that the scheduler accepted
-	rejected        bool      // whether the last submission, not counting Conflicts, was Invalid
+	rejected        bool      // whether the last verdict on a submission, other than Conflict, was Invalid
 	attempts        uint8     // number of attempts that reached a worker
 	runCount        uint8     // number of attempts that may have run
 	mayHaveRun      workerSet // workers where an attempt may have run
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// stop makes all goroutines end without expanding further states.
+// stop makes all searching goroutines end without expanding further states.
 func (s *search) stop() {
 	s.stopped.Store(true)
 	s.mu.Lock()
--- a/internal/modelcheck/trace_format_test.go
+++ b/internal/modelcheck/trace_format_test.go
@@ -77,7 +77,7 @@
 			t.Fatal(name, err)
 		}
 		if diff := cmp.Diff(traceKeys(t, raw), traceKeys(t, written)); diff != "" {
-			t.Errorf("%s: keys and values of the trace after reading and writing, -want +got:\n%s", name, diff)
+			t.Errorf("%s: keys and values changed by reading and writing the trace, -want +got:\n%s", name, diff)
 		}
 	}
 	for k := range actionKinds {
--- a/internal/simfleet/options.go
+++ b/internal/simfleet/options.go
@@ -23,7 +23,7 @@
 	dayRegion    = "region"
 	dayRoll      = "roll"
 	dayDiscovery = "discovery"
-	dayStorm     = "storm" // has the events of all other days
+	dayStorm     = "storm" // the scenario with the events of all other days
 )
 
 // The limits of Options.
@@ -57,7 +57,7 @@
 	// schedulers are idle again and add to the duration of the run.
 	Duration time.Duration
 	Seed     uint64
-	Day      string // a name in Days
+	Day      string // name of the scenario, one of Days
 }
 
 func (o *Options) fleetSize() int { return max(o.Fleet, o.Schedulers) }
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -24,7 +24,7 @@
 	jobByID         map[string]job  // job of each attempt that reached a worker, by the attempt's id
 	ranAttempts     map[string]bool // attempts that may have run, by the attempt's id and the worker
 	postReadingRuns map[string]int  // number of attempts at each post-reading that may have run, by job name
-	// cellByKey holds the worker that may first have run a job with the key, by idempotency key. Each worker is
+	// cellByKey holds, by idempotency key, the first worker that may have run a job with the key. Each worker is
 	// the only worker of its cell. The value is "" once the key is counted in crossCell.
 	cellByKey       map[string]string
 	duplicates      int // post-readings that may have run more than once
