--- a/cmd/schedbench/scale_real_test.go
+++ b/cmd/schedbench/scale_real_test.go
@@ -13,7 +13,7 @@
 	"dahliaford/internal/simfleet"
 )
 
-// The options of TestScaleByHand, for example in `go test ./cmd/schedbench -run ScaleByHand -scale.real 1 -v`.
+// The options of TestScaleByHand, for example `go test ./cmd/schedbench -run ScaleByHand -scale.real 1 -v`.
 var (
 	realSchedulers = flag.Int("scale.real", 0, "number of real schedulers; 0: skip the measurement")
 	fleetSize      = flag.Int("scale.fleet", 0, "")
