--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -116,7 +116,7 @@
 	return false
 }
 
-// value returns the value of a job: the weight that an answer within the latency objective earns.
+// value returns the value of a job: the weight of an answer within the latency objective.
 func (d *Dispatcher) value(j *job) float64 {
 	v := d.settings.Classes[j.class].PriorityWeight
 	if d.settings.WeightByWork {
@@ -309,9 +309,9 @@
 	}
 }
 
-// rankClasses gives each class, within and beyond the quota, a rank by its utility: the value for each unit
-// of work, which is equation (2) of the published overload control. Rank 0 has the least utility, and call
-// gapping applies to rank 0 first.
+// rankClasses computes two ranks for each class: one for jobs within the quota and one for jobs beyond the
+// quota. The ranks ascend with the utility, which is the value for each unit of work (equation (2) of the
+// published overload control). Rank 0 has the least utility, and call gapping blocks jobs of rank 0 first.
 func (d *Dispatcher) rankClasses() {
 	utility := make([]float64, len(d.ranks))
 	for k := range d.classes {
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -48,14 +48,14 @@
 
 // Class describes one class of jobs.
 type Class struct {
-	LatencyObjective Micros  // an answer within this time earns the full PriorityWeight; 0: equal to Deadline
+	LatencyObjective Micros  // an answer within this time has the full PriorityWeight; 0: equal to Deadline
 	ObjectiveStretch float64 // multiple of a job's work that is added to the job's latency objective
 	Deadline         Micros  // the longest time that the client waits, over all its tries
 	// PriorityWeight is the value of an answer within the latency objective: for each job or, if
 	// Settings.WeightByWork is set, for each unit of the job's work. Under overload the dispatcher first rejects
 	// jobs with the least value for each unit of work.
 	PriorityWeight float64
-	LateWeight     float64 // fraction of PriorityWeight that an answer after the latency objective earns
+	LateWeight     float64 // fraction of PriorityWeight that an answer after the latency objective has
 	Effect         Effect
 	DedupScope     DedupScope // deduplication groups of the workers; used only if Effect is Keyed
 	DedupWindow    Micros     // time for which these groups drop repeats of a job; used only if Effect is Keyed
@@ -233,8 +233,8 @@
 	Job           JobID
 	Class         int
 	Tenant        int
-	ClientTimeout Micros  // time until the client abandons this try
-	Retry         bool    // the client marked this try as a retry
+	ClientTimeout Micros  // time until the client abandons this submission; 0: no time is left
+	Retry         bool    // the client marked this submission of the job as a retry
 	Work          Micros  // the client's cost hint: expected run time on a standard core; 0: unknown
 	Slots         float64 // number of worker slots that the job takes, or of memory units if that is larger
 	Worker        WorkerID
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -188,7 +188,7 @@
 	sent := actionsOfKind(b.feed(Event{Kind: EndpointsUpdated, Scope: UpdateFull,
 		Workers: []WorkerEntry{ready(1, 0), ready(2, 0), ready(3, 0)}}), Send)
 	if len(sent) != 3 || sent[0].Job != 1 || sent[1].Job != 2 || sent[2].Job != 0 {
-		t.Fatalf("got sends %+v, want jobs 1, 2 and 0 in this order, the earliest latest start first", sent)
+		t.Fatalf("got sends %+v, want jobs 1, 2 and 0, in order of their latest starts", sent)
 	}
 }
 
@@ -400,9 +400,10 @@
 	b.want(b.advance(s.PollInterval), WatchEndpoints, 0)
 }
 
-// The work that a dispatcher sends to a worker in slow start within an overload window stays within the
-// dispatcher's slow-start budget for that worker. The worker may be new, restarted according to the list, or
-// restarted without an update of the list, which the dispatcher infers from failed connects.
+// The work that a dispatcher sends to a worker in slow start within an overload window, the time over which
+// that work is limited, stays within the dispatcher's slow-start budget for that worker. The worker may be
+// new, restarted according to the list, or restarted without an update of the list, which the dispatcher
+// infers from failed connects.
 func TestSlowStartBudget(t *testing.T) {
 	restartedUnlisted := func(b *harness) {
 		b.arrive(900, 0)
@@ -422,14 +423,14 @@
 		s := testSettings()
 		s.OverloadWindow = 2 * second
 		b := newHarness(t, s, ready(1, 0))
-		// The time since the dispatcher's own start exceeds the overload window, so the slow-start budget does not
-		// begin empty.
+		// The time since the dispatcher's own start exceeds the overload window, the time over which the work sent
+		// to a worker in slow start is limited. So the slow-start budget does not begin empty.
 		b.now += 3 * second
 		make(b)
 		work := 0.0
 		start := b.now
 		// The worker has speed 1 and one known slot, so the budget below is the whole slow-start budget of the
-		// first overload window.
+		// first overload window, the time over which the work sent to the worker is limited.
 		if !b.d.isSlowStartOwner(b.d.workers[1]) {
 			t.Fatal("got another dispatcher as the owner that may send to worker 1 in slow start, want this one")
 		}
@@ -444,11 +445,12 @@
 			b.now += second / 50
 		}
 		if work > budget {
-			t.Errorf("worker %s: got %v us of work sent in an overload window, want at most the budget of %v us",
+			t.Errorf(
+				"%s worker in slow start: got %v us of work sent within OverloadWindow, want at most the budget of %v us",
 				name, work, budget)
 		}
 		if work == 0 && name != "restarted without an update" {
-			t.Errorf("worker %s: got no work sent in an overload window, want some", name)
+			t.Errorf("%s worker in slow start: got no work sent within OverloadWindow, want some", name)
 		}
 	}
 }
@@ -794,14 +796,14 @@
 	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 1}})
 	b.want(b.arrive(2, 0), Send, 0)
 	b.want(b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 3, 0}}), Send, 1)
-	// While a peer's job is on its way to the worker, the dispatcher does not probe the worker with a job beyond
-	// the worker's known capacity.
+	// A probe is a job beyond the worker's known capacity. The dispatcher sends no probe while a peer's job is
+	// on its way to the worker.
 	b.feed(Event{Kind: AttemptReported, Job: 2, Attempt: 0, Note: NoteStarted})
 	b.now += waitReportBatches * s.Granularity
 	b.feed(Event{Kind: TimerFired})
 	b.d.kindOf(w).capacityProbedAt = 1
 	if !b.d.mayProbe(w) {
-		t.Fatal("long after the last job beyond the worker's known capacity: got none allowed, want one allowed")
+		t.Fatal("long after the last probe: got no job beyond the worker's known capacity allowed, want one")
 	}
 	b.feed(Event{Kind: GossipReceived, Peer: 0, Message: []byte{0, 0, 0, 0, 7, 4, 0}})
 	if b.d.mayProbe(w) {
@@ -817,7 +819,7 @@
 
 // A Retry-After that is too short feeds a retry storm, and one that is too long loses a job that could still
 // be answered in time. A refusal therefore carries a delay only where the answer to an immediate retry would
-// earn nothing.
+// have no value.
 func TestRetryAfterOnlyWhenARetryEarnsNothing(t *testing.T) {
 	b := newHarness(t, testSettings(), ready(1, 0))
 	refuse := func(objective Micros, aboveQuota bool, level overloadLevel) Micros {
@@ -827,7 +829,7 @@
 		b.d.finish(j)
 		return b.d.actions[0].Delay
 	}
-	// Late answers of class 2 earn nothing, and the objective of this job has passed.
+	// Late answers of class 2 have no value (LateWeight 0), and the objective of this job has passed.
 	b.d.finish(&job{id: 8, class: 2, objective: b.now})
 	b.want(b.d.actions, Refuse, 1)
 	if b.d.actions[0].Delay != b.d.settings.MaxRetryAfter {
--- a/internal/dispatch/estimate_sharing.go
+++ b/internal/dispatch/estimate_sharing.go
@@ -18,7 +18,8 @@
 	return max(perWorker/float64(d.settings.Dispatchers), minimum/max(1, float64(readyWorkers)))
 }
 
-// startReportTimeout returns the time after a send from which a job without a start report counts as waiting.
+// startReportTimeout returns how long after a send the dispatcher waits for the report that the job has
+// started. After this time a job without the report counts as waiting at the worker.
 func (d *Dispatcher) startReportTimeout() Micros {
 	if d.largeFleetWithoutGossip() {
 		return startReportTimeoutBatchesNoGossip * d.settings.Granularity
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -42,7 +42,7 @@
 	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 1, ClientTimeout: 5 * second, Slots: 1})
 	now += second / 10
 	show(dispatch.Event{Kind: dispatch.AttemptEnded, Job: 1, Worker: 7, Outcome: dispatch.OK, Final: true})
-	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 2}) // the job's client timeout is 0
+	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 2}) // ClientTimeout 0: no time is left
 	// Output:
 	// send job 1 to worker 7
 	// refuse job 2
--- a/internal/dispatch/failures_test.go
+++ b/internal/dispatch/failures_test.go
@@ -43,7 +43,7 @@
 }
 
 // The objective of a retry counts from the first try of the client. A retry that is past its objective, and
-// whose late answer earns nothing, is refused and takes no slot.
+// whose late answer has no value, is refused and takes no slot.
 func TestRetriesOfHopelessJobsTakeNoSlot(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateWeight = 0
@@ -322,15 +322,15 @@
 }
 
 // New workers join a fleet under load. They are in slow start and too slow for most objectives. Where late
-// answers earn something, the new workers still get jobs for which the full workers have no slot.
+// answers have a value, the new workers still get jobs for which the full workers have no slot.
 func TestNewWorkersDoNotStandIdle(t *testing.T) {
 	for _, lateWeight := range []float64{0, 0.5} {
 		s := testSettings()
 		s.Dispatchers, s.Index = 1, 0
 		s.Classes[0].LateWeight, s.Classes[0].LatencyObjective = lateWeight, second/4
 		b := newHarness(t, s, ready(1, 0))
-		// The time since the dispatcher's own start exceeds the overload window, so the slow-start budgets do not
-		// begin empty.
+		// The time since the dispatcher's own start exceeds the overload window, the time over which the work sent
+		// to a worker in slow start is limited. So the slow-start budgets do not begin empty.
 		b.advance(2 * s.OverloadWindow)
 		b.setSlotLimits(1)
 		b.want(b.arrive(1, 0), Send, 1)
@@ -360,7 +360,7 @@
 		b.d.recordStartPromptness(&attempt{worker: w, slotsAtSend: 5}, i%10 == 0)
 	}
 	if got := b.d.capacity(w); got != 4 {
-		t.Errorf("worker 1, where jobs wait with 5 slots in use: got capacity %v slots, want 4", got)
+		t.Errorf("worker 1, where most jobs that took a 5th slot had to wait: got capacity %v slots, want 4", got)
 	}
 	if got := b.d.capacity(b.d.workers[2]); got != 4 {
 		t.Errorf("other worker of the same machine kind: got capacity %v slots, want the 4 of its kind", got)
@@ -373,7 +373,7 @@
 		b.d.recordStartPromptness(&attempt{worker: b.d.workers[2], slotsAtSend: 4}, false)
 	}
 	if got := b.d.capacity(b.d.workers[2]); got != 2 {
-		t.Errorf("worker where jobs wait with 3 slots in use: got capacity %v slots, want 2", got)
+		t.Errorf("worker 2, where jobs that took a 3rd or 4th slot had to wait: got capacity %v slots, want 2", got)
 	}
 }
 
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -11,7 +11,7 @@
 	// shortlistTotal is the number of workers of all groups together that are examined for a job. The groups get
 	// equal parts of this number, but at least 2 and at most shortlistPerGroup workers each.
 	shortlistTotal  = 32
-	reindexedPerJob = 8  // number of workers, in rotation, whose index key is computed again for each job
+	reindexedPerJob = 8  // for each job, shortlist recomputes the index keys of the next 8 workers in rotation
 	keysPerRun      = 16 // difference of the index keys of workers whose costs differ by one mean run time
 
 	unusableWorkerKey = bucketqueue.Buckets - 1 // key of the workers that must not be given work
@@ -161,7 +161,10 @@
 		if kind >= 0 && kind != s.key.kind {
 			continue
 		}
-		limit := shortlistPerGroup // the limit for groups of this dispatcher's zone if CrossZonePrice is set
+		// limit is the largest number of workers of this group (one zone and kind) in the shortlist. For groups of
+		// other zones, and for all groups if CrossZonePrice is 0, an equal part of shortlistTotal may lower the
+		// limit.
+		limit := shortlistPerGroup
 		if s.key.zone != d.settings.Zone || d.settings.CrossZonePrice == 0 {
 			limit = max(2, min(shortlistPerGroup, shortlistTotal/len(x.queues)))
 		}
--- a/internal/dispatch/no_gossip_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -206,8 +206,9 @@
 // simulateRestartedFleet simulates many dispatchers without gossip while three in five workers restart.
 // Traffic is uneven over the dispatchers, each dispatcher receives the worker list with the restarts at a
 // different time, and some dispatchers restart, too. The result is the largest work sent to a worker within
-// an overload window, as a fraction of the slow-start limit for all dispatchers together. Only overload
-// windows count in which at least two thirds of the sends came from dispatchers whose lists show the restart.
+// an overload window, as a fraction of the slow-start limit for all dispatchers together. An overload
+// window is the time over which the work sent to a worker in slow start is limited. Only overload windows
+// count in which at least two thirds of the sends came from dispatchers whose lists show the restart.
 func simulateRestartedFleet(t *testing.T, dispatchers, workers int, seed uint64) float64 {
 	const work, slots, tick, length = 400_000, 2, second / 50, 6 * second
 	configure := func(s *Settings) {
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -114,7 +114,7 @@
 }
 
 // abandonLateStarts answers jobs that still wait at a worker when they can no longer meet their objective, if
-// a late answer earns nothing and their attempts may be cancelled. Left in the worker's queue, these jobs
+// a late answer has no value and their attempts may be cancelled. Left in the worker's queue, these jobs
 // would delay the jobs behind them.
 func (d *Dispatcher) abandonLateStarts(w *worker) {
 	for _, a := range w.attempts {
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -88,8 +88,8 @@
 	run, queueing := j.work/d.speed(w), d.expectedWait(w)
 	// A job that is not late can still meet its objective at some worker, as expire has found. So the job is not
 	// sent to a worker where it would miss the objective, and waits instead. A worker in slow start is an
-	// exception if late answers earn weight. Otherwise a new fleet, in which all workers are in slow start,
-	// would stay idle.
+	// exception if a late answer has a value (LateWeight is above 0). Otherwise a new fleet, in which all
+	// workers are in slow start, would stay idle.
 	earns := d.slowStartSince(w) != 0 && d.settings.Classes[j.class].LateWeight > 0
 	if !j.late && !earns && queueing+d.requiredRunFraction(j)*run > remaining {
 		return 0, false
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -231,8 +231,8 @@
 }
 
 // checkSlowStart checks that the work sent to a worker in slow start, in the overload window that ends now,
-// is within the worker's slow-start budget. This dispatcher alone uses the budget. The simulated workers have
-// eight slots of speed 1.
+// is within the worker's slow-start budget. The overload window is the time over which that work is
+// limited. This dispatcher alone uses the budget. The simulated workers have eight slots of speed 1.
 func (w *ruleChecker) checkSlowStart(target *workerRecord, j *jobRecord) {
 	if target.started == 0 || w.now-target.started >= w.s.SlowStart {
 		return
@@ -247,7 +247,7 @@
 	fraction := w.s.SlowStartInitial +
 		(1-w.s.SlowStartInitial)*float64(w.now-target.started)/float64(w.s.SlowStart)
 	if budget := w.s.OverloadFactor * 8 * fraction * float64(w.s.OverloadWindow); sum > budget {
-		w.failf("worker in slow start: got %.0f us of work in an overload window, want at most the budget, %.0f us",
+		w.failf("worker in slow start: got %.0f us of work sent in OverloadWindow, want up to the budget, %.0f us",
 			sum, budget)
 	}
 }
@@ -331,8 +331,8 @@
 	}
 }
 
-// run passes the given number of steps with new random events, then the scheduled events that are left, and
-// returns the trace.
+// run passes events to the dispatcher. In the given number of steps these are new random events and scheduled
+// events, afterwards only the scheduled events that are left. The result is the trace.
 func (w *ruleChecker) run(steps int) []string {
 	w.feed(Event{Kind: Started})
 	cachedList := Event{Kind: EndpointsUpdated, Scope: UpdateCached}
--- a/internal/dispatch/records.go
+++ b/internal/dispatch/records.go
@@ -28,8 +28,8 @@
 	id            JobID
 	class, tenant int
 	overQuota     bool       // the job arrived when its tenant had used up its quota
-	deadline      Micros     // time when the client abandons this try
-	objective     Micros     // time until which an answer earns the full weight
+	deadline      Micros     // time when the client abandons this submission of the job
+	objective     Micros     // time until which an answer has the full value of the job
 	latestStart   Micros     // latest start that meets the objective; for a late job, deadline plus lateOffset
 	seq           uint64     // arrival number of the job in this dispatcher, from 1
 	work          float64    // expected work, in microseconds on a standard core
--- a/internal/dispatch/release.go
+++ b/internal/dispatch/release.go
@@ -62,9 +62,9 @@
 	if j.inFlight > 0 {
 		return true // the job's attempt in flight continues; a second attempt would start too late
 	}
-	// A late answer may still earn weight, and since estimates are rough, the job may even meet its objective
+	// A late answer may still have a value, and since estimates are rough, the job may even meet its objective
 	// after all. So the job waits behind the jobs on time, unless the fleet is overloaded. If a late answer
-	// earns nothing or the fleet is overloaded, an early refusal or failure serves the client better than a late
+	// has no value or the fleet is overloaded, an early refusal or failure serves the client better than a late
 	// one.
 	if earns && d.level == levelNormal {
 		j.late = true
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -72,7 +72,8 @@
 }
 
 // checkSlowStartBudgetInSum restarts a whole fleet of workers and compares the work that all dispatchers send
-// to each worker within an overload window with the worker's budget.
+// to each worker within an overload window with the worker's budget. The overload window is the time over
+// which the work sent to a worker in slow start is limited.
 func checkSlowStartBudgetInSum(t *testing.T, configure func(*Settings)) {
 	const dispatchers = 240
 	list := testFleet(24)
@@ -124,7 +125,8 @@
 			budget := fleetSettings.OverloadFactor * 4 * max(fleetSettings.SlowStartInitial, fraction) *
 				float64(fleetSettings.OverloadWindow)
 			if sum > budget {
-				t.Fatalf("worker %d in slow start: got %.0f us of work in an overload window, want at most %.0f us",
+				t.Fatalf(
+					"worker %d in slow start: got %.0f us of work by all dispatchers in OverloadWindow, want up to %.0f us",
 					w, sum, budget)
 			}
 		}
--- a/internal/dispatch/slowstart_stated_test.go
+++ b/internal/dispatch/slowstart_stated_test.go
@@ -23,7 +23,7 @@
 			}
 			ownedByAll += owned
 			if i >= stated && owned > 0 {
-				t.Errorf("dispatcher %d may send to %d workers in slow start, want 0, as settings state %d dispatchers",
+				t.Errorf("dispatcher %d: got %d workers in slow start that it may send to, want 0 from dispatcher %d on",
 					i, owned, stated)
 			}
 		}
--- a/internal/dispatch/slowstart_test.go
+++ b/internal/dispatch/slowstart_test.go
@@ -10,7 +10,7 @@
 // The tests in this file simulate many dispatchers without gossip whose workers restart. Each dispatcher has
 // its own worker list, and the lists show a restart at different times. The tests check the slow-start limit:
 // all dispatchers together must not send a worker in slow start more work within an overload window than that
-// worker's limit.
+// worker's limit. The overload window is the time over which that work is limited.
 
 // deployment describes a deployment: its settings, classes and machines.
 type deployment struct {
@@ -111,11 +111,13 @@
 }
 
 // rampResult is the result of a simulation. The fields informed and total are maxima over all workers and
-// overload windows, as fractions of the slow-start limit.
+// overload windows (times over which the work sent to a worker in slow start is limited), as fractions of the
+// slow-start limit.
 type rampResult struct {
 	informed float64 // work sent by the dispatchers whose list shows the worker's restart
-	// total is the work sent by all dispatchers, taken only from overload windows in which more than two thirds
-	// of the work came from dispatchers whose list shows the worker's restart.
+	// total is the work sent by all dispatchers, taken only from overload windows (times over which that work is
+	// limited) in which more than two thirds of the work came from dispatchers whose list shows the worker's
+	// restart.
 	total       float64
 	utilization float64 // used fraction of the restarted workers' capacity, from maxDelay after the restart on
 	sends       int     // attempts sent to restarted workers
@@ -394,7 +396,7 @@
 
 // checkWindows compares the work sent to a worker with the slow-start limit, in each overload window that
 // begins with an attempt sent during slow start, and records the largest fractions of the limit in the
-// result.
+// result. An overload window is the time over which the work sent to a worker in slow start is limited.
 func (c *rampCase) checkWindows(w *rampWorker, settings *Settings, result *rampResult) {
 	for s, start := range w.starts {
 		nextStart := Micros(math.MaxInt64)
@@ -405,8 +407,9 @@
 			if first.at < start || first.at >= nextStart || first.at-start >= settings.SlowStart {
 				continue
 			}
-			// The limit is based on the worker's capacity at the beginning of the overload window, which is the
-			// strictest interpretation: the capacity grows during the window.
+			// The limit is based on the worker's capacity at the beginning of the overload window, the time over
+			// which the work sent to the worker is limited. This is the strictest interpretation, as the capacity
+			// grows during the window.
 			meanRequests := c.deployment.slowStartFraction(settings, first.at-start) * c.deployment.cores *
 				settings.OverloadFactor * float64(settings.OverloadWindow) / c.deployment.meanRequestWork()
 			limit := (meanRequests + 2*math.Sqrt(meanRequests) + 2) * c.deployment.meanRequestWork()
@@ -428,9 +431,10 @@
 }
 
 // runCases simulates each named deployment at each size, a pair of the numbers of dispatchers and workers,
-// and checks the slow-start limit of each worker. In no overload window may the dispatchers whose lists show
-// the worker's restart send more than the limit. In overload windows in which over two thirds of the work
-// comes from these dispatchers, all dispatchers together may not exceed the limit, either.
+// and checks the slow-start limit of each worker. An overload window is the time over which the work sent to
+// a worker in slow start is limited. In no overload window may the dispatchers whose lists show the worker's
+// restart send more than the limit. In overload windows in which over two thirds of the work comes from these
+// dispatchers, all dispatchers together may not exceed the limit, either.
 func runCases(t *testing.T, deploymentNames string, seeds int, cases []rampCase, sizes ...[2]int) {
 	for s := range allDeployments {
 		if !strings.Contains(deploymentNames, allDeployments[s].name) {
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -23,11 +23,11 @@
 	return strings.Join(fields, " ")
 }
 
-// expect checks the summary of a message.
+// expect checks the summary of a message: full list or change, revision, and each endpoint's UID and state.
 func expect(t *testing.T, m Message, want string) {
 	t.Helper()
 	if got := summary(m); got != want {
-		t.Errorf("message: got the summary %q, want %q", got, want)
+		t.Errorf("message about endpoints: got kind, revision and endpoint states %q, want %q", got, want)
 	}
 }
 
@@ -141,7 +141,7 @@
 	table.Publish(endpoint("a", Ready))
 	expect(t, change, "change 2: a/draining")
 	if chunks, _ := table.ChunksSince(1); !slices.Equal(chunks[0], change.Chunk()) {
-		t.Errorf("%q", chunks[0])
+		t.Errorf("chunk of the change to draining, after a later change: got %q, want it unchanged", chunks[0])
 	}
 }
 
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -117,7 +117,7 @@
 		t.Fatal("the written line did not arrive at the watch's socket")
 	}
 	if guard.checkReaders(103 * second); reader.lastEmpty() != 101*second {
-		t.Error("checkReaders recorded an empty socket at 103 s while an update was unread, want it not recorded")
+		t.Error("checkReaders at 103 s, update unread: got a new time of the last empty socket, want still 101 s")
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -125,8 +125,8 @@
 	wakeAt  scheduler.Micros // wakeAt is the time at which the field timer fires.
 	panics  int
 
-	// These fields are the watches of the worker list.
-	watch *watch // watch is the watch that was opened last.
+	// The next two fields are the node's watches: subscriptions to the worker list of the discovery service.
+	watch *watch // watch is the watch of the worker list that was opened last.
 	// previousWatch is the watch before watch. It stays open until watch has delivered its first update.
 	previousWatch *watch
 
--- a/internal/node/remaining_test.go
+++ b/internal/node/remaining_test.go
@@ -53,7 +53,7 @@
 	}
 	told, err := strconv.ParseInt(request.Header.Get("X-Remaining-Ms"), 10, 64)
 	if left := e.deadline - released; err != nil || scheduler.Micros(told)*millisecond > left {
-		t.Errorf("the attempt's X-Remaining-Ms (parse error %v) is %d ms, want at most the remaining %d us",
+		t.Errorf("X-Remaining-Ms of the attempt (parse error %v): got %d ms, want at most the %d us left",
 			err, told, left)
 	}
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -225,7 +225,7 @@
 	}
 	line := `{"rev":5,"all":true,"targets":[` + strings.Join(all, ",") + `]}`
 	if len(line) > maxLineBytes {
-		t.Fatalf("the list has %d bytes, want at most maxLineBytes", len(line))
+		t.Fatalf("list of 20,000 workers: got %d bytes, want at most maxLineBytes, the limit of a line", len(line))
 	}
 	list, _, err := DecodeList([]byte(line))
 	if err != nil || len(list.Workers) != 20_000 {
--- a/internal/node/worker_pool_test.go
+++ b/internal/node/worker_pool_test.go
@@ -46,7 +46,7 @@
 		}
 		n.dropExpiredIdle()
 		if got := len(n.idleConns["r"]); got != want {
-			t.Errorf("%d schedulers: %d idle connections left after the expired ones were dropped, want %d",
+			t.Errorf("%d schedulers: got %d idle connections left after the expired ones were dropped, want %d",
 				balancers, got, want)
 		}
 	}
@@ -63,7 +63,7 @@
 		set := parseTestSettings(t)
 		set.Dispatch.Dispatchers, set.WorkerIdleTimeout = c.balancers, c.idle
 		if got := idleTimeoutOf(&set); got != c.want {
-			t.Errorf("%d schedulers, worker timeout %d us: idle timeout %d us, want %d us",
+			t.Errorf("%d schedulers, workers close idle connections after %d us: got idle timeout %d us, want %d us",
 				c.balancers, c.idle, got, c.want)
 		}
 	}
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -114,10 +114,10 @@
 	s.setCancellationTimer(c, s.now+wait)
 }
 
-// handleAcknowledgement ends a cancellation that the worker has acknowledged. If no other cancellation of the
-// request is open, the attempt of the request that was deferred until then is sent. The deferred attempt is
-// instead ended without being sent if its latest send time has passed, the request has been answered, or the
-// attempt's worker is no longer ready.
+// handleAcknowledgement ends a cancellation that the worker has acknowledged. If the request has a deferred
+// attempt and no other open cancellation, handleAcknowledgement sends the deferred attempt. It ends the
+// deferred attempt without sending it if the attempt's latest send time has passed, the request has been
+// answered, or the attempt's worker is no longer ready.
 func (s *Scheduler) handleAcknowledgement(c *cancellation) {
 	s.removeCancellation(c)
 	r := c.attempt.request
--- a/internal/subset/ring_test.go
+++ b/internal/subset/ring_test.go
@@ -93,7 +93,7 @@
 			}
 			if it.covered != (distance < length) {
 				t.Fatalf(
-					"ring member %d, distance %v from the interval's start %v: got covered = %v, want true below length %v",
+					"ring member %d, distance %v from interval start %v: got covered %v, want true if distance < length %v",
 					number, distance, start,
 					it.covered, length)
 			}
