--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -446,11 +446,11 @@
 		}
 		if work > budget {
 			t.Errorf(
-				"%s worker in slow start: got %v us of work sent within OverloadWindow, want at most the budget of %v us",
+				"%s worker, slow-start budget per OverloadWindow: got %v us of work sent, want at most %v us",
 				name, work, budget)
 		}
 		if work == 0 && name != "restarted without an update" {
-			t.Errorf("%s worker in slow start: got no work sent within OverloadWindow, want some", name)
+			t.Errorf("%s worker, slow-start budget per OverloadWindow: got no work sent, want some", name)
 		}
 	}
 }
--- a/internal/dispatch/estimate_waits.go
+++ b/internal/dispatch/estimate_waits.go
@@ -10,7 +10,8 @@
 	// groupWaitDecayRuns is the time, in multiples of upperRunTime, in which the weight of the waits in a group
 	// (the workers of one machine kind in one zone) decays to 1/e.
 	groupWaitDecayRuns = 12.0
-	// groupWaitWeight is the weight of a group's expected wait relative to one wait at the worker itself.
+	// groupWaitWeight is the weight of the expected wait in a worker's group (the workers of the same machine
+	// kind in the same zone) relative to one wait at the worker itself.
 	groupWaitWeight = 0.5
 	// workerWaitDecayRuns is the time, in multiples of upperRunTime, in which the weight of the waits at one
 	// worker decays to 1/e.
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -42,7 +42,8 @@
 	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 1, ClientTimeout: 5 * second, Slots: 1})
 	now += second / 10
 	show(dispatch.Event{Kind: dispatch.AttemptEnded, Job: 1, Worker: 7, Outcome: dispatch.OK, Final: true})
-	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 2}) // ClientTimeout 0: no time is left
+	// The client timeout of job 2 is 0: no time is left, so the dispatcher refuses the job at once.
+	show(dispatch.Event{Kind: dispatch.JobArrived, Job: 2})
 	// Output:
 	// send job 1 to worker 7
 	// refuse job 2
--- a/internal/dispatch/index.go
+++ b/internal/dispatch/index.go
@@ -8,8 +8,9 @@
 const (
 	maxScannedSubset  = 64 // largest subset, in workers, that is scanned; below this size an index saves no time
 	shortlistPerGroup = 8  // largest number of workers of one group (zone and kind) that are examined for a job
-	// shortlistTotal is the number of workers of all groups together that are examined for a job. The groups get
-	// equal parts of this number, but at least 2 and at most shortlistPerGroup workers each.
+	// shortlistTotal is the number of workers of all groups (each of one zone and kind) together that are
+	// examined for a job. The groups get equal parts of this number, but at least 2 and at most
+	// shortlistPerGroup workers each.
 	shortlistTotal  = 32
 	reindexedPerJob = 8  // for each job, shortlist recomputes the index keys of the next 8 workers in rotation
 	keysPerRun      = 16 // difference of the index keys of workers whose costs differ by one mean run time
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -247,7 +247,7 @@
 	fraction := w.s.SlowStartInitial +
 		(1-w.s.SlowStartInitial)*float64(w.now-target.started)/float64(w.s.SlowStart)
 	if budget := w.s.OverloadFactor * 8 * fraction * float64(w.s.OverloadWindow); sum > budget {
-		w.failf("worker in slow start: got %.0f us of work sent in OverloadWindow, want up to the budget, %.0f us",
+		w.failf("slow-start budget of a worker per OverloadWindow: got %.0f us of work sent, want at most %.0f us",
 			sum, budget)
 	}
 }
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -126,7 +126,7 @@
 				float64(fleetSettings.OverloadWindow)
 			if sum > budget {
 				t.Fatalf(
-					"worker %d in slow start: got %.0f us of work by all dispatchers in OverloadWindow, want up to %.0f us",
+					"worker %d, slow-start budget per OverloadWindow: dispatchers sent %.0f us of work, want up to %.0f us",
 					w, sum, budget)
 			}
 		}
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -141,7 +141,7 @@
 	table.Publish(endpoint("a", Ready))
 	expect(t, change, "change 2: a/draining")
 	if chunks, _ := table.ChunksSince(1); !slices.Equal(chunks[0], change.Chunk()) {
-		t.Errorf("chunk of the change to draining, after a later change: got %q, want it unchanged", chunks[0])
+		t.Errorf("%q", chunks[0])
 	}
 }
 
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -20,7 +20,7 @@
 
 // Ring holds all members, grouped by zone and kind. The zero Ring is empty.
 type Ring[M any] struct {
-	groups []*Group[M] // groups that have members, sorted by zone, then by kind
+	groups []*Group[M] // groups (members of one zone and kind) that are not empty, sorted by zone, then by kind
 	size   int         // number of members in all groups
 }
 
@@ -42,7 +42,7 @@
 }
 
 // rankRange is the half-open range of ranks from lo up to, but not including, hi. A rank is a member's index
-// in its group.
+// in its group (the members of one zone and kind).
 type rankRange struct{ lo, hi int }
 
 func (r rankRange) contains(rank int) bool { return r.lo <= rank && rank < r.hi }
@@ -50,7 +50,8 @@
 // Len returns the number of members.
 func (r *Ring[M]) Len() int { return r.size }
 
-// Zones returns the number of zones that have members, in time proportional to the number of groups.
+// Zones returns the number of zones that have members, in time proportional to the number of groups (members
+// of one zone and kind).
 func (r *Ring[M]) Zones() int {
 	n := 0
 	for i, group := range r.groups {
@@ -99,9 +100,9 @@
 	return group, covered
 }
 
-// Remove removes the member with the given number from the group. A number that the group does not contain
-// has no effect. Cover does not report the removed member as having left the interval, since the caller
-// already knows whether the member was in the interval.
+// Remove removes the member with the given number from the group (the members of one zone and kind). A number
+// that the group does not contain has no effect. Cover does not report the removed member as having left the
+// interval, since the caller already knows whether the member was in the interval.
 func (r *Ring[M]) Remove(group *Group[M], number uint32) {
 	rank, found := slices.BinarySearch(group.numbers, number)
 	if !found {
@@ -133,8 +134,8 @@
 	g.length = -1
 }
 
-// Generation returns the number of additions and removals of the group's members so far. The positions of the
-// group's members do not change while the generation does not change.
+// Generation returns the number of additions and removals of the group's members so far. A group holds the
+// members of one zone and kind. Their positions do not change while the generation does not change.
 func (g *Group[M]) Generation() uint64 { return g.generation }
 
 // Position returns the position on the ring, from 0 to 1, of the member with the given number.
@@ -169,9 +170,9 @@
 	}
 }
 
-// cover computes which members of a group lie in the interval with the given start and length, and calls
-// changed for the members that enter or leave the interval. The members in the interval are recorded by rank,
-// which is a member's index in the group's order by number.
+// cover computes which members of a group (one zone and kind) lie in the interval with the given start and
+// length, and calls changed for the members that enter or leave the interval. The members in the interval are
+// recorded by rank, which is a member's index in the group's order by number.
 func (g *Group[M]) cover(start, length float64, changed func(member M, in bool)) {
 	outside := func(rank int) bool { return Distance(start, g.position(rank)) >= length }
 	n := len(g.numbers)
@@ -183,9 +184,9 @@
 	forEachRankOnlyIn(now, before, func(rank int) { changed(g.members[rank], true) })
 }
 
-// forEachRankOnlyIn calls do for each rank (index of a member in its group) that a range in ranges contains
-// and that no range in others contains. Consecutive ranks that a range in others contains are skipped in one
-// step.
+// forEachRankOnlyIn calls do for each rank (index of a member in its zone and kind) that a range in ranges
+// contains and that no range in others contains. Consecutive ranks that a range in others contains are
+// skipped in one step.
 func forEachRankOnlyIn(ranges, others [2]rankRange, do func(rank int)) {
 	for _, r := range ranges {
 		for rank := r.lo; rank < r.hi; {
@@ -203,7 +204,8 @@
 }
 
 // Clone returns a deep copy of the ring. Clone calls copyOf to get the copy of each member, and then calls
-// link with the copied member and the group of the cloned ring that contains the copied member.
+// link with the copied member and the group (one zone and kind) of the cloned ring that contains the copied
+// member.
 func (r *Ring[M]) Clone(copyOf func(M) M, link func(M, *Group[M])) Ring[M] {
 	copied := Ring[M]{size: r.size, groups: make([]*Group[M], len(r.groups))}
 	for i, group := range r.groups {
--- a/internal/subset/ring_test.go
+++ b/internal/subset/ring_test.go
@@ -93,7 +93,7 @@
 			}
 			if it.covered != (distance < length) {
 				t.Fatalf(
-					"ring member %d, distance %v from interval start %v: got covered %v, want true if distance < length %v",
+					"ring member %d, distance %v from start %v: got covered %v, want true only if distance < length %v",
 					number, distance, start,
 					it.covered, length)
 			}
@@ -101,8 +101,9 @@
 	}
 }
 
-// When a member is added to or removed from a group of a ring, at most two other members of the group enter
-// or leave the interval, one at each end, and no member of another group does, in groups of any size.
+// When a member is added to or removed from a group (one zone and kind) of a ring, at most two other members
+// of the group enter or leave the interval, one at each end, and no member of another group does, in groups
+// of any size.
 func TestRemovalChangesOneMemberAtEachEnd(t *testing.T) {
 	for _, n := range []int{3, 50, 400, 7200} {
 		for _, length := range []float64{8.0 / 7200, 8.0 / 300, 8.0 / 17, 0.9} {
@@ -114,7 +115,7 @@
 			changedOthers, removed, start := 0, 0, 0.618
 			count := func(i int, _ bool) {
 				if i%2 != 0 {
-					t.Errorf("member %d: got a report that it entered or left by a change in another group, want none", i)
+					t.Errorf("member %d: got a report that it entered or left by a change in another kind, want none", i)
 				}
 				if i != removed {
 					changedOthers++
