--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -55,7 +55,7 @@
 	// Settings.WeightByWork is set, for each unit of the job's work. Under overload the dispatcher first rejects
 	// jobs with the least value for each unit of work.
 	PriorityWeight float64
-	LateWeight     float64 // fraction of PriorityWeight that an answer after the latency objective has
+	LateWeight     float64 // fraction of PriorityWeight kept after the objective; 0: late answers have no value
 	Effect         Effect
 	DedupScope     DedupScope // deduplication groups of the workers; used only if Effect is Keyed
 	DedupWindow    Micros     // time for which these groups drop repeats of a job; used only if Effect is Keyed
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -159,7 +159,7 @@
 	}
 	b.d.gappedRanks = b.d.ranks[0]
 	if !b.d.admits(&job{class: 0, tenant: 0}) {
-		t.Error("job whose rank is not under call gapping: got it rejected, want it admitted")
+		t.Error("job whose rank is not under call gapping: got the job rejected, want the job admitted")
 	}
 }
 
@@ -446,11 +446,11 @@
 		}
 		if work > budget {
 			t.Errorf(
-				"%s worker, slow-start budget per OverloadWindow: got %v us of work sent, want at most %v us",
+				"worker in case %s, slow-start budget per OverloadWindow: got %v us of work sent, want at most %v us",
 				name, work, budget)
 		}
 		if work == 0 && name != "restarted without an update" {
-			t.Errorf("%s worker, slow-start budget per OverloadWindow: got no work sent, want some", name)
+			t.Errorf("worker in case %s, slow start: got no work sent within OverloadWindow, want some work", name)
 		}
 	}
 }
--- a/internal/dispatch/no_gossip_test.go
+++ b/internal/dispatch/no_gossip_test.go
@@ -126,7 +126,7 @@
 	for i := range 10 {
 		w := b.serve(JobID(i), func(*worker) Micros { return 40_000 })
 		if counts := b.d.startCountsAt(w, 1); counts.delayed > 0 {
-			t.Fatalf("start 40 ms after the send: got it counted as a wait for a slot, want it counted as no wait")
+			t.Fatalf("start 40 ms after the send: got the start counted as a wait for a slot, want no wait counted")
 		}
 	}
 }
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -5,16 +5,17 @@
 
 const (
 	// slowStartBudgetFraction applies where a worker in slow start has a single owner (the only dispatcher that
-	// may send to the worker). Within an overload window the owner may send this fraction of the work that the
-	// settings allow, as refill of its budget and saved budget together. The fraction is below 1 because the
-	// worker's capacity and the work of jobs are estimates.
+	// may send to the worker). Within an overload window, the time over which the work sent to the worker is
+	// limited, the owner may send this fraction of the work that the settings allow, as refill of its budget and
+	// saved budget together. The fraction is below 1 because the worker's capacity and the work of jobs are
+	// estimates.
 	slowStartBudgetFraction = 0.65
 
 	// slowStartBudgetFractionShared applies in a large fleet without gossip, where a worker in slow start has
-	// several owners (dispatchers that may send to the worker). Within an overload window the budgets of all
-	// owners together are refilled by this fraction of the work that the settings allow, and half as much may be
-	// saved in addition. The sum of refill and saved budget is larger than for a single owner because the parts
-	// of some owners stay unused.
+	// several owners (dispatchers that may send to the worker). Within an overload window, the time
+	// over which the work sent to the worker is limited, the budgets of all owners together are refilled by this
+	// fraction of the work that the settings allow, and half as much may be saved in addition. The sum of refill
+	// and saved budget is larger than for a single owner because the parts of some owners stay unused.
 	slowStartBudgetFractionShared = 0.6
 )
 
@@ -72,10 +73,11 @@
 
 // refillSlowStartBudget updates the budget of a worker in slow start to the present time and returns the
 // limit up to which budget may be saved. The refill within one overload window and the saved budget (see
-// slowStartRate) together stay below the work that the settings allow in an overload window. A job that costs
-// more than the limit may be sent when the budget is full; the budget is negative afterwards and has to be
-// refilled before the next job. Shortly after a start of this dispatcher the budget begins empty, because the
-// dispatcher does not know the jobs that it sent before the start.
+// slowStartRate) together stay below the work that the settings allow in an overload window, the time over
+// which the work sent to the worker is limited. A job that costs more than the limit may be sent when the
+// budget is full; the budget is negative afterwards and has to be refilled before the next job. Shortly after
+// a start of this dispatcher the budget begins empty, because the dispatcher does not know the jobs that it
+// sent before the start.
 func (d *Dispatcher) refillSlowStartBudget(w *worker) float64 {
 	windowBegan := d.slowStartFraction(d.slowStartSince(w) + d.settings.OverloadWindow)
 	rate := d.slowStartRate(w) * windowBegan
--- a/internal/dispatch/slowstart_stated_test.go
+++ b/internal/dispatch/slowstart_stated_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 		if ownedByAll == 0 {
-			t.Errorf("settings state %d dispatchers: got none that may send to workers in slow start, want some",
+			t.Errorf("settings state %d dispatchers: got no dispatcher that owns a worker in slow start, want some",
 				stated)
 		}
 	}
