--- a/internal/dispatch/slowstart_stated_test.go
+++ b/internal/dispatch/slowstart_stated_test.go
@@ -23,12 +23,12 @@
 			}
 			ownedByAll += owned
 			if i >= stated && owned > 0 {
-				t.Errorf("dispatcher %d may send to %d workers in slow start, want 0, as settings state %d dispatchers",
+				t.Errorf("dispatcher %d: got %d workers in slow start that it may send to, want 0 from dispatcher %d on",
 					i, owned, stated)
 			}
 		}
 		if ownedByAll == 0 {
-			t.Errorf("settings state %d dispatchers: got none that may send to workers in slow start, want some",
+			t.Errorf("settings state %d dispatchers: got no dispatcher that owns a worker in slow start, want some",
 				stated)
 		}
 	}
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -23,11 +23,11 @@
 	return strings.Join(fields, " ")
 }
 
-// expect checks the summary of a message.
+// expect checks the summary of a message: full list or change, revision, and each endpoint's UID and state.
 func expect(t *testing.T, m Message, want string) {
 	t.Helper()
 	if got := summary(m); got != want {
-		t.Errorf("message: got the summary %q, want %q", got, want)
+		t.Errorf("message about endpoints: got kind, revision and endpoint states %q, want %q", got, want)
 	}
 }
 
