--- a/client/attempt.go
+++ b/client/attempt.go
@@ -32,8 +32,8 @@
 	return r.Outcome != plan.ConnectFailed && r.Outcome != plan.IdleClosed && r.Outcome != plan.ClientLimited
 }
 
-// sendAttempt sends one attempt to the scheduler that the step names, and waits for the response until the
-// deadline at most. The outcome in the result shows whether the job may have run in the attempt.
+// sendAttempt submits the job once, to step.Scheduler, and waits until the deadline at most for the response.
+// The outcome in the result says whether the job may have run in this attempt.
 func (c *Client) sendAttempt(
 	ctx context.Context, job *Job, step plan.Step, deadline time.Time) attemptResult {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -103,8 +103,8 @@
 	return true
 }
 
-// newTestClient returns a client with three classes of jobs, which have the effects once, rack and safe. Its
-// retry budget allows one retry for each job.
+// newTestClient returns a client with three classes of jobs, which have the effects once, rack and safe: the
+// rules for repeating a job that may have run. Its retry budget allows one retry for each job.
 func newTestClient(t *testing.T, schedulers ...string) *Client {
 	t.Helper()
 	c, err := New(Config{Schedulers: schedulers, Tenant: "sahel", Seed: 1, RetryBudget: 1,
--- a/client/config.go
+++ b/client/config.go
@@ -29,7 +29,7 @@
 	Safe Effect = "safe"
 )
 
-// effects maps each effect to the value that package plan uses for that effect.
+// effects maps each effect that a class may have to the value that package plan uses for that effect.
 var effects = map[Effect]plan.Effect{Once: plan.Once, Rack: plan.Rack, Anywhere: plan.Anywhere,
 	Safe: plan.Safe}
 
--- a/client/internal/plan/model_test.go
+++ b/client/internal/plan/model_test.go
@@ -256,7 +256,7 @@
 		}
 	}
 	if m.plan.InFlight() != inFlight {
-		return fmt.Errorf("model has %d attempts in flight, but the plan counts %d attempts in flight",
+		return fmt.Errorf("the plan: want %d attempts in flight, as the model counts, got %d",
 			inFlight, m.plan.InFlight())
 	}
 	return nil
--- a/client/internal/plan/plan_test.go
+++ b/client/internal/plan/plan_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// The numbers of the four classes in testConfig, which have one effect each.
+// The numbers of the four classes in testConfig, each with another effect, the rule for repeating a job that
+// may have run.
 const (
 	onceClass = iota
 	rackClass
@@ -17,7 +18,8 @@
 	safeClass
 )
 
-// testConfig returns a configuration with three schedulers and one class for each effect.
+// testConfig returns a configuration with three schedulers and one class for each effect, the rule for
+// repeating a job that may have run.
 func testConfig() Config {
 	return Config{Schedulers: 3, RetryBudget: 0.1, MaxTokens: 10, Backoff: 50 * time.Millisecond,
 		MaxBackoff:         time.Second,
@@ -45,7 +47,7 @@
 	for _, c := range []struct {
 		name   string
 		result AttemptResult
-		want   [4]Verdict // verdicts for the effects once, rack, anywhere, safe
+		want   [4]Verdict // verdicts for classes with the effects once, rack, anywhere, safe
 	}{
 		{"served", AttemptResult{Status: 200}, [4]Verdict{Served, Served, Served, Served}},
 		{"refused", AttemptResult{Status: 503}, retry},
@@ -474,7 +476,7 @@
 			if !tracked.firstMayHaveRun.IsZero() && (class.Effect <= Rack || class.Effect == Anywhere &&
 				s.At.Sub(tracked.firstMayHaveRun) >= class.Window) {
 				t.Fatalf(
-					"job of effect %d may have run: got another attempt that its effect or its window forbids, want none",
+					"class with effect %d, job may have run: got an attempt that effect or window forbids, want none",
 					class.Effect)
 			}
 			if tracked.attempts > 1 {
@@ -526,7 +528,7 @@
 				retries, newJobs, limit)
 		}
 		if p.InFlight() != len(inFlight) {
-			t.Fatalf("test has %d attempts in flight, but the plan counts %d attempts in flight",
+			t.Fatalf("the plan: want %d attempts in flight, as the test counts, got %d",
 				len(inFlight), p.InFlight())
 		}
 	})
--- a/cmd/dahliaford/config_test.go
+++ b/cmd/dahliaford/config_test.go
@@ -103,7 +103,7 @@
 		cfg, err := parse([]byte(strings.Replace(validConfig, `"targets":[]`, `"targets":`+targets, 1)))
 		if invalid := strings.Contains(targets, "3") || strings.Contains(targets, "odd"); err != nil ||
 			(cfg.InitialListError != nil) != invalid || len(cfg.InitialList.Workers) != want {
-			t.Errorf("known worker list %s: got error %v, list error %v, %d workers; want list error only if invalid",
+			t.Errorf("list %s: got error %v, list error %v, %d workers; want list error only for an invalid list",
 				targets, err, cfg.InitialListError, len(cfg.InitialList.Workers))
 		}
 	}
--- a/cmd/schedbench/attempt.go
+++ b/cmd/schedbench/attempt.go
@@ -11,13 +11,14 @@
 	"dahliaford/internal/testcluster"
 )
 
-// schedulerDrill runs a drill with a scheduler program. The drill may write to the given folder, and submits
-// jobs for the given duration.
+// schedulerDrill runs a drill, a test with injected faults, with a scheduler program. The drill may write to
+// the given folder, and submits jobs for the given duration.
 type schedulerDrill func(program, folder string, duration time.Duration, seed uint64,
 	progress progressFunc) (*report, error)
 
-// withScheduler returns a drillFunc that finds or builds the scheduler program and then runs the drill. The
-// drill submits jobs until the margin before the deadline of the context, but for 1 s at least.
+// withScheduler returns a drillFunc that finds or builds the scheduler program and then runs the drill, a
+// test with injected faults. The drill submits jobs until the margin before the deadline of the context, but
+// for 1 s at least.
 func withScheduler(margin time.Duration, run schedulerDrill) drillFunc {
 	return func(ctx context.Context, seed uint64, progress progressFunc) (*report, error) {
 		folder, err := os.MkdirTemp("", "drill")
@@ -36,7 +37,7 @@
 
 const (
 	attemptRate         = 80.0 // jobs submitted per second
-	maxReportedFindings = 20   // largest number of violations that a drill prints
+	maxReportedFindings = 20   // largest number of violations that the attempt drill prints
 )
 
 // runAttemptDrill runs the real scheduler against fake clients and workers that inject every fault that the
--- a/cmd/schedbench/clientreport.go
+++ b/cmd/schedbench/clientreport.go
@@ -35,7 +35,8 @@
 	return rep
 }
 
-// row returns the row of the run, a group of clients of one kind, in the table of the desk drill.
+// row returns the row of the run, a group of clients of one kind, in the table of the desk drill, which
+// compares the client library with plain clients.
 func (r *clientRun) row() []string {
 	counts := r.fleet.RunCounts()
 	served := r.verdicts[verdictServed]
@@ -46,7 +47,7 @@
 		fmt.Sprint(r.maxDeadlineOverrun.Round(time.Millisecond))}
 }
 
-// figures returns the results of the run for the drill's line of JSON.
+// figures returns the results of the run for the desk drill's line of JSON.
 func (r *clientRun) figures() map[string]any {
 	counts := r.fleet.RunCounts()
 	return map[string]any{"jobs": r.jobs, "returns": r.returned, "ends": r.verdicts, "late": r.servedLate,
--- a/cmd/schedbench/clientrun.go
+++ b/cmd/schedbench/clientrun.go
@@ -13,7 +13,7 @@
 	"dahliaford/internal/testcluster"
 )
 
-// clientClass is a class of jobs that the desk drill submits.
+// clientClass is a class of jobs that the clients in the desk drill submit.
 type clientClass struct {
 	name                string
 	objective, deadline time.Duration // latency objective and deadline, both from the submission
--- a/cmd/schedbench/clients.go
+++ b/cmd/schedbench/clients.go
@@ -18,7 +18,7 @@
 const (
 	clientCount         = 200 // clients in each group
 	clientSchedulers    = 6   // schedulers in the fleet of each group
-	remainingSchedulers = 2   // schedulers of a fleet that run throughout the drill
+	remainingSchedulers = 2   // schedulers of a fleet that run throughout the desk drill
 	workersPerScheduler = 12
 	jobsPerClient       = 4. // jobs per second that each client submits
 	// returnGrace is how long after the deadline of a job the client library may return the job's verdict.
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// clientRuns are the concurrent runs of a desk drill, one for each group of clients.
+// clientRuns are the concurrent runs of a desk drill, which compares the client library with plain clients,
+// one for each group of clients.
 type clientRuns struct {
 	library   *clientRun // clients of the library
 	immediate *clientRun // plain clients that retry without a wait
@@ -74,7 +75,7 @@
 	faults    *clientRun // clients of the library, with workers that inject faults
 }
 
-// all returns the runs of the drill in the order of the rows of the report.
+// all returns the runs of the desk drill in the order of the rows of the report.
 func (r *clientRuns) all() []*clientRun {
 	return []*clientRun{r.library, r.immediate, r.backoff, r.faults}
 }
@@ -130,8 +131,8 @@
 	return runs, nil
 }
 
-// runClientDrill runs the desk drill. It submits jobs for the given duration and then waits for the open
-// jobs, whose deadlines are at most 4 s away.
+// runClientDrill runs the desk drill, which compares the client library with plain clients. It submits jobs
+// for the given duration and then waits for the open jobs, whose deadlines are at most 4 s away.
 func runClientDrill(program, folder string, duration time.Duration, seed uint64,
 	progress progressFunc) (*report, error) {
 	runs, err := startClientRuns(program, folder, duration, seed)
--- a/cmd/schedbench/disk.go
+++ b/cmd/schedbench/disk.go
@@ -44,7 +44,10 @@
 	kills, lost, unreadable, storedUnconfirmed int
 }
 
-// runDiskDrill runs the disk drill until its context is about to end.
+// runDiskDrill runs rounds of the disk drill. A round starts a process that stores items, kills the process
+// at a random time, and checks that the store holds every confirmed step. The drill ends when less than
+// diskDrillMargin is left until the deadline of the context, or when the store has confirmed
+// maxConfirmedItems items.
 func runDiskDrill(ctx context.Context, seed uint64, progress progressFunc) (*report, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -149,8 +152,8 @@
 	return stored, err
 }
 
-// report returns the counts of the drill. The drill fails if a confirmed step was lost, an item could not be
-// read, or no process was killed.
+// report returns the counts of the disk drill. The drill fails if a confirmed step was lost, an item could
+// not be read, or no process was killed.
 func (d *diskDrill) report() *report {
 	steps := 0
 	for _, step := range d.confirmed {
--- a/cmd/schedbench/drill.go
+++ b/cmd/schedbench/drill.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// drillCmd is the command that runs a drill. A drill stops within the duration given by --for, and draws its
-// random numbers from the seed.
+// drillCmd is the command that runs a drill, one of the tests and measurements in drills. A drill stops
+// within the duration given by --for, and draws its random numbers from the seed.
 type drillCmd struct {
 	Name string        `arg:"" optional:"" help:"Name of the drill; without a name, the drills are listed."`
 	For  time.Duration `help:"Maximum duration of the drill." default:"60s"`
@@ -23,8 +23,8 @@
 	Keep string        `help:"Folder to write the table and the charts to." type:"path"`
 }
 
-// report is the result of a drill or a scale run. The table is printed to standard output before the line of
-// JSON.
+// report is the result of a drill (a test or measurement) or of a run of the command scale. The table is
+// printed to standard output before the line of JSON.
 type report struct {
 	ok      bool           // every check of the run passed
 	figures map[string]any // results for the line of JSON, by key
@@ -32,7 +32,8 @@
 	chart   chart          // nil if the run has no chart
 }
 
-// drillFunc runs a drill until its context ends. It calls progress with lines about its progress.
+// drillFunc runs a drill, a test or measurement, until its context ends. It calls progress with lines about
+// its progress.
 type drillFunc func(ctx context.Context, seed uint64, progress progressFunc) (*report, error)
 
 // progressFunc prints a formatted line about the progress of a drill.
@@ -51,7 +52,7 @@
 	clientDrillMargin  = 8 * time.Second
 )
 
-// drills maps the name of each drill to the drill.
+// drills maps names to drills, which are tests with injected faults and measurements.
 var drills = map[string]drill{
 	"attempt": {"run the real scheduler against fakes that inject all permitted faults; check what they saw",
 		withScheduler(attemptDrillMargin, runAttemptDrill)},
--- a/cmd/schedbench/engines.go
+++ b/cmd/schedbench/engines.go
@@ -22,7 +22,7 @@
 	progress      progressFunc
 
 	figures map[string]any // the results of each step, by the step's label
-	rows    [][]string     // rows of the drill's table
+	rows    [][]string     // rows of the table of the engines drill
 }
 
 // runEnginesDrill measures embedded stores as candidates for a job store.
--- a/cmd/schedbench/main.go
+++ b/cmd/schedbench/main.go
@@ -18,8 +18,9 @@
 	exitViolation = 3 // a checked property was violated
 )
 
-// commands is the command line. Explore and Fit are hidden aliases under the former names of two commands.
-// Keep and Engine are hidden commands that drills run as child processes.
+// commands declares the commands of the program. Explore and Fit are the former names of ModelCheck and
+// Regress, and still work but do not appear in the help. Keep and Engine do not appear either: the drills
+// "disk" and "engines" run them as child processes.
 type commands struct {
 	ModelCheck modelCheckCmd `cmd:"" name:"modelcheck" help:"Explore a small world in every order of events."`
 	Drill      drillCmd      `cmd:"" help:"Run a drill; its last line is the results as JSON."`
--- a/cmd/schedbench/main_test.go
+++ b/cmd/schedbench/main_test.go
@@ -110,7 +110,7 @@
 	}
 	for _, present := range []string{"modelcheck", "regress"} {
 		if !strings.Contains(help, "\n  "+present+" ") {
-			t.Errorf("the help does not list the command %s: %s", present, help)
+			t.Errorf("command %s: want it in the list of the help, got: %s", present, help)
 		}
 	}
 }
--- a/cmd/schedbench/mutants.go
+++ b/cmd/schedbench/mutants.go
@@ -17,20 +17,21 @@
 )
 
 // mutantSearchBudget is the maximum duration of the search of a mutant in its own world, the configuration in
-// which the model checker must find the mutant's seeded fault.
+// which the model checker must find the mutant's deliberate fault.
 const mutantSearchBudget = 60 * time.Second
 
-// The model checker must find a mutant with OnlyInWorld set only in the mutant's own world. The drill also
-// searches the mutant in each world (simulated configuration) with the default settings, to check that these
-// searches find no violation.
+// A mutant is a deliberate fault in the source, as in mutation testing. A world is a configuration that the
+// model checker simulates. If OnlyInWorld is set, the model checker must find the mutant in the world that
+// the mutant names, and in no world with the default settings. The limits below bound the searches of the
+// latter worlds.
 const (
-	otherWorldBudget    = 2 * time.Second // longest search for a mutant's fault in one world
-	otherWorldMaxFaults = 2               // largest number of injected faults in the search of one world
+	otherWorldBudget    = 2 * time.Second // longest search of one simulated configuration
+	otherWorldMaxFaults = 2               // largest number of faults injected in a simulated configuration
 )
 
-// runMutantDrill builds this program once with each mutant, a seeded fault in the source. Each build searches
-// the world in which the model checker must find the fault. The drill must run in the root of the repository,
-// and needs the go command.
+// runMutantDrill builds this program once with each mutant, a deliberate fault in the source. Each build
+// searches the world (simulated configuration) in which the model checker must find the fault. The drill must
+// run in the root of the repository, and needs the go command.
 func runMutantDrill(ctx context.Context, _ uint64, progress progressFunc) (*report, error) {
 	root, err := os.Getwd()
 	if err != nil {
@@ -59,7 +60,8 @@
 	return r, nil
 }
 
-// mutantOutcome is the result of the searches of a mutant by the model checker.
+// mutantOutcome is the result of the searches by the model checker for a mutant, a deliberate fault in the
+// source.
 type mutantOutcome struct {
 	mutant      mutants.Mutant
 	search      searchSummary
@@ -67,14 +69,15 @@
 	otherWorlds otherWorlds
 }
 
-// asExpected reports whether the search found a violation of a property that the mutant is expected to
-// violate, and the searches in other worlds found no violation.
+// asExpected reports whether the search for the mutant (a deliberate fault in the source) found a violation
+// of a property that the mutant is expected to violate, and the searches of other worlds (simulated
+// configurations) found no violation.
 func (o mutantOutcome) asExpected() bool {
 	return o.search.Violations > 0 && strings.Contains(o.mutant.Violates, o.search.Property) &&
 		len(o.otherWorlds.foundIn) == 0
 }
 
-// row returns the row of the mutant in the table of the drill.
+// row returns the row of the mutant, a deliberate fault in the source, in the table of the mutants drill.
 func (o mutantOutcome) row() []string {
 	property, steps, otherWorlds := "not found", "", ""
 	if o.search.Violations > 0 {
@@ -87,16 +90,16 @@
 		property, steps, strconv.FormatInt(o.search.States, 10), fmt.Sprintf("%.2f", o.search.Seconds), otherWorlds}
 }
 
-// otherWorlds is the result of the searches for a mutant's fault in all worlds (simulated configurations)
-// with the default settings.
+// otherWorlds is the result of the searches for a mutant (a deliberate fault in the source) in all worlds
+// (simulated configurations) with the default settings.
 type otherWorlds struct {
-	worlds  int      // number of worlds searched
-	states  int64    // number of states searched in all worlds
-	foundIn []string // the worlds in which a violation was found
+	worlds  int      // number of simulated configurations searched
+	states  int64    // number of states searched in all configurations
+	foundIn []string // names of the configurations in which a violation was found
 }
 
-// String names the worlds in which a violation was found. If there is none, it returns the numbers of worlds
-// and states that were searched.
+// String names the worlds (simulated configurations) in which a violation was found. If there is none, it
+// returns the numbers of worlds and states that were searched.
 func (e otherWorlds) String() string {
 	if len(e.foundIn) > 0 {
 		return "found in " + strings.Join(e.foundIn, ", ")
@@ -104,8 +107,8 @@
 	return fmt.Sprintf("found in none of %d searched worlds, with %d states together", e.worlds, e.states)
 }
 
-// checkMutant builds this program with a mutant and searches for a violation. If it finds one, it replays the
-// trace with the same build.
+// checkMutant builds this program with a mutant, a deliberate fault in the source, and searches for a
+// violation. If it finds one, it replays the trace with the same build.
 func checkMutant(ctx context.Context, root string, m mutants.Mutant) (mutantOutcome, error) {
 	o := mutantOutcome{mutant: m}
 	folder, err := os.MkdirTemp("", "mutant")
@@ -135,13 +138,13 @@
 	return o, err
 }
 
-// mutantBuild is a build of this program with a mutant, a seeded fault in the source.
+// mutantBuild is a build of this program with a mutant, a deliberate fault in the source.
 type mutantBuild struct {
 	program string // path of the executable
 	folder  string // the folder that traces are written to
 }
 
-// buildMutant builds this program with a mutant into a folder.
+// buildMutant builds this program with a mutant, a deliberate fault in the source, into a folder.
 func buildMutant(ctx context.Context, root, folder string, m mutants.Mutant) (mutantBuild, error) {
 	b := mutantBuild{program: filepath.Join(folder, "schedbench"), folder: folder}
 	overlay, err := m.Overlay(root, folder)
@@ -156,8 +159,8 @@
 	return b, nil
 }
 
-// search runs the model checker of the build on the world with the given name, and returns the summary of the
-// search.
+// search runs the model checker of the build on the world (simulated configuration) with the given name, and
+// returns the summary of the search.
 func (b mutantBuild) search(ctx context.Context, world string, budget time.Duration,
 	more ...string) (searchSummary, error) {
 	args := append([]string{"modelcheck", "--world", world, "--out", b.folder, "--budget", budget.String()},
@@ -174,13 +177,14 @@
 	return s, nil
 }
 
-// searchOtherWorlds searches for violations by the mutant in all worlds (simulated configurations) with the
-// default settings.
+// searchOtherWorlds searches for violations by the mutant, a deliberate fault in the source, in all worlds
+// (simulated configurations) with the default settings.
 func (b mutantBuild) searchOtherWorlds(ctx context.Context) (otherWorlds, error) {
 	var e otherWorlds
 	for _, c := range modelcheck.Worlds() {
 		if c.Overrides != (modelcheck.Overrides{}) || c.DeleteOvertakesRequest {
-			// In a world in which a DELETE may overtake its request, a search finds a violation without a mutant.
+			// If a DELETE may overtake its request in a simulated configuration, a search finds a violation even
+			// without a mutant.
 			continue
 		}
 		faults := strconv.Itoa(min(otherWorldMaxFaults, int(c.MaxFaults)))
--- a/cmd/schedbench/regress.go
+++ b/cmd/schedbench/regress.go
@@ -41,7 +41,7 @@
 	}
 	text, path, ok := strings.Cut(c.Chart, "=")
 	if !ok {
-		return usageError("--chart %q must have the form TEXT=FILE, with TEXT in the names of the series",
+		return usageError("--chart %q must have the form TEXT=FILE; TEXT selects series by a part of their names",
 			c.Chart)
 	}
 	return drawSeries(path, text, all)
--- a/cmd/schedbench/regress_test.go
+++ b/cmd/schedbench/regress_test.go
@@ -31,7 +31,7 @@
 	for _, want := range []string{"Word/300 schedulers, N workers, ns/op", "7200: 7.2e+04",
 		"| 2, ±0% | n |", "| flat (", "1 sizes, too few to fit"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the table of fitted growth models does not contain %q:\n%s", want, out.String())
+			t.Errorf("the table of fitted growth models: want a table that contains %q, got:\n%s", want, out.String())
 		}
 	}
 	path := filepath.Join(t.TempDir(), "word.svg")
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -52,7 +52,7 @@
 		"storm":     m.KilledAttempts > 0 && m.Changes.Entries >= 2*rackSize,
 	}
 	if !happened[m.Day] {
-		t.Errorf("the report lacks the faults of the scenario: %d killed attempts, changes %+v, discovery %+v",
+		t.Errorf("the report lacks faults of the scenario: got %d killed attempts, changes %+v, discovery %+v",
 			m.KilledAttempts, m.Changes, m.Discovery)
 	}
 }
@@ -63,7 +63,7 @@
 	first := mustRun(t, opt)
 	opt.Seed = 2
 	if cmp.Equal(first.Model.TimeToStart, mustRun(t, opt).Model.TimeToStart) {
-		t.Error("runs with seeds 1 and 2 have the same times to start of jobs, want different times")
+		t.Error("seeds 1 and 2: got equal times from submission to start of the jobs, want different times")
 	}
 }
 
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -109,9 +109,10 @@
 	Unapplied  int    `json:"unread"`   // changes that not all schedulers had applied at the end of the run
 }
 
-// Measured holds the figures that depend on the machine. Processor times are those of the reducers. Control
-// events are the events about the worker list and its watch; the control budget for them is 2.9% of a
-// processor core.
+// Measured holds the figures that depend on the machine. The processor times are the times that the reducers
+// use. Control events are the reducer events about the worker list and about the watch, the connection on
+// which discovery sends the list. The control budget is the processor time that control events may take, 2.9%
+// of a core.
 type Measured struct {
 	WallSeconds float64     `json:"seconds"` // wall time of the run in seconds
 	Events      uint64      `json:"events"`  // number of events of the simulation
--- a/internal/history/check_test.go
+++ b/internal/history/check_test.go
@@ -30,7 +30,7 @@
 		fields := strings.Fields(line)
 		kind, known := kinds[fields[1]]
 		if !known {
-			t.Fatalf("%q is not an event of a history: unknown kind in the second field", line)
+			t.Fatalf("event %q of a history: got an unknown kind in the second field, want a known kind", line)
 		}
 		e := Event{At: at(fields[0]), Kind: kind, ID: "t", Actor: fields[2], MayHaveRun: fields[1] == "ran"}
 		if len(fields) > 3 {
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,6 +1,7 @@
 // Package history checks a recorded history of a real scheduler, as observed by clients, workers and
-// discovery, against the properties that package modelcheck checks in small worlds. The package has no I/O
-// and no clock: each event contains its time, and all times come from one clock.
+// discovery, against the properties that package modelcheck checks in small simulated configurations
+// (worlds). The package has no I/O and no clock: each event contains its time, and all times come from one
+// clock.
 package history
 
 import (
--- a/internal/modelcheck/checks.go
+++ b/internal/modelcheck/checks.go
@@ -98,8 +98,9 @@
 }
 
 // checkSlowStart checks the property SlowStartRespected: a worker in slow start is not sent more jobs than
-// its budget. In all worlds that budget is less than one job in each overloadWindow (400 ms). Two jobs that
-// are sent with knowledge of the slow start must therefore be sent at least overloadWindow apart.
+// its budget. In all worlds (simulated configurations) that budget is less than one job in each
+// overloadWindow (400 ms). Two jobs that are sent with knowledge of the slow start must therefore be sent at
+// least overloadWindow apart.
 func (w *World) checkSlowStart(c *connection) {
 	if !c.slowStart {
 		return
@@ -148,8 +149,8 @@
 }
 
 // checkCancelAllowed checks the property CancelsAsAllowed when the scheduler abandons an attempt in a world
-// where cancelling is forbidden. The scheduler may abandon an attempt only after a callback, the end of the
-// connection or the attempt's deadline has ended the attempt.
+// (simulated configuration) whose settings forbid cancelling. The scheduler may abandon an attempt only after
+// a callback, the end of the connection or the attempt's deadline has ended the attempt.
 func (w *World) checkCancelAllowed(attempt scheduler.AttemptID) {
 	if !w.cfg.Overrides.CancelForbidden {
 		return
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -28,8 +28,8 @@
 	return batchDeadline
 }
 
-// Limits on the size of a world. They must not exceed 10, because the id of a request and the UID of a worker
-// contain the index of the request or worker as one digit.
+// Limits on the size of a world, the simulated system. They must not exceed 10, because the id of a request
+// and the UID of a worker contain the index of the request or worker as one digit.
 const (
 	maxRequests = 8
 	maxWorkers  = 8
@@ -43,8 +43,8 @@
 	Requests []Class
 	// Racks holds the number of the rack of each worker, by the index of the worker.
 	Racks []int
-	// Faults limits the number of injected faults of each kind on a path through the states of the world;
-	// MaxFaults limits the number of faults of all kinds together.
+	// Faults limits the number of injected faults of each kind on a path through the states of the simulated
+	// system; MaxFaults limits the number of faults of all kinds together.
 	Faults    Budget
 	MaxFaults uint8
 	// AnswerOvertakesWrite allows a worker's answer to reach the event loop before the event that the
@@ -53,19 +53,19 @@
 	// DeleteOvertakesRequest allows a DELETE to reach a worker before the request that it cancels. No
 	// scheduler can prevent an orphaned job in this case: see docs/design.md.
 	DeleteOvertakesRequest bool
-	// RenewRequests allows a new request with a new id to replace a finished request of which no message
-	// and no job is left. Random walks through such a world do not run out of actions.
+	// RenewRequests allows a new request with a new id to replace a finished request of which no message and no
+	// job is left. Random walks through the states of such a configuration do not run out of actions.
 	RenewRequests bool
 
-	// Overrides holds the settings in which the world differs from the default settings.
+	// Overrides holds the settings in which this configuration differs from the default settings.
 	Overrides Overrides
 
 	settings settings.Settings // the scheduler's settings, which prepare parses from Overrides
 }
 
-// Resize returns a copy of the world with other numbers of requests and workers and another limit on the
-// faults of all kinds together. Added requests alternate in class; added workers are in the rack of the first
-// worker. An argument of 0 requests, 0 workers or -1 faults keeps the present number.
+// Resize returns a copy of the configuration with other numbers of requests and workers and another limit on
+// the faults of all kinds together. Added requests alternate in class; added workers are in the rack of the
+// first worker. An argument of 0 requests, 0 workers or -1 faults keeps the present number.
 func (c *Config) Resize(requests, workers, maxFaults int) (*Config, error) {
 	switch {
 	case requests < 0 || requests > maxRequests:
@@ -102,7 +102,7 @@
 	return Post
 }
 
-// prepare checks the size of the world and parses its settings. Further calls do nothing.
+// prepare checks the size of the simulated system and parses its settings. Further calls do nothing.
 func (c *Config) prepare() error {
 	if len(c.settings.Classes) > 0 {
 		return nil
--- a/internal/modelcheck/coverage.go
+++ b/internal/modelcheck/coverage.go
@@ -106,8 +106,8 @@
 // isCancellation reports whether an event is the result of a cancellation.
 func (e eventKind) isCancellation() bool { return e == evCancelled || e == evNotCancelled }
 
-// impossible returns the reason why an event of a kind cannot occur in a stage of an attempt in any world, or
-// "" if the event can occur.
+// impossible returns the reason why an event of a kind cannot occur in a stage of an attempt in any world
+// (simulated configuration), or "" if the event can occur.
 func impossible(e eventKind, s stage) string {
 	switch {
 	case s == stageEarlier && (e == evSubmitted || e == evDisconnected || e >= evList):
@@ -180,7 +180,7 @@
 }
 
 // Table returns the counts as a table with one line for each kind of event and one column for each stage. "-"
-// marks pairs that no world can produce.
+// marks pairs that no world (simulated configuration) can produce.
 func (c *Coverage) Table() [][]string {
 	table := [][]string{append([]string{"event"}, stageNames[:]...)}
 	for e := range evKinds {
--- a/internal/modelcheck/fault.go
+++ b/internal/modelcheck/fault.go
@@ -1,7 +1,8 @@
 package modelcheck
 
 // Fault is a failure that the model checker may inject, or an event that a client, an operator or discovery
-// may cause at any time. A world has one budget for each kind of fault and one for all kinds together.
+// may cause at any time. A world (simulated configuration) has one budget for each kind of fault and one for
+// all kinds together.
 type Fault uint8
 
 // The kinds of faults.
--- a/internal/modelcheck/mutants/connstate_mutants.go
+++ b/internal/modelcheck/mutants/connstate_mutants.go
@@ -1,6 +1,6 @@
 package mutants
 
-// connstateMutants are the mutants of the connection state machine.
+// connstateMutants are the mutants (deliberate faults) of the connection state machine.
 var connstateMutants = []Mutant{
 	{
 		Name: "reset-never-ran", World: "attempt",
--- a/internal/modelcheck/mutants/dispatch_mutants.go
+++ b/internal/modelcheck/mutants/dispatch_mutants.go
@@ -7,7 +7,7 @@
 	slowStartFile = "internal/dispatch/slowstart.go"
 )
 
-// dispatchMutants are the mutants of the decision module.
+// dispatchMutants are the mutants (deliberate faults) of the decision module.
 var dispatchMutants = []Mutant{
 	{
 		Name: "post-repeated", World: "attempt",
--- a/internal/modelcheck/mutants/mutants.go
+++ b/internal/modelcheck/mutants/mutants.go
@@ -12,21 +12,21 @@
 	"strings"
 )
 
-// Mutant is one deliberate fault.
+// Mutant is one deliberate fault in the source, as in mutation testing.
 type Mutant struct {
 	Name    string
 	About   string // what the fault does and which failure follows
 	Patches []Patch
-	World   string // name of the world in which the model checker must find the fault
+	World   string // name of the simulated configuration in which the model checker must find the fault
 	Walk    bool   // whether RandomWalk, instead of Search, looks for the fault
 	// Violates lists the names of the properties that the fault may violate, separated by spaces.
 	Violates string
 	// OnlyInWorld means that the fault has an effect only with the settings of World. The model checker must not
-	// find the fault in any world with the default settings.
+	// find the fault in any simulated configuration with the default settings.
 	OnlyInWorld bool
 }
 
-// Patch is one text replacement of a mutant.
+// Patch is one text replacement of a mutant, a deliberate fault in the source.
 type Patch struct {
 	File string // path relative to the root of the repository
 	Old  string // text to replace; must occur exactly once in File after the preceding patches
@@ -39,12 +39,13 @@
 	connStateFile = "internal/connstate/connstate.go"
 )
 
-// All returns the mutants of the reducer, the connection state machine and the decision module.
+// All returns the mutants (deliberate faults) of the reducer, the connection state machine and the decision
+// module.
 func All() []Mutant {
 	return slices.Concat(schedulerMutants, connstateMutants, dispatchMutants)
 }
 
-// Files returns the files that a mutant changes, without duplicates.
+// Files returns the files that a mutant (a deliberate fault) changes, without duplicates.
 func (m Mutant) Files() []string {
 	var files []string
 	for _, p := range m.Patches {
@@ -55,9 +56,9 @@
 	return files
 }
 
-// Overlay writes the changed files of a mutant and an overlay file for `go build -overlay` into a folder, and
-// returns the path of the overlay file. If the Old text of a patch does not occur exactly once, the error
-// quotes it.
+// Overlay writes the changed files of a mutant (a deliberate fault) and an overlay file for `go build
+// -overlay` into a folder, and returns the path of the overlay file. If the Old text of a patch does not
+// occur exactly once, the error quotes it.
 func (m Mutant) Overlay(root, folder string) (string, error) {
 	replaced := map[string]string{}
 	for i, file := range m.Files() {
@@ -81,7 +82,8 @@
 	return overlay, os.WriteFile(overlay, raw, 0o666)
 }
 
-// apply returns the text of a source file with the patches of the mutant to that file applied.
+// apply returns the text of a source file with the patches of the mutant (a deliberate fault) to that file
+// applied.
 func (m Mutant) apply(source, file string) (string, error) {
 	raw, err := os.ReadFile(source)
 	if err != nil {
--- a/internal/modelcheck/mutants/scheduler_mutants.go
+++ b/internal/modelcheck/mutants/scheduler_mutants.go
@@ -12,7 +12,7 @@
 	workersFile       = "internal/scheduler/workers.go"
 )
 
-// schedulerMutants are the mutants of the reducer.
+// schedulerMutants are the mutants (deliberate faults) of the reducer.
 var schedulerMutants = []Mutant{
 	{
 		Name: "earlier-callback", World: "keyed",
--- a/internal/modelcheck/mutants_test.go
+++ b/internal/modelcheck/mutants_test.go
@@ -10,8 +10,8 @@
 	"dahliaford/internal/modelcheck/mutants"
 )
 
-// TestMutantTexts checks that the text to replace of each patch occurs once in its file, that names of
-// mutants are unique, and that mutants refer to existing worlds and properties.
+// TestMutantTexts checks that the text that each patch of a mutant (a deliberate fault) replaces occurs once
+// in its file, that names of mutants are unique, and that mutants name only existing worlds and properties.
 func TestMutantTexts(t *testing.T) {
 	root := repositoryRoot(t)
 	names := map[string]bool{}
@@ -24,18 +24,18 @@
 		}
 		for _, name := range strings.Fields(m.Violates) {
 			if !slices.ContainsFunc(Properties(), func(p Property) bool { return p.String() == name }) {
-				t.Errorf("mutant %s: unknown property %q", m.Name, name)
+				t.Errorf("mutant %s: got property %q, want a known property", m.Name, name)
 			}
 		}
 		if names[m.Name] {
-			t.Errorf("name %s of a mutant is not unique", m.Name)
+			t.Errorf("mutant name %s: got several mutants of this name, want one", m.Name)
 		}
 		names[m.Name] = true
 	}
 }
 
-// TestMutantsCompile checks that each mutant compiles. Whether the model checker finds the mutants is the
-// subject of the mutant drill of cmd/schedbench, which takes minutes.
+// TestMutantsCompile checks that the source with each mutant (a deliberate fault) compiles. Whether the model
+// checker finds the mutants is tested by the drill "mutants" of cmd/schedbench, which takes minutes.
 func TestMutantsCompile(t *testing.T) {
 	if raceEnabled {
 		t.Skip("compilation of mutants does not depend on the race detector")
@@ -54,7 +54,7 @@
 			build := exec.CommandContext(t.Context(), "go", args...)
 			build.Dir = root
 			if out, err := build.CombinedOutput(); err != nil {
-				t.Errorf("build of the mutant failed: %v: %s", err, out)
+				t.Errorf("build of the source with the mutant: got error %v, want none: %s", err, out)
 			}
 		})
 	}
--- a/internal/modelcheck/properties.go
+++ b/internal/modelcheck/properties.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// Property is a condition that every state and every path of a world must satisfy.
+// Property is a condition that every state and every path of a world (simulated configuration) must satisfy.
 type Property uint8
 
 // The properties, numbered as in docs/modelcheck.md. OneFinalAnswer, RunsAsAllowed, DrainsRespected and
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -6,8 +6,9 @@
 	"dahliaford/internal/settings"
 )
 
-// Overrides holds the settings that may differ between worlds. The zero value gives the default
-// settings of most worlds: cancelling allowed, worker lists polled, at most four attempts, no hedging.
+// Overrides holds the settings that may differ between worlds (simulated configurations). The zero value
+// gives the default settings of most of them: cancelling allowed, worker lists polled, at most four attempts,
+// no hedging.
 type Overrides struct {
 	CancelForbidden bool // an outstanding attempt must not be cancelled
 	HedgingAllowed  bool // a second attempt may be sent while the first one is outstanding
@@ -36,7 +37,7 @@
 	return r.PollInterval
 }
 
-// parse returns the settings of a world with these overrides.
+// parse returns the settings of a world (simulated configuration) with these overrides.
 func (r *Overrides) parse() (settings.Settings, error) {
 	discovery := "on_request"
 	if r.EndpointsPushed {
@@ -52,9 +53,9 @@
 	return set, err
 }
 
-// worldSettings is the format string of the settings of all worlds. The setting granularity (50 ms) is larger
-// in proportion to the other times than in a real deployment, so that few deadlines lie within the lifetime
-// of a request and the number of states stays small.
+// worldSettings is the format string of the settings of all worlds (simulated configurations). The setting
+// granularity (50 ms) is larger in proportion to the other times than in a real deployment, so that few
+// deadlines lie within the lifetime of a request and the number of states stays small.
 const worldSettings = `{"balancers":1,"me":0,"granularity":50000,"azs":["north"],"kinds":["m1"],
 	"grades":[
 	{"name":"post-reading","semantics":"at_most_once","slo":500000,"deadline":1000000,"worth":2},
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -106,7 +106,8 @@
 	stopped        atomic.Bool
 }
 
-// Search explores a world until it has visited all states, a property is violated, or the context ends.
+// Search explores a world (simulated configuration) until it has visited all states, a property is violated,
+// or the context ends.
 func Search(ctx context.Context, cfg *Config, opt Options) (*Result, error) {
 	root, err := newWorld(cfg)
 	if err != nil {
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -45,6 +45,6 @@
 			err)
 	}
 	if diff := cmp.Diff(true, reflect.DeepEqual(cfg.Faults, bounded(t, "attempt", 3).Faults)); diff != "" {
-		t.Error("search changed the fault budget of its configuration")
+		t.Error("got a changed fault budget in the configuration after the search, want it unchanged")
 	}
 }
--- a/internal/modelcheck/settle.go
+++ b/internal/modelcheck/settle.go
@@ -9,8 +9,8 @@
 	// faults, adds after the last answer. It exceeds every retention time of the scheduler and the time for
 	// which the scheduler retries the cancellation of an attempt.
 	settlingDuration = 20 * second
-	// maxSettlingActions is the largest number of actions that settle performs. A world in which actions are
-	// still possible after that number violates the property Terminates.
+	// maxSettlingActions is the largest number of actions that settle performs. If actions are still possible
+	// after that number, the simulated system violates the property Terminates.
 	maxSettlingActions = 500
 )
 
@@ -67,8 +67,8 @@
 
 // checkOrphans checks, after settle has performed all actions without faults, that no worker holds a job for
 // which no client waits (property OrphansCancelled). Such jobs are allowed if the scheduler exited at
-// shutdownLimit, before all cancellations were acknowledged, or if it exited in a world where cancelling is
-// forbidden.
+// shutdownLimit, before all cancellations were acknowledged, or if it exited and the settings of the world
+// (simulated configuration) forbid cancelling.
 func (w *World) checkOrphans() {
 	if w.cancellationsAbandoned || w.exited && w.cfg.Overrides.CancelForbidden {
 		return
--- a/internal/modelcheck/state_test.go
+++ b/internal/modelcheck/state_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestCopiesActAlike checks that a copy of a world behaves like its original and that actions of one do not
-// change the other. A field that clone shares by mistake would corrupt a search.
+// TestCopiesActAlike checks that a copy of a World, a state of the simulated system, behaves like its
+// original and that actions of one do not change the other. A field that clone shares by mistake would
+// corrupt a search.
 func TestCopiesActAlike(t *testing.T) {
 	worlds := []*Config{LargeWorld()}
 	for _, c := range Worlds() {
@@ -38,14 +39,15 @@
 			c := w.clone()
 			before := w.appendState(nil)
 			if string(before) != string(c.appendState(nil)) {
-				t.Fatal("encodings of a cloned world and its original differ, want equal encodings")
+				t.Fatal("got different encodings of a cloned World and its original, want equal encodings")
 			}
 			notes := take(c, a)
 			if string(before) != string(w.appendState(nil)) {
 				t.Fatalf("action %v on the clone changed the state of the original world, want it unchanged", a)
 			}
 			if diff := cmp.Diff(notes, take(w, a)); diff != "" {
-				t.Fatalf("action %v: effects on a cloned world and its original differ, -clone +original:\n%s", a, diff)
+				t.Fatalf("action %v: want equal effects in a cloned World and its original, got -clone +original:\n%s",
+					a, diff)
 			}
 			if string(w.appendState(nil)) != string(c.appendState(nil)) {
 				t.Fatalf("action %v: a cloned world and its original end in different states, want equal states", a)
--- a/internal/modelcheck/trace.go
+++ b/internal/modelcheck/trace.go
@@ -16,9 +16,9 @@
 type Trace struct {
 	Format    int    `json:"format"`
 	World     string `json:"world"`
-	Requests  int    `json:"requests,omitempty"` // number of requests; 0 means the number that the world has
-	Workers   int    `json:"workers,omitempty"`  // number of workers; 0 means the number that the world has
-	MaxFaults *int   `json:"faults,omitempty"`   // limit on all faults; nil means the limit of the world
+	Requests  int    `json:"requests,omitempty"` // number of requests; 0 means the number in the Config
+	Workers   int    `json:"workers,omitempty"`  // number of workers; 0 means the number in the Config
+	MaxFaults *int   `json:"faults,omitempty"`   // limit on all faults; nil means the limit in the Config
 	Property  string `json:"property"`
 	Text      string `json:"text"` // description of the violation
 	Steps     []Step `json:"steps"`
--- a/internal/modelcheck/trace_format_test.go
+++ b/internal/modelcheck/trace_format_test.go
@@ -22,8 +22,8 @@
 	return raw
 }
 
-// TestTextualNamesUnchanged checks the names of actions, faults, worlds and properties, which are part of
-// trace files or of the command line.
+// TestTextualNamesUnchanged checks the names of actions, faults, worlds (simulated configurations) and
+// properties, which are part of trace files or of the command line.
 func TestTextualNamesUnchanged(t *testing.T) {
 	type names struct{ Actions, Faults, Worlds, Properties []string }
 	var want, got names
@@ -82,7 +82,7 @@
 	}
 	for k := range actionKinds {
 		if !met[k] {
-			t.Errorf("no stored trace contains the action %v", k)
+			t.Errorf("action %v: got no stored trace that contains the action, want one", k)
 		}
 	}
 }
--- a/internal/modelcheck/trace_test.go
+++ b/internal/modelcheck/trace_test.go
@@ -33,7 +33,7 @@
 			known := trace.World == knownViolationWorld.Name
 			if violated := result.Violation != nil; violated != known || lines == 0 {
 				t.Errorf(
-					"replay got violation %v, %d lines, divergence at step %d; want lines, violation only in world hole",
+					"replay: got violation %v, %d lines, divergence at step %d; want lines > 0, violation in \"hole\" only",
 					result.Violation, lines, result.DivergedAt)
 			}
 		})
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -5,11 +5,12 @@
 	"math/rand/v2"
 )
 
-// maxWalkActions is the largest number of actions in one random walk through the states of a world.
+// maxWalkActions is the largest number of actions in one random walk through the states of a world (simulated
+// configuration).
 const maxWalkActions = 4000
 
-// RandomWalk takes random paths through the states of a world, each from the initial state, until the context
-// ends or a property is violated. The paths depend only on the seed.
+// RandomWalk takes random paths through the states of a world (simulated configuration), each from the
+// initial state, until the context ends or a property is violated. The paths depend only on the seed.
 func RandomWalk(ctx context.Context, cfg *Config, seed uint64, opt Options) (*Result, error) {
 	r := &Result{World: cfg.Name, Coverage: &Coverage{}}
 	random := rand.New(rand.NewPCG(seed, 0))
--- a/internal/modelcheck/walk_test.go
+++ b/internal/modelcheck/walk_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestWalk checks that long random walks through the large worlds violate no property.
+// TestWalk checks that long random walks through the large worlds (simulated configurations) violate no
+// property.
 func TestWalk(t *testing.T) {
 	for _, cfg := range WalkedWorlds() {
 		t.Run(cfg.Name, func(t *testing.T) { checkWalks(t, cfg) })
--- a/internal/modelcheck/workers.go
+++ b/internal/modelcheck/workers.go
@@ -10,7 +10,7 @@
 	processDown       bool // the process of the worker has crashed
 	unreachable       bool // the machine of the worker has no network connection
 	status            dispatch.Status
-	startedAt         Micros   // time of the last restart; 0 if the worker did not restart in this world
+	startedAt         Micros   // time of the last restart; 0 if the worker did not restart
 	knownStartedAt    Micros   // startedAt in the last worker list that the scheduler received
 	leavingNotifiedAt Micros   // time at which the scheduler learned of a drain or removal; 0 if ready
 	leavingChangedAt  Micros   // time at which discovery listed the worker as draining or removed; 0 if ready
--- a/internal/modelcheck/worlds.go
+++ b/internal/modelcheck/worlds.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Fault budgets that several worlds use.
+// Fault budgets that several worlds (simulated configurations) use.
 var (
 	networkFaults = Budget{
 		FaultConnectionRefused: 2,
@@ -226,7 +226,8 @@
 	DeleteOvertakesRequest: true,
 }
 
-// LargeWorld returns a world with too many states for a complete search. RandomWalk covers parts of it.
+// LargeWorld returns a world (simulated configuration) with too many states for a complete search. RandomWalk
+// covers parts of it.
 func LargeWorld() *Config {
 	c := &Config{
 		Name:                 "large",
@@ -244,8 +245,8 @@
 	return c
 }
 
-// LargeIDsWorld returns a world for random walks in which the client submits used ids again, also after the
-// deduplication window of the id has ended.
+// LargeIDsWorld returns a world (simulated configuration) for random walks in which the client submits used
+// ids again, also after the deduplication window of the id has ended.
 func LargeIDsWorld() *Config {
 	return &Config{
 		Name:          "large-ids",
@@ -260,19 +261,22 @@
 	}
 }
 
-// WalkedWorlds returns the worlds that are too large for Search and meant for RandomWalk.
+// WalkedWorlds returns the worlds (simulated configurations) that are too large for Search and meant for
+// RandomWalk.
 func WalkedWorlds() []*Config { return []*Config{LargeWorld(), LargeIDsWorld()} }
 
-// Worlds returns the worlds that Search can explore completely.
+// Worlds returns the worlds (simulated configurations) that Search can explore completely.
 func Worlds() []*Config {
 	return slices.Concat(generalWorlds, mutantWorlds, settingsWorlds, []*Config{knownViolationWorld})
 }
 
-// largePrefix and the name of a world make up the name of the large world with the settings of that world.
+// largePrefix and the name of a world (simulated configuration) make up the name of the large world with the
+// settings of that world.
 const largePrefix = "large-"
 
-// WorldByName returns a copy of the world with a name. The name large-NAME selects the large world with the
-// settings of the world NAME. The error for an unknown name lists the known names.
+// WorldByName returns a copy of the world (simulated configuration) with the given name. The name large-NAME
+// selects the large world with the settings of the world NAME. The error for an unknown name lists the known
+// names.
 func WorldByName(name string) (*Config, error) {
 	var names []string
 	for _, c := range slices.Concat(Worlds(), WalkedWorlds()) {
--- a/internal/modelcheck/worlds_test.go
+++ b/internal/modelcheck/worlds_test.go
@@ -17,9 +17,9 @@
 	return cfg
 }
 
-// TestWorlds explores worlds completely with a limit on faults that CI can afford, and checks that no
-// property is violated. For worlds with overridden settings it leaves out the faults that add the most states
-// and that worlds with the default settings cover.
+// TestWorlds explores worlds (simulated configurations) completely with a limit on faults that CI can afford,
+// and checks that no property is violated. For worlds with overridden settings it leaves out the faults that
+// add the most states and that worlds with the default settings cover.
 func TestWorlds(t *testing.T) {
 	all := &Coverage{}
 	for _, c := range []struct {
@@ -76,8 +76,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// TestRulesReachTheSettings checks that the overrides of a world are applied to the settings of its
-// scheduler.
+// TestRulesReachTheSettings checks that the overrides of a world (simulated configuration) are applied to the
+// settings of its scheduler.
 func TestRulesReachTheSettings(t *testing.T) {
 	type applied struct {
 		cancelAllowed, hedgingAllowed      bool
--- a/internal/simfleet/day.go
+++ b/internal/simfleet/day.go
@@ -12,14 +12,14 @@
 // zonesPerRegion is the number of consecutive zones that form a region.
 const zonesPerRegion = 2
 
-// step runs one or more events of a day. A timed step lasts for the duration span; any other step ignores
-// span and ends when its work is done.
+// step runs one or more events of a day, the fault scenario of a run. A timed step lasts for the duration
+// span; any other step ignores span and ends when its work is done.
 type step func(ctx context.Context, span time.Duration) error
 
-// schedule is the sequence of steps of a day, the scenario of a run.
+// schedule is the sequence of steps of a day, the fault scenario of a run.
 type schedule struct {
 	steps          []step
-	measureJobPath bool // whether measureJobPath ends the day, as a further timed step
+	measureJobPath bool // whether the last step is the timed step measureJobPath, which measures CPU time
 	timedSteps     int  // number of timed steps, including measureJobPath
 }
 
@@ -36,13 +36,14 @@
 	case dayStorm:
 		return schedule{steps: []step{r.measureBaseline, r.singleChanges, r.zoneOutage, r.regionOutage,
 			r.discoveryRestart, r.rollingRestart}, measureJobPath: true, timedSteps: 4}
-	default: // the day is dayCalm, as Validate rejects other names
+	default: // r.Day is dayCalm, as Validate rejects names that are not in Days
 		return schedule{steps: []step{r.measureBaseline, r.singleChanges}, measureJobPath: true, timedSteps: 3}
 	}
 }
 
-// runDay runs the steps of the day one after another, while clients submit jobs at Options.Rate. It stops
-// these clients before it measures the job path, the handling of a job from the request to the answer.
+// runDay runs the steps of the day, the fault scenario in Options.Day, one after another, while clients
+// submit jobs at Options.Rate. It stops these clients before it measures the job path, the handling of a job
+// from the request to the answer.
 func (r *run) runDay(ctx context.Context) error {
 	load, stopLoad := context.WithCancel(ctx)
 	var loading sync.WaitGroup
--- a/internal/simfleet/discovery_test.go
+++ b/internal/simfleet/discovery_test.go
@@ -62,8 +62,8 @@
 		t.Helper()
 		revisions, entries, full := readWatch(t, d.addr(1), from, len(wantRevisions))
 		if !slices.Equal(revisions, wantRevisions) || !slices.Equal(entries, wantEntries) || full != wantFull {
-			t.Errorf("watch from revision %d: revisions %v, entries %v, full list: %v; want %v, %v, %v", from,
-				revisions, entries, full, wantRevisions, wantEntries, wantFull)
+			t.Errorf("watch from revision %d: got revisions %v, entries a line %v, full list %v; want %v, %v, %v",
+				from, revisions, entries, full, wantRevisions, wantEntries, wantFull)
 		}
 	}
 	check(0, []int{1}, []int{10}, true)
--- a/internal/simfleet/options.go
+++ b/internal/simfleet/options.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// Days are the names of the scenarios that Options.Day accepts. A scenario is called a day.
+// Days are the names that Options.Day accepts. A day is a fault scenario: a sequence of faults and changes of
+// the fleet during a run.
 var Days = []string{dayCalm, dayZone, dayRegion, dayRoll, dayDiscovery, dayStorm}
 
 const (
@@ -23,7 +24,7 @@
 	dayRegion    = "region"
 	dayRoll      = "roll"
 	dayDiscovery = "discovery"
-	dayStorm     = "storm" // the scenario with the events of all other days
+	dayStorm     = "storm" // the scenario with the events of all other scenarios
 )
 
 // The limits of Options.
@@ -53,11 +54,11 @@
 	Workers int     // number of workers that discovery lists, 1 to 20,000
 	Zones   int     // number of zones, 1 to 64 and at most Workers; each pair of zones forms a region
 	Rate    float64 // jobs per second at all schedulers together, 0 to 2,000
-	// Duration, 3 s to 10 min, is divided equally among the day's timed steps. The other steps last until the
-	// schedulers are idle again and add to the duration of the run.
+	// Duration, 3 s to 10 min, is divided equally among the timed steps of the fault scenario in Day. The other
+	// steps last until the schedulers are idle again and add to the duration of the run.
 	Duration time.Duration
 	Seed     uint64
-	Day      string // name of the scenario, one of Days
+	Day      string // name of the fault scenario, one of Days
 }
 
 func (o *Options) fleetSize() int { return max(o.Fleet, o.Schedulers) }
--- a/internal/simfleet/report.go
+++ b/internal/simfleet/report.go
@@ -22,13 +22,13 @@
 // Microseconds is a duration in microseconds.
 type Microseconds float64
 
-// Event is the measurement of an event of a day, the scenario of a run. The window of the measurement begins
-// with the event and ends when the schedulers are idle again, or, for an event that lasts for a set time,
-// with the event.
+// Event is the measurement of an event of a day, the fault scenario of a run. The window of the measurement
+// begins with the event and ends when the schedulers are idle again, or, for an event that lasts for a set
+// time, with the event.
 type Event struct {
 	Name string `json:"name"`
-	// Updates is the number of lines with changes that discovery sent to each scheduler; Entries is the number
-	// of changed entries in all these lines.
+	// Updates is the number of lines with changes of the worker list that discovery sent to each scheduler.
+	// Entries is the number of changed entries in these lines.
 	Updates int `json:"words"`
 	Entries int `json:"entries"`
 	// Window is the length of the window in seconds.
@@ -39,7 +39,7 @@
 	CPUSeconds   Spread  `json:"processor_s"`
 	CoreFraction float64 `json:"core_share"`
 	// NetCPUSeconds is the mean of CPUSeconds less the CPU time that a scheduler takes in a window of this
-	// length for the jobs at Options.Rate alone, as measured at the beginning of the day.
+	// length for the jobs at Options.Rate alone, as measureBaseline measures it before the first event.
 	NetCPUSeconds float64 `json:"processor_net_s"`
 	// RecoverySeconds is the time in seconds from the last update until a scheduler has served a probe job. For
 	// the event "start" it is the time until a scheduler was ready.
--- a/internal/simfleet/run.go
+++ b/internal/simfleet/run.go
@@ -41,9 +41,9 @@
 	history []history.Event
 }
 
-// Run starts the schedulers, runs a day and returns the report. It writes its progress to log. Before it
-// returns it stops all processes that it has started. If the context ends before the day is over, Run returns
-// an error.
+// Run starts the schedulers, runs the fault scenario that Options.Day names, and returns the report. It
+// writes its progress to log. Before it returns it stops all processes that it has started. If the context
+// ends before the scenario is over, Run returns an error.
 func Run(ctx context.Context, o Options, log io.Writer) (Report, error) {
 	if err := o.Validate(); err != nil {
 		return Report{}, err
@@ -74,8 +74,8 @@
 	}
 }
 
-// execute starts workers, discovery and schedulers, runs the day, checks the history, and stops everything
-// that it has started.
+// execute starts workers, discovery and schedulers, runs the fault scenario that Options.Day names, checks
+// the history, and stops everything that it has started.
 func (r *run) execute(ctx context.Context) (err error) {
 	folder, err := os.MkdirTemp("", "simfleet")
 	if err != nil {
--- a/internal/simfleet/run_test.go
+++ b/internal/simfleet/run_test.go
@@ -33,8 +33,8 @@
 	return len(b), nil
 }
 
-// Two real schedulers run the day that has all events. The test checks the recorded history and the numbers
-// of updates, entries and full lists of each event; it checks no times.
+// Two real schedulers run "storm", the fault scenario with the events of all scenarios. The test checks the
+// recorded history and the numbers of updates, entries and full lists of each event; it checks no times.
 func TestStormOfTwoRealSchedulers(t *testing.T) {
 	const schedulers, workers, zones = 2, 200, 4
 	r, err := Run(t.Context(), Options{Program: buildScheduler(t), Schedulers: schedulers, Workers: workers,
@@ -66,7 +66,7 @@
 	} {
 		e := r.FindEvent(want.name)
 		if e == nil {
-			t.Errorf("report has no event %q", want.name)
+			t.Errorf("report: got no event %q, want one", want.name)
 			continue
 		}
 		if e.Updates != want.updates || e.Entries != want.entries || e.FullLists != want.fullLists {
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -12,8 +12,8 @@
 	"dahliaford/internal/store/lifecycle"
 )
 
-// version2Items returns the items in testdata/v2.db. Each effect, each outcome of an attempt, each verdict
-// and each field of a record occurs at least once.
+// version2Items returns the items in testdata/v2.db. Each effect of a class, each outcome of an attempt, each
+// verdict and each field of a record occurs at least once.
 func version2Items() map[string]*lifecycle.Item {
 	attempt := func(worker, rack string, at, ended lifecycle.Micros,
 		outcome lifecycle.Outcome) lifecycle.Attempt {
@@ -84,7 +84,7 @@
 				return err
 			}
 			if !bytes.Equal(record, c.record) {
-				t.Errorf("this version encodes item %q as %q, but the record in the file of version 2 is %q",
+				t.Errorf("item %q: this version encodes it as %q, want %q, the record in the file of version 2",
 					id, c.record, record)
 			}
 			return nil
--- a/internal/store/lifecycle/item.go
+++ b/internal/store/lifecycle/item.go
@@ -93,8 +93,8 @@
 	Key    string `json:"key,omitempty"` // idempotency key
 	Body   []byte `json:"body,omitempty"`
 	Effect Effect `json:"effect"`
-	// Window is the deduplication window of the effects Rack and Anywhere. The window begins when the first
-	// attempt that may have run is routed.
+	// Window is the deduplication window of a class with the effect Rack or Anywhere. The window begins when the
+	// first attempt that may have run is routed.
 	Window    Micros    `json:"window,omitempty"`
 	Accepted  Micros    `json:"accepted"`
 	Deadline  Micros    `json:"deadline"`
@@ -247,7 +247,7 @@
 // cannot have produced a record that Check rejects.
 func (it *Item) Check() error {
 	if it.ID == "" || it.Effect > Safe {
-		return errors.New("item has no id or an unknown effect")
+		return errors.New("item has no id, or its class has an unknown effect")
 	}
 	replay := Item{ID: it.ID, Effect: it.Effect, Window: it.Window, Accepted: it.Accepted, Deadline: it.Deadline}
 	for i, attempt := range it.Attempts {
--- a/internal/store/lifecycle/item_test.go
+++ b/internal/store/lifecycle/item_test.go
@@ -23,15 +23,17 @@
 	return Event{Kind: AttemptEnded, At: 2 * second, Outcome: outcome}
 }
 
-// TestCheckRoute checks that CheckRoute allows or rejects another attempt depending on the effect, on the
-// outcome of the previous attempt, on the rack and on the time.
+// TestCheckRoute checks that CheckRoute allows or rejects another attempt depending on four conditions: the
+// effect of the job's class, which says whether and where a job that may have run may be repeated; the
+// outcome of the previous attempt; whether the next attempt goes to the same rack as the previous attempt;
+// and the time, compared with the deduplication window and the deadline.
 func TestCheckRoute(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome Outcome
 		at      Micros
 		rack    string
-		want    [4]error // expected errors, indexed by effect: Once, Rack, Anywhere, Safe
+		want    [4]error // expected errors, indexed by the effect of the class: Once, Rack, Anywhere, Safe
 	}{
 		{"attempt never ran", NeverRan, 5 * second, "b", [4]error{}},
 		{"attempt may have run, same rack", MayHaveRun, 5 * second, "a", [4]error{ErrMayHaveRun, nil, nil, nil}},
@@ -54,7 +56,8 @@
 				}
 			}
 			if got := it.CheckRoute(c.at, c.rack); !errors.Is(got, want) {
-				t.Errorf("%s, item with effect %d: CheckRoute returns error %v, want error %v", c.name, effect, got, want)
+				t.Errorf("%s, item of a class with effect %d: CheckRoute got error %v, want %v",
+					c.name, effect, got, want)
 			}
 		}
 	}
@@ -134,9 +137,9 @@
 }
 
 // TestProperties applies random sequences of events to an item. A rejected event must leave the item
-// unchanged, an item with effect Once must have at most one attempt that may have run, and Check must accept
-// the record. Recovery must reach a final answer in at most four steps. Check must reject a record to which a
-// forbidden attempt was added without Apply.
+// unchanged, an item of a class with effect Once must have at most one attempt that may have run, and Check
+// must accept the record. Recovery must reach a final answer in at most four steps. Check must reject a
+// record to which a forbidden attempt was added without Apply.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		it := newItem(Effect(rapid.IntRange(0, 3).Draw(t, "effect")))
@@ -151,7 +154,8 @@
 			before.Attempts = append([]Attempt(nil), it.Attempts...)
 			if err := it.Apply(e); err != nil {
 				if diff := cmp.Diff(before, it); diff != "" {
-					t.Fatalf("Apply rejected the event with error %v, but changed the item (-before +after): %s", err, diff)
+					t.Fatalf("Apply rejected the event with error %v: want item unchanged, got (-before +after): %s",
+						err, diff)
 				}
 			}
 			if err := it.Check(); err != nil {
@@ -176,7 +180,7 @@
 		if len(it.Attempts) > 0 && it.Effect == Once && it.Attempts[0].Outcome != NeverRan {
 			it.Attempts = append(it.Attempts, Attempt{Worker: "x", At: now})
 			if it.Check() == nil {
-				t.Fatal("effect Once: Check accepts an attempt after an attempt that may have run, want an error")
+				t.Fatal("class with effect Once: Check accepts an attempt after one that may have run, want an error")
 			}
 		}
 	})
--- a/internal/store/lifecycle/model_test.go
+++ b/internal/store/lifecycle/model_test.go
@@ -30,8 +30,9 @@
 	Crashes          int // number of crashes of the process that may still happen
 	Runs             int // number of times that the workers ran the job
 	// RanIn is true for each worker that has got a copy of the job, whether the worker ran the copy or dropped
-	// the copy as a duplicate. The model reads RanIn only for the effect Rack. With that effect, a worker runs
-	// the first copy that it gets and drops all later copies, so a worker that is true in RanIn ran the job.
+	// the copy as a duplicate. The model reads RanIn only if the effect of the class is Rack. With that effect,
+	// a worker runs the first copy that it gets and drops all later copies, so a worker that is true in RanIn
+	// ran the job.
 	RanIn     [2]bool
 	Violation string // description of an event that Apply rejected; empty if there is none
 	// SkippedWait names the action before which the process does not wait for the sync to disk, as an injected
@@ -93,8 +94,8 @@
 	w.Unsaved = append(w.Unsaved, &it)
 }
 
-// action is something that may happen next in a world: an action of the process, of a worker or of the
-// client, a sync to disk, a crash, or the passing of time.
+// action is something that may happen next in a state of the model: an action of the process, of a worker or
+// of the client, a sync to disk, a crash, or the passing of time.
 type action struct {
 	name string
 	do   func(*world)
@@ -297,16 +298,16 @@
 	case w.Violation != "":
 		return fmt.Errorf("%s", w.Violation)
 	case w.Runs > 1 && w.Effect != Safe:
-		return fmt.Errorf("the job ran %d times, want at most once, as its effect is not Safe", w.Runs)
+		return fmt.Errorf("the job ran %d times, want at most once, as the effect of its class is not Safe", w.Runs)
 	case w.AcceptConfirmed && w.Disk == nil:
 		return fmt.Errorf("the client got the confirmation of its item, but the item is not on disk")
 	case w.ClientVerdict != None && w.Disk != nil && w.Mem != nil && w.Mem.Verdict != w.ClientVerdict:
 		return fmt.Errorf("the client got the final answer %v, but the verdict in the item is now %v",
 			w.ClientVerdict, w.Mem.Verdict)
 	case w.ResultAcked && w.ClientVerdict == Failed:
-		return fmt.Errorf("a worker got the response 204 for its result, but the client's final answer is failed")
+		return fmt.Errorf("a worker got the response 204 for its result, but the client's answer is \"failed\"")
 	case w.ClientVerdict == Expired && w.Runs > 0:
-		return fmt.Errorf("the client got the final answer expired, but a worker ran the job")
+		return fmt.Errorf("the client got the final answer \"expired\", but a worker ran the job")
 	}
 	if w.Disk != nil {
 		return w.Disk.Check()
@@ -315,13 +316,13 @@
 }
 
 // TestCrashesInEveryOrder explores all orders of events with crashes at any point, including crashes during
-// recovery. No accepted item may be lost, no job may run twice unless its effect allows repeats, and no
-// answer may change after a client got the answer.
+// recovery. No accepted item may be lost, no job may run twice unless the effect of its class allows repeats,
+// and no answer may change after a client got the answer.
 func TestCrashesInEveryOrder(t *testing.T) {
 	for effect := Once; effect <= Safe; effect++ {
 		crashes := 3
 		if effect >= Anywhere || testing.Short() {
-			crashes = 1 // effects that allow repeated attempts multiply the number of states
+			crashes = 1 // class effects that allow repeated attempts multiply the number of states
 		}
 		if raceOn {
 			crashes = 1 // the race detector makes each explored state ten times as expensive
@@ -329,10 +330,10 @@
 		tour := modelcheck.Exhaust(&world{Effect: effect, Crashes: crashes}, 300_000)
 		if tour.Violation != nil || !tour.Exhausted || tour.States < 1000 {
 			t.Errorf(
-				"item with effect %d: explored %v, violation %v by actions %q, want all states explored and no violation",
+				"class with effect %d: explored %v, violation %v by actions %q, want all states explored, no violation",
 				effect, tour, tour.Violation, tour.Path)
 		}
-		t.Logf("item with effect %d: the model checker explored %v", effect, tour)
+		t.Logf("item of a class with effect %d: the model checker explored %v", effect, tour)
 	}
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -497,7 +497,7 @@
 	got := readAll(t, openStore(t, Config{Path: f.Name()}))
 	for n := range 50 {
 		if cmp.Diff(testItem(n), got[testItem(n).ID]) != "" {
-			t.Fatalf("item %d is missing from the backup or differs from the stored item", n)
+			t.Fatalf("item %d is missing from the backup or differs, want an item equal to the stored item", n)
 		}
 	}
 }
--- a/internal/testcluster/faultdrill.go
+++ b/internal/testcluster/faultdrill.go
@@ -52,8 +52,8 @@
 	Attempts                      int // requests for a job that reached a worker
 	Started                       int // attempts that a worker started to run
 	Cancelled                     int // cancellation requests that reached a worker
-	Crashes, Drains               int // crashes and drains of workers that the drill caused
-	Events                        int // number of recorded events that the drill checked
+	Crashes, Drains               int // crashes and drains of workers that RunFaultDrill caused
+	Events                        int // number of recorded events that RunFaultDrill checked
 	Findings                      []history.Finding
 	Log                           []string // log lines of the scheduler
 }
@@ -103,7 +103,8 @@
 	return out, nil
 }
 
-// drillEndpoints returns the entries of the drill's workers for discovery, workersPerCell in each cell.
+// drillEndpoints returns the entries of the workers of RunFaultDrill for discovery, workersPerCell in each
+// cell.
 func drillEndpoints() (workers []endpoints.Endpoint) {
 	for i := range drillWorkers {
 		workers = append(workers, endpoints.Endpoint{UID: fmt.Sprintf("s-%08x", i+1), Cell: i / workersPerCell})
